--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -130,6 +130,14 @@
         self.graph.link(job, &needs);
         self.cancel_with_needs(job);
         self.refresh_urgency(job);
+        let urgency = self.open.get(&job).map(|open| open.urgency);
+        let as_before = |b: &OpenJob| b.after.jobs == needs && Some(b.urgency) == urgency;
+        if !before.as_ref().is_some_and(as_before) {
+            // A new job's own urgency is there already, so its refresh tells nobody of it.
+            for need in needs {
+                self.refresh_urgency(need);
+            }
+        }
         before
     }
 
