--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -39,6 +39,7 @@
 pub use machine::{HostState, Machine, Task};
 pub use mirror::Mirror;
 pub use node::Node;
+pub use reports::MAX_MACHINES;
 
 /// Milliseconds on this process's steady clock.
 pub type Millis = f64;
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -70,6 +70,8 @@
     pub(crate) woke_at: Millis,
     /// Workers of others' parts that reported here, by part and machine.
     pub(crate) strays: BTreeMap<(usize, u32), Stray>,
+    /// Whether the log says that further ones are not counted.
+    pub(crate) strays_full_logged: bool,
     /// Users' writes that this controller may make.
     pub(crate) user_pace: Pace,
     /// Machines whose assignments rounds have looked at so far: what rounds cost.
@@ -125,6 +127,7 @@
             clock: now,
             woke_at: now,
             strays: BTreeMap::new(),
+            strays_full_logged: false,
             user_pace: Pace::new(config.user_writes_per_s / config.parts() as f64, now),
             looked: 0,
             looked_jobs: 0,
--- a/crates/cherryyard-core/src/reports.rs
+++ b/crates/cherryyard-core/src/reports.rs
@@ -12,6 +12,11 @@
 
 /// Questions to machines under way at once.
 const ASKS: usize = 16;
+/// Machines that a controller keeps: of its own shards, and as many of other controllers'.
+/// It bounds the memory that reports can take; the largest fleets have some 4,000.
+pub const MAX_MACHINES: usize = 20_000;
+/// Longest name of a machine that is taken, in bytes.
+const MAX_HOST_NAME: usize = 100;
 /// How much longer than its lease a silent machine is still asked.
 const LOST_MS: f64 = 15_000.0;
 
@@ -55,15 +60,19 @@
     /// hear nobody, and roam from one to the next: then no other owner would do better.
     /// So it is asked, unless the owner has ended anyway.
     fn note_stray(&mut self, p: usize, report: &Report, now: Millis) {
-        if self.strays.len() >= 1000 || report.host.len() > 100 {
+        if report.host.len() > MAX_HOST_NAME || !self.has_stray_room(p, &report.host) {
             return;
         }
         let owner = self.owner_elsewhere(p, now);
         let owner = owner.and_then(|label| self.config.labels.iter().position(|l| *l == label));
         let alive = owner.and_then(|i| self.peers[i].as_ref());
         let alive = alive.is_some_and(|peer| now - peer.heard_at < 2000.0);
-        let asking = self.strays.values().filter(|s| s.asking).count();
         let host = self.mirror.hosts.intern(&report.host);
+        let due = |s: &Stray| !s.hears && !s.asking && now - s.asked_at > 3000.0;
+        let due = self.strays.get(&(p, host)).is_none_or(due);
+        // Counted only where it decides: there may be thousands.
+        let asking = || self.strays.values().filter(|s| s.asking).count();
+        let ask = alive && due && asking() < ASKS;
         let stray = self.strays.entry((p, host)).or_insert(Stray {
             at: now,
             asked_at: f64::NEG_INFINITY,
@@ -71,14 +80,30 @@
             hears: false,
         });
         stray.at = now;
-        if alive && !stray.hears && !stray.asking && asking < ASKS && now - stray.asked_at > 3000.0
-        {
+        if ask {
             (stray.asking, stray.asked_at) = (true, now);
             let addr = report.addr.clone();
             self.effects.push(Effect::Ask { host, addr });
         }
     }
 
+    /// Whether a machine of another's part is known or may become so; says in the log
+    /// once that it may not.
+    fn has_stray_room(&mut self, p: usize, host: &str) -> bool {
+        if self.strays.len() < MAX_MACHINES {
+            return true;
+        }
+        if !std::mem::replace(&mut self.strays_full_logged, true) {
+            let most = MAX_MACHINES;
+            tracing::warn!(
+                most,
+                "too many machines of other parts report here; further ones are not counted"
+            );
+        }
+        let host = self.mirror.hosts.get(host);
+        host.is_some_and(|host| self.strays.contains_key(&(p, host)))
+    }
+
     /// Takes a worker's report.
     pub fn report(&mut self, report: &Report, now: Millis) -> Reply {
         match self.answer_report(report, now) {
@@ -135,7 +160,7 @@
             self.effects.push(Effect::Refresh);
             return Reply::Elsewhere(self.owner_elsewhere(p, now));
         }
-        if self.machines.len() >= 20_000 || report.host.len() > 100 {
+        if self.machines.len() >= MAX_MACHINES || report.host.len() > MAX_HOST_NAME {
             return Reply::Unavailable;
         }
         let host = self.mirror.hosts.intern(&report.host);
