--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -30,7 +30,7 @@
     let sort = |i: u16| MachineSort {
         kind: format!("standard-{}-highmem", i % 100),
         zone: format!("zone-{}", i / 100),
-        spot: i % 2 == 0,
+        spot: i.is_multiple_of(2),
     };
     PartReport {
         part: 0,
