--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -1,7 +1,7 @@
-//! An account of a part's core-seconds: what its machines' cores did, and why
+//! An account of a shard's core-seconds: what its machines' cores did, and why
 //! those that did nothing were idle while something waited.
 //!
-//! It is sampled: each sample counts every core of the part once, for the time
+//! It is sampled: each sample counts every core of the shard once, for the time
 //! since the sample before. Nothing depends on it.
 
 use crate::machine::{HostState, Machine, Task};
@@ -62,7 +62,7 @@
     Unusable,
     /// Free while nothing waited anywhere.
     Spare,
-    /// Free while tasks waited in other parts only.
+    /// Free while tasks waited in other shards only.
     Elsewhere,
     /// Free while jobs waited to be divided.
     Undivided,
@@ -134,7 +134,7 @@
     }
 }
 
-/// A part's account in the making.
+/// A shard's account in the making.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     sum: CoreSeconds,
@@ -149,18 +149,18 @@
         std::mem::take(&mut self.sum)
     }
 
-    /// Starts anew: the part has another owner.
+    /// Starts anew: the shard has another owner.
     pub(crate) fn clear(&mut self) {
         self.ran.clear();
         self.sampled_at = None;
     }
 
     /// Attempts without an assignment any more were either of use or lost.
-    fn settle(&mut self, p: usize, mirror: &Mirror) {
+    fn settle(&mut self, shard_id: usize, mirror: &Mirror) {
         let sum = &mut self.sum;
         self.ran.retain(|&(task, attempt), &mut (s, cores)| {
             let (job, number) = task;
-            let assignments = mirror.assignments.get(&(p, job));
+            let assignments = mirror.assignments.get(&(shard_id, job));
             let assigned = assignments.and_then(|m| m.assignments.get(&number));
             if assigned.is_some_and(|(m, _)| m.attempt == attempt) {
                 return true;
@@ -182,39 +182,39 @@
 }
 
 impl Node {
-    /// Takes a sample of part `p`, if it is ours and one is due.
-    pub(crate) fn sample(&mut self, p: usize, now: Millis) {
-        if self.owned(p).is_none() {
+    /// Takes a sample of shard `shard_id`, if it is ours and one is due.
+    pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
+        if self.owned(shard_id).is_none() {
             return;
         }
-        let since = self.parts[p].account.sampled_at;
+        let since = self.shards[shard_id].account.sampled_at;
         let passed = since.map_or(0.0, |at| now - at);
         if since.is_some() && passed < SAMPLE_MS {
             return;
         }
-        let mut account = std::mem::take(&mut self.parts[p].account);
+        let mut account = std::mem::take(&mut self.shards[shard_id].account);
         account.sampled_at = Some(now);
         if passed > 0.0 && passed <= GAP_MS {
-            self.count(p, now, passed / 1000.0, &mut account);
+            self.count(shard_id, now, passed / 1000.0, &mut account);
         }
-        account.settle(p, &self.mirror);
-        self.parts[p].account = account;
+        account.settle(shard_id, &self.mirror);
+        self.shards[shard_id].account = account;
     }
 
-    fn count(&self, p: usize, now: Millis, s: f64, account: &mut Account) {
+    fn count(&self, shard_id: usize, now: Millis, s: f64, account: &mut Account) {
         let silence = self.silence_ms();
-        let waiting: Vec<(u64, &OpenJob)> = self.mirror.waiting[p]
+        let waiting: Vec<(u64, &OpenJob)> = self.mirror.waiting[shard_id]
             .keys()
             .filter_map(|job| Some((*job, self.mirror.open.get(job)?)))
             .take(JOBS)
             .collect();
         let undivided = !self.mirror.undivided.is_empty();
         // Room is idle while something waits only as far as that could fill it.
-        let mut wanted = self.wanted(p);
-        let others = (0..self.parts.len()).filter(|&q| q != p);
-        let mut elsewhere = others.map(|q| self.wanted(q)).sum::<f64>() / self.parts.len() as f64;
-        let used = self.mirror.usage(p);
-        for m in self.machines.values().filter(|m| m.part == p) {
+        let mut wanted = self.wanted(shard_id);
+        let others = (0..self.shards.len()).filter(|&q| q != shard_id);
+        let mut elsewhere = others.map(|q| self.wanted(q)).sum::<f64>() / self.shards.len() as f64;
+        let used = self.mirror.usage(shard_id);
+        for m in self.machines.values().filter(|m| m.shard == shard_id) {
             if m.state == HostState::Gone {
                 continue;
             }
@@ -224,13 +224,13 @@
                 account.sum.count(Went::Unusable, free * s);
                 continue;
             }
-            if self.parts[p].reserved.contains_key(&m.host) {
+            if self.shards[shard_id].reserved.contains_key(&m.host) {
                 account.sum.count(Went::Kept, free * s);
                 continue;
             }
             let here = free.min(wanted);
             if here > 0.0 {
-                let why = self.why_idle(p, m, &waiting, &used, now);
+                let why = self.why_idle(shard_id, m, &waiting, &used, now);
                 account.sum.count(why, here * s);
                 wanted -= here;
             }
@@ -246,7 +246,7 @@
         }
         for (name, entry) in &self.listed {
             if entry.status == HostStatus::Starting
-                && self.config.parting.part(&entry.yard, name) == p
+                && self.config.shard_map.shard(&entry.yard, name) == shard_id
             {
                 let kind = self.mirror.kinds.iter().find(|k| k.sku == entry.host_kind);
                 let cores = kind.map_or(0.0, |k| k.cores);
@@ -255,9 +255,9 @@
         }
     }
 
-    /// Cores that the waiting tasks of a part take.
-    fn wanted(&self, p: usize) -> f64 {
-        let waiting = self.mirror.waiting[p].iter();
+    /// Cores that the waiting tasks of a shard take.
+    fn wanted(&self, shard_id: usize) -> f64 {
+        let waiting = self.mirror.waiting[shard_id].iter();
         let cores = waiting.filter_map(|(job, set)| {
             let open = self.mirror.open.get(job)?;
             Some(f64::from(set.len()) * open.spec.cores)
@@ -301,7 +301,7 @@
     /// The reason that comes nearest to letting one of them run there.
     fn why_idle(
         &self,
-        p: usize,
+        shard_id: usize,
         m: &Machine,
         waiting: &[(u64, &OpenJob)],
         used: &[crate::needs::Needs],
@@ -310,8 +310,8 @@
         let free = self.free_on(m, None).unwrap_or_default();
         let why = |&(job, open): &(u64, &OpenJob)| {
             let needs = open.needs();
-            let at_limit = self.beyond_grant(p, open.team, used, &needs);
-            let trouble = self.parts[p].trouble.get(&job);
+            let at_limit = self.beyond_grant(shard_id, open.team, used, &needs);
+            let trouble = self.shards[shard_id].trouble.get(&job);
             if !self.allowed(open, m) {
                 Went::Excluded
             } else if !needs.fits(&free) {
@@ -329,7 +329,7 @@
 
     /// What each part of ours has counted since the last call.
     pub fn accounts(&mut self) -> Vec<(usize, CoreSeconds)> {
-        let taken = self.parts.iter_mut().map(|part| part.account.take());
+        let taken = self.shards.iter_mut().map(|shard| shard.account.take());
         let all = taken.enumerate();
         all.filter(|(_, sum)| sum.total() > 0.0).collect()
     }
--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -56,7 +56,8 @@
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
         let ours = self.demand_out();
         let peers = self.peers.iter().enumerate();
-        let theirs = peers.filter_map(|(i, p)| Some((i, p.as_ref()?.heartbeat.demand.as_slice())));
+        let theirs =
+            peers.filter_map(|(i, peer)| Some((i, peer.as_ref()?.heartbeat.demand.as_slice())));
         let mut sums: BTreeMap<(u32, &str), [u64; 3]> = BTreeMap::new();
         let mut reported = HashMap::new();
         for (i, told) in theirs.chain([(self.config.me, ours.as_slice())]) {
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -478,8 +478,8 @@
                     self.demand.taken(waiting.offer.open.flow);
                     self.answer(waiting.offer.ticket, Verdict::Taken);
                 }
-                for part in &mut self.parts {
-                    part.dirty = true;
+                for shard in &mut self.shards {
+                    shard.dirty = true;
                 }
                 self.leader.dirty = true;
             }
--- a/crates/cherryyard-core/src/admission/ledger.rs
+++ b/crates/cherryyard-core/src/admission/ledger.rs
@@ -1,9 +1,9 @@
 //! Floors divided among owners, so that all of them together never act on more than
 //! there is.
 //!
-//! Each owner has a *level* for a flow: up to so many cores of it in its part it may
+//! Each owner has a *level* for a flow: up to so many cores of it in its shard it may
 //! start ahead of rank, and down to so many it may stop for others. Both it decides by
-//! what its own part runs, at once and on its own (a demarcation protocol: a bound over
+//! what its own shard runs, at once and on its own (a demarcation protocol: a bound over
 //! all is kept by bounds for each). The leader divides a floor into levels, and moves
 //! them where the flow runs and waits. Several owners act at once, on old news, and
 //! controllers end, are cut off, and go on after a freeze; so:
@@ -16,8 +16,8 @@
 //!   time is over first, however long messages take.
 //! - A leader gives levels only while it has lately seen its own claim, and a new one not
 //!   before all that its predecessor can have given is over.
-//! - A level is under the leader's claim and the part's: nobody takes one of an earlier
-//!   leader after one of a later, and a part's next owner has none of the last one's,
+//! - A level is under the leader's claim and the shard's: nobody takes one of an earlier
+//!   leader after one of a later, and a shard's next owner has none of the last one's,
 //!   whose transactions die with its claim.
 //!
 //! Amounts are in thousandths of a core, so that sums are exact.
@@ -46,16 +46,16 @@
     }
 }
 
-/// Under which claims a level was given: the leader's and the part's.
+/// Under which claims a level was given: the leader's and the shard's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Under {
     /// Stamp of the leader's claim.
     pub lead: u64,
-    /// Stamp of the part's claim.
-    pub part: u64,
+    /// Stamp of the shard's claim.
+    pub shard: u64,
 }
 
-/// What a leader has told the owner of a part.
+/// What a leader has told the owner of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Account {
     /// Under which claims.
@@ -156,9 +156,9 @@
         }
     }
 
-    /// The level for the owner of the part with this claim, if it still counts.
-    pub fn now(&self, part: u64, now: T) -> Option<Amount> {
-        let good = self.under.part == part && !now.is_after(self.from, LIFE);
+    /// The level for the owner of the shard with this claim, if it still counts.
+    pub fn now(&self, shard: u64, now: T) -> Option<Amount> {
+        let good = self.under.shard == shard && !now.is_after(self.from, LIFE);
         good.then_some(self.level)
     }
 }
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! What waits in a part: a queue for each flow, in order, changed by what changed.
+//! What waits in a shard: a queue for each flow, in order, changed by what changed.
 //!
 //! The order over all is that of the places; a round takes from it until nothing more
 //! finds room. Of a flow that finds none, a bounded number of jobs is looked at, and
@@ -39,7 +39,7 @@
 
 impl Ord for Place {
     fn cmp(&self, other: &Self) -> Ordering {
-        let key = |p: &Self| (Reverse(p.rank), p.sweep, p.hope);
+        let key = |place: &Self| (Reverse(place.rank), place.sweep, place.hope);
         key(self)
             .cmp(&key(other))
             .then(self.work.total_cmp(&other.work))
@@ -72,7 +72,7 @@
     since: Millis,
 }
 
-/// A part's queues.
+/// A shard's queues.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
     flows: Vec<BTreeSet<Place>>,
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -24,7 +24,7 @@
 
 type Holding = (Flow, usize);
 
-/// What a flow runs and has waiting, by part, in cores.
+/// What a flow runs and has waiting, by shard, in cores.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlowUse {
     pub running: Vec<f64>,
@@ -81,27 +81,27 @@
 impl Node {
     /// What each flow runs and has waiting, as the assignments and divisions say.
     pub(crate) fn flow_use(&self) -> Vec<FlowUse> {
-        let parts = self.parts.len();
+        let shards = self.shards.len();
         let mut all = vec![
             FlowUse {
-                running: vec![0.0; parts],
-                waiting: vec![0.0; parts],
+                running: vec![0.0; shards],
+                waiting: vec![0.0; shards],
             };
             self.mirror.flows.len()
         ];
-        for (&(p, job), assignments) in &self.mirror.assignments {
+        for (&(shard_id, job), assignments) in &self.mirror.assignments {
             if let Some(open) = self.mirror.open.get(&job)
                 && let Some(used) = all.get_mut(open.flow as usize)
             {
-                used.running[p] += open.spec.cores * assignments.assignments.len() as f64;
+                used.running[shard_id] += open.spec.cores * assignments.assignments.len() as f64;
             }
         }
-        for p in 0..parts {
-            for (job, set) in &self.mirror.waiting[p] {
+        for shard_id in 0..shards {
+            for (job, set) in &self.mirror.waiting[shard_id] {
                 if let Some(open) = self.mirror.open.get(job)
                     && let Some(used) = all.get_mut(open.flow as usize)
                 {
-                    used.waiting[p] += open.spec.cores * f64::from(set.len());
+                    used.waiting[shard_id] += open.spec.cores * f64::from(set.len());
                 }
             }
         }
@@ -109,7 +109,7 @@
             if let Some(open) = self.mirror.open.get(job)
                 && let Some(used) = all.get_mut(open.flow as usize)
             {
-                let each = open.spec.cores * f64::from(open.spec.pieces) / parts as f64;
+                let each = open.spec.cores * f64::from(open.spec.pieces) / shards as f64;
                 used.waiting.iter_mut().for_each(|w| *w += each);
             }
         }
@@ -143,10 +143,10 @@
         let asks = uses.iter().enumerate().map(|(f, used)| {
             let t = team(f);
             let may = (self.config.teams[t].cores_max - runs[t]).max(0.0);
-            let part = if waits[t] > may { may / waits[t] } else { 1.0 };
+            let shard = if waits[t] > may { may / waits[t] } else { 1.0 };
             let own = admission.of(self.mirror.flows.class(f as Flow));
             Asks {
-                demand: sum(&used.running) + sum(&used.waiting) * part,
+                demand: sum(&used.running) + sum(&used.waiting) * shard,
                 team: t as u32,
                 weight: own.weight,
                 least: own.least,
@@ -209,11 +209,11 @@
             }
             let (runs, waits): (f64, f64) = (used.running.iter().sum(), used.waiting.iter().sum());
             let floor = self.rights.floors[f];
-            for p in 0..self.parts.len() {
-                let part = self.mirror.stamp(Key::Part(p));
-                let over = self.owner_is_over(p, now);
-                let account = self.rights.accounts.entry((flow, p)).or_default();
-                account.meet(Under { lead, part });
+            for shard_id in 0..self.shards.len() {
+                let shard = self.mirror.stamp(Key::Shard(shard_id));
+                let over = self.owner_is_over(shard_id, now);
+                let account = self.rights.accounts.entry((flow, shard_id)).or_default();
+                account.meet(Under { lead, shard });
                 if over {
                     account.lapse();
                 }
@@ -222,20 +222,23 @@
                 continue;
             }
             // Lower levels first: what they leave can be given only once it is named.
-            let mut wanted: Vec<(usize, Amount)> = (0..self.parts.len())
-                .filter(|&p| self.mirror.parts[p].is_some() && !self.owner_is_over(p, now))
-                .map(|p| {
-                    let here = used.running[p] * (floor / runs.max(1e-9)).min(1.0);
-                    let more = (floor - runs).max(0.0) * used.waiting[p] / waits.max(1e-9);
-                    (p, amount(here + more))
+            let mut wanted: Vec<(usize, Amount)> = (0..self.shards.len())
+                .filter(|&shard_id| {
+                    self.mirror.shards[shard_id].is_some() && !self.owner_is_over(shard_id, now)
+                })
+                .map(|shard_id| {
+                    let here = used.running[shard_id] * (floor / runs.max(1e-9)).min(1.0);
+                    let more = (floor - runs).max(0.0) * used.waiting[shard_id] / waits.max(1e-9);
+                    (shard_id, amount(here + more))
                 })
                 .collect();
-            let level = |rights: &Rights, p: usize| rights.accounts[&(flow, p)].level();
-            wanted.sort_by_key(|&(p, want)| want > level(&self.rights, p));
-            for (p, want) in wanted {
+            let level =
+                |rights: &Rights, shard_id: usize| rights.accounts[&(flow, shard_id)].level();
+            wanted.sort_by_key(|&(shard_id, want)| want > level(&self.rights, shard_id));
+            for (shard_id, want) in wanted {
                 let of_flow = self.rights.accounts.range((flow, 0)..=(flow, usize::MAX));
                 let more = left(amount(floor), of_flow.map(|a| a.1));
-                let Some(account) = self.rights.accounts.get_mut(&(flow, p)) else {
+                let Some(account) = self.rights.accounts.get_mut(&(flow, shard_id)) else {
                     continue;
                 };
                 // Not for every core: each change has to be named before the next.
@@ -248,13 +251,13 @@
         self.level_ours(next, now);
     }
 
-    /// Our own parts need no message.
+    /// Our own shards need no message.
     fn level_ours(&mut self, number: u64, now: Millis) {
         let ours: Vec<(Holding, Level<Millis>)> = self
             .rights
             .accounts
             .iter()
-            .filter(|((_, p), _)| self.owned(*p).is_some())
+            .filter(|((_, shard_id), _)| self.owned(*shard_id).is_some())
             .map(|(&holding, account)| {
                 let level = Level {
                     under: account.under,
@@ -273,10 +276,10 @@
         }
     }
 
-    /// Whether a part's owner has not been heard of for so long that its levels are
+    /// Whether a shard's owner has not been heard of for so long that its levels are
     /// over.
-    fn owner_is_over(&self, p: usize, now: Millis) -> bool {
-        let owner = self.mirror.parts[p].as_ref();
+    fn owner_is_over(&self, shard_id: usize, now: Millis) -> bool {
+        let owner = self.mirror.shards[shard_id].as_ref();
         let i = owner.and_then(|c| self.config.labels.iter().position(|l| *l == c.label));
         match i {
             Some(i) if i == self.config.me => false,
@@ -311,7 +314,12 @@
 
     /// What a part of ours may start ahead of rank, by flow, and what it may stop of
     /// those flows for others; `gone` are tasks that a round has proven gone.
-    pub(crate) fn allowances(&self, p: usize, gone: &HashSet<Task>, now: Millis) -> Allowances {
+    pub(crate) fn allowances(
+        &self,
+        shard_id: usize,
+        gone: &HashSet<Task>,
+        now: Millis,
+    ) -> Allowances {
         let mut all = Allowances::default();
         let flows = (0..self.mirror.flows.len()).map(|f| f as Flow);
         let ahead: Vec<Flow> = flows.filter(|&f| self.is_ahead(f, now)).collect();
@@ -319,7 +327,11 @@
             return all;
         }
         let mut runs: HashMap<Flow, f64> = HashMap::new();
-        for (&(_, job), assignments) in self.mirror.assignments.range((p, 0)..=(p, u64::MAX)) {
+        for (&(_, job), assignments) in self
+            .mirror
+            .assignments
+            .range((shard_id, 0)..=(shard_id, u64::MAX))
+        {
             if let Some(open) = self.mirror.open.get(&job) {
                 *runs.entry(open.flow).or_default() +=
                     open.spec.cores * assignments.assignments.len() as f64;
@@ -332,10 +344,10 @@
                 *runs -= open.spec.cores;
             }
         }
-        let part = self.mirror.stamp(Key::Part(p));
+        let shard = self.mirror.stamp(Key::Shard(shard_id));
         for flow in ahead {
-            let level = self.rights.levels.get(&(flow, p));
-            let level = level.and_then(|level| level.now(part, now));
+            let level = self.rights.levels.get(&(flow, shard_id));
+            let level = level.and_then(|level| level.now(shard, now));
             let level = level.map(|level| level as f64 / 1000.0);
             let runs = runs.get(&flow).copied().unwrap_or(0.0);
             let start = level.map_or(0.0, |level| level - runs);
@@ -367,9 +379,9 @@
             }
             let flow = f as Flow;
             let accounts = self.rights.accounts.range((flow, 0)..=(flow, usize::MAX));
-            let levels = accounts.map(|(&(_, p), account)| LevelTold {
-                part: p as u32,
-                under: (account.under.lead, account.under.part),
+            let levels = accounts.map(|(&(_, shard_id), account)| LevelTold {
+                shard: shard_id as u32,
+                under: (account.under.lead, account.under.shard),
                 level: account.level(),
             });
             heartbeat.shares.push(FlowShare {
@@ -395,9 +407,11 @@
         }
         if self.leader.leads(&self.mirror) {
             let label = &self.config.labels[i];
-            let owns = |p: usize| self.mirror.parts[p].as_ref().map(|c| &c.label) == Some(label);
-            for ((_, p), account) in &mut self.rights.accounts {
-                if let Some(number) = named.filter(|_| owns(*p)) {
+            let owns = |shard_id: usize| {
+                self.mirror.shards[shard_id].as_ref().map(|c| &c.label) == Some(label)
+            };
+            for ((_, shard_id), account) in &mut self.rights.accounts {
+                if let Some(number) = named.filter(|_| owns(*shard_id)) {
                     account.named(number);
                 }
             }
@@ -417,14 +431,14 @@
             self.rights
                 .set(flow, Standing::Ahead, f64::from(share.floor));
             for told in &share.levels {
-                let p = told.part as usize;
+                let shard_id = told.shard as usize;
                 let under = Under {
                     lead: told.under.0,
-                    part: told.under.1,
+                    shard: told.under.1,
                 };
                 if let Some(from) = from
-                    && p < self.parts.len()
-                    && self.owned(p) == Some(under.part)
+                    && shard_id < self.shards.len()
+                    && self.owned(shard_id) == Some(under.shard)
                 {
                     let new = Level {
                         under,
@@ -432,9 +446,9 @@
                         level: told.level,
                         from,
                     };
-                    let known = self.rights.levels.get(&(flow, p)).copied();
+                    let known = self.rights.levels.get(&(flow, shard_id)).copied();
                     let level = Level::told(known, new);
-                    self.rights.levels.insert((flow, p), level);
+                    self.rights.levels.insert((flow, shard_id), level);
                 }
             }
         }
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -35,7 +35,7 @@
     /// Since when that list has no gap.
     since: Millis,
     /// Jobs that others know to be cancelled, and we have not read of, and when we were
-    /// first told. Whatever we know of them: a part that we have just adopted may run
+    /// first told. Whatever we know of them: a shard that we have just adopted may run
     /// tasks of jobs that we have yet to read of.
     told: BTreeMap<u64, Millis>,
     /// When we last told that we were cut off; at first our start, as the process before
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -1,7 +1,7 @@
 //! What a controller knows from its settings, in the core's own terms.
 
 use crate::names::Names;
-use crate::parting::Parting;
+use crate::shard_map::ShardMap;
 use cherryyard_wire::record::NEWEST_FORMAT;
 use cherryyard_wire::rules::Attributes;
 use cherryyard_wire::settings::Settings;
@@ -22,7 +22,7 @@
 /// Operators' own settings, each with a default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// The proposal's AutoscaleMultiClusterDelay in seconds: how long a part
+    /// The proposal's AutoscaleMultiClusterDelay in seconds: how long a shard
     /// may keep tasks waiting before the leader moves them.
     pub autoscale_multi_cluster_delay_s: f64,
     /// Seconds between two reports of free room to the leader.
@@ -66,7 +66,7 @@
     }
 }
 
-/// A class's own part in it.
+/// What a class has of its own in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassShare {
     /// Its weight where not all floors can be met.
@@ -143,8 +143,8 @@
     pub me: usize,
     /// All controllers' names, in the agreed order.
     pub labels: Vec<String>,
-    /// Which part a machine belongs to.
-    pub parting: Parting,
+    /// Which shard a machine belongs to.
+    pub shard_map: ShardMap,
     /// Zone names.
     pub zones: Names,
     /// Team names.
@@ -165,7 +165,7 @@
     pub writes_per_s: f64,
     /// The same after an announced change of the state service's limits.
     pub next_writes_per_s: f64,
-    /// Changes a second that one part's rounds may write: the rest of the
+    /// Changes a second that one shard's rounds may write: the rest of the
     /// budget is for users, claims and the leader.
     pub round_writes_per_s: f64,
     /// Users' writes a second, all controllers together.
@@ -211,7 +211,7 @@
                 .position(|(l, _)| *l == settings.label)
                 .unwrap_or(0),
             labels: controllers.iter().map(|(l, _)| l.clone()).collect(),
-            parting: Parting::new(&controllers),
+            shard_map: ShardMap::new(&controllers),
             zones: Names::of(c.zones.iter().map(String::as_str)),
             team_names: Names::of(c.teams.iter().map(|t| t.name.as_str())),
             teams: c
@@ -258,13 +258,13 @@
     /// Sets the rate of puts and deletes, and divides it among those who write.
     pub(crate) fn set_writes_per_s(&mut self, rate: f64) {
         self.writes_per_s = rate;
-        self.round_writes_per_s = rate * ROUNDS_SHARE / self.parts() as f64;
+        self.round_writes_per_s = rate * ROUNDS_SHARE / self.shards() as f64;
         self.user_writes_per_s = rate * USERS_SHARE;
         self.history_writes_per_s = rate * HISTORY_SHARE;
     }
 
-    /// How many parts there are.
-    pub fn parts(&self) -> usize {
+    /// How many shards there are.
+    pub fn shards(&self) -> usize {
         self.labels.len()
     }
 
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -10,11 +10,11 @@
 /// most one of each under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ticket {
-    /// A claim on a part, or its renewal under a new token.
+    /// A claim on a shard, or its renewal under a new token.
     Claim(usize),
     /// An owner's round.
     Owner(usize),
-    /// An owner gives its part up.
+    /// An owner gives its shard up.
     Yield(usize),
     /// A claim on the lead.
     Lead,
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::peers::{PeerFormat, PeerState};
 use crate::tenancy::{Tenancy, TenancyEvent};
-use cherryyard_wire::peer::{Heartbeat, PartReport, Sender};
+use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
 use std::collections::BTreeMap;
 
 /// How long nothing of what we send a controller may be named by it.
@@ -24,8 +24,8 @@
         (0..self.peers.len())
             .filter(|&i| i != self.config.me)
             .all(|i| {
-                self.peers[i].as_ref().is_some_and(|p| {
-                    now - p.made_at <= self.config.relied_ms() && p.heartbeat.cut_off
+                self.peers[i].as_ref().is_some_and(|peer| {
+                    now - peer.made_at <= self.config.relied_ms() && peer.heartbeat.cut_off
                 })
             })
     }
@@ -77,29 +77,29 @@
             return;
         }
         let made_at = self.made_at(&heartbeat);
-        let older = |p: &PeerState| {
-            heartbeat.number < p.heartbeat.number
-                && made_at <= p.made_at
-                && now - p.heard_at < OLD_CONNECTION_MS
+        let older = |peer: &PeerState| {
+            heartbeat.number < peer.heartbeat.number
+                && made_at <= peer.made_at
+                && now - peer.heard_at < OLD_CONNECTION_MS
         };
         if self.peers[i].as_ref().is_some_and(older) {
             // Held back on a connection that has been given up since.
             return;
         }
-        for (part, stamp, label) in &heartbeat.claims {
-            let p = *part as usize;
-            if p < self.parts.len()
+        for (shard, stamp, label) in &heartbeat.claims {
+            let shard_id = *shard as usize;
+            if shard_id < self.shards.len()
                 && *label != self.config.labels[self.config.me]
-                && let Tenancy::Owned(mine) = self.parts[p].tenancy
+                && let Tenancy::Owned(mine) = self.shards[shard_id].tenancy
                 && *stamp > mine
             {
                 tracing::info!(
-                    part = p,
+                    shard = shard_id,
                     mine,
                     newer = stamp,
                     "a peer knows of a newer claim"
                 );
-                self.change_tenancy(p, TenancyEvent::NewerClaimTold);
+                self.change_tenancy(shard_id, TenancyEvent::NewerClaimTold);
                 self.effects.push(Effect::Refresh);
             }
         }
@@ -107,11 +107,11 @@
             self.effects.push(Effect::Refresh);
         }
         self.leader.dirty |= !heartbeat.handing.is_empty();
-        for report in &heartbeat.parts {
+        for report in &heartbeat.shards {
             self.leader.hear(report.clone(), now);
         }
         let up_since = match &self.peers[i] {
-            Some(p) if now - p.heard_at < 3000.0 => p.up_since,
+            Some(peer) if now - peer.heard_at < 3000.0 => peer.up_since,
             _ => now,
         };
         if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
@@ -121,7 +121,7 @@
         let covered = self.told_of_cancellations(i, &heartbeat, made_at, now);
         let before = self.peers[i].as_ref();
         self.peers[i] = Some(PeerState {
-            made_at: before.map_or(made_at, |p| p.made_at.max(made_at)),
+            made_at: before.map_or(made_at, |peer| peer.made_at.max(made_at)),
             heartbeat,
             heard_at: now,
             up_since,
@@ -129,19 +129,19 @@
         });
     }
 
-    /// How many workers of others' parts report here and hear, by part. Not all are
+    /// How many workers of others' shards report here and hear, by shard. Not all are
     /// asked, as they may come by the hundred at once: those that were stand for them.
     fn strays_out(&mut self, now: Millis) -> Vec<(u32, u32)> {
         self.strays.retain(|_, stray| now - stray.at < STRAY_MS);
         let mut counts: BTreeMap<usize, (u32, u32, u32)> = BTreeMap::new();
-        for (&(p, _), stray) in &self.strays {
-            let (all, asked, hear) = counts.entry(p).or_default();
+        for (&(shard_id, _), stray) in &self.strays {
+            let (all, asked, hear) = counts.entry(shard_id).or_default();
             *all += 1;
             *asked += u32::from(stray.asked_at.is_finite() && !stray.asking);
             *hear += u32::from(stray.hears);
         }
         let told = counts.into_iter().filter(|c| c.1.1 > 0);
-        told.map(|(p, (all, asked, hear))| (p as u32, all * hear / asked))
+        told.map(|(shard_id, (all, asked, hear))| (shard_id as u32, all * hear / asked))
             .collect()
     }
 
@@ -150,16 +150,16 @@
         self.notice(now);
         let every = self.config.tuning.room_report_s * 1000.0;
         let due = now - self.reported_at;
-        let mut parts: Vec<PartReport> = Vec::new();
+        let mut shards: Vec<CapacityReport> = Vec::new();
         if due >= every || (self.room_changed && due >= 900.0) {
             self.reported_at = now;
             self.room_changed = false;
-            for p in 0..self.parts.len() {
-                if self.owned(p).is_some() {
-                    parts.push(self.part_report(p, now));
+            for shard_id in 0..self.shards.len() {
+                if self.owned(shard_id).is_some() {
+                    shards.push(self.capacity_report(shard_id, now));
                 }
             }
-            for report in &parts {
+            for report in &shards {
                 self.leader.hear(report.clone(), now);
             }
         }
@@ -168,7 +168,7 @@
         let mut short = Vec::new();
         if self.leader.leads(&self.mirror) {
             short = self.short_teams(now);
-            // The leader's own part gives back as the others do.
+            // The leader's own shard gives back as the others do.
             self.lower_grants(&short, now);
         }
         let gap = self.mirror.has_gap();
@@ -188,12 +188,12 @@
             cancelled,
             reach_ms,
             complete: self.mirror.loaded && self.all_cut_off(now) && self.knows_cancellations(),
-            handing: (0..self.parts.len())
-                .flat_map(|p| {
-                    self.parts[p]
+            handing: (0..self.shards.len())
+                .flat_map(|shard_id| {
+                    self.shards[shard_id]
                         .handing
                         .iter()
-                        .map(move |&job| (p as u32, job))
+                        .map(move |&job| (shard_id as u32, job))
                 })
                 .take(200)
                 .collect(),
@@ -201,13 +201,13 @@
             label: self.config.labels[self.config.me].clone(),
             cut_off,
             epoch: self.mirror.epoch,
-            claims: (0..self.parts.len())
-                .filter_map(|p| {
-                    let c = self.mirror.parts[p].as_ref()?;
-                    Some((p as u32, c.stamp, c.label.clone()))
+            claims: (0..self.shards.len())
+                .filter_map(|shard_id| {
+                    let c = self.mirror.shards[shard_id].as_ref()?;
+                    Some((shard_id as u32, c.stamp, c.label.clone()))
                 })
                 .collect(),
-            parts,
+            shards,
             short,
             number: 0,
             heard: Vec::new(),
--- a/crates/cherryyard-core/src/leader/arrivals.rs
+++ b/crates/cherryyard-core/src/leader/arrivals.rs
@@ -19,12 +19,12 @@
     }
 
     /// Whether a controller runs a build that can work with a format, by the claim on its
-    /// own part, or by what it has lately said in frames.
+    /// own shard, or by what it has lately said in frames.
     fn is_able(&self, i: usize, format: u32) -> bool {
         if i == self.config.me {
             return self.config.format >= format;
         }
-        let claim = self.mirror.parts[i].as_ref();
+        let claim = self.mirror.shards[i].as_ref();
         let claimed = claim.filter(|c| c.label == self.config.labels[i]);
         let said = self.peer_formats[i].filter(|said| self.clock - said.at <= SAID_MS);
         claimed.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -1,4 +1,4 @@
-//! Rooms of parts whose owners' reports do not arrive.
+//! Rooms of shards whose owners' reports do not arrive.
 
 use super::*;
 use std::cell::RefCell;
@@ -9,14 +9,14 @@
 impl Node {
     /// Where an owner's reports do not arrive (connections between controllers
     /// are refused), what the cloud lists and what is assigned stand for them:
-    /// else every job went to the leader's own part.
+    /// else every job went to the leader's own shard.
     pub(crate) fn assume_rooms(&mut self, now: Millis) {
         if now - self.leader.since < ASSUME_AFTER_MS {
             return;
         }
-        for p in 0..self.parts.len() {
-            let stamp = self.mirror.stamp(Key::Part(p));
-            let fresh = self.leader.rooms[p].as_ref().is_some_and(|r| {
+        for shard_id in 0..self.shards.len() {
+            let stamp = self.mirror.stamp(Key::Shard(shard_id));
+            let fresh = self.leader.rooms[shard_id].as_ref().is_some_and(|r| {
                 let limit = if r.assumed {
                     1000.0
                 } else {
@@ -24,13 +24,13 @@
                 };
                 r.report.stamp == stamp && now - r.at < limit
             });
-            if stamp != 0 && !fresh && self.owned(p).is_none() {
-                let report = self.assumed_report(p, stamp);
+            if stamp != 0 && !fresh && self.owned(shard_id).is_none() {
+                let report = self.assumed_report(shard_id, stamp);
                 self.leader.rooms_heard += 1;
-                let debits = self.leader.rooms[p]
+                let debits = self.leader.rooms[shard_id]
                     .take()
                     .map(|r| r.debits.into_iter().filter(|d| now - d.0 < 1500.0));
-                self.leader.rooms[p] = Some(Room {
+                self.leader.rooms[shard_id] = Some(Room {
                     report,
                     at: now,
                     assumed: true,
@@ -41,10 +41,10 @@
         }
     }
 
-    fn assumed_report(&self, p: usize, stamp: u64) -> PartReport {
-        let stored = &self.mirror.images[p];
-        let mut report = PartReport {
-            part: p as u32,
+    fn assumed_report(&self, shard_id: usize, stamp: u64) -> CapacityReport {
+        let stored = &self.mirror.images[shard_id];
+        let mut report = CapacityReport {
+            shard: shard_id as u32,
             stamp,
             sorts: Vec::new(),
             images: stored.record.i.iter().map(|i| i.0.clone()).collect(),
@@ -54,7 +54,7 @@
         };
         for (name, entry) in &self.listed {
             if entry.status != HostStatus::Running
-                || self.config.parting.part(&entry.yard, name) != p
+                || self.config.shard_map.shard(&entry.yard, name) != shard_id
             {
                 continue;
             }
--- a/crates/cherryyard-core/src/leader/boots.rs
+++ b/crates/cherryyard-core/src/leader/boots.rs
@@ -182,7 +182,7 @@
         assert_eq!(b.expected_s("m", "b", 25.0), 50.0, "another zone");
     }
 
-    /// Few that are overdue are replaced, of very many only a part.
+    /// Few that are overdue are replaced, of very many only a share.
     #[test]
     fn no_storm_of_replacements() {
         assert_eq!(coming(40.0, 8.0, 1000.0, 4.0), 40.0);
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/creating.rs
@@ -383,8 +383,8 @@
         match outcome {
             Outcome::Applied(_) => {
                 self.leader.dirty = true;
-                for part in &mut self.parts {
-                    part.dirty = true;
+                for shard in &mut self.shards {
+                    shard.dirty = true;
                 }
             }
             _ => self.leader.creating.retry_after = now + self.jitter(100.0, 400.0),
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -1,4 +1,4 @@
-//! Division of a job's numbers among the parts.
+//! Division of a job's numbers among the shards.
 
 use super::*;
 use cherryyard_wire::dependencies::Dependencies;
@@ -10,7 +10,7 @@
     /// A report's machines that the job may use, up to a tier of its preference.
     pub(crate) fn rooms_for<'a>(
         open: &OpenJob,
-        report: &'a PartReport,
+        report: &'a CapacityReport,
         most: u16,
     ) -> impl Iterator<Item = &'a MachineRoom> + use<'a> {
         let allowed: Vec<bool> = report
@@ -25,29 +25,29 @@
             .filter(move |m| allowed[usize::from(m.sort)])
     }
 
-    pub(crate) fn current_room(&self, p: usize, now: Millis) -> Option<&Room> {
-        let room = self.leader.rooms[p].as_ref()?;
+    pub(crate) fn current_room(&self, shard_id: usize, now: Millis) -> Option<&Room> {
+        let room = self.leader.rooms[shard_id].as_ref()?;
         let fresh = now - room.at <= self.config.tuning.room_report_s * 2000.0 + 2000.0;
-        (fresh && self.mirror.stamp(Key::Part(p)) == room.report.stamp).then_some(room)
+        (fresh && self.mirror.stamp(Key::Shard(shard_id)) == room.report.stamp).then_some(room)
     }
 
-    /// How many of the job's tasks fit on machines of other parts that hold its
+    /// How many of the job's tasks fit on machines of other shards that hold its
     /// image, arrays making way if its rank allows.
-    pub(crate) fn held_elsewhere(&self, p: usize, open: &OpenJob, now: Millis) -> f64 {
+    pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob, now: Millis) -> f64 {
         let mut fits = if open.spec.rank > Rank::Standard {
             self.fits(open, now, true, ANY, true)
         } else {
             self.fits(open, now, true, ANY, false)
         };
-        fits[p] = 0.0;
+        fits[shard_id] = 0.0;
         fits.iter().sum()
     }
 
-    /// How many of the job's tasks fit into each part's free room.
+    /// How many of the job's tasks fit into each shard's free room.
     ///
     /// A service counts only machines that hold its image, while these have
     /// room for it, arrays making way if its rank allows: elsewhere a replica
-    /// would wait for the image, and inside its part the image decides too.
+    /// would wait for the image, and inside its shard the image decides too.
     ///
     /// Where rules prefer some cells, those count alone while they have room for all.
     pub(crate) fn weights(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
@@ -74,7 +74,7 @@
         self.fits(open, now, false, ANY, false)
     }
 
-    /// How many of the job's tasks fit into each part, on machines up to a tier of its
+    /// How many of the job's tasks fit into each shard, on machines up to a tier of its
     /// preference; `holding`: on those that hold its image; `yielding`: if arrays made
     /// way.
     ///
@@ -91,9 +91,9 @@
     ) -> Vec<f64> {
         let needs = open.needs();
         let key = (open.signature(), holding, most, yielding);
-        (0..self.parts.len())
-            .map(|p| {
-                let Some(room) = self.current_room(p, now) else {
+        (0..self.shards.len())
+            .map(|shard_id| {
+                let Some(room) = self.current_room(shard_id, now) else {
                     return 0.0;
                 };
                 let known = room.fits.borrow().get(&key).copied();
@@ -110,7 +110,7 @@
 
     fn fits_in(
         open: &OpenJob,
-        report: &PartReport,
+        report: &CapacityReport,
         holding: bool,
         most: u16,
         yielding: bool,
@@ -136,16 +136,16 @@
 
     /// Machines that could run the job, for when there is no free room.
     pub(crate) fn counts(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
-        (0..self.parts.len())
-            .map(|p| {
-                self.current_room(p, now).map_or(0.0, |r| {
+        (0..self.shards.len())
+            .map(|shard_id| {
+                self.current_room(shard_id, now).map_or(0.0, |r| {
                     Self::rooms_for(open, &r.report, ANY).count() as f64
                 })
             })
             .collect()
     }
 
-    /// The parts' shares of a job's numbers, if anything is known to go by.
+    /// The shards' shares of a job's numbers, if anything is known to go by.
     pub(crate) fn division(
         &self,
         open: &OpenJob,
@@ -156,9 +156,9 @@
             weights = self.counts(open, now);
         }
         if weights.iter().sum::<f64>() <= 0.0 {
-            weights = (0..self.parts.len())
-                .map(|p| {
-                    if self.mirror.parts[p].is_some() {
+            weights = (0..self.shards.len())
+                .map(|shard_id| {
+                    if self.mirror.shards[shard_id].is_some() {
                         1.0
                     } else {
                         0.0
@@ -175,7 +175,7 @@
         if within < open.spec.pieces {
             // What has no free room follows machine counts, as a job does that
             // finds none at all: weights of a few free cores would heap a large
-            // job onto one part.
+            // job onto one shard.
             let counts = self.counts(open, now);
             let rest = if counts.iter().sum::<f64>() > 0.0 {
                 &counts
@@ -214,8 +214,8 @@
         for z in 0..self.config.zones.len() as u32 {
             let zone = self.config.zones.name(z);
             let (mut fits, mut count) = (0, 0);
-            for p in 0..self.parts.len() {
-                let Some(room) = self.current_room(p, now) else {
+            for shard_id in 0..self.shards.len() {
+                let Some(room) = self.current_room(shard_id, now) else {
                     continue;
                 };
                 for m in Self::rooms_for(open, &room.report, ANY) {
@@ -239,16 +239,16 @@
     }
 
     /// Per part and zone, how many tasks may be there, so that no zone ever
-    /// holds more than half: a zone's cap is split among the parts by machines.
+    /// holds more than half: a zone's cap is split among the shards by machines.
     pub(crate) fn zone_caps(&self, open: &OpenJob, now: Millis) -> Vec<Vec<u32>> {
         let half = open.spec.pieces.div_ceil(2);
         let zones = self.config.zones.len();
-        let mut caps = vec![vec![0; zones]; self.parts.len()];
+        let mut caps = vec![vec![0; zones]; self.shards.len()];
         for z in 0..zones {
             let zone = self.config.zones.name(z as u32);
-            let weights: Vec<f64> = (0..self.parts.len())
-                .map(|p| {
-                    self.current_room(p, now).map_or(0.0, |r| {
+            let weights: Vec<f64> = (0..self.shards.len())
+                .map(|shard_id| {
+                    self.current_room(shard_id, now).map_or(0.0, |r| {
                         let zones = &r.report.sorts;
                         let here = |m: &&MachineRoom| zones[usize::from(m.sort)].zone == zone;
                         r.report.machines.iter().filter(here).count() as f64
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -1,4 +1,4 @@
-//! The leader: divides jobs among the parts, moves what waits, hands out team
+//! The leader: divides jobs among the shards, moves what waits, hands out team
 //! limits, rents machines.
 
 mod arrivals;
@@ -24,7 +24,7 @@
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostStatus};
 use cherryyard_wire::job::{Rank, Shape};
-use cherryyard_wire::peer::{MachineRoom, MachineSort, PartReport};
+use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
 use cherryyard_wire::record::{self, Claim, End, Grant, Key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use state::{Hired, LeadEvent, LeadPhase, Room};
@@ -34,7 +34,7 @@
     pub(crate) fn claim_lead(&mut self, now: Millis) {
         let Some(hold) = self.hold else { return };
         let me = self.config.me;
-        let n = self.parts.len();
+        let n = self.shards.len();
         if self.leader.phase == LeadPhase::Claiming || now < self.leader.claim_after {
             return;
         }
@@ -51,7 +51,7 @@
                     .labels
                     .iter()
                     .position(|l| *l == c.label)
-                    .and_then(|i| self.peers[i].as_ref().map(|p| now - p.heard_at));
+                    .and_then(|i| self.peers[i].as_ref().map(|peer| now - peer.heard_at));
                 let rank = self.successor_rank(&c.label, now);
                 let limit = 1800.0 + 500.0 * rank as f64;
                 // Who hears nobody at all cannot tell a dead leader from a cut
@@ -61,7 +61,7 @@
                     .peers
                     .iter()
                     .flatten()
-                    .any(|p| now - p.heard_at < 1500.0);
+                    .any(|peer| now - peer.heard_at < 1500.0);
                 match silent.filter(|_| anyone) {
                     Some(ms) => ms > limit && now - self.started_at > 4000.0,
                     None => silent.is_none() && anyone && now - self.started_at > 4000.0 + limit,
@@ -108,7 +108,7 @@
             .filter(|&i| {
                 self.peers[i]
                     .as_ref()
-                    .is_some_and(|p| now - p.heard_at < 1500.0)
+                    .is_some_and(|peer| now - peer.heard_at < 1500.0)
             })
             .count()
     }
@@ -155,8 +155,8 @@
         }
         match outcome {
             Outcome::Applied(_) => {
-                for part in &mut self.parts {
-                    part.dirty = true;
+                for shard in &mut self.shards {
+                    shard.dirty = true;
                 }
             }
             Outcome::Conflict(epoch) => {
@@ -179,11 +179,11 @@
             return;
         }
         self.leader.dirty = false;
-        for p in 0..self.parts.len() {
-            if self.current_room(p, now).is_some() {
-                self.leader.ownerless.remove(&p);
+        for shard_id in 0..self.shards.len() {
+            if self.current_room(shard_id, now).is_some() {
+                self.leader.ownerless.remove(&shard_id);
             } else {
-                self.leader.ownerless.entry(p).or_insert(now);
+                self.leader.ownerless.entry(shard_id).or_insert(now);
             }
         }
         self.assume_rooms(now);
--- a/crates/cherryyard-core/src/leader/rent.rs
+++ b/crates/cherryyard-core/src/leader/rent.rs
@@ -23,8 +23,8 @@
         let kinds = &self.mirror.kinds;
         let cores_of = |sku: &str| kinds.iter().find(|k| k.sku == sku).map_or(0.0, |k| k.cores);
         let (mut free, mut total) = (0.0, 0.0);
-        for p in 0..self.parts.len() {
-            let Some(room) = self.current_room(p, now) else {
+        for shard_id in 0..self.shards.len() {
+            let Some(room) = self.current_room(shard_id, now) else {
                 continue;
             };
             for m in &room.report.machines {
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -6,7 +6,7 @@
 use crate::needs::Needs;
 use crate::{Config, Millis, Mirror};
 use cherryyard_wire::cloud::HireRequest;
-use cherryyard_wire::peer::PartReport;
+use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::Key;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -53,10 +53,10 @@
 /// whether arrays make way.
 pub(crate) type FitsKey = (u64, bool, u16, bool);
 
-/// A part's last report, and what has been given to it since.
+/// A shard's last report, and what has been given to it since.
 #[derive(Clone, Debug)]
 pub(crate) struct Room {
-    pub(crate) report: PartReport,
+    pub(crate) report: CapacityReport,
     pub(crate) at: Millis,
     /// Not reported, but put together from what else is known.
     pub(crate) assumed: bool,
@@ -108,7 +108,7 @@
     pub(crate) boots: Boots,
     pub(crate) ownerless: HashMap<usize, Millis>,
     /// Services lately handed over: not again at once, or one went round among
-    /// parts whose reports are a moment old.
+    /// shards whose reports are a moment old.
     pub(crate) handed: HashMap<u64, Millis>,
     /// Whether it has been said that attributes cannot be kept.
     pub(crate) warned: bool,
@@ -133,7 +133,7 @@
             led_by: 0,
             claim_after: now,
             leaderless_since: None,
-            rooms: vec![None; config.parts()],
+            rooms: vec![None; config.shards()],
             rooms_heard: 0,
             overflowed: (0, f64::NEG_INFINITY),
             compacted_at: now,
@@ -177,9 +177,9 @@
         }
     }
 
-    /// Takes a part's report, unless it is from an owner before.
-    pub(crate) fn hear(&mut self, report: PartReport, now: Millis) {
-        let Some(place) = self.rooms.get_mut(report.part as usize) else {
+    /// Takes a shard's report, unless it is from an owner before.
+    pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
+        let Some(place) = self.rooms.get_mut(report.shard as usize) else {
             return;
         };
         if !report.is_sound() {
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine as its part's owner sees it.
+//! One machine as its shard's owner sees it.
 
 use crate::Millis;
 use crate::reach::{Reach, ReachEvent};
@@ -122,7 +122,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// Its part.
-    pub part: usize,
+    pub shard: usize,
     /// Where it stands.
     pub state: HostState,
     /// Session and sequence number of the newest message.
@@ -188,14 +188,14 @@
 
 impl Machine {
     /// A machine of which nothing is known but what `report` says it is.
-    pub fn new(host: u32, part: usize, report: &Report, now: Millis) -> Self {
+    pub fn new(host: u32, shard: usize, report: &Report, now: Millis) -> Self {
         Self {
             host,
             addr: report.addr.clone(),
             kind: report.host_kind.clone(),
             zone: report.yard.clone(),
             spot: report.borrowed,
-            part,
+            shard,
             state: HostState::Unconfirmed,
             newest: (0, 0),
             token: 0,
@@ -229,7 +229,7 @@
     }
 
     /// A machine that has not reported, as the cloud lists it.
-    pub fn unheard(host: u32, part: usize, entry: &HostEntry, now: Millis) -> Self {
+    pub fn unheard(host: u32, shard: usize, entry: &HostEntry, now: Millis) -> Self {
         let report = Report {
             host: entry.id.clone(),
             addr: entry.addr.clone(),
@@ -242,7 +242,7 @@
             recall_s: None,
             pieces: Vec::new(),
         };
-        Self::new(host, part, &report, now)
+        Self::new(host, shard, &report, now)
     }
 
     /// The one place where a machine's state changes.
--- a/crates/cherryyard-core/src/mirror/arrivals.rs
+++ b/crates/cherryyard-core/src/mirror/arrivals.rs
@@ -119,7 +119,7 @@
         record: ArrivalsRecord,
         stamp: u64,
     ) -> Result<(), String> {
-        let all = record.read(self.parts.len()).ok_or("bad rows")?;
+        let all = record.read(self.shards.len()).ok_or("bad rows")?;
         let mut new = Arrivals {
             stamp,
             ..Arrivals::default()
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -27,11 +27,11 @@
     pub flow: Flow,
     /// Time of day at its submission, in milliseconds.
     pub at: u64,
-    /// Each part's task numbers; empty before the division.
+    /// Each shard's task numbers; empty before the division.
     pub div: Vec<RangeSet>,
     /// The zone of all its tasks, if that was asked for.
     pub zone: Option<String>,
-    /// Most tasks per part and zone, if tasks are to be apart.
+    /// Most tasks per shard and zone, if tasks are to be apart.
     pub caps: Vec<Vec<u32>>,
     /// Where it may run, beyond what the submission's fields say, and the cells that
     /// this comes to now.
@@ -224,8 +224,8 @@
                 if self.ended.contains_key(&job) {
                     return Ok(());
                 }
-                let parts = self.parts.len();
-                if !(div.is_empty() || div.len() == parts)
+                let shards = self.shards.len();
+                if !(div.is_empty() || div.len() == shards)
                     || !div.iter().all(RangeSet::is_canonical)
                 {
                     return Err("bad division".into());
@@ -358,7 +358,8 @@
     /// open again if nothing said that it is over.
     pub fn named_in_pages(&self, job: u64) -> bool {
         self.page_of(job).is_some()
-            || (0..self.parts.len()).any(|p| self.assignments.contains_key(&(p, job)))
+            || (0..self.shards.len())
+                .any(|shard_id| self.assignments.contains_key(&(shard_id, job)))
     }
 
     /// Jobs that are over and stand in watched records.
@@ -379,8 +380,8 @@
         } else {
             self.undivided.remove(&job);
         }
-        for part in 0..self.parts.len() {
-            self.refresh_waiting(part, job);
+        for shard in 0..self.shards.len() {
+            self.refresh_waiting(shard, job);
         }
         self.refresh_complete(job);
     }
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -32,7 +32,7 @@
 use lru::LruCache;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// A claim on a part or on the lead.
+/// A claim on a shard or on the lead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimState {
     /// The owner's name.
@@ -56,7 +56,7 @@
     }
 }
 
-/// What is stored of the images in a part.
+/// What is stored of the images in a shard.
 #[derive(Clone, Debug, Default)]
 pub struct StoredImages {
     /// The record.
@@ -76,8 +76,8 @@
     pub loaded: bool,
     /// Machine names.
     pub hosts: Names,
-    /// Claims on parts.
-    pub parts: Vec<Option<ClaimState>>,
+    /// Claims on shards.
+    pub shards: Vec<Option<ClaimState>>,
     /// The claim on the lead.
     pub lead: Option<ClaimState>,
     /// Machine types, as last stored: see [`set_kinds`](Self::set_kinds).
@@ -96,12 +96,12 @@
     ids_stamp: u64,
     /// Jobs that are not over, by number.
     pub open: BTreeMap<u64, OpenJob>,
-    /// Pages of assignments, by part. New assignments go into a part's last page or the one
+    /// Pages of assignments, by shard. New assignments go into a shard's last page or the one
     /// after it, so these two tell whether any have been made.
     pub pages: Vec<BTreeMap<u32, Page>>,
-    /// What the pages say, by part and job.
+    /// What the pages say, by shard and job.
     pub assignments: BTreeMap<(usize, u64), JobAssignments>,
-    /// Numbers that are neither done nor assigned, by part and job; none empty.
+    /// Numbers that are neither done nor assigned, by shard and job; none empty.
     pub waiting: Vec<BTreeMap<u64, RangeSet>>,
     /// Open jobs that wait for no other and that the leader has not divided yet.
     pub undivided: BTreeSet<u64>,
@@ -111,9 +111,9 @@
     waiting_changes: Vec<(usize, u64)>,
     /// Open arrays of which every task is done.
     pub complete: BTreeSet<u64>,
-    /// Images held in each part, as last stored, and the record's stamp.
+    /// Images held in each shard, as last stored, and the record's stamp.
     pub images: Vec<StoredImages>,
-    /// What each part may use of each team's limit: by team, then part.
+    /// What each shard may use of each team's limit: by team, then part.
     pub grants: Vec<Vec<(Grant, u64)>>,
     /// The format of jobs' records in use.
     pub format: u32,
@@ -155,12 +155,12 @@
 impl Mirror {
     /// An empty mirror.
     pub fn new(config: &Config) -> Self {
-        let parts = config.parts();
+        let shards = config.shards();
         Self {
             epoch: 0,
             loaded: false,
             hosts: Names::default(),
-            parts: vec![None; parts],
+            shards: vec![None; shards],
             lead: None,
             kinds: Vec::new(),
             kinds_stamp: 0,
@@ -171,16 +171,16 @@
             ids: IdsRecord::default(),
             ids_stamp: 0,
             open: BTreeMap::new(),
-            pages: vec![BTreeMap::new(); parts],
+            pages: vec![BTreeMap::new(); shards],
             assignments: BTreeMap::new(),
-            waiting: vec![BTreeMap::new(); parts],
+            waiting: vec![BTreeMap::new(); shards],
             undivided: BTreeSet::new(),
             graph: DependencyGraph::default(),
             flows: Flows::new(config.teams.len()),
             waiting_changes: Vec::new(),
             complete: BTreeSet::new(),
-            images: vec![StoredImages::default(); parts],
-            grants: vec![vec![(Grant::default(), 0); parts]; config.teams.len()],
+            images: vec![StoredImages::default(); shards],
+            grants: vec![vec![(Grant::default(), 0); shards]; config.teams.len()],
             format: 0,
             format_stamp: 0,
             by_pages: false,
@@ -279,9 +279,9 @@
         keys.extend((self.ids_stamp != 0).then_some(Key::Ids));
         keys.extend(self.submissions.keys().map(|&n| Key::Submission(n)));
         keys.extend(
-            (0..self.parts.len())
-                .filter(|&p| self.parts[p].is_some())
-                .map(Key::Part),
+            (0..self.shards.len())
+                .filter(|&shard_id| self.shards[shard_id].is_some())
+                .map(Key::Shard),
         );
         let own = |j: &&u64| !self.bucket_of.contains_key(j);
         let with_own = self.open.keys().filter(own).filter(|j| !self.in_page(**j));
@@ -289,11 +289,11 @@
         keys.extend(self.arrivals.keys().map(|&page| Key::Arrivals(page)));
         keys.extend(self.ended.keys().filter(own).map(|&j| Key::Job(j)));
         keys.extend(self.buckets.keys().map(|&from| Key::Bucket(from)));
-        for (part, pages) in self.pages.iter().enumerate() {
-            keys.extend(pages.keys().map(|&page| Key::Assignment { part, page }));
+        for (shard, pages) in self.pages.iter().enumerate() {
+            keys.extend(pages.keys().map(|&page| Key::Assignment { shard, page }));
         }
-        for (team, parts) in self.grants.iter().enumerate() {
-            keys.extend((0..parts.len()).map(|part| Key::Grant { team, part }));
+        for (team, shards) in self.grants.iter().enumerate() {
+            keys.extend((0..shards.len()).map(|shard| Key::Grant { team, shard }));
         }
         keys
     }
@@ -306,12 +306,12 @@
             Key::Attributes => self.attributes_stamp,
             Key::Ids => self.ids_stamp,
             Key::Submission(n) => self.submissions.get(&n).map_or(0, |s| s.1),
-            Key::Part(p) => self
-                .parts
-                .get(p)
+            Key::Shard(shard_id) => self
+                .shards
+                .get(shard_id)
                 .and_then(Option::as_ref)
                 .map_or(0, |c| c.stamp),
-            Key::Images(p) => self.images.get(p).map_or(0, |i| i.stamp),
+            Key::Images(shard_id) => self.images.get(shard_id).map_or(0, |i| i.stamp),
             Key::Job(j) if self.bucket_of.contains_key(&j) => 0,
             Key::Job(j) => {
                 let ended = || self.ended.get(&j).map_or(0, |e| e.stamp);
@@ -321,15 +321,15 @@
             Key::Arrivals(page) => self.arrivals.get(&page).map_or(0, |a| a.stamp),
             Key::Format => self.format_stamp,
             Key::Packed => self.packed_stamp,
-            Key::Assignment { part, page } => self
+            Key::Assignment { shard, page } => self
                 .pages
-                .get(part)
+                .get(shard)
                 .and_then(|pages| pages.get(&page))
-                .map_or(0, |p| p.stamp),
-            Key::Grant { team, part } => self
+                .map_or(0, |page| page.stamp),
+            Key::Grant { team, shard } => self
                 .grants
                 .get(team)
-                .and_then(|g| g.get(part))
+                .and_then(|g| g.get(shard))
                 .map_or(0, |g| g.1),
         }
     }
@@ -362,13 +362,13 @@
                 self.attributes = Attributes::default();
                 self.match_anew();
             }
-            Key::Part(p) => {
-                if let Some(claim) = self.parts.get_mut(p) {
+            Key::Shard(shard_id) => {
+                if let Some(claim) = self.shards.get_mut(shard_id) {
                     *claim = None;
                 }
             }
-            Key::Images(p) => {
-                if let Some(images) = self.images.get_mut(p) {
+            Key::Images(shard_id) => {
+                if let Some(images) = self.images.get_mut(shard_id) {
                     *images = StoredImages::default();
                 }
             }
@@ -384,9 +384,9 @@
                 (self.by_pages, self.dependencies) = (false, false);
             }
             Key::Packed => (self.packed, self.packed_stamp) = (PackedRecord::default(), 0),
-            Key::Assignment { part, page } => self.set_page(part, page, None),
-            Key::Grant { team, part } => {
-                if let Some(g) = self.grants.get_mut(team).and_then(|g| g.get_mut(part)) {
+            Key::Assignment { shard, page } => self.set_page(shard, page, None),
+            Key::Grant { team, shard } => {
+                if let Some(g) = self.grants.get_mut(team).and_then(|g| g.get_mut(shard)) {
                     *g = (Grant::default(), 0);
                 }
             }
@@ -430,16 +430,16 @@
                 self.attributes_stamp = stamp;
                 self.match_anew();
             }
-            Key::Part(p) => {
+            Key::Shard(shard_id) => {
                 let claim = ClaimState::of(value.read()?, stamp);
-                *self.parts.get_mut(p).ok_or("no such part")? = Some(claim);
+                *self.shards.get_mut(shard_id).ok_or("no such part")? = Some(claim);
             }
-            Key::Images(p) => {
+            Key::Images(shard_id) => {
                 let record: ImagesRecord = value.read()?;
                 if !record.is_sound() {
                     return Err("no such image".into());
                 }
-                let place = self.images.get_mut(p).ok_or("no such part")?;
+                let place = self.images.get_mut(shard_id).ok_or("no such part")?;
                 let held = record.held().collect();
                 *place = StoredImages {
                     record,
@@ -464,18 +464,18 @@
                 self.packed = value.read()?;
                 self.packed_stamp = stamp;
             }
-            Key::Assignment { part, page } => {
-                if part >= self.parts.len() {
+            Key::Assignment { shard, page } => {
+                if shard >= self.shards.len() {
                     return Err("no such part".into());
                 }
                 let stored: StoredPage = value.read()?;
                 let new = Page::of_stored(stored, stamp, &mut self.hosts)
                     .ok_or("bad ranges, machines or marks")?;
-                self.set_page(part, page, Some(new));
+                self.set_page(shard, page, Some(new));
             }
-            Key::Grant { team, part } => {
+            Key::Grant { team, shard } => {
                 let grant = value.read()?;
-                let place = self.grants.get_mut(team).and_then(|g| g.get_mut(part));
+                let place = self.grants.get_mut(team).and_then(|g| g.get_mut(shard));
                 *place.ok_or("no such grant")? = (grant, stamp);
             }
         }
@@ -497,13 +497,13 @@
             Key::Submission(n) => submission_key(n),
             Key::Format => record::FORMAT.to_string(),
             Key::Packed => record::PACKED.to_string(),
-            Key::Part(p) => record::part_key(p),
-            Key::Images(p) => record::images_key(p),
+            Key::Shard(shard_id) => record::shard_key(shard_id),
+            Key::Images(shard_id) => record::images_key(shard_id),
             Key::Job(j) => record::job_key(j),
             Key::Bucket(from) => record::bucket_key(from),
             Key::Arrivals(page) => record::arrivals_key(page),
-            Key::Assignment { part, page } => record::assignments_key(part, page),
-            Key::Grant { team, part } => record::grant_key(team, part),
+            Key::Assignment { shard, page } => record::assignments_key(shard, page),
+            Key::Grant { team, shard } => record::grant_key(team, shard),
         };
         commit.require(text, self.stamp(key));
     }
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -8,7 +8,7 @@
 use crate::lateness::Lateness;
 use crate::leader::state::Leader;
 use crate::machine::{HostEvent, HostState, Machine};
-use crate::owner::state::Part;
+use crate::owner::state::Shard;
 use crate::pace::Pace;
 use crate::peers::{PeerFormat, PeerState, Stray};
 use crate::tenancy::{Tenancy, TenancyEvent};
@@ -36,7 +36,7 @@
     pub(crate) process: u64,
     /// What the state service holds.
     pub mirror: Mirror,
-    pub(crate) parts: Vec<Part>,
+    pub(crate) shards: Vec<Shard>,
     pub(crate) machines: BTreeMap<u32, Machine>,
     pub(crate) leader: Leader,
     pub(crate) peers: Vec<Option<PeerState>>,
@@ -68,7 +68,7 @@
     pub(crate) clock: Millis,
     /// When this controller last started, or went on after it had stood still.
     pub(crate) woke_at: Millis,
-    /// Workers of others' parts that reported here, by part and machine.
+    /// Workers of others' shards that reported here, by shard and machine.
     pub(crate) strays: BTreeMap<(usize, u32), Stray>,
     /// Whether the log says that further ones are not counted.
     pub(crate) strays_full_logged: bool,
@@ -96,16 +96,16 @@
     /// A controller that has just started.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
         let mirror = Mirror::new(&config);
-        let parts = (0..config.parts())
-            .map(|_| Part::new(config.round_writes_per_s, now))
+        let shards = (0..config.shards())
+            .map(|_| Shard::new(config.round_writes_per_s, now))
             .collect();
-        let peers = vec![None; config.parts()];
+        let peers = vec![None; config.shards()];
         let number = StdRng::seed_from_u64(seed).random();
         let rng = StdRng::seed_from_u64(seed);
         Self {
             leader: Leader::new(&config, now),
             mirror,
-            parts,
+            shards,
             machines: BTreeMap::new(),
             reconnected_at: vec![now; peers.len()],
             peer_formats: vec![None; peers.len()],
@@ -128,7 +128,7 @@
             woke_at: now,
             strays: BTreeMap::new(),
             strays_full_logged: false,
-            user_pace: Pace::new(config.user_writes_per_s / config.parts() as f64, now),
+            user_pace: Pace::new(config.user_writes_per_s / config.shards() as f64, now),
             looked: 0,
             looked_jobs: 0,
             cancelled: Cancelled::new(now),
@@ -150,7 +150,7 @@
     /// Notes the time of an event. After a gap all timers are due at once and all
     /// that is known is old: nothing is decided before a read of the state that
     /// was sent since, or a controller that stood still for a minute took all its
-    /// machines for silent, and parts long lost for its own.
+    /// machines for silent, and shards long lost for its own.
     pub(crate) fn notice(&mut self, now: Millis) {
         if now - self.clock > STOOD_STILL_MS {
             tracing::info!(ms = now - self.clock, "stood still");
@@ -194,8 +194,8 @@
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
         self.check_claims();
-        for part in &mut self.parts {
-            part.dirty = true;
+        for shard in &mut self.shards {
+            shard.dirty = true;
         }
         self.leader.dirty = true;
         self.run(now);
@@ -203,40 +203,40 @@
 
     fn check_claims(&mut self) {
         self.take_own_claims();
-        for p in 0..self.parts.len() {
-            if let Tenancy::Owned(stamp) | Tenancy::Deposed(stamp) = self.parts[p].tenancy
-                && self.mirror.stamp(Key::Part(p)) != stamp
+        for shard_id in 0..self.shards.len() {
+            if let Tenancy::Owned(stamp) | Tenancy::Deposed(stamp) = self.shards[shard_id].tenancy
+                && self.mirror.stamp(Key::Shard(shard_id)) != stamp
             {
-                tracing::info!(part = p, stamp, "lost the claim on a part");
-                self.change_tenancy(p, TenancyEvent::ClaimGone);
+                tracing::info!(shard = shard_id, stamp, "lost the claim on a part");
+                self.change_tenancy(shard_id, TenancyEvent::ClaimGone);
             }
         }
         self.leader.check_claim(&self.mirror);
     }
 
-    /// The one place through which a part's standing changes.
-    pub(crate) fn change_tenancy(&mut self, p: usize, event: TenancyEvent) {
-        let before = self.parts[p].tenancy;
+    /// The one place through which a shard's standing changes.
+    pub(crate) fn change_tenancy(&mut self, shard_id: usize, event: TenancyEvent) {
+        let before = self.shards[shard_id].tenancy;
         let after = before.after(event);
         if before == after {
             return;
         }
-        self.parts[p].tenancy = after;
+        self.shards[shard_id].tenancy = after;
         match after {
             Tenancy::Foreign => {
-                self.machines.retain(|_, m| m.part != p);
-                self.parts[p].clear();
+                self.machines.retain(|_, m| m.shard != shard_id);
+                self.shards[shard_id].clear();
             }
             Tenancy::Owned(stamp) => {
-                tracing::info!(part = p, stamp, "own a part");
-                self.parts[p].dirty = true;
-                self.parts[p].owned_since = self.clock;
+                tracing::info!(shard = shard_id, stamp, "own a part");
+                self.shards[shard_id].dirty = true;
+                self.shards[shard_id].owned_since = self.clock;
                 if !matches!(before, Tenancy::Owned(_)) {
-                    self.parts[p].held_since = self.clock;
+                    self.shards[shard_id].held_since = self.clock;
                 }
-                self.queue_all(p, self.clock);
+                self.queue_all(shard_id, self.clock);
                 self.room_changed = true;
-                for m in self.machines.values_mut().filter(|m| m.part == p) {
+                for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
                     m.change(HostEvent::TokenChanged);
                 }
                 self.effects.push(Effect::Heartbeat);
@@ -282,13 +282,14 @@
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
-    /// The part's token, if this controller owns it beyond doubt.
-    pub(crate) fn owned(&self, p: usize) -> Option<u64> {
-        match self.parts[p].tenancy {
+    /// The shard's token, if this controller owns it beyond doubt.
+    pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
+        match self.shards[shard_id].tenancy {
             // Before the mirror has caught up with the claim, the last assignments of
             // the owner before may be missing from it.
             Tenancy::Owned(stamp)
-                if self.mirror.stamp(Key::Part(p)) == stamp && self.mirror.epoch >= stamp =>
+                if self.mirror.stamp(Key::Shard(shard_id)) == stamp
+                    && self.mirror.epoch >= stamp =>
             {
                 Some(stamp)
             }
@@ -310,29 +311,29 @@
             self.effects.push(Effect::Refresh);
         }
         match ticket {
-            Ticket::Claim(p) => {
-                self.parts[p].claiming = false;
+            Ticket::Claim(shard_id) => {
+                self.shards[shard_id].claiming = false;
                 match outcome {
                     Outcome::Applied(epoch) => {
-                        self.change_tenancy(p, TenancyEvent::ClaimApplied(epoch));
+                        self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(epoch));
                     }
                     _ => {
-                        self.parts[p].claim_after = now + self.jitter(200.0, 500.0);
-                        self.change_tenancy(p, TenancyEvent::ClaimFailed);
+                        self.shards[shard_id].claim_after = now + self.jitter(200.0, 500.0);
+                        self.change_tenancy(shard_id, TenancyEvent::ClaimFailed);
                     }
                 }
             }
-            Ticket::Owner(p) => self.owner_committed(p, outcome, now),
-            Ticket::Yield(p) => {
-                self.parts[p].claiming = false;
-                if now < self.parts[p].away_until {
-                    self.parts[p].retry_after = now + self.jitter(200.0, 500.0);
+            Ticket::Owner(shard_id) => self.owner_committed(shard_id, outcome, now),
+            Ticket::Yield(shard_id) => {
+                self.shards[shard_id].claiming = false;
+                if now < self.shards[shard_id].away_until {
+                    self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
                 } else if let Outcome::Applied(_) = outcome {
-                    let part = &mut self.parts[p];
-                    part.yields += 1;
-                    part.claim_after = now + 20_000.0 * f64::from(1u32 << part.yields.min(3));
-                    part.away_until = part.claim_after;
-                    self.change_tenancy(p, TenancyEvent::ClaimGone);
+                    let shard = &mut self.shards[shard_id];
+                    shard.yields += 1;
+                    shard.claim_after = now + 20_000.0 * f64::from(1u32 << shard.yields.min(3));
+                    shard.away_until = shard.claim_after;
+                    self.change_tenancy(shard_id, TenancyEvent::ClaimGone);
                 }
             }
             Ticket::Lead => self.lead_committed(outcome, now),
@@ -367,15 +368,15 @@
     pub fn tick(&mut self, now: Millis) {
         self.notice(now);
         self.lateness.ticked(now);
-        for part in &mut self.parts {
-            if now - part.planned_at >= 400.0 {
-                part.dirty = true;
+        for shard in &mut self.shards {
+            if now - shard.planned_at >= 400.0 {
+                shard.dirty = true;
             }
         }
         self.run(now);
         if self.accounting {
-            for p in 0..self.parts.len() {
-                self.sample(p, now);
+            for shard_id in 0..self.shards.len() {
+                self.sample(shard_id, now);
             }
         }
     }
@@ -386,12 +387,12 @@
         }
         self.check_claims();
         self.requeue_changed(now);
-        self.claim_parts(now);
-        self.yield_parts(now);
+        self.claim_shards(now);
+        self.yield_shards(now);
         self.claim_lead(now);
-        for p in 0..self.parts.len() {
-            if self.parts[p].dirty {
-                self.plan_part(p, now);
+        for shard_id in 0..self.shards.len() {
+            if self.shards[shard_id].dirty {
+                self.plan_shard(shard_id, now);
             }
         }
         if self.leader.dirty || now - self.leader.planned_at >= 500.0 {
@@ -427,9 +428,9 @@
             let Some(host) = self.mirror.hosts.get(name) else {
                 continue;
             };
-            if let Some(part) = self.machines.get(&host).map(|m| m.part) {
-                self.parts[part].dirty = true;
-                self.parts[part].touched.insert(host);
+            if let Some(shard) = self.machines.get(&host).map(|m| m.shard) {
+                self.shards[shard].dirty = true;
+                self.shards[shard].touched.insert(host);
             }
             if let Some(m) = self.machines.get_mut(&host) {
                 m.change(if ok {
--- a/crates/cherryyard-core/src/owner/blame.rs
+++ b/crates/cherryyard-core/src/owner/blame.rs
@@ -20,7 +20,7 @@
 /// How long a machine is left alone after its first failure.
 const AVOID_MS: f64 = 5000.0;
 
-/// Where a job that has failed stands in a part.
+/// Where a job that has failed stands in a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Blame {
     /// It has failed, on too few machines to tell.
@@ -34,7 +34,7 @@
     },
 }
 
-/// A job's failures in a part.
+/// A job's failures in a shard.
 #[derive(Clone, Debug)]
 pub(crate) struct Trouble {
     /// Whose fault they are.
@@ -142,11 +142,15 @@
 
 impl Node {
     /// A task of a job has completed on a machine: neither is at fault.
-    pub(crate) fn note_done(&mut self, p: usize, job: u64, host: u32) {
-        if let Some(t) = self.parts[p].trouble.remove(&job)
+    pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
+        if let Some(t) = self.shards[shard_id].trouble.remove(&job)
             && t.blamed()
         {
-            tracing::info!(job, part = p, "a job that failed everywhere completes");
+            tracing::info!(
+                job,
+                shard = shard_id,
+                "a job that failed everywhere completes"
+            );
         }
         if let Some(m) = self.machines.get_mut(&host) {
             m.failures = 0;
@@ -155,10 +159,10 @@
     }
 
     /// A task of a job has failed on a machine.
-    pub(crate) fn note_failed(&mut self, p: usize, job: u64, host: u32, now: Millis) {
+    pub(crate) fn note_failed(&mut self, shard_id: usize, job: u64, host: u32, now: Millis) {
         let proven = self.mirror.done(job) > 0;
         let jitter = self.rng.random_range(0.0..1.0);
-        let trouble = &mut self.parts[p].trouble;
+        let trouble = &mut self.shards[shard_id].trouble;
         let t = trouble.entry(job).or_insert_with(|| Trouble::new(now));
         let verdict = if proven && !t.blamed() {
             // Others of it have completed: the machine, unless it fails on many.
@@ -176,7 +180,11 @@
             }
             Verdict::JobNow => {
                 let hosts = std::mem::take(&mut t.hosts);
-                tracing::info!(job, part = p, "a job fails on every machine: hold it off");
+                tracing::info!(
+                    job,
+                    shard = shard_id,
+                    "a job fails on every machine: hold it off"
+                );
                 for host in hosts {
                     if let Some(m) = self.machines.get_mut(&host) {
                         m.cleared_of(job, now);
@@ -188,9 +196,9 @@
     }
 
     /// Forgets failures long past.
-    pub(crate) fn forget_troubles(&mut self, p: usize, now: Millis) {
+    pub(crate) fn forget_troubles(&mut self, shard_id: usize, now: Millis) {
         let open = &self.mirror.open;
-        self.parts[p]
+        self.shards[shard_id]
             .trouble
             .retain(|job, t| open.contains_key(job) && !t.past(now));
     }
--- a/crates/cherryyard-core/src/owner/orders.rs
+++ b/crates/cherryyard-core/src/owner/orders.rs
@@ -14,9 +14,9 @@
         if !m.token_ours() || !matches!(m.state, HostState::Ready | HostState::Returning) {
             return orders;
         }
-        let p = m.part;
+        let shard_id = m.shard;
         let fresh = self.state_fresh(now);
-        let owned = self.owned(p).is_some();
+        let owned = self.owned(shard_id).is_some();
         for (&(job, number), seen) in &m.seen {
             let task = (job, number);
             let assignment = self
@@ -45,7 +45,7 @@
             let open = self.mirror.open.get(&job).filter(|_| !told);
             match (assignment, open) {
                 (Some(_), Some(open)) => {
-                    let preempted = self.parts[p]
+                    let preempted = self.shards[shard_id]
                         .preempted
                         .get(&task)
                         .is_some_and(|x| x.attempt == seen.attempt && x.until > now);
@@ -108,7 +108,7 @@
         let Some(m) = self.machines.get(&host) else {
             return;
         };
-        let Tenancy::Owned(token) = self.parts[m.part].tenancy else {
+        let Tenancy::Owned(token) = self.shards[m.shard].tenancy else {
             return;
         };
         if m.pushing
@@ -154,12 +154,12 @@
         });
     }
 
-    /// Pushes to every machine of the part that has due commands.
-    pub(crate) fn push_due(&mut self, p: usize, now: Millis) {
+    /// Pushes to every machine of the shard that has due commands.
+    pub(crate) fn push_due(&mut self, shard_id: usize, now: Millis) {
         let mut hosts: Vec<u32> = self
             .machines
             .values()
-            .filter(|m| m.part == p && !m.pushing && now >= m.push_after)
+            .filter(|m| m.shard == shard_id && !m.pushing && now >= m.push_after)
             .map(|m| m.host)
             .collect();
         hosts.sort_unstable();
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -18,16 +18,16 @@
 
 /// What a round of placement goes by, and what it has come to.
 struct Placement {
-    p: usize,
+    shard_id: usize,
     now: Millis,
     /// Free room by machine, as it is used up.
     rooms: Vec<(u32, Needs)>,
-    /// What each team uses in the part, and everywhere.
+    /// What each team uses in the shard, and everywhere.
     used: Vec<Needs>,
     totals: Vec<Needs>,
     preemptible: Preemptible,
     search: Search,
-    /// Services that another part should get.
+    /// Services that another shard should get.
     handing: BTreeSet<u64>,
     /// How many tasks have been placed.
     placed: usize,
@@ -116,17 +116,19 @@
         (hope, times.get(hope).map_or(f64::INFINITY, last_start))
     }
 
-    /// Puts a job in its place among what waits in a part, or takes it out.
-    pub(crate) fn requeue(&mut self, p: usize, job: u64, now: Millis) {
-        let waits = self.mirror.waiting[p].contains_key(&job);
+    /// Puts a job in its place among what waits in a shard, or takes it out.
+    pub(crate) fn requeue(&mut self, shard_id: usize, job: u64, now: Millis) {
+        let waits = self.mirror.waiting[shard_id].contains_key(&job);
         let Some(o) = self.mirror.open.get(&job).filter(|_| waits) else {
-            self.parts[p].queues.remove(job);
+            self.shards[shard_id].queues.remove(job);
             return;
         };
         let left = o.spec.pieces.saturating_sub(self.mirror.done(job));
         let (hope, turns) = self.hope(o, now + self.wall_offset);
         if o.urgency.deadline.is_some() && turns.is_infinite() {
-            self.parts[p].queues.is_late(o.flow, o.ready_at(), job);
+            self.shards[shard_id]
+                .queues
+                .is_late(o.flow, o.ready_at(), job);
         }
         let place = Place {
             rank: o.rank(),
@@ -137,24 +139,24 @@
             at: o.ready_at(),
             job,
         };
-        self.parts[p].queues.set(o.flow, place, turns, now);
+        self.shards[shard_id].queues.set(o.flow, place, turns, now);
     }
 
-    /// Takes over what has changed of what waits in our parts.
+    /// Takes over what has changed of what waits in our shards.
     pub(crate) fn requeue_changed(&mut self, now: Millis) {
-        for (p, job) in self.mirror.waiting_changes() {
-            if matches!(self.parts[p].tenancy, Tenancy::Owned(_)) {
-                self.requeue(p, job, now);
+        for (shard_id, job) in self.mirror.waiting_changes() {
+            if matches!(self.shards[shard_id].tenancy, Tenancy::Owned(_)) {
+                self.requeue(shard_id, job, now);
             }
         }
     }
 
-    /// Queues all that waits in a part that has just become ours.
-    pub(crate) fn queue_all(&mut self, p: usize, now: Millis) {
-        self.parts[p].queues.clear();
-        let jobs: Vec<u64> = self.mirror.waiting[p].keys().copied().collect();
+    /// Queues all that waits in a shard that has just become ours.
+    pub(crate) fn queue_all(&mut self, shard_id: usize, now: Millis) {
+        self.shards[shard_id].queues.clear();
+        let jobs: Vec<u64> = self.mirror.waiting[shard_id].keys().copied().collect();
         for job in jobs {
-            self.requeue(p, job, now);
+            self.requeue(shard_id, job, now);
         }
     }
 
@@ -166,54 +168,54 @@
 
     pub(crate) fn place(
         &mut self,
-        p: usize,
+        shard_id: usize,
         now: Millis,
         round: &mut Round,
         pending: &mut Pending,
     ) {
         self.requeue_changed(now);
-        for job in self.parts[p].queues.turned(now + self.wall_offset) {
-            self.requeue(p, job, now);
+        for job in self.shards[shard_id].queues.turned(now + self.wall_offset) {
+            self.requeue(shard_id, job, now);
         }
-        let part = &mut self.parts[p];
-        part.preempted.retain(|_, x| x.until > now);
-        let (mirror, held) = (&self.mirror, &mut part.reserved);
+        let shard = &mut self.shards[shard_id];
+        shard.preempted.retain(|_, x| x.until > now);
+        let (mirror, held) = (&self.mirror, &mut shard.reserved);
         held.retain(|_, (task, until)| {
             *until > now
                 && mirror
-                    .waiting(p, task.0)
+                    .waiting(shard_id, task.0)
                     .is_some_and(|w| w.contains(task.1))
         });
-        if part.queues.is_empty() {
-            part.handing.clear();
+        if shard.queues.is_empty() {
+            shard.handing.clear();
             return;
         }
-        part.queues.seen();
-        let (mirror, queues) = (&self.mirror, &mut part.queues);
+        shard.queues.seen();
+        let (mirror, queues) = (&self.mirror, &mut shard.queues);
         let turns = queues.turns_of_late(|job| {
-            let waiting = mirror.waiting(p, job).map_or(0, |w| w.len());
+            let waiting = mirror.waiting(shard_id, job).map_or(0, |w| w.len());
             mirror.open.get(&job).map_or(0.0, |o| o.spec.cores) * f64::from(waiting)
         });
         for job in turns {
-            self.requeue(p, job, now);
+            self.requeue(shard_id, job, now);
         }
-        self.give_turns(p, now);
-        let part = &mut self.parts[p];
+        self.give_turns(shard_id, now);
+        let shard = &mut self.shards[shard_id];
         // Back in its place at the end: nothing in between looks there.
-        let mut queues = std::mem::take(&mut part.queues);
-        self.place_queued(p, now, &mut queues, round, pending);
-        self.parts[p].queues = queues;
+        let mut queues = std::mem::take(&mut shard.queues);
+        self.place_queued(shard_id, now, &mut queues, round, pending);
+        self.shards[shard_id].queues = queues;
     }
 
     fn place_queued(
         &mut self,
-        p: usize,
+        shard_id: usize,
         now: Millis,
         queues: &mut Queues,
         round: &mut Round,
         pending: &mut Pending,
     ) {
-        let mut placement = self.begin_placement(p, round, now);
+        let mut placement = self.begin_placement(shard_id, round, now);
         let mut line = queues.line();
         let ahead = placement.ahead.keys();
         ahead.for_each(|&flow| line.ahead(flow, true));
@@ -223,7 +225,7 @@
             if placement.looks.look(flow, at) {
                 line.close(flow);
             }
-            let Some(needs) = self.needs_of_waiting(p, at.job) else {
+            let Some(needs) = self.needs_of_waiting(shard_id, at.job) else {
                 continue;
             };
             if placement.is_beyond_level(flow, &needs) {
@@ -250,14 +252,14 @@
         self.end_placement(placement, queues);
     }
 
-    fn begin_placement(&self, p: usize, round: &Round, now: Millis) -> Placement {
+    fn begin_placement(&self, shard_id: usize, round: &Round, now: Millis) -> Placement {
         let silence = self.silence_ms();
         let usable = self.machines.values();
-        let usable = usable.filter(|m| m.part == p && m.usable(now, silence));
+        let usable = usable.filter(|m| m.shard == shard_id && m.usable(now, silence));
         let free = |m: &Machine| Some((m.host, self.free_on(m, Some(round))?));
         let mut rooms: Vec<(u32, Needs)> = usable.filter_map(free).collect();
         rooms.sort_by_key(|room| room.0);
-        let mut used = self.mirror.usage(p);
+        let mut used = self.mirror.usage(shard_id);
         for task in &round.gone {
             // What this very round proves gone makes room under the limit too.
             if let Some((team, needs)) = self.mirror.uses(task.0)
@@ -267,15 +269,15 @@
             }
         }
         let totals = self.team_totals();
-        let allowed = self.allowances(p, &round.gone, now);
+        let allowed = self.allowances(shard_id, &round.gone, now);
         let mut ahead = allowed.start;
         ahead.retain(|_, cores| *cores > 0.0);
         Placement {
-            p,
+            shard_id,
             now,
             rooms,
             used,
-            preemptible: self.preemptible(p, &totals),
+            preemptible: self.preemptible(shard_id, &totals),
             totals,
             search: Search::default(),
             handing: BTreeSet::new(),
@@ -289,9 +291,9 @@
         }
     }
 
-    /// What a task of a job takes that waits in the part.
-    fn needs_of_waiting(&self, p: usize, job: u64) -> Option<Needs> {
-        self.mirror.waiting(p, job)?;
+    /// What a task of a job takes that waits in the shard.
+    fn needs_of_waiting(&self, shard_id: usize, job: u64) -> Option<Needs> {
+        self.mirror.waiting(shard_id, job)?;
         self.mirror.open.get(&job).map(OpenJob::needs)
     }
 
@@ -304,17 +306,17 @@
         queues: &Queues,
         round: &Round,
     ) -> Option<Candidate> {
-        let p = placement.p;
+        let shard_id = placement.shard_id;
         let open = self.mirror.open.get(&job)?;
-        let mut waiting = self.mirror.waiting(p, job)?.clone();
-        let trouble = self.parts[p].trouble.get(&job);
+        let mut waiting = self.mirror.waiting(shard_id, job)?.clone();
+        let trouble = self.shards[shard_id].trouble.get(&job);
         if trouble.is_some_and(|t| t.held_off(placement.now)) {
             return None;
         }
         // Of a job that fails everywhere one task at a time is tried.
         let blamed = trouble.is_some_and(Trouble::blamed);
         let is_tried = || {
-            let here = self.mirror.assignments.get(&(p, job));
+            let here = self.mirror.assignments.get(&(shard_id, job));
             here.is_some_and(|all| all.assignments.len() > round.gone_of(job))
         };
         if blamed && is_tried() {
@@ -348,19 +350,24 @@
         candidate: &Candidate,
         queues: &Queues,
     ) -> bool {
-        let (p, job, team) = (placement.p, candidate.job, candidate.team);
+        let (shard_id, job, team) = (placement.shard_id, candidate.job, candidate.team);
         let kept_for = placement.kept_for.get(&(team as usize));
         if kept_for.is_some_and(|other| *other != job) {
             return false;
         }
-        if !self.beyond_grant(p, team, &placement.used, &candidate.needs) {
+        if !self.beyond_grant(shard_id, team, &placement.used, &candidate.needs) {
             return true;
         }
         // Smaller tasks would take what comes free, each before it is enough.
         if queues.turn(candidate.flow) == Some(job)
             && !self.begun(job)
-            && !self.beyond_grant(p, team, &self.held_by_services(p), &candidate.needs)
-            && self.parts[p]
+            && !self.beyond_grant(
+                shard_id,
+                team,
+                &self.held_by_services(shard_id),
+                &candidate.needs,
+            )
+            && self.shards[shard_id]
                 .kept_rests
                 .keep(team as usize, job, placement.now)
         {
@@ -378,22 +385,22 @@
         round: &mut Round,
         pending: &mut Pending,
     ) -> Next {
-        let (p, job, needs) = (placement.p, candidate.job, &candidate.needs);
+        let (shard_id, job, needs) = (placement.shard_id, candidate.job, &candidate.needs);
         let waiting = &candidate.waiting;
-        let mut zones = self.zone_counts(p, job, round);
+        let mut zones = self.zone_counts(shard_id, job, round);
         let mut unplaced = Vec::new();
         for number in waiting.iter() {
             if placement.placed >= MOST_PLACED {
                 return Next::Nothing;
             }
-            if self.beyond_grant(p, candidate.team, &placement.used, needs) {
+            if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
                 return Next::Job;
             }
             if placement.search.too_large(needs) {
                 unplaced.extend(waiting.iter().filter(|n| *n >= number).take(4));
                 break;
             }
-            let kept = self.kept_machine(p, (job, number));
+            let kept = self.kept_machine(shard_id, (job, number));
             let Some(room) = self.best_room(placement, candidate, number, kept, &zones) else {
                 unplaced.push(number);
                 // Where no machine has room for one of them, none has for the next.
@@ -432,8 +439,8 @@
     }
 
     /// The machine that is kept for a task, because others were stopped there for it.
-    fn kept_machine(&self, p: usize, task: Task) -> Option<u32> {
-        let mut kept = self.parts[p].reserved.iter();
+    fn kept_machine(&self, shard_id: usize, task: Task) -> Option<u32> {
+        let mut kept = self.shards[shard_id].reserved.iter();
         kept.find(|kept| kept.1.0 == task).map(|kept| *kept.0)
     }
 
@@ -446,9 +453,9 @@
         kept: Option<u32>,
         zones: &HashMap<String, u32>,
     ) -> Option<usize> {
-        let (p, task) = (placement.p, (candidate.job, number));
+        let (shard_id, task) = (placement.shard_id, (candidate.job, number));
         let open = &self.mirror.open[&candidate.job];
-        let reserved = &self.parts[p].reserved;
+        let reserved = &self.shards[shard_id].reserved;
         let is_possible = |(host, free): &(u32, Needs)| {
             let m = &self.machines[host];
             candidate.needs.fits(free)
@@ -456,8 +463,8 @@
                 && self.allowed(open, m)
                 && !m.seen.contains_key(&task)
                 && reserved.get(host).is_none_or(|other| other.0 == task)
-                && !self.kept_from(p, *host, open)
-                && self.zone_open(p, open, &m.zone, zones)
+                && !self.kept_from(shard_id, *host, open)
+                && self.zone_open(shard_id, open, &m.zone, zones)
         };
         let preference = |host: u32| {
             let m = &self.machines[&host];
@@ -486,7 +493,7 @@
     }
 
     /// Whether a replica that would have to fetch its image on the best machine is not
-    /// started there: arrays make way where the image is, or another part gets it.
+    /// started there: arrays make way where the image is, or another shard gets it.
     fn better_elsewhere(
         &mut self,
         placement: &mut Placement,
@@ -495,14 +502,14 @@
         host: u32,
         round: &Round,
     ) -> bool {
-        let (p, job, now) = (placement.p, candidate.job, placement.now);
+        let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let open = &self.mirror.open[&job];
         if self.fetch_s(open, host) > SHORT_FETCH_S
             && self.may_preempt(open, &placement.preemptible)
             // Where the image is, the replica runs at once; the arrays there can make
             // way more easily than it can wait.
             && self.preempt(
-                p,
+                shard_id,
                 job,
                 &[number],
                 round,
@@ -519,7 +526,7 @@
         let waits_ms = now - candidate.since.unwrap_or(now);
         let hand_over = self.fetch_s(open, host) > HAND_OVER_FETCH_S
             && waits_ms < HAND_OVER_MS
-            && self.held_elsewhere(p, open, now) >= 1.0;
+            && self.held_elsewhere(shard_id, open, now) >= 1.0;
         if hand_over {
             placement.handing.insert(job);
         }
@@ -546,7 +553,7 @@
         };
         let task = (candidate.job, number);
         if !round.assign(&self.mirror, task, assignment, candidate.limited) {
-            self.parts[placement.p].dirty = true;
+            self.shards[placement.shard_id].dirty = true;
             return false;
         }
         if candidate.service {
@@ -582,14 +589,14 @@
         zones: &HashMap<String, u32>,
         round: &Round,
     ) {
-        let (p, job, now) = (placement.p, candidate.job, placement.now);
+        let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let Some(&first) = unplaced.first() else {
             return;
         };
-        self.keep_machine(p, candidate.flow, (job, first), queues, zones, now);
+        self.keep_machine(shard_id, candidate.flow, (job, first), queues, zones, now);
         if self.may_preempt(&self.mirror.open[&job], &placement.preemptible) {
             self.preempt(
-                p,
+                shard_id,
                 job,
                 unplaced,
                 round,
@@ -610,23 +617,37 @@
             queues.looked_at(flow, others, last);
         }
         let handing = placement.handing;
-        if !handing.is_empty() && handing != self.parts[placement.p].handing {
+        if !handing.is_empty() && handing != self.shards[placement.shard_id].handing {
             self.effects.push(Effect::Heartbeat);
             self.leader.dirty = true;
         }
-        self.parts[placement.p].handing = handing;
+        self.shards[placement.shard_id].handing = handing;
     }
 
-    /// Whether one more task would take its team beyond what the part may use of
+    /// Whether one more task would take its team beyond what the shard may use of
     /// its limit, with what each team uses there now.
-    pub(crate) fn beyond_grant(&self, p: usize, team: u32, used: &[Needs], more: &Needs) -> bool {
+    pub(crate) fn beyond_grant(
+        &self,
+        shard_id: usize,
+        team: u32,
+        used: &[Needs],
+        more: &Needs,
+    ) -> bool {
         let team = team as usize;
-        let (limits, grant) = (&self.config.teams[team], self.mirror.grants[team][p].0);
+        let (limits, grant) = (
+            &self.config.teams[team],
+            self.mirror.grants[team][shard_id].0,
+        );
         limits.cores_max.is_finite() && used[team].cores + more.cores > grant.cores + 1e-6
             || limits.acc_max.is_finite() && used[team].acc + more.acc > grant.acc + 1e-6
     }
 
-    pub(crate) fn zone_counts(&self, p: usize, job: u64, round: &Round) -> HashMap<String, u32> {
+    pub(crate) fn zone_counts(
+        &self,
+        shard_id: usize,
+        job: u64,
+        round: &Round,
+    ) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         if self.mirror.open.get(&job).is_none_or(|o| o.caps.is_empty()) {
             return counts;
@@ -642,7 +663,7 @@
                 }
             }
         };
-        if let Some(m) = self.mirror.assignments.get(&(p, job)) {
+        if let Some(m) = self.mirror.assignments.get(&(shard_id, job)) {
             for (&number, (assignment, _)) in &m.assignments {
                 if !round.gone.contains(&(job, number)) {
                     count(assignment.host);
@@ -660,7 +681,7 @@
 
     pub(crate) fn zone_open(
         &self,
-        p: usize,
+        shard_id: usize,
         o: &OpenJob,
         zone: &str,
         counts: &HashMap<String, u32>,
@@ -673,7 +694,7 @@
         };
         let cap = o
             .caps
-            .get(p)
+            .get(shard_id)
             .and_then(|c| c.get(z as usize))
             .copied()
             .unwrap_or(0);
--- a/crates/cherryyard-core/src/owner/room.rs
+++ b/crates/cherryyard-core/src/owner/room.rs
@@ -1,11 +1,11 @@
-//! Free room of a part's machines, and what the leader is told of it.
+//! Free room of a shard's machines, and what the leader is told of it.
 
 use super::*;
 use crate::admission::queue::Place;
 
 /// Waiting jobs that the leader is told of, in the order of service.
 const TOLD_JOBS: usize = 500;
-/// For how long a part keeps the rest of a grant that none of its waiting tasks can use.
+/// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
 const STUCK_GRANT_MS: f64 = 2000.0;
 
 impl Node {
@@ -59,22 +59,25 @@
     }
 
     /// Free room and waiting tasks, for the leader.
-    pub(crate) fn part_report(&self, p: usize, now: Millis) -> PartReport {
+    pub(crate) fn capacity_report(&self, shard_id: usize, now: Millis) -> CapacityReport {
         let silence = self.silence_ms();
         let mut machines: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.part == p && m.usable(now, silence))
+            .filter(|m| m.shard == shard_id && m.usable(now, silence))
             .collect();
         machines.sort_by_key(|m| m.host);
-        let used = self.mirror.usage(p);
+        let used = self.mirror.usage(shard_id);
         let mut wants = used.clone();
         let mut waiting = Vec::new();
-        let mut line = self.parts[p].queues.line();
+        let mut line = self.shards[shard_id].queues.line();
         let first = std::iter::from_fn(|| line.step()).take(TOLD_JOBS);
         for (_, Place { job, .. }) in first {
-            let count = self.mirror.waiting(p, job).map_or(0, |set| set.len());
-            let since = self.parts[p].queues.since(job).unwrap_or(now);
+            let count = self
+                .mirror
+                .waiting(shard_id, job)
+                .map_or(0, |set| set.len());
+            let since = self.shards[shard_id].queues.since(job).unwrap_or(now);
             waiting.push((job, count, ((now - since) / 1000.0) as f32));
             if let Some((team, needs)) = self.mirror.uses(job)
                 && let Some(w) = wants.get_mut(team as usize)
@@ -84,8 +87,8 @@
                 w.acc += needs.acc * n;
             }
         }
-        // A part cannot use more of a limit than its machines have; what it
-        // holds beyond that is another part's to use.
+        // A shard cannot use more of a limit than its machines have; what it
+        // holds beyond that is another shard's to use.
         let mut whole = Needs::default();
         for m in &machines {
             whole.give(&self.whole(m).unwrap_or_default());
@@ -120,9 +123,9 @@
                 })
             })
             .collect();
-        PartReport {
-            part: p as u32,
-            stamp: self.mirror.stamp(Key::Part(p)),
+        CapacityReport {
+            shard: shard_id as u32,
+            stamp: self.mirror.stamp(Key::Shard(shard_id)),
             machines: rooms,
             sorts,
             images: (0..images.len() as u32)
@@ -143,9 +146,9 @@
         }
     }
 
-    /// What one more of a team's waiting tasks takes in a part, at least.
-    pub(crate) fn least_waiting(&self, p: usize, team: usize) -> Option<Needs> {
-        let waiting = self.mirror.waiting[p].keys();
+    /// What one more of a team's waiting tasks takes in a shard, at least.
+    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
+        let waiting = self.mirror.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
         let needs = open.filter(|o| o.team as usize == team).map(OpenJob::needs);
         needs.reduce(|a, b| Needs {
@@ -155,12 +158,13 @@
         })
     }
 
-    /// Whether tasks of a team wait in the part, and what is left of its grant has for some
-    /// time been too little for any of them: parts' rests are of use only together.
-    fn rest_is_stuck(&mut self, p: usize, team: usize, used: &[Needs], now: Millis) -> bool {
-        let least = self.least_waiting(p, team);
-        let stuck = least.is_some_and(|least| self.beyond_grant(p, team as u32, used, &least));
-        let since = &mut self.parts[p].stuck_grants;
+    /// Whether tasks of a team wait in the shard, and what is left of its grant has for some
+    /// time been too little for any of them: shards' rests are of use only together.
+    fn rest_is_stuck(&mut self, shard_id: usize, team: usize, used: &[Needs], now: Millis) -> bool {
+        let least = self.least_waiting(shard_id, team);
+        let stuck =
+            least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
+        let since = &mut self.shards[shard_id].stuck_grants;
         if !stuck {
             since.remove(&team);
             return false;
@@ -168,17 +172,19 @@
         now - *since.entry(team).or_insert(now) >= STUCK_GRANT_MS
     }
 
-    /// Gives back what the part does not need of teams that are short.
+    /// Gives back what the shard does not need of teams that are short.
     pub(crate) fn lower_grants(&mut self, short: &[String], now: Millis) {
-        for p in 0..self.parts.len() {
-            let Some(token) = self.owned(p) else { continue };
-            if self.parts[p].pending.is_some() || !self.state_fresh(now) {
+        for shard_id in 0..self.shards.len() {
+            let Some(token) = self.owned(shard_id) else {
+                continue;
+            };
+            if self.shards[shard_id].pending.is_some() || !self.state_fresh(now) {
                 continue;
             }
-            let report = self.part_report(p, now);
-            let used = self.mirror.usage(p);
+            let report = self.capacity_report(shard_id, now);
+            let used = self.mirror.usage(shard_id);
             let mut commit = Commit::default();
-            commit.require(record::part_key(p), token);
+            commit.require(record::shard_key(shard_id), token);
             for name in short {
                 // The grant, and the last page and the one after it.
                 if commit.apply.len() >= self.config.txn_ops
@@ -189,10 +195,10 @@
                 let Some(t) = self.config.team_names.get(name).map(|t| t as usize) else {
                     continue;
                 };
-                let (grant, stamp) = self.mirror.grants[t][p];
+                let (grant, stamp) = self.mirror.grants[t][shard_id];
                 let wants = report.wants.get(t).map_or((0.0, 0.0), |w| (w.1, w.2));
                 // Never below what is assigned: wants include it.
-                // Half of the rest is kept, so that the part's next job need not
+                // Half of the rest is kept, so that the shard's next job need not
                 // wait for the leader.
                 let half = |have: f64, want: f64| {
                     let rest = (have - want) / 2.0;
@@ -202,7 +208,7 @@
                         want + rest
                     }
                 };
-                let keep = if self.rest_is_stuck(p, t, &used, now) {
+                let keep = if self.rest_is_stuck(shard_id, t, &used, now) {
                     Grant {
                         cores: used[t].cores.min(grant.cores),
                         acc: used[t].acc.min(grant.acc),
@@ -214,20 +220,21 @@
                     }
                 };
                 if stamp != 0 && (keep.cores < grant.cores - 1e-6 || keep.acc < grant.acc - 1e-6) {
-                    commit.require(record::grant_key(t, p), stamp);
+                    commit.require(record::grant_key(t, shard_id), stamp);
                     commit
                         .apply
-                        .push(Apply::set(record::grant_key(t, p), &keep));
+                        .push(Apply::set(record::grant_key(t, shard_id), &keep));
                 }
             }
             if !commit.apply.is_empty() {
                 // On no assignment having been made since, as the leader's moves are: where the
                 // answer is lost this may be carried out after later rounds, which count
                 // on the grant as it was and do not change it.
-                self.mirror.require_last_page(&mut commit, p);
+                self.mirror.require_last_page(&mut commit, shard_id);
                 // In the owner's turn, so that no assignment is under way meanwhile.
-                self.parts[p].pending = Some(Pending::default());
-                self.effects.push(Effect::Commit(Ticket::Owner(p), commit));
+                self.shards[shard_id].pending = Some(Pending::default());
+                self.effects
+                    .push(Effect::Commit(Ticket::Owner(shard_id), commit));
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/round.rs
@@ -1,6 +1,6 @@
 //! What a round proves of assigned tasks, and the transaction it writes.
 //!
-//! A part's assignments stand in pages, each with assignments of many jobs, so that one
+//! A shard's assignments stand in pages, each with assignments of many jobs, so that one
 //! round costs a write or two however many jobs it touches. New assignments go into
 //! the last page, or a new one after it: the leader's moves depend on these two
 //! alone. What is done stays in its page until its job is over.
@@ -9,7 +9,7 @@
 use crate::pages::PageFormat;
 use crate::{Config, Mirror};
 
-/// Time after which a round looks at all of a part's machines, in case that
+/// Time after which a round looks at all of a shard's machines, in case that
 /// something has changed without a message.
 const LOOK_MS: f64 = 5000.0;
 /// Least time between two looks for pages that can go.
@@ -17,7 +17,7 @@
 
 /// A round in the making.
 pub(crate) struct Round {
-    part: usize,
+    shard: usize,
     max_ops: usize,
     max_conditions: usize,
     page_bytes: usize,
@@ -45,15 +45,15 @@
 }
 
 impl Round {
-    pub fn new(config: &Config, mirror: &Mirror, part: usize) -> Self {
+    pub fn new(config: &Config, mirror: &Mirror, shard: usize) -> Self {
         Self {
-            part,
+            shard,
             max_ops: config.txn_ops,
             max_conditions: config.max_conditions(),
             page_bytes: config.page_bytes,
             format: mirror.page_format(),
             edits: BTreeMap::new(),
-            last: mirror.last_page(part),
+            last: mirror.last_page(shard),
             jobs: BTreeSet::new(),
             teams: BTreeSet::new(),
             ruled: false,
@@ -90,7 +90,7 @@
             if !self.fits(1, 1) || self.bytes() + self.page_bytes > TXN_BYTES {
                 return None;
             }
-            let mut page = mirror.pages[self.part]
+            let mut page = mirror.pages[self.shard]
                 .get(&number)
                 .cloned()
                 .unwrap_or_default();
@@ -240,18 +240,18 @@
     /// Takes what reports prove into the round.
     pub(crate) fn collect(
         &mut self,
-        p: usize,
+        shard_id: usize,
         now: Millis,
         round: &mut Round,
         pending: &mut Pending,
     ) {
-        let mut hosts = std::mem::take(&mut self.parts[p].touched);
-        if now - self.parts[p].looked_at >= LOOK_MS {
-            self.parts[p].looked_at = now;
+        let mut hosts = std::mem::take(&mut self.shards[shard_id].touched);
+        if now - self.shards[shard_id].looked_at >= LOOK_MS {
+            self.shards[shard_id].looked_at = now;
             hosts = self
                 .machines
                 .values()
-                .filter(|m| m.part == p)
+                .filter(|m| m.shard == shard_id)
                 .map(|m| m.host)
                 .collect();
         }
@@ -261,7 +261,7 @@
         for host in hosts {
             for (task, assignment) in self.mirror.on_host(host) {
                 let (job, number) = task;
-                let place = self.mirror.assignments.get(&(p, job));
+                let place = self.mirror.assignments.get(&(shard_id, job));
                 let Some(&(_, page)) = place.and_then(|m| m.assignments.get(&number)) else {
                     continue;
                 };
@@ -303,7 +303,7 @@
                 if done {
                     let m = self.machines.get(&host);
                     if let Some(ran) = m.and_then(|m| m.ran_ms(task, assignment.attempt, now)) {
-                        let sum = self.parts[p].ran.entry(job).or_default();
+                        let sum = self.shards[shard_id].ran.entry(job).or_default();
                         *sum = (sum.0 + 1, sum.1 + ran);
                     }
                     pending.done.push((job, host));
@@ -314,15 +314,17 @@
             }
         }
         let open = &self.mirror.open;
-        self.parts[p].ran.retain(|job, _| open.contains_key(job));
+        self.shards[shard_id]
+            .ran
+            .retain(|job, _| open.contains_key(job));
         if !left.is_empty() {
-            self.parts[p].dirty = true;
-            self.parts[p].touched.extend(left);
+            self.shards[shard_id].dirty = true;
+            self.shards[shard_id].touched.extend(left);
         }
         if blocked {
             // A start of a job that is over may still be on its way, and only
             // a higher token stops it.
-            self.parts[p].bump = true;
+            self.shards[shard_id].bump = true;
         }
     }
 
@@ -344,12 +346,12 @@
     }
 
     /// Ends the jobs whose last tasks this round proves done, and those whose
-    /// tasks are all done but which are not over: two parts that wrote their
+    /// tasks are all done but which are not over: two shards that wrote their
     /// last done numbers at once did not see each other's. The first part with
     /// assignments writes that end.
-    pub(crate) fn finish(&self, p: usize, round: &mut Round) {
+    pub(crate) fn finish(&self, shard_id: usize, round: &mut Round) {
         for (job, gained) in std::mem::take(&mut round.gained) {
-            // All parts' done numbers only ever grow while the job is open, so
+            // All shards' done numbers only ever grow while the job is open, so
             // an old view of the others is enough.
             let done = self.mirror.done(job) + gained;
             if let Some(open) = self.mirror.open.get(&job)
@@ -360,10 +362,10 @@
             }
         }
         for &job in &self.mirror.complete {
-            let first = (0..self.parts.len()).find(|&q| {
-                self.mirror.parts[q].is_some() && self.mirror.assignments.contains_key(&(q, job))
+            let first = (0..self.shards.len()).find(|&q| {
+                self.mirror.shards[q].is_some() && self.mirror.assignments.contains_key(&(q, job))
             });
-            if first == Some(p) {
+            if first == Some(shard_id) {
                 round.end(job);
             }
         }
@@ -371,20 +373,22 @@
 
     /// When there is nothing else to write: drops a page of which nothing is
     /// needed any more, or moves what is left of one into the last.
-    pub(crate) fn compact(&mut self, p: usize, now: Millis, round: &mut Round) {
-        if self.parts[p].budget.left(now) < 2.0 || now - self.parts[p].compacted_at < COMPACT_MS {
+    pub(crate) fn compact(&mut self, shard_id: usize, now: Millis, round: &mut Round) {
+        if self.shards[shard_id].budget.left(now) < 2.0
+            || now - self.shards[shard_id].compacted_at < COMPACT_MS
+        {
             return;
         }
-        self.parts[p].compacted_at = now;
+        self.shards[shard_id].compacted_at = now;
         let most = round.page_bytes;
-        let Some(last) = self.mirror.last_page(p) else {
+        let Some(last) = self.mirror.last_page(shard_id) else {
             return;
         };
-        for &number in self.mirror.pages[p].keys() {
+        for &number in self.mirror.pages[shard_id].keys() {
             let Some((page, bytes)) = round.edit(&self.mirror, number) else {
                 return;
             };
-            let stored = self.mirror.pages[p].get(&number);
+            let stored = self.mirror.pages[shard_id].get(&number);
             if number == 0 && stored.is_some_and(|page| page.jobs.is_empty()) {
                 // The first page stays, empty.
                 round.edits.clear();
@@ -431,17 +435,22 @@
         }
     }
 
-    pub(crate) fn round_commit(&self, p: usize, token: u64, round: &Round) -> Commit {
+    pub(crate) fn round_commit(&self, shard_id: usize, token: u64, round: &Round) -> Commit {
         let mut commit = Commit::default();
-        commit.require(record::part_key(p), token);
+        commit.require(record::shard_key(shard_id), token);
         for (&page, (new, _)) in &round.edits {
-            self.mirror
-                .require(&mut commit, Key::Assignment { part: p, page });
-            let key = record::assignments_key(p, page);
+            self.mirror.require(
+                &mut commit,
+                Key::Assignment {
+                    shard: shard_id,
+                    page,
+                },
+            );
+            let key = record::assignments_key(shard_id, page);
             if !new.jobs.is_empty() || page == 0 {
                 let stored = new.stored(&self.mirror.hosts, round.format);
                 commit.apply.push(Apply::set(key, &stored));
-            } else if self.mirror.pages[p].contains_key(&page) {
+            } else if self.mirror.pages[shard_id].contains_key(&page) {
                 commit.apply.push(Apply::delete(key));
             }
         }
@@ -459,8 +468,13 @@
             // A lowering of the grant whose answer was lost may have been
             // applied; assignments made by the old grant must then die.
             let team = team as usize;
-            self.mirror
-                .require(&mut commit, Key::Grant { team, part: p });
+            self.mirror.require(
+                &mut commit,
+                Key::Grant {
+                    team,
+                    shard: shard_id,
+                },
+            );
         }
         let ends = round.ends.iter().filter_map(|&job| {
             let open = self.mirror.open.get(&job)?;
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,4 +1,4 @@
-//! What an owner remembers of a part.
+//! What an owner remembers of a shard.
 
 use super::blame::Trouble;
 use super::turns::KeptRests;
@@ -27,9 +27,9 @@
     pub(crate) done: Vec<(u64, u32)>,
 }
 
-/// One part, as this controller sees it.
+/// One shard, as this controller sees it.
 #[derive(Debug)]
-pub(crate) struct Part {
+pub(crate) struct Shard {
     pub(crate) tenancy: Tenancy,
     pub(crate) claiming: bool,
     pub(crate) claim_after: Millis,
@@ -49,7 +49,7 @@
     /// When placement was last tried, and what was known of the state then.
     pub(crate) placed_at: Millis,
     pub(crate) placed_as_of: (u64, u64),
-    /// Changes that the part's rounds may write.
+    /// Changes that the shard's rounds may write.
     pub(crate) budget: Pace,
     pub(crate) pending: Option<Pending>,
     pub(crate) retry_after: Millis,
@@ -73,16 +73,16 @@
     pub(crate) held_since: Millis,
     pub(crate) images_at: Millis,
     pub(crate) yields: u32,
-    /// Until when the part is left to others after it was given up.
+    /// Until when the shard is left to others after it was given up.
     pub(crate) away_until: Millis,
     pub(crate) wait_epoch: u64,
     /// How many tasks of a job completed here, and how long they ran together.
     pub(crate) ran: HashMap<u64, (u32, Millis)>,
-    /// What the part's cores did.
+    /// What the shard's cores did.
     pub(crate) account: Account,
 }
 
-impl Part {
+impl Shard {
     pub(crate) fn new(writes_per_s: f64, now: Millis) -> Self {
         Self {
             tenancy: Tenancy::Foreign,
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -1,4 +1,4 @@
-//! Pages of assignments: what a part's owner has started, of many jobs in one record.
+//! Pages of assignments: what a shard's owner has started, of many jobs in one record.
 
 use crate::names::Names;
 use cherryyard_wire::record::{AssignmentGroup, PageRecord, StoredPage};
@@ -25,7 +25,7 @@
     pub done: RangeSet,
 }
 
-/// One page of a part's assignments.
+/// One page of a shard's assignments.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     /// Stamp of its key.
@@ -194,7 +194,7 @@
     }
 }
 
-/// All assignments of one job in one part, over its pages.
+/// All assignments of one job in one shard, over its pages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobAssignments {
     /// Assignments by number, and the page that each is in.
--- a/crates/cherryyard-core/src/reports.rs
+++ b/crates/cherryyard-core/src/reports.rs
@@ -21,9 +21,9 @@
 const LOST_MS: f64 = 15_000.0;
 
 impl Node {
-    /// The token under which reports of part `p` are answered now, if any.
-    fn answering(&self, p: usize, now: Millis) -> Option<u64> {
-        let Tenancy::Owned(stamp) = self.parts[p].tenancy else {
+    /// The token under which reports of shard `shard_id` are answered now, if any.
+    fn answering(&self, shard_id: usize, now: Millis) -> Option<u64> {
+        let Tenancy::Owned(stamp) = self.shards[shard_id].tenancy else {
             return None;
         };
         // Guards against a cancellation that this controller cannot see: the
@@ -35,9 +35,9 @@
         (now - self.seen_at <= bound || outage()).then_some(stamp)
     }
 
-    /// Who takes reports of part `p`, if it is someone else.
-    fn owner_elsewhere(&self, p: usize, now: Millis) -> Option<String> {
-        let mut best = self.mirror.parts[p]
+    /// Who takes reports of shard `shard_id`, if it is someone else.
+    fn owner_elsewhere(&self, shard_id: usize, now: Millis) -> Option<String> {
+        let mut best = self.mirror.shards[shard_id]
             .as_ref()
             .map(|c| (c.stamp, c.label.clone()));
         for peer in self
@@ -46,8 +46,8 @@
             .flatten()
             .filter(|s| now - s.heard_at < 5000.0)
         {
-            for (part, stamp, label) in &peer.heartbeat.claims {
-                if *part as usize == p && best.as_ref().is_none_or(|b| b.0 < *stamp) {
+            for (shard, stamp, label) in &peer.heartbeat.claims {
+                if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *stamp) {
                     best = Some((*stamp, label.clone()));
                 }
             }
@@ -59,21 +59,21 @@
     /// Notes that a worker of another's part reports here. It may have lost its owner, or
     /// hear nobody, and roam from one to the next: then no other owner would do better.
     /// So it is asked, unless the owner has ended anyway.
-    fn note_stray(&mut self, p: usize, report: &Report, now: Millis) {
-        if report.host.len() > MAX_HOST_NAME || !self.has_stray_room(p, &report.host) {
+    fn note_stray(&mut self, shard_id: usize, report: &Report, now: Millis) {
+        if report.host.len() > MAX_HOST_NAME || !self.has_stray_room(shard_id, &report.host) {
             return;
         }
-        let owner = self.owner_elsewhere(p, now);
+        let owner = self.owner_elsewhere(shard_id, now);
         let owner = owner.and_then(|label| self.config.labels.iter().position(|l| *l == label));
         let alive = owner.and_then(|i| self.peers[i].as_ref());
         let alive = alive.is_some_and(|peer| now - peer.heard_at < 2000.0);
         let host = self.mirror.hosts.intern(&report.host);
         let due = |s: &Stray| !s.hears && !s.asking && now - s.asked_at > 3000.0;
-        let due = self.strays.get(&(p, host)).is_none_or(due);
+        let due = self.strays.get(&(shard_id, host)).is_none_or(due);
         // Counted only where it decides: there may be thousands.
         let asking = || self.strays.values().filter(|s| s.asking).count();
         let ask = alive && due && asking() < ASKS;
-        let stray = self.strays.entry((p, host)).or_insert(Stray {
+        let stray = self.strays.entry((shard_id, host)).or_insert(Stray {
             at: now,
             asked_at: f64::NEG_INFINITY,
             asking: false,
@@ -89,7 +89,7 @@
 
     /// Whether a machine of another's part is known or may become so; says in the log
     /// once that it may not.
-    fn has_stray_room(&mut self, p: usize, host: &str) -> bool {
+    fn has_stray_room(&mut self, shard_id: usize, host: &str) -> bool {
         if self.strays.len() < MAX_MACHINES {
             return true;
         }
@@ -101,7 +101,7 @@
             );
         }
         let host = self.mirror.hosts.get(host);
-        host.is_some_and(|host| self.strays.contains_key(&(p, host)))
+        host.is_some_and(|host| self.strays.contains_key(&(shard_id, host)))
     }
 
     /// Takes a worker's report.
@@ -117,7 +117,7 @@
 
     /// An answer renews the lease of all that is on the machine, whatever its state and
     /// whichever token it shows: so it stops what is known to be over. An owner that has
-    /// just claimed its part answered, without orders, a machine that showed the token
+    /// just claimed its shard answered, without orders, a machine that showed the token
     /// before, and ended; the cancelled task had a lease more.
     fn stop_cancelled(&self, report: &Report, answer: &mut ReportAnswer) {
         for piece in &report.pieces {
@@ -125,7 +125,7 @@
             let over =
                 |job| self.cancelled.is_told(job) || self.mirror.end(job) == Some(End::Cancelled);
             let stopped = answer.orders.iter().any(
-                |o| matches!(o, Order::Kill { piece: p, attempt, .. } if *p == piece.piece && *attempt == piece.attempt),
+                |o| matches!(o, Order::Kill { piece: stopped, attempt, .. } if *stopped == piece.piece && *attempt == piece.attempt),
             );
             if piece.status != PieceStatus::Ended && !stopped && task.is_some_and(|t| over(t.0)) {
                 answer.orders.push(Order::Kill {
@@ -139,17 +139,17 @@
 
     fn answer_report(&mut self, report: &Report, now: Millis) -> Reply {
         self.notice(now);
-        let p = self.config.parting.part(&report.yard, &report.host);
-        let Some(token) = self.answering(p, now) else {
-            self.note_stray(p, report, now);
-            if self.may_extend_lease(p, report, now) {
+        let shard_id = self.config.shard_map.shard(&report.yard, &report.host);
+        let Some(token) = self.answering(shard_id, now) else {
+            self.note_stray(shard_id, report, now);
+            if self.may_extend_lease(shard_id, report, now) {
                 tracing::debug!(host = %report.host, "vouch for a lease");
                 return Reply::Answer(ReportAnswer {
                     baton: report.baton,
                     orders: Vec::new(),
                 });
             }
-            return match self.owner_elsewhere(p, now) {
+            return match self.owner_elsewhere(shard_id, now) {
                 Some(label) => Reply::Elsewhere(Some(label)),
                 None => Reply::Unavailable,
             };
@@ -158,13 +158,13 @@
             // Somebody has a newer token; an answer of ours would be dropped
             // and only hold the worker here.
             self.effects.push(Effect::Refresh);
-            return Reply::Elsewhere(self.owner_elsewhere(p, now));
+            return Reply::Elsewhere(self.owner_elsewhere(shard_id, now));
         }
         if self.machines.len() >= MAX_MACHINES || report.host.len() > MAX_HOST_NAME {
             return Reply::Unavailable;
         }
         let host = self.mirror.hosts.intern(&report.host);
-        self.meet(host, p, report, now);
+        self.meet(host, shard_id, report, now);
         let Some(machine) = self.machines.get_mut(&host) else {
             return Reply::Unavailable;
         };
@@ -191,7 +191,7 @@
             // in the answer to another has not arrived.
             (machine.answered_at, machine.heard_at) = (now, now);
             machine.old_in_a_row = machine.old_in_a_row.max(2);
-            self.ask_machines(p, now);
+            self.ask_machines(shard_id, now);
             let mut orders = self.orders(host, now, true);
             orders.retain(|o| !matches!(o, Order::Start { .. }));
             return Reply::Answer(ReportAnswer {
@@ -208,7 +208,7 @@
             Heard::Same | Heard::New => now,
         };
         // A new owner's machines are told of as they come, or the leader gives
-        // the part nothing until its next regular report.
+        // the shard nothing until its next regular report.
         self.room_changed |= (machine.state, machine.reach.hears()) != before;
         if heard == Heard::Old {
             return Reply::Answer(ReportAnswer {
@@ -244,7 +244,7 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let p = machine.part;
+        let shard_id = machine.shard;
         machine.pushing = false;
         let how = match &outcome {
             PushOutcome::Answered(report) => format!("answered in session {}", report.tenure),
@@ -256,7 +256,7 @@
             PushOutcome::Answered(report) => {
                 machine.settle_push(request, false);
                 machine.reached(ReachEvent::Reflected, now);
-                let Tenancy::Owned(token) = self.parts[p].tenancy else {
+                let Tenancy::Owned(token) = self.shards[shard_id].tenancy else {
                     return;
                 };
                 if machine.hear(&report, token, now) != Heard::Old {
@@ -278,11 +278,11 @@
     }
 
     /// Asks machines directly whose reports leave something open.
-    pub(crate) fn ask_machines(&mut self, p: usize, now: Millis) {
-        let part = |m: &&mut Machine| m.part == p;
+    pub(crate) fn ask_machines(&mut self, shard_id: usize, now: Millis) {
+        let shard = |m: &&mut Machine| m.shard == shard_id;
         let lost_ms = self.config.lease_ms + LOST_MS;
         let mut left = ASKS.saturating_sub(self.machines.values().filter(|m| m.asking).count());
-        for m in self.machines.values_mut().filter(part) {
+        for m in self.machines.values_mut().filter(shard) {
             if left == 0 {
                 return;
             }
@@ -311,8 +311,8 @@
             return;
         };
         m.asking = false;
-        let p = m.part;
-        let Tenancy::Owned(token) = self.parts[p].tenancy else {
+        let shard_id = m.shard;
+        let Tenancy::Owned(token) = self.shards[shard_id].tenancy else {
             return;
         };
         let Some(report) = answer else {
@@ -321,7 +321,7 @@
             if m.reach != before && matches!(m.reach, Reach::Unreachable(_)) {
                 m.given_up = (m.newest.0, last);
             }
-            self.parts[p].touched.insert(host);
+            self.shards[shard_id].touched.insert(host);
             return;
         };
         self.room_changed |= !m.reach.hears();
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -142,8 +142,8 @@
             "the announced rate of writes is kept to"
         );
         self.config.set_writes_per_s(next);
-        for part in &mut self.parts {
-            part.budget.set_rate(self.config.round_writes_per_s, now);
+        for shard in &mut self.shards {
+            shard.budget.set_rate(self.config.round_writes_per_s, now);
         }
         self.leader.set_write_rates(&self.config, now);
         self.set_user_rate(now);
--- a/crates/cherryyard-core/src/tenancy.rs
+++ b/crates/cherryyard-core/src/tenancy.rs
@@ -1,6 +1,6 @@
-//! Where a part stands with a controller.
+//! Where a shard stands with a controller.
 
-/// Where a part stands with this controller.
+/// Where a shard stands with this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tenancy {
     /// Someone else's, or nobody's.
@@ -13,7 +13,7 @@
     Deposed(u64),
 }
 
-/// What moves a part from one standing to another.
+/// What moves a shard from one standing to another.
 #[derive(Clone, Copy, Debug)]
 pub enum TenancyEvent {
     /// We have sent a claim.
@@ -29,7 +29,7 @@
 }
 
 impl Tenancy {
-    /// The one place where a part's standing changes.
+    /// The one place where a shard's standing changes.
     pub fn after(self, event: TenancyEvent) -> Self {
         use TenancyEvent::*;
         match (self, event) {
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -7,7 +7,7 @@
 use cherryyard_wire::state::Commit;
 
 /// Part of its users' writes that a controller lends to the leader.
-const LENT_PART: f64 = 0.6;
+const LENT_SHARE: f64 = 0.6;
 /// How long a leader goes by what a controller has last named.
 const LENT_MS: f64 = 2000.0;
 /// How long a leader goes by what it last saw of its claim.
@@ -70,21 +70,21 @@
     /// time after it heard that message. And a leader uses anything lent only for a time
     /// after it last saw itself lead, its successor not before that time has passed.
     pub(crate) fn set_user_rate(&mut self, now: Millis) {
-        let even = self.config.user_writes_per_s / self.parts.len() as f64;
+        let even = self.config.user_writes_per_s / self.shards.len() as f64;
         let me = self.config.me;
         let rate = if self.leader.leads(&self.mirror) {
             let seen = now - self.seen_at <= LEADS_MS && self.caught_up();
             let waited = now - self.leader.since >= LEADS_MS * 1.01;
             let lends = |i: &usize| self.named_at(*i).is_some_and(|at| now - at <= LENT_MS);
-            let lenders = (0..self.parts.len()).filter(|&i| i != me).filter(lends);
+            let lenders = (0..self.shards.len()).filter(|&i| i != me).filter(lends);
             let lenders = if seen && waited { lenders.count() } else { 0 };
-            even * (1.0 + LENT_PART * lenders as f64)
+            even * (1.0 + LENT_SHARE * lenders as f64)
         } else {
             let label = self.mirror.lead.as_ref().map(|c| &c.label);
             let leader = self.config.labels.iter().position(|l| Some(l) == label);
             let heard = leader.and_then(|i| self.peers[i].as_ref());
-            let lent = heard.is_some_and(|p| now - p.heard_at <= LENT_MS * 1.25);
-            even * if lent { 1.0 - LENT_PART } else { 1.0 }
+            let lent = heard.is_some_and(|peer| now - peer.heard_at <= LENT_MS * 1.25);
+            even * if lent { 1.0 - LENT_SHARE } else { 1.0 }
         };
         self.user_pace.set_rate(rate, now);
     }
@@ -114,7 +114,7 @@
             *i != self.config.me
                 && self.peers[*i]
                     .as_ref()
-                    .is_some_and(|p| now - p.heard_at < 1200.0 && !p.heartbeat.cut_off)
+                    .is_some_and(|peer| now - peer.heard_at < 1200.0 && !peer.heartbeat.cut_off)
         };
         let all = 0..self.config.labels.len();
         let leader = all
@@ -141,8 +141,8 @@
         self.notice(now);
         self.newest_epoch = self.newest_epoch.max(epoch);
         self.mirror.committed(commit, epoch);
-        for part in &mut self.parts {
-            part.dirty = true;
+        for shard in &mut self.shards {
+            shard.dirty = true;
         }
         self.leader.dirty = true;
         self.run(now);
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// A heartbeat of controller `b`, which owns its own part.
+/// A heartbeat of controller `b`, which owns its own shard.
 fn heartbeat() -> Heartbeat {
     Heartbeat {
         label: "b".into(),
@@ -59,7 +59,7 @@
         complete: false,
         epoch: 1,
         claims: vec![(1, 1, "b".into())],
-        parts: Vec::new(),
+        shards: Vec::new(),
         short: Vec::new(),
         handing: Vec::new(),
         strays: Vec::new(),
--- a/crates/cherryyard-core/tests/hang_model.rs
+++ b/crates/cherryyard-core/tests/hang_model.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct State {
     t: u8,
-    /// The owner's token, and since when it owns the part.
+    /// The owner's token, and since when it owns the shard.
     token: u8,
     since: u8,
     /// Since when it has heard nothing of the machine.
@@ -166,7 +166,7 @@
     (count, bad)
 }
 
-/// The rule holds with up to five changes of owner, and each of its parts is needed.
+/// The rule holds with up to five changes of owner, and each of its shards is needed.
 #[test]
 fn a_machine_hangs_with_a_start_on_its_way() {
     let rules = Mutant::default();
--- a/crates/cherryyard-core/tests/lease_model.rs
+++ b/crates/cherryyard-core/tests/lease_model.rs
@@ -492,7 +492,7 @@
     })
 }
 
-/// The rules hold whatever comes, and each of their parts is needed: with one change
+/// The rules hold whatever comes, and each of their shards is needed: with one change
 /// of the service and an end, or a freeze.
 #[test]
 fn leases_in_an_outage() {
--- a/crates/cherryyard-core/tests/share_model.rs
+++ b/crates/cherryyard-core/tests/share_model.rs
@@ -22,7 +22,7 @@
 }
 
 const FLOOR: u64 = 2;
-const PART: u64 = 9;
+const SHARD: u64 = 9;
 /// The first leader has led for long; the second may begin to lead at any time.
 const START: u8 = 4;
 const END: u8 = 9;
@@ -114,7 +114,7 @@
         let levels = self
             .owners
             .iter()
-            .filter_map(|o| o.level?.now(PART, self.t));
+            .filter_map(|o| o.level?.now(SHARD, self.t));
         levels.sum()
     }
 
@@ -127,7 +127,7 @@
         for p in 0..2 {
             l.accounts[p].meet(Under {
                 lead: l.stamp,
-                part: PART,
+                shard: SHARD,
             });
             if is_over(l.heard[p].1, t) && !m.never_over {
                 l.accounts[p].lapse();
@@ -182,7 +182,7 @@
                 } else {
                     o.sent[heard as usize % 4]
                 };
-                let under = Under { lead, part: PART };
+                let under = Under { lead, shard: SHARD };
                 let new = Level {
                     under,
                     number,
--- a/crates/cherryyard-rehearsal/src/world/cloud.rs
+++ b/crates/cherryyard-rehearsal/src/world/cloud.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What the cores of all parts did since the last call.
+    /// What the cores of all shards did since the last call.
     pub fn account(&mut self) -> CoreSeconds {
         let mut all = CoreSeconds::default();
         for node in self.nodes.iter_mut().flatten() {
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -385,7 +385,7 @@
         (sum(&w) - before) as f64
     };
     let (few, many, large) = (looked(100, 1), looked(3000, 1), looked(1000, 100));
-    // In each of three parts 48 jobs of the only flow and 16 others, at most every 0.4 s.
+    // In each of three shards 48 jobs of the only flow and 16 others, at most every 0.4 s.
     let most = 3.0 * 64.0 * 26.0;
     assert!(few > 0.0 && few < most, "{few}");
     assert!(many < most && large < most, "{few} {many} {large}");
@@ -473,7 +473,7 @@
         let now = running(&w);
         (steady, urgent) = (steady + now.0 / 20.0, urgent + now.1 / 20.0);
     }
-    // 144 cores in all; a floor of a quarter, which each part rounds to whole tasks.
+    // 144 cores in all; a floor of a quarter, which each shard rounds to whole tasks.
     let asks = |class: usize| f64::from([5, 8][class]) * 2.0 * 12.0 / every[class];
     let floor = |class: usize| (asks(class) * 0.6).min(144.0 * 0.25);
     assert!(
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/both_ways.rs
@@ -86,7 +86,7 @@
     all
 }
 
-/// Three parts, 200 machines of two types, and a team's limit.
+/// Three shards, 200 machines of two types, and a team's limit.
 fn cluster() -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 60), ("b", 60), ("c", 60)],
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-rehearsal/tests/checker.rs
@@ -54,7 +54,7 @@
 fn a_team_over_its_limit() {
     let mut w = cluster(8.0);
     w.submit(&World::spec("j-000001", "service", 6));
-    // The limit is spread over the parts at first.
+    // The limit is spread over the shards at first.
     w.run_until(60.0, |w| w.running() == 4);
     let on = w.workers.values().find(|x| x.runs("j-000001/0"));
     let hung = on.expect("it runs").host.clone();
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-rehearsal/tests/end_of_day.rs
@@ -158,7 +158,7 @@
 
 /// A controller, the leader or its successor too, ends at every step of the first three
 /// seconds of a takeover and is back after 0, 50 and 500 ms. Nobody holds two claims on
-/// a part, all parts are owned again within seconds, and what runs goes on.
+/// a shard, all shards are owned again within seconds, and what runs goes on.
 #[test]
 fn ends_at_every_step_of_a_claim() {
     for back in [0.0, 0.05, 0.5] {
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// A controller stands still for half a minute and another takes its part over;
+/// A controller stands still for half a minute and another takes its shard over;
 /// kept as a story.
 #[test]
 fn trace_of_a_freeze() {
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/gap.rs
@@ -219,19 +219,19 @@
     assert_eq!(w.running(), 10);
 }
 
-/// An owner has just adopted a part and is refused before it reads what runs there. It
+/// An owner has just adopted a shard and is refused before it reads what runs there. It
 /// is told of a cancellation of a job that it has never heard of.
 #[test]
 fn a_part_adopted_just_before() {
     for step in 0..40 {
         let (mut w, _) = running(6);
         w.kill(2);
-        // The others come to own its part within these seconds.
+        // The others come to own its shard within these seconds.
         w.run(4.5 + f64::from(step) * 0.05);
         let owner = (0..2).find(|&i| {
             let node = w.nodes[i].as_ref();
             node.is_some_and(|n| {
-                n.mirror.parts[2]
+                n.mirror.shards[2]
                     .as_ref()
                     .is_some_and(|c| c.label == format!("node-{i}"))
             })
@@ -347,7 +347,7 @@
 }
 
 /// An owner is told of the cancellation of a job that it has never read of, as it adopted
-/// the part just before it was refused, and a machine there runs it.
+/// the shard just before it was refused, and a machine there runs it.
 #[test]
 fn told_of_a_job_that_it_never_read() {
     let (mut w, leader) = running(3);
@@ -397,7 +397,7 @@
     whole(&w, "told on");
 }
 
-/// An owner is served again just when its leases are about to end: it claims its part,
+/// An owner is served again just when its leases are about to end: it claims its shard,
 /// answers machines that still show the token before, and ends. What it knows to be
 /// cancelled must not have a lease more by that. (Found by seed 286 of the gaps.)
 #[test]
--- a/crates/cherryyard-rehearsal/tests/history.rs
+++ b/crates/cherryyard-rehearsal/tests/history.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_rehearsal::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
-use cherryyard_wire::record::{Claim, job_key, part_key};
+use cherryyard_wire::record::{Claim, job_key, shard_key};
 use cherryyard_wire::state::{Apply, Commit};
 use serde_json::json;
 
@@ -203,7 +203,7 @@
     check(&mut w, &all, "after a restart");
 }
 
-/// While a controller of an earlier build owns a part, nothing goes into buckets:
+/// While a controller of an earlier build owns a shard, nothing goes into buckets:
 /// it would not see the jobs there and take them for never submitted.
 #[test]
 fn no_buckets_beside_an_earlier_build() {
@@ -221,7 +221,7 @@
         n: None,
     };
     commit.apply.push(Apply::Set {
-        set: part_key(2),
+        set: shard_key(2),
         v: cherryyard_wire::state::Json::of(&claim),
         hold: Some(hold),
     });
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-rehearsal/tests/largest.rs
@@ -161,7 +161,7 @@
 }
 
 /// At its team's limit a large job of large tasks begins too, though small tasks come all
-/// the time and take each core that comes free: what is left of the limit in a part is kept
+/// the time and take each core that comes free: what is left of the limit in a shard is kept
 /// for the task whose turn it is, once that is all it needs. (Found by seed 330 of late
 /// writes: six of eight of the largest had not begun after four minutes.)
 #[test]
--- a/crates/cherryyard-rehearsal/tests/late.rs
+++ b/crates/cherryyard-rehearsal/tests/late.rs
@@ -2,7 +2,7 @@
 
 use cherryyard_rehearsal::{Setup, World};
 
-/// A running cluster whose parts are owned and whose machines have reported.
+/// A running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
@@ -55,7 +55,7 @@
 }
 
 /// Work follows what changed: reports that tell nothing new have no round look
-/// at their machines' assignments, and one completion costs as much in a part ten
+/// at their machines' assignments, and one completion costs as much in a shard ten
 /// times as large. All machines are looked at every 5 s, in case.
 #[test]
 fn rounds_look_at_what_changed() {
@@ -88,7 +88,7 @@
 
 /// An owner that loses its workers, all of them, hears of fewer and fewer: the first
 /// few that are overdue are not released as dead, one after the other, with what runs
-/// on them; it gives the part up, and all goes on under another owner. One machine
+/// on them; it gives the shard up, and all goes on under another owner. One machine
 /// that falls silent alone is released.
 #[test]
 fn workers_lost_one_by_one_are_not_released() {
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -37,7 +37,7 @@
 
 /// An owner lowers its grant and gets no answer; then it assigns tasks by the grant as it
 /// was; then the lowering is carried out. What it gave back was in use, and went to
-/// another part: the team had more than its limit.
+/// another shard: the team had more than its limit.
 #[test]
 fn a_grant_lowered_late() {
     let mut w = settled(Setup {
@@ -46,7 +46,7 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    // Each part has 8 cores; one asks for more than its own, and others are to lower
+    // Each shard has 8 cores; one asks for more than its own, and others are to lower
     // theirs.
     let (low, more) = ((leader(&w) + 1) % 3, (leader(&w) + 2) % 3);
     let zone = |p: usize| ["a", "b", "c"][p];
@@ -229,8 +229,8 @@
     }
 }
 
-/// An owner that its workers do not reach gives its part up; then a claim of its own from
-/// before is carried out. Nobody served the part for as long as it stayed away.
+/// An owner that its workers do not reach gives its shard up; then a claim of its own from
+/// before is carried out. Nobody served the shard for as long as it stayed away.
 #[test]
 fn a_claim_carried_out_after_its_part_was_given_up() {
     let mut w = settled(Setup {
@@ -253,7 +253,7 @@
     });
     assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
     w.run(6.0);
-    let owner = w.nodes[1].as_ref().and_then(|n| n.mirror.parts[0].clone());
+    let owner = w.nodes[1].as_ref().and_then(|n| n.mirror.shards[0].clone());
     assert_ne!(owner.expect("an owner").label, "node-0");
     w.run(15.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -359,7 +359,7 @@
 /// divides them by records of their own, and gets no answer. The page has room then, and
 /// they are divided in it, another way, and assigned; then the first division is carried out.
 /// It depended on the jobs' having no records alone, which still held: a running task was
-/// given to another part (found by seed 5091).
+/// given to another shard (found by seed 5091).
 #[test]
 fn a_division_by_records_carried_out_after_one_in_the_page() {
     let mut w = settled(Setup {
--- a/crates/cherryyard-rehearsal/tests/limits.rs
+++ b/crates/cherryyard-rehearsal/tests/limits.rs
@@ -85,7 +85,7 @@
 }
 
 /// The limits fall while the upgrade is not over: those of before are divided by new
-/// controllers, also of parts that they adopt, and by nobody twice.
+/// controllers, also of shards that they adopt, and by nobody twice.
 #[test]
 fn a_controller_ends_while_its_pages_are_divided() {
     for step in 0..6 {
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -127,9 +127,9 @@
 }
 
 /// The answers of all transactions are lost for half a minute, claims' too, just as an
-/// owner ends, or the leader: another sees its own claim in the state and serves the part
+/// owner ends, or the leader: another sees its own claim in the state and serves the shard
 /// at once. (It claimed anew, again and again, as for a claim of a process before, and the
-/// part's leases ran out. Found by seed 5092 of three troubles.)
+/// shard's leases ran out. Found by seed 5092 of three troubles.)
 #[test]
 fn a_claim_whose_answer_is_lost() {
     for lost in [100, 60] {
@@ -276,7 +276,7 @@
                     w.kill(i);
                     users.run(&mut w, 8.0);
                     w.start(i);
-                    // It asks for its part 12 s after its start.
+                    // It asks for its shard 12 s after its start.
                     users.run(&mut w, 11.0);
                 }
                 // Starts of the one before are on their way.
@@ -794,10 +794,10 @@
     }
 }
 
-/// What is left of each part's grant is too small for any task that waits there, and is
-/// enough together: it comes together in one part. (Found by seed 5001 of late writes: a
+/// What is left of each shard's grant is too small for any task that waits there, and is
+/// enough together: it comes together in one shard. (Found by seed 5001 of late writes: a
 /// job waited for minutes beside free machines while its team was under its limit, as two
-/// parts had one core left each and all tasks took two.)
+/// shards had one core left each and all tasks took two.)
 #[test]
 fn what_is_left_of_grants_comes_together() {
     for (limit, cores, all) in [
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-rehearsal/tests/pipelines.rs
@@ -308,7 +308,7 @@
     assert_eq!(w.running(), 1, "only the first has a task");
     let node = w.nodes[0].as_ref().expect("it is up");
     assert!(node.mirror.undivided.is_empty());
-    assert!(node.mirror.waiting.iter().all(|part| part.is_empty()));
+    assert!(node.mirror.waiting.iter().all(|shard| shard.is_empty()));
     assert_eq!(submit(&mut w, 1, &sweep(9, 4, &[])), Said::Taken);
     w.run(10.0);
     assert_eq!(w.running(), 5, "all of its team's limit is free for it");
--- a/crates/cherryyard-rehearsal/tests/reach.rs
+++ b/crates/cherryyard-rehearsal/tests/reach.rs
@@ -114,7 +114,7 @@
     assert!(waits.iter().all(|s| *s < without + 2.5), "{waits:?}");
 }
 
-/// Copies come to the owner after it ended and another took its part: what they show is
+/// Copies come to the owner after it ended and another took its shard: what they show is
 /// of a token that is not the new owner's, and nothing follows from it.
 #[test]
 fn copies_after_a_takeover() {
@@ -189,7 +189,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The same when its part has a new owner, who knows of no session: an assignment of a session
+/// The same when its shard has a new owner, who knows of no session: an assignment of a session
 /// that is yet to come is of the life before. Guards against a task that counted as
 /// running for ever (found by seed 1930 of the overlaps below).
 #[test]
@@ -329,7 +329,7 @@
 
 /// Whoever names none of our messages for three seconds is connected to anew, and again
 /// after three more; whoever names them is not. Guards against a connection to one that
-/// was down and is back: it took a minute's heartbeats without a word, while the part's
+/// was down and is back: it took a minute's heartbeats without a word, while the shard's
 /// workers were told to go where nobody answered.
 #[test]
 fn who_names_nothing_is_connected_to_anew() {
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -6,14 +6,14 @@
 use cherryyard_wire::record::{arrivals_key, job_key};
 use cherryyard_wire::state::{Change, News};
 
-/// A running cluster whose parts are owned and whose machines have reported.
+/// A running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
     w
 }
 
-/// Pages of assignments, but for a part's first one if it names no job and no machine: that
+/// Pages of assignments, but for a shard's first one if it names no job and no machine: that
 /// one stays, so that its absence is no ground for a transaction that comes late.
 fn assignments_left(w: &World) -> Vec<String> {
     let pairs = w.state.pairs().into_iter();
@@ -221,7 +221,7 @@
     assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
 }
 
-/// An owner that only the workers cannot reach gives its part up in time for
+/// An owner that only the workers cannot reach gives its shard up in time for
 /// another to keep their leases.
 #[test]
 fn owner_cut_off_from_workers_yields() {
@@ -333,7 +333,7 @@
     assert!(!open.contains_key(&1), "nothing may start it again");
 }
 
-/// A team's limit holds over three parts, and all of it can be used by one.
+/// A team's limit holds over three shards, and all of it can be used by one.
 #[test]
 fn team_limit_over_three_parts() {
     let machines = vec![("a", 4), ("b", 4), ("c", 4)];
@@ -363,7 +363,7 @@
     assert_eq!((view.status, view.done), (JobStatus::Done, 12));
 }
 
-/// After the delay a part loses waiting numbers to parts with room, and only
+/// After the delay a shard loses waiting numbers to shards with room, and only
 /// those that it has not assigned.
 #[test]
 fn overflow_moves_only_unmarked_numbers() {
@@ -465,7 +465,7 @@
 }
 
 /// The trace of a rolling restart: what runs goes on, a restarted controller
-/// has its part back at once, and the job completes.
+/// has its shard back at once, and the job completes.
 #[test]
 fn trace_of_a_rolling_restart() {
     let mut w = settled(Setup::default());
@@ -492,7 +492,7 @@
 }
 
 /// What exceeds all free room follows machine counts: by the weights of a few
-/// free cores, a large array was heaped onto one part.
+/// free cores, a large array was heaped onto one shard.
 #[test]
 fn excess_is_not_heaped_onto_one_part() {
     let mut w = settled(Setup::default());
@@ -573,7 +573,7 @@
 }
 
 /// At the smallest budgets an array of 100,000 tasks is taken whole over seven
-/// parts, keeps every limit, costs nobody a claim, and is gone soon after it is
+/// shards, keeps every limit, costs nobody a claim, and is gone soon after it is
 /// cancelled.
 #[test]
 fn a_large_array_at_the_smallest_budgets() {
@@ -613,8 +613,8 @@
 
 /// Connections between controllers are refused, and all else works: the lead
 /// stays where it is (it went round among all, every few seconds), and a job is
-/// still divided over all parts by what the cloud lists and what is assigned (the
-/// leader's own part got everything).
+/// still divided over all shards by what the cloud lists and what is assigned (the
+/// leader's own shard got everything).
 #[test]
 fn a_cut_between_controllers_changes_little() {
     let mut w = settled(Setup::default());
@@ -634,7 +634,7 @@
 
 /// The trace of a replica whose machine is lost. The image is held in another
 /// part only: the replica goes there at once, neither fetching the image in its
-/// own part nor waiting for the delay.
+/// own shard nor waiting for the delay.
 #[test]
 fn trace_of_a_lost_replica() {
     let mut w = settled(Setup {
@@ -681,7 +681,7 @@
 
 /// A move that reaches the state service late, after its owner has assigned
 /// numbers of the job, changes nothing: a page of assignments has changed. Applied,
-/// it would have given a running task to another part.
+/// it would have given a running task to another shard.
 #[test]
 fn a_move_by_an_old_view_dies() {
     let mut w = settled(Setup::default());
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-rehearsal/tests/two_troubles.rs
@@ -67,7 +67,7 @@
 }
 
 /// Controllers hand over and back, all end, and one returns, within 0, 50, 500 and 1000
-/// ms, at every other step of a home's asking for its part.
+/// ms, at every other step of a home's asking for its shard.
 #[test]
 fn hand_over_and_back_then_all_end_and_one_returns() {
     for back_ms in [0.0, 50.0, 500.0, 1000.0] {
@@ -242,7 +242,7 @@
 }
 
 /// A command or its answer is held up for seconds and the machine goes on after; in
-/// between its job is cancelled, it is started again elsewhere, or its part changes
+/// between its job is cancelled, it is started again elsewhere, or its shard changes
 /// hands.
 #[test]
 fn a_command_held_up() {
--- a/crates/cherryyard-wire/src/arrivals.rs
+++ b/crates/cherryyard-wire/src/arrivals.rs
@@ -51,7 +51,7 @@
     /// The zone of all tasks, where the user asked for one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Most tasks per part and zone, where the user asked for tasks apart.
+    /// Most tasks per shard and zone, where the user asked for tasks apart.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub caps: Vec<Vec<u32>>,
     /// Where it may run, beyond what the submission's fields say.
@@ -158,15 +158,15 @@
         ));
     }
 
-    /// The jobs, for so many parts; none if the page makes no sense.
-    pub fn read(self, parts: usize) -> Option<Vec<Arrival>> {
+    /// The jobs, for so many shards; none if the page makes no sense.
+    pub fn read(self, shards: usize) -> Option<Vec<Arrival>> {
         let (start, common) = (self.at, self.c);
         let arrival = |row: Row| {
             let (job, place, after, pieces, cores, ram_gb, bundle, image_gb, expected_s, ..) = row;
             let c = common.get(place as usize)?.clone();
             let mut div = Vec::new();
             for (p, first, last) in row.10 {
-                div.resize(parts, RangeSet::new());
+                div.resize(shards, RangeSet::new());
                 let set = div.get_mut(p as usize)?;
                 *set = set.union(&RangeSet::span(first, last));
             }
--- a/crates/cherryyard-wire/src/page.rs
+++ b/crates/cherryyard-wire/src/page.rs
@@ -1,7 +1,7 @@
 //! Pages of assignments in few bytes.
 //!
 //! A page holds assignments of hundreds of tasks, and every round writes one or two, so
-//! what a page can hold decides how many tasks a part can start with the writes that it
+//! what a page can hold decides how many tasks a shard can start with the writes that it
 //! may make. [`pack`] brings a [`PageRecord`] into base64 of varints:
 //!
 //! ```text
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -47,7 +47,7 @@
     /// Who sent it; none in frames of earlier builds.
     pub sender: Option<Sender>,
 }
-/// Largest frame in bytes: a heartbeat with the room of 4,096 machines in one part, each
+/// Largest frame in bytes: a heartbeat with the room of 4,096 machines in one shard, each
 /// with 24 of 400 images, takes 324 KiB.
 pub const MAX_FRAME: usize = 512 * 1024;
 
@@ -111,11 +111,11 @@
     pub epoch: u64,
     /// Claims that the sender knows: part, stamp, and the owner's name.
     pub claims: Vec<(u32, u64, String)>,
-    /// The parts that the sender owns.
-    pub parts: Vec<PartReport>,
+    /// The shards that the sender owns.
+    pub shards: Vec<CapacityReport>,
     /// Teams that are short of their grants, told by the leader.
     pub short: Vec<String>,
-    /// Services that the sender would rather not start, as only other parts
+    /// Services that the sender would rather not start, as only other shards
     /// hold their images: part and job's number.
     pub handing: Vec<(u32, u64)>,
     /// Parts of others whose workers have lately reported here: part, how many.
@@ -141,17 +141,17 @@
     pub team: u32,
     /// Its floor in cores.
     pub floor: f32,
-    /// How it is divided among parts.
+    /// How it is divided among shards.
     pub levels: Vec<LevelTold>,
 }
 
-/// A part's level of a flow: up to it its owner may start tasks ahead of rank, and down
+/// A shard's level of a flow: up to it its owner may start tasks ahead of rank, and down
 /// to it stop them for others.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LevelTold {
-    /// The part.
-    pub part: u32,
-    /// Stamps of the leader's claim and the part's.
+    /// The shard.
+    pub shard: u32,
+    /// Stamps of the leader's claim and the shard's.
     pub under: (u64, u64),
     /// The level, in thousandths of a core.
     pub level: u64,
@@ -172,14 +172,14 @@
     pub refused: u64,
 }
 
-/// Free room and waiting tasks of a part.
+/// Free room and waiting tasks of a shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct PartReport {
-    /// The part.
-    pub part: u32,
+pub struct CapacityReport {
+    /// The shard.
+    pub shard: u32,
     /// Stamp of the claim that the report was made under.
     pub stamp: u64,
-    /// Sorts of machine that the part has.
+    /// Sorts of machine that the shard has.
     pub sorts: Vec<MachineSort>,
     /// Images that its machines hold.
     pub images: Vec<String>,
@@ -187,7 +187,7 @@
     pub machines: Vec<MachineRoom>,
     /// Waiting tasks by job: the job's number, how many, and for how long.
     pub waiting: Vec<(u64, u32, f32)>,
-    /// What the part uses and wants of each team's limit: team, cores and accelerators.
+    /// What the shard uses and wants of each team's limit: team, cores and accelerators.
     pub wants: Vec<(String, f64, f64)>,
 }
 
@@ -215,7 +215,7 @@
     pub images: Vec<u16>,
 }
 
-impl PartReport {
+impl CapacityReport {
     /// Whether the machines name only what the report lists.
     pub fn is_sound(&self) -> bool {
         self.machines.iter().all(|m| {
@@ -339,7 +339,7 @@
             complete: false,
             epoch: 7,
             claims: vec![(0, 3, "a".into())],
-            parts: vec![],
+            shards: vec![],
             short: vec![],
             handing: vec![],
             strays: vec![],
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -1,13 +1,13 @@
 //! A heartbeat that tells of the largest part fits into a frame: 4,096 machines.
 
 use cherryyard_wire::peer::{
-    Heartbeat, MAX_FRAME, MachineRoom, MachineSort, Message, PartReport, Sender, encode,
+    CapacityReport, Heartbeat, MAX_FRAME, MachineRoom, MachineSort, Message, Sender, encode,
     encode_legacy,
 };
 
-/// Machines of the largest fleets, all in one part.
+/// Machines of the largest fleets, all in one shard.
 const FLEET: u16 = 4096;
-/// Images in the part, and how many of them each machine holds.
+/// Images in the shard, and how many of them each machine holds.
 const IMAGES: u16 = 400;
 const HELD: u16 = 24;
 /// Waiting jobs that a report names.
@@ -26,14 +26,14 @@
     }
 }
 
-fn report() -> PartReport {
+fn report() -> CapacityReport {
     let sort = |i: u16| MachineSort {
         kind: format!("standard-{}-highmem", i % 100),
         zone: format!("zone-{}", i / 100),
         spot: i.is_multiple_of(2),
     };
-    PartReport {
-        part: 0,
+    CapacityReport {
+        shard: 0,
         stamp: 1,
         sorts: (0..300).map(sort).collect(),
         images: (0..IMAGES)
@@ -66,7 +66,7 @@
         complete: false,
         epoch: 7,
         claims: (0..7).map(|p| (p, 3, format!("controller-{p}"))).collect(),
-        parts: vec![report()],
+        shards: vec![report()],
         short: Vec::new(),
         handing: (0..200).map(|i| (0, 800_000_000_000 + i)).collect(),
         strays: Vec::new(),
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -6,8 +6,8 @@
 use cherryyard_wire::arrivals::{ArrivalsRecord, Rest};
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::peer::{
-    Ask, DemandTold, FlowShare, Heartbeat, LevelTold, MachineRoom, MachineSort, Message,
-    PartReport, Told, decode, encode_legacy,
+    Ask, CapacityReport, DemandTold, FlowShare, Heartbeat, LevelTold, MachineRoom, MachineSort,
+    Message, Told, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
     ARRIVALS, BucketRecord, Claim, End, FormatRecord, Grant, ImagesRecord, JobRecord, PageRecord,
@@ -88,8 +88,8 @@
         complete: true,
         epoch: 70_123,
         claims: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
-        parts: vec![PartReport {
-            part: 2,
+        shards: vec![CapacityReport {
+            shard: 2,
             stamp: 41,
             sorts: vec![MachineSort {
                 kind: "qanat-4".into(),
@@ -116,7 +116,7 @@
             team: 1,
             floor: 12.5,
             levels: vec![LevelTold {
-                part: 2,
+                shard: 2,
                 under: (40, 41),
                 level: 12_500,
             }],
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -240,7 +240,7 @@
                     if n.lead_stamp().is_some() {
                         LEADERS_SHARE
                     } else {
-                        OTHERS_SHARE / n.config.parts() as f64
+                        OTHERS_SHARE / n.config.shards() as f64
                     }
                 });
                 let pause = reads as f64 / (self.history.rps * rate).max(0.5);
--- a/crates/cherryyard/src/app/tell.rs
+++ b/crates/cherryyard/src/app/tell.rs
@@ -12,12 +12,12 @@
         latency.saturating_record(ms.max(1));
     }
 
-    /// Tells now and then what the cores of our parts did.
+    /// Tells now and then what the cores of our shards did.
     pub(crate) async fn tell_account(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_secs(10)).await;
-            for (part, cores) in self.with(|n, _| n.accounts()) {
-                tracing::info!(part, cores = %cores.to_json(), "account");
+            for (shard, cores) in self.with(|n, _| n.accounts()) {
+                tracing::info!(shard, cores = %cores.to_json(), "account");
             }
         }
     }
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -180,9 +180,9 @@
         }
         Some(Command::Check { config, operator }) => {
             let (settings, tuning) = load(&config, operator.as_deref())?;
-            let parts = Config::new(&settings, tuning).parts();
+            let shards = Config::new(&settings, tuning).shards();
             println!(
-                "{}: good, controller {} of {parts}",
+                "{}: good, controller {} of {shards}",
                 config.display(),
                 settings.label
             );
