--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -52,7 +52,7 @@
     pub job: u64,
     /// The job.
     pub open: OpenJob,
-    /// As of which stamp of the history's record it was not found there; 0: there is
+    /// As of which revision of the history's record it was not found there; 0: there is
     /// no history.
     pub moved: u64,
 }
@@ -96,7 +96,9 @@
         match (self, event) {
             (Self::Idle, Event::Sent) => Self::Writing,
             (Self::Writing, Event::Answered) => Self::Idle,
-            (Self::Writing, Event::Delayed(until, epoch)) => Self::Resting(until, epoch),
+            (Self::Writing, Event::Delayed(until, store_revision)) => {
+                Self::Resting(until, store_revision)
+            }
             (Self::Resting(..), Event::Rested) => Self::Idle,
             (same, _) => same,
         }
@@ -276,9 +278,9 @@
 
     /// Sends what waits, if it is time.
     pub(crate) fn take_in(&mut self, now: Millis) {
-        if let Phase::Resting(until, epoch) = self.intake.phase
+        if let Phase::Resting(until, store_revision) = self.intake.phase
             && now >= until
-            && self.mirror.epoch >= epoch
+            && self.mirror.store_revision >= store_revision
         {
             self.intake.change(Event::Rested);
         }
@@ -293,7 +295,7 @@
         let commit = if self.mirror.takes_pages() {
             // The leader writes pages all the time; the others, to whom few come while
             // there is one, would only get into its way and each other's.
-            let few = self.intake.waiting <= FEW && self.lead_stamp().is_none();
+            let few = self.intake.waiting <= FEW && self.leadership_token().is_none();
             if few && self.mirror.format < BUCKETS {
                 self.records_of_new(now)
             } else {
@@ -349,7 +351,7 @@
             } = waiting.offer;
             if self.mirror.view(job).is_some() {
                 self.answer(ticket, Verdict::Known);
-            } else if self.mirror.packed_stamp != moved && self.mirror.packed.any() {
+            } else if self.mirror.packed_revision != moved && self.mirror.packed.any() {
                 self.answer(ticket, Verdict::LookAgain);
             } else if jobs.insert(job) {
                 next.push(waiting);
@@ -396,7 +398,7 @@
 
     fn divide_offers(&mut self, next: &mut [Waiting], commit: &mut Commit) {
         let now = self.clock;
-        let Some(stamp) = self.lead_stamp().filter(|_| self.state_fresh(now)) else {
+        let Some(revision) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in next {
                 waiting.offer.open.div = Vec::new();
                 waiting.divided = None;
@@ -406,10 +408,10 @@
         let waits_for_none = |w: &&mut Waiting| w.offer.open.after.is_none();
         for waiting in next.iter_mut().filter(waits_for_none) {
             // Not again for another try: it would be counted twice against the room.
-            if waiting.divided != Some(stamp) {
+            if waiting.divided != Some(revision) {
                 waiting.offer.open.div = Vec::new();
                 self.fill_division(&mut waiting.offer.open, now);
-                waiting.divided = Some(stamp);
+                waiting.divided = Some(revision);
             }
         }
         self.mirror.require(commit, Key::Lead);
@@ -468,7 +470,9 @@
         let event = match outcome {
             Outcome::Applied(_) => Event::Answered,
             // Somebody else has added jobs, or one of these: wait until that is seen.
-            Outcome::Conflict(epoch) => Event::Delayed(now + self.jitter(5.0, 40.0), epoch),
+            Outcome::Conflict(store_revision) => {
+                Event::Delayed(now + self.jitter(5.0, 40.0), store_revision)
+            }
             _ => Event::Delayed(now + self.jitter(60.0, 180.0), 0),
         };
         self.intake.change(event);
--- a/crates/cherryyard-core/src/admission/ledger.rs
+++ b/crates/cherryyard-core/src/admission/ledger.rs
@@ -49,9 +49,9 @@
 /// Under which claims a level was given: the leader's and the shard's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Under {
-    /// Stamp of the leader's claim.
+    /// Revision of the leader's claim.
     pub lead: u64,
-    /// Stamp of the shard's claim.
+    /// Revision of the shard's claim.
     pub shard: u64,
 }
 
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -197,7 +197,7 @@
     /// Divides the floors of flows that are ahead into levels: where they run, and what
     /// is left of the floor where they wait.
     fn divide_floors(&mut self, uses: &[FlowUse], now: Millis) {
-        let lead = self.mirror.stamp(Key::Lead);
+        let lead = self.mirror.revision(Key::Lead);
         let may = may_give(self.leader.since, self.seen_at, now);
         let next = self.rights.number + 1;
         for (f, used) in uses.iter().enumerate() {
@@ -210,7 +210,7 @@
             let (runs, waits): (f64, f64) = (used.running.iter().sum(), used.waiting.iter().sum());
             let floor = self.rights.floors[f];
             for shard_id in 0..self.shards.len() {
-                let shard = self.mirror.stamp(Key::Shard(shard_id));
+                let shard = self.mirror.revision(Key::Shard(shard_id));
                 let over = self.owner_is_over(shard_id, now);
                 let account = self.rights.accounts.entry((flow, shard_id)).or_default();
                 account.meet(Under { lead, shard });
@@ -344,7 +344,7 @@
                 *runs -= open.spec.cores;
             }
         }
-        let shard = self.mirror.stamp(Key::Shard(shard_id));
+        let shard = self.mirror.revision(Key::Shard(shard_id));
         for flow in ahead {
             let level = self.rights.levels.get(&(flow, shard_id));
             let level = level.and_then(|level| level.now(shard, now));
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -222,7 +222,7 @@
         let me = &self.config.labels[self.config.me];
         let reach = self.config.lease_ms + 10_000.0;
         let knows = |peer: &PeerState| {
-            let claim = (p as u32, report.baton, me.clone());
+            let claim = (p as u32, report.fencing_token, me.clone());
             peer.heartbeat.complete
                 && now - peer.made_at <= self.config.relied_ms()
                 && f64::from(peer.heartbeat.reach_ms) >= reach
@@ -233,7 +233,7 @@
             job.is_none_or(|job| self.cancelled.is_told(job))
         };
         !self.mirror.loaded
-            && report.baton > 0
+            && report.fencing_token > 0
             && self.cancelled.told.len() < MOST_TOLD
             && self.all_cut_off(now)
             && self.peers.iter().flatten().any(knows)
--- a/crates/cherryyard-core/src/claims.rs
+++ b/crates/cherryyard-core/src/claims.rs
@@ -19,24 +19,26 @@
     pub(crate) fn take_own_claims(&mut self) {
         let ours = |claim: &Option<ClaimState>| {
             let claim = claim.as_ref().filter(|c| c.process == Some(self.process));
-            claim.map(|c| c.stamp).filter(|s| self.mirror.epoch >= *s)
+            claim
+                .map(|c| c.revision)
+                .filter(|s| self.mirror.store_revision >= *s)
         };
         let shards: Vec<Option<u64>> = self.mirror.shards.iter().map(ours).collect();
         let lead = ours(&self.mirror.lead);
-        for (shard_id, stamp) in shards.into_iter().enumerate() {
-            let Some(stamp) = stamp else { continue };
+        for (shard_id, token) in shards.into_iter().enumerate() {
+            let Some(token) = token else { continue };
             let held = match self.shards[shard_id].tenancy {
-                Tenancy::Owned(s) | Tenancy::Deposed(s) => s >= stamp,
+                Tenancy::Owned(s) | Tenancy::Deposed(s) => s >= token,
                 Tenancy::Foreign | Tenancy::Claiming => false,
             };
             if !held && self.clock >= self.shards[shard_id].away_until {
-                self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(stamp));
+                self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(token));
             }
         }
-        if let Some(stamp) = lead
-            && self.leader.phase != LeadPhase::Leading(stamp)
+        if let Some(token) = lead
+            && self.leader.phase != LeadPhase::Leading(token)
         {
-            self.leads_by(stamp, self.clock);
+            self.leads_by(token, self.clock);
         }
     }
 
@@ -50,7 +52,7 @@
             let ours = self.mirror.shards[shard_id]
                 .as_ref()
                 .filter(|c| c.label == *label);
-            if let Some(stamp) = ours.map(|c| c.stamp)
+            if let Some(token) = ours.map(|c| c.revision)
                 && now < shard.away_until.min(shard.claim_after)
                 && now >= shard.retry_after
                 && !shard.claiming
@@ -58,7 +60,7 @@
             {
                 // A claim of ours that was carried out late, after the shard had been given
                 // up: nobody would serve it.
-                self.give_back(shard_id, stamp);
+                self.give_back(shard_id, token);
                 continue;
             }
             if shard.claiming || now < shard.claim_after {
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -86,24 +86,24 @@
             // Held back on a connection that has been given up since.
             return;
         }
-        for (shard, stamp, label) in &heartbeat.claims {
+        for (shard, token, label) in &heartbeat.claims {
             let shard_id = *shard as usize;
             if shard_id < self.shards.len()
                 && *label != self.config.labels[self.config.me]
                 && let Tenancy::Owned(mine) = self.shards[shard_id].tenancy
-                && *stamp > mine
+                && *token > mine
             {
                 tracing::info!(
                     shard = shard_id,
                     mine,
-                    newer = stamp,
+                    newer = token,
                     "a peer knows of a newer claim"
                 );
                 self.change_tenancy(shard_id, TenancyEvent::NewerClaimTold);
                 self.effects.push(Effect::Refresh);
             }
         }
-        if heartbeat.epoch > self.mirror.epoch + 20 {
+        if heartbeat.store_revision > self.mirror.store_revision + 20 {
             self.effects.push(Effect::Refresh);
         }
         self.leader.dirty |= !heartbeat.handing.is_empty();
@@ -200,11 +200,11 @@
             strays,
             label: self.config.labels[self.config.me].clone(),
             cut_off,
-            epoch: self.mirror.epoch,
+            store_revision: self.mirror.store_revision,
             claims: (0..self.shards.len())
                 .filter_map(|shard_id| {
                     let c = self.mirror.shards[shard_id].as_ref()?;
-                    Some((shard_id as u32, c.stamp, c.label.clone()))
+                    Some((shard_id as u32, c.revision, c.label.clone()))
                 })
                 .collect(),
             shards,
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -15,17 +15,17 @@
             return;
         }
         for shard_id in 0..self.shards.len() {
-            let stamp = self.mirror.stamp(Key::Shard(shard_id));
+            let revision = self.mirror.revision(Key::Shard(shard_id));
             let fresh = self.leader.rooms[shard_id].as_ref().is_some_and(|r| {
                 let limit = if r.assumed {
                     1000.0
                 } else {
                     self.config.tuning.room_report_s * 1000.0 + ASSUME_AFTER_MS
                 };
-                r.report.stamp == stamp && now - r.at < limit
+                r.report.revision == revision && now - r.at < limit
             });
-            if stamp != 0 && !fresh && self.owned(shard_id).is_none() {
-                let report = self.assumed_report(shard_id, stamp);
+            if revision != 0 && !fresh && self.owned(shard_id).is_none() {
+                let report = self.assumed_report(shard_id, revision);
                 self.leader.rooms_heard += 1;
                 let debits = self.leader.rooms[shard_id]
                     .take()
@@ -41,11 +41,11 @@
         }
     }
 
-    fn assumed_report(&self, shard_id: usize, stamp: u64) -> CapacityReport {
+    fn assumed_report(&self, shard_id: usize, revision: u64) -> CapacityReport {
         let stored = &self.mirror.images[shard_id];
         let mut report = CapacityReport {
             shard: shard_id as u32,
-            stamp,
+            revision,
             sorts: Vec::new(),
             images: stored.record.i.iter().map(|i| i.0.clone()).collect(),
             machines: Vec::new(),
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/creating.rs
@@ -124,7 +124,7 @@
             return;
         }
         if !self.leader.leads(&self.mirror) {
-            // What is under way dies with the lead's stamp, or was done by it.
+            // What is under way dies with the lead's revision, or was done by it.
             self.leader.creating.work = None;
             self.leader.creating.stage = Stage::Idle;
             return;
@@ -168,7 +168,7 @@
         };
         let seen = self.mirror.submissions.iter();
         // What came before its record has been seen too.
-        let seen = seen.filter(|(_, (_, stamp))| *stamp <= self.mirror.epoch);
+        let seen = seen.filter(|(_, (_, revision))| *revision <= self.mirror.store_revision);
         let needs = seen.filter_map(|(&n, (r, _))| Some((need(r)?, r.at, n)));
         needs.min().map(|(need, _, n)| (need, n))
     }
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -28,7 +28,8 @@
     pub(crate) fn current_room(&self, shard_id: usize, now: Millis) -> Option<&Room> {
         let room = self.leader.rooms[shard_id].as_ref()?;
         let fresh = now - room.at <= self.config.tuning.room_report_s * 2000.0 + 2000.0;
-        (fresh && self.mirror.stamp(Key::Shard(shard_id)) == room.report.stamp).then_some(room)
+        (fresh && self.mirror.revision(Key::Shard(shard_id)) == room.report.revision)
+            .then_some(room)
     }
 
     /// How many of the job's tasks fit on machines of other shards that hold its
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -41,11 +41,11 @@
         let label = &self.config.labels[me];
         let wanted = match &self.mirror.lead {
             Some(c) if c.label == *label => {
-                !matches!(self.leader.phase, LeadPhase::Leading(s) if s == c.stamp)
+                !matches!(self.leader.phase, LeadPhase::Leading(s) if s == c.revision)
             }
             Some(c) => {
                 // A leader that has fallen silent is replaced before its lease
-                // is over. That is safe, as its writes carry its claim's stamp.
+                // is over. That is safe, as its writes carry its claim's token.
                 let silent = self
                     .config
                     .labels
@@ -69,7 +69,8 @@
             }
             None => {
                 let since = *self.leader.leaderless_since.get_or_insert(now);
-                now - since >= 150.0 * ((me + n - (self.mirror.epoch as usize % n)) % n) as f64
+                now - since
+                    >= 150.0 * ((me + n - (self.mirror.store_revision as usize % n)) % n) as f64
             }
         };
         if self.mirror.lead.is_some() {
@@ -115,7 +116,7 @@
 
     pub(crate) fn lead_committed(&mut self, outcome: Outcome, now: Millis) {
         match outcome {
-            Outcome::Applied(stamp) => self.leads_by(stamp, now),
+            Outcome::Applied(token) => self.leads_by(token, now),
             _ => {
                 self.leader.phase = self.leader.phase.after(LeadEvent::Failed);
                 self.leader.claim_after = now + self.jitter(300.0, 900.0);
@@ -125,13 +126,13 @@
     }
 
     /// We lead by this claim. Once only: names of rentals are counted from there.
-    pub(crate) fn leads_by(&mut self, stamp: u64, now: Millis) {
-        if self.leader.led_by == stamp {
+    pub(crate) fn leads_by(&mut self, token: u64, now: Millis) {
+        if self.leader.led_by == token {
             return;
         }
-        tracing::info!(stamp, "lead");
-        self.leader.led_by = stamp;
-        self.leader.phase = self.leader.phase.after(LeadEvent::Applied(stamp));
+        tracing::info!(token, "lead");
+        self.leader.led_by = token;
+        self.leader.phase = self.leader.phase.after(LeadEvent::Applied(token));
         self.leader.since = now;
         self.leader.hire_after = now + 5000.0;
         self.leader.hiring = None;
@@ -159,8 +160,8 @@
                     shard.dirty = true;
                 }
             }
-            Outcome::Conflict(epoch) => {
-                self.leader.wait_epoch = epoch;
+            Outcome::Conflict(store_revision) => {
+                self.leader.wait_revision = store_revision;
                 self.leader.retry_after = now + 30.0;
             }
             _ => self.leader.retry_after = now + self.jitter(150.0, 400.0),
@@ -173,7 +174,7 @@
         if !self.leader.leads(&self.mirror)
             || self.leader.pending
             || now < self.leader.retry_after
-            || self.mirror.epoch < self.leader.wait_epoch
+            || self.mirror.store_revision < self.leader.wait_revision
             || !self.state_fresh(now)
         {
             return;
@@ -214,7 +215,7 @@
             // Prices move all the time, and nothing here depends on them.
             (kind.price, kind.low_price) = (0.0, 0.0);
         }
-        if self.mirror.kinds_stamp != 0 && self.mirror.kinds == named {
+        if self.mirror.kinds_revision != 0 && self.mirror.kinds == named {
             return None;
         }
         let value = Json::of(&named);
@@ -250,10 +251,10 @@
         Some(commit)
     }
 
-    /// The claim's stamp that a division at submission depends on.
-    pub fn lead_stamp(&self) -> Option<u64> {
+    /// The claim's token that a division at submission depends on.
+    pub fn leadership_token(&self) -> Option<u64> {
         self.leader
             .leads(&self.mirror)
-            .then(|| self.mirror.stamp(Key::Lead))
+            .then(|| self.mirror.revision(Key::Lead))
     }
 }
--- a/crates/cherryyard-core/src/leader/packing.rs
+++ b/crates/cherryyard-core/src/leader/packing.rs
@@ -156,12 +156,12 @@
         if let Some(done) = record.to_fold() {
             // Every end of a closed generation came before the record that closed
             // it, so it is seen once all up to that record is.
-            let own = self.mirror.packed_stamp;
-            if self.mirror.epoch >= own {
+            let own = self.mirror.packed_revision;
+            if self.mirror.store_revision >= own {
                 let day = ((now + self.wall_offset) / DAY_MS).max(0.0) as u32;
                 let ends = self.mirror.ended_jobs().filter(|(_, e)| {
-                    if e.stamp != 0 {
-                        e.stamp > record.own && e.stamp <= own
+                    if e.revision != 0 {
+                        e.revision > record.own && e.revision <= own
                     } else {
                         e.generation > record.gen_done && e.generation <= done
                     }
@@ -181,8 +181,8 @@
         }
         let (mut fresh, mut own) = (0, false);
         for (_, e) in self.mirror.ended_jobs() {
-            let new_own = e.stamp > record.own;
-            fresh += usize::from(new_own || e.stamp == 0 && e.generation > record.gen_done);
+            let new_own = e.revision > record.own;
+            fresh += usize::from(new_own || e.revision == 0 && e.generation > record.gen_done);
             own |= new_own;
         }
         let packing = &mut self.leader.packing;
@@ -209,8 +209,8 @@
     fn packer_commit(&self, write: Write) -> Commit {
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Lead);
-        for (key, stamp) in write.when {
-            commit.require(key, stamp);
+        for (key, revision) in write.when {
+            commit.require(key, revision);
         }
         for (key, leaf) in write.put {
             commit.apply.push(Apply::set(key, &leaf));
@@ -228,16 +228,16 @@
     /// what earlier builds left.
     fn sweep(&mut self) {
         let own = self.mirror.packed.own;
-        if self.mirror.epoch < self.mirror.packed_stamp {
+        if self.mirror.store_revision < self.mirror.packed_revision {
             // Jobs may have come that wait for one of them.
             return;
         }
         let gone: Vec<(u64, u64)> = self
             .mirror
             .own_ends()
-            .filter(|(job, e)| e.stamp <= own && !self.mirror.named_in_pages(*job))
+            .filter(|(job, e)| e.revision <= own && !self.mirror.named_in_pages(*job))
             .filter(|(job, _)| !self.mirror.has_dependents(*job))
-            .map(|(job, e)| (job, e.stamp))
+            .map(|(job, e)| (job, e.revision))
             .take(self.config.txn_ops)
             .collect();
         if gone.is_empty() {
@@ -246,14 +246,14 @@
         // More may follow at once, as fast as the pace allows.
         self.leader.packing.looked_at = f64::NEG_INFINITY;
         let mut commit = Commit::default();
-        for (job, stamp) in gone {
-            commit.require(record::job_key(job), stamp);
+        for (job, revision) in gone {
+            commit.require(record::job_key(job), revision);
             commit.apply.push(Apply::delete(record::job_key(job)));
         }
         self.commit_other(commit);
     }
 
-    /// Takes the leaf that was asked for: its last possible id, stamp and record;
+    /// Takes the leaf that was asked for: its last possible id, revision and record;
     /// none if there is no such leaf.
     pub fn leaf_read(&mut self, answer: Result<Option<(u64, u64, LeafRecord)>, ()>, now: Millis) {
         self.notice(now);
@@ -262,13 +262,15 @@
         }
         self.leader.packing.under = Under::Nothing;
         let leaf = match answer {
-            Ok(Some((last, stamp, record))) => match cherryyard_history::Leaf::of_record(&record) {
-                Ok(leaf) => Ok(Some((last, stamp, leaf))),
-                Err(e) => {
-                    tracing::error!(last, "a bad leaf of the history, left as it is: {e}");
-                    Err(())
+            Ok(Some((last, revision, record))) => {
+                match cherryyard_history::Leaf::of_record(&record) {
+                    Ok(leaf) => Ok(Some((last, revision, leaf))),
+                    Err(e) => {
+                        tracing::error!(last, "a bad leaf of the history, left as it is: {e}");
+                        Err(())
+                    }
                 }
-            },
+            }
             Ok(None) => Ok(None),
             Err(()) => Err(()),
         };
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -18,7 +18,7 @@
     Follower,
     /// Our claim is under way.
     Claiming,
-    /// We lead, with this stamp.
+    /// We lead, with this revision.
     Leading(u64),
 }
 
@@ -40,7 +40,7 @@
     pub fn after(self, event: LeadEvent) -> Self {
         match (self, event) {
             (Self::Follower, LeadEvent::Sent) => Self::Claiming,
-            (_, LeadEvent::Applied(stamp)) => Self::Leading(stamp),
+            (_, LeadEvent::Applied(revision)) => Self::Leading(revision),
             (Self::Claiming, LeadEvent::Failed) => Self::Follower,
             (Self::Leading(_), LeadEvent::Gone) => Self::Follower,
             (same, _) => same,
@@ -95,7 +95,7 @@
     /// When the transaction under way was made.
     pub(crate) sent_at: Millis,
     pub(crate) retry_after: Millis,
-    pub(crate) wait_epoch: u64,
+    pub(crate) wait_revision: u64,
     pub(crate) dirty: bool,
     pub(crate) planned_at: Millis,
     pub(crate) since: Millis,
@@ -140,7 +140,7 @@
             pending: false,
             sent_at: f64::NEG_INFINITY,
             retry_after: now,
-            wait_epoch: 0,
+            wait_revision: 0,
             dirty: true,
             planned_at: now,
             since: now,
@@ -162,7 +162,7 @@
     /// Whether we lead beyond doubt.
     pub(crate) fn leads(&self, mirror: &Mirror) -> bool {
         matches!(self.phase, LeadPhase::Leading(s)
-            if mirror.stamp(Key::Lead) == s && mirror.epoch >= s)
+            if mirror.revision(Key::Lead) == s && mirror.store_revision >= s)
     }
 
     pub(crate) fn is_label(&self, mirror: &Mirror, label: &str) -> bool {
@@ -170,8 +170,8 @@
     }
 
     pub(crate) fn check_claim(&mut self, mirror: &Mirror) {
-        if let LeadPhase::Leading(stamp) = self.phase
-            && mirror.stamp(Key::Lead) != stamp
+        if let LeadPhase::Leading(revision) = self.phase
+            && mirror.revision(Key::Lead) != revision
         {
             self.phase = self.phase.after(LeadEvent::Gone);
         }
@@ -187,7 +187,7 @@
         }
         if place
             .as_ref()
-            .is_some_and(|r| r.report.stamp > report.stamp)
+            .is_some_and(|r| r.report.revision > report.revision)
         {
             return;
         }
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -88,9 +88,9 @@
     pub task: Task,
     /// The attempt.
     pub attempt: u64,
-    /// The session it was sent to, and under which token.
-    pub session: u64,
-    /// See `session`.
+    /// The incarnation it was sent to, and under which token.
+    pub incarnation: u64,
+    /// See `incarnation`.
     pub token: u64,
     /// Whether its answer was lost. It may arrive at any later time, also after the same
     /// start was sent again and answered.
@@ -147,7 +147,7 @@
     pub answered_at: Millis,
     /// Whether what we send it arrives.
     pub reach: Reach,
-    /// When it became unreachable: its session, and the last attempt up to then. Whatever
+    /// When it became unreachable: its incarnation, and the last attempt up to then. Whatever
     /// was assigned here before and is not there is given up, also if it hears again.
     pub(crate) given_up: (u64, u64),
     /// When it was last asked directly, and what was the newest message then.
@@ -236,9 +236,9 @@
             host_kind: entry.host_kind.clone(),
             yard: entry.yard.clone(),
             borrowed: entry.borrowed,
-            tenure: 0,
-            tick: 0,
-            baton: 0,
+            incarnation: 0,
+            sequence: 0,
+            fencing_token: 0,
             recall_s: None,
             pieces: Vec::new(),
         };
@@ -280,7 +280,7 @@
     /// Most reports tell that all is as before: they are compared, and leave
     /// the list of tasks as it is (a fifth of all processor time, before).
     pub fn hear(&mut self, report: &Report, own_token: u64, now: Millis) -> Heard {
-        let order = (report.tenure, report.tick);
+        let order = (report.incarnation, report.sequence);
         if order <= self.newest {
             self.old_in_a_row += 1;
             return Heard::Old;
@@ -294,24 +294,24 @@
             }
             return Heard::Same;
         }
-        if report.tenure > self.newest.0 || report.baton > self.token {
-            // Direct commands to an older session, or under a lower token than
+        if report.incarnation > self.newest.0 || report.fencing_token > self.token {
+            // Direct commands to an older incarnation, or under a lower token than
             // the worker has seen, can no longer take effect.
             // (One that began anew comes from token 0 to the one that they were sent under.)
-            let (session, token) = (report.tenure, report.baton);
+            let (incarnation, token) = (report.incarnation, report.fencing_token);
             self.pushed
-                .retain(|p| p.session >= session && p.token >= token);
+                .retain(|p| p.incarnation >= incarnation && p.token >= token);
         }
-        if report.baton == own_token && self.token < own_token {
+        if report.fencing_token == own_token && self.token < own_token {
             self.reached(ReachEvent::Reflected, now);
-        } else if report.baton < own_token && self.confirmed_token == own_token {
+        } else if report.fencing_token < own_token && self.confirmed_token == own_token {
             // The last one was answered with our token.
             self.reached(ReachEvent::Missed, now);
-        } else if report.tenure > self.newest.0 && self.newest.0 > 0 {
+        } else if report.incarnation > self.newest.0 && self.newest.0 > 0 {
             self.reached(ReachEvent::NewSession, now);
         }
-        if report.tenure > self.newest.0 {
-            // A session has its whole lease from when it began, which was at the latest
+        if report.incarnation > self.newest.0 {
+            // A incarnation has its whole lease from when it began, which was at the latest
             // now: a direct answer told of it though no report was answered for long, and
             // what was then started there was taken for lost at once, by the lease before.
             self.answered_at = now;
@@ -323,7 +323,7 @@
 
     /// Takes over what a message tells.
     pub(crate) fn take(&mut self, report: &Report, own_token: u64, now: Millis) {
-        self.token = report.baton;
+        self.token = report.fencing_token;
         self.confirmed_token = own_token;
         self.heard_at = now;
         self.addr.clone_from(&report.addr);
@@ -351,7 +351,7 @@
         if !self.seen.is_empty() {
             self.busy_at = now;
         }
-        if report.baton == own_token {
+        if report.fencing_token == own_token {
             self.change(HostEvent::Confirmed);
         }
     }
@@ -385,8 +385,8 @@
     fn tells_the_same(&self, report: &Report, own_token: u64) -> bool {
         self.state == HostState::Ready
             && !self.lease_over
-            && report.tenure == self.newest.0
-            && report.baton == self.token
+            && report.incarnation == self.newest.0
+            && report.fencing_token == self.token
             && own_token == self.token
             && own_token == self.confirmed_token
             && report.recall_s.is_none()
@@ -410,13 +410,13 @@
 
     /// Whether a task with this assignment is proven not to be on the machine, nor
     /// able to come back there.
-    pub fn proven_gone(&self, task: Task, session: u64, attempt: u64) -> bool {
+    pub fn proven_gone(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
         // A machine that hung beyond its lease may carry out what was sent to it before it
-        // sees that its session is over: then only its release, or a newer session, is proof.
-        if self.lease_over && session <= self.newest.0 && !self.start_pending(task, attempt) {
+        // sees that its incarnation is over: then only its release, or a newer incarnation, is proof.
+        if self.lease_over && incarnation <= self.newest.0 && !self.start_pending(task, attempt) {
             return true;
         }
-        if self.born_after > 0 && self.of_life_before(task, session, attempt) {
+        if self.born_after > 0 && self.of_life_before(task, incarnation, attempt) {
             return true;
         }
         match self.state {
@@ -425,12 +425,12 @@
             HostState::Ready | HostState::Returning => {
                 // Returning may follow Unconfirmed; only a report that carries
                 // our token counts.
-                // An assignment older than our token in a session that has yet to come is of a
+                // An assignment older than our token in a incarnation that has yet to come is of a
                 // life before of the worker: it was there before it showed the token.
                 self.token_ours()
-                    && (session < self.newest.0
-                        || (session > self.newest.0 && attempt <= self.token)
-                        || (session == self.newest.0
+                    && (incarnation < self.newest.0
+                        || (incarnation > self.newest.0 && attempt <= self.token)
+                        || (incarnation == self.newest.0
                             && !self.start_pending(task, attempt)
                             && self
                                 .seen
--- a/crates/cherryyard-core/src/mirror/arrivals.rs
+++ b/crates/cherryyard-core/src/mirror/arrivals.rs
@@ -2,7 +2,7 @@
 //!
 //! A new job comes by the last page, or by a new one after it; or, where jobs have
 //! records of their own, by such a record. All these transactions depend on the last
-//! page's stamp and on there being none after it, and on the absence of a record of the
+//! page's revision and on there being none after it, and on the absence of a record of the
 //! job's own. So whoever adds a job has seen all that were added by pages before, and
 //! that it was not added otherwise: no job comes twice. One put can carry many, and
 //! records do not get into each other's way.
@@ -36,8 +36,8 @@
 /// A page of new jobs as the mirror knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals {
-    /// Stamp of its key.
-    pub stamp: u64,
+    /// Revision of its key.
+    pub revision: u64,
     /// Its jobs.
     pub jobs: BTreeSet<u64>,
     /// Whether it names a team that is not in our settings: it is left as it is.
@@ -93,19 +93,19 @@
     /// Whether new jobs come by pages, and all that came before is known: a job that
     /// was added otherwise just before the pages began must not be missed.
     pub fn takes_pages(&self) -> bool {
-        self.by_pages && self.epoch >= self.format_stamp
+        self.by_pages && self.store_revision >= self.format_revision
     }
 
     /// Whether jobs may wait for others, and all that came before that was decided is
     /// known.
     pub fn takes_dependencies(&self) -> bool {
-        self.dependencies && self.epoch >= self.format_stamp
+        self.dependencies && self.store_revision >= self.format_revision
     }
 
     /// Whether an open job is as its page says.
     pub fn in_page(&self, job: u64) -> bool {
         let open = self.open.get(&job);
-        open.is_some_and(|o| o.stamp == 0) && !self.bucket_of.contains_key(&job)
+        open.is_some_and(|o| o.revision == 0) && !self.bucket_of.contains_key(&job)
     }
 
     /// The page that names a job, if any does.
@@ -117,11 +117,11 @@
         &mut self,
         page: u64,
         record: ArrivalsRecord,
-        stamp: u64,
+        revision: u64,
     ) -> Result<(), String> {
         let all = record.read(self.shards.len()).ok_or("bad rows")?;
         let mut new = Arrivals {
-            stamp,
+            revision,
             ..Arrivals::default()
         };
         for arrival in all {
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -19,7 +19,7 @@
         let said_anew = |(job, said): &(&u64, &PageJob)| old.jobs.get(job) != Some(*said);
         let mut changed: Vec<u64> = new.jobs.iter().filter(said_anew).map(|j| *j.0).collect();
         changed.extend(old.jobs.keys().filter(|job| !new.jobs.contains_key(job)));
-        if new.stamp != 0 {
+        if new.revision != 0 {
             pages.insert(page, new);
         }
         for job in changed {
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -17,8 +17,8 @@
 /// A job that is not over.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// Stamp of its record; 0 while it is as its page of arrivals says.
-    pub stamp: u64,
+    /// Revision of its record; 0 while it is as its page of arrivals says.
+    pub revision: u64,
     /// What was submitted.
     pub spec: JobSpec,
     /// Its team.
@@ -162,8 +162,8 @@
     pub n: u32,
     /// Its generation in the history.
     pub generation: u64,
-    /// Stamp of its own record, if it has one.
-    pub stamp: u64,
+    /// Revision of its own record, if it has one.
+    pub revision: u64,
     /// The cancelled job that it needed, if it is cancelled for that.
     pub cancelled_by: Option<u64>,
 }
@@ -190,7 +190,7 @@
         &mut self,
         job: u64,
         record: JobRecord,
-        stamp: u64,
+        revision: u64,
     ) -> Result<(), String> {
         match record {
             JobRecord::Ended {
@@ -205,7 +205,7 @@
                     end,
                     n,
                     generation: g,
-                    stamp,
+                    revision,
                     cancelled_by: by,
                 };
                 self.put_end(job, ended, Some(uses));
@@ -232,7 +232,7 @@
                 }
                 let new = self.new_job(*spec, rules, at).ok_or("unknown team")?;
                 let open = OpenJob {
-                    stamp,
+                    revision,
                     div,
                     zone,
                     caps,
@@ -273,7 +273,7 @@
         let team = self.teams.get(&spec.owner)?;
         let rank = spec.rank;
         let mut open = OpenJob {
-            stamp: 0,
+            revision: 0,
             team,
             flow: self.flows.intern(team, &spec.jobclass),
             rules: rules.map(|rules| {
@@ -369,7 +369,7 @@
 
     /// Jobs that are over and have records of their own, as earlier builds keep them.
     pub fn own_ends(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
-        self.ended_jobs().filter(|(_, ended)| ended.stamp != 0)
+        self.ended_jobs().filter(|(_, ended)| ended.revision != 0)
     }
 
     /// After a change of the job's own record.
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Changes arrive from one watch, from barriers and from our own answered
 //! transactions, in any order between these; each key keeps the change with
-//! the highest stamp.
+//! the highest revision.
 
 mod arrivals;
 mod assignments;
@@ -37,8 +37,8 @@
 pub struct ClaimState {
     /// The owner's name.
     pub label: String,
-    /// The claim's stamp: the owner's token.
-    pub stamp: u64,
+    /// The claim's revision: the owner's token.
+    pub revision: u64,
     /// The newest format of records that the owner can work with.
     pub format: u32,
     /// The number of the process that made it, if it says so.
@@ -46,10 +46,10 @@
 }
 
 impl ClaimState {
-    fn of(claim: Claim, stamp: u64) -> Self {
+    fn of(claim: Claim, revision: u64) -> Self {
         Self {
             label: claim.label,
-            stamp,
+            revision,
             format: claim.f.unwrap_or(1),
             process: claim.n,
         }
@@ -63,15 +63,15 @@
     pub record: ImagesRecord,
     /// What it says of each machine: a new owner looks here for every one.
     pub held: HashMap<String, Vec<usize>>,
-    /// Its stamp.
-    pub stamp: u64,
+    /// Its revision.
+    pub revision: u64,
 }
 
 /// What the state service holds, as far as this controller has heard.
 #[derive(Clone, Debug)]
 pub struct Mirror {
     /// Everything up to this revision has been seen.
-    pub epoch: u64,
+    pub store_revision: u64,
     /// Whether a first full read has been made.
     pub loaded: bool,
     /// Machine names.
@@ -82,18 +82,18 @@
     pub lead: Option<ClaimState>,
     /// Machine types, as last stored: see [`set_kinds`](Self::set_kinds).
     pub kinds: Vec<HostKind>,
-    /// Stamp of the machine types.
-    pub kinds_stamp: u64,
+    /// Revision of the machine types.
+    pub kinds_revision: u64,
     /// Operators' own attributes of machines, as stored.
     pub attributes: Attributes,
-    attributes_stamp: u64,
+    attributes_revision: u64,
     /// What jobs' rules come to, by types and attributes.
     pub matcher: Matcher,
-    /// Submissions of many jobs, by number, with their stamps.
+    /// Submissions of many jobs, by number, with their revisions.
     pub submissions: BTreeMap<u64, (SubmissionRecord, u64)>,
     /// Ids handed out to them.
     pub ids: IdsRecord,
-    ids_stamp: u64,
+    ids_revision: u64,
     /// Jobs that are not over, by number.
     pub open: BTreeMap<u64, OpenJob>,
     /// Pages of assignments, by shard. New assignments go into a shard's last page or the one
@@ -111,13 +111,13 @@
     waiting_changes: Vec<(usize, u64)>,
     /// Open arrays of which every task is done.
     pub complete: BTreeSet<u64>,
-    /// Images held in each shard, as last stored, and the record's stamp.
+    /// Images held in each shard, as last stored, and the record's revision.
     pub images: Vec<StoredImages>,
     /// What each shard may use of each team's limit: by team, then part.
     pub grants: Vec<Vec<(Grant, u64)>>,
     /// The format of jobs' records in use.
     pub format: u32,
-    format_stamp: u64,
+    format_revision: u64,
     /// Whether new jobs come by pages of arrivals.
     pub by_pages: bool,
     /// Whether jobs may wait for others: all controllers know of that.
@@ -128,12 +128,12 @@
     arrived: HashMap<u64, u64>,
     /// How far the history of jobs that are over goes.
     pub packed: PackedRecord,
-    /// Stamp of that record.
-    pub packed_stamp: u64,
+    /// Revision of that record.
+    pub packed_revision: u64,
     ended: HashMap<u64, EndedJob>,
     /// What tasks of those take that may still be on machines.
     ended_uses: HashMap<u64, (u32, Needs)>,
-    /// Buckets by where they begin: their stamps and jobs.
+    /// Buckets by where they begin: their revisions and jobs.
     buckets: BTreeMap<u64, Bucket>,
     /// The bucket of each job that stands in one.
     bucket_of: HashMap<u64, u64>,
@@ -157,19 +157,19 @@
     pub fn new(config: &Config) -> Self {
         let shards = config.shards();
         Self {
-            epoch: 0,
+            store_revision: 0,
             loaded: false,
             hosts: Names::default(),
             shards: vec![None; shards],
             lead: None,
             kinds: Vec::new(),
-            kinds_stamp: 0,
+            kinds_revision: 0,
             attributes: Attributes::default(),
-            attributes_stamp: 0,
+            attributes_revision: 0,
             matcher: Matcher::default(),
             submissions: BTreeMap::new(),
             ids: IdsRecord::default(),
-            ids_stamp: 0,
+            ids_revision: 0,
             open: BTreeMap::new(),
             pages: vec![BTreeMap::new(); shards],
             assignments: BTreeMap::new(),
@@ -182,13 +182,13 @@
             images: vec![StoredImages::default(); shards],
             grants: vec![vec![(Grant::default(), 0); shards]; config.teams.len()],
             format: 0,
-            format_stamp: 0,
+            format_revision: 0,
             by_pages: false,
             dependencies: false,
             arrivals: BTreeMap::new(),
             arrived: HashMap::new(),
             packed: PackedRecord::default(),
-            packed_stamp: 0,
+            packed_revision: 0,
             ended: HashMap::new(),
             ended_uses: HashMap::new(),
             buckets: BTreeMap::new(),
@@ -220,24 +220,24 @@
     pub fn load_some(&mut self, pairs: &[Pair]) {
         for pair in pairs {
             self.present.extend(Key::parse(&pair.key));
-            self.put(&pair.key, &pair.v, pair.stamp);
+            self.put(&pair.key, &pair.v, pair.revision);
         }
     }
 
-    /// Ends a full read whose first page described revision `epoch`.
-    pub fn end_load(&mut self, epoch: u64) {
+    /// Ends a full read whose first page described revision `store_revision`.
+    pub fn end_load(&mut self, store_revision: u64) {
         let present = std::mem::take(&mut self.present);
-        if self.loaded && epoch < self.epoch {
+        if self.loaded && store_revision < self.store_revision {
             return;
         }
         // What the read lacks was deleted before it: without this, a job or
         // assignment deleted while the watch was too old (410) would live on here.
         for key in self.keys() {
-            if !present.contains(&key) && self.stamp(key) <= epoch {
+            if !present.contains(&key) && self.revision(key) <= store_revision {
                 self.forget(key);
             }
         }
-        self.epoch = self.epoch.max(epoch);
+        self.store_revision = self.store_revision.max(store_revision);
         // Of what the first read shows to be over nobody knows since when.
         self.gap |= !self.loaded;
         self.loaded = true;
@@ -248,26 +248,26 @@
         for change in &news.news {
             // A watch and a barrier may tell the same change; what has been
             // seen is skipped, or an old put could bring back a deleted key.
-            if change.stamp <= self.epoch {
+            if change.revision <= self.store_revision {
                 continue;
             }
             match (&change.set, &change.delete) {
-                (Some(key), _) => self.put(key, &change.v, change.stamp),
-                (None, Some(key)) => self.remove(key, change.stamp),
+                (Some(key), _) => self.put(key, &change.v, change.revision),
+                (None, Some(key)) => self.remove(key, change.revision),
                 (None, None) => {}
             }
         }
-        self.epoch = self.epoch.max(news.epoch);
-        let seen = self.epoch;
-        self.deleted.retain(|_, stamp| *stamp > seen);
+        self.store_revision = self.store_revision.max(news.store_revision);
+        let seen = self.store_revision;
+        self.deleted.retain(|_, revision| *revision > seen);
     }
 
-    /// Takes our own transaction, answered with revision `epoch`.
-    pub fn committed(&mut self, commit: &Commit, epoch: u64) {
+    /// Takes our own transaction, answered with revision `store_revision`.
+    pub fn committed(&mut self, commit: &Commit, store_revision: u64) {
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, .. } => self.put(set, v, epoch),
-                Apply::Delete { delete } => self.remove(delete, epoch),
+                Apply::Set { set, v, .. } => self.put(set, v, store_revision),
+                Apply::Delete { delete } => self.remove(delete, store_revision),
             }
         }
     }
@@ -275,8 +275,8 @@
     fn keys(&self) -> Vec<Key> {
         let mut keys = Vec::new();
         keys.extend(self.lead.iter().map(|_| Key::Lead));
-        keys.extend((self.attributes_stamp != 0).then_some(Key::Attributes));
-        keys.extend((self.ids_stamp != 0).then_some(Key::Ids));
+        keys.extend((self.attributes_revision != 0).then_some(Key::Attributes));
+        keys.extend((self.ids_revision != 0).then_some(Key::Ids));
         keys.extend(self.submissions.keys().map(|&n| Key::Submission(n)));
         keys.extend(
             (0..self.shards.len())
@@ -298,34 +298,34 @@
         keys
     }
 
-    /// The stamp under which `key` is known, 0 if it is absent.
-    pub fn stamp(&self, key: Key) -> u64 {
+    /// The revision under which `key` is known, 0 if it is absent.
+    pub fn revision(&self, key: Key) -> u64 {
         match key {
-            Key::Lead => self.lead.as_ref().map_or(0, |c| c.stamp),
-            Key::Kinds => self.kinds_stamp,
-            Key::Attributes => self.attributes_stamp,
-            Key::Ids => self.ids_stamp,
+            Key::Lead => self.lead.as_ref().map_or(0, |c| c.revision),
+            Key::Kinds => self.kinds_revision,
+            Key::Attributes => self.attributes_revision,
+            Key::Ids => self.ids_revision,
             Key::Submission(n) => self.submissions.get(&n).map_or(0, |s| s.1),
             Key::Shard(shard_id) => self
                 .shards
                 .get(shard_id)
                 .and_then(Option::as_ref)
-                .map_or(0, |c| c.stamp),
-            Key::Images(shard_id) => self.images.get(shard_id).map_or(0, |i| i.stamp),
+                .map_or(0, |c| c.revision),
+            Key::Images(shard_id) => self.images.get(shard_id).map_or(0, |i| i.revision),
             Key::Job(j) if self.bucket_of.contains_key(&j) => 0,
             Key::Job(j) => {
-                let ended = || self.ended.get(&j).map_or(0, |e| e.stamp);
-                self.open.get(&j).map_or_else(ended, |o| o.stamp)
+                let ended = || self.ended.get(&j).map_or(0, |e| e.revision);
+                self.open.get(&j).map_or_else(ended, |o| o.revision)
             }
-            Key::Bucket(from) => self.buckets.get(&from).map_or(0, |b| b.stamp),
-            Key::Arrivals(page) => self.arrivals.get(&page).map_or(0, |a| a.stamp),
-            Key::Format => self.format_stamp,
-            Key::Packed => self.packed_stamp,
+            Key::Bucket(from) => self.buckets.get(&from).map_or(0, |b| b.revision),
+            Key::Arrivals(page) => self.arrivals.get(&page).map_or(0, |a| a.revision),
+            Key::Format => self.format_revision,
+            Key::Packed => self.packed_revision,
             Key::Assignment { shard, page } => self
                 .pages
                 .get(shard)
                 .and_then(|pages| pages.get(&page))
-                .map_or(0, |page| page.stamp),
+                .map_or(0, |page| page.revision),
             Key::Grant { team, shard } => self
                 .grants
                 .get(team)
@@ -356,9 +356,9 @@
     fn forget(&mut self, key: Key) {
         match key {
             Key::Lead => self.lead = None,
-            Key::Kinds => self.kinds_stamp = 0,
+            Key::Kinds => self.kinds_revision = 0,
             Key::Attributes => {
-                self.attributes_stamp = 0;
+                self.attributes_revision = 0;
                 self.attributes = Attributes::default();
                 self.match_anew();
             }
@@ -372,7 +372,7 @@
                     *images = StoredImages::default();
                 }
             }
-            Key::Ids => (self.ids, self.ids_stamp) = (IdsRecord::default(), 0),
+            Key::Ids => (self.ids, self.ids_revision) = (IdsRecord::default(), 0),
             Key::Submission(n) => {
                 self.submissions.remove(&n);
             }
@@ -380,10 +380,10 @@
             Key::Bucket(from) => self.drop_bucket(from),
             Key::Arrivals(page) => self.drop_page(page),
             Key::Format => {
-                (self.format, self.format_stamp) = (0, 0);
+                (self.format, self.format_revision) = (0, 0);
                 (self.by_pages, self.dependencies) = (false, false);
             }
-            Key::Packed => (self.packed, self.packed_stamp) = (PackedRecord::default(), 0),
+            Key::Packed => (self.packed, self.packed_revision) = (PackedRecord::default(), 0),
             Key::Assignment { shard, page } => self.set_page(shard, page, None),
             Key::Grant { team, shard } => {
                 if let Some(g) = self.grants.get_mut(team).and_then(|g| g.get_mut(shard)) {
@@ -393,45 +393,46 @@
         }
     }
 
-    fn remove(&mut self, key: &str, stamp: u64) {
+    fn remove(&mut self, key: &str, revision: u64) {
         let Some(key) = Key::parse(key) else { return };
-        if self.stamp(key) < stamp {
+        if self.revision(key) < revision {
             self.forget(key);
             // Guards against an older put of this key that the watch has yet
             // to tell: it would bring the deleted value back.
-            if stamp > self.epoch {
+            if revision > self.store_revision {
                 let kept = self.deleted.entry(key).or_default();
-                *kept = (*kept).max(stamp);
+                *kept = (*kept).max(revision);
             }
         }
     }
 
-    fn put(&mut self, text: &str, value: &Json, stamp: u64) {
+    fn put(&mut self, text: &str, value: &Json, revision: u64) {
         let Some(key) = Key::parse(text) else { return };
-        if self.stamp(key) >= stamp || self.deleted.get(&key).is_some_and(|&s| s >= stamp) {
+        if self.revision(key) >= revision || self.deleted.get(&key).is_some_and(|&s| s >= revision)
+        {
             return;
         }
-        if let Err(e) = self.put_record(key, value, stamp) {
+        if let Err(e) = self.put_record(key, value, revision) {
             self.complaints.push(format!("{text}: {e}"));
         }
     }
 
-    fn put_record(&mut self, key: Key, value: &Json, stamp: u64) -> Result<(), String> {
+    fn put_record(&mut self, key: Key, value: &Json, revision: u64) -> Result<(), String> {
         match key {
             Key::Lead => {
-                self.lead = Some(ClaimState::of(value.read()?, stamp));
+                self.lead = Some(ClaimState::of(value.read()?, revision));
             }
             Key::Kinds => {
                 self.set_kinds(value.read()?);
-                self.kinds_stamp = stamp;
+                self.kinds_revision = revision;
             }
             Key::Attributes => {
                 self.attributes = value.read()?;
-                self.attributes_stamp = stamp;
+                self.attributes_revision = revision;
                 self.match_anew();
             }
             Key::Shard(shard_id) => {
-                let claim = ClaimState::of(value.read()?, stamp);
+                let claim = ClaimState::of(value.read()?, revision);
                 *self.shards.get_mut(shard_id).ok_or("no such part")? = Some(claim);
             }
             Key::Images(shard_id) => {
@@ -444,39 +445,39 @@
                 *place = StoredImages {
                     record,
                     held,
-                    stamp,
+                    revision,
                 };
             }
-            Key::Ids => (self.ids, self.ids_stamp) = (value.read()?, stamp),
+            Key::Ids => (self.ids, self.ids_revision) = (value.read()?, revision),
             Key::Submission(n) => {
-                self.submissions.insert(n, (value.read()?, stamp));
+                self.submissions.insert(n, (value.read()?, revision));
             }
-            Key::Job(j) => self.put_job(j, value.read()?, stamp)?,
-            Key::Bucket(from) => self.put_bucket(from, value.read()?, stamp),
-            Key::Arrivals(page) => self.put_arrivals(page, value.read()?, stamp)?,
+            Key::Job(j) => self.put_job(j, value.read()?, revision)?,
+            Key::Bucket(from) => self.put_bucket(from, value.read()?, revision),
+            Key::Arrivals(page) => self.put_arrivals(page, value.read()?, revision)?,
             Key::Format => {
                 let record: FormatRecord = value.read()?;
                 (self.format, self.by_pages) = (record.jobs, record.new);
                 self.dependencies = record.dependencies;
-                self.format_stamp = stamp;
+                self.format_revision = revision;
             }
             Key::Packed => {
                 self.packed = value.read()?;
-                self.packed_stamp = stamp;
+                self.packed_revision = revision;
             }
             Key::Assignment { shard, page } => {
                 if shard >= self.shards.len() {
                     return Err("no such part".into());
                 }
                 let stored: StoredPage = value.read()?;
-                let new = Page::of_stored(stored, stamp, &mut self.hosts)
+                let new = Page::of_stored(stored, revision, &mut self.hosts)
                     .ok_or("bad ranges, machines or marks")?;
                 self.set_page(shard, page, Some(new));
             }
             Key::Grant { team, shard } => {
                 let grant = value.read()?;
                 let place = self.grants.get_mut(team).and_then(|g| g.get_mut(shard));
-                *place.ok_or("no such grant")? = (grant, stamp);
+                *place.ok_or("no such grant")? = (grant, revision);
             }
         }
         Ok(())
@@ -505,6 +506,6 @@
             Key::Assignment { shard, page } => record::assignments_key(shard, page),
             Key::Grant { team, shard } => record::grant_key(team, shard),
         };
-        commit.require(text, self.stamp(key));
+        commit.require(text, self.revision(key));
     }
 }
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -63,7 +63,7 @@
     /// How far behind this controller is with what waits for it.
     pub(crate) lateness: Lateness,
     /// The newest revision known, from the mirror or from our own transactions.
-    pub(crate) newest_epoch: u64,
+    pub(crate) newest_revision: u64,
     /// The time of the event at hand.
     pub(crate) clock: Millis,
     /// When this controller last started, or went on after it had stood still.
@@ -123,7 +123,7 @@
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
             lateness: Lateness::new(now),
-            newest_epoch: 0,
+            newest_revision: 0,
             clock: now,
             woke_at: now,
             strays: BTreeMap::new(),
@@ -167,11 +167,11 @@
     }
 
     /// Ends a full read of the state whose first page was asked for at `sent_at`
-    /// and described revision `epoch`. Its pieces went to the mirror before: a
+    /// and described revision `store_revision`. Its pieces went to the mirror before: a
     /// long read must not keep reports waiting.
-    pub fn loaded(&mut self, epoch: u64, sent_at: Millis, now: Millis) {
+    pub fn loaded(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
         self.notice(now);
-        self.mirror.end_load(epoch);
+        self.mirror.end_load(store_revision);
         self.after_state(sent_at, now);
     }
 
@@ -204,10 +204,10 @@
     fn check_claims(&mut self) {
         self.take_own_claims();
         for shard_id in 0..self.shards.len() {
-            if let Tenancy::Owned(stamp) | Tenancy::Deposed(stamp) = self.shards[shard_id].tenancy
-                && self.mirror.stamp(Key::Shard(shard_id)) != stamp
+            if let Tenancy::Owned(token) | Tenancy::Deposed(token) = self.shards[shard_id].tenancy
+                && self.mirror.revision(Key::Shard(shard_id)) != token
             {
-                tracing::info!(shard = shard_id, stamp, "lost the claim on a part");
+                tracing::info!(shard = shard_id, token, "lost the claim on a part");
                 self.change_tenancy(shard_id, TenancyEvent::ClaimGone);
             }
         }
@@ -227,8 +227,8 @@
                 self.machines.retain(|_, m| m.shard != shard_id);
                 self.shards[shard_id].clear();
             }
-            Tenancy::Owned(stamp) => {
-                tracing::info!(shard = shard_id, stamp, "own a part");
+            Tenancy::Owned(token) => {
+                tracing::info!(shard = shard_id, token, "own a part");
                 self.shards[shard_id].dirty = true;
                 self.shards[shard_id].owned_since = self.clock;
                 if !matches!(before, Tenancy::Owned(_)) {
@@ -261,7 +261,7 @@
     /// Takes machine types from the cloud.
     pub fn kinds(&mut self, kinds: Vec<HostKind>, now: Millis) {
         self.notice(now);
-        if self.mirror.kinds_stamp == 0 && !kinds.is_empty() {
+        if self.mirror.kinds_revision == 0 && !kinds.is_empty() {
             self.mirror.set_kinds(kinds.clone());
         }
         self.types_from_cloud = Some(kinds);
@@ -287,11 +287,11 @@
         match self.shards[shard_id].tenancy {
             // Before the mirror has caught up with the claim, the last assignments of
             // the owner before may be missing from it.
-            Tenancy::Owned(stamp)
-                if self.mirror.stamp(Key::Shard(shard_id)) == stamp
-                    && self.mirror.epoch >= stamp =>
+            Tenancy::Owned(token)
+                if self.mirror.revision(Key::Shard(shard_id)) == token
+                    && self.mirror.store_revision >= token =>
             {
-                Some(stamp)
+                Some(token)
             }
             _ => None,
         }
@@ -300,9 +300,9 @@
     /// Takes how a transaction came out.
     pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
         self.notice(now);
-        if let Outcome::Applied(epoch) = outcome {
-            self.newest_epoch = self.newest_epoch.max(epoch);
-            self.mirror.committed(commit, epoch);
+        if let Outcome::Applied(store_revision) = outcome {
+            self.newest_revision = self.newest_revision.max(store_revision);
+            self.mirror.committed(commit, store_revision);
         } else {
             if outcome == Outcome::Malformed {
                 self.commit_refused_as_malformed(commit);
@@ -314,8 +314,8 @@
             Ticket::Claim(shard_id) => {
                 self.shards[shard_id].claiming = false;
                 match outcome {
-                    Outcome::Applied(epoch) => {
-                        self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(epoch));
+                    Outcome::Applied(store_revision) => {
+                        self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(store_revision));
                     }
                     _ => {
                         self.shards[shard_id].claim_after = now + self.jitter(200.0, 500.0);
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -63,7 +63,7 @@
 
 impl Machine {
     /// Settles the starts of a direct command. Of an answered or unsent one they are no
-    /// longer on their way; of one whose answer was lost they may be, until the session
+    /// longer on their way; of one whose answer was lost they may be, until the incarnation
     /// or the token has changed.
     pub(crate) fn settle_push(&mut self, request: &DoRequest, lost: bool) {
         for order in &request.orders {
@@ -133,7 +133,7 @@
         if self.shards[shard_id].pending.is_some()
             || self.shards[shard_id].claiming
             || now < self.shards[shard_id].retry_after
-            || self.mirror.epoch < self.shards[shard_id].wait_epoch
+            || self.mirror.store_revision < self.shards[shard_id].wait_revision
             || !self.round_due(shard_id, now)
         {
             return;
@@ -153,7 +153,7 @@
         self.finish(shard_id, &mut round);
         // Whether anything new could be placed: a search over all waiting jobs
         // and machines for each report costs more than it finds.
-        let news = (self.mirror.epoch, self.newest_epoch);
+        let news = (self.mirror.store_revision, self.newest_revision);
         if !round.gone.is_empty()
             || self.shards[shard_id].placed_as_of != news
             || now - self.shards[shard_id].placed_at >= STUCK_MS
@@ -236,10 +236,10 @@
                     self.push(host, now);
                 }
             }
-            Outcome::Conflict(epoch) => {
+            Outcome::Conflict(store_revision) => {
                 // Each failed condition costs write budget too, so the next
                 // try waits for the change that made it fail.
-                self.shards[shard_id].wait_epoch = epoch;
+                self.shards[shard_id].wait_revision = store_revision;
                 self.shards[shard_id].retry_after = now + 30.0;
             }
             Outcome::NoLease => self.shards[shard_id].retry_after = now + 100.0,
--- a/crates/cherryyard-core/src/owner/orders.rs
+++ b/crates/cherryyard-core/src/owner/orders.rs
@@ -22,7 +22,7 @@
             let assignment = self
                 .mirror
                 .assignment_on(host, task)
-                .filter(|k| k.session == m.newest.0 && k.attempt == seen.attempt);
+                .filter(|k| k.incarnation == m.newest.0 && k.attempt == seen.attempt);
             let piece = || piece_name(job, number);
             if seen.ended() {
                 // Cleared only once its end is durable, and only when no start
@@ -87,8 +87,8 @@
             for (task, assignment) in self.mirror.on_host(host) {
                 // Of what was given up no start is sent: only then a report without the
                 // task proves that it is not there.
-                if assignment.session == m.newest.0
-                    && !m.gave_up(assignment.session, assignment.attempt)
+                if assignment.incarnation == m.newest.0
+                    && !m.gave_up(assignment.incarnation, assignment.attempt)
                     && !m.seen.contains_key(&task)
                     && self.mirror.open.contains_key(&task.0)
                 {
@@ -127,7 +127,7 @@
         };
         m.pushing = true;
         m.push_after = now + 50.0;
-        let session = m.newest.0;
+        let incarnation = m.newest.0;
         for order in &orders {
             if let Order::Start { piece, attempt } = order
                 && let Some(task) = piece_numbers(piece)
@@ -135,7 +135,7 @@
                 m.pushed.push(PushedStart {
                     task,
                     attempt: *attempt,
-                    session,
+                    incarnation,
                     token,
                     lost: false,
                 });
@@ -143,8 +143,8 @@
         }
         tracing::debug!(machine = %m.addr, ?orders, "direct commands");
         let request = DoRequest {
-            baton: token,
-            tenure: session,
+            fencing_token: token,
+            incarnation,
             orders,
         };
         self.effects.push(Effect::Push {
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -7,7 +7,7 @@
 //!
 //! While the page is there nothing of the shard is assigned or given up, so a copy is as
 //! good as the original whoever owns the shard next. Every step depends on the page's
-//! stamp, so none is carried out late, after the page has gone.
+//! revision, so none is carried out late, after the page has gone.
 
 use super::*;
 use crate::pages::PageFormat;
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -546,10 +546,10 @@
         let host = placement.rooms[room].0;
         let assignment = Assignment {
             host,
-            session: self.machines[&host].newest.0,
+            incarnation: self.machines[&host].newest.0,
             // Above every attempt before: each of those was at most the revision of its
             // own assignment, which has been seen since.
-            attempt: self.mirror.epoch.max(self.newest_epoch) + 1,
+            attempt: self.mirror.store_revision.max(self.newest_revision) + 1,
         };
         let task = (candidate.job, number);
         if !round.assign(&self.mirror, task, assignment, candidate.limited) {
--- a/crates/cherryyard-core/src/owner/returns.rs
+++ b/crates/cherryyard-core/src/owner/returns.rs
@@ -219,7 +219,7 @@
     }
 
     /// A machine that hangs may carry out, when it goes on and before it sees that its
-    /// session is over, a start that was sent to it before, by an owner before us too. If
+    /// incarnation is over, a start that was sent to it before, by an owner before us too. If
     /// its job has been cancelled meanwhile only the machine's release stops that, as no
     /// token of ours gets there. So a silent machine whose assignment of a cancelled job is not
     /// proven gone is returned before that job's time is over. (Where the owner stays the
--- a/crates/cherryyard-core/src/owner/room.rs
+++ b/crates/cherryyard-core/src/owner/room.rs
@@ -125,7 +125,7 @@
             .collect();
         CapacityReport {
             shard: shard_id as u32,
-            stamp: self.mirror.stamp(Key::Shard(shard_id)),
+            revision: self.mirror.revision(Key::Shard(shard_id)),
             machines: rooms,
             sorts,
             images: (0..images.len() as u32)
@@ -195,7 +195,7 @@
                 let Some(t) = self.config.team_names.get(name).map(|t| t as usize) else {
                     continue;
                 };
-                let (grant, stamp) = self.mirror.grants[t][shard_id];
+                let (grant, revision) = self.mirror.grants[t][shard_id];
                 let wants = report.wants.get(t).map_or((0.0, 0.0), |w| (w.1, w.2));
                 // Never below what is assigned: wants include it.
                 // Half of the rest is kept, so that the shard's next job need not
@@ -219,8 +219,9 @@
                         acc: half(grant.acc, wants.1),
                     }
                 };
-                if stamp != 0 && (keep.cores < grant.cores - 1e-6 || keep.acc < grant.acc - 1e-6) {
-                    commit.require(record::grant_key(t, shard_id), stamp);
+                if revision != 0 && (keep.cores < grant.cores - 1e-6 || keep.acc < grant.acc - 1e-6)
+                {
+                    commit.require(record::grant_key(t, shard_id), revision);
                     commit
                         .apply
                         .push(Apply::set(record::grant_key(t, shard_id), &keep));
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/round.rs
@@ -208,7 +208,7 @@
         let open = self.mirror.open.contains_key(&job);
         let task = (job, number);
         if m.token_ours()
-            && m.newest.0 == assignment.session
+            && m.newest.0 == assignment.incarnation
             && let Some(seen) = m.seen.get(&task)
             && seen.attempt == assignment.attempt
             && seen.ended()
@@ -220,15 +220,15 @@
                 },
             };
         }
-        if !m.proven_gone(task, assignment.session, assignment.attempt) {
+        if !m.proven_gone(task, assignment.incarnation, assignment.attempt) {
             return TaskOutcome::Keep;
         }
-        // Absent in the same session means that the start has not arrived. It
+        // Absent in the same incarnation means that the start has not arrived. It
         // is sent again, as the same attempt, unless nothing should start.
         let may_start = m.state == HostState::Ready
-            && m.newest.0 == assignment.session
+            && m.newest.0 == assignment.incarnation
             && !m.lease_over
-            && !m.gave_up(assignment.session, assignment.attempt)
+            && !m.gave_up(assignment.incarnation, assignment.attempt)
             && m.recall_at.is_none_or(|at| at - now > 60_000.0);
         if open && may_start {
             TaskOutcome::Keep
@@ -286,13 +286,13 @@
                     let newest = m.map_or((0, 0), |m| m.newest);
                     let over = m.is_some_and(|m| m.lease_over);
                     let state = m.map(|m| m.state);
-                    let (attempt, session) = (assignment.attempt, assignment.session);
+                    let (attempt, incarnation) = (assignment.attempt, assignment.incarnation);
                     tracing::debug!(
                         job,
                         number,
                         machine,
                         attempt,
-                        session,
+                        incarnation,
                         ?newest,
                         over,
                         ?state,
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -75,7 +75,7 @@
     pub(crate) yields: u32,
     /// Until when the shard is left to others after it was given up.
     pub(crate) away_until: Millis,
-    pub(crate) wait_epoch: u64,
+    pub(crate) wait_revision: u64,
     /// How many tasks of a job completed here, and how long they ran together.
     pub(crate) ran: HashMap<u64, (u32, Millis)>,
     /// What the shard's cores did.
@@ -115,7 +115,7 @@
             images_at: now,
             yields: 0,
             away_until: f64::NEG_INFINITY,
-            wait_epoch: 0,
+            wait_revision: 0,
             ran: HashMap::new(),
             account: Account::default(),
         }
--- a/crates/cherryyard-core/src/reach.rs
+++ b/crates/cherryyard-core/src/reach.rs
@@ -2,10 +2,10 @@
 //!
 //! A machine's reports say that it lives, not that it hears us: a cut may take one
 //! direction only. What its reports *reflect* of our answers and commands says that: a
-//! token it did not have, a start that we sent, a session that goes on. One that fails
+//! token it did not have, a start that we sent, a incarnation that goes on. One that fails
 //! to reflect something is asked directly; one that does not answer is unreachable.
 //! Nothing new is placed on such a machine: each time its lease runs out its next
-//! session looks like an empty machine, the roomiest of all.
+//! incarnation looks like an empty machine, the roomiest of all.
 
 use crate::Millis;
 use crate::machine::{Heard, HostEvent, HostState, Machine, Task};
@@ -38,7 +38,7 @@
     /// Something that we sent and that it should show by now is not there.
     Missed,
     /// Its lease ran out though we answered it, or while we heard nothing of it: its
-    /// new session has yet to show that it hears.
+    /// new incarnation has yet to show that it hears.
     NewSession,
     /// It was asked, and did not answer.
     NoAnswer,
@@ -110,7 +110,7 @@
     /// was made for it. The worker numbers it after all that it sent before, so one that
     /// comes before what was known when it was asked is of a worker that began anew:
     /// whatever was started there before, up to this attempt, is gone with its
-    /// process. Only starts sent directly may yet arrive, if the sessions' numbers agree.
+    /// process. Only starts sent directly may yet arrive, if the incarnations' numbers agree.
     pub(crate) fn answered(
         &mut self,
         report: &Report,
@@ -119,12 +119,12 @@
         now: Millis,
     ) -> Heard {
         self.reached(ReachEvent::Reflected, now);
-        let order = (report.tenure, report.tick);
+        let order = (report.incarnation, report.sequence);
         if order >= self.asked.1 {
             return self.hear(report, token, now);
         }
-        tracing::info!(machine = %self.addr, session = report.tenure, before = self.newest.0, "a worker began anew");
-        self.pushed.retain(|p| p.session >= report.tenure);
+        tracing::info!(machine = %self.addr, incarnation = report.incarnation, before = self.newest.0, "a worker began anew");
+        self.pushed.retain(|p| p.incarnation >= report.incarnation);
         self.offered.clear();
         self.runs.clear();
         self.images.clear();
@@ -155,16 +155,16 @@
 
     /// Whether a start of this attempt is not sent any more. It stays so: the round that
     /// takes the assignment back may be applied at any later time.
-    pub(crate) fn gave_up(&self, session: u64, attempt: u64) -> bool {
-        session == self.given_up.0 && attempt <= self.given_up.1
+    pub(crate) fn gave_up(&self, incarnation: u64, attempt: u64) -> bool {
+        incarnation == self.given_up.0 && attempt <= self.given_up.1
     }
 
     /// Whether an attempt was of the worker's life before, and nothing of it is left.
     /// The worker shows our token: of older owners nothing can arrive any more.
-    pub(crate) fn of_life_before(&self, task: Task, session: u64, attempt: u64) -> bool {
+    pub(crate) fn of_life_before(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
         matches!(self.state, HostState::Ready | HostState::Returning)
             && self.token_ours()
-            && (session > self.newest.0 || attempt <= self.born_after)
+            && (incarnation > self.newest.0 || attempt <= self.born_after)
             && !self.start_pending(task, attempt)
             && self
                 .seen
--- a/crates/cherryyard-core/src/reports.rs
+++ b/crates/cherryyard-core/src/reports.rs
@@ -23,7 +23,7 @@
 impl Node {
     /// The token under which reports of shard `shard_id` are answered now, if any.
     fn answering(&self, shard_id: usize, now: Millis) -> Option<u64> {
-        let Tenancy::Owned(stamp) = self.shards[shard_id].tenancy else {
+        let Tenancy::Owned(token) = self.shards[shard_id].tenancy else {
             return None;
         };
         // Guards against a cancellation that this controller cannot see: the
@@ -32,23 +32,23 @@
         // last of them lost it, those who took it have told.
         let bound = self.config.cut_off_bound_ms();
         let outage = || self.all_cut_off(now) && self.knows_cancellations();
-        (now - self.seen_at <= bound || outage()).then_some(stamp)
+        (now - self.seen_at <= bound || outage()).then_some(token)
     }
 
     /// Who takes reports of shard `shard_id`, if it is someone else.
     fn owner_elsewhere(&self, shard_id: usize, now: Millis) -> Option<String> {
         let mut best = self.mirror.shards[shard_id]
             .as_ref()
-            .map(|c| (c.stamp, c.label.clone()));
+            .map(|c| (c.revision, c.label.clone()));
         for peer in self
             .peers
             .iter()
             .flatten()
             .filter(|s| now - s.heard_at < 5000.0)
         {
-            for (shard, stamp, label) in &peer.heartbeat.claims {
-                if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *stamp) {
-                    best = Some((*stamp, label.clone()));
+            for (shard, token, label) in &peer.heartbeat.claims {
+                if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *token) {
+                    best = Some((*token, label.clone()));
                 }
             }
         }
@@ -145,7 +145,7 @@
             if self.may_extend_lease(shard_id, report, now) {
                 tracing::debug!(host = %report.host, "vouch for a lease");
                 return Reply::Answer(ReportAnswer {
-                    baton: report.baton,
+                    fencing_token: report.fencing_token,
                     orders: Vec::new(),
                 });
             }
@@ -154,7 +154,7 @@
                 None => Reply::Unavailable,
             };
         };
-        if report.baton > token {
+        if report.fencing_token > token {
             // Somebody has a newer token; an answer of ours would be dropped
             // and only hold the worker here.
             self.effects.push(Effect::Refresh);
@@ -181,7 +181,7 @@
         };
         if blind && machine.pushed.iter().any(arrives) {
             // A start of a cancelled job may yet arrive there, and while the state service
-            // does not answer nobody can get the token that would stop it: its session
+            // does not answer nobody can get the token that would stop it: its incarnation
             // has to end.
             return Reply::Unavailable;
         }
@@ -195,7 +195,7 @@
             let mut orders = self.orders(host, now, true);
             orders.retain(|o| !matches!(o, Order::Start { .. }));
             return Reply::Answer(ReportAnswer {
-                baton: token,
+                fencing_token: token,
                 orders,
             });
         }
@@ -212,7 +212,7 @@
         self.room_changed |= (machine.state, machine.reach.hears()) != before;
         if heard == Heard::Old {
             return Reply::Answer(ReportAnswer {
-                baton: token,
+                fencing_token: token,
                 orders: Vec::new(),
             });
         }
@@ -233,7 +233,7 @@
                 .collect();
         }
         Reply::Answer(ReportAnswer {
-            baton: token,
+            fencing_token: token,
             orders,
         })
     }
@@ -247,11 +247,11 @@
         let shard_id = machine.shard;
         machine.pushing = false;
         let how = match &outcome {
-            PushOutcome::Answered(report) => format!("answered in session {}", report.tenure),
+            PushOutcome::Answered(report) => format!("answered in session {}", report.incarnation),
             PushOutcome::Unsent => "not sent".into(),
             PushOutcome::Unknown => "no answer".into(),
         };
-        tracing::debug!(machine = %machine.addr, session = request.tenure, how, "direct commands came out");
+        tracing::debug!(machine = %machine.addr, incarnation = request.incarnation, how, "direct commands came out");
         match outcome {
             PushOutcome::Answered(report) => {
                 machine.settle_push(request, false);
@@ -299,7 +299,7 @@
     /// Takes the answer to a direct question, or that there was none.
     pub fn asked(&mut self, host: u32, answer: Option<&Report>, now: Millis) {
         self.notice(now);
-        let last = self.mirror.epoch.max(self.newest_epoch) + 1;
+        let last = self.mirror.store_revision.max(self.newest_revision) + 1;
         for (_, stray) in self
             .strays
             .iter_mut()
--- a/crates/cherryyard-core/src/tenancy.rs
+++ b/crates/cherryyard-core/src/tenancy.rs
@@ -35,7 +35,7 @@
         match (self, event) {
             (Self::Foreign, ClaimSent) => Self::Claiming,
             (Self::Owned(s) | Self::Deposed(s), ClaimSent) => Self::Owned(s),
-            (_, ClaimApplied(stamp)) => Self::Owned(stamp),
+            (_, ClaimApplied(token)) => Self::Owned(token),
             (Self::Claiming, ClaimFailed) => Self::Foreign,
             (Self::Owned(_) | Self::Deposed(_), ClaimGone) => Self::Foreign,
             (Self::Owned(s), NewerClaimTold) => Self::Deposed(s),
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -137,10 +137,10 @@
     }
 
     /// Takes a user's transaction (a cancellation, or a chunk of a submission).
-    pub fn user_committed(&mut self, commit: &Commit, epoch: u64, now: Millis) {
+    pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
         self.notice(now);
-        self.newest_epoch = self.newest_epoch.max(epoch);
-        self.mirror.committed(commit, epoch);
+        self.newest_revision = self.newest_revision.max(store_revision);
+        self.mirror.committed(commit, store_revision);
         for shard in &mut self.shards {
             shard.dirty = true;
         }
--- a/crates/cherryyard-core/tests/hang_model.rs
+++ b/crates/cherryyard-core/tests/hang_model.rs
@@ -117,7 +117,7 @@
     add(s.t < END, &|n| {
         n.t += 1;
         if !n.hangs && n.t > n.lease {
-            // Its session is over, and what was sent to it.
+            // Its incarnation is over, and what was sent to it.
             (n.there, n.start, n.lease) = (false, None, n.t + LEASE);
         }
         // What is too old to matter is all alike.
@@ -139,7 +139,7 @@
         (n.hangs, n.left.1) = (true, n.left.1 - 1);
     });
     add(s.hangs, &|n| {
-        // What was sent comes first, or the end of its session does.
+        // What was sent comes first, or the end of its incarnation does.
         n.hangs = false;
         carry_out(n);
     });
--- a/crates/cherryyard-core/tests/share_model.rs
+++ b/crates/cherryyard-core/tests/share_model.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Leader {
     /// Its claim, and whether it believes that it leads.
-    stamp: u64,
+    revision: u64,
     leads: bool,
     since: T,
     seen: T,
@@ -83,9 +83,9 @@
 }
 
 fn start(left: (u8, u8, u8)) -> State {
-    let leader = |stamp| Leader {
-        stamp,
-        leads: stamp == 1,
+    let leader = |revision| Leader {
+        revision,
+        leads: revision == 1,
         since: T(0),
         seen: T(START),
         accounts: Default::default(),
@@ -126,7 +126,7 @@
         let seen = if m.no_seen { t } else { l.seen };
         for p in 0..2 {
             l.accounts[p].meet(Under {
-                lead: l.stamp,
+                lead: l.revision,
                 shard: SHARD,
             });
             if is_over(l.heard[p].1, t) && !m.never_over {
@@ -159,7 +159,14 @@
     fn tell(&mut self, i: usize, p: usize) -> Message {
         let l = &mut self.leaders[i];
         l.number += 1;
-        Message::Told(i, p, l.number, l.stamp, l.accounts[p].level(), l.heard[p].0)
+        Message::Told(
+            i,
+            p,
+            l.number,
+            l.revision,
+            l.accounts[p].level(),
+            l.heard[p].0,
+        )
     }
 
     fn name(&mut self, p: usize, i: usize) -> Message {
@@ -226,7 +233,7 @@
             if self.leaders[i].leads {
                 add(&|s| {
                     let t = s.t;
-                    if s.lead == s.leaders[i].stamp {
+                    if s.lead == s.leaders[i].revision {
                         s.leaders[i].seen = t;
                     } else {
                         s.leaders[i].leads = false;
--- a/crates/cherryyard-io/src/state.rs
+++ b/crates/cherryyard-io/src/state.rs
@@ -5,7 +5,7 @@
 use cherryyard_wire::history::{LeafRecord, Level, leaf_of_key, since_key};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Commit, Epoch, Hold, News, Page, Pair};
+use cherryyard_wire::state::{Commit, Hold, News, Page, Pair, StoreRevision};
 use hyper::Method;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     NoLease,
 }
 
-/// A leaf's last possible id, its stamp, and its record.
+/// A leaf's last possible id, its revision, and its record.
 pub type LeafAt = (u64, u64, LeafRecord);
 
 /// The state service.
@@ -120,7 +120,7 @@
 
     /// Reads the first leaf of a run of the history whose last possible id is `job`
     /// or later: the revision that this describes, and the leaf's last possible id,
-    /// stamp and record, if there is one.
+    /// revision and record, if there is one.
     pub async fn read_leaf(
         &self,
         level: Level,
@@ -135,14 +135,14 @@
         }
         let page: Page = Self::read(&body)?;
         let Some(pair) = page.pairs.first() else {
-            return Ok((page.epoch, None));
+            return Ok((page.store_revision, None));
         };
         let last = leaf_of_key(level, &pair.key).ok_or(StateError::Bad)?;
         let record = pair.v.read().map_err(|e| {
             tracing::error!("a bad leaf of the history: {}: {e}", pair.key);
             StateError::Bad
         })?;
-        Ok((page.epoch, Some((last, pair.stamp, record))))
+        Ok((page.store_revision, Some((last, pair.revision, record))))
     }
 
     /// Reads a chunk of a submission, if it is there.
@@ -188,8 +188,12 @@
         let body = serde_json::to_vec(commit).map_err(|_| StateError::Bad)?;
         let (status, body) = self.call(Method::POST, "/commit", Some(body), 2000).await?;
         match status {
-            200 => Ok(Committed::Applied(Self::read::<Epoch>(&body)?.epoch)),
-            409 => Ok(Committed::Conflict(Self::read::<Epoch>(&body)?.epoch)),
+            200 => Ok(Committed::Applied(
+                Self::read::<StoreRevision>(&body)?.store_revision,
+            )),
+            409 => Ok(Committed::Conflict(
+                Self::read::<StoreRevision>(&body)?.store_revision,
+            )),
             400 => {
                 let text = String::from_utf8_lossy(&body);
                 if text.contains("no such lease") || text.contains("hold") {
--- a/crates/cherryyard-rehearsal/src/http.rs
+++ b/crates/cherryyard-rehearsal/src/http.rs
@@ -150,19 +150,19 @@
                 service.reads += 1;
                 let prefix = query("starts").unwrap_or_default();
                 let (pairs, truncated) = service.state.page(&prefix, since.as_deref(), most);
-                let epoch = service.state.epoch();
+                let store_revision = service.state.store_revision();
                 let pairs = json!(pairs);
                 (
                     200,
-                    json!({ "pairs": pairs, "truncated": truncated, "epoch": epoch }),
+                    json!({ "pairs": pairs, "truncated": truncated, "epoch": store_revision }),
                 )
             }
             ("GET", ["store", ..]) => {
                 let key = &path["/store/".len()..];
                 let service = self.lock();
                 match service.state.get(key) {
-                    Some((v, stamp)) => (200, json!({ "key": key, "v": v, "stamp": stamp })),
-                    None => (404, json!({ "epoch": service.state.epoch() })),
+                    Some((v, revision)) => (200, json!({ "key": key, "v": v, "stamp": revision })),
+                    None => (404, json!({ "epoch": service.state.store_revision() })),
                 }
             }
             ("GET", ["follow"]) => {
@@ -229,8 +229,10 @@
             return (429, json!({}));
         }
         match self.lock().state.commit_within_limits(&commit) {
-            Outcome::Applied(epoch) => (200, json!({ "epoch": epoch })),
-            Outcome::Conflict(epoch) => (409, json!({ "failed": [], "epoch": epoch })),
+            Outcome::Applied(store_revision) => (200, json!({ "epoch": store_revision })),
+            Outcome::Conflict(store_revision) => {
+                (409, json!({ "failed": [], "epoch": store_revision }))
+            }
             Outcome::NoLease => (400, json!({ "error": "no such lease" })),
             Outcome::Malformed => (400, json!({ "error": "too large" })),
             Outcome::Refused | Outcome::Unknown => (503, json!({})),
--- a/crates/cherryyard-rehearsal/src/state.rs
+++ b/crates/cherryyard-rehearsal/src/state.rs
@@ -9,7 +9,7 @@
 /// Keys, revisions and leases.
 #[derive(Debug, Default)]
 pub struct StateStandIn {
-    epoch: u64,
+    store_revision: u64,
     keys: BTreeMap<String, (Json, u64, Option<u64>)>,
     holds: BTreeMap<u64, f64>,
     next_hold: u64,
@@ -55,13 +55,13 @@
 
 impl StateStandIn {
     /// The newest revision.
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+    pub fn store_revision(&self) -> u64 {
+        self.store_revision
     }
 
-    /// A key's value and stamp.
+    /// A key's value and revision.
     pub fn get(&self, key: &str) -> Option<(&Json, u64)> {
-        self.keys.get(key).map(|(v, stamp, _)| (v, *stamp))
+        self.keys.get(key).map(|(v, revision, _)| (v, *revision))
     }
 
     /// All keys.
@@ -69,10 +69,10 @@
         self.keys
             .iter()
             .filter(|(key, _)| key.starts_with(PREFIX))
-            .map(|(key, (v, stamp, _))| Pair {
+            .map(|(key, (v, revision, _))| Pair {
                 key: key.clone(),
                 v: v.clone(),
-                stamp: *stamp,
+                revision: *revision,
             })
             .collect()
     }
@@ -80,9 +80,9 @@
     /// The first leaf of a run whose last possible id is `job` or later.
     pub fn leaf(&self, level: Level, job: u64) -> Option<(u64, u64, LeafRecord)> {
         let from = leaf_key(level, job);
-        let (key, (value, stamp, _)) = self.keys.range(from..).next()?;
+        let (key, (value, revision, _)) = self.keys.range(from..).next()?;
         let record = value.read().expect("a leaf");
-        Some((leaf_of_key(level, key)?, *stamp, record))
+        Some((leaf_of_key(level, key)?, *revision, record))
     }
 
     /// A page of the keys with this prefix after `since`: at most `most` of them and
@@ -94,7 +94,7 @@
             .filter(|(key, _)| since != Some(key.as_str()))
             .take_while(|(key, _)| key.starts_with(prefix));
         let (mut pairs, mut bytes) = (Vec::new(), 0);
-        for (key, (v, stamp, _)) in &mut after {
+        for (key, (v, revision, _)) in &mut after {
             bytes += key.len() + v.text().len() + 40;
             if pairs.len() == most.min(1000) || bytes > 512 * 1024 {
                 return (pairs, true);
@@ -102,7 +102,7 @@
             pairs.push(Pair {
                 key: key.clone(),
                 v: v.clone(),
-                stamp: *stamp,
+                revision: *revision,
             });
         }
         (pairs, false)
@@ -110,8 +110,8 @@
 
     /// Puts a value that nobody is told of, before anybody runs.
     pub fn seed(&mut self, key: &str, value: &impl serde::Serialize) {
-        self.epoch += 1;
-        let value = (Json::of(value), self.epoch, None);
+        self.store_revision += 1;
+        let value = (Json::of(value), self.store_revision, None);
         self.keys.insert(key.to_string(), value);
     }
 
@@ -133,7 +133,7 @@
         let news = self
             .changes
             .iter()
-            .filter(|c| c.stamp > since)
+            .filter(|c| c.revision > since)
             .filter(|c| {
                 let key = c.set.as_ref().or(c.delete.as_ref());
                 key.is_some_and(|k| k.starts_with(PREFIX))
@@ -141,7 +141,7 @@
             .cloned()
             .collect();
         News {
-            epoch: self.epoch,
+            store_revision: self.store_revision,
             news,
         }
     }
@@ -184,7 +184,7 @@
             .map(|(k, _)| k.clone())
             .collect();
         for key in gone {
-            self.epoch += 1;
+            self.store_revision += 1;
             self.drop_key(&key);
         }
     }
@@ -195,7 +195,7 @@
                 set: None,
                 delete: Some(key.to_string()),
                 v: Json::default(),
-                stamp: self.epoch,
+                revision: self.store_revision,
             });
         }
     }
@@ -217,9 +217,9 @@
         self.assignment_writes += commit.apply.iter().filter(assignment).count();
         self.most_ops = self.most_ops.max(commit.apply.len());
         self.most_conditions = self.most_conditions.max(commit.when.len());
-        let holds = |key: &str, stamp: u64| self.keys.get(key).map_or(0, |k| k.1) == stamp;
-        if !commit.when.iter().all(|w| holds(&w.key, w.stamp)) {
-            return Outcome::Conflict(self.epoch);
+        let holds = |key: &str, revision: u64| self.keys.get(key).map_or(0, |k| k.1) == revision;
+        if !commit.when.iter().all(|w| holds(&w.key, w.revision)) {
+            return Outcome::Conflict(self.store_revision);
         }
         for change in &commit.apply {
             if let Apply::Set { hold: Some(h), .. } = change
@@ -228,7 +228,7 @@
                 return Outcome::NoLease;
             }
         }
-        self.epoch += 1;
+        self.store_revision += 1;
         for change in &commit.apply {
             match change {
                 Apply::Set { set, v, hold } => {
@@ -236,17 +236,17 @@
                     let largest = self.largest.entry(set.clone()).or_default();
                     *largest = (*largest).max(size);
                     self.keys
-                        .insert(set.clone(), (v.clone(), self.epoch, *hold));
+                        .insert(set.clone(), (v.clone(), self.store_revision, *hold));
                     self.changes.push(Change {
                         set: Some(set.clone()),
                         delete: None,
                         v: v.clone(),
-                        stamp: self.epoch,
+                        revision: self.store_revision,
                     });
                 }
                 Apply::Delete { delete } => self.drop_key(delete),
             }
         }
-        Outcome::Applied(self.epoch)
+        Outcome::Applied(self.store_revision)
     }
 }
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-rehearsal/src/trouble.rs
@@ -111,7 +111,7 @@
 
 /// Who leads, or the first controller.
 pub fn leader(w: &World) -> usize {
-    let leads = |n: &Node| n.lead_stamp().is_some();
+    let leads = |n: &Node| n.leadership_token().is_some();
     let at = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
     at.unwrap_or(0)
 }
--- a/crates/cherryyard-rehearsal/src/worker.rs
+++ b/crates/cherryyard-rehearsal/src/worker.rs
@@ -17,16 +17,16 @@
     pub kind: String,
     /// Its zone.
     pub yard: String,
-    /// Its session.
-    pub tenure: u64,
-    tick: u64,
+    /// Its incarnation.
+    pub incarnation: u64,
+    sequence: u64,
     /// The highest token it has seen.
-    pub baton: u64,
+    pub fencing_token: u64,
     /// Its tasks: attempt, since when, and why it ended.
     pub pieces: BTreeMap<String, (u64, f64, Option<Cause>)>,
     /// When its machine was rented, about.
     pub rented_at: f64,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered report was sent, or the incarnation began.
     renewed_at: f64,
     /// The controller it reports to.
     pub node: usize,
@@ -52,9 +52,9 @@
             host: host.into(),
             kind: "m4".into(),
             yard: yard.into(),
-            tenure: 1,
-            tick: 0,
-            baton: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             pieces: BTreeMap::new(),
             rented_at: now - 10_000.0,
             renewed_at: now,
@@ -83,8 +83,8 @@
                 log.push(format!("{} loses its lease and {lost:?}", self.host));
             }
             self.pieces.clear();
-            self.tenure += 1;
-            self.tick = 0;
+            self.incarnation += 1;
+            self.sequence = 0;
             self.renewed_at = now;
         }
         for (name, piece) in &mut self.pieces {
@@ -110,7 +110,7 @@
 
     /// Its machine hangs: its tasks are gone once its lease is over, since that is the
     /// first thing that it sees when it goes on. But what was sent to it directly it
-    /// carries out before, in the session that is over.
+    /// carries out before, in the incarnation that is over.
     pub fn hang(&mut self, now: f64) {
         if now - self.renewed_at > self.lease_ms {
             self.pieces.clear();
@@ -120,7 +120,7 @@
     /// Its process ends and another begins: nothing is left of what it knew.
     pub fn begin_anew(&mut self, now: f64) {
         self.pieces.clear();
-        (self.tenure, self.tick, self.baton) = (1, 0, 0);
+        (self.incarnation, self.sequence, self.fencing_token) = (1, 0, 0);
         self.renewed_at = now;
         self.report_at = now;
     }
@@ -140,16 +140,16 @@
 
     /// Its report.
     pub fn report(&mut self, now: f64) -> Report {
-        self.tick += 1;
+        self.sequence += 1;
         Report {
             host: self.host.clone(),
             addr: format!("{}:9000", self.host),
             host_kind: self.kind.clone(),
             yard: self.yard.clone(),
             borrowed: false,
-            tenure: self.tenure,
-            tick: self.tick,
-            baton: self.baton,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             recall_s: self.recall_at.map(|at| (at - now) / 1000.0),
             pieces: self
                 .pieces
@@ -171,23 +171,23 @@
 
     /// Takes the answer to a report that was sent at `sent_at`.
     pub fn answered(&mut self, answer: &ReportAnswer, sent_at: f64, now: f64) -> Vec<String> {
-        if answer.baton < self.baton {
+        if answer.fencing_token < self.fencing_token {
             return Vec::new();
         }
-        if answer.baton > self.baton {
+        if answer.fencing_token > self.fencing_token {
             self.report_at = now + 500.0;
         }
-        self.baton = answer.baton;
+        self.fencing_token = answer.fencing_token;
         self.renewed_at = self.renewed_at.max(sent_at);
         self.execute(&answer.orders, now)
     }
 
     /// Takes direct commands; the flag tells whether they were executed.
     pub fn direct(&mut self, request: &DoRequest, now: f64) -> (bool, Vec<String>) {
-        if request.baton < self.baton || request.tenure != self.tenure {
+        if request.fencing_token < self.fencing_token || request.incarnation != self.incarnation {
             return (false, Vec::new());
         }
-        self.baton = request.baton;
+        self.fencing_token = request.fencing_token;
         (true, self.execute(&request.orders, now))
     }
 
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -515,12 +515,12 @@
                 if !node.mirror.loaded {
                     node.mirror.begin_load();
                     node.mirror.load_some(&self.state.pairs());
-                    node.loaded(self.state.epoch(), now, now);
+                    node.loaded(self.state.store_revision(), now, now);
                 } else if self.slow_ms == 0.0 {
-                    node.news(&self.state.news(node.mirror.epoch), now, now);
+                    node.news(&self.state.news(node.mirror.store_revision), now, now);
                 } else if !self.reads.contains_key(&i) {
                     let takes = slow(self.slow_ms, &mut self.late_draw);
-                    let read = self.state.news(node.mirror.epoch);
+                    let read = self.state.news(node.mirror.store_revision);
                     self.reads.insert(i, (now + takes, now, read));
                 }
                 match node.hold() {
@@ -598,7 +598,7 @@
         let Some(every) = self.leaders_end_ms else {
             return;
         };
-        let leads = |n: &Node| n.lead_stamp().is_some();
+        let leads = |n: &Node| n.leadership_token().is_some();
         if self.now >= self.leader_ends_at
             && let Some(i) =
                 (0..self.nodes.len()).find(|&i| self.nodes[i].as_ref().is_some_and(leads))
--- a/crates/cherryyard-rehearsal/src/world/late.rs
+++ b/crates/cherryyard-rehearsal/src/world/late.rs
@@ -123,7 +123,7 @@
         }
         let node = self.nodes[i].as_mut().filter(|n| n.mirror.loaded)?;
         if !self.refused.contains(&i) {
-            let news = self.state.news(node.mirror.epoch);
+            let news = self.state.news(node.mirror.store_revision);
             node.news(&news, now, now);
             if let Some(commit) = node.cancellation(job)
                 && let Outcome::Applied(e) = self.late_commit(&commit)
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-rehearsal/src/world/machines.rs
@@ -68,8 +68,8 @@
         {
             self.waiting.remove(name);
             match reply {
-                // The answer to a report of the session before.
-                Some(Reply::Answer(_)) if worker.tenure != report.tenure => {
+                // The answer to a report of the incarnation before.
+                Some(Reply::Answer(_)) if worker.incarnation != report.incarnation => {
                     worker.report_at = now;
                 }
                 Some(Reply::Answer(answer)) => {
--- a/crates/cherryyard-rehearsal/src/world/requests.rs
+++ b/crates/cherryyard-rehearsal/src/world/requests.rs
@@ -308,7 +308,7 @@
                     let said = Some(Said::Later);
                     return self.go_on(r, said);
                 }
-                let read = self.state.news(self.node(i).mirror.epoch);
+                let read = self.state.news(self.node(i).mirror.store_revision);
                 let takes = if self.slow_ms > 0.0 {
                     slow(self.slow_ms, &mut self.late_draw)
                 } else {
@@ -468,7 +468,7 @@
             ticket: self.tickets,
             job,
             open,
-            moved: node.mirror.packed_stamp,
+            moved: node.mirror.packed_revision,
         };
         r.stage = Stage::Offered(offer.ticket, now + 4000.0);
         node.offer(offer, now);
--- a/crates/cherryyard-rehearsal/src/world/submitting.rs
+++ b/crates/cherryyard-rehearsal/src/world/submitting.rs
@@ -39,7 +39,7 @@
         };
         let node = able.and_then(|i| self.nodes[i].as_mut());
         if let Some(node) = node.filter(|n| n.mirror.loaded) {
-            node.news(&self.state.news(node.mirror.epoch), now, now);
+            node.news(&self.state.news(node.mirror.store_revision), now, now);
             let config = node.config.clone();
             let fits = if node.mirror.takes_pages() {
                 let rules = rules.map(Box::new);
@@ -71,9 +71,9 @@
                 if !node.mirror.loaded {
                     node.mirror.begin_load();
                     node.mirror.load_some(&self.state.pairs());
-                    node.loaded(self.state.epoch(), now, now);
+                    node.loaded(self.state.store_revision(), now, now);
                 }
-                node.news(&self.state.news(node.mirror.epoch), now, now);
+                node.news(&self.state.news(node.mirror.store_revision), now, now);
             }
             let rules = rules.map(Box::new);
             let new = node.mirror.new_job(spec.clone(), rules, now as u64);
@@ -81,7 +81,7 @@
                 ticket,
                 job,
                 open: new.expect("a known team"),
-                moved: node.mirror.packed_stamp,
+                moved: node.mirror.packed_revision,
             };
             node.offer(offer, now);
         }
@@ -136,8 +136,8 @@
         record.phase = record.phase.after(PhaseEvent::Removed);
         let mut commit = Commit::default();
         let key = submission_key(number);
-        let stamp = self.state.get(&key).map_or(0, |(_, stamp)| stamp);
-        commit.require(key.clone(), stamp);
+        let revision = self.state.get(&key).map_or(0, |(_, revision)| revision);
+        commit.require(key.clone(), revision);
         commit.apply.push(Apply::set(key, &record));
         let outcome = self.state.commit(&commit);
         self.say(format!("{} removed: {outcome:?}", record.name));
@@ -148,9 +148,9 @@
     pub fn cancel(&mut self, i: usize, id: &str) {
         let job = job_number(id).expect("a good id");
         let now = self.now;
-        let epoch = self.state.epoch();
+        let store_revision = self.state.store_revision();
         let node = self.nodes[i].as_mut().expect("a running controller");
-        let news = self.state.news(node.mirror.epoch);
+        let news = self.state.news(node.mirror.store_revision);
         node.news(&news, now, now);
         let commit = node.cancellation(job).expect("an open job");
         let outcome = self.state.commit(&commit);
@@ -159,7 +159,7 @@
             node.user_committed(&commit, e, now);
         }
         assert!(
-            matches!(outcome, Outcome::Applied(e) if e > epoch),
+            matches!(outcome, Outcome::Applied(e) if e > store_revision),
             "{outcome:?}"
         );
         if node.may_tell_cancelled(job, now) {
@@ -182,7 +182,7 @@
         let now = self.now;
         let node = self.nodes[i].as_mut()?;
         if !self.refused.contains(&i) {
-            let news = self.state.news(node.mirror.epoch);
+            let news = self.state.news(node.mirror.store_revision);
             node.news(&news, now, now);
         }
         node.mirror.view(job_number(id)?)
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -107,7 +107,7 @@
 fn leader(w: &World) -> Option<usize> {
     let leads = |i: &usize| {
         let node = w.nodes[*i].as_ref();
-        node.is_some_and(|n| n.lead_stamp().is_some()) && !w.frozen.contains(i)
+        node.is_some_and(|n| n.leadership_token().is_some()) && !w.frozen.contains(i)
     };
     (0..w.nodes.len()).find(leads)
 }
@@ -302,9 +302,9 @@
     assert!(!matches!(w.verdicts.get(&odd), None | Some(Verdict::Taken)));
     // The same job through two controllers at once: one takes it, the other knows it.
     let other = (lead + 1) % 3;
-    let node = w.nodes[other].as_ref().unwrap().mirror.epoch;
+    let node = w.nodes[other].as_ref().unwrap().mirror.store_revision;
     let one = w.offer(lead, &spec(URGENT + 502, 1), None);
-    assert!(w.nodes[other].as_ref().unwrap().mirror.epoch >= node);
+    assert!(w.nodes[other].as_ref().unwrap().mirror.store_revision >= node);
     let two = w.offer(other, &spec(URGENT + 502, 1), None);
     w.run(2.0);
     assert_eq!(w.verdicts.get(&one), Some(&Verdict::Taken));
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-rehearsal/tests/checker.rs
@@ -24,8 +24,8 @@
         attempt: 9999,
     };
     let request = DoRequest {
-        baton: worker.baton,
-        tenure: worker.tenure,
+        fencing_token: worker.fencing_token,
+        incarnation: worker.incarnation,
         orders: vec![start],
     };
     assert!(worker.direct(&request, w.now).0, "it took the command");
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-rehearsal/tests/end_of_day.rs
@@ -170,7 +170,7 @@
             w.run(5.0);
             w.submit(&World::spec("j-000001", "service", 6));
             w.run(4.0);
-            let leads = |n: &cherryyard_core::Node| n.lead_stamp().is_some();
+            let leads = |n: &cherryyard_core::Node| n.leadership_token().is_some();
             let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
             let leader = leader.expect("a leader");
             w.kill(leader);
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -100,7 +100,7 @@
 
 /// Reports held back for 51 s, of machines that were given up meanwhile and whose
 /// tasks run elsewhere, change nothing: no assignment, no order but to stop what their
-/// old sessions show, no placement on them.
+/// old incarnations show, no placement on them.
 #[test]
 fn reports_held_for_long_change_nothing() {
     let mut w = running(
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/gap.rs
@@ -26,7 +26,7 @@
 }
 
 fn leader(w: &World) -> Option<usize> {
-    let leads = |n: &cherryyard_core::Node| n.lead_stamp().is_some();
+    let leads = |n: &cherryyard_core::Node| n.leadership_token().is_some();
     w.nodes.iter().position(|n| n.as_ref().is_some_and(leads))
 }
 
@@ -281,7 +281,7 @@
 }
 
 /// A direct start of a task is on its way when its job is cancelled, just before an
-/// outage: nobody can get the token that would stop it, so the session has to end before
+/// outage: nobody can get the token that would stop it, so the incarnation has to end before
 /// it may arrive.
 #[test]
 fn a_start_on_its_way_in_an_outage() {
--- a/crates/cherryyard-rehearsal/tests/history.rs
+++ b/crates/cherryyard-rehearsal/tests/history.rs
@@ -140,13 +140,13 @@
             w.run(8.0);
             for commit in late {
                 // Another leads now, or nothing is left to do.
-                let epoch = w.state.epoch();
+                let store_revision = w.state.store_revision();
                 let outcome = w.state.commit(&commit);
                 assert!(
                     matches!(outcome, Outcome::Conflict(_)),
                     "{what}: {outcome:?}"
                 );
-                assert_eq!(w.state.epoch(), epoch);
+                assert_eq!(w.state.store_revision(), store_revision);
             }
             check_known(&mut w, &all, &what);
             if let Some(i) = ended {
@@ -238,13 +238,13 @@
     assert!(watched(&w, "c/jobs/") > 0);
     assert!(w.find(1, "j-000001").is_some());
     // What another build would add by a job's own key depends on the first format.
-    let epoch = w.state.epoch();
+    let store_revision = w.state.store_revision();
     let mut old = Commit::default();
     old.require(job_key(2), 0);
     old.require("c/format", 0);
     old.apply.push(Apply::set(job_key(2), &json!({})));
     assert!(matches!(w.state.commit(&old), Outcome::Conflict(_)));
-    assert_eq!(w.state.epoch(), epoch);
+    assert_eq!(w.state.store_revision(), store_revision);
 }
 
 /// The smallest values and transactions: buckets divide, leaves too, and nothing
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-rehearsal/tests/largest.rs
@@ -123,7 +123,7 @@
     }
     w.run(5.0);
     let (mut job, mut waited) = (100, None);
-    let before = w.state.epoch();
+    let before = w.state.store_revision();
     for second in 0..60 {
         for _ in 0..40 {
             job += 1;
@@ -150,7 +150,7 @@
     assert_eq!(waited, None, "the portal began");
     w.run(30.0);
     let starts = w.trace.iter().filter(|l| l.contains(" starts ")).count();
-    let writes = w.state.epoch() - before - (job as u64 - 100);
+    let writes = w.state.store_revision() - before - (job as u64 - 100);
     // Three owners with at most ten rounds a second each, for 90 s.
     assert!(starts > 1500, "{starts}");
     assert!(
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -22,7 +22,7 @@
 }
 
 fn leader(w: &World) -> usize {
-    let leads = |n: &Node| n.lead_stamp().is_some();
+    let leads = |n: &Node| n.leadership_token().is_some();
     let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
     leader.expect("a leader")
 }
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -346,7 +346,7 @@
     }
 }
 
-/// An old report of every machine, of an earlier session and attempt, reaches every
+/// An old report of every machine, of an earlier incarnation and attempt, reaches every
 /// controller just as a new leader begins, or is held back until it has acted.
 #[test]
 fn an_old_report_reaches_all_as_a_leader_begins() {
@@ -493,7 +493,7 @@
 
 /// Machines hang with starts on their way, the job is cancelled, and the owner that sent
 /// them ends. Its successor knows nothing of the starts and has never heard the machines,
-/// too many for them to be taken for lost; what goes on after its session is over carries
+/// too many for them to be taken for lost; what goes on after its incarnation is over carries
 /// out first what was sent to it. (Found by seed 1029 of three troubles at once: such a
 /// start came long after the time that cancelled tasks have.)
 #[test]
@@ -821,9 +821,9 @@
             w.run(40.0);
             let state = format!("{limit} cores, tasks of {cores}, leader changes {changes}");
             assert_eq!(w.running(), all, "{state}: {}", w.trace.join("\n"));
-            let epoch = w.state.epoch();
+            let store_revision = w.state.store_revision();
             w.run(20.0);
-            let news = w.state.news(epoch).news;
+            let news = w.state.news(store_revision).news;
             let keys = news.iter().filter_map(|c| c.set.clone());
             let grants: Vec<String> = keys.filter(|k| k.starts_with("c/grant")).collect();
             assert!(grants.is_empty(), "{state}: {grants:?} go round");
--- a/crates/cherryyard-rehearsal/tests/reach.rs
+++ b/crates/cherryyard-rehearsal/tests/reach.rs
@@ -22,8 +22,8 @@
 }
 
 /// One machine hears nothing, for longer than its lease. What ran there runs elsewhere
-/// once its lease is over, by its next session; nothing is placed on it meanwhile,
-/// though each of its sessions looks like an empty machine; it is used again when it
+/// once its lease is over, by its next incarnation; nothing is placed on it meanwhile,
+/// though each of its incarnations looks like an empty machine; it is used again when it
 /// hears. Guards against a hole into which assignments fell for a lease each.
 #[test]
 fn a_machine_that_does_not_hear_gets_nothing_new() {
@@ -189,7 +189,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The same when its shard has a new owner, who knows of no session: an assignment of a session
+/// The same when its shard has a new owner, who knows of no incarnation: an assignment of a incarnation
 /// that is yet to come is of the life before. Guards against a task that counted as
 /// running for ever (found by seed 1930 of the overlaps below).
 #[test]
@@ -199,7 +199,7 @@
         ..Setup::default()
     });
     let host = "host-000000".to_string();
-    // Its second session.
+    // Its second incarnation.
     w.unreachable.insert(host.clone());
     w.run(12.0);
     w.unreachable.clear();
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -79,14 +79,14 @@
     w.kill(0);
     w.hold_commits.clear();
     w.run_until(30.0, |w| w.running() == 1);
-    let epoch = w.state.epoch();
+    let store_revision = w.state.store_revision();
     let outcomes = w.deliver_commits();
     assert!(!outcomes.is_empty());
     assert!(
         outcomes.iter().all(|o| matches!(o, Outcome::Conflict(_))),
         "{outcomes:?}"
     );
-    assert_eq!(w.state.epoch(), epoch);
+    assert_eq!(w.state.store_revision(), store_revision);
     w.run(20.0);
     assert_eq!(w.copies("j-000001/0"), 1);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -315,11 +315,11 @@
             .unwrap()
             .v
             .clone(),
-        stamp: node.mirror.epoch + 5,
+        revision: node.mirror.store_revision + 5,
     };
     node.news(
         &News {
-            epoch: node.mirror.epoch + 5,
+            store_revision: node.mirror.store_revision + 5,
             news: vec![late],
         },
         now,
@@ -758,14 +758,14 @@
     w.run(10.0);
     let whole = &w.nodes[0].as_ref().unwrap().mirror;
     let mut pieces = Mirror::new(&w.nodes[0].as_ref().unwrap().config);
-    let (pairs, epoch) = (w.state.pairs(), w.state.epoch());
+    let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
     pieces.begin_load();
     for some in pairs.chunks(2) {
         pieces.load_some(some);
-        assert!(!pieces.loaded && pieces.epoch == 0);
+        assert!(!pieces.loaded && pieces.store_revision == 0);
     }
-    pieces.end_load(epoch);
-    assert!(pieces.loaded && pieces.epoch == epoch);
+    pieces.end_load(store_revision);
+    assert!(pieces.loaded && pieces.store_revision == store_revision);
     for job in 1..=9 {
         assert_eq!(pieces.view(job), whole.view(job), "{job}");
     }
@@ -774,7 +774,7 @@
         .iter()
         .find(|p| p.key == arrivals_key(0))
         .unwrap()
-        .stamp;
+        .revision;
     pieces.begin_load();
     for some in pairs.chunks(2) {
         let left: Vec<_> = some
@@ -785,15 +785,19 @@
         pieces.load_some(&left);
     }
     assert!(pieces.view(5).is_some());
-    pieces.end_load(epoch);
+    pieces.end_load(store_revision);
     assert!(pieces.view(5).is_none() && pieces.view(8).is_none());
     pieces.begin_load();
     pieces.load_some(&pairs);
-    pieces.end_load(epoch);
+    pieces.end_load(store_revision);
     pieces.begin_load();
-    let old: Vec<_> = pairs.iter().filter(|p| p.stamp < newest).cloned().collect();
+    let old: Vec<_> = pairs
+        .iter()
+        .filter(|p| p.revision < newest)
+        .cloned()
+        .collect();
     pieces.load_some(&old);
-    pieces.epoch = newest - 1;
+    pieces.store_revision = newest - 1;
     pieces.end_load(newest - 1);
     assert!(pieces.view(8).is_some());
 }
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-rehearsal/tests/two_troubles.rs
@@ -302,7 +302,7 @@
 }
 
 /// Machines hang with a start on its way to them, for longer than a lease, and carry it
-/// out before they see that their session is over. It must not run elsewhere by then.
+/// out before they see that their incarnation is over. It must not run elsewhere by then.
 /// (Found by a hunted day, rahbar-lahore-hunt hunt-bc60-5.)
 #[test]
 fn a_start_to_a_machine_that_hangs_beyond_its_lease() {
@@ -326,7 +326,7 @@
     }
 }
 
-/// Reports come again after newer ones, from earlier sessions and attempts, at the owner,
+/// Reports come again after newer ones, from earlier incarnations and attempts, at the owner,
 /// at the controller after it and at a new owner, at every delay around a lease.
 #[test]
 fn old_reports_from_earlier_sessions_and_attempts() {
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -108,8 +108,8 @@
     /// controller can have taken, while all are cut off.
     pub complete: bool,
     /// The state revision that the sender has seen.
-    pub epoch: u64,
-    /// Claims that the sender knows: part, stamp, and the owner's name.
+    pub store_revision: u64,
+    /// Claims that the sender knows: part, revision, and the owner's name.
     pub claims: Vec<(u32, u64, String)>,
     /// The shards that the sender owns.
     pub shards: Vec<CapacityReport>,
@@ -177,8 +177,8 @@
 pub struct CapacityReport {
     /// The shard.
     pub shard: u32,
-    /// Stamp of the claim that the report was made under.
-    pub stamp: u64,
+    /// Revision of the claim that the report was made under.
+    pub revision: u64,
     /// Sorts of machine that the shard has.
     pub sorts: Vec<MachineSort>,
     /// Images that its machines hold.
@@ -337,7 +337,7 @@
             cancelled: vec![412],
             reach_ms: 60_000,
             complete: false,
-            epoch: 7,
+            store_revision: 7,
             claims: vec![(0, 3, "a".into())],
             shards: vec![],
             short: vec![],
--- a/crates/cherryyard-wire/src/record.rs
+++ b/crates/cherryyard-wire/src/record.rs
@@ -271,7 +271,7 @@
     pub ram: f64,
 }
 
-/// Assignments of one attempt and session: `[attempt, session, machine, number,
+/// Assignments of one attempt and incarnation: `[attempt, incarnation, machine, number,
 /// machine, number, ...]`, each machine by its place in the page's list. Tasks
 /// of a job mostly start together, so this is a few bytes for each.
 pub type AssignmentGroup = Vec<u64>;
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -46,7 +46,8 @@
     /// Its value.
     pub v: Json,
     /// Revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// One page of a range read.
@@ -58,7 +59,8 @@
     #[serde(default)]
     pub truncated: bool,
     /// The revision that the page describes.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: u64,
 }
 
 /// A compared version; 0 means absent.
@@ -67,7 +69,8 @@
     /// The key.
     pub key: String,
     /// The version it must have.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// One change of a transaction.
@@ -140,19 +143,20 @@
     }
 
     /// Adds a condition unless the same key is conditioned already.
-    pub fn require(&mut self, key: impl Into<String>, stamp: u64) {
+    pub fn require(&mut self, key: impl Into<String>, revision: u64) {
         let key = key.into();
         if !self.when.iter().any(|w| w.key == key) {
-            self.when.push(When { key, stamp });
+            self.when.push(When { key, revision });
         }
     }
 }
 
 /// The answer to a transaction or to a read of an absent key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Epoch {
+pub struct StoreRevision {
     /// The revision.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: u64,
 }
 
 /// A state lease.
@@ -166,7 +170,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct News {
     /// The revision up to which the changes are told.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: u64,
     /// The changes, in order.
     #[serde(default)]
     pub news: Vec<Change>,
@@ -185,5 +190,6 @@
     #[serde(default)]
     pub v: Json,
     /// The revision.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
--- a/crates/cherryyard-wire/src/worker.rs
+++ b/crates/cherryyard-wire/src/worker.rs
@@ -16,13 +16,16 @@
     /// Whether it is a spot machine.
     #[serde(default)]
     pub borrowed: bool,
-    /// The session; the protocol's word.
-    pub tenure: u64,
-    /// The report's place within the session; the protocol's word.
-    pub tick: u64,
+    /// The incarnation; the protocol's word.
+    #[serde(rename = "tenure")]
+    pub incarnation: u64,
+    /// The report's place within the incarnation; the protocol's word.
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     /// The highest token that the worker has seen; the protocol's word.
     #[serde(default)]
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine away.
     #[serde(default)]
     pub recall_s: Option<f64>,
@@ -117,7 +120,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportAnswer {
     /// The token.
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Commands, in order.
     pub orders: Vec<Order>,
 }
@@ -134,9 +138,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DoRequest {
     /// The token.
-    pub baton: u64,
-    /// The session that the commands are meant for.
-    pub tenure: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
+    /// The incarnation that the commands are meant for.
+    #[serde(rename = "tenure")]
+    pub incarnation: u64,
     /// Commands, in order.
     pub orders: Vec<Order>,
 }
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -34,7 +34,7 @@
     };
     CapacityReport {
         shard: 0,
-        stamp: 1,
+        revision: 1,
         sorts: (0..300).map(sort).collect(),
         images: (0..IMAGES)
             .map(|i| format!("registry/team/image-{i:04}:2026.12"))
@@ -64,7 +64,7 @@
         cancelled: (0..200).map(|i| 800_000_000_000 + i * 104_729).collect(),
         reach_ms: 60_000,
         complete: false,
-        epoch: 7,
+        store_revision: 7,
         claims: (0..7).map(|p| (p, 3, format!("controller-{p}"))).collect(),
         shards: vec![report()],
         short: Vec::new(),
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -86,11 +86,11 @@
         cancelled: vec![412, 398_405],
         reach_ms: 60_000,
         complete: true,
-        epoch: 70_123,
+        store_revision: 70_123,
         claims: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
         shards: vec![CapacityReport {
             shard: 2,
-            stamp: 41,
+            revision: 41,
             sorts: vec![MachineSort {
                 kind: "qanat-4".into(),
                 zone: "lahore-east".into(),
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -35,7 +35,7 @@
     Poll,
 }
 
-/// What a look-up found, and as of which stamp of the history's record.
+/// What a look-up found, and as of which revision of the history's record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Found {
     pub past: Option<Past>,
@@ -89,9 +89,9 @@
     }
 }
 
-/// The stamp of the history's record, and whether jobs are moving between the runs.
+/// The revision of the history's record, and whether jobs are moving between the runs.
 fn moved(node: &Node) -> (u64, bool) {
-    (node.mirror.packed_stamp, node.mirror.packed.spilling)
+    (node.mirror.packed_revision, node.mirror.packed.spilling)
 }
 
 impl App {
@@ -99,7 +99,7 @@
     /// cannot be told, or not in time.
     pub(crate) async fn look_in_history(self: &Arc<Self>, job: u64, by: Look) -> Option<Found> {
         if !self.with(|n, _| n.mirror.packed.any()) {
-            let moved = self.with(|n, _| n.mirror.packed_stamp);
+            let moved = self.with(|n, _| n.mirror.packed_revision);
             return Some(Found { past: None, moved });
         }
         lock(&self.history.counts).asked += 1;
@@ -157,8 +157,8 @@
                         moved: moved_at,
                     });
                 }
-                Answer::Absent(epoch) if level == Level::Small => {
-                    small_epoch = epoch;
+                Answer::Absent(store_revision) if level == Level::Small => {
+                    small_epoch = store_revision;
                     continue;
                 }
                 // As good as read now only if nothing has moved up to the time at
@@ -166,7 +166,8 @@
                 Answer::Absent(_)
                     if !spilling
                         && self.with(|n, _| {
-                            n.mirror.packed_stamp == moved_at && n.mirror.epoch >= small_epoch
+                            n.mirror.packed_revision == moved_at
+                                && n.mirror.store_revision >= small_epoch
                         }) =>
                 {
                     continue;
@@ -174,9 +175,9 @@
                 Answer::Absent(_) | Answer::Unknown => {}
             }
             lock(&self.history.counts).reads += 1;
-            let (epoch, leaf) = self.state.read_leaf(level, job).await.ok()?;
+            let (store_revision, leaf) = self.state.read_leaf(level, job).await.ok()?;
             if level == Level::Small {
-                small_epoch = epoch;
+                small_epoch = store_revision;
             }
             let (last, leaf) = match leaf {
                 Some((last, _, record)) => {
@@ -188,7 +189,7 @@
                 None => (LAST, Leaf::default()),
             };
             let past = leaf.find(job).copied();
-            lock(&self.history.cache).put(level, job, last, epoch, leaf);
+            lock(&self.history.cache).put(level, job, last, store_revision, leaf);
             if past.is_some() {
                 let moved = moved_at;
                 return Some(Found { past, moved });
@@ -237,7 +238,7 @@
             let reads = lock(&self.history.counts).reads - before;
             if reads > 0 {
                 let rate = self.with(|n, _| {
-                    if n.lead_stamp().is_some() {
+                    if n.leadership_token().is_some() {
                         LEADERS_SHARE
                     } else {
                         OTHERS_SHARE / n.config.shards() as f64
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -186,8 +186,8 @@
         }
         let sent_at = self.now();
         let outcome = match self.state.commit(commit).await {
-            Ok(Committed::Applied(epoch)) => Outcome::Applied(epoch),
-            Ok(Committed::Conflict(epoch)) => Outcome::Conflict(epoch),
+            Ok(Committed::Applied(store_revision)) => Outcome::Applied(store_revision),
+            Ok(Committed::Conflict(store_revision)) => Outcome::Conflict(store_revision),
             Ok(Committed::NoLease) => Outcome::NoLease,
             Err(StateError::Unknown | StateError::Bad) => return Outcome::Unknown,
             Err(StateError::Malformed) => {
--- a/crates/cherryyard/src/app/reads.rs
+++ b/crates/cherryyard/src/app/reads.rs
@@ -39,7 +39,7 @@
                 std::mem::take(&mut *all)
             };
             let sent_at = self.now();
-            let (loaded, since) = self.with(|n, _| (n.mirror.loaded, n.mirror.epoch));
+            let (loaded, since) = self.with(|n, _| (n.mirror.loaded, n.mirror.store_revision));
             let good = loaded
                 && match self.state.follow(since, 0).await {
                     Ok(news) => {
@@ -65,7 +65,7 @@
         self.with(|n, _| n.mirror.begin_load());
         loop {
             let page = self.state.read_page(last.as_deref()).await?;
-            let epoch = *first.get_or_insert(page.epoch);
+            let store_revision = *first.get_or_insert(page.store_revision);
             for some in page.pairs.chunks(LOAD_STEP) {
                 self.with(|n, _| n.mirror.load_some(some));
                 tokio::task::yield_now().await;
@@ -73,7 +73,7 @@
             keys += page.pairs.len();
             last = page.pairs.into_iter().last().map(|p| p.key);
             if !page.truncated || last.is_none() {
-                return Ok((keys, epoch));
+                return Ok((keys, store_revision));
             }
             // A long read spends requests that renewals need too.
             tokio::time::sleep(Duration::from_millis(60)).await;
@@ -88,9 +88,14 @@
             let sent_at = self.now();
             if reload {
                 match self.load().await {
-                    Ok((keys, epoch)) => {
-                        self.with(|n, now| n.loaded(epoch, sent_at, now));
-                        tracing::info!(keys, epoch, failed = failures.worked(), "read the state");
+                    Ok((keys, store_revision)) => {
+                        self.with(|n, now| n.loaded(store_revision, sent_at, now));
+                        tracing::info!(
+                            keys,
+                            store_revision,
+                            failed = failures.worked(),
+                            "read the state"
+                        );
                         reload = false;
                     }
                     Err(e) => {
@@ -102,7 +107,7 @@
                 }
                 continue;
             }
-            let since = self.with(|n, _| n.mirror.epoch);
+            let since = self.with(|n, _| n.mirror.store_revision);
             match self.state.follow(since, self.follow_ms).await {
                 Ok(news) => {
                     self.with(|n, now| n.news(&news, sent_at, now));
--- a/crates/cherryyard/src/app/tell.rs
+++ b/crates/cherryyard/src/app/tell.rs
@@ -24,7 +24,7 @@
 
     /// Tells what has become of submissions; one who hears all controllers is enough.
     fn tell_submissions(self: &Arc<Self>) {
-        let (leads, report) = self.with(|n, _| (n.lead_stamp().is_some(), n.demand_report()));
+        let (leads, report) = self.with(|n, _| (n.leadership_token().is_some(), n.demand_report()));
         for (class, team, [offered, taken, refused]) in report {
             if leads {
                 tracing::info!(class, team, offered, taken, refused, "submissions");
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -177,12 +177,12 @@
     Next::Write(commit, status)
 }
 
-/// A block of ids that no job has, and as of which stamp of the history's record:
+/// A block of ids that no job has, and as of which revision of the history's record:
 /// before submissions were turned on, users could choose any id.
 async fn free_block(app: &Arc<App>, jobs: u64) -> Option<(u64, u64)> {
     let (mut first, moved, any) = app.with(|n, _| {
         let next = n.mirror.ids.next.max(FIRST_ID);
-        (next, n.mirror.packed_stamp, n.mirror.packed.any())
+        (next, n.mirror.packed_revision, n.mirror.packed.any())
     });
     let mut reads = 0;
     'block: while first + jobs < END_ID {
@@ -239,8 +239,8 @@
             Next::GiveUp(commit, answer) => {
                 // If this is lost, it is given up later for its silence.
                 let outcome = app.commit(&commit).await;
-                if let Outcome::Applied(epoch) = outcome {
-                    app.with(|n, now| n.user_committed(&commit, epoch, now));
+                if let Outcome::Applied(store_revision) = outcome {
+                    app.with(|n, now| n.user_committed(&commit, store_revision, now));
                 }
                 return answer;
             }
@@ -255,8 +255,8 @@
             paid = true;
         }
         match app.commit(&commit).await {
-            Outcome::Applied(epoch) => {
-                app.with(|n, now| n.user_committed(&commit, epoch, now));
+            Outcome::Applied(store_revision) => {
+                app.with(|n, now| n.user_committed(&commit, store_revision, now));
                 return app.with(|n, _| view(n, number, status));
             }
             Outcome::Conflict(_) => {}
@@ -333,8 +333,8 @@
         // Like any cancellation never refused for the pace.
         app.with(|n, now| n.spend_user_write(now));
         match app.commit(&commit).await {
-            Outcome::Applied(epoch) => {
-                app.with(|n, now| n.user_committed(&commit, epoch, now));
+            Outcome::Applied(store_revision) => {
+                app.with(|n, now| n.user_committed(&commit, store_revision, now));
                 return app.with(|n, _| view(n, number, StatusCode::ACCEPTED));
             }
             Outcome::Conflict(_) => {}
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -269,7 +269,9 @@
         // everybody's way.
         app.with(|n, now| n.spend_user_write(now));
         match app.commit(&commit).await {
-            Outcome::Applied(epoch) => app.with(|n, now| n.user_committed(&commit, epoch, now)),
+            Outcome::Applied(store_revision) => {
+                app.with(|n, now| n.user_committed(&commit, store_revision, now))
+            }
             // Malformed: it is divided as the limits now are.
             Outcome::Conflict(_) | Outcome::Malformed => {}
             Outcome::Refused => {
