--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -62,7 +62,7 @@
     offer: Offer,
     since: Millis,
     tries: u32,
-    /// The leader's claim under which it was divided.
+    /// The leader's lease under which it was divided.
     divided: Option<u64>,
 }
 
@@ -314,7 +314,7 @@
         self.user_pace.spend(commit.apply.len() as f64);
         self.intake.change(Event::Sent);
         self.intake.sent_at = now;
-        self.effects.push(Effect::Commit(Ticket::Intake, commit));
+        self.effects.push(Effect::Commit(Ticket::Admission, commit));
     }
 
     fn give_up_old(&mut self, now: Millis) {
@@ -414,7 +414,7 @@
                 waiting.divided = Some(revision);
             }
         }
-        self.mirror.require(commit, Key::Lead);
+        self.mirror.require(commit, Key::Leader);
     }
 
     /// Records of their own for the next submissions: before there are pages, and where
--- a/crates/cherryyard-core/src/admission/ledger.rs
+++ b/crates/cherryyard-core/src/admission/ledger.rs
@@ -14,11 +14,11 @@
 //! - A level is good for a time that its owner counts from when it sent the message that
 //!   the leader had last heard of it; the leader, from when it heard that. So the owner's
 //!   time is over first, however long messages take.
-//! - A leader gives levels only while it has lately seen its own claim, and a new one not
+//! - A leader gives levels only while it has lately seen its own lease, and a new one not
 //!   before all that its predecessor can have given is over.
-//! - A level is under the leader's claim and the shard's: nobody takes one of an earlier
+//! - A level is under the leader's lease and the shard's: nobody takes one of an earlier
 //!   leader after one of a later, and a shard's next owner has none of the last one's,
-//!   whose transactions die with its claim.
+//!   whose transactions die with its lease.
 //!
 //! Amounts are in thousandths of a core, so that sums are exact.
 
@@ -29,7 +29,7 @@
 
 /// For how long an owner may go by what it was told, in milliseconds.
 pub const LIFE: u32 = 3000;
-/// For how long a leader may go by what it has seen of its own claim.
+/// For how long a leader may go by what it has seen of its own lease.
 pub const SEEN: u32 = 3000;
 /// Levels that an owner may be told before it has named any message.
 const MOST_UNNAMED: usize = 6;
@@ -46,19 +46,19 @@
     }
 }
 
-/// Under which claims a level was given: the leader's and the shard's.
+/// Under which leases a level was given: the leader's and the shard's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Under {
-    /// Revision of the leader's claim.
-    pub lead: u64,
-    /// Revision of the shard's claim.
+    /// Revision of the leader's lease.
+    pub leader_token: u64,
+    /// Revision of the shard's lease.
     pub shard: u64,
 }
 
 /// What a leader has told the owner of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Account {
-    /// Under which claims.
+    /// Under which leases.
     pub under: Under,
     /// Levels since the one that the owner is known to have, each with the number of
     /// the first message that told it.
@@ -66,7 +66,7 @@
 }
 
 impl Account {
-    /// Goes over to other claims.
+    /// Goes over to other leases.
     pub fn meet(&mut self, under: Under) {
         if self.under != under {
             *self = Self {
@@ -116,8 +116,8 @@
     bound.saturating_sub(accounts.map(Account::high).sum())
 }
 
-/// Whether a leader may give levels now: it has lately seen its claim, and its
-/// predecessor's levels are over. `since` is when it learnt that its claim was applied,
+/// Whether a leader may give levels now: it has lately seen its lease, and its
+/// predecessor's levels are over. `since` is when it learnt that its lease was applied,
 /// `seen` when it sent the last request whose answer showed it.
 pub fn may_give<T: Time>(since: T, seen: T, now: T) -> bool {
     now.is_after(since, LIFE + SEEN + LIFE / 50) && !now.is_after(seen, SEEN)
@@ -132,7 +132,7 @@
 /// An owner's level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Level<T> {
-    /// Under which claims.
+    /// Under which leases.
     pub under: Under,
     /// As of which of the leader's messages.
     pub number: u64,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The level for the owner of the shard with this claim, if it still counts.
+    /// The level for the owner of the shard with this lease, if it still counts.
     pub fn now(&self, shard: u64, now: T) -> Option<Amount> {
         let good = self.under.shard == shard && !now.is_after(self.from, LIFE);
         good.then_some(self.level)
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -197,7 +197,7 @@
     /// Divides the floors of flows that are ahead into levels: where they run, and what
     /// is left of the floor where they wait.
     fn divide_floors(&mut self, uses: &[FlowUse], now: Millis) {
-        let lead = self.mirror.revision(Key::Lead);
+        let leader_token = self.mirror.revision(Key::Leader);
         let may = may_give(self.leader.since, self.seen_at, now);
         let next = self.rights.number + 1;
         for (f, used) in uses.iter().enumerate() {
@@ -213,7 +213,10 @@
                 let shard = self.mirror.revision(Key::Shard(shard_id));
                 let over = self.owner_is_over(shard_id, now);
                 let account = self.rights.accounts.entry((flow, shard_id)).or_default();
-                account.meet(Under { lead, shard });
+                account.meet(Under {
+                    leader_token,
+                    shard,
+                });
                 if over {
                     account.lapse();
                 }
@@ -381,7 +384,7 @@
             let accounts = self.rights.accounts.range((flow, 0)..=(flow, usize::MAX));
             let levels = accounts.map(|(&(_, shard_id), account)| LevelTold {
                 shard: shard_id as u32,
-                under: (account.under.lead, account.under.shard),
+                under: (account.under.leader_token, account.under.shard),
                 level: account.level(),
             });
             heartbeat.shares.push(FlowShare {
@@ -433,7 +436,7 @@
             for told in &share.levels {
                 let shard_id = told.shard as usize;
                 let under = Under {
-                    lead: told.under.0,
+                    leader_token: told.under.0,
                     shard: told.under.1,
                 };
                 if let Some(from) = from
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -212,7 +212,7 @@
     /// Whether a worker's lease may go on under the token that it shows, while its
     /// owner's process has ended and the state service is out of everybody's reach.
     ///
-    /// Only for tokens of our own claims, of a process before this one: that is dead,
+    /// Only for tokens of our own leases, of a process before this one: that is dead,
     /// as there is one at a time, and this one has not read the state, so nobody alive
     /// is that token's owner and counts on the lease. Only by the word of a peer that
     /// lived through and knows of every cancellation, and for nothing that it tells to
@@ -222,11 +222,11 @@
         let me = &self.config.labels[self.config.me];
         let reach = self.config.lease_ms + 10_000.0;
         let knows = |peer: &PeerState| {
-            let claim = (p as u32, report.fencing_token, me.clone());
+            let holder = (p as u32, report.fencing_token, me.clone());
             peer.heartbeat.complete
                 && now - peer.made_at <= self.config.relied_ms()
                 && f64::from(peer.heartbeat.reach_ms) >= reach
-                && peer.heartbeat.claims.contains(&claim)
+                && peer.heartbeat.leases.contains(&holder)
         };
         let cancelled = |piece: &PieceReport| {
             let job = piece_numbers(&piece.piece).map(|t| t.0);
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -166,7 +166,7 @@
     /// The same after an announced change of the state service's limits.
     pub next_writes_per_s: f64,
     /// Changes a second that one shard's rounds may write: the rest of the
-    /// budget is for users, claims and the leader.
+    /// budget is for users, leases and the leader.
     pub round_writes_per_s: f64,
     /// Users' writes a second, all controllers together.
     pub user_writes_per_s: f64,
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -10,22 +10,22 @@
 /// most one of each under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ticket {
-    /// A claim on a shard, or its renewal under a new token.
-    Claim(usize),
+    /// A lease on a shard, or its renewal under a new token.
+    AcquireShard(usize),
     /// An owner's round.
-    Owner(usize),
+    OwnerCycle(usize),
     /// An owner gives its shard up.
-    Yield(usize),
-    /// A claim on the lead.
-    Lead,
+    ReleaseShard(usize),
+    /// A lease on the lead.
+    AcquireLeadership,
     /// A leader's round.
-    Leader,
+    LeaderCycle,
     /// The history's packer.
-    Packer,
+    HistoryCompaction,
     /// The creator of submissions' jobs.
-    Creator,
+    BulkCreation,
     /// Users' submissions.
-    Intake,
+    Admission,
 }
 
 /// How a transaction came out.
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::effects::Effect;
 use crate::node::Node;
 use crate::peers::{PeerFormat, PeerState};
-use crate::tenancy::{Tenancy, TenancyEvent};
+use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
 use std::collections::BTreeMap;
 
@@ -86,11 +86,11 @@
             // Held back on a connection that has been given up since.
             return;
         }
-        for (shard, token, label) in &heartbeat.claims {
+        for (shard, token, label) in &heartbeat.leases {
             let shard_id = *shard as usize;
             if shard_id < self.shards.len()
                 && *label != self.config.labels[self.config.me]
-                && let Tenancy::Owned(mine) = self.shards[shard_id].tenancy
+                && let ShardLease::Held(mine) = self.shards[shard_id].lease
                 && *token > mine
             {
                 tracing::info!(
@@ -99,7 +99,7 @@
                     newer = token,
                     "a peer knows of a newer claim"
                 );
-                self.change_tenancy(shard_id, TenancyEvent::NewerClaimTold);
+                self.change_shard_lease(shard_id, ShardLeaseEvent::NewerTokenSeen);
                 self.effects.push(Effect::Refresh);
             }
         }
@@ -201,7 +201,7 @@
             label: self.config.labels[self.config.me].clone(),
             cut_off,
             store_revision: self.mirror.store_revision,
-            claims: (0..self.shards.len())
+            leases: (0..self.shards.len())
                 .filter_map(|shard_id| {
                     let c = self.mirror.shards[shard_id].as_ref()?;
                     Some((shard_id as u32, c.revision, c.label.clone()))
--- a/crates/cherryyard-core/src/leader/arrivals.rs
+++ b/crates/cherryyard-core/src/leader/arrivals.rs
@@ -18,16 +18,16 @@
         (0..self.config.labels.len()).all(|i| self.is_able(i, format))
     }
 
-    /// Whether a controller runs a build that can work with a format, by the claim on its
+    /// Whether a controller runs a build that can work with a format, by the lease on its
     /// own shard, or by what it has lately said in frames.
     fn is_able(&self, i: usize, format: u32) -> bool {
         if i == self.config.me {
             return self.config.format >= format;
         }
-        let claim = self.mirror.shards[i].as_ref();
-        let claimed = claim.filter(|c| c.label == self.config.labels[i]);
+        let holder = self.mirror.shards[i].as_ref();
+        let acquired = holder.filter(|c| c.label == self.config.labels[i]);
         let said = self.peer_formats[i].filter(|said| self.clock - said.at <= SAID_MS);
-        claimed.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
+        acquired.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
     }
 
     /// New jobs come by pages from now on, once every controller can read them.
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/creating.rs
@@ -175,13 +175,14 @@
 
     /// Sends a step: a transaction that changes a submission's record.
     fn send_step(&mut self, number: u64, mut commit: Commit) {
-        self.mirror.require(&mut commit, Key::Lead);
+        self.mirror.require(&mut commit, Key::Leader);
         self.mirror.require(&mut commit, Key::Submission(number));
         let spent = commit.apply.len() as f64;
         self.leader.creating.stage = Stage::Writing;
         self.leader.creating.pace.spend(spent);
         self.user_pace.spend(spent);
-        self.effects.push(Effect::Commit(Ticket::Creator, commit));
+        self.effects
+            .push(Effect::Commit(Ticket::BulkCreation, commit));
     }
 
     fn change_submission(&mut self, number: u64, event: PhaseEvent) {
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -25,27 +25,29 @@
 use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostStatus};
 use cherryyard_wire::job::{Rank, Shape};
 use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
-use cherryyard_wire::record::{self, Claim, End, Grant, Key};
+use cherryyard_wire::record::{self, End, Grant, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use state::{Hired, LeadEvent, LeadPhase, Room};
+use state::{Hired, LeadershipEvent, LeadershipPhase, Room};
 use std::collections::HashSet;
 
 impl Node {
-    pub(crate) fn claim_lead(&mut self, now: Millis) {
-        let Some(hold) = self.hold else { return };
+    pub(crate) fn acquire_leadership(&mut self, now: Millis) {
+        let Some(lease_id) = self.lease_id else {
+            return;
+        };
         let me = self.config.me;
         let n = self.shards.len();
-        if self.leader.phase == LeadPhase::Claiming || now < self.leader.claim_after {
+        if self.leader.phase == LeadershipPhase::Acquiring || now < self.leader.acquire_after {
             return;
         }
         let label = &self.config.labels[me];
-        let wanted = match &self.mirror.lead {
+        let wanted = match &self.mirror.leader_lease {
             Some(c) if c.label == *label => {
-                !matches!(self.leader.phase, LeadPhase::Leading(s) if s == c.revision)
+                !matches!(self.leader.phase, LeadershipPhase::Leading(s) if s == c.revision)
             }
             Some(c) => {
                 // A leader that has fallen silent is replaced before its lease
-                // is over. That is safe, as its writes carry its claim's token.
+                // is over. That is safe, as its writes carry its lease's token.
                 let silent = self
                     .config
                     .labels
@@ -73,25 +75,26 @@
                     >= 150.0 * ((me + n - (self.mirror.store_revision as usize % n)) % n) as f64
             }
         };
-        if self.mirror.lead.is_some() {
+        if self.mirror.leader_lease.is_some() {
             self.leader.leaderless_since = None;
         }
         if !wanted || !self.state_fresh(now) {
             return;
         }
         let mut commit = Commit::default();
-        self.mirror.require(&mut commit, Key::Lead);
-        let claim = Claim::of(&self.config.labels[me], self.process, self.config.format);
+        self.mirror.require(&mut commit, Key::Leader);
+        let holder = LeaseRecord::of(&self.config.labels[me], self.process, self.config.format);
         commit.apply.push(Apply::Set {
-            set: record::LEAD.into(),
-            v: Json::of(&claim),
-            hold: Some(hold),
+            set: record::LEADER_KEY.into(),
+            v: Json::of(&holder),
+            lease_id: Some(lease_id),
         });
-        if matches!(self.leader.phase, LeadPhase::Leading(_)) {
-            self.leader.phase = self.leader.phase.after(LeadEvent::Gone);
+        if matches!(self.leader.phase, LeadershipPhase::Leading(_)) {
+            self.leader.phase = self.leader.phase.after(LeadershipEvent::Gone);
         }
-        self.leader.phase = self.leader.phase.after(LeadEvent::Sent);
-        self.effects.push(Effect::Commit(Ticket::Lead, commit));
+        self.leader.phase = self.leader.phase.after(LeadershipEvent::Sent);
+        self.effects
+            .push(Effect::Commit(Ticket::AcquireLeadership, commit));
     }
 
     /// This controller's place among those that could follow `gone`.
@@ -114,30 +117,30 @@
             .count()
     }
 
-    pub(crate) fn lead_committed(&mut self, outcome: Outcome, now: Millis) {
+    pub(crate) fn leadership_committed(&mut self, outcome: Outcome, now: Millis) {
         match outcome {
-            Outcome::Applied(token) => self.leads_by(token, now),
+            Outcome::Applied(token) => self.become_leader(token, now),
             _ => {
-                self.leader.phase = self.leader.phase.after(LeadEvent::Failed);
-                self.leader.claim_after = now + self.jitter(300.0, 900.0);
+                self.leader.phase = self.leader.phase.after(LeadershipEvent::Failed);
+                self.leader.acquire_after = now + self.jitter(300.0, 900.0);
             }
         }
         self.leader.dirty = true;
     }
 
-    /// We lead by this claim. Once only: names of rentals are counted from there.
-    pub(crate) fn leads_by(&mut self, token: u64, now: Millis) {
-        if self.leader.led_by == token {
+    /// We lead by this lease. Once only: names of rentals are counted from there.
+    pub(crate) fn become_leader(&mut self, token: u64, now: Millis) {
+        if self.leader.leadership_token == token {
             return;
         }
         tracing::info!(token, "lead");
-        self.leader.led_by = token;
-        self.leader.phase = self.leader.phase.after(LeadEvent::Applied(token));
+        self.leader.leadership_token = token;
+        self.leader.phase = self.leader.phase.after(LeadershipEvent::Applied(token));
         self.leader.since = now;
         self.leader.hire_after = now + 5000.0;
         self.leader.hiring = None;
         self.leader.hire_counter = 0;
-        self.leader.claim_after = now + 8000.0;
+        self.leader.acquire_after = now + 8000.0;
         self.effects.push(Effect::Heartbeat);
     }
 
@@ -169,7 +172,7 @@
     }
 
     /// One round of the leader.
-    pub(crate) fn plan_lead(&mut self, now: Millis) {
+    pub(crate) fn plan_leader(&mut self, now: Millis) {
         self.leader.planned_at = now;
         if !self.leader.leads(&self.mirror)
             || self.leader.pending
@@ -200,10 +203,11 @@
             .or_else(|| self.end_dependents(now))
             .or_else(|| self.compact_pages(now));
         if let Some(mut commit) = commit {
-            self.mirror.require(&mut commit, Key::Lead);
+            self.mirror.require(&mut commit, Key::Leader);
             self.leader.pending = true;
             self.leader.sent_at = now;
-            self.effects.push(Effect::Commit(Ticket::Leader, commit));
+            self.effects
+                .push(Effect::Commit(Ticket::LeaderCycle, commit));
         }
         self.rent(now);
     }
@@ -251,10 +255,10 @@
         Some(commit)
     }
 
-    /// The claim's token that a division at submission depends on.
+    /// The lease's token that a division at submission depends on.
     pub fn leadership_token(&self) -> Option<u64> {
         self.leader
             .leads(&self.mirror)
-            .then(|| self.mirror.revision(Key::Lead))
+            .then(|| self.mirror.revision(Key::Leader))
     }
 }
--- a/crates/cherryyard-core/src/leader/packing.rs
+++ b/crates/cherryyard-core/src/leader/packing.rs
@@ -134,7 +134,8 @@
                 self.leader.packing.under = Under::Packer;
                 let packing = &mut self.leader.packing;
                 packing.pace.spend(commit.apply.len() as f64);
-                self.effects.push(Effect::Commit(Ticket::Packer, commit));
+                self.effects
+                    .push(Effect::Commit(Ticket::HistoryCompaction, commit));
             }
         }
     }
@@ -199,16 +200,17 @@
     }
 
     fn commit_other(&mut self, mut commit: Commit) {
-        self.mirror.require(&mut commit, Key::Lead);
+        self.mirror.require(&mut commit, Key::Leader);
         let packing = &mut self.leader.packing;
         packing.under = Under::Other;
         packing.pace.spend(commit.apply.len() as f64);
-        self.effects.push(Effect::Commit(Ticket::Packer, commit));
+        self.effects
+            .push(Effect::Commit(Ticket::HistoryCompaction, commit));
     }
 
     fn packer_commit(&self, write: Write) -> Commit {
         let mut commit = Commit::default();
-        self.mirror.require(&mut commit, Key::Lead);
+        self.mirror.require(&mut commit, Key::Leader);
         for (key, revision) in write.when {
             commit.require(key, revision);
         }
--- a/crates/cherryyard-core/src/leader/rent.rs
+++ b/crates/cherryyard-core/src/leader/rent.rs
@@ -78,12 +78,12 @@
         };
         let number = ((need / cores.max(1e-3)).ceil() as u32).clamp(1, 4);
         self.leader.hire_counter += 1;
-        // Never used again: the claim's revision is unique, the counter within it.
+        // Never used again: the lease's revision is unique, the counter within it.
         let request = HireRequest {
             hire: format!(
                 "{}-{}-{}",
                 self.config.labels[self.config.me],
-                self.mirror.revision(Key::Lead),
+                self.mirror.revision(Key::Leader),
                 self.leader.hire_counter
             ),
             host_kind: sku.to_string(),
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -13,36 +13,36 @@
 
 /// Whether this controller leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeadPhase {
+pub enum LeadershipPhase {
     /// Someone else leads, or nobody.
     Follower,
-    /// Our claim is under way.
-    Claiming,
+    /// Our lease is under way.
+    Acquiring,
     /// We lead, with this revision.
     Leading(u64),
 }
 
 /// What moves a controller from one phase to another.
 #[derive(Clone, Copy, Debug)]
-pub enum LeadEvent {
-    /// We have sent a claim.
+pub enum LeadershipEvent {
+    /// We have sent a lease.
     Sent,
     /// It was applied.
     Applied(u64),
     /// It was not.
     Failed,
-    /// The state service shows another claim, or none.
+    /// The state service shows another lease, or none.
     Gone,
 }
 
-impl LeadPhase {
+impl LeadershipPhase {
     /// The one place where the phase changes.
-    pub fn after(self, event: LeadEvent) -> Self {
+    pub fn after(self, event: LeadershipEvent) -> Self {
         match (self, event) {
-            (Self::Follower, LeadEvent::Sent) => Self::Claiming,
-            (_, LeadEvent::Applied(revision)) => Self::Leading(revision),
-            (Self::Claiming, LeadEvent::Failed) => Self::Follower,
-            (Self::Leading(_), LeadEvent::Gone) => Self::Follower,
+            (Self::Follower, LeadershipEvent::Sent) => Self::Acquiring,
+            (_, LeadershipEvent::Applied(revision)) => Self::Leading(revision),
+            (Self::Acquiring, LeadershipEvent::Failed) => Self::Follower,
+            (Self::Leading(_), LeadershipEvent::Gone) => Self::Follower,
             (same, _) => same,
         }
     }
@@ -79,10 +79,10 @@
 /// The leader's state; every controller keeps one, so that taking over is quick.
 #[derive(Debug)]
 pub struct Leader {
-    pub(crate) phase: LeadPhase,
-    /// The last claim by which we have led.
-    pub(crate) led_by: u64,
-    pub(crate) claim_after: Millis,
+    pub(crate) phase: LeadershipPhase,
+    /// The last lease by which we have led.
+    pub(crate) leadership_token: u64,
+    pub(crate) acquire_after: Millis,
     pub(crate) leaderless_since: Option<Millis>,
     pub(crate) rooms: Vec<Option<Room>>,
     /// How many reports have been heard, and how many had been when overflow last
@@ -129,9 +129,9 @@
 
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
         Self {
-            phase: LeadPhase::Follower,
-            led_by: 0,
-            claim_after: now,
+            phase: LeadershipPhase::Follower,
+            leadership_token: 0,
+            acquire_after: now,
             leaderless_since: None,
             rooms: vec![None; config.shards()],
             rooms_heard: 0,
@@ -161,19 +161,22 @@
 
     /// Whether we lead beyond doubt.
     pub(crate) fn leads(&self, mirror: &Mirror) -> bool {
-        matches!(self.phase, LeadPhase::Leading(s)
-            if mirror.revision(Key::Lead) == s && mirror.store_revision >= s)
+        matches!(self.phase, LeadershipPhase::Leading(s)
+            if mirror.revision(Key::Leader) == s && mirror.store_revision >= s)
     }
 
     pub(crate) fn is_label(&self, mirror: &Mirror, label: &str) -> bool {
-        mirror.lead.as_ref().is_some_and(|c| c.label == label)
+        mirror
+            .leader_lease
+            .as_ref()
+            .is_some_and(|c| c.label == label)
     }
 
-    pub(crate) fn check_claim(&mut self, mirror: &Mirror) {
-        if let LeadPhase::Leading(revision) = self.phase
-            && mirror.revision(Key::Lead) != revision
+    pub(crate) fn check_leadership(&mut self, mirror: &Mirror) {
+        if let LeadershipPhase::Leading(revision) = self.phase
+            && mirror.revision(Key::Leader) != revision
         {
-            self.phase = self.phase.after(LeadEvent::Gone);
+            self.phase = self.phase.after(LeadershipEvent::Gone);
         }
     }
 
--- a/crates/cherryyard-core/src/claims.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -1,49 +1,51 @@
-//! Claims on shards: made, renewed under a new token, and given up.
+//! Leases on shards: made, renewed under a new token, and given up.
 
 use crate::Millis;
 use crate::effects::{Effect, Ticket};
-use crate::leader::state::LeadPhase;
+use crate::leader::state::LeadershipPhase;
 use crate::machine::HostState;
-use crate::mirror::ClaimState;
+use crate::mirror::LeaseHolder;
 use crate::node::Node;
-use crate::tenancy::{Tenancy, TenancyEvent};
-use cherryyard_wire::record::{self, Claim, Key};
+use crate::shard_lease::{ShardLease, ShardLeaseEvent};
+use cherryyard_wire::record::{self, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
 
 impl Node {
-    /// Takes claims of this very process that the state shows, whether they have been
-    /// answered or not: where only the answer was lost, a claim made anew would get its
-    /// answer no sooner, and a shard went without an owner until one came. A claim of a
+    /// Takes leases of this very process that the state shows, whether they have been
+    /// answered or not: where only the answer was lost, a lease made anew would get its
+    /// answer no sooner, and a shard went without an owner until one came. A lease of a
     /// process before, under the same name, is none of ours: what that one sent under it
     /// nobody knows.
-    pub(crate) fn take_own_claims(&mut self) {
-        let ours = |claim: &Option<ClaimState>| {
-            let claim = claim.as_ref().filter(|c| c.process == Some(self.process));
-            claim
+    pub(crate) fn adopt_own_leases(&mut self) {
+        let ours = |holder: &Option<LeaseHolder>| {
+            let holder = holder.as_ref().filter(|c| c.process == Some(self.process));
+            holder
                 .map(|c| c.revision)
                 .filter(|s| self.mirror.store_revision >= *s)
         };
         let shards: Vec<Option<u64>> = self.mirror.shards.iter().map(ours).collect();
-        let lead = ours(&self.mirror.lead);
+        let leader_lease = ours(&self.mirror.leader_lease);
         for (shard_id, token) in shards.into_iter().enumerate() {
             let Some(token) = token else { continue };
-            let held = match self.shards[shard_id].tenancy {
-                Tenancy::Owned(s) | Tenancy::Deposed(s) => s >= token,
-                Tenancy::Foreign | Tenancy::Claiming => false,
+            let held = match self.shards[shard_id].lease {
+                ShardLease::Held(s) | ShardLease::Superseded(s) => s >= token,
+                ShardLease::NotHeld | ShardLease::Acquiring => false,
             };
             if !held && self.clock >= self.shards[shard_id].away_until {
-                self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(token));
+                self.change_shard_lease(shard_id, ShardLeaseEvent::Acquired(token));
             }
         }
-        if let Some(token) = lead
-            && self.leader.phase != LeadPhase::Leading(token)
+        if let Some(token) = leader_lease
+            && self.leader.phase != LeadershipPhase::Leading(token)
         {
-            self.leads_by(token, self.clock);
+            self.become_leader(token, self.clock);
         }
     }
 
-    pub(crate) fn claim_shards(&mut self, now: Millis) {
-        let Some(hold) = self.hold else { return };
+    pub(crate) fn acquire_shards(&mut self, now: Millis) {
+        let Some(lease_id) = self.lease_id else {
+            return;
+        };
         let me = self.config.me;
         let n = self.shards.len();
         for shard_id in 0..n {
@@ -53,30 +55,30 @@
                 .as_ref()
                 .filter(|c| c.label == *label);
             if let Some(token) = ours.map(|c| c.revision)
-                && now < shard.away_until.min(shard.claim_after)
+                && now < shard.away_until.min(shard.acquire_after)
                 && now >= shard.retry_after
-                && !shard.claiming
+                && !shard.acquiring
                 && self.state_fresh(now)
             {
-                // A claim of ours that was carried out late, after the shard had been given
+                // A lease of ours that was carried out late, after the shard had been given
                 // up: nobody would serve it.
-                self.give_back(shard_id, token);
+                self.release_shard(shard_id, token);
                 continue;
             }
-            if shard.claiming || now < shard.claim_after {
+            if shard.acquiring || now < shard.acquire_after {
                 continue;
             }
-            let (bump, tenancy) = (shard.bump, shard.tenancy);
-            let owned = matches!(tenancy, Tenancy::Owned(_) | Tenancy::Deposed(_));
-            let claim = self.mirror.shards[shard_id].as_ref();
-            if claim.is_some() && (!owned || claim.is_some_and(|c| c.label != *label)) {
+            let (bump, lease) = (shard.bump, shard.lease);
+            let owned = matches!(lease, ShardLease::Held(_) | ShardLease::Superseded(_));
+            let holder = self.mirror.shards[shard_id].as_ref();
+            if holder.is_some() && (!owned || holder.is_some_and(|c| c.label != *label)) {
                 self.shards[shard_id].ownerless_since = None;
             }
-            let wanted = match claim {
+            let wanted = match holder {
                 // Our label, but not by this process: what held it is dead.
                 Some(c) if c.label == *label => !owned || bump,
                 // Home asks for its shard by taking it, once it has settled in;
-                // the adopter sees the newer claim and sends workers over.
+                // the adopter sees the newer lease and sends workers over.
                 Some(_) => {
                     shard_id == me && now - self.started_at > 12_000.0 && self.state_fresh(now)
                 }
@@ -99,30 +101,30 @@
             }
             let mut commit = Commit::default();
             self.mirror.require(&mut commit, Key::Shard(shard_id));
-            let claim = Claim::of(&self.config.labels[me], self.process, self.config.format);
+            let holder = LeaseRecord::of(&self.config.labels[me], self.process, self.config.format);
             commit.apply.push(Apply::Set {
                 set: record::shard_key(shard_id),
-                v: Json::of(&claim),
-                hold: Some(hold),
+                v: Json::of(&holder),
+                lease_id: Some(lease_id),
             });
-            self.shards[shard_id].claiming = true;
+            self.shards[shard_id].acquiring = true;
             self.shards[shard_id].bump = false;
-            self.change_tenancy(shard_id, TenancyEvent::ClaimSent);
+            self.change_shard_lease(shard_id, ShardLeaseEvent::AcquireSent);
             self.effects
-                .push(Effect::Commit(Ticket::Claim(shard_id), commit));
+                .push(Effect::Commit(Ticket::AcquireShard(shard_id), commit));
         }
     }
 
     /// Gives up a shard whose workers cannot reach this controller but do reach
-    /// another: the state service alone would keep the claim alive while every
+    /// another: the state service alone would keep the lease alive while every
     /// lease in the shard runs out.
-    pub(crate) fn yield_shards(&mut self, now: Millis) {
+    pub(crate) fn release_unreachable_shards(&mut self, now: Millis) {
         let limit = self.config.report_ms * 1.25 + 2000.0;
         for shard_id in 0..self.shards.len() {
             let Some(token) = self.owned(shard_id) else {
                 continue;
             };
-            if self.shards[shard_id].claiming
+            if self.shards[shard_id].acquiring
                 || self.shards[shard_id].pending.is_some()
                 || now - self.shards[shard_id].owned_since < 2.0 * limit
                 || !self.state_fresh(now)
@@ -165,18 +167,18 @@
                 elsewhere,
                 "give up a part whose workers report elsewhere"
             );
-            self.give_back(shard_id, token);
+            self.release_shard(shard_id, token);
         }
     }
 
-    fn give_back(&mut self, shard_id: usize, token: u64) {
+    fn release_shard(&mut self, shard_id: usize, token: u64) {
         let mut commit = Commit::default();
         commit.require(record::shard_key(shard_id), token);
         commit
             .apply
             .push(Apply::delete(record::shard_key(shard_id)));
-        self.shards[shard_id].claiming = true;
+        self.shards[shard_id].acquiring = true;
         self.effects
-            .push(Effect::Commit(Ticket::Yield(shard_id), commit));
+            .push(Effect::Commit(Ticket::ReleaseShard(shard_id), commit));
     }
 }
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -22,7 +22,9 @@
 use cherryyard_wire::cloud::HostKind;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
 use cherryyard_wire::history::PackedRecord;
-use cherryyard_wire::record::{Claim, End, FormatRecord, Grant, ImagesRecord, Key, StoredPage};
+use cherryyard_wire::record::{
+    End, FormatRecord, Grant, ImagesRecord, Key, LeaseRecord, StoredPage,
+};
 use cherryyard_wire::rules::Attributes;
 use cherryyard_wire::state::{Apply, Commit, Json, News, Pair};
 use cherryyard_wire::{RangeSet, record};
@@ -32,12 +34,12 @@
 use lru::LruCache;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-/// A claim on a shard or on the lead.
+/// A lease on a shard or on the lead.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimState {
+pub struct LeaseHolder {
     /// The owner's name.
     pub label: String,
-    /// The claim's revision: the owner's token.
+    /// The lease's revision: the owner's token.
     pub revision: u64,
     /// The newest format of records that the owner can work with.
     pub format: u32,
@@ -45,13 +47,13 @@
     pub process: Option<u64>,
 }
 
-impl ClaimState {
-    fn of(claim: Claim, revision: u64) -> Self {
+impl LeaseHolder {
+    fn of(holder: LeaseRecord, revision: u64) -> Self {
         Self {
-            label: claim.label,
+            label: holder.label,
             revision,
-            format: claim.f.unwrap_or(1),
-            process: claim.n,
+            format: holder.f.unwrap_or(1),
+            process: holder.n,
         }
     }
 }
@@ -76,10 +78,10 @@
     pub loaded: bool,
     /// Machine names.
     pub hosts: Names,
-    /// Claims on shards.
-    pub shards: Vec<Option<ClaimState>>,
-    /// The claim on the lead.
-    pub lead: Option<ClaimState>,
+    /// Leases on shards.
+    pub shards: Vec<Option<LeaseHolder>>,
+    /// The lease on the lead.
+    pub leader_lease: Option<LeaseHolder>,
     /// Machine types, as last stored: see [`set_kinds`](Self::set_kinds).
     pub kinds: Vec<HostKind>,
     /// Revision of the machine types.
@@ -161,7 +163,7 @@
             loaded: false,
             hosts: Names::default(),
             shards: vec![None; shards],
-            lead: None,
+            leader_lease: None,
             kinds: Vec::new(),
             kinds_revision: 0,
             attributes: Attributes::default(),
@@ -274,7 +276,7 @@
 
     fn keys(&self) -> Vec<Key> {
         let mut keys = Vec::new();
-        keys.extend(self.lead.iter().map(|_| Key::Lead));
+        keys.extend(self.leader_lease.iter().map(|_| Key::Leader));
         keys.extend((self.attributes_revision != 0).then_some(Key::Attributes));
         keys.extend((self.ids_revision != 0).then_some(Key::Ids));
         keys.extend(self.submissions.keys().map(|&n| Key::Submission(n)));
@@ -301,7 +303,7 @@
     /// The revision under which `key` is known, 0 if it is absent.
     pub fn revision(&self, key: Key) -> u64 {
         match key {
-            Key::Lead => self.lead.as_ref().map_or(0, |c| c.revision),
+            Key::Leader => self.leader_lease.as_ref().map_or(0, |c| c.revision),
             Key::Kinds => self.kinds_revision,
             Key::Attributes => self.attributes_revision,
             Key::Ids => self.ids_revision,
@@ -355,7 +357,7 @@
 
     fn forget(&mut self, key: Key) {
         match key {
-            Key::Lead => self.lead = None,
+            Key::Leader => self.leader_lease = None,
             Key::Kinds => self.kinds_revision = 0,
             Key::Attributes => {
                 self.attributes_revision = 0;
@@ -363,8 +365,8 @@
                 self.match_anew();
             }
             Key::Shard(shard_id) => {
-                if let Some(claim) = self.shards.get_mut(shard_id) {
-                    *claim = None;
+                if let Some(holder) = self.shards.get_mut(shard_id) {
+                    *holder = None;
                 }
             }
             Key::Images(shard_id) => {
@@ -419,8 +421,8 @@
 
     fn put_record(&mut self, key: Key, value: &Json, revision: u64) -> Result<(), String> {
         match key {
-            Key::Lead => {
-                self.lead = Some(ClaimState::of(value.read()?, revision));
+            Key::Leader => {
+                self.leader_lease = Some(LeaseHolder::of(value.read()?, revision));
             }
             Key::Kinds => {
                 self.set_kinds(value.read()?);
@@ -432,8 +434,8 @@
                 self.match_anew();
             }
             Key::Shard(shard_id) => {
-                let claim = ClaimState::of(value.read()?, revision);
-                *self.shards.get_mut(shard_id).ok_or("no such part")? = Some(claim);
+                let holder = LeaseHolder::of(value.read()?, revision);
+                *self.shards.get_mut(shard_id).ok_or("no such part")? = Some(holder);
             }
             Key::Images(shard_id) => {
                 let record: ImagesRecord = value.read()?;
@@ -491,7 +493,7 @@
             key => key,
         };
         let text = match key {
-            Key::Lead => record::LEAD.to_string(),
+            Key::Leader => record::LEADER_KEY.to_string(),
             Key::Kinds => record::KINDS.to_string(),
             Key::Attributes => record::ATTRIBUTES.to_string(),
             Key::Ids => record::IDS.to_string(),
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -1,4 +1,4 @@
-//! One controller: claims, reports, heartbeats, and what ties the rest together.
+//! One controller: leases, reports, heartbeats, and what ties the rest together.
 
 use crate::admission::demand::Demand;
 use crate::admission::intake::Intake;
@@ -11,7 +11,7 @@
 use crate::owner::state::Shard;
 use crate::pace::Pace;
 use crate::peers::{PeerFormat, PeerState, Stray};
-use crate::tenancy::{Tenancy, TenancyEvent};
+use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use crate::{Config, Millis, Mirror};
 use cherryyard_wire::cloud::{HostEntry, HostKind};
 use cherryyard_wire::record::Key;
@@ -45,7 +45,7 @@
     pub(crate) peer_formats: Vec<Option<PeerFormat>>,
     /// When the connection to each other controller was last to be made anew.
     pub(crate) reconnected_at: Vec<Millis>,
-    pub(crate) hold: Option<u64>,
+    pub(crate) lease_id: Option<u64>,
     pub(crate) effects: Vec<Effect>,
     pub(crate) rng: StdRng,
     /// When a request was sent that the state service has answered.
@@ -110,7 +110,7 @@
             reconnected_at: vec![now; peers.len()],
             peer_formats: vec![None; peers.len()],
             peers,
-            hold: None,
+            lease_id: None,
             effects: Vec::new(),
             rng,
             state_ok_at: f64::NEG_INFINITY,
@@ -193,7 +193,7 @@
         for text in self.mirror.complaints() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
-        self.check_claims();
+        self.check_leases();
         for shard in &mut self.shards {
             shard.dirty = true;
         }
@@ -201,37 +201,38 @@
         self.run(now);
     }
 
-    fn check_claims(&mut self) {
-        self.take_own_claims();
+    fn check_leases(&mut self) {
+        self.adopt_own_leases();
         for shard_id in 0..self.shards.len() {
-            if let Tenancy::Owned(token) | Tenancy::Deposed(token) = self.shards[shard_id].tenancy
+            if let ShardLease::Held(token) | ShardLease::Superseded(token) =
+                self.shards[shard_id].lease
                 && self.mirror.revision(Key::Shard(shard_id)) != token
             {
                 tracing::info!(shard = shard_id, token, "lost the claim on a part");
-                self.change_tenancy(shard_id, TenancyEvent::ClaimGone);
+                self.change_shard_lease(shard_id, ShardLeaseEvent::Lost);
             }
         }
-        self.leader.check_claim(&self.mirror);
+        self.leader.check_leadership(&self.mirror);
     }
 
     /// The one place through which a shard's standing changes.
-    pub(crate) fn change_tenancy(&mut self, shard_id: usize, event: TenancyEvent) {
-        let before = self.shards[shard_id].tenancy;
+    pub(crate) fn change_shard_lease(&mut self, shard_id: usize, event: ShardLeaseEvent) {
+        let before = self.shards[shard_id].lease;
         let after = before.after(event);
         if before == after {
             return;
         }
-        self.shards[shard_id].tenancy = after;
+        self.shards[shard_id].lease = after;
         match after {
-            Tenancy::Foreign => {
+            ShardLease::NotHeld => {
                 self.machines.retain(|_, m| m.shard != shard_id);
                 self.shards[shard_id].clear();
             }
-            Tenancy::Owned(token) => {
+            ShardLease::Held(token) => {
                 tracing::info!(shard = shard_id, token, "own a part");
                 self.shards[shard_id].dirty = true;
                 self.shards[shard_id].owned_since = self.clock;
-                if !matches!(before, Tenancy::Owned(_)) {
+                if !matches!(before, ShardLease::Held(_)) {
                     self.shards[shard_id].held_since = self.clock;
                 }
                 self.queue_all(shard_id, self.clock);
@@ -241,7 +242,7 @@
                 }
                 self.effects.push(Effect::Heartbeat);
             }
-            Tenancy::Claiming | Tenancy::Deposed(_) => {}
+            ShardLease::Acquiring | ShardLease::Superseded(_) => {}
         }
     }
 
@@ -251,10 +252,10 @@
         self.state_heard_at = self.state_heard_at.max(now);
     }
 
-    /// Takes the state lease under which claims are made, or its loss.
-    pub fn lease(&mut self, hold: Option<u64>, now: Millis) {
+    /// Takes the state lease under which leases are made, or its loss.
+    pub fn state_lease_changed(&mut self, lease_id: Option<u64>, now: Millis) {
         self.notice(now);
-        self.hold = hold;
+        self.lease_id = lease_id;
         self.run(now);
     }
 
@@ -284,10 +285,10 @@
 
     /// The shard's token, if this controller owns it beyond doubt.
     pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
-        match self.shards[shard_id].tenancy {
-            // Before the mirror has caught up with the claim, the last assignments of
+        match self.shards[shard_id].lease {
+            // Before the mirror has caught up with the lease, the last assignments of
             // the owner before may be missing from it.
-            Tenancy::Owned(token)
+            ShardLease::Held(token)
                 if self.mirror.revision(Key::Shard(shard_id)) == token
                     && self.mirror.store_revision >= token =>
             {
@@ -311,39 +312,42 @@
             self.effects.push(Effect::Refresh);
         }
         match ticket {
-            Ticket::Claim(shard_id) => {
-                self.shards[shard_id].claiming = false;
+            Ticket::AcquireShard(shard_id) => {
+                self.shards[shard_id].acquiring = false;
                 match outcome {
                     Outcome::Applied(store_revision) => {
-                        self.change_tenancy(shard_id, TenancyEvent::ClaimApplied(store_revision));
+                        self.change_shard_lease(
+                            shard_id,
+                            ShardLeaseEvent::Acquired(store_revision),
+                        );
                     }
                     _ => {
-                        self.shards[shard_id].claim_after = now + self.jitter(200.0, 500.0);
-                        self.change_tenancy(shard_id, TenancyEvent::ClaimFailed);
+                        self.shards[shard_id].acquire_after = now + self.jitter(200.0, 500.0);
+                        self.change_shard_lease(shard_id, ShardLeaseEvent::AcquireFailed);
                     }
                 }
             }
-            Ticket::Owner(shard_id) => self.owner_committed(shard_id, outcome, now),
-            Ticket::Yield(shard_id) => {
-                self.shards[shard_id].claiming = false;
+            Ticket::OwnerCycle(shard_id) => self.owner_committed(shard_id, outcome, now),
+            Ticket::ReleaseShard(shard_id) => {
+                self.shards[shard_id].acquiring = false;
                 if now < self.shards[shard_id].away_until {
                     self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
                 } else if let Outcome::Applied(_) = outcome {
                     let shard = &mut self.shards[shard_id];
                     shard.yields += 1;
-                    shard.claim_after = now + 20_000.0 * f64::from(1u32 << shard.yields.min(3));
-                    shard.away_until = shard.claim_after;
-                    self.change_tenancy(shard_id, TenancyEvent::ClaimGone);
+                    shard.acquire_after = now + 20_000.0 * f64::from(1u32 << shard.yields.min(3));
+                    shard.away_until = shard.acquire_after;
+                    self.change_shard_lease(shard_id, ShardLeaseEvent::Lost);
                 }
             }
-            Ticket::Lead => self.lead_committed(outcome, now),
-            Ticket::Leader => self.leader_committed(outcome, now),
-            Ticket::Packer => self.packer_committed(outcome, now),
-            Ticket::Creator => self.creator_committed(outcome, now),
-            Ticket::Intake => self.intake_committed(outcome, now),
+            Ticket::AcquireLeadership => self.leadership_committed(outcome, now),
+            Ticket::LeaderCycle => self.leader_committed(outcome, now),
+            Ticket::HistoryCompaction => self.packer_committed(outcome, now),
+            Ticket::BulkCreation => self.creator_committed(outcome, now),
+            Ticket::Admission => self.intake_committed(outcome, now),
         }
         if outcome == Outcome::NoLease {
-            self.hold = None;
+            self.lease_id = None;
         }
         self.run(now);
     }
@@ -360,8 +364,8 @@
     }
 
     /// The state lease in use.
-    pub fn hold(&self) -> Option<u64> {
-        self.hold
+    pub fn lease_id(&self) -> Option<u64> {
+        self.lease_id
     }
 
     /// Lets time pass.
@@ -385,18 +389,18 @@
         if !self.mirror.loaded {
             return;
         }
-        self.check_claims();
+        self.check_leases();
         self.requeue_changed(now);
-        self.claim_shards(now);
-        self.yield_shards(now);
-        self.claim_lead(now);
+        self.acquire_shards(now);
+        self.release_unreachable_shards(now);
+        self.acquire_leadership(now);
         for shard_id in 0..self.shards.len() {
             if self.shards[shard_id].dirty {
                 self.plan_shard(shard_id, now);
             }
         }
         if self.leader.dirty || now - self.leader.planned_at >= 500.0 {
-            self.plan_lead(now);
+            self.plan_leader(now);
         }
         self.take_in(now);
         self.pack(now);
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -27,7 +27,7 @@
 use crate::node::Node;
 use crate::pages::{Assignment, Page};
 use crate::reach::Reach;
-use crate::tenancy::Tenancy;
+use crate::shard_lease::ShardLease;
 use cherryyard_wire::cloud::{HostEntry, HostStatus};
 use cherryyard_wire::job::{Rank, Shape};
 use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
@@ -105,7 +105,7 @@
 
     /// Whether a shard's share of the write budget has room for a round. Many
     /// reports are served by one round: a write for each, from every owner,
-    /// would leave none for users and claims.
+    /// would leave none for users and leases.
     fn round_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let left = shard.budget.left(now);
@@ -131,7 +131,7 @@
         };
         self.keep_shard(shard_id, now);
         if self.shards[shard_id].pending.is_some()
-            || self.shards[shard_id].claiming
+            || self.shards[shard_id].acquiring
             || now < self.shards[shard_id].retry_after
             || self.mirror.store_revision < self.shards[shard_id].wait_revision
             || !self.round_due(shard_id, now)
@@ -196,7 +196,7 @@
             .spend(commit.apply.len() as f64);
         self.shards[shard_id].pending = Some(pending);
         self.effects
-            .push(Effect::Commit(Ticket::Owner(shard_id), commit));
+            .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
     }
 
     /// Lets leases run out.
--- a/crates/cherryyard-core/src/owner/orders.rs
+++ b/crates/cherryyard-core/src/owner/orders.rs
@@ -108,7 +108,7 @@
         let Some(m) = self.machines.get(&host) else {
             return;
         };
-        let Tenancy::Owned(token) = self.shards[m.shard].tenancy else {
+        let ShardLease::Held(token) = self.shards[m.shard].lease else {
             return;
         };
         if m.pushing
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -145,7 +145,7 @@
     /// Takes over what has changed of what waits in our shards.
     pub(crate) fn requeue_changed(&mut self, now: Millis) {
         for (shard_id, job) in self.mirror.waiting_changes() {
-            if matches!(self.shards[shard_id].tenancy, Tenancy::Owned(_)) {
+            if matches!(self.shards[shard_id].lease, ShardLease::Held(_)) {
                 self.requeue(shard_id, job, now);
             }
         }
--- a/crates/cherryyard-core/src/owner/room.rs
+++ b/crates/cherryyard-core/src/owner/room.rs
@@ -235,7 +235,7 @@
                 // In the owner's turn, so that no assignment is under way meanwhile.
                 self.shards[shard_id].pending = Some(Pending::default());
                 self.effects
-                    .push(Effect::Commit(Ticket::Owner(shard_id), commit));
+                    .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/round.rs
@@ -75,7 +75,7 @@
 
     fn fits(&self, ops: usize, conditions: usize) -> bool {
         self.edits.len() + self.ends.len() + ops <= self.max_ops
-            // The claim, and the history's record for what is over.
+            // The lease, and the history's record for what is over.
             && 2 + self.edits.len()
                 + self.jobs.union(&self.ends).count()
                 + self.teams.len()
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -8,7 +8,7 @@
 use crate::admission::queue::Queues;
 use crate::machine::Task;
 use crate::pace::Pace;
-use crate::tenancy::Tenancy;
+use crate::shard_lease::ShardLease;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A task that is being stopped to make room for another.
@@ -30,9 +30,9 @@
 /// One shard, as this controller sees it.
 #[derive(Debug)]
 pub(crate) struct Shard {
-    pub(crate) tenancy: Tenancy,
-    pub(crate) claiming: bool,
-    pub(crate) claim_after: Millis,
+    pub(crate) lease: ShardLease,
+    pub(crate) acquiring: bool,
+    pub(crate) acquire_after: Millis,
     pub(crate) ownerless_since: Option<Millis>,
     /// Ask for a new token, so that direct starts under this one die.
     pub(crate) bump: bool,
@@ -85,9 +85,9 @@
 impl Shard {
     pub(crate) fn new(writes_per_s: f64, now: Millis) -> Self {
         Self {
-            tenancy: Tenancy::Foreign,
-            claiming: false,
-            claim_after: now,
+            lease: ShardLease::NotHeld,
+            acquiring: false,
+            acquire_after: now,
             ownerless_since: None,
             bump: false,
             dirty: true,
--- a/crates/cherryyard-core/src/reports.rs
+++ b/crates/cherryyard-core/src/reports.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::peers::Stray;
 use crate::reach::{Reach, ReachEvent};
-use crate::tenancy::Tenancy;
+use crate::shard_lease::ShardLease;
 use cherryyard_wire::record::End;
 use cherryyard_wire::worker::{DoRequest, Order, PieceStatus, Report, ReportAnswer, piece_numbers};
 
@@ -23,7 +23,7 @@
 impl Node {
     /// The token under which reports of shard `shard_id` are answered now, if any.
     fn answering(&self, shard_id: usize, now: Millis) -> Option<u64> {
-        let Tenancy::Owned(token) = self.shards[shard_id].tenancy else {
+        let ShardLease::Held(token) = self.shards[shard_id].lease else {
             return None;
         };
         // Guards against a cancellation that this controller cannot see: the
@@ -46,7 +46,7 @@
             .flatten()
             .filter(|s| now - s.heard_at < 5000.0)
         {
-            for (shard, token, label) in &peer.heartbeat.claims {
+            for (shard, token, label) in &peer.heartbeat.leases {
                 if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *token) {
                     best = Some((*token, label.clone()));
                 }
@@ -256,7 +256,7 @@
             PushOutcome::Answered(report) => {
                 machine.settle_push(request, false);
                 machine.reached(ReachEvent::Reflected, now);
-                let Tenancy::Owned(token) = self.shards[shard_id].tenancy else {
+                let ShardLease::Held(token) = self.shards[shard_id].lease else {
                     return;
                 };
                 if machine.hear(&report, token, now) != Heard::Old {
@@ -312,7 +312,7 @@
         };
         m.asking = false;
         let shard_id = m.shard;
-        let Tenancy::Owned(token) = self.shards[shard_id].tenancy else {
+        let ShardLease::Held(token) = self.shards[shard_id].lease else {
             return;
         };
         let Some(report) = answer else {
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -10,7 +10,7 @@
 const LENT_SHARE: f64 = 0.6;
 /// How long a leader goes by what a controller has last named.
 const LENT_MS: f64 = 2000.0;
-/// How long a leader goes by what it last saw of its claim.
+/// How long a leader goes by what it last saw of its lease.
 const LEADS_MS: f64 = 3000.0;
 
 /// Lateness above which polls are refused at once: with the wait for a barrier
@@ -62,7 +62,7 @@
     }
 
     /// Sets the rate at which this controller may make users' writes, which leave room
-    /// for claims and assignments. Each has an even part of the budget, and lends most of it to
+    /// for leases and assignments. Each has an even part of the budget, and lends most of it to
     /// the leader, to whom submissions are passed on, while the two hear each other.
     ///
     /// No part is used twice. A leader uses what a controller lends for a time after it
@@ -80,7 +80,7 @@
             let lenders = if seen && waited { lenders.count() } else { 0 };
             even * (1.0 + LENT_SHARE * lenders as f64)
         } else {
-            let label = self.mirror.lead.as_ref().map(|c| &c.label);
+            let label = self.mirror.leader_lease.as_ref().map(|c| &c.label);
             let leader = self.config.labels.iter().position(|l| Some(l) == label);
             let heard = leader.and_then(|i| self.peers[i].as_ref());
             let lent = heard.is_some_and(|peer| now - peer.heard_at <= LENT_MS * 1.25);
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -58,7 +58,7 @@
         reach_ms: 0,
         complete: false,
         store_revision: 1,
-        claims: vec![(1, 1, "b".into())],
+        leases: vec![(1, 1, "b".into())],
         shards: Vec::new(),
         short: Vec::new(),
         handing: Vec::new(),
--- a/crates/cherryyard-core/tests/share_model.rs
+++ b/crates/cherryyard-core/tests/share_model.rs
@@ -126,7 +126,7 @@
         let seen = if m.no_seen { t } else { l.seen };
         for p in 0..2 {
             l.accounts[p].meet(Under {
-                lead: l.revision,
+                leader_token: l.revision,
                 shard: SHARD,
             });
             if is_over(l.heard[p].1, t) && !m.never_over {
@@ -189,7 +189,10 @@
                 } else {
                     o.sent[heard as usize % 4]
                 };
-                let under = Under { lead, shard: SHARD };
+                let under = Under {
+                    leader_token: lead,
+                    shard: SHARD,
+                };
                 let new = Level {
                     under,
                     number,
--- a/crates/cherryyard-io/src/state.rs
+++ b/crates/cherryyard-io/src/state.rs
@@ -5,7 +5,7 @@
 use cherryyard_wire::history::{LeafRecord, Level, leaf_of_key, since_key};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Commit, Hold, News, Page, Pair, StoreRevision};
+use cherryyard_wire::state::{Commit, LeaseGrant, News, Page, Pair, StoreRevision};
 use hyper::Method;
 use std::time::Duration;
 
@@ -207,7 +207,7 @@
     }
 
     /// Gets a lease.
-    pub async fn hold(&self, ttl_ms: u64) -> Result<u64, StateError> {
+    pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64, StateError> {
         let body = serde_json::json!({ "ttl_ms": ttl_ms })
             .to_string()
             .into_bytes();
@@ -215,12 +215,12 @@
         if status != 200 {
             return Err(failed(status));
         }
-        Ok(Self::read::<Hold>(&body)?.hold)
+        Ok(Self::read::<LeaseGrant>(&body)?.lease_id)
     }
 
     /// Renews a lease.
-    pub async fn touch(&self, hold: u64) -> Result<(), StateError> {
-        let path = format!("/holds/{hold}/touch");
+    pub async fn renew_lease(&self, lease_id: u64) -> Result<(), StateError> {
+        let path = format!("/holds/{lease_id}/touch");
         let (status, _) = self
             .call(Method::POST, &path, Some(b"{}".to_vec()), 1500)
             .await?;
--- a/crates/cherryyard-rehearsal/src/http.rs
+++ b/crates/cherryyard-rehearsal/src/http.rs
@@ -63,7 +63,8 @@
     delete: Option<String>,
     #[serde(default)]
     v: Json,
-    hold: Option<u64>,
+    #[serde(rename = "hold")]
+    lease_id: Option<u64>,
 }
 
 impl HttpState {
@@ -185,18 +186,18 @@
             }
             ("POST", ["holds"]) => {
                 let until = self.now_ms() + 5000.0;
-                (200, json!({ "hold": self.lock().state.hold(until) }))
+                (200, json!({ "hold": self.lock().state.grant_lease(until) }))
             }
             ("POST", ["holds", id, "touch"]) => {
                 let until = self.now_ms() + 5000.0;
                 let known = id
                     .parse()
-                    .is_ok_and(|id| self.lock().state.touch(id, until));
+                    .is_ok_and(|id| self.lock().state.renew_lease(id, until));
                 (if known { 200 } else { 404 }, json!({}))
             }
             ("DELETE", ["holds", id]) => {
                 if let Ok(id) = id.parse() {
-                    self.lock().state.end_hold(id);
+                    self.lock().state.end_lease(id);
                 }
                 (200, json!({}))
             }
@@ -218,7 +219,7 @@
                     (Some(set), _) => Some(Apply::Set {
                         set,
                         v: a.v,
-                        hold: a.hold,
+                        lease_id: a.lease_id,
                     }),
                     (None, Some(delete)) => Some(Apply::Delete { delete }),
                     (None, None) => None,
--- a/crates/cherryyard-rehearsal/src/state.rs
+++ b/crates/cherryyard-rehearsal/src/state.rs
@@ -11,8 +11,8 @@
 pub struct StateStandIn {
     store_revision: u64,
     keys: BTreeMap<String, (Json, u64, Option<u64>)>,
-    holds: BTreeMap<u64, f64>,
-    next_hold: u64,
+    leases: BTreeMap<u64, f64>,
+    next_lease: u64,
     /// Changes up to this revision are not told any more.
     forgotten: u64,
     changes: Vec<Change>,
@@ -116,8 +116,8 @@
     }
 
     /// Ends a lease at once.
-    pub fn end_hold(&mut self, hold: u64) {
-        if let Some(until) = self.holds.get_mut(&hold) {
+    pub fn end_lease(&mut self, lease_id: u64) {
+        if let Some(until) = self.leases.get_mut(&lease_id) {
             *until = f64::NEG_INFINITY;
         }
         self.expire(0.0);
@@ -157,30 +157,30 @@
     }
 
     /// A new lease that lasts until `until`.
-    pub fn hold(&mut self, until: f64) -> u64 {
-        self.next_hold += 1;
-        self.holds.insert(self.next_hold, until);
-        self.next_hold
+    pub fn grant_lease(&mut self, until: f64) -> u64 {
+        self.next_lease += 1;
+        self.leases.insert(self.next_lease, until);
+        self.next_lease
     }
 
     /// Renews a lease; false if it is over.
-    pub fn touch(&mut self, hold: u64, until: f64) -> bool {
-        self.holds.get_mut(&hold).map(|u| *u = until).is_some()
+    pub fn renew_lease(&mut self, lease_id: u64, until: f64) -> bool {
+        self.leases.get_mut(&lease_id).map(|u| *u = until).is_some()
     }
 
     /// Lets leases run out.
     pub fn expire(&mut self, now: f64) {
         let over: BTreeSet<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, u)| **u < now)
             .map(|(h, _)| *h)
             .collect();
-        self.holds.retain(|h, _| !over.contains(h));
+        self.leases.retain(|h, _| !over.contains(h));
         let gone: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, hold))| hold.is_some_and(|h| over.contains(&h)))
+            .filter(|(_, (_, _, lease_id))| lease_id.is_some_and(|h| over.contains(&h)))
             .map(|(k, _)| k.clone())
             .collect();
         for key in gone {
@@ -217,13 +217,16 @@
         self.assignment_writes += commit.apply.iter().filter(assignment).count();
         self.most_ops = self.most_ops.max(commit.apply.len());
         self.most_conditions = self.most_conditions.max(commit.when.len());
-        let holds = |key: &str, revision: u64| self.keys.get(key).map_or(0, |k| k.1) == revision;
-        if !commit.when.iter().all(|w| holds(&w.key, w.revision)) {
+        let unchanged =
+            |key: &str, revision: u64| self.keys.get(key).map_or(0, |k| k.1) == revision;
+        if !commit.when.iter().all(|w| unchanged(&w.key, w.revision)) {
             return Outcome::Conflict(self.store_revision);
         }
         for change in &commit.apply {
-            if let Apply::Set { hold: Some(h), .. } = change
-                && !self.holds.contains_key(h)
+            if let Apply::Set {
+                lease_id: Some(h), ..
+            } = change
+                && !self.leases.contains_key(h)
             {
                 return Outcome::NoLease;
             }
@@ -231,12 +234,12 @@
         self.store_revision += 1;
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, hold } => {
+                Apply::Set { set, v, lease_id } => {
                     let size = v.text().len();
                     let largest = self.largest.entry(set.clone()).or_default();
                     *largest = (*largest).max(size);
                     self.keys
-                        .insert(set.clone(), (v.clone(), self.store_revision, *hold));
+                        .insert(set.clone(), (v.clone(), self.store_revision, *lease_id));
                     self.changes.push(Change {
                         set: Some(set.clone()),
                         delete: None,
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-rehearsal/src/trouble.rs
@@ -122,24 +122,24 @@
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
         let mut some =
             |of: u64| -> Vec<String> { hosts.iter().filter(|_| draw(of) == 0).cloned().collect() };
-        let lead = leader(w);
+        let leader_index = leader(w);
         let all = w.nodes.len();
         let n = all as u64;
         match self {
-            Self::LeaderDown => w.kill(lead),
+            Self::LeaderDown => w.kill(leader_index),
             Self::AllDown => (0..all).for_each(|i| w.kill(i)),
             Self::LeaderAlone => {
-                w.refused.insert(lead);
-                w.alone.insert(lead);
+                w.refused.insert(leader_index);
+                w.alone.insert(leader_index);
             }
             Self::Unreachable => w.unreachable.extend(some(3)),
             Self::OneWay => w.one_way.extend(some(3)),
-            Self::LeaderRefused => drop(w.refused.insert(lead)),
+            Self::LeaderRefused => drop(w.refused.insert(leader_index)),
             Self::Outage => w.refused.extend(0..all),
             Self::SlowCommands => w.slow_direct.extend(some(2)),
             Self::LateWrites => w.late_writes = 10 + draw(40),
             Self::Copies => w.copies_ms = Some(500.0 + draw(40_000) as f64),
-            Self::Frozen => drop(w.frozen.insert(lead)),
+            Self::Frozen => drop(w.frozen.insert(leader_index)),
             Self::Deaf => drop(w.deaf.insert(draw(n) as usize)),
             Self::Reborn => {
                 let all = some(5);
@@ -150,7 +150,7 @@
                 w.late.insert(draw(n) as usize, 800.0 + draw(2000) as f64);
             }
             Self::SlowState => w.slow_ms = 200.0 + draw(4000) as f64,
-            Self::SuccessorDown => w.kill((lead + 1) % all),
+            Self::SuccessorDown => w.kill((leader_index + 1) % all),
             Self::CloudDown => {
                 // Without a release nothing can be done about a machine that hangs beyond
                 // the time of a cancellation with a start on its way (docs/restart.md).
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -523,9 +523,9 @@
                     let read = self.state.news(node.mirror.store_revision);
                     self.reads.insert(i, (now + takes, now, read));
                 }
-                match node.hold() {
-                    Some(h) if self.state.touch(h, now + TTL) => {}
-                    _ => node.lease(Some(self.state.hold(now + TTL)), now),
+                match node.lease_id() {
+                    Some(h) if self.state.renew_lease(h, now + TTL) => {}
+                    _ => node.state_lease_changed(Some(self.state.grant_lease(now + TTL)), now),
                 }
             }
             node.tick(now);
@@ -736,11 +736,11 @@
     fn commit(&mut self, i: usize, ticket: Ticket, commit: &Commit) {
         let now = self.now;
         let cut = match ticket {
-            Ticket::Packer => {
+            Ticket::HistoryCompaction => {
                 self.packer_commits += 1;
                 self.cut_packer.filter(|c| c.0 == self.packer_commits)
             }
-            Ticket::Creator => {
+            Ticket::BulkCreation => {
                 self.creator_commits += 1;
                 self.cut_creator.filter(|c| c.0 == self.creator_commits)
             }
@@ -759,16 +759,16 @@
         }
         let outcome = if self.refused.contains(&i) {
             Outcome::Refused
-        } else if (self.hold_commits.contains(&i) && matches!(ticket, Ticket::Owner(_)))
-            || (self.hold_lead && ticket == Ticket::Leader)
-            || (self.hold_intake.contains(&i) && ticket == Ticket::Intake)
+        } else if (self.hold_commits.contains(&i) && matches!(ticket, Ticket::OwnerCycle(_)))
+            || (self.hold_lead && ticket == Ticket::LeaderCycle)
+            || (self.hold_intake.contains(&i) && ticket == Ticket::Admission)
         {
             self.held_commits.push(commit.clone());
             Outcome::Unknown
         } else {
             self.late_commit(commit)
         };
-        if matches!(ticket, Ticket::Claim(_)) {
+        if matches!(ticket, Ticket::AcquireShard(_)) {
             let keys: Vec<&str> = commit.apply.iter().map(|a| a.key()).collect();
             self.say(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
         }
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -128,16 +128,16 @@
     steady_over(&mut w, &mut arrivals, 25);
     let with = steady_over(&mut w, &mut arrivals, 20);
     assert!(with > 30.0, "{with}");
-    let lead = leader(&w).unwrap();
-    w.kill(lead);
+    let leader_index = leader(&w).unwrap();
+    w.kill(leader_index);
     let leaderless = steady_over(&mut w, &mut arrivals, 12);
     assert!(leaderless > 15.0, "{leaderless}");
-    w.start(lead);
-    let other = (lead + 1) % 3;
+    w.start(leader_index);
+    let other = (leader_index + 1) % 3;
     w.frozen.insert(other);
     steady_over(&mut w, &mut arrivals, 20);
     w.frozen.remove(&other);
-    w.alone.insert((lead + 2) % 3);
+    w.alone.insert((leader_index + 2) % 3);
     steady_over(&mut w, &mut arrivals, 15);
     let cut = steady_over(&mut w, &mut arrivals, 20);
     assert!(cut > 20.0, "{cut}");
@@ -182,8 +182,8 @@
         ..fleet(3, 0)
     });
     w.run(10.0);
-    let lead = leader(&w).unwrap();
-    w.frozen.insert(lead);
+    let leader_index = leader(&w).unwrap();
+    w.frozen.insert(leader_index);
     let mut arrivals = Arrivals::new([0.5, 0.1], [6, 10]);
     steady_over(&mut w, &mut arrivals, 8);
     w.frozen.clear();
@@ -225,17 +225,17 @@
     });
     w.workers.values_mut().for_each(|x| x.run_ms = 100.0);
     w.run(5.0);
-    let lead = leader(&w).unwrap();
+    let leader_index = leader(&w).unwrap();
     let (mut flood, mut few) = (Vec::new(), Vec::new());
     for i in 0..3000 {
-        flood.push(w.offer(lead, &spec(URGENT + i, 1), None));
+        flood.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
         if i % 300 == 299 {
-            few.push(w.offer(lead, &spec(1 + i, 1), None));
+            few.push(w.offer(leader_index, &spec(1 + i, 1), None));
         }
     }
     // Thousands come again, as if nobody had answered.
     for i in 0..3000 {
-        flood.push(w.offer(lead, &spec(URGENT + i, 1), None));
+        flood.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
     let verdict = |w: &World, ticket: &u64| w.verdicts.get(ticket).copied();
@@ -281,11 +281,11 @@
 fn many_submissions_with_one_put() {
     let mut w = cluster(fleet(3, 9));
     w.run(10.0);
-    let lead = leader(&w).unwrap();
+    let leader_index = leader(&w).unwrap();
     let writes = w.state.writes;
     let mut tickets = Vec::new();
     for i in 0..400 {
-        tickets.push(w.offer(lead, &spec(URGENT + i, 1), None));
+        tickets.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
     let taken = |t: &&u64| w.verdicts.get(*t) == Some(&Verdict::Taken);
@@ -295,15 +295,15 @@
     let long = "x".repeat(3000);
     let mut odd = spec(URGENT + 500, 1);
     odd.bundle = long.clone() + &long;
-    let odd = w.offer(lead, &odd, None);
-    let next = w.offer(lead, &spec(URGENT + 501, 1), None);
+    let odd = w.offer(leader_index, &odd, None);
+    let next = w.offer(leader_index, &spec(URGENT + 501, 1), None);
     w.run(2.0);
     assert_eq!(w.verdicts.get(&next), Some(&Verdict::Taken));
     assert!(!matches!(w.verdicts.get(&odd), None | Some(Verdict::Taken)));
     // The same job through two controllers at once: one takes it, the other knows it.
-    let other = (lead + 1) % 3;
+    let other = (leader_index + 1) % 3;
     let node = w.nodes[other].as_ref().unwrap().mirror.store_revision;
-    let one = w.offer(lead, &spec(URGENT + 502, 1), None);
+    let one = w.offer(leader_index, &spec(URGENT + 502, 1), None);
     assert!(w.nodes[other].as_ref().unwrap().mirror.store_revision >= node);
     let two = w.offer(other, &spec(URGENT + 502, 1), None);
     w.run(2.0);
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-rehearsal/tests/end_of_day.rs
@@ -1,5 +1,5 @@
 //! What is checked at the end of a day: nothing forgotten, nobody left out, and the new
-//! troubles alone, overlapping, and at every step of a claim.
+//! troubles alone, overlapping, and at every step of a lease.
 
 use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
@@ -157,7 +157,7 @@
 }
 
 /// A controller, the leader or its successor too, ends at every step of the first three
-/// seconds of a takeover and is back after 0, 50 and 500 ms. Nobody holds two claims on
+/// seconds of a takeover and is back after 0, 50 and 500 ms. Nobody holds two leases on
 /// a shard, all shards are owned again within seconds, and what runs goes on.
 #[test]
 fn ends_at_every_step_of_a_claim() {
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/gap.rs
@@ -397,7 +397,7 @@
     whole(&w, "told on");
 }
 
-/// An owner is served again just when its leases are about to end: it claims its shard,
+/// An owner is served again just when its leases are about to end: it leases its shard,
 /// answers machines that still show the token before, and ends. What it knows to be
 /// cancelled must not have a lease more by that. (Found by seed 286 of the gaps.)
 #[test]
--- a/crates/cherryyard-rehearsal/tests/history.rs
+++ b/crates/cherryyard-rehearsal/tests/history.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_rehearsal::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
-use cherryyard_wire::record::{Claim, job_key, shard_key};
+use cherryyard_wire::record::{LeaseRecord, job_key, shard_key};
 use cherryyard_wire::state::{Apply, Commit};
 use serde_json::json;
 
@@ -211,19 +211,19 @@
         history: Some(10),
         ..Setup::default()
     });
-    // Node 2 is of a build whose claims say nothing of formats.
+    // Node 2 is of a build whose leases say nothing of formats.
     w.kill(2);
-    let hold = w.state.hold(1e9);
+    let lease_id = w.state.grant_lease(1e9);
     let mut commit = Commit::default();
-    let claim = Claim {
+    let holder = LeaseRecord {
         label: "node-2".into(),
         f: None,
         n: None,
     };
     commit.apply.push(Apply::Set {
         set: shard_key(2),
-        v: cherryyard_wire::state::Json::of(&claim),
-        hold: Some(hold),
+        v: cherryyard_wire::state::Json::of(&holder),
+        lease_id: Some(lease_id),
     });
     w.state.commit(&commit);
     w.run(30.0);
@@ -232,7 +232,7 @@
     assert_eq!(watched(&w, "c/jobs/"), 0);
     assert!(w.state.get(&job_key(1)).is_some());
     // It is replaced.
-    w.state.touch(hold, 0.0);
+    w.state.renew_lease(lease_id, 0.0);
     w.start(2);
     w.run(30.0);
     assert!(watched(&w, "c/jobs/") > 0);
--- a/crates/cherryyard-rehearsal/tests/late.rs
+++ b/crates/cherryyard-rehearsal/tests/late.rs
@@ -10,7 +10,7 @@
 }
 
 /// A controller that is behind takes its own lateness for nobody's silence: no
-/// machine is released, no lease taken for over, no claim lost, nothing runs
+/// machine is released, no lease taken for over, no lease lost, nothing runs
 /// twice; what is late is only late.
 #[test]
 fn trace_of_a_late_controller() {
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -1,5 +1,5 @@
 //! Transactions without an answer that are carried out after newer ones of the same
-//! controller, under the same claim. `docs/protocol.md` has the table of all kinds; here
+//! controller, under the same lease. `docs/protocol.md` has the table of all kinds; here
 //! are those that did harm, and days on which any transaction may be so late.
 
 use cherryyard_core::{Node, Outcome};
@@ -229,7 +229,7 @@
     }
 }
 
-/// An owner that its workers do not reach gives its shard up; then a claim of its own from
+/// An owner that its workers do not reach gives its shard up; then a lease of its own from
 /// before is carried out. Nobody served the shard for as long as it stayed away.
 #[test]
 fn a_claim_carried_out_after_its_part_was_given_up() {
@@ -243,13 +243,13 @@
     let value = value.clone();
     w.deaf.insert(0);
     w.run_until(20.0, |w| w.state.get("c/part/0").is_none());
-    let hold = w.nodes[0].as_ref().and_then(Node::hold);
+    let lease_id = w.nodes[0].as_ref().and_then(Node::lease_id);
     let mut late = Commit::default();
     late.require("c/part/0", 0);
     late.apply.push(cherryyard_wire::state::Apply::Set {
         set: "c/part/0".into(),
         v: value,
-        hold,
+        lease_id,
     });
     assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
     w.run(6.0);
@@ -369,7 +369,7 @@
         ..Setup::default()
     });
     let ids: Vec<String> = (1..=14).map(|n| format!("j-{n:06}")).collect();
-    let lead = leader(&w);
+    let leader_index = leader(&w);
     // None is divided, and no answer comes to the leader's transactions.
     w.hold_lead = true;
     for id in &ids {
@@ -392,7 +392,7 @@
         .collect();
     // The page gets room: of those that were not among them some are cancelled.
     for id in ids.iter().filter(|id| !divided.contains(id)) {
-        w.ask_cancel(lead, id);
+        w.ask_cancel(leader_index, id);
     }
     w.hold_lead = false;
     w.held_commits.clear();
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-rehearsal/tests/pipelines.rs
@@ -274,10 +274,10 @@
         assert_eq!(submit(&mut w, 0, &sweep(2, 3, &[1])), Said::Taken);
         w.run_until(20.0, |w| w.is_complete(&id(1)));
         w.run(f64::from(step) * 0.1);
-        let lead = cherryyard_rehearsal::trouble::leader(&w);
-        w.kill(lead);
+        let leader_index = cherryyard_rehearsal::trouble::leader(&w);
+        w.kill(leader_index);
         w.run(1.0);
-        w.start(lead);
+        w.start(leader_index);
         w.run_until(60.0, |w| w.is_complete(&id(2)));
         whole(&w);
     }
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -611,7 +611,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Connections between controllers are refused, and all else works: the lead
+/// Connections between controllers are refused, and all else works: the leader_index
 /// stays where it is (it went round among all, every few seconds), and a job is
 /// still divided over all shards by what the cloud lists and what is assigned (the
 /// leader's own shard got everything).
@@ -620,14 +620,18 @@
     let mut w = settled(Setup::default());
     w.list_machines();
     w.run(5.0);
-    let lead = w.state.get("c/lead").unwrap().1;
+    let leader_index = w.state.get("c/lead").unwrap().1;
     w.alone.extend([0, 1, 2]);
     w.run(20.0);
     w.list_machines();
     w.run(3.0);
     w.submit(&World::spec("j-000001", "sweep", 6));
     w.run(3.0);
-    assert_eq!(w.state.get("c/lead").unwrap().1, lead, "the lead moved");
+    assert_eq!(
+        w.state.get("c/lead").unwrap().1,
+        leader_index,
+        "the leader_index moved"
+    );
     assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
--- a/crates/cherryyard-rehearsal/tests/submissions.rs
+++ b/crates/cherryyard-rehearsal/tests/submissions.rs
@@ -66,7 +66,7 @@
             w.submission(number).unwrap().phase == Phase::Created
         });
         let writes = w.state.writes - w.state.assignment_writes - before;
-        // A hundred jobs; with them the queue's own records and claims renewed.
+        // A hundred jobs; with them the queue's own records and leases renewed.
         assert!(writes < most_writes, "{history:?}: {writes} writes");
         assert_eq!(open_jobs(&w), 100);
         w.workers.values_mut().for_each(|x| x.run_ms = 400.0);
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -109,8 +109,8 @@
     pub complete: bool,
     /// The state revision that the sender has seen.
     pub store_revision: u64,
-    /// Claims that the sender knows: part, revision, and the owner's name.
-    pub claims: Vec<(u32, u64, String)>,
+    /// Leases that the sender knows: part, revision, and the owner's name.
+    pub leases: Vec<(u32, u64, String)>,
     /// The shards that the sender owns.
     pub shards: Vec<CapacityReport>,
     /// Teams that are short of their grants, told by the leader.
@@ -151,7 +151,7 @@
 pub struct LevelTold {
     /// The shard.
     pub shard: u32,
-    /// Stamps of the leader's claim and the shard's.
+    /// Stamps of the leader's lease and the shard's.
     pub under: (u64, u64),
     /// The level, in thousandths of a core.
     pub level: u64,
@@ -177,7 +177,7 @@
 pub struct CapacityReport {
     /// The shard.
     pub shard: u32,
-    /// Revision of the claim that the report was made under.
+    /// Revision of the lease that the report was made under.
     pub revision: u64,
     /// Sorts of machine that the shard has.
     pub sorts: Vec<MachineSort>,
@@ -338,7 +338,7 @@
             reach_ms: 60_000,
             complete: false,
             store_revision: 7,
-            claims: vec![(0, 3, "a".into())],
+            leases: vec![(0, 3, "a".into())],
             shards: vec![],
             short: vec![],
             handing: vec![],
--- a/crates/cherryyard-wire/src/record.rs
+++ b/crates/cherryyard-wire/src/record.rs
@@ -10,8 +10,8 @@
 
 /// Start of every key.
 pub const PREFIX: &str = "c/";
-/// The leader's claim.
-pub const LEAD: &str = "c/lead";
+/// The leader's lease.
+pub const LEADER_KEY: &str = "c/lead";
 /// The machine types, for a start while the cloud is down.
 pub const KINDS: &str = "c/kinds";
 
@@ -49,7 +49,7 @@
     xxhash_rust::xxh3::xxh3_64(&job.to_be_bytes())
 }
 
-/// Key of shard `shard`'s claim.
+/// Key of shard `shard`'s lease.
 pub fn shard_key(shard: usize) -> String {
     format!("c/part/{shard}")
 }
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Key {
-    Lead,
+    Leader,
     Kinds,
     Attributes,
     Ids,
@@ -102,8 +102,8 @@
 impl Key {
     /// Reads a key; `None` for one that this version does not know.
     pub fn parse(key: &str) -> Option<Self> {
-        if key == LEAD {
-            return Some(Self::Lead);
+        if key == LEADER_KEY {
+            return Some(Self::Leader);
         }
         if key == KINDS {
             return Some(Self::Kinds);
@@ -144,7 +144,7 @@
 
 /// Who owns a shard, or leads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct LeaseRecord {
     /// The controller's name.
     pub label: String,
     /// The newest format of records that it can work with; builds before there
@@ -157,8 +157,8 @@
     pub n: Option<u64>,
 }
 
-impl Claim {
-    /// A claim by the process with this number, which can work with this format.
+impl LeaseRecord {
+    /// A lease by the process with this number, which can work with this format.
     pub fn of(label: &str, process: u64, format: u32) -> Self {
         Self {
             label: label.into(),
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -85,7 +85,8 @@
         v: Json,
         /// The lease it hangs on.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        hold: Option<u64>,
+        #[serde(rename = "hold")]
+        lease_id: Option<u64>,
     },
     /// Deletes a key.
     Delete {
@@ -105,7 +106,7 @@
         Self::Set {
             set: key.into(),
             v,
-            hold: None,
+            lease_id: None,
         }
     }
 
@@ -161,9 +162,10 @@
 
 /// A state lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Hold {
+pub struct LeaseGrant {
     /// Its number.
-    pub hold: u64,
+    #[serde(rename = "hold")]
+    pub lease_id: u64,
 }
 
 /// What a watch returns.
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -65,7 +65,7 @@
         reach_ms: 60_000,
         complete: false,
         store_revision: 7,
-        claims: (0..7).map(|p| (p, 3, format!("controller-{p}"))).collect(),
+        leases: (0..7).map(|p| (p, 3, format!("controller-{p}"))).collect(),
         shards: vec![report()],
         short: Vec::new(),
         handing: (0..200).map(|i| (0, 800_000_000_000 + i)).collect(),
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -10,8 +10,8 @@
     Message, Told, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
-    ARRIVALS, BucketRecord, Claim, End, FormatRecord, Grant, ImagesRecord, JobRecord, PageRecord,
-    StoredPage,
+    ARRIVALS, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
+    PageRecord, StoredPage,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -87,7 +87,7 @@
         reach_ms: 60_000,
         complete: true,
         store_revision: 70_123,
-        claims: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
+        leases: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
         shards: vec![CapacityReport {
             shard: 2,
             revision: 41,
@@ -193,8 +193,11 @@
 
 #[test]
 fn what_controllers_keep() {
-    // This build's own claims name a newer format; an earlier build reads it as a number.
-    same("claim", &Claim::of("orchard-1", 123_456_789, ARRIVALS));
+    // This build's own leases name a newer format; an earlier build reads it as a number.
+    same(
+        "claim",
+        &LeaseRecord::of("orchard-1", 123_456_789, ARRIVALS),
+    );
     let format = FormatRecord {
         jobs: 1,
         new: true,
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -1,7 +1,7 @@
 //! Look-ups of jobs in the history, which is in the state service only.
 //!
 //! A look-up costs at most two reads. They go one after another, within a share of
-//! the request budget that leaves the rest to assignments, claims and barriers; whoever
+//! the request budget that leaves the rest to assignments, leases and barriers; whoever
 //! asks for a job that a leaf read for another covers is answered by it.
 
 use super::App;
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -11,27 +11,27 @@
 use tokio::sync::watch;
 
 impl App {
-    /// Keeps the state lease under which claims are made.
+    /// Keeps the state lease under which leases are made.
     pub(crate) async fn lease(self: Arc<Self>) {
         let every = Duration::from_millis(self.ttl_ms / 4);
         loop {
             let sent_at = self.now();
-            match self.with(|n, _| n.hold()) {
-                None => match self.state.hold(self.ttl_ms).await {
-                    Ok(hold) => self.with(|n, now| {
+            match self.with(|n, _| n.lease_id()) {
+                None => match self.state.grant_lease(self.ttl_ms).await {
+                    Ok(lease_id) => self.with(|n, now| {
                         n.state_answered(sent_at, now);
-                        n.lease(Some(hold), now);
+                        n.state_lease_changed(Some(lease_id), now);
                     }),
                     Err(_) => tokio::time::sleep(jittered(400)).await,
                 },
-                Some(hold) => {
+                Some(lease_id) => {
                     tokio::time::sleep(every).await;
                     let sent_at = self.now();
-                    match self.state.touch(hold).await {
+                    match self.state.renew_lease(lease_id).await {
                         Ok(()) => self.with(|n, now| n.state_answered(sent_at, now)),
                         Err(StateError::Gone) => {
-                            tracing::info!(hold, "our lease in the state service is over");
-                            self.with(|n, now| n.lease(None, now));
+                            tracing::info!(lease_id, "our lease in the state service is over");
+                            self.with(|n, now| n.state_lease_changed(None, now));
                         }
                         // Tried again at once, but not faster than the budget.
                         Err(_) => {}
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -113,7 +113,7 @@
                 tokio::spawn(async move {
                     let outcome = app.commit(&commit).await;
                     app.with(|n, now| n.committed(ticket, &commit, outcome, now));
-                    if matches!(ticket, Ticket::Claim(_)) && outcome == Outcome::NoLease {
+                    if matches!(ticket, Ticket::AcquireShard(_)) && outcome == Outcome::NoLease {
                         tracing::info!("the lease of a claim was over");
                     }
                 });
