--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -11,7 +11,7 @@
 use cherryyard_wire::cloud::HostStatus;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::record::End;
-use cherryyard_wire::worker::PieceStatus;
+use cherryyard_wire::worker::TaskStatus;
 use std::collections::HashMap;
 use std::str::FromStr;
 use strum::{EnumCount, IntoEnumIterator};
@@ -279,8 +279,8 @@
             let service = open.is_some_and(|o| o.spec.shape == Shape::Service);
             let went = match seen.map(|t| t.status) {
                 None => Went::Starting,
-                Some(PieceStatus::Fetching) => Went::Fetching,
-                Some(PieceStatus::Ended) => Went::Ending,
+                Some(TaskStatus::Fetching) => Went::Fetching,
+                Some(TaskStatus::Ended) => Went::Ending,
                 Some(_) if service => Went::Replicas,
                 Some(_) => {
                     let key = (task, assignment.attempt);
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::peers::PeerState;
 use cherryyard_wire::peer::Heartbeat;
-use cherryyard_wire::worker::{PieceReport, Report, piece_numbers};
+use cherryyard_wire::worker::{TaskReport, WorkerHeartbeat, parse_task_name};
 use std::collections::{BTreeMap, VecDeque};
 
 /// For how long a cancellation is told: longer than a controller stands still.
@@ -218,7 +218,7 @@
     /// lived through and knows of every cancellation, and for nothing that it tells to
     /// be cancelled. Cancellations before its list reaches back are older than a lease,
     /// and their tasks have gone.
-    pub(crate) fn may_extend_lease(&self, p: usize, report: &Report, now: Millis) -> bool {
+    pub(crate) fn may_extend_lease(&self, p: usize, report: &WorkerHeartbeat, now: Millis) -> bool {
         let me = &self.config.labels[self.config.me];
         let reach = self.config.lease_ms + 10_000.0;
         let knows = |peer: &PeerState| {
@@ -228,8 +228,8 @@
                 && f64::from(peer.heartbeat.reach_ms) >= reach
                 && peer.heartbeat.leases.contains(&holder)
         };
-        let cancelled = |piece: &PieceReport| {
-            let job = piece_numbers(&piece.piece).map(|t| t.0);
+        let cancelled = |reported: &TaskReport| {
+            let job = parse_task_name(&reported.task_name).map(|t| t.0);
             job.is_none_or(|job| self.cancelled.is_told(job))
         };
         !self.mirror.loaded
@@ -237,7 +237,7 @@
             && self.cancelled.told.len() < MOST_TOLD
             && self.all_cut_off(now)
             && self.peers.iter().flatten().any(knows)
-            && !report.pieces.iter().any(cancelled)
+            && !report.tasks.iter().any(cancelled)
     }
 
     /// Whether there can be no cancellation that we have neither read nor been told of.
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -4,7 +4,7 @@
 use cherryyard_wire::cloud::HireRequest;
 use cherryyard_wire::history::Level;
 use cherryyard_wire::state::Commit;
-use cherryyard_wire::worker::{DoRequest, Report, ReportAnswer};
+use cherryyard_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
 
 /// Which of this controller's transactions an outcome belongs to. There is at
 /// most one of each under way.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub enum PushOutcome {
     /// The worker answered with its report.
-    Answered(Box<Report>),
+    Answered(Box<WorkerHeartbeat>),
     /// No connection was made, so the worker never gets it.
     Unsent,
     /// No answer: it may yet be executed.
@@ -71,7 +71,7 @@
         /// Its address.
         addr: String,
         /// The commands.
-        request: DoRequest,
+        request: CommandBatch,
     },
     /// Ask a machine directly for its report.
     Ask {
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// 200.
-    Answer(ReportAnswer),
+    Answer(HeartbeatResponse),
     /// 421, naming the owner if one is known.
     Elsewhere(Option<String>),
     /// 503.
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -28,18 +28,18 @@
 pub mod pages;
 mod peers;
 pub mod reach;
-mod reports;
 pub mod shard_lease;
 pub mod shard_map;
 pub mod state_limits;
 pub mod users;
+mod worker_heartbeats;
 
 pub use config::{Config, Tuning};
 pub use effects::{Effect, Outcome, PushOutcome, Reply, Ticket};
 pub use machine::{HostState, Machine, Task};
 pub use mirror::Mirror;
 pub use node::Node;
-pub use reports::MAX_MACHINES;
+pub use worker_heartbeats::MAX_MACHINES;
 
 /// Milliseconds on this process's steady clock.
 pub type Millis = f64;
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -3,7 +3,9 @@
 use crate::Millis;
 use crate::reach::{Reach, ReachEvent};
 use cherryyard_wire::cloud::HostEntry;
-use cherryyard_wire::worker::{Cause, PieceReport, PieceStatus, Report, piece_numbers};
+use cherryyard_wire::worker::{
+    ExitCause, TaskReport, TaskStatus, WorkerHeartbeat, parse_task_name,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long after the time it was told a recalled machine counts as taken.
@@ -50,23 +52,23 @@
     /// The attempt.
     pub attempt: u64,
     /// Its state.
-    pub status: PieceStatus,
+    pub status: TaskStatus,
     /// Why it ended.
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
 }
 
 impl Seen {
-    fn of(piece: &PieceReport) -> Self {
+    fn of(reported: &TaskReport) -> Self {
         Self {
-            attempt: piece.attempt,
-            status: piece.status,
-            cause: piece.cause,
+            attempt: reported.attempt,
+            status: reported.status,
+            cause: reported.cause,
         }
     }
 
     /// Whether the task is over.
     pub fn ended(&self) -> bool {
-        self.status == PieceStatus::Ended
+        self.status == TaskStatus::Ended
     }
 }
 
@@ -140,7 +142,7 @@
     /// Whether its lease has run out with nobody but us able to renew it.
     pub lease_over: bool,
     /// When it will be taken away, if it has said so.
-    pub recall_at: Option<Millis>,
+    pub reclaim_at: Option<Millis>,
     /// When a message last came.
     pub heard_at: Millis,
     /// When a report of it was last answered 200.
@@ -188,7 +190,7 @@
 
 impl Machine {
     /// A machine of which nothing is known but what `report` says it is.
-    pub fn new(host: u32, shard: usize, report: &Report, now: Millis) -> Self {
+    pub fn new(host: u32, shard: usize, report: &WorkerHeartbeat, now: Millis) -> Self {
         Self {
             host,
             addr: report.addr.clone(),
@@ -204,7 +206,7 @@
             told: Vec::new(),
             runs: BTreeMap::new(),
             lease_over: false,
-            recall_at: None,
+            reclaim_at: None,
             heard_at: now,
             answered_at: now,
             reach: Reach::Hears(0),
@@ -230,7 +232,7 @@
 
     /// A machine that has not reported, as the cloud lists it.
     pub fn unheard(host: u32, shard: usize, entry: &HostEntry, now: Millis) -> Self {
-        let report = Report {
+        let report = WorkerHeartbeat {
             host: entry.id.clone(),
             addr: entry.addr.clone(),
             host_kind: entry.host_kind.clone(),
@@ -239,8 +241,8 @@
             incarnation: 0,
             sequence: 0,
             fencing_token: 0,
-            recall_s: None,
-            pieces: Vec::new(),
+            reclaim_in_s: None,
+            tasks: Vec::new(),
         };
         Self::new(host, shard, &report, now)
     }
@@ -279,7 +281,7 @@
     ///
     /// Most reports tell that all is as before: they are compared, and leave
     /// the list of tasks as it is (a fifth of all processor time, before).
-    pub fn hear(&mut self, report: &Report, own_token: u64, now: Millis) -> Heard {
+    pub fn hear(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) -> Heard {
         let order = (report.incarnation, report.sequence);
         if order <= self.newest {
             self.old_in_a_row += 1;
@@ -322,23 +324,23 @@
     }
 
     /// Takes over what a message tells.
-    pub(crate) fn take(&mut self, report: &Report, own_token: u64, now: Millis) {
+    pub(crate) fn take(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) {
         self.token = report.fencing_token;
         self.confirmed_token = own_token;
         self.heard_at = now;
         self.addr.clone_from(&report.addr);
         // Only ever nearer: an assignment that a late transaction takes back for it must not be
         // started again meanwhile.
-        let recall_at = report.recall_s.map(|s| now + s.max(0.0) * 1000.0);
-        self.recall_at = match (recall_at, self.recall_at) {
+        let reclaim_at = report.reclaim_in_s.map(|s| now + s.max(0.0) * 1000.0);
+        self.reclaim_at = match (reclaim_at, self.reclaim_at) {
             (Some(new), Some(old)) => Some(new.min(old)),
             (new, _) => new,
         };
         self.seen.clear();
         self.told.clear();
-        for piece in &report.pieces {
-            if let Some(task) = piece_numbers(&piece.piece) {
-                let seen = Seen::of(piece);
+        for reported in &report.tasks {
+            if let Some(task) = parse_task_name(&reported.task_name) {
+                let seen = Seen::of(reported);
                 self.told.push((task, seen));
                 // The same task twice: the one still there counts.
                 let place = self.seen.entry(task).or_insert(seen);
@@ -362,7 +364,7 @@
         self.runs
             .retain(|task, run| seen.get(task).is_some_and(|s| s.attempt == run.0));
         for (&task, s) in seen {
-            if s.status == PieceStatus::Running {
+            if s.status == TaskStatus::Running {
                 self.runs.entry(task).or_insert((s.attempt, now));
             }
         }
@@ -377,26 +379,26 @@
     /// Whether the cloud has said it would take the machine by now, and nothing
     /// has been heard of it for longer than a report takes.
     pub fn taken(&self, now: Millis, silence_ms: f64) -> bool {
-        self.recall_at.is_some_and(|at| now > at + TAKEN_MS) && now - self.heard_at > silence_ms
+        self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS) && now - self.heard_at > silence_ms
     }
 
     /// Whether a report differs in nothing that matters from the last one. It
     /// matters while a start may be on its way that it shows or does not show.
-    fn tells_the_same(&self, report: &Report, own_token: u64) -> bool {
+    fn tells_the_same(&self, report: &WorkerHeartbeat, own_token: u64) -> bool {
         self.state == HostState::Ready
             && !self.lease_over
             && report.incarnation == self.newest.0
             && report.fencing_token == self.token
             && own_token == self.token
             && own_token == self.confirmed_token
-            && report.recall_s.is_none()
-            && self.recall_at.is_none()
+            && report.reclaim_in_s.is_none()
+            && self.reclaim_at.is_none()
             && self.pushed.iter().all(|start| start.lost)
             && self.offered.is_empty()
             && report.addr == self.addr
-            && report.pieces.len() == self.told.len()
-            && report.pieces.iter().zip(&self.told).all(|(piece, told)| {
-                told.1 == Seen::of(piece) && piece_numbers(&piece.piece) == Some(told.0)
+            && report.tasks.len() == self.told.len()
+            && report.tasks.iter().zip(&self.told).all(|(reported, told)| {
+                told.1 == Seen::of(reported) && parse_task_name(&reported.task_name) == Some(told.0)
             })
     }
 
@@ -478,7 +480,7 @@
     pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
         self.state == HostState::Ready
             && self.reach.hears()
-            && self.recall_at.is_none()
+            && self.reclaim_at.is_none()
             && now - self.heard_at <= silence_ms
             && now >= self.avoid_until
     }
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -17,8 +17,8 @@
             if let Some(open) = self.mirror.open.get(&task.0) {
                 // A task runs, or has completed, only once its image is there.
                 let whole = m.seen.get(&task).is_some_and(|s| {
-                    matches!(s.status, PieceStatus::Running | PieceStatus::Saving)
-                        || s.cause == Some(Cause::Done)
+                    matches!(s.status, TaskStatus::Running | TaskStatus::Saving)
+                        || s.cause == Some(ExitCause::Done)
                 });
                 m.use_image(&open.spec.bundle, open.spec.image_gb, whole, cache);
             }
@@ -27,7 +27,13 @@
 
     /// Takes note of a machine that reports for the first time, with the images
     /// that its owner before knew it to hold.
-    pub(crate) fn meet(&mut self, host: u32, shard_id: usize, report: &Report, now: Millis) {
+    pub(crate) fn meet(
+        &mut self,
+        host: u32,
+        shard_id: usize,
+        report: &WorkerHeartbeat,
+        now: Millis,
+    ) {
         if self.machines.contains_key(&host) {
             return;
         }
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -1,16 +1,16 @@
-//! The owner of a shard: rounds of assignments, placement, preemption, orders.
+//! The owner of a shard: rounds of assignments, placement, preemption, commands.
 //!
 //! What a machine should run follows from the durable assignments alone. A round
 //! collects what reports prove, places waiting numbers, and writes both in one
-//! transaction; orders are then the difference between assignments and reports.
+//! transaction; commands are then the difference between assignments and reports.
 
 mod blame;
 mod images;
-mod orders;
 mod oversize;
 mod place;
 mod preempt;
 mod recall;
+mod reconciliation;
 mod returns;
 mod room;
 mod round;
@@ -34,7 +34,8 @@
 use cherryyard_wire::record::{self, End, Grant, ImagesRecord, Key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use cherryyard_wire::worker::{
-    Cause, DoRequest, Order, PieceStatus, Report, piece_name, piece_numbers,
+    CommandBatch, ExitCause, TaskStatus, WorkerCommand, WorkerHeartbeat, parse_task_name,
+    task_name_of,
 };
 pub(crate) use round::Round;
 use state::{Pending, Preempted};
@@ -55,8 +56,8 @@
 /// worth it.
 const HAND_OVER_MS: f64 = 1500.0;
 const HAND_OVER_FETCH_S: f64 = 4.0;
-/// Orders in one message to a worker.
-const MAX_ORDERS: usize = 300;
+/// Commands in one message to a worker.
+const MAX_COMMANDS: usize = 300;
 
 /// What making room on a machine costs, whom it stops, and where.
 type Eviction = (f64, Vec<(Task, u64)>, u32);
@@ -65,10 +66,10 @@
     /// Settles the starts of a direct command. Of an answered or unsent one they are no
     /// longer on their way; of one whose answer was lost they may be, until the incarnation
     /// or the token has changed.
-    pub(crate) fn settle_push(&mut self, request: &DoRequest, lost: bool) {
-        for order in &request.orders {
-            if let Order::Start { piece, attempt } = order
-                && let Some(task) = piece_numbers(piece)
+    pub(crate) fn settle_push(&mut self, request: &CommandBatch, lost: bool) {
+        for command in &request.commands {
+            if let WorkerCommand::Start { task_name, attempt } = command
+                && let Some(task) = parse_task_name(task_name)
                 && let Some(i) = self
                     .pushed
                     .iter()
--- a/crates/cherryyard-core/src/owner/recall.rs
+++ b/crates/cherryyard-core/src/owner/recall.rs
@@ -27,7 +27,7 @@
         open: &OpenJob,
         now: Millis,
     ) -> bool {
-        let Some(at) = m.recall_at else { return false };
+        let Some(at) = m.reclaim_at else { return false };
         if open.spec.shape != Shape::Sweep
             || open.spec.snapshot_every_s > 0.0
             || !self.mirror.waiting[m.shard].is_empty()
--- a/crates/cherryyard-core/src/owner/orders.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -1,18 +1,18 @@
-//! Orders: what brings a machine to what its assignments say.
+//! Commands: what brings a machine to what its assignments say.
 
 use super::*;
 
 impl Node {
     /// The commands that bring a machine to what its assignments say.
-    pub(crate) fn orders(&self, host: u32, now: Millis, in_answer: bool) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub(crate) fn reconcile(&self, host: u32, now: Millis, in_answer: bool) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
         let Some(m) = self.machines.get(&host) else {
-            return orders;
+            return commands;
         };
         // A machine that is being returned is answered for as long as the cloud does not
         // release it: what is cancelled there must be stopped all the same.
         if !m.token_ours() || !matches!(m.state, HostState::Ready | HostState::Returning) {
-            return orders;
+            return commands;
         }
         let shard_id = m.shard;
         let fresh = self.state_fresh(now);
@@ -23,7 +23,7 @@
                 .mirror
                 .assignment_on(host, task)
                 .filter(|k| k.incarnation == m.newest.0 && k.attempt == seen.attempt);
-            let piece = || piece_name(job, number);
+            let task_name = || task_name_of(job, number);
             if seen.ended() {
                 // Cleared only once its end is durable, and only when no start
                 // of it is on its way: it would start a second time.
@@ -33,8 +33,8 @@
                     && fresh
                     && owned
                 {
-                    orders.push(Order::Clear {
-                        piece: piece(),
+                    commands.push(WorkerCommand::Clear {
+                        task_name: task_name(),
                         attempt: seen.attempt,
                     });
                 }
@@ -49,23 +49,23 @@
                         .preempted
                         .get(&task)
                         .is_some_and(|x| x.attempt == seen.attempt && x.until > now);
-                    let recalled = m.recall_at.is_some_and(|at| {
+                    let recalled = m.reclaim_at.is_some_and(|at| {
                         open.spec.snapshot_every_s > 0.0
                             && at - now
                                 < open.spec.snapshot_cost_s * 1000.0 + self.config.report_ms * 2.5
                     });
                     let doomed = fresh && owned && self.doomed(m, task, seen.attempt, open, now);
-                    if (preempted || recalled || doomed) && seen.status != PieceStatus::Saving {
+                    if (preempted || recalled || doomed) && seen.status != TaskStatus::Saving {
                         let saves = open.spec.snapshot_every_s > 0.0;
-                        let wind_down_s = if saves {
+                        let grace_period_s = if saves {
                             open.spec.snapshot_cost_s + 1.0
                         } else {
                             0.0
                         };
-                        orders.push(Order::Kill {
-                            piece: piece(),
+                        commands.push(WorkerCommand::Kill {
+                            task_name: task_name(),
                             attempt: seen.attempt,
-                            wind_down_s,
+                            grace_period_s,
                         });
                     }
                 }
@@ -73,17 +73,17 @@
                 // cut off, a missing assignment may only mean an old mirror.
                 (_, None) | (None, _) => {
                     if (fresh && owned) || told || self.mirror.end(job).is_some() {
-                        orders.push(Order::Kill {
-                            piece: piece(),
+                        commands.push(WorkerCommand::Kill {
+                            task_name: task_name(),
                             attempt: seen.attempt,
-                            wind_down_s: 0.0,
+                            grace_period_s: 0.0,
                         });
                     }
                 }
             }
         }
         let ready = m.state == HostState::Ready;
-        if ready && fresh && owned && m.recall_at.is_none_or(|at| at - now > 60_000.0) {
+        if ready && fresh && owned && m.reclaim_at.is_none_or(|at| at - now > 60_000.0) {
             for (task, assignment) in self.mirror.on_host(host) {
                 // Of what was given up no start is sent: only then a report without the
                 // task proves that it is not there.
@@ -92,15 +92,15 @@
                     && !m.seen.contains_key(&task)
                     && self.mirror.open.contains_key(&task.0)
                 {
-                    orders.push(Order::Start {
-                        piece: piece_name(task.0, task.1),
+                    commands.push(WorkerCommand::Start {
+                        task_name: task_name_of(task.0, task.1),
                         attempt: assignment.attempt,
                     });
                 }
             }
         }
-        orders.truncate(MAX_ORDERS);
-        orders
+        commands.truncate(MAX_COMMANDS);
+        commands
     }
 
     /// Sends a machine its due commands directly, if there are any.
@@ -118,8 +118,8 @@
         {
             return;
         }
-        let orders = self.orders(host, now, false);
-        if orders.is_empty() {
+        let commands = self.reconcile(host, now, false);
+        if commands.is_empty() {
             return;
         }
         let Some(m) = self.machines.get_mut(&host) else {
@@ -128,9 +128,9 @@
         m.pushing = true;
         m.push_after = now + 50.0;
         let incarnation = m.newest.0;
-        for order in &orders {
-            if let Order::Start { piece, attempt } = order
-                && let Some(task) = piece_numbers(piece)
+        for command in &commands {
+            if let WorkerCommand::Start { task_name, attempt } = command
+                && let Some(task) = parse_task_name(task_name)
             {
                 m.pushed.push(PushedStart {
                     task,
@@ -141,11 +141,11 @@
                 });
             }
         }
-        tracing::debug!(machine = %m.addr, ?orders, "direct commands");
-        let request = DoRequest {
+        tracing::debug!(machine = %m.addr, ?commands, "direct commands");
+        let request = CommandBatch {
             fencing_token: token,
             incarnation,
-            orders,
+            commands,
         };
         self.effects.push(Effect::Push {
             host,
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/round.rs
@@ -214,9 +214,12 @@
             && seen.ended()
         {
             return match seen.cause {
-                Some(Cause::Done) => TaskOutcome::Done,
+                Some(ExitCause::Done) => TaskOutcome::Done,
                 cause => TaskOutcome::Gone {
-                    failed: !matches!(cause, Some(Cause::Halted | Cause::Busy | Cause::NoRoom)),
+                    failed: !matches!(
+                        cause,
+                        Some(ExitCause::Halted | ExitCause::Busy | ExitCause::NoCapacity)
+                    ),
                 },
             };
         }
@@ -229,7 +232,7 @@
             && m.newest.0 == assignment.incarnation
             && !m.lease_over
             && !m.gave_up(assignment.incarnation, assignment.attempt)
-            && m.recall_at.is_none_or(|at| at - now > 60_000.0);
+            && m.reclaim_at.is_none_or(|at| at - now > 60_000.0);
         if open && may_start {
             TaskOutcome::Keep
         } else {
--- a/crates/cherryyard-core/src/reach.rs
+++ b/crates/cherryyard-core/src/reach.rs
@@ -9,7 +9,7 @@
 
 use crate::Millis;
 use crate::machine::{Heard, HostEvent, HostState, Machine, Task};
-use cherryyard_wire::worker::Report;
+use cherryyard_wire::worker::WorkerHeartbeat;
 
 /// How often what we sent was not reflected before the machine is asked.
 const MISSES: u32 = 2;
@@ -113,7 +113,7 @@
     /// process. Only starts sent directly may yet arrive, if the incarnations' numbers agree.
     pub(crate) fn answered(
         &mut self,
-        report: &Report,
+        report: &WorkerHeartbeat,
         token: u64,
         last: u64,
         now: Millis,
--- a/crates/cherryyard-core/src/reports.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -8,7 +8,9 @@
 use crate::reach::{Reach, ReachEvent};
 use crate::shard_lease::ShardLease;
 use cherryyard_wire::record::End;
-use cherryyard_wire::worker::{DoRequest, Order, PieceStatus, Report, ReportAnswer, piece_numbers};
+use cherryyard_wire::worker::{
+    CommandBatch, HeartbeatResponse, TaskStatus, WorkerCommand, WorkerHeartbeat, parse_task_name,
+};
 
 /// Questions to machines under way at once.
 const ASKS: usize = 16;
@@ -59,7 +61,7 @@
     /// Notes that a worker of another's part reports here. It may have lost its owner, or
     /// hear nobody, and roam from one to the next: then no other owner would do better.
     /// So it is asked, unless the owner has ended anyway.
-    fn note_stray(&mut self, shard_id: usize, report: &Report, now: Millis) {
+    fn note_stray(&mut self, shard_id: usize, report: &WorkerHeartbeat, now: Millis) {
         if report.host.len() > MAX_HOST_NAME || !self.has_stray_room(shard_id, &report.host) {
             return;
         }
@@ -105,7 +107,7 @@
     }
 
     /// Takes a worker's report.
-    pub fn report(&mut self, report: &Report, now: Millis) -> Reply {
+    pub fn report(&mut self, report: &WorkerHeartbeat, now: Millis) -> Reply {
         match self.answer_report(report, now) {
             Reply::Answer(mut answer) => {
                 self.stop_cancelled(report, &mut answer);
@@ -117,36 +119,36 @@
 
     /// An answer renews the lease of all that is on the machine, whatever its state and
     /// whichever token it shows: so it stops what is known to be over. An owner that has
-    /// just claimed its shard answered, without orders, a machine that showed the token
+    /// just claimed its shard answered, without commands, a machine that showed the token
     /// before, and ended; the cancelled task had a lease more.
-    fn stop_cancelled(&self, report: &Report, answer: &mut ReportAnswer) {
-        for piece in &report.pieces {
-            let task = piece_numbers(&piece.piece);
+    fn stop_cancelled(&self, report: &WorkerHeartbeat, answer: &mut HeartbeatResponse) {
+        for reported in &report.tasks {
+            let task = parse_task_name(&reported.task_name);
             let over =
                 |job| self.cancelled.is_told(job) || self.mirror.end(job) == Some(End::Cancelled);
-            let stopped = answer.orders.iter().any(
-                |o| matches!(o, Order::Kill { piece: stopped, attempt, .. } if *stopped == piece.piece && *attempt == piece.attempt),
+            let stopped = answer.commands.iter().any(
+                |o| matches!(o, WorkerCommand::Kill { task_name: stopped, attempt, .. } if *stopped == reported.task_name && *attempt == reported.attempt),
             );
-            if piece.status != PieceStatus::Ended && !stopped && task.is_some_and(|t| over(t.0)) {
-                answer.orders.push(Order::Kill {
-                    piece: piece.piece.clone(),
-                    attempt: piece.attempt,
-                    wind_down_s: 0.0,
+            if reported.status != TaskStatus::Ended && !stopped && task.is_some_and(|t| over(t.0)) {
+                answer.commands.push(WorkerCommand::Kill {
+                    task_name: reported.task_name.clone(),
+                    attempt: reported.attempt,
+                    grace_period_s: 0.0,
                 });
             }
         }
     }
 
-    fn answer_report(&mut self, report: &Report, now: Millis) -> Reply {
+    fn answer_report(&mut self, report: &WorkerHeartbeat, now: Millis) -> Reply {
         self.notice(now);
         let shard_id = self.config.shard_map.shard(&report.yard, &report.host);
         let Some(token) = self.answering(shard_id, now) else {
             self.note_stray(shard_id, report, now);
             if self.may_extend_lease(shard_id, report, now) {
                 tracing::debug!(host = %report.host, "vouch for a lease");
-                return Reply::Answer(ReportAnswer {
+                return Reply::Answer(HeartbeatResponse {
                     fencing_token: report.fencing_token,
-                    orders: Vec::new(),
+                    commands: Vec::new(),
                 });
             }
             return match self.owner_elsewhere(shard_id, now) {
@@ -192,11 +194,11 @@
             (machine.answered_at, machine.heard_at) = (now, now);
             machine.old_in_a_row = machine.old_in_a_row.max(2);
             self.ask_machines(shard_id, now);
-            let mut orders = self.orders(host, now, true);
-            orders.retain(|o| !matches!(o, Order::Start { .. }));
-            return Reply::Answer(ReportAnswer {
+            let mut commands = self.reconcile(host, now, true);
+            commands.retain(|o| !matches!(o, WorkerCommand::Start { .. }));
+            return Reply::Answer(HeartbeatResponse {
                 fencing_token: token,
-                orders,
+                commands,
             });
         }
         let before = (machine.state, machine.reach.hears());
@@ -211,9 +213,9 @@
         // the shard nothing until its next regular report.
         self.room_changed |= (machine.state, machine.reach.hears()) != before;
         if heard == Heard::Old {
-            return Reply::Answer(ReportAnswer {
+            return Reply::Answer(HeartbeatResponse {
                 fencing_token: token,
-                orders: Vec::new(),
+                commands: Vec::new(),
             });
         }
         // The worker has one report under way at a time, so a newer one shows
@@ -222,24 +224,26 @@
         if heard == Heard::New {
             self.after_message(host, now);
         }
-        let orders = self.orders(host, now, true);
+        let commands = self.reconcile(host, now, true);
         if let Some(machine) = self.machines.get_mut(&host) {
-            machine.offered = orders
+            machine.offered = commands
                 .iter()
                 .filter_map(|o| match o {
-                    Order::Start { piece, attempt } => Some((piece_numbers(piece)?, *attempt)),
+                    WorkerCommand::Start { task_name, attempt } => {
+                        Some((parse_task_name(task_name)?, *attempt))
+                    }
                     _ => None,
                 })
                 .collect();
         }
-        Reply::Answer(ReportAnswer {
+        Reply::Answer(HeartbeatResponse {
             fencing_token: token,
-            orders,
+            commands,
         })
     }
 
     /// Takes how a direct command came out.
-    pub fn pushed(&mut self, host: u32, request: &DoRequest, outcome: PushOutcome, now: Millis) {
+    pub fn pushed(&mut self, host: u32, request: &CommandBatch, outcome: PushOutcome, now: Millis) {
         self.notice(now);
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
@@ -297,7 +301,7 @@
     }
 
     /// Takes the answer to a direct question, or that there was none.
-    pub fn asked(&mut self, host: u32, answer: Option<&Report>, now: Millis) {
+    pub fn asked(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
         self.notice(now);
         let last = self.mirror.store_revision.max(self.newest_revision) + 1;
         for (_, stray) in self
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::{Config, Effect, MAX_MACHINES, Node, Reply, Tuning};
 use cherryyard_wire::peer::Heartbeat;
 use cherryyard_wire::settings::Settings;
-use cherryyard_wire::worker::Report;
+use cherryyard_wire::worker::WorkerHeartbeat;
 use serde_json::json;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -33,8 +33,8 @@
 }
 
 /// The first report of a machine in the zone of controller `b`.
-fn report(machine: usize) -> Report {
-    Report {
+fn report(machine: usize) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         host: format!("host-{machine:06}"),
         addr: format!("10.0.{}.{}:8000", machine / 256, machine % 256),
         host_kind: "small".into(),
@@ -43,8 +43,8 @@
         incarnation: 1,
         sequence: 1,
         fencing_token: 0,
-        recall_s: None,
-        pieces: Vec::new(),
+        reclaim_in_s: None,
+        tasks: Vec::new(),
     }
 }
 
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-rehearsal/src/trouble.rs
@@ -171,7 +171,7 @@
             }
             Self::CancelNow => {
                 let running = w.workers.values().flat_map(|x| {
-                    let here = x.pieces.iter().filter(|p| p.1.2.is_none());
+                    let here = x.tasks.iter().filter(|p| p.1.2.is_none());
                     here.map(|p| (p.0.split('/').next().unwrap_or_default(), &x.host))
                 });
                 let running: Vec<(String, String)> =
--- a/crates/cherryyard-rehearsal/src/users.rs
+++ b/crates/cherryyard-rehearsal/src/users.rs
@@ -162,14 +162,14 @@
         let now = w.now;
         let used = w.cores_by_team();
         let on = |id: &str, n: u32| {
-            let piece = format!("{id}/{n}");
-            w.completed.contains(&piece) || w.workers.values().any(|x| x.runs(&piece))
+            let task_name = format!("{id}/{n}");
+            w.completed.contains(&task_name) || w.workers.values().any(|x| x.runs(&task_name))
         };
         let mut free: Vec<(&str, &str, f64, f64)> = Vec::new();
         for x in w.workers.values().filter(|x| w.in_order(&x.host)) {
             let (mut cores, mut ram) = w.whole(&x.kind);
-            for piece in x.pieces.iter().filter(|p| p.1.2.is_none()).map(|p| p.0) {
-                let id = piece.split('/').next().unwrap_or_default();
+            for task_name in x.tasks.iter().filter(|p| p.1.2.is_none()).map(|p| p.0) {
+                let id = task_name.split('/').next().unwrap_or_default();
                 if let Some(spec) = w.submitted(id) {
                     (cores, ram) = (cores - spec.cores, ram - spec.ram_gb);
                 }
@@ -199,9 +199,9 @@
                 && free.iter().any(fits);
             let before = job.started.len();
             for n in 0..job.pieces {
-                let piece = format!("{id}/{n}");
-                if !job.started.contains(&piece) && on(id, n) {
-                    job.started.insert(piece);
+                let task_name = format!("{id}/{n}");
+                if !job.started.contains(&task_name) && on(id, n) {
+                    job.started.insert(task_name);
                 }
             }
             let waits = room && job.started.len() < job.pieces as usize;
@@ -221,8 +221,8 @@
         let on: BTreeSet<String> = w
             .workers
             .values()
-            .flat_map(|x| x.pieces.keys())
-            .filter_map(|piece| Some(piece.split('/').next()?.to_string()))
+            .flat_map(|x| x.tasks.keys())
+            .filter_map(|task_name| Some(task_name.split('/').next()?.to_string()))
             .collect();
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -19,7 +19,7 @@
 use cherryyard_wire::rules::Rules;
 use cherryyard_wire::settings::Settings;
 use cherryyard_wire::state::{Apply, Commit, News};
-use cherryyard_wire::worker::{DoRequest, Report};
+use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -131,7 +131,7 @@
     /// what is urgent goes on.
     pub late: BTreeMap<usize, f64>,
     /// Reports that wait: when their turn is, when they were sent, and where.
-    inbox: Vec<(f64, f64, usize, Report)>,
+    inbox: Vec<(f64, f64, usize, WorkerHeartbeat)>,
     /// Workers that wait for an answer, and since when.
     waiting: BTreeMap<String, f64>,
     /// Machines that nobody reaches.
@@ -150,7 +150,7 @@
     /// Or so much later, when the new leader has acted.
     pub copies_wait_ms: f64,
     copies_due: Option<f64>,
-    kept_copies: BTreeMap<String, Report>,
+    kept_copies: BTreeMap<String, WorkerHeartbeat>,
     /// Who led when this was last looked at.
     led: Option<u64>,
     /// The leader ends this often, and is back half a second later.
@@ -161,13 +161,13 @@
     /// Copies of all reports come once more, this late, to the same controller and the
     /// one after it.
     pub copies_ms: Option<f64>,
-    copies: Vec<(f64, usize, Report)>,
+    copies: Vec<(f64, usize, WorkerHeartbeat)>,
     /// Direct questions to machines so far.
     pub questions: usize,
     /// Machines to which direct commands are held back.
     pub slow_direct: BTreeSet<String>,
     /// Direct commands held back.
-    pub held_direct: Vec<(String, DoRequest)>,
+    pub held_direct: Vec<(String, CommandBatch)>,
     /// Owners' transactions get no answer and are held back.
     pub hold_commits: BTreeSet<usize>,
     /// The leader's transactions get no answer and are held back.
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-rehearsal/src/world/machines.rs
@@ -13,7 +13,7 @@
             worker.hang(now);
             return;
         }
-        if worker.recall_at.is_some_and(|at| now >= at) {
+        if worker.reclaim_at.is_some_and(|at| now >= at) {
             self.workers.remove(name);
             self.say(format!("{name} is taken"));
             return;
@@ -54,7 +54,7 @@
     }
 
     /// A controller takes a report that was sent at `sent_at`, and answers.
-    pub(super) fn reported(&mut self, i: usize, report: &Report, sent_at: f64) {
+    pub(super) fn reported(&mut self, i: usize, report: &WorkerHeartbeat, sent_at: f64) {
         let now = self.now;
         let hears = !self.deaf.contains(&i) && !self.frozen.contains(&i);
         let node = self.nodes[i].as_mut().filter(|_| hears);
@@ -91,7 +91,7 @@
         }
     }
 
-    pub(super) fn push(&mut self, i: usize, host: u32, addr: &str, request: DoRequest) {
+    pub(super) fn push(&mut self, i: usize, host: u32, addr: &str, request: CommandBatch) {
         let now = self.now;
         let name = addr.trim_end_matches(":9000").to_string();
         let mut log = Vec::new();
@@ -169,15 +169,15 @@
     }
 
     /// How many machines run this task.
-    pub fn copies(&self, piece: &str) -> usize {
-        self.workers.values().filter(|w| w.runs(piece)).count()
+    pub fn copies(&self, task_name: &str) -> usize {
+        self.workers.values().filter(|w| w.runs(task_name)).count()
     }
 
     /// How many tasks run.
     pub fn running(&self) -> usize {
         self.workers
             .values()
-            .map(|w| w.pieces.values().filter(|p| p.2.is_none()).count())
+            .map(|w| w.tasks.values().filter(|p| p.2.is_none()).count())
             .sum()
     }
 }
--- a/crates/cherryyard-rehearsal/tests/account.rs
+++ b/crates/cherryyard-rehearsal/tests/account.rs
@@ -29,8 +29,8 @@
     assert_eq!(half.get(Went::Lost), 0.0);
 
     // A machine dies with its task; 17 s of 2 cores are lost.
-    let dead = w.workers.values().find(|x| !x.pieces.is_empty()).unwrap();
-    let (dead, tasks) = (dead.host.clone(), dead.pieces.len() as f64);
+    let dead = w.workers.values().find(|x| !x.tasks.is_empty()).unwrap();
+    let (dead, tasks) = (dead.host.clone(), dead.tasks.len() as f64);
     w.workers.remove(&dead);
     w.run(60.0);
     let lost = w.account().get(Went::Lost);
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -41,9 +41,9 @@
 /// Cores that each class's tasks take now.
 fn running(w: &World) -> (f64, f64) {
     let (mut steady, mut urgent) = (0.0, 0.0);
-    for (name, piece) in w.workers.values().flat_map(|x| &x.pieces) {
+    for (name, task_name) in w.workers.values().flat_map(|x| &x.tasks) {
         let job = name[2..].split('/').next().unwrap().parse::<u64>().unwrap();
-        if piece.2.is_none() {
+        if task_name.2.is_none() {
             *(if job >= URGENT {
                 &mut urgent
             } else {
@@ -205,7 +205,7 @@
     for _ in 0..20 {
         arrivals.second(&mut w);
         let left = |x: &&cherryyard_rehearsal::WorkerStandIn| x.yard == "a";
-        let pieces = w.workers.values().filter(left).flat_map(|x| &x.pieces);
+        let pieces = w.workers.values().filter(left).flat_map(|x| &x.tasks);
         let steady = pieces.filter(|(name, p)| p.2.is_none() && name.len() < 12);
         had += steady.count() as f64 * CORES / 20.0;
     }
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/both_ways.rs
@@ -104,9 +104,9 @@
 fn places(w: &World) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
     for worker in w.workers.values() {
-        for (piece, state) in &worker.pieces {
+        for (task_name, state) in &worker.tasks {
             if state.2.is_none() {
-                all.insert(piece.clone(), worker.host.clone());
+                all.insert(task_name.clone(), worker.host.clone());
             }
         }
     }
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-rehearsal/tests/checker.rs
@@ -2,7 +2,7 @@
 
 use cherryyard_rehearsal::{Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
-use cherryyard_wire::worker::{DoRequest, Order};
+use cherryyard_wire::worker::{CommandBatch, WorkerCommand};
 
 fn cluster(limit: f64) -> World {
     let mut w = World::new(Setup {
@@ -17,16 +17,16 @@
 }
 
 /// A build that starts a task where and when it likes.
-fn start_anyway(w: &mut World, host: &str, piece: &str) {
+fn start_anyway(w: &mut World, host: &str, task_name: &str) {
     let worker = w.workers.get_mut(host).expect("it is up");
-    let start = Order::Start {
-        piece: piece.into(),
+    let start = WorkerCommand::Start {
+        task_name: task_name.into(),
         attempt: 9999,
     };
-    let request = DoRequest {
+    let request = CommandBatch {
         fencing_token: worker.fencing_token,
         incarnation: worker.incarnation,
-        orders: vec![start],
+        commands: vec![start],
     };
     assert!(worker.direct(&request, w.now).0, "it took the command");
     w.deliver_direct();
@@ -45,7 +45,7 @@
     let mut free = w
         .workers
         .values()
-        .filter(|x| x.yard == zone && x.pieces.is_empty());
+        .filter(|x| x.yard == zone && x.tasks.is_empty());
     free.next().expect("a free machine").host.clone()
 }
 
@@ -62,9 +62,9 @@
     w.run(1.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     let waits = (0..6).find(|n| w.copies(&format!("j-000001/{n}")) == 0);
-    let piece = format!("j-000001/{}", waits.expect("one waits"));
+    let task_name = format!("j-000001/{}", waits.expect("one waits"));
     let host = free_host(&w, "b");
-    start_anyway(&mut w, &host, &piece);
+    start_anyway(&mut w, &host, &task_name);
     sees(&w, "team uses 10 of 8 cores");
 }
 
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -60,7 +60,7 @@
                     2 => node.heartbeat_in(heartbeat.clone(), now),
                     _ => {
                         if let Reply::Answer(a) = node.report(&old, now) {
-                            assert!(a.orders.is_empty(), "{frozen_s}: {:?}", a.orders);
+                            assert!(a.commands.is_empty(), "{frozen_s}: {:?}", a.commands);
                         }
                     }
                 }
@@ -133,7 +133,7 @@
     let before = assignments(&w);
     let now = w.now;
     for report in &held {
-        // What the answer orders reaches nobody: its worker gave up long ago.
+        // What the answer commands reaches nobody: its worker gave up long ago.
         w.nodes[0].as_mut().unwrap().report(report, now);
     }
     w.run(1.0);
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/gap.rs
@@ -260,12 +260,7 @@
     let names: Vec<String> = w.workers.keys().cloned().collect();
     let held: Vec<String> = names
         .into_iter()
-        .filter(|n| {
-            w.workers[n]
-                .pieces
-                .keys()
-                .any(|p| p.starts_with("j-000001"))
-        })
+        .filter(|n| w.workers[n].tasks.keys().any(|p| p.starts_with("j-000001")))
         .collect();
     // Silent for longer than a service waits, so that they are to be returned.
     w.unreachable.extend(held.iter().cloned());
@@ -361,7 +356,7 @@
     let worker = w.workers.values_mut().find(|x| x.yard == zone[leader]);
     let worker = worker.expect("a machine");
     let now = w.now;
-    worker.pieces.insert("j-000099/0".into(), (1, now, None));
+    worker.tasks.insert("j-000099/0".into(), (1, now, None));
     w.run(1.0);
     outage(&mut w, 70.0);
     whole(&w, "never read");
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-rehearsal/tests/largest.rs
@@ -227,7 +227,7 @@
             // What runs there goes on; what comes is short.
             let now = w.now;
             worker
-                .pieces
+                .tasks
                 .values_mut()
                 .for_each(|p| p.1 = now + 600_000.0);
             worker.run_ms = 4000.0;
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -101,7 +101,7 @@
     let host = assigned.expect("a page").h[0].clone();
     assert!(w.workers.contains_key(&host), "the mark's machine");
     let at = w.now + 900_000.0;
-    w.workers.get_mut(&host).expect("it is up").recall_at = Some(at);
+    w.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
     w.run(3.0);
     w.held_commits.truncate(first);
     w.hold_commits.clear();
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -40,7 +40,7 @@
 /// Machines with a task of one of these jobs.
 fn hosts_of(w: &World, ids: &[String]) -> BTreeSet<String> {
     let on = |x: &&cherryyard_rehearsal::WorkerStandIn| {
-        let here = x.pieces.iter().filter(|p| p.1.2.is_none());
+        let here = x.tasks.iter().filter(|p| p.1.2.is_none());
         here.map(|p| p.0)
             .any(|p| ids.iter().any(|id| p.starts_with(id.as_str())))
     };
--- a/crates/cherryyard-rehearsal/tests/reach.rs
+++ b/crates/cherryyard-rehearsal/tests/reach.rs
@@ -16,8 +16,8 @@
         .count()
 }
 
-fn host_of(w: &World, piece: &str) -> String {
-    let on = w.workers.values().find(|x| x.runs(piece));
+fn host_of(w: &World, task_name: &str) -> String {
+    let on = w.workers.values().find(|x| x.runs(task_name));
     on.expect("it runs").host.clone()
 }
 
@@ -104,7 +104,7 @@
         w.run(35.0);
         let host = host_of(&w, "j-000001/0");
         w.unreachable.insert(host.clone());
-        w.workers.get_mut(&host).unwrap().pieces.clear();
+        w.workers.get_mut(&host).unwrap().tasks.clear();
         let at = w.now;
         w.run_until(40.0, |w| w.running() == 1);
         waits.push((w.now - at) / 1000.0);
@@ -305,11 +305,11 @@
     }
     assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
     for job in 1..=jobs - cancelled {
-        let piece = format!("j-00000{job}/0");
+        let task_name = format!("j-00000{job}/0");
         assert_eq!(
-            w.copies(&piece),
+            w.copies(&task_name),
             1,
-            "seed {seed}: {piece}\n{}",
+            "seed {seed}: {task_name}\n{}",
             w.trace.join("\n")
         );
     }
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -25,8 +25,8 @@
         .collect()
 }
 
-fn starts(w: &World, piece: &str) -> Vec<String> {
-    let needle = format!("starts {piece} ");
+fn starts(w: &World, task_name: &str) -> Vec<String> {
+    let needle = format!("starts {task_name} ");
     w.trace
         .iter()
         .filter(|l| l.contains(&needle))
--- a/crates/cherryyard-rehearsal/tests/submissions.rs
+++ b/crates/cherryyard-rehearsal/tests/submissions.rs
@@ -36,11 +36,11 @@
     for line in &w.trace {
         let mut words = line.split_whitespace().skip(2);
         if words.next() == Some("starts")
-            && let Some(piece) = words.next()
-            && let Some((id, _)) = piece.split_once('/')
+            && let Some(task_name) = words.next()
+            && let Some((id, _)) = task_name.split_once('/')
             && (0..jobs).any(|k| job_id(first + k) == id)
         {
-            all.insert(piece.to_string());
+            all.insert(task_name.to_string());
             count += 1;
         }
     }
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-rehearsal/tests/two_troubles.rs
@@ -37,8 +37,8 @@
     spec
 }
 
-fn starts(w: &World, piece: &str) -> usize {
-    let needle = format!("starts {piece} ");
+fn starts(w: &World, task_name: &str) -> usize {
+    let needle = format!("starts {task_name} ");
     w.trace.iter().filter(|l| l.contains(&needle)).count()
 }
 
@@ -117,11 +117,11 @@
                 assert_eq!(w.running(), 5, "{state}");
                 w.late_writes = late;
                 // The first task of each ends, then a leader and an owner, then the rest.
-                for (n, piece) in ["/0", "/1", "/2"].into_iter().enumerate() {
+                for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
                     for job in ["j-000001", "j-000002"] {
-                        let piece = format!("{job}{piece}");
+                        let task_name = format!("{job}{task_name}");
                         for worker in w.workers.values_mut() {
-                            worker.finish(&piece);
+                            worker.finish(&task_name);
                         }
                     }
                     users.run(&mut w, apart_s / 2.0);
@@ -141,8 +141,8 @@
                         assert_eq!(view.status, JobStatus::Done, "{state}: {job}");
                     }
                     for n in 0..pieces {
-                        let piece = format!("{job}/{n}");
-                        assert_eq!(starts(&w, &piece), 1, "{state}: {piece}");
+                        let task_name = format!("{job}/{n}");
+                        assert_eq!(starts(&w, &task_name), 1, "{state}: {task_name}");
                     }
                 }
                 end(&mut w, &mut users, &state);
--- a/crates/cherryyard-wire/src/lib.rs
+++ b/crates/cherryyard-wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Wire formats of cherryyard.
 //!
 //! Everything that crosses a process boundary is described here and nowhere
-//! else: the platform's settings, users' jobs, workers' reports and orders,
+//! else: the platform's settings, users' jobs, workers' reports and commands,
 //! the cloud's and the state service's messages, the records kept in the
 //! state service and the frames that controllers exchange. The crate does no
 //! I/O, so clients can use it too.
