--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -3,7 +3,7 @@
 use crate::error::Warning;
 use crate::macros::{CLUSTER, PROCESS, STEP};
 use cherryyard_wire::condor::{Chunk, Template};
-use cherryyard_wire::job::{MAX_PIECES, job_id};
+use cherryyard_wire::job::{MAX_TASKS, job_id};
 use std::sync::Arc;
 
 /// Procs that differ by their numbers only: an array.
@@ -55,13 +55,13 @@
             && !steps
             && *last.described == **described
         {
-            let more = n.min(MAX_PIECES - last.tasks);
+            let more = n.min(MAX_TASKS - last.tasks);
             last.tasks += more;
             first += u64::from(more);
             n -= more;
         }
         while n > 0 {
-            let tasks = n.min(MAX_PIECES);
+            let tasks = n.min(MAX_TASKS);
             self.groups.push(Group {
                 template,
                 first,
--- a/crates/cherryyard-condor/src/job.rs
+++ b/crates/cherryyard-condor/src/job.rs
@@ -206,25 +206,25 @@
         let text = |name: &str| own(name).map(|t| t.1.trim_matches('"').to_string());
         let spec = JobSpec {
             id: NO_ID.into(),
-            jobclass: text("JobClass").unwrap_or_else(|| "condor".into()),
-            owner: team.clone(),
-            shape: Shape::Sweep,
+            job_class: text("JobClass").unwrap_or_else(|| "condor".into()),
+            team: team.clone(),
+            shape: Shape::Array,
             rank: if priority < 0.0 || nice {
                 Rank::BestEffort
             } else {
                 Rank::Standard
             },
-            pieces: 1,
+            task_count: 1,
             cores,
             accelerators: gpus,
             ram_gb: memory / 1024f64.powi(3),
-            bundle: bundle.trim_matches('"').to_string(),
+            image: bundle.trim_matches('"').to_string(),
             image_gb: amount("ImageGB")?.unwrap_or(0.0),
-            kinds_of_host: None,
-            yard: None,
+            machine_types: None,
+            zone: None,
             together: flag("Together")?,
             apart: flag("Apart")?,
-            borrowed: flag("WantSpot")?,
+            spot: flag("WantSpot")?,
             expected_s: amount("ExpectedSeconds")?.unwrap_or(0.0),
             snapshot_every_s: amount("CheckpointSeconds")?.unwrap_or(0.0),
             snapshot_cost_s: amount("CheckpointCostSeconds")?.unwrap_or(0.0),
--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -4,11 +4,11 @@
 //! It is sampled: each sample counts every core of the shard once, for the time
 //! since the sample before. Nothing depends on it.
 
-use crate::machine::{HostState, Machine, Task};
+use crate::machine::{Machine, MachineState, Task};
 use crate::mirror::OpenJob;
 use crate::node::Node;
 use crate::{Millis, Mirror};
-use cherryyard_wire::cloud::HostStatus;
+use cherryyard_wire::cloud::InstanceStatus;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::record::End;
 use cherryyard_wire::worker::TaskStatus;
@@ -55,7 +55,7 @@
     Ending,
     /// Tasks without an assignment.
     Strays,
-    /// Machines rented and not yet up.
+    /// Machines provisioned and not yet up.
     Booting,
     /// Free cores of machines that are silent, recalled, unconfirmed, being
     /// returned, or left alone after failures.
@@ -215,7 +215,7 @@
         let mut elsewhere = others.map(|q| self.wanted(q)).sum::<f64>() / self.shards.len() as f64;
         let used = self.mirror.usage(shard_id);
         for m in self.machines.values().filter(|m| m.shard == shard_id) {
-            if m.state == HostState::Gone {
+            if m.state == MachineState::Gone {
                 continue;
             }
             self.count_tasks(m, s, account);
@@ -245,11 +245,15 @@
             account.sum.count(rest, (free - here - there) * s);
         }
         for (name, entry) in &self.listed {
-            if entry.status == HostStatus::Starting
-                && self.config.shard_map.shard(&entry.yard, name) == shard_id
+            if entry.status == InstanceStatus::Starting
+                && self.config.shard_map.shard(&entry.zone, name) == shard_id
             {
-                let kind = self.mirror.kinds.iter().find(|k| k.sku == entry.host_kind);
-                let cores = kind.map_or(0.0, |k| k.cores);
+                let machine_type = self
+                    .mirror
+                    .machine_types
+                    .iter()
+                    .find(|k| k.sku == entry.machine_type);
+                let cores = machine_type.map_or(0.0, |k| k.cores);
                 account.sum.count(Went::Booting, cores * s);
             }
         }
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -24,7 +24,7 @@
     /// By rank, the most important first.
     pub rank: Rank,
     /// Services before arrays.
-    pub sweep: bool,
+    pub is_array: bool,
     /// Which of its deadline's multiples it can still make.
     pub hope: usize,
     /// What is left of it, in core-seconds.
@@ -39,7 +39,7 @@
 
 impl Ord for Place {
     fn cmp(&self, other: &Self) -> Ordering {
-        let key = |place: &Self| (Reverse(place.rank), place.sweep, place.hope);
+        let key = |place: &Self| (Reverse(place.rank), place.is_array, place.hope);
         key(self)
             .cmp(&key(other))
             .then(self.work.total_cmp(&other.work))
@@ -124,7 +124,7 @@
         let since = match before {
             Some(before) => before.since,
             None => {
-                if !place.sweep {
+                if !place.is_array {
                     self.unseen.insert(place.job);
                 }
                 now
@@ -402,7 +402,7 @@
     fn place(job: u64, rank: Rank, work: f64) -> Place {
         Place {
             rank,
-            sweep: true,
+            is_array: true,
             hope: 0,
             work,
             due: 0.0,
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -109,7 +109,7 @@
             if let Some(open) = self.mirror.open.get(job)
                 && let Some(used) = all.get_mut(open.flow as usize)
             {
-                let each = open.spec.cores * f64::from(open.spec.pieces) / shards as f64;
+                let each = open.spec.cores * f64::from(open.spec.task_count) / shards as f64;
                 used.waiting.iter_mut().for_each(|w| *w += each);
             }
         }
@@ -121,7 +121,12 @@
         let rooms = self.leader.rooms.iter().flatten();
         let sizes = rooms.flat_map(|room| {
             let sorts = room.report.sorts.iter();
-            let cores = sorts.map(|s| self.mirror.kinds.iter().find(|k| k.sku == s.kind));
+            let cores = sorts.map(|s| {
+                self.mirror
+                    .machine_types
+                    .iter()
+                    .find(|k| k.sku == s.machine_type)
+            });
             let cores: Vec<f64> = cores.map(|k| k.map_or(0.0, |k| k.cores)).collect();
             let machines = room.report.machines.iter();
             machines.map(move |m| cores.get(usize::from(m.sort)).copied().unwrap_or(0.0))
--- a/crates/cherryyard-core/src/cells.rs
+++ b/crates/cherryyard-core/src/cells.rs
@@ -5,9 +5,9 @@
 //! operators' attributes as the state service holds them. Nothing of it is kept in a
 //! job's record, so a change of an attribute costs one write, and what waits follows it.
 
-use crate::admit::{allows_kind, fits_kind};
+use crate::admit::{allows_machine_type, fits_machine_type};
 use cherryyard_classad::{Ad, Expr, Names, Scope, Value};
-use cherryyard_wire::cloud::HostKind;
+use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::rules::{Attributes, Rules};
 use serde::{Deserialize, Serialize};
@@ -31,8 +31,8 @@
 
 impl CellSet {
     /// How much a cell is preferred, 0 the most; none if it is excluded.
-    pub fn tier(&self, kind: &str, zone: &str, spot: bool) -> Option<u16> {
-        self.tiers.get(kind)?.get(zone)?[usize::from(spot)]
+    pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
+        self.tiers.get(machine_type)?.get(zone)?[usize::from(spot)]
     }
 
     /// How many tiers there are.
@@ -41,7 +41,7 @@
     }
 
     fn add(&mut self, cell: &Cell, tier: u16) {
-        let zones = self.tiers.entry(cell.kind.clone()).or_default();
+        let zones = self.tiers.entry(cell.machine_type.clone()).or_default();
         zones.entry(cell.zone.clone()).or_default()[usize::from(cell.spot)] = Some(tier);
         self.count = self.count.max(tier + 1);
     }
@@ -50,7 +50,7 @@
 /// One cell and its attributes.
 #[derive(Clone, Debug)]
 struct Cell {
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     ad: Ad,
@@ -59,7 +59,7 @@
 impl Cell {
     fn name(&self) -> String {
         let sort = if self.spot { "spot" } else { "ordinary" };
-        format!("{} in {} ({sort})", self.kind, self.zone)
+        format!("{} in {} ({sort})", self.machine_type, self.zone)
     }
 }
 
@@ -127,39 +127,39 @@
 
 impl Matcher {
     /// One for these types and attributes.
-    pub fn new(kinds: &[HostKind], attributes: &Attributes) -> Self {
+    pub fn new(machine_types: &[MachineType], attributes: &Attributes) -> Self {
         let mut names = Names::default();
         let mut cells = Vec::new();
-        for kind in kinds {
-            for zone in &kind.yards {
+        for machine_type in machine_types {
+            for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let mut ad = Ad::default();
                     let mut set = |name: &str, value| ad.set_value(names.intern(name), value);
                     let groups = [
                         Some(&attributes.all),
-                        attributes.kinds.get(&kind.sku),
+                        attributes.machine_types.get(&machine_type.sku),
                         attributes.zones.get(zone),
                     ];
                     for (name, value) in groups.into_iter().flatten().flatten() {
                         set(name, value_of(value));
                     }
                     set("MyType", Value::text("Machine"));
-                    set("MachineType", Value::text(&kind.sku));
+                    set("MachineType", Value::text(&machine_type.sku));
                     set("Zone", Value::text(zone));
                     set("Spot", Value::Bool(spot));
                     for name in ["Cpus", "TotalCpus"] {
-                        set(name, number(kind.cores));
+                        set(name, number(machine_type.cores));
                     }
                     for name in ["Memory", "TotalMemory"] {
-                        set(name, number(kind.ram_gb * 1024.0));
+                        set(name, number(machine_type.ram_gb * 1024.0));
                     }
                     for name in ["GPUs", "TotalGPUs"] {
-                        set(name, number(kind.accelerators));
+                        set(name, number(machine_type.accelerators));
                     }
-                    set("FetchRate", number(kind.fetch_gb_per_s));
-                    set("ImageCache", number(kind.cache_gb));
+                    set("FetchRate", number(machine_type.fetch_gb_per_s));
+                    set("ImageCache", number(machine_type.cache_gb));
                     cells.push(Cell {
-                        kind: kind.sku.clone(),
+                        machine_type: machine_type.sku.clone(),
                         zone: zone.clone(),
                         spot,
                         ad,
@@ -199,9 +199,9 @@
             all.as_ref().is_none_or(|all| all.contains(one))
         };
         let holds = rules.cells.iter().filter(|b| {
-            within(&b.kinds, &cell.kind)
-                && within(&b.yards, &cell.zone)
-                && b.borrowed.is_none_or(|spot| spot == cell.spot)
+            within(&b.machine_types, &cell.machine_type)
+                && within(&b.zones, &cell.zone)
+                && b.spot.is_none_or(|spot| spot == cell.spot)
         });
         holds.map(|b| b.tier).min()
     }
@@ -273,7 +273,7 @@
         &self,
         spec: &JobSpec,
         rules: &Rules,
-        kinds: &[HostKind],
+        machine_types: &[MachineType],
         at: u64,
     ) -> Result<Explanation, String> {
         let read = self.read(rules)?;
@@ -296,18 +296,18 @@
         let mut near: Vec<(String, Vec<String>)> = Vec::new();
         for cell in &self.cells {
             let mut lacks = Vec::new();
-            let kind = kinds.iter().find(|k| k.sku == cell.kind);
-            if !kind.is_some_and(|k| fits_kind(spec, k)) {
-                lacks.push(if allows_kind(spec, &cell.kind) {
+            let machine_type = machine_types.iter().find(|k| k.sku == cell.machine_type);
+            if !machine_type.is_some_and(|k| fits_machine_type(spec, k)) {
+                lacks.push(if allows_machine_type(spec, &cell.machine_type) {
                     "a task does not fit".to_string()
                 } else {
                     "kinds_of_host excludes it".to_string()
                 });
             }
-            if spec.yard.as_ref().is_some_and(|y| *y != cell.zone) {
+            if spec.zone.as_ref().is_some_and(|y| *y != cell.zone) {
                 lacks.push("yard excludes it".into());
             }
-            if cell.spot && !spec.borrowed {
+            if cell.spot && !spec.spot {
                 lacks.push("the job may not use spot machines".into());
             }
             if Self::block_tier(rules, cell).is_none() {
@@ -324,7 +324,7 @@
                     lacks.push(format!("`{}` is {value}", clause.print(&read.names)));
                 }
             }
-            match set.tier(&cell.kind, &cell.zone, cell.spot) {
+            match set.tier(&cell.machine_type, &cell.zone, cell.spot) {
                 Some(tier) if lacks.is_empty() => matching.push((tier, cell.name())),
                 _ => near.push((cell.name(), lacks)),
             }
@@ -344,21 +344,21 @@
 mod tests {
     use super::*;
 
-    fn kind(sku: &str, cores: f64, yards: &[&str]) -> HostKind {
+    fn kind(sku: &str, cores: f64, zones: &[&str]) -> MachineType {
         let text = serde_json::json!({ "sku": sku, "cores": cores, "ram_gb": 4.0 * cores,
-            "fetch_gb_per_s": 0.5, "yards": yards });
+            "fetch_gb_per_s": 0.5, "yards": zones });
         serde_json::from_value(text).unwrap()
     }
 
-    fn matcher() -> (Matcher, Vec<HostKind>) {
-        let kinds = vec![kind("m4", 4.0, &["a", "b"]), kind("m8", 8.0, &["b", "c"])];
+    fn matcher() -> (Matcher, Vec<MachineType>) {
+        let machine_types = vec![kind("m4", 4.0, &["a", "b"]), kind("m8", 8.0, &["b", "c"])];
         let attributes = serde_json::json!({
             "all": { "OpSys": "LINUX" },
             "kinds": { "m8": { "Department": "posting" } },
             "zones": { "c": { "Department": "ledger", "Racks": [3, 4] } } });
         let attributes: Attributes = serde_json::from_value(attributes).unwrap();
         attributes.check().unwrap();
-        (Matcher::new(&kinds, &attributes), kinds)
+        (Matcher::new(&machine_types, &attributes), machine_types)
     }
 
     fn rules(requirements: &str, rank: &str) -> Rules {
@@ -379,9 +379,9 @@
             let set = m.evaluate(r, 0).unwrap();
             let mut text = String::new();
             for cell in &m.cells {
-                if let Some(t) = set.tier(&cell.kind, &cell.zone, cell.spot) {
+                if let Some(t) = set.tier(&cell.machine_type, &cell.zone, cell.spot) {
                     let spot = if cell.spot { "*" } else { "" };
-                    text += &format!("{}/{}{spot}:{t} ", cell.kind, cell.zone);
+                    text += &format!("{}/{}{spot}:{t} ", cell.machine_type, cell.zone);
                 }
             }
             text.trim_end().to_string()
@@ -429,14 +429,17 @@
     /// A user is told which attribute no machine has, and what the nearest lack.
     #[test]
     fn what_matches_nothing_is_explained() {
-        let (m, kinds) = matcher();
+        let (m, machine_types) = matcher();
         let spec = serde_json::json!({ "id": "j-000001", "jobclass": "c", "owner": "t",
             "shape": "sweep", "rank": "standard", "pieces": 1, "cores": 6.0,
             "accelerators": 0.0, "ram_gb": 1.0, "bundle": "b", "image_gb": 0.0,
             "together": false, "apart": false, "borrowed": false, "expected_s": 1.0,
             "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0 });
         let spec: JobSpec = serde_json::from_value(spec).unwrap();
-        let why = |text: &str| m.explain(&spec, &rules(text, ""), &kinds, 0).unwrap();
+        let why = |text: &str| {
+            m.explain(&spec, &rules(text, ""), &machine_types, 0)
+                .unwrap()
+        };
         let none = why("HasGluster && Department == \"posting\" && OpSys == \"LINUX\"");
         assert_eq!(none.matching, Vec::<String>::new());
         assert_eq!(
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -1,7 +1,7 @@
 //! What the core wants done, and how it came out.
 
 use crate::admission::intake::Verdict;
-use cherryyard_wire::cloud::HireRequest;
+use cherryyard_wire::cloud::ProvisionRequest;
 use cherryyard_wire::history::Level;
 use cherryyard_wire::state::Commit;
 use cherryyard_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
@@ -87,7 +87,7 @@
     /// Return machines.
     Release(Vec<String>),
     /// Rent machines.
-    Hire(HireRequest),
+    Provision(ProvisionRequest),
     /// Read the first leaf of a run whose last possible id is this one or later.
     ReadLeaf(Level, u64),
     /// Read a chunk of a submission.
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -53,18 +53,23 @@
             wants: Vec::new(),
         };
         for (name, entry) in &self.listed {
-            if entry.status != HostStatus::Running
-                || self.config.shard_map.shard(&entry.yard, name) != shard_id
+            if entry.status != InstanceStatus::Running
+                || self.config.shard_map.shard(&entry.zone, name) != shard_id
             {
                 continue;
             }
-            let Some(kind) = self.mirror.kinds.iter().find(|k| k.sku == entry.host_kind) else {
+            let Some(machine_type) = self
+                .mirror
+                .machine_types
+                .iter()
+                .find(|k| k.sku == entry.machine_type)
+            else {
                 continue;
             };
             let mut free = Needs {
-                cores: kind.cores,
-                acc: kind.accelerators,
-                ram: kind.ram_gb,
+                cores: machine_type.cores,
+                acc: machine_type.accelerators,
+                ram: machine_type.ram_gb,
             };
             let mut yielding = free;
             let host = self.mirror.hosts.get(name);
@@ -79,9 +84,9 @@
                 }
             }
             let sort = MachineSort {
-                kind: entry.host_kind.clone(),
-                zone: entry.yard.clone(),
-                spot: entry.borrowed,
+                machine_type: entry.machine_type.clone(),
+                zone: entry.zone.clone(),
+                spot: entry.spot,
             };
             let place = report.sorts.iter().position(|s| *s == sort);
             let place = place.unwrap_or_else(|| {
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/creating.rs
@@ -73,9 +73,9 @@
     fn new(submission: u64, chunk: u32, first: u64, read: Chunk) -> Self {
         let mut jobs = Vec::new();
         let mut job = first;
-        for (template, pieces, count) in read.r {
+        for (template, task_count, count) in read.r {
             for _ in 0..count {
-                jobs.push((job, template, pieces));
+                jobs.push((job, template, task_count));
                 job += 1;
             }
         }
@@ -263,11 +263,11 @@
         // None for what cannot be created: it is passed over, so that it does not hold
         // up all that come after it.
         let mut records = Vec::new();
-        for &(job, template, pieces) in &left[..n] {
+        for &(job, template, task_count) in &left[..n] {
             let template = work.templates.get(template as usize);
             let new = template.and_then(|t| {
                 let mut spec = t.spec.clone();
-                (spec.id, spec.pieces) = (job_id(job), pieces);
+                (spec.id, spec.task_count) = (job_id(job), task_count);
                 self.mirror
                     .new_job(spec, t.rules.clone().map(Box::new), record.at)
             });
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -16,7 +16,7 @@
         let allowed: Vec<bool> = report
             .sorts
             .iter()
-            .map(|s| open.allows(&s.kind, &s.zone, s.spot))
+            .map(|s| open.allows(&s.machine_type, &s.zone, s.spot))
             .map(|tier| tier.is_some_and(|t| t <= most))
             .collect();
         report
@@ -52,7 +52,7 @@
     ///
     /// Where rules prefer some cells, those count alone while they have room for all.
     pub(crate) fn weights(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
-        let all = |weights: &[f64]| weights.iter().sum::<f64>() >= f64::from(open.spec.pieces);
+        let all = |weights: &[f64]| weights.iter().sum::<f64>() >= f64::from(open.spec.task_count);
         let tiers = open.rules.as_ref().map_or(1, |r| r.1.tiers());
         for most in 0..tiers.saturating_sub(1) {
             let free = self.fits(open, now, false, most, false);
@@ -116,7 +116,7 @@
         most: u16,
         yielding: bool,
     ) -> u32 {
-        let image = report.images.iter().position(|i| *i == open.spec.bundle);
+        let image = report.images.iter().position(|i| *i == open.spec.image);
         if holding && image.is_none() {
             return 0;
         }
@@ -171,9 +171,9 @@
             }
         }
         let room: f64 = weights.iter().sum();
-        let within = open.spec.pieces.min(room as u32);
+        let within = open.spec.task_count.min(room as u32);
         let mut shares = divide(within, &weights);
-        if within < open.spec.pieces {
+        if within < open.spec.task_count {
             // What has no free room follows machine counts, as a job does that
             // finds none at all: weights of a few free cores would heap a large
             // job onto one shard.
@@ -185,7 +185,7 @@
             };
             for (share, more) in shares
                 .iter_mut()
-                .zip(divide(open.spec.pieces - within, rest))
+                .zip(divide(open.spec.task_count - within, rest))
             {
                 *share += more;
             }
@@ -208,8 +208,8 @@
 
     /// The zone with the most room for a job whose tasks must be together.
     pub(crate) fn pin_zone(&self, open: &OpenJob, now: Millis) -> Option<String> {
-        if let Some(yard) = &open.spec.yard {
-            return Some(yard.clone());
+        if let Some(zone) = &open.spec.zone {
+            return Some(zone.clone());
         }
         let mut best: Option<(u32, usize, String)> = None;
         for z in 0..self.config.zones.len() as u32 {
@@ -231,7 +231,7 @@
                     }
                 }
             }
-            let fits = fits.min(open.spec.pieces);
+            let fits = fits.min(open.spec.task_count);
             if count > 0 && best.as_ref().is_none_or(|b| (fits, count) > (b.0, b.1)) {
                 best = Some((fits, count, zone.to_string()));
             }
@@ -242,7 +242,7 @@
     /// Per part and zone, how many tasks may be there, so that no zone ever
     /// holds more than half: a zone's cap is split among the shards by machines.
     pub(crate) fn zone_caps(&self, open: &OpenJob, now: Millis) -> Vec<Vec<u32>> {
-        let half = open.spec.pieces.div_ceil(2);
+        let half = open.spec.task_count.div_ceil(2);
         let zones = self.config.zones.len();
         let mut caps = vec![vec![0; zones]; self.shards.len()];
         for z in 0..zones {
@@ -316,14 +316,14 @@
         let Some((mut sets, _)) = self.division(open, now) else {
             return false;
         };
-        if open.spec.apart && open.spec.pieces > 1 {
+        if open.spec.apart && open.spec.task_count > 1 {
             open.caps = self.zone_caps(open, now);
             let weights: Vec<f64> = open
                 .caps
                 .iter()
                 .map(|c| f64::from(c.iter().sum::<u32>()))
                 .collect();
-            let shares = divide(open.spec.pieces, &weights);
+            let shares = divide(open.spec.task_count, &weights);
             let mut next = 0;
             sets = shares
                 .iter()
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -1,5 +1,5 @@
 //! The leader: divides jobs among the shards, moves what waits, hands out team
-//! limits, rents machines.
+//! limits, scales out machines.
 
 mod arrivals;
 mod assumed;
@@ -22,12 +22,12 @@
 use crate::node::Node;
 use crate::{Millis, admit};
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostStatus};
+use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
 use cherryyard_wire::job::{Rank, Shape};
 use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
 use cherryyard_wire::record::{self, End, Grant, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use state::{Hired, LeadershipEvent, LeadershipPhase, Room};
+use state::{LeadershipEvent, LeadershipPhase, ProvisionedBatch, Room};
 use std::collections::HashSet;
 
 impl Node {
@@ -128,7 +128,7 @@
         self.leader.dirty = true;
     }
 
-    /// We lead by this lease. Once only: names of rentals are counted from there.
+    /// We lead by this lease. Once only: names of provisioning requests are counted from there.
     pub(crate) fn become_leader(&mut self, token: u64, now: Millis) {
         if self.leader.leadership_token == token {
             return;
@@ -137,9 +137,9 @@
         self.leader.leadership_token = token;
         self.leader.phase = self.leader.phase.after(LeadershipEvent::Applied(token));
         self.leader.since = now;
-        self.leader.hire_after = now + 5000.0;
-        self.leader.hiring = None;
-        self.leader.hire_counter = 0;
+        self.leader.provision_after = now + 5000.0;
+        self.leader.provisioning = None;
+        self.leader.provision_counter = 0;
         self.leader.acquire_after = now + 8000.0;
         self.effects.push(Effect::Heartbeat);
     }
@@ -193,7 +193,7 @@
         self.assume_rooms(now);
         self.review(now);
         let commit = self
-            .store_kinds()
+            .store_machine_types()
             .or_else(|| self.store_attributes())
             .or_else(|| self.begin_pages())
             .or_else(|| self.begin_dependencies(now))
@@ -212,14 +212,14 @@
         self.rent(now);
     }
 
-    pub(crate) fn store_kinds(&mut self) -> Option<Commit> {
-        let kinds = self.types_from_cloud.take()?;
-        let mut named = kinds.clone();
-        for kind in &mut named {
+    pub(crate) fn store_machine_types(&mut self) -> Option<Commit> {
+        let machine_types = self.machine_types_from_cloud.take()?;
+        let mut named = machine_types.clone();
+        for machine_type in &mut named {
             // Prices move all the time, and nothing here depends on them.
-            (kind.price, kind.low_price) = (0.0, 0.0);
+            (machine_type.price, machine_type.low_price) = (0.0, 0.0);
         }
-        if self.mirror.kinds_revision != 0 && self.mirror.kinds == named {
+        if self.mirror.machine_types_revision != 0 && self.mirror.machine_types == named {
             return None;
         }
         let value = Json::of(&named);
@@ -228,8 +228,10 @@
             return None;
         }
         let mut commit = Commit::default();
-        self.mirror.require(&mut commit, Key::Kinds);
-        commit.apply.push(Apply::put(record::KINDS, value));
+        self.mirror.require(&mut commit, Key::MachineTypes);
+        commit
+            .apply
+            .push(Apply::put(record::MACHINE_TYPES_KEY, value));
         Some(commit)
     }
 
--- a/crates/cherryyard-core/src/leader/overflow.rs
+++ b/crates/cherryyard-core/src/leader/overflow.rs
@@ -138,7 +138,7 @@
         let unassigned = self.mirror.waiting(shard_id, job)?;
         let mut w = self.weights(open, now);
         w[shard_id] = 0.0;
-        if open.spec.apart && open.spec.pieces > 1 {
+        if open.spec.apart && open.spec.task_count > 1 {
             // The caps of the first division stay, so that no zone can
             // ever hold more than its half.
             for (q, weight) in w.iter_mut().enumerate() {
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -5,7 +5,7 @@
 use super::packing::Packing;
 use crate::needs::Needs;
 use crate::{Config, Millis, Mirror};
-use cherryyard_wire::cloud::HireRequest;
+use cherryyard_wire::cloud::ProvisionRequest;
 use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::Key;
 use std::cell::RefCell;
@@ -65,11 +65,11 @@
     pub(crate) debits: Vec<(Millis, Needs)>,
 }
 
-/// A rental under way or answered.
+/// A provisioning request under way or answered.
 #[derive(Clone, Debug)]
-pub(crate) struct Hired {
+pub(crate) struct ProvisionedBatch {
     pub(crate) at: Millis,
-    pub(crate) kind: String,
+    pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
     /// Machine names, once answered.
@@ -99,11 +99,11 @@
     pub(crate) dirty: bool,
     pub(crate) planned_at: Millis,
     pub(crate) since: Millis,
-    pub(crate) hire_counter: u64,
-    pub(crate) hiring: Option<HireRequest>,
-    pub(crate) hire_after: Millis,
+    pub(crate) provision_counter: u64,
+    pub(crate) provisioning: Option<ProvisionRequest>,
+    pub(crate) provision_after: Millis,
     pub(crate) refused: HashMap<(String, String, bool), Millis>,
-    pub(crate) hired: Vec<Hired>,
+    pub(crate) provisioned: Vec<ProvisionedBatch>,
     /// What machines take to be up.
     pub(crate) boots: Boots,
     pub(crate) ownerless: HashMap<usize, Millis>,
@@ -144,11 +144,11 @@
             dirty: true,
             planned_at: now,
             since: now,
-            hire_counter: 0,
-            hiring: None,
-            hire_after: now + 8000.0,
+            provision_counter: 0,
+            provisioning: None,
+            provision_after: now + 8000.0,
             refused: HashMap::new(),
-            hired: Vec::new(),
+            provisioned: Vec::new(),
             boots: Boots::default(),
             ownerless: HashMap::new(),
             handed: HashMap::new(),
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use crate::effects::{Effect, Ticket};
 use crate::leader::state::LeadershipPhase;
-use crate::machine::HostState;
+use crate::machine::MachineState;
 use crate::mirror::LeaseHolder;
 use crate::node::Node;
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
@@ -134,7 +134,8 @@
             let mut all = 0u32;
             let mut silent = 0u32;
             for m in self.machines.values().filter(|m| {
-                m.shard == shard_id && matches!(m.state, HostState::Ready | HostState::Expired)
+                m.shard == shard_id
+                    && matches!(m.state, MachineState::Ready | MachineState::Expired)
             }) {
                 all += 1;
                 silent += u32::from(now - m.heard_at > limit);
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Node`] is one controller: it takes events (state changes, reports, heartbeats,
 //! answers, the time) and returns effects (transactions, direct commands,
-//! rentals). It does no I/O and reads no clock, so the same events always give
+//! provisioning requests). It does no I/O and reads no clock, so the same events always give
 //! the same effects, which is what the rehearsal crate builds on.
 
 pub mod account;
@@ -36,7 +36,7 @@
 
 pub use config::{Config, Tuning};
 pub use effects::{Effect, Outcome, PushOutcome, Reply, Ticket};
-pub use machine::{HostState, Machine, Task};
+pub use machine::{Machine, MachineState, Task};
 pub use mirror::Mirror;
 pub use node::Node;
 pub use worker_heartbeats::MAX_MACHINES;
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 use crate::reach::{Reach, ReachEvent};
-use cherryyard_wire::cloud::HostEntry;
+use cherryyard_wire::cloud::Instance;
 use cherryyard_wire::worker::{
     ExitCause, TaskReport, TaskStatus, WorkerHeartbeat, parse_task_name,
 };
@@ -16,7 +16,7 @@
 
 /// Where a machine stands with its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostState {
+pub enum MachineState {
     /// Has not reported under our token: nothing is known of it that counts.
     Unconfirmed,
     /// Reports under our token.
@@ -31,7 +31,7 @@
 
 /// What moves a machine from one state to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostEvent {
+pub enum MachineEvent {
     /// A report that carries our token.
     Confirmed,
     /// Its lease has run out.
@@ -118,7 +118,7 @@
     /// Where it takes direct commands.
     pub addr: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
@@ -126,7 +126,7 @@
     /// Its part.
     pub shard: usize,
     /// Where it stands.
-    pub state: HostState,
+    pub state: MachineState,
     /// Session and sequence number of the newest message.
     pub newest: (u64, u64),
     /// The token in the newest message.
@@ -194,11 +194,11 @@
         Self {
             host,
             addr: report.addr.clone(),
-            kind: report.host_kind.clone(),
-            zone: report.yard.clone(),
-            spot: report.borrowed,
+            machine_type: report.machine_type.clone(),
+            zone: report.zone.clone(),
+            spot: report.spot,
             shard,
-            state: HostState::Unconfirmed,
+            state: MachineState::Unconfirmed,
             newest: (0, 0),
             token: 0,
             confirmed_token: 0,
@@ -231,13 +231,13 @@
     }
 
     /// A machine that has not reported, as the cloud lists it.
-    pub fn unheard(host: u32, shard: usize, entry: &HostEntry, now: Millis) -> Self {
+    pub fn unheard(host: u32, shard: usize, entry: &Instance, now: Millis) -> Self {
         let report = WorkerHeartbeat {
             host: entry.id.clone(),
             addr: entry.addr.clone(),
-            host_kind: entry.host_kind.clone(),
-            yard: entry.yard.clone(),
-            borrowed: entry.borrowed,
+            machine_type: entry.machine_type.clone(),
+            zone: entry.zone.clone(),
+            spot: entry.spot,
             incarnation: 0,
             sequence: 0,
             fencing_token: 0,
@@ -248,9 +248,9 @@
     }
 
     /// The one place where a machine's state changes.
-    pub fn change(&mut self, event: HostEvent) {
-        use HostEvent::*;
-        use HostState::*;
+    pub fn change(&mut self, event: MachineEvent) {
+        use MachineEvent::*;
+        use MachineState::*;
         match event {
             LeaseOver => self.lease_over = self.token_ours(),
             Confirmed | TokenChanged => self.lease_over = false,
@@ -354,7 +354,7 @@
             self.busy_at = now;
         }
         if report.fencing_token == own_token {
-            self.change(HostEvent::Confirmed);
+            self.change(MachineEvent::Confirmed);
         }
     }
 
@@ -385,7 +385,7 @@
     /// Whether a report differs in nothing that matters from the last one. It
     /// matters while a start may be on its way that it shows or does not show.
     fn tells_the_same(&self, report: &WorkerHeartbeat, own_token: u64) -> bool {
-        self.state == HostState::Ready
+        self.state == MachineState::Ready
             && !self.lease_over
             && report.incarnation == self.newest.0
             && report.fencing_token == self.token
@@ -422,9 +422,9 @@
             return true;
         }
         match self.state {
-            HostState::Gone => true,
-            HostState::Unconfirmed | HostState::Expired => false,
-            HostState::Ready | HostState::Returning => {
+            MachineState::Gone => true,
+            MachineState::Unconfirmed | MachineState::Expired => false,
+            MachineState::Ready | MachineState::Returning => {
                 // Returning may follow Unconfirmed; only a report that carries
                 // our token counts.
                 // An assignment older than our token in a incarnation that has yet to come is of a
@@ -478,7 +478,7 @@
 
     /// Whether new tasks may be placed here.
     pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
-        self.state == HostState::Ready
+        self.state == MachineState::Ready
             && self.reach.hears()
             && self.reclaim_at.is_none()
             && now - self.heard_at <= silence_ms
--- a/crates/cherryyard-core/src/mirror/arrivals.rs
+++ b/crates/cherryyard-core/src/mirror/arrivals.rs
@@ -127,7 +127,7 @@
         for arrival in all {
             let job = arrival.job;
             new.jobs.insert(job);
-            new.foreign |= self.teams.get(&arrival.spec.owner).is_none();
+            new.foreign |= self.teams.get(&arrival.spec.team).is_none();
             self.arrived.insert(job, page);
             // What has been stored of it since counts.
             if !self.ended.contains_key(&job)
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::{Mirror, Urgency};
 use crate::admission::flows::Flow;
-use crate::admit::allows_kind;
+use crate::admit::allows_machine_type;
 use crate::cells::CellSet;
 use crate::needs::Needs;
 use cherryyard_wire::RangeSet;
@@ -50,19 +50,21 @@
 
     /// Whether all that the job asks for allows a machine of this type, zone and sort;
     /// how much it prefers it then, 0 the most.
-    pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> Option<u16> {
-        let allowed = (self.spec.borrowed || !spot)
-            && allows_kind(&self.spec, kind)
-            && self.spec.yard.as_deref().is_none_or(|y| y == zone)
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
+        let allowed = (self.spec.spot || !spot)
+            && allows_machine_type(&self.spec, machine_type)
+            && self.spec.zone.as_deref().is_none_or(|y| y == zone)
             && self.zone.as_deref().is_none_or(|z| z == zone);
-        allowed.then(|| self.tier(kind, zone, spot)).flatten()
+        allowed
+            .then(|| self.tier(machine_type, zone, spot))
+            .flatten()
     }
 
     /// How much its rules prefer a cell, 0 the most; none if they exclude it.
-    pub fn tier(&self, kind: &str, zone: &str, spot: bool) -> Option<u16> {
+    pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         match &self.rules {
             None => Some(0),
-            Some((_, cells)) => cells.tier(kind, zone, spot),
+            Some((_, cells)) => cells.tier(machine_type, zone, spot),
         }
     }
 
@@ -110,7 +112,7 @@
         let s = &self.spec;
         let sizes = [s.cores, s.accelerators, s.ram_gb].map(f64::to_bits);
         sizes.hash(&mut hash);
-        (&s.bundle, &s.kinds_of_host, &s.yard, &self.zone, s.borrowed).hash(&mut hash);
+        (&s.image, &s.machine_types, &s.zone, &self.zone, s.spot).hash(&mut hash);
         if let Some((_, cells)) = &self.rules {
             cells.hash(&mut hash);
         }
@@ -120,7 +122,7 @@
     /// Whether its tasks make way for more important work: an array of
     /// ordinary rank or below.
     pub fn makes_way(&self) -> bool {
-        self.spec.shape == Shape::Sweep && self.spec.rank <= Rank::Standard
+        self.spec.shape == Shape::Array && self.spec.rank <= Rank::Standard
     }
 
     /// The record, to write it anew.
@@ -140,9 +142,9 @@
     pub fn ended(&self, end: End) -> JobRecord {
         JobRecord::Ended {
             end,
-            n: self.spec.pieces,
+            n: self.spec.task_count,
             r#use: Use {
-                team: self.spec.owner.clone(),
+                team: self.spec.team.clone(),
                 cores: self.spec.cores,
                 acc: self.spec.accelerators,
                 ram: self.spec.ram_gb,
@@ -270,12 +272,12 @@
         rules: Option<Box<Rules>>,
         at: u64,
     ) -> Option<OpenJob> {
-        let team = self.teams.get(&spec.owner)?;
+        let team = self.teams.get(&spec.team)?;
         let rank = spec.rank;
         let mut open = OpenJob {
             revision: 0,
             team,
-            flow: self.flows.intern(team, &spec.jobclass),
+            flow: self.flows.intern(team, &spec.job_class),
             rules: rules.map(|rules| {
                 let cells = self.matcher.cells(&rules, at);
                 (rules, cells)
@@ -391,7 +393,7 @@
         let complete = self
             .open
             .get(&job)
-            .is_some_and(|o| o.spec.shape == Shape::Sweep && done >= o.spec.pieces);
+            .is_some_and(|o| o.spec.shape == Shape::Array && done >= o.spec.task_count);
         if complete {
             self.complete.insert(job);
         } else {
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -19,7 +19,7 @@
 use arrivals::Arrivals;
 pub use arrivals::MOST_ROWS;
 use buckets::Bucket;
-use cherryyard_wire::cloud::HostKind;
+use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
 use cherryyard_wire::history::PackedRecord;
 use cherryyard_wire::record::{
@@ -82,10 +82,10 @@
     pub shards: Vec<Option<LeaseHolder>>,
     /// The lease on the lead.
     pub leader_lease: Option<LeaseHolder>,
-    /// Machine types, as last stored: see [`set_kinds`](Self::set_kinds).
-    pub kinds: Vec<HostKind>,
+    /// Machine types, as last stored: see [`set_machine_types`](Self::set_kinds).
+    pub machine_types: Vec<MachineType>,
     /// Revision of the machine types.
-    pub kinds_revision: u64,
+    pub machine_types_revision: u64,
     /// Operators' own attributes of machines, as stored.
     pub attributes: Attributes,
     attributes_revision: u64,
@@ -164,8 +164,8 @@
             hosts: Names::default(),
             shards: vec![None; shards],
             leader_lease: None,
-            kinds: Vec::new(),
-            kinds_revision: 0,
+            machine_types: Vec::new(),
+            machine_types_revision: 0,
             attributes: Attributes::default(),
             attributes_revision: 0,
             matcher: Matcher::default(),
@@ -304,7 +304,7 @@
     pub fn revision(&self, key: Key) -> u64 {
         match key {
             Key::Leader => self.leader_lease.as_ref().map_or(0, |c| c.revision),
-            Key::Kinds => self.kinds_revision,
+            Key::MachineTypes => self.machine_types_revision,
             Key::Attributes => self.attributes_revision,
             Key::Ids => self.ids_revision,
             Key::Submission(n) => self.submissions.get(&n).map_or(0, |s| s.1),
@@ -337,9 +337,9 @@
     }
 
     /// Takes machine types.
-    pub fn set_kinds(&mut self, kinds: Vec<HostKind>) {
-        if self.kinds != kinds {
-            self.kinds = kinds;
+    pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
+        if self.machine_types != machine_types {
+            self.machine_types = machine_types;
             self.match_anew();
         }
     }
@@ -347,7 +347,7 @@
     /// Types or attributes have changed: what jobs' rules come to is worked out
     /// afresh. What runs stays where it is, what waits follows.
     fn match_anew(&mut self) {
-        self.matcher = Matcher::new(&self.kinds, &self.attributes);
+        self.matcher = Matcher::new(&self.machine_types, &self.attributes);
         for open in self.open.values_mut() {
             if let Some((rules, cells)) = &mut open.rules {
                 *cells = self.matcher.cells(rules, open.at);
@@ -358,7 +358,7 @@
     fn forget(&mut self, key: Key) {
         match key {
             Key::Leader => self.leader_lease = None,
-            Key::Kinds => self.kinds_revision = 0,
+            Key::MachineTypes => self.machine_types_revision = 0,
             Key::Attributes => {
                 self.attributes_revision = 0;
                 self.attributes = Attributes::default();
@@ -424,9 +424,9 @@
             Key::Leader => {
                 self.leader_lease = Some(LeaseHolder::of(value.read()?, revision));
             }
-            Key::Kinds => {
-                self.set_kinds(value.read()?);
-                self.kinds_revision = revision;
+            Key::MachineTypes => {
+                self.set_machine_types(value.read()?);
+                self.machine_types_revision = revision;
             }
             Key::Attributes => {
                 self.attributes = value.read()?;
@@ -494,7 +494,7 @@
         };
         let text = match key {
             Key::Leader => record::LEADER_KEY.to_string(),
-            Key::Kinds => record::KINDS.to_string(),
+            Key::MachineTypes => record::MACHINE_TYPES_KEY.to_string(),
             Key::Attributes => record::ATTRIBUTES.to_string(),
             Key::Ids => record::IDS.to_string(),
             Key::Submission(n) => submission_key(n),
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -7,13 +7,13 @@
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::lateness::Lateness;
 use crate::leader::state::Leader;
-use crate::machine::{HostEvent, HostState, Machine};
+use crate::machine::{Machine, MachineEvent, MachineState};
 use crate::owner::state::Shard;
 use crate::pace::Pace;
 use crate::peers::{PeerFormat, PeerState, Stray};
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use crate::{Config, Millis, Mirror};
-use cherryyard_wire::cloud::{HostEntry, HostKind};
+use cherryyard_wire::cloud::{Instance, MachineType};
 use cherryyard_wire::record::Key;
 use cherryyard_wire::state::{Commit, News};
 use rand::rngs::StdRng;
@@ -57,8 +57,8 @@
     pub(crate) started_at: Millis,
     pub(crate) reported_at: Millis,
     pub(crate) room_changed: bool,
-    pub(crate) types_from_cloud: Option<Vec<HostKind>>,
-    pub(crate) listed: HashMap<String, HostEntry>,
+    pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
+    pub(crate) listed: HashMap<String, Instance>,
     pub(crate) listed_at: Millis,
     /// How far behind this controller is with what waits for it.
     pub(crate) lateness: Lateness,
@@ -119,7 +119,7 @@
             started_at: now,
             reported_at: f64::NEG_INFINITY,
             room_changed: false,
-            types_from_cloud: None,
+            machine_types_from_cloud: None,
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
             lateness: Lateness::new(now),
@@ -238,7 +238,7 @@
                 self.queue_all(shard_id, self.clock);
                 self.room_changed = true;
                 for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
-                    m.change(HostEvent::TokenChanged);
+                    m.change(MachineEvent::TokenChanged);
                 }
                 self.effects.push(Effect::Heartbeat);
             }
@@ -260,12 +260,12 @@
     }
 
     /// Takes machine types from the cloud.
-    pub fn kinds(&mut self, kinds: Vec<HostKind>, now: Millis) {
+    pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
         self.notice(now);
-        if self.mirror.kinds_revision == 0 && !kinds.is_empty() {
-            self.mirror.set_kinds(kinds.clone());
+        if self.mirror.machine_types_revision == 0 && !machine_types.is_empty() {
+            self.mirror.set_machine_types(machine_types.clone());
         }
-        self.types_from_cloud = Some(kinds);
+        self.machine_types_from_cloud = Some(machine_types);
         self.leader.dirty = true;
         self.run(now);
     }
@@ -279,7 +279,7 @@
     /// either the state service answers it, or it answers nobody.
     pub fn ready(&self, now: Millis) -> bool {
         self.mirror.loaded
-            && !self.mirror.kinds.is_empty()
+            && !self.mirror.machine_types.is_empty()
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
@@ -408,7 +408,7 @@
     }
 
     /// Takes a reading of the cloud's machine list.
-    pub fn listed(&mut self, hosts: Vec<HostEntry>, now: Millis) {
+    pub fn listed(&mut self, hosts: Vec<Instance>, now: Millis) {
         self.notice(now);
         self.learn_boots(&hosts);
         self.listed = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
@@ -420,7 +420,7 @@
         self.machines.retain(|&host, m| {
             now - m.heard_at < FORGET_MS
                 || mirror.on_host(host).next().is_some()
-                || (m.state != HostState::Gone && listed.contains_key(mirror.hosts.name(host)))
+                || (m.state != MachineState::Gone && listed.contains_key(mirror.hosts.name(host)))
         });
         self.return_listed(now);
     }
@@ -438,9 +438,9 @@
             }
             if let Some(m) = self.machines.get_mut(&host) {
                 m.change(if ok {
-                    HostEvent::Released
+                    MachineEvent::Released
                 } else {
-                    HostEvent::ReleaseFailed
+                    MachineEvent::ReleaseFailed
                 });
                 m.release_after = now + 2000.0;
             }
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -11,8 +11,12 @@
         let Some(m) = self.machines.get_mut(&host) else {
             return;
         };
-        let kind = self.mirror.kinds.iter().find(|k| k.sku == m.kind);
-        let cache = kind.map_or(0.0, |k| k.cache_gb);
+        let machine_type = self
+            .mirror
+            .machine_types
+            .iter()
+            .find(|k| k.sku == m.machine_type);
+        let cache = machine_type.map_or(0.0, |k| k.cache_gb);
         for task in tasks {
             if let Some(open) = self.mirror.open.get(&task.0) {
                 // A task runs, or has completed, only once its image is there.
@@ -20,7 +24,7 @@
                     matches!(s.status, TaskStatus::Running | TaskStatus::Saving)
                         || s.cause == Some(ExitCause::Done)
                 });
-                m.use_image(&open.spec.bundle, open.spec.image_gb, whole, cache);
+                m.use_image(&open.spec.image, open.spec.image_gb, whole, cache);
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::Millis;
 use crate::effects::{Effect, Outcome, Ticket};
-use crate::machine::{HostEvent, HostState, Machine, PushedStart, Task};
+use crate::machine::{Machine, MachineEvent, MachineState, PushedStart, Task};
 use crate::mirror::OpenJob;
 use crate::names::Names;
 use crate::needs::Needs;
@@ -28,7 +28,7 @@
 use crate::pages::{Assignment, Page};
 use crate::reach::Reach;
 use crate::shard_lease::ShardLease;
-use cherryyard_wire::cloud::{HostEntry, HostStatus};
+use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use cherryyard_wire::job::{Rank, Shape};
 use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
 use cherryyard_wire::record::{self, End, Grant, ImagesRecord, Key};
@@ -207,7 +207,7 @@
         let lease = self.config.lease_ms * 1.001 + 50.0;
         for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
             if !m.lease_over && m.token_ours() && now - m.answered_at > lease {
-                m.change(HostEvent::LeaseOver);
+                m.change(MachineEvent::LeaseOver);
                 self.shards[shard_id].touched.insert(m.host);
             }
         }
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -123,7 +123,7 @@
             self.shards[shard_id].queues.remove(job);
             return;
         };
-        let left = o.spec.pieces.saturating_sub(self.mirror.done(job));
+        let left = o.spec.task_count.saturating_sub(self.mirror.done(job));
         let (hope, turns) = self.hope(o, now + self.wall_offset);
         if o.urgency.deadline.is_some() && turns.is_infinite() {
             self.shards[shard_id]
@@ -132,7 +132,7 @@
         }
         let place = Place {
             rank: o.rank(),
-            sweep: o.spec.shape == Shape::Sweep,
+            is_array: o.spec.shape == Shape::Array,
             hope,
             work: f64::from(left) * o.spec.expected_s * o.spec.cores,
             due: o.due_ms(),
@@ -163,7 +163,7 @@
     /// Whether the job's rules allow this machine.
     pub(crate) fn allowed(&self, open: &OpenJob, m: &Machine) -> bool {
         (!open.spec.together || open.zone.is_some())
-            && open.allows(&m.kind, &m.zone, m.spot).is_some()
+            && open.allows(&m.machine_type, &m.zone, m.spot).is_some()
     }
 
     pub(crate) fn place(
@@ -469,10 +469,10 @@
         let preference = |host: u32| {
             let m = &self.machines[&host];
             let image = match open.spec.shape {
-                Shape::Service => m.image(&open.spec.bundle),
-                Shape::Sweep => u8::from(m.has_image(&open.spec.bundle)),
+                Shape::Service => m.image(&open.spec.image),
+                Shape::Array => u8::from(m.has_image(&open.spec.image)),
             };
-            let tier = open.tier(&m.kind, &m.zone, m.spot);
+            let tier = open.tier(&m.machine_type, &m.zone, m.spot);
             let failed = candidate.failed_on.as_ref();
             let failed = failed.is_some_and(|hosts| hosts.contains(&host));
             // A spot machine may be taken with its work: only for what finds no other
@@ -686,7 +686,7 @@
         zone: &str,
         counts: &HashMap<String, u32>,
     ) -> bool {
-        if !o.spec.apart || o.spec.pieces == 1 {
+        if !o.spec.apart || o.spec.task_count == 1 {
             return true;
         }
         let Some(z) = self.config.zones.get(zone) else {
@@ -704,11 +704,15 @@
     /// Seconds until the job's image would be on a machine.
     pub(crate) fn fetch_s(&self, open: &OpenJob, host: u32) -> f64 {
         let m = &self.machines[&host];
-        if m.image(&open.spec.bundle) == 2 {
+        if m.image(&open.spec.image) == 2 {
             return 0.0;
         }
-        let kind = self.mirror.kinds.iter().find(|k| k.sku == m.kind);
-        let rate = kind.map_or(0.0, |k| k.fetch_gb_per_s);
+        let machine_type = self
+            .mirror
+            .machine_types
+            .iter()
+            .find(|k| k.sku == m.machine_type);
+        let rate = machine_type.map_or(0.0, |k| k.fetch_gb_per_s);
         if rate > 0.0 {
             open.spec.image_gb / rate
         } else {
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -95,7 +95,7 @@
                 .filter(|m| m.shard == shard_id && m.usable(now, silence))
             {
                 if !self.allowed(open, m)
-                    || (holding && m.image(&open.spec.bundle) < 2)
+                    || (holding && m.image(&open.spec.image) < 2)
                     || m.seen.contains_key(&(job, number))
                     || chosen.iter().any(|c| c.2 == m.host)
                     || self.shards[shard_id].reserved.contains_key(&m.host)
@@ -154,7 +154,7 @@
                 if !needs.fits(&free) || list.is_empty() {
                     continue;
                 }
-                let image = if m.image(&open.spec.bundle) == 2 {
+                let image = if m.image(&open.spec.image) == 2 {
                     0.0
                 } else {
                     1.5e6
--- a/crates/cherryyard-core/src/owner/recall.rs
+++ b/crates/cherryyard-core/src/owner/recall.rs
@@ -28,7 +28,7 @@
         now: Millis,
     ) -> bool {
         let Some(at) = m.reclaim_at else { return false };
-        if open.spec.shape != Shape::Sweep
+        if open.spec.shape != Shape::Array
             || open.spec.snapshot_every_s > 0.0
             || !self.mirror.waiting[m.shard].is_empty()
         {
@@ -68,7 +68,7 @@
             .values()
             .filter(|m| {
                 m.shard == shard_id
-                    && matches!(m.state, HostState::Ready | HostState::Expired)
+                    && matches!(m.state, MachineState::Ready | MachineState::Expired)
                     && now >= m.release_after
                     && m.taken(now, silence)
             })
@@ -80,7 +80,7 @@
         }
         let release: Vec<String> = taken
             .into_iter()
-            .map(|host| self.ask_release(host, shard_id, now))
+            .map(|host| self.request_release(host, shard_id, now))
             .collect();
         tracing::info!(
             ?release,
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -11,7 +11,7 @@
         };
         // A machine that is being returned is answered for as long as the cloud does not
         // release it: what is cancelled there must be stopped all the same.
-        if !m.token_ours() || !matches!(m.state, HostState::Ready | HostState::Returning) {
+        if !m.token_ours() || !matches!(m.state, MachineState::Ready | MachineState::Returning) {
             return commands;
         }
         let shard_id = m.shard;
@@ -82,7 +82,7 @@
                 }
             }
         }
-        let ready = m.state == HostState::Ready;
+        let ready = m.state == MachineState::Ready;
         if ready && fresh && owned && m.reclaim_at.is_none_or(|at| at - now > 60_000.0) {
             for (task, assignment) in self.mirror.on_host(host) {
                 // Of what was given up no start is sent: only then a report without the
--- a/crates/cherryyard-core/src/owner/returns.rs
+++ b/crates/cherryyard-core/src/owner/returns.rs
@@ -41,19 +41,19 @@
         names.sort();
         for name in names {
             let entry = &self.listed[name];
-            let shard_id = self.config.shard_map.shard(&entry.yard, name);
+            let shard_id = self.config.shard_map.shard(&entry.zone, name);
             if self.owned(shard_id).is_none() || release.len() >= 90 {
                 continue;
             }
             let owned_for = now - self.shards[shard_id].owned_since;
             let host = self.mirror.hosts.get(name);
             let machine = host.and_then(|h| self.machines.get(&h));
-            let ready_ms = self.ready_s(&entry.host_kind) * 1000.0;
+            let ready_ms = self.ready_s(&entry.machine_type) * 1000.0;
             let why = match machine {
-                Some(m) if m.state == HostState::Gone => None,
+                Some(m) if m.state == MachineState::Gone => None,
                 Some(m) if now < m.release_after => None,
-                Some(m) if m.state == HostState::Returning => Some("asked before"),
-                _ if entry.status == HostStatus::Failed => Some("failed"),
+                Some(m) if m.state == MachineState::Returning => Some("asked before"),
+                _ if entry.status == InstanceStatus::Failed => Some("failed"),
                 Some(m)
                     if now - m.heard_at > lease + 15_000.0
                         && self.lateness.punctual_for(now) > lease + 15_000.0 =>
@@ -82,7 +82,7 @@
                         None
                     }
                 }
-                None if entry.status == HostStatus::Starting => {
+                None if entry.status == InstanceStatus::Starting => {
                     (self.boot(entry) == Boot::Never).then_some("never up")
                 }
                 None => (owned_for > lease * 2.0 + 20_000.0
@@ -98,13 +98,13 @@
             // So that assignments of a machine that never reported can be resolved
             // by the answer to its release.
             let entry = &self.listed[name];
-            let shard_id = self.config.shard_map.shard(&entry.yard, name);
+            let shard_id = self.config.shard_map.shard(&entry.zone, name);
             let host = self.mirror.hosts.intern(name);
             let m = self
                 .machines
                 .entry(host)
                 .or_insert_with(|| Machine::unheard(host, shard_id, entry, now));
-            m.change(HostEvent::ReleaseAsked);
+            m.change(MachineEvent::ReleaseAsked);
             m.release_after = now + 10_000.0;
         }
         if !release.is_empty() {
@@ -146,7 +146,7 @@
             .filter(|m| {
                 now - m.heard_at > limit
                     && !m.lease_over
-                    && matches!(m.state, HostState::Ready | HostState::Returning)
+                    && matches!(m.state, MachineState::Ready | MachineState::Returning)
             })
             .map(|m| m.host)
             .collect();
@@ -184,7 +184,7 @@
             if serves && now >= m.release_after && release.len() < 90 {
                 let name = self.mirror.hosts.name(host).to_string();
                 tracing::info!(machine = %name, "return a silent machine with replicas");
-                m.change(HostEvent::ReleaseAsked);
+                m.change(MachineEvent::ReleaseAsked);
                 m.release_after = now + 3000.0;
                 release.push(name);
             }
@@ -232,7 +232,7 @@
         let punctual_since = now - self.lateness.punctual_for(now);
         // Since when nothing has been heard of a machine that should have been.
         let silent_since = |host: u32| match self.machines.get(&host) {
-            Some(m) if m.state == HostState::Gone || now < m.release_after => now,
+            Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
             Some(m) => m.heard_at.max(held_since).max(punctual_since),
             None => held_since.max(punctual_since),
         };
@@ -250,7 +250,7 @@
         }
         let release: Vec<String> = hosts
             .into_iter()
-            .map(|host| self.ask_release(host, shard_id, now))
+            .map(|host| self.request_release(host, shard_id, now))
             .collect();
         tracing::info!(
             ?release,
@@ -279,7 +279,7 @@
         for host in self.mirror.assigned_hosts() {
             match self.machines.get(&host) {
                 Some(m) if m.shard != shard_id => {}
-                Some(m) if m.token_ours() || m.state == HostState::Gone => all += 1,
+                Some(m) if m.token_ours() || m.state == MachineState::Gone => all += 1,
                 Some(m) if now < m.release_after => all += 1,
                 // It reports, but does not hear us: it will never show our token.
                 Some(m)
@@ -300,28 +300,28 @@
         let release: Vec<String> = unheard
             .into_iter()
             .take(90)
-            .map(|host| self.ask_release(host, shard_id, now))
+            .map(|host| self.request_release(host, shard_id, now))
             .collect();
         tracing::info!(?release, "return marked machines that have not found us");
         self.effects.push(Effect::Release(release));
     }
 
     /// Notes that a machine, known or not, is being released; says its name.
-    pub(crate) fn ask_release(&mut self, host: u32, shard_id: usize, now: Millis) -> String {
+    pub(crate) fn request_release(&mut self, host: u32, shard_id: usize, now: Millis) -> String {
         let name = self.mirror.hosts.name(host).to_string();
         let m = self.machines.entry(host).or_insert_with(|| {
-            let entry = HostEntry {
+            let entry = Instance {
                 id: name.clone(),
                 addr: String::new(),
-                host_kind: String::new(),
-                yard: String::new(),
-                borrowed: false,
-                status: HostStatus::Other,
+                machine_type: String::new(),
+                zone: String::new(),
+                spot: false,
+                status: InstanceStatus::Other,
                 held_s: 0.0,
             };
             Machine::unheard(host, shard_id, &entry, now)
         });
-        m.change(HostEvent::ReleaseAsked);
+        m.change(MachineEvent::ReleaseAsked);
         m.release_after = now + 10_000.0;
         name
     }
@@ -339,7 +339,7 @@
             let known = self.machines.get(&host);
             if self.listed.contains_key(&name)
                 || known.is_some_and(|m| {
-                    m.state == HostState::Gone
+                    m.state == MachineState::Gone
                         || now < m.release_after
                         || now - m.heard_at < self.config.lease_ms
                 })
@@ -356,7 +356,7 @@
             {
                 continue;
             }
-            release.push(self.ask_release(host, shard_id, now));
+            release.push(self.request_release(host, shard_id, now));
         }
         if !release.is_empty() {
             tracing::info!(?release, "return machines that are marked but not listed");
--- a/crates/cherryyard-core/src/owner/room.rs
+++ b/crates/cherryyard-core/src/owner/room.rs
@@ -16,11 +16,15 @@
 
     /// A machine's whole size, by its type.
     pub(crate) fn whole(&self, m: &Machine) -> Option<Needs> {
-        let kind = self.mirror.kinds.iter().find(|k| k.sku == m.kind)?;
+        let machine_type = self
+            .mirror
+            .machine_types
+            .iter()
+            .find(|k| k.sku == m.machine_type)?;
         Some(Needs {
-            cores: kind.cores,
-            acc: kind.accelerators,
-            ram: kind.ram_gb,
+            cores: machine_type.cores,
+            acc: machine_type.accelerators,
+            ram: machine_type.ram_gb,
         })
     }
 
@@ -102,11 +106,12 @@
             .into_iter()
             .filter_map(|m| {
                 let free = self.free_on(m, None)?;
-                let same =
-                    |s: &MachineSort| s.kind == m.kind && s.zone == m.zone && s.spot == m.spot;
+                let same = |s: &MachineSort| {
+                    s.machine_type == m.machine_type && s.zone == m.zone && s.spot == m.spot
+                };
                 let sort = sorts.iter().position(same).unwrap_or_else(|| {
                     sorts.push(MachineSort {
-                        kind: m.kind.clone(),
+                        machine_type: m.machine_type.clone(),
                         zone: m.zone.clone(),
                         spot: m.spot,
                     });
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/round.rs
@@ -228,7 +228,7 @@
         }
         // Absent in the same incarnation means that the start has not arrived. It
         // is sent again, as the same attempt, unless nothing should start.
-        let may_start = m.state == HostState::Ready
+        let may_start = m.state == MachineState::Ready
             && m.newest.0 == assignment.incarnation
             && !m.lease_over
             && !m.gave_up(assignment.incarnation, assignment.attempt)
@@ -358,8 +358,8 @@
             // an old view of the others is enough.
             let done = self.mirror.done(job) + gained;
             if let Some(open) = self.mirror.open.get(&job)
-                && open.spec.shape == Shape::Sweep
-                && done >= open.spec.pieces
+                && open.spec.shape == Shape::Array
+                && done >= open.spec.task_count
             {
                 round.end(job);
             }
@@ -431,7 +431,7 @@
                     job,
                     age_s,
                     late_s,
-                    tasks = open.spec.pieces,
+                    tasks = open.spec.task_count,
                     "a job is done"
                 );
             }
--- a/crates/cherryyard-core/src/owner/turns.rs
+++ b/crates/cherryyard-core/src/owner/turns.rs
@@ -121,7 +121,7 @@
             let now_free = free.cores;
             for ((job, _), _) in self.mirror.on_host(m.host) {
                 if let Some(o) = self.mirror.open.get(&job)
-                    && o.spec.shape == Shape::Sweep
+                    && o.spec.shape == Shape::Array
                 {
                     free.give(&o.needs());
                 }
--- a/crates/cherryyard-core/src/reach.rs
+++ b/crates/cherryyard-core/src/reach.rs
@@ -8,7 +8,7 @@
 //! incarnation looks like an empty machine, the roomiest of all.
 
 use crate::Millis;
-use crate::machine::{Heard, HostEvent, HostState, Machine, Task};
+use crate::machine::{Heard, Machine, MachineEvent, MachineState, Task};
 use cherryyard_wire::worker::WorkerHeartbeat;
 
 /// How often what we sent was not reflected before the machine is asked.
@@ -132,7 +132,7 @@
         self.answered_at = now;
         self.newest = order;
         self.old_in_a_row = 0;
-        self.change(HostEvent::TokenChanged);
+        self.change(MachineEvent::TokenChanged);
         self.anew = true;
         self.take(report, token, now);
         Heard::New
@@ -149,7 +149,7 @@
             && (doubt || old)
             && matches!(
                 self.state,
-                HostState::Unconfirmed | HostState::Ready | HostState::Expired
+                MachineState::Unconfirmed | MachineState::Ready | MachineState::Expired
             )
     }
 
@@ -162,7 +162,7 @@
     /// Whether an attempt was of the worker's life before, and nothing of it is left.
     /// The worker shows our token: of older owners nothing can arrive any more.
     pub(crate) fn of_life_before(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
-        matches!(self.state, HostState::Ready | HostState::Returning)
+        matches!(self.state, MachineState::Ready | MachineState::Returning)
             && self.token_ours()
             && (incarnation > self.newest.0 || attempt <= self.born_after)
             && !self.start_pending(task, attempt)
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 use crate::effects::{Effect, PushOutcome, Reply};
-use crate::machine::{Heard, HostState, Machine, PushedStart};
+use crate::machine::{Heard, Machine, MachineState, PushedStart};
 use crate::node::Node;
 use crate::peers::Stray;
 use crate::reach::{Reach, ReachEvent};
@@ -141,7 +141,7 @@
 
     fn answer_report(&mut self, report: &WorkerHeartbeat, now: Millis) -> Reply {
         self.notice(now);
-        let shard_id = self.config.shard_map.shard(&report.yard, &report.host);
+        let shard_id = self.config.shard_map.shard(&report.zone, &report.host);
         let Some(token) = self.answering(shard_id, now) else {
             self.note_stray(shard_id, report, now);
             if self.may_extend_lease(shard_id, report, now) {
@@ -170,7 +170,7 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return Reply::Unavailable;
         };
-        if machine.state == HostState::Gone {
+        if machine.state == MachineState::Gone {
             return Reply::Unavailable;
         }
         let blind = now - self.seen_at > self.config.cut_off_bound_ms() / 2.0;
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -37,9 +37,9 @@
     WorkerHeartbeat {
         host: format!("host-{machine:06}"),
         addr: format!("10.0.{}.{}:8000", machine / 256, machine % 256),
-        host_kind: "small".into(),
-        yard: "b".into(),
-        borrowed: false,
+        machine_type: "small".into(),
+        zone: "b".into(),
+        spot: false,
         incarnation: 1,
         sequence: 1,
         fencing_token: 0,
--- a/crates/cherryyard-rehearsal/src/bin/history.rs
+++ b/crates/cherryyard-rehearsal/src/bin/history.rs
@@ -6,14 +6,14 @@
 use cherryyard_io::http::Http;
 use cherryyard_rehearsal::http::{Budgets, HttpState};
 use cherryyard_rehearsal::process::{self, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_kind};
+use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::history::{LAST, PackedRecord};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, KINDS, PACKED, PageRecord, Use,
-    assignments_key, bucket_key, job_hash, job_key,
+    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, MACHINE_TYPES_KEY, PACKED,
+    PageRecord, Use, assignments_key, bucket_key, job_hash, job_key,
 };
 use clap::Parser;
 use rand::rngs::StdRng;
@@ -128,8 +128,8 @@
 }
 
 fn fill(state: &mut StateStandIn, args: &Args, ids: &[u64]) {
-    let kind = small_kind(vec!["a".into()]);
-    state.seed(KINDS, &[kind]);
+    let machine_type = small_machine_type(vec!["a".into()]);
+    state.seed(MACHINE_TYPES_KEY, &[machine_type]);
     fill_open(state, args);
     if args.format < BUCKETS {
         for &id in ids {
@@ -171,9 +171,9 @@
     let mut rest = ids.chunks(350).peekable();
     while let Some(chunk) = rest.next() {
         let jobs: Vec<Past> = chunk.iter().map(|&id| past(id)).collect();
-        let pieces = fold(&Leaf::default(), &jobs, 0, 4032);
-        let count = pieces.len();
-        for (i, leaf) in pieces.into_iter().enumerate() {
+        let task_count = fold(&Leaf::default(), &jobs, 0, 4032);
+        let count = task_count.len();
+        for (i, leaf) in task_count.into_iter().enumerate() {
             let last = leaf.jobs().last().map_or(LAST, |p| p.job);
             let open = rest.peek().is_none() && i + 1 == count;
             let last = if open { LAST } else { last };
--- a/crates/cherryyard-rehearsal/src/lib.rs
+++ b/crates/cherryyard-rehearsal/src/lib.rs
@@ -18,7 +18,7 @@
 pub use users::Users;
 pub use worker::WorkerStandIn;
 pub use world::pipelines::Pipelines;
-pub use world::{Question, Said, Setup, World, small_kind};
+pub use world::{Question, Said, Setup, World, small_machine_type};
 
 /// Plays days by seed, by hand: `FROM` names the first seed and `SEEDS` how many there
 /// are, else these.
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-rehearsal/src/trouble.rs
@@ -50,7 +50,7 @@
     CopiesForNext,
     /// Transactions are carried out at once and get no answer.
     LostAnswers,
-    /// Rented machines are up within two seconds, and rentals' answers are lost.
+    /// Rented machines are up within two seconds, and provisioning requests' answers are lost.
     FastBoots,
     /// Users call off jobs that run, and their machines hang.
     CancelNow,
@@ -158,7 +158,7 @@
                 w.cloud_down = true;
             }
             Self::ZoneSilent => {
-                let zone = w.workers.values().filter(|x| x.yard == "b");
+                let zone = w.workers.values().filter(|x| x.zone == "b");
                 let zone: Vec<String> = zone.map(|x| x.host.clone()).collect();
                 w.unreachable.extend(zone);
             }
@@ -167,7 +167,7 @@
             Self::LostAnswers => w.lost_answers = 10 + draw(40),
             Self::FastBoots => {
                 w.boot_ms = Some(draw(2000) as f64);
-                w.hires_unanswered = draw(2) == 0;
+                w.provisions_unanswered = draw(2) == 0;
             }
             Self::CancelNow => {
                 let running = w.workers.values().flat_map(|x| {
@@ -236,7 +236,7 @@
             Self::LostAnswers => w.lost_answers = 0,
             Self::FastBoots => {
                 w.boot_ms = Some(5000.0);
-                w.hires_unanswered = false;
+                w.provisions_unanswered = false;
             }
             Self::CancelNow => {
                 w.deliver_direct();
--- a/crates/cherryyard-rehearsal/src/users.rs
+++ b/crates/cherryyard-rehearsal/src/users.rs
@@ -23,7 +23,7 @@
     class: String,
     team: String,
     cores: f64,
-    pieces: u32,
+    task_count: u32,
     service: bool,
     came: f64,
     polled: f64,
@@ -97,10 +97,10 @@
 
     fn accepted(&mut self, w: &World, spec: &JobSpec) {
         let job = Job {
-            class: spec.jobclass.clone(),
-            team: spec.owner.clone(),
-            cores: spec.cores * f64::from(spec.pieces),
-            pieces: spec.pieces,
+            class: spec.job_class.clone(),
+            team: spec.team.clone(),
+            cores: spec.cores * f64::from(spec.task_count),
+            task_count: spec.task_count,
             service: spec.shape == cherryyard_wire::job::Shape::Service,
             came: w.now,
             polled: w.now,
@@ -167,26 +167,26 @@
         };
         let mut free: Vec<(&str, &str, f64, f64)> = Vec::new();
         for x in w.workers.values().filter(|x| w.in_order(&x.host)) {
-            let (mut cores, mut ram) = w.whole(&x.kind);
+            let (mut cores, mut ram) = w.whole(&x.machine_type);
             for task_name in x.tasks.iter().filter(|p| p.1.2.is_none()).map(|p| p.0) {
                 let id = task_name.split('/').next().unwrap_or_default();
                 if let Some(spec) = w.submitted(id) {
                     (cores, ram) = (cores - spec.cores, ram - spec.ram_gb);
                 }
             }
-            free.push((&x.yard, &x.kind, cores, ram));
+            free.push((&x.zone, &x.machine_type, cores, ram));
         }
         for (id, job) in self.jobs.iter_mut().filter(|j| !j.1.cancelled && !j.1.done) {
             let Some(spec) = w.submitted(id) else {
                 continue;
             };
-            let limit = w.limit_of(&spec.owner);
-            let uses = used.get(&spec.owner).copied().unwrap_or(0.0);
+            let limit = w.limit_of(&spec.team);
+            let uses = used.get(&spec.team).copied().unwrap_or(0.0);
             let under = limit == 0.0 || uses + spec.cores <= limit + 1e-6;
             let fits = |m: &(&str, &str, f64, f64)| {
-                spec.yard.as_deref().is_none_or(|y| y == m.0)
+                spec.zone.as_deref().is_none_or(|y| y == m.0)
                     && spec
-                        .kinds_of_host
+                        .machine_types
                         .as_ref()
                         .is_none_or(|k| k.iter().any(|x| x == m.1))
                     && spec.cores <= m.2 + 1e-6
@@ -198,13 +198,13 @@
                 && !spec.apart
                 && free.iter().any(fits);
             let before = job.started.len();
-            for n in 0..job.pieces {
+            for n in 0..job.task_count {
                 let task_name = format!("{id}/{n}");
                 if !job.started.contains(&task_name) && on(id, n) {
                     job.started.insert(task_name);
                 }
             }
-            let waits = room && job.started.len() < job.pieces as usize;
+            let waits = room && job.started.len() < job.task_count as usize;
             if waits && job.started.len() == before {
                 let since = *job.room_since.get_or_insert(now);
                 if now - since > WAIT_MS {
@@ -246,7 +246,8 @@
                     self.longest = self.longest.max(w.now - job.answered);
                     job.answered = w.now;
                     let done = view.status == JobStatus::Done;
-                    let all = (0..job.pieces).all(|n| w.completed.contains(&format!("{id}/{n}")));
+                    let all =
+                        (0..job.task_count).all(|n| w.completed.contains(&format!("{id}/{n}")));
                     if done && !all {
                         self.broken
                             .push(format!("{id} is called done before it is"));
--- a/crates/cherryyard-rehearsal/src/worker.rs
+++ b/crates/cherryyard-rehearsal/src/worker.rs
@@ -15,9 +15,9 @@
     /// Its name.
     pub host: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
-    pub yard: String,
+    pub zone: String,
     /// Its incarnation.
     pub incarnation: u64,
     sequence: u64,
@@ -25,7 +25,7 @@
     pub fencing_token: u64,
     /// Its tasks: attempt, since when, and why it ended.
     pub tasks: BTreeMap<String, (u64, f64, Option<ExitCause>)>,
-    /// When its machine was rented, about.
+    /// When its machine was provisioned, about.
     pub rented_at: f64,
     /// When the last answered report was sent, or the incarnation began.
     renewed_at: f64,
@@ -48,11 +48,11 @@
 
 impl WorkerStandIn {
     /// A worker that has just started.
-    pub fn new(host: &str, yard: &str, node: usize, lease_ms: f64, now: f64) -> Self {
+    pub fn new(host: &str, zone: &str, node: usize, lease_ms: f64, now: f64) -> Self {
         Self {
             host: host.into(),
-            kind: "m4".into(),
-            yard: yard.into(),
+            machine_type: "m4".into(),
+            zone: zone.into(),
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
@@ -145,9 +145,9 @@
         WorkerHeartbeat {
             host: self.host.clone(),
             addr: format!("{}:9000", self.host),
-            host_kind: self.kind.clone(),
-            yard: self.yard.clone(),
-            borrowed: false,
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: false,
             incarnation: self.incarnation,
             sequence: self.sequence,
             fencing_token: self.fencing_token,
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -8,7 +8,7 @@
 use cherryyard_core::{Config, Effect, Node, Outcome, PushOutcome, Reply, Ticket, Tuning};
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostStatus};
+use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
 use cherryyard_wire::condor::{
     Chunk, FIRST_ID, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key, submission_key,
     submission_number,
@@ -76,8 +76,8 @@
 }
 
 /// The type of all the stand-ins' machines: 4 cores, 16 GB.
-pub fn small_kind(yards: Vec<String>) -> HostKind {
-    HostKind {
+pub fn small_machine_type(zones: Vec<String>) -> MachineType {
+    MachineType {
         sku: "m4".into(),
         cores: 4.0,
         accelerators: 0.0,
@@ -87,7 +87,7 @@
         price: 0.0,
         low_price: 0.0,
         ready_s: 30.0,
-        yards,
+        zones,
     }
 }
 
@@ -182,8 +182,8 @@
     /// How often controllers read the cloud's list of machines by themselves.
     pub lists_ms: Option<f64>,
     listed_at: f64,
-    /// Rentals are carried out, and their answers are lost.
-    pub hires_unanswered: bool,
+    /// provisioning requests are carried out, and their answers are lost.
+    pub provisions_unanswered: bool,
     late_draw: Box<dyn FnMut(u64) -> u64>,
     /// Transactions on their way, and when each is carried out.
     on_the_way: Vec<(f64, Commit)>,
@@ -222,16 +222,16 @@
     pub cloud_down: bool,
     /// See `cloud_down`.
     pub releases_failed: usize,
-    /// Machines that were to be rented.
-    pub hires: Vec<HireRequest>,
-    hired: BTreeMap<String, Vec<String>>,
-    hires_lost: Vec<(f64, usize, u64, HireRequest)>,
-    /// What a rented machine takes to be up, in milliseconds; none: there are none to
+    /// Machines that were to be provisioned.
+    pub provision_requests: Vec<ProvisionRequest>,
+    provisioned: BTreeMap<String, Vec<String>>,
+    provisions_lost: Vec<(f64, usize, u64, ProvisionRequest)>,
+    /// What a provisioned machine takes to be up, in milliseconds; none: there are none to
     /// rent.
     pub boot_ms: Option<f64>,
-    /// How long tasks run on rented machines.
+    /// How long tasks run on provisioned machines.
     pub rented_run_ms: f64,
-    /// Machines on their way: when up, when rented.
+    /// Machines on their way: when up, when provisioned.
     pub booting: BTreeMap<String, (f64, f64, String)>,
     /// The time.
     pub now: f64,
@@ -290,7 +290,7 @@
             lost_answers: 0,
             lists_ms: None,
             listed_at: 0.0,
-            hires_unanswered: false,
+            provisions_unanswered: false,
             late_draw: Box::new(draws(1)),
             on_the_way: Vec::new(),
             slow_ms: 0.0,
@@ -310,9 +310,9 @@
             tickets: 0,
             cloud_down: false,
             releases_failed: 0,
-            hires: Vec::new(),
-            hired: BTreeMap::new(),
-            hires_lost: Vec::new(),
+            provision_requests: Vec::new(),
+            provisioned: BTreeMap::new(),
+            provisions_lost: Vec::new(),
             boot_ms: None,
             rented_run_ms: f64::INFINITY,
             booting: BTreeMap::new(),
@@ -334,12 +334,12 @@
         world.enforce_limits(setup.value_kb, setup.txn_ops);
         let mut number = 0;
         let small = setup.machines.iter().map(|m| ("m4", m));
-        for (kind, (zone, count)) in small.chain(setup.large.iter().map(|m| ("m8", m))) {
+        for (machine_type, (zone, count)) in small.chain(setup.large.iter().map(|m| ("m8", m))) {
             for _ in 0..*count {
                 let name = format!("host-{number:06}");
                 let node = number % setup.zones.len();
                 let mut worker = WorkerStandIn::new(&name, zone, node, 10_000.0, 0.0);
-                worker.kind = kind.into();
+                worker.machine_type = machine_type.into();
                 world.workers.insert(name, worker);
                 number += 1;
             }
@@ -429,15 +429,15 @@
             .iter()
             .map(|m| m.0.to_string())
             .collect();
-        let mut kinds = vec![small_kind(zones)];
+        let mut machine_types = vec![small_machine_type(zones)];
         if !self.setup.large.is_empty() {
             let zones = self.setup.large.iter().map(|m| m.0.to_string());
-            let mut large = small_kind(zones.collect());
+            let mut large = small_machine_type(zones.collect());
             large.sku = "m8".into();
             (large.cores, large.ram_gb) = (8.0, 32.0);
-            kinds.push(large);
+            machine_types.push(large);
         }
-        node.kinds(kinds, self.now);
+        node.machine_types(machine_types, self.now);
         node
     }
 
@@ -504,7 +504,7 @@
         self.carry_out();
         self.answer_late();
         self.boot();
-        self.give_hires_up();
+        self.give_up_provisions();
         self.change_leaders();
         self.deliver_copies();
         for i in 0..self.nodes.len() {
@@ -691,13 +691,13 @@
                             n.released(&hosts, true, now);
                         }
                     }
-                    Effect::Hire(request) => {
-                        let hosts = self.hire(&request).ok_or(true);
-                        if self.hires_unanswered {
+                    Effect::Provision(request) => {
+                        let hosts = self.provision(&request).ok_or(true);
+                        if self.provisions_unanswered {
                             let life = self.lives[i];
-                            self.hires_lost.push((now + 2500.0, i, life, request));
+                            self.provisions_lost.push((now + 2500.0, i, life, request));
                         } else if let Some(n) = &mut self.nodes[i] {
-                            n.hired(&request, hosts, now);
+                            n.provisioned(&request, hosts, now);
                         }
                     }
                     Effect::ReadLeaf(level, job) => {
--- a/crates/cherryyard-rehearsal/src/world/check.rs
+++ b/crates/cherryyard-rehearsal/src/world/check.rs
@@ -53,7 +53,7 @@
         for worker in self.workers.values() {
             for (task_name, _) in worker.tasks.iter().filter(|p| p.1.2.is_none()) {
                 if let Some(spec) = self.submitted(job_of(task_name)) {
-                    *cores.entry(spec.owner.clone()).or_default() += spec.cores;
+                    *cores.entry(spec.team.clone()).or_default() += spec.cores;
                 }
             }
         }
@@ -124,18 +124,18 @@
         };
         let zones = self.workers.values().flat_map(|w| {
             let here = w.tasks.iter().filter(|p| p.1.2.is_none());
-            here.filter(|p| job_of(p.0) == id).map(|_| w.yard.as_str())
+            here.filter(|p| job_of(p.0) == id).map(|_| w.zone.as_str())
         });
         let zones: Vec<&str> = zones.collect();
-        let here = zones.iter().filter(|z| **z == worker.yard).count();
-        let kinds = spec.kinds_of_host.as_ref();
-        let wrong = if spec.yard.as_ref().is_some_and(|y| *y != worker.yard) {
+        let here = zones.iter().filter(|z| **z == worker.zone).count();
+        let machine_types = spec.machine_types.as_ref();
+        let wrong = if spec.zone.as_ref().is_some_and(|y| *y != worker.zone) {
             "zone"
-        } else if kinds.is_some_and(|k| !k.contains(&worker.kind)) {
+        } else if machine_types.is_some_and(|k| !k.contains(&worker.machine_type)) {
             "type"
         } else if spec.together && here < zones.len() {
             "zone, as its others are elsewhere"
-        } else if spec.apart && here > spec.pieces.div_ceil(2) as usize {
+        } else if spec.apart && here > spec.task_count.div_ceil(2) as usize {
             "zone, as half of its others are there"
         } else {
             return;
--- a/crates/cherryyard-rehearsal/src/world/cloud.rs
+++ b/crates/cherryyard-rehearsal/src/world/cloud.rs
@@ -1,36 +1,38 @@
-//! The cloud: rentals, machines that come up, the list of machines.
+//! The cloud: provisioning requests, machines that come up, the list of machines.
 
 use super::*;
 
 impl World {
-    /// Rentals whose answers were lost: their controllers know that by now.
-    pub(super) fn give_hires_up(&mut self) {
+    /// provisioning requests whose answers were lost: their controllers know that by now.
+    pub(super) fn give_up_provisions(&mut self) {
         let now = self.now;
-        let due = self.hires_lost.extract_if(.., |h| h.0 <= now);
+        let due = self.provisions_lost.extract_if(.., |h| h.0 <= now);
         for (_, i, life, request) in due.collect::<Vec<_>>() {
             if let Some(n) = self.nodes[i].as_mut().filter(|_| self.lives[i] == life) {
-                n.hired(&request, Err(false), now);
+                n.provisioned(&request, Err(false), now);
                 self.effects(i);
             }
         }
     }
 
-    /// The cloud rents machines, if it has any; under the same name the same ones.
-    pub(super) fn hire(&mut self, request: &HireRequest) -> Option<Vec<String>> {
-        if let Some(names) = self.hired.get(&request.hire) {
+    /// The cloud scales out machines, if it has any; under the same name the same ones.
+    pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Option<Vec<String>> {
+        if let Some(names) = self.provisioned.get(&request.request_id) {
             return Some(names.clone());
         }
-        self.hires.push(request.clone());
+        self.provision_requests.push(request.clone());
         let boot_ms = self.boot_ms?;
-        let first = 100_000 + self.booting.len() + self.workers.len() + self.hires.len() * 100;
+        let first =
+            100_000 + self.booting.len() + self.workers.len() + self.provision_requests.len() * 100;
         let names = (0..request.number as usize).map(|k| format!("host-{:06}", first + k));
         let names: Vec<String> = names.collect();
-        let on_the_way = (self.now + boot_ms, self.now, request.yard.clone());
+        let on_the_way = (self.now + boot_ms, self.now, request.zone.clone());
         for name in &names {
             self.booting.insert(name.clone(), on_the_way.clone());
         }
         self.say(format!("{} rented", names.len()));
-        self.hired.insert(request.hire.clone(), names.clone());
+        self.provisioned
+            .insert(request.request_id.clone(), names.clone());
         Some(names)
     }
 
@@ -48,26 +50,26 @@
     /// Every controller reads the cloud's list of machines.
     pub fn list_machines(&mut self) {
         let now = self.now;
-        let starting = self.booting.iter().map(|(name, b)| HostEntry {
+        let starting = self.booting.iter().map(|(name, b)| Instance {
             id: name.clone(),
             addr: format!("{name}:9000"),
-            host_kind: "m4".into(),
-            yard: b.2.clone(),
-            borrowed: false,
-            status: HostStatus::Starting,
+            machine_type: "m4".into(),
+            zone: b.2.clone(),
+            spot: false,
+            status: InstanceStatus::Starting,
             held_s: (now - b.1) / 1000.0,
         });
-        let starting: Vec<HostEntry> = starting.collect();
-        let hosts: Vec<HostEntry> = self
+        let starting: Vec<Instance> = starting.collect();
+        let hosts: Vec<Instance> = self
             .workers
             .values()
-            .map(|w| HostEntry {
+            .map(|w| Instance {
                 id: w.host.clone(),
                 addr: format!("{}:9000", w.host),
-                host_kind: w.kind.clone(),
-                yard: w.yard.clone(),
-                borrowed: false,
-                status: HostStatus::Running,
+                machine_type: w.machine_type.clone(),
+                zone: w.zone.clone(),
+                spot: false,
+                status: InstanceStatus::Running,
                 held_s: (now - w.rented_at) / 1000.0,
             })
             .chain(starting)
@@ -92,8 +94,8 @@
     }
 
     /// What a machine's type has, in cores and GB.
-    pub fn whole(&self, kind: &str) -> (f64, f64) {
-        if kind == "m8" {
+    pub fn whole(&self, machine_type: &str) -> (f64, f64) {
+        if machine_type == "m8" {
             (8.0, 32.0)
         } else {
             (4.0, 16.0)
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-rehearsal/src/world/machines.rs
@@ -31,7 +31,7 @@
         {
             worker.report_at = now + 2000.0;
             let (i, report) = (worker.node, worker.report(now));
-            let yard = worker.yard.clone();
+            let zone = worker.zone.clone();
             if self.copies_for_next {
                 let kept = self.kept_copies.entry(name.to_string());
                 kept.or_insert_with(|| report.clone());
@@ -43,7 +43,7 @@
             }
             self.waiting.insert(name.to_string(), now);
             match self.late.get(&i) {
-                _ if !self.reaches(i, &yard) => {}
+                _ if !self.reaches(i, &zone) => {}
                 Some(late) => self.inbox.push((now + late, now, i, report)),
                 None => self.reported(i, &report, now),
             }
@@ -96,8 +96,8 @@
         let name = addr.trim_end_matches(":9000").to_string();
         let mut log = Vec::new();
         let cut = self.unreachable.contains(&name) || self.one_way.contains(&name);
-        let yard = self.workers.get(&name).map(|w| w.yard.clone());
-        let cut = cut || yard.is_some_and(|yard| !self.reaches(i, &yard));
+        let zone = self.workers.get(&name).map(|w| w.zone.clone());
+        let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
         let cut = cut || self.hung.contains(&name);
         let outcome = if self.slow_direct.contains(&name) || cut {
             self.held_direct.push((name, request.clone()));
@@ -123,8 +123,8 @@
         let name = addr.trim_end_matches(":9000");
         let cut = self.unreachable.contains(name) || self.one_way.contains(name);
         let cut = cut || self.deaf.contains(&i) || self.hung.contains(name);
-        let yard = self.workers.get(name).map(|w| w.yard.clone());
-        let cut = cut || yard.is_some_and(|yard| !self.reaches(i, &yard));
+        let zone = self.workers.get(name).map(|w| w.zone.clone());
+        let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
         let worker = self.workers.get_mut(name).filter(|_| !cut);
         let report = worker.map(|w| w.report(now));
         if let Some(node) = &mut self.nodes[i] {
--- a/crates/cherryyard-rehearsal/src/world/pipelines.rs
+++ b/crates/cherryyard-rehearsal/src/world/pipelines.rs
@@ -25,8 +25,8 @@
 
     /// Whether all tasks of a job have completed.
     pub fn is_complete(&self, id: &str) -> bool {
-        let pieces = self.submitted(id).map_or(u32::MAX, |spec| spec.pieces);
-        (0..pieces).all(|n| self.completed.contains(&format!("{id}/{n}")))
+        let task_count = self.submitted(id).map_or(u32::MAX, |spec| spec.task_count);
+        (0..task_count).all(|n| self.completed.contains(&format!("{id}/{n}")))
     }
 
     /// Whether all that a job needs has completed.
--- a/crates/cherryyard-rehearsal/src/world/requests.rs
+++ b/crates/cherryyard-rehearsal/src/world/requests.rs
@@ -387,7 +387,7 @@
     fn arrives(&mut self, r: &mut Request) -> Option<Said> {
         let now = self.now;
         let node = self.node(r.node);
-        if !node.mirror.loaded || node.mirror.kinds.is_empty() {
+        if !node.mirror.loaded || node.mirror.machine_types.is_empty() {
             return Some(Said::Later);
         }
         let Question::Submit(body) = &r.question else {
@@ -691,7 +691,7 @@
         let known = self.requests.told.iter().filter(|t| taken(t.1));
         let known: Vec<String> = known.map(|t| t.0.clone()).collect();
         let i = (self.requests.draw)(self.nodes.len() as u64) as usize;
-        let kind = (self.requests.draw)(8);
+        let machine_type = (self.requests.draw)(8);
         let at = (self.requests.draw)(known.len().max(1) as u64) as usize;
         let Some(id) = known
             .get(at)
@@ -703,11 +703,11 @@
             return;
         };
         let body = |spec: &JobSpec| serde_json::to_vec(spec).expect("a job");
-        match kind {
+        match machine_type {
             0 | 1 => drop(self.ask_once(i, id, Question::Submit(body(&spec)))),
             2 => {
                 let mut other = spec;
-                (other.pieces, other.cores) = (other.pieces + 3, 0.5);
+                (other.task_count, other.cores) = (other.task_count + 3, 0.5);
                 self.ask_once(i, id, Question::Submit(body(&other)));
             }
             3 if self.asked_to_cancel(id) => drop(self.ask_once(i, id, Question::Cancel)),
@@ -717,9 +717,9 @@
                 never.id = format!("j-{:06}", 980_000 + self.requests.next);
                 match (self.requests.draw)(4) {
                     0 => never.cores = 64.0,
-                    1 => never.owner = "nobody".into(),
-                    2 => never.kinds_of_host = Some(vec!["m99".into()]),
-                    _ => never.yard = Some("nowhere".into()),
+                    1 => never.team = "nobody".into(),
+                    2 => never.machine_types = Some(vec!["m99".into()]),
+                    _ => never.zone = Some("nowhere".into()),
                 }
                 self.requests.impossible.insert(never.id.clone());
                 self.insist(i, &never.id.clone(), Question::Submit(body(&never)));
--- a/crates/cherryyard-rehearsal/src/world/submitting.rs
+++ b/crates/cherryyard-rehearsal/src/world/submitting.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl World {
-    /// A job of `pieces` tasks of 2 cores.
-    pub fn spec(id: &str, shape: &str, pieces: u32) -> JobSpec {
+    /// A job of `task_count` tasks of 2 cores.
+    pub fn spec(id: &str, shape: &str, task_count: u32) -> JobSpec {
         let text = json!({
             "id": id, "jobclass": "class", "owner": "team", "shape": shape, "rank": "standard",
-            "pieces": pieces, "cores": 2.0, "accelerators": 0.0, "ram_gb": 1.0, "bundle": "img",
+            "pieces": task_count, "cores": 2.0, "accelerators": 0.0, "ram_gb": 1.0, "bundle": "img",
             "image_gb": 1.0, "kinds_of_host": null, "yard": null, "together": false,
             "apart": false, "borrowed": false, "expected_s": 20.0, "snapshot_every_s": 0.0,
             "snapshot_cost_s": 0.0, "due_s": null
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -10,9 +10,9 @@
 const URGENT: u64 = 1_000_000;
 const CORES: f64 = 2.0;
 
-fn spec(job: u64, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
-    (spec.jobclass, spec.rank) = if job >= URGENT {
+fn spec(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
+    (spec.job_class, spec.rank) = if job >= URGENT {
         ("urgent".into(), Rank::High)
     } else {
         ("steady".into(), Rank::Standard)
@@ -59,16 +59,16 @@
     next: [u64; 2],
     due: [f64; 2],
     every_s: [f64; 2],
-    pieces: [u32; 2],
+    task_count: [u32; 2],
 }
 
 impl Arrivals {
-    fn new(every_s: [f64; 2], pieces: [u32; 2]) -> Self {
+    fn new(every_s: [f64; 2], task_count: [u32; 2]) -> Self {
         Self {
             next: [1, URGENT],
             due: [0.0; 2],
             every_s,
-            pieces,
+            task_count,
         }
     }
 
@@ -85,7 +85,7 @@
                         && !w.frozen.contains(i)
                 });
                 if able.is_some() {
-                    w.submit(&spec(self.next[class], self.pieces[class]));
+                    w.submit(&spec(self.next[class], self.task_count[class]));
                     self.next[class] += 1;
                 }
             }
@@ -194,7 +194,7 @@
     let zone: Vec<String> = w
         .workers
         .values()
-        .filter(|x| x.yard == "b")
+        .filter(|x| x.zone == "b")
         .map(|x| x.host.clone())
         .collect();
     for host in zone {
@@ -204,9 +204,9 @@
     let mut had = 0.0;
     for _ in 0..20 {
         arrivals.second(&mut w);
-        let left = |x: &&cherryyard_rehearsal::WorkerStandIn| x.yard == "a";
-        let pieces = w.workers.values().filter(left).flat_map(|x| &x.tasks);
-        let steady = pieces.filter(|(name, p)| p.2.is_none() && name.len() < 12);
+        let left = |x: &&cherryyard_rehearsal::WorkerStandIn| x.zone == "a";
+        let task_count = w.workers.values().filter(left).flat_map(|x| &x.tasks);
+        let steady = task_count.filter(|(name, p)| p.2.is_none() && name.len() < 12);
         had += steady.count() as f64 * CORES / 20.0;
     }
     // 120 cores are left, so the floor is 30.
@@ -294,7 +294,7 @@
     assert!(writes < 60, "{writes} writes, marks and all");
     let long = "x".repeat(3000);
     let mut odd = spec(URGENT + 500, 1);
-    odd.bundle = long.clone() + &long;
+    odd.image = long.clone() + &long;
     let odd = w.offer(leader_index, &odd, None);
     let next = w.offer(leader_index, &spec(URGENT + 501, 1), None);
     w.run(2.0);
@@ -370,13 +370,13 @@
 /// What a round looks at does not grow with what waits.
 #[test]
 fn a_rounds_cost_does_not_grow_with_what_waits() {
-    let looked = |jobs: u64, pieces: u32| {
+    let looked = |jobs: u64, task_count: u32| {
         let mut w = cluster(fleet(3, 6));
         w.workers
             .values_mut()
             .for_each(|x| x.run_ms = f64::INFINITY);
         for i in 0..jobs {
-            w.submit(&spec(URGENT + i, pieces));
+            w.submit(&spec(URGENT + i, task_count));
         }
         w.run(5.0);
         let sum = |w: &World| w.nodes.iter().flatten().map(|n| n.looked_jobs).sum::<u64>();
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/both_ways.rs
@@ -66,13 +66,13 @@
     };
     let mut all = vec![(job(150), None)];
     let mut product = job(40);
-    product.kinds_of_host = Some(vec!["m4".into()]);
-    product.yard = Some("a".into());
+    product.machine_types = Some(vec!["m4".into()]);
+    product.zone = Some("a".into());
     all.push((product, None));
-    let block = |kind: &str, zone: &str, tier| CellBlock {
-        kinds: Some(vec![kind.into()]),
-        yards: Some(vec![zone.into()]),
-        borrowed: None,
+    let block = |machine_type: &str, zone: &str, tier| CellBlock {
+        machine_types: Some(vec![machine_type.into()]),
+        zones: Some(vec![zone.into()]),
+        spot: None,
         tier,
     };
     let cells = Rules {
--- a/crates/cherryyard-rehearsal/tests/cells.rs
+++ b/crates/cherryyard-rehearsal/tests/cells.rs
@@ -41,7 +41,7 @@
         .filter_map(host)
         .map(|h| {
             let worker = &w.workers[&h];
-            format!("{}/{}", worker.kind, worker.yard)
+            format!("{}/{}", worker.machine_type, worker.zone)
         })
         .collect()
 }
@@ -71,7 +71,7 @@
     let mut w = cluster(json!({}));
     // Zone a holds the image.
     let mut first = World::spec("j-000001", "service", 2);
-    first.yard = Some("a".into());
+    first.zone = Some("a".into());
     w.submit(&first);
     w.run(5.0);
     let rules = Some(Rules {
@@ -144,7 +144,7 @@
     assert_eq!(w.running(), 2);
 }
 
-/// Where jobs wait that no machine here is for, a sort that they allow is rented.
+/// Where jobs wait that no machine here is for, a sort that they allow is provisioned.
 #[test]
 fn renting_follows_the_rules() {
     let mut w = cluster(json!({}));
@@ -156,6 +156,10 @@
     w.run(12.0);
     w.list_machines();
     w.run(20.0);
-    let wanted: BTreeSet<_> = w.hires.iter().map(|h| (&*h.host_kind, &*h.yard)).collect();
+    let wanted: BTreeSet<_> = w
+        .provision_requests
+        .iter()
+        .map(|h| (&*h.machine_type, &*h.zone))
+        .collect();
     assert!(wanted.contains(&("m8", "b")), "{wanted:?}");
 }
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-rehearsal/tests/checker.rs
@@ -45,7 +45,7 @@
     let mut free = w
         .workers
         .values()
-        .filter(|x| x.yard == zone && x.tasks.is_empty());
+        .filter(|x| x.zone == zone && x.tasks.is_empty());
     free.next().expect("a free machine").host.clone()
 }
 
@@ -73,8 +73,8 @@
 fn wrong_places() {
     type Place = (&'static str, fn(&mut JobSpec));
     let places: [Place; 4] = [
-        ("wrong zone", |s| s.yard = Some("b".into())),
-        ("wrong type", |s| s.kinds_of_host = Some(vec!["m8".into()])),
+        ("wrong zone", |s| s.zone = Some("b".into())),
+        ("wrong type", |s| s.machine_types = Some(vec!["m8".into()])),
         ("as its others are elsewhere", |s| s.together = true),
         ("as half of its others are there", |s| s.apart = true),
     ];
@@ -91,7 +91,7 @@
                 .for_each(|x| x.run_ms = f64::INFINITY);
             w.run(6.0);
             let one = w.workers.values().find(|x| x.runs("j-000001/1"));
-            let zone = one.expect("it runs").yard.clone();
+            let zone = one.expect("it runs").zone.clone();
             let wrong = ["a", "b", "c"]
                 .into_iter()
                 .find(|z| (*z == zone) == spec.apart);
@@ -197,7 +197,7 @@
     let mut spec = World::spec("j-000002", "service", 2);
     users.run(&mut w, 1.0);
     w.frozen.clear();
-    spec.yard = Some("b".into());
+    spec.zone = Some("b".into());
     users.submit(&mut w, &spec);
     w.frozen.extend([0, 1, 2]);
     users.run(&mut w, 95.0);
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-rehearsal/tests/end_of_day.rs
@@ -19,8 +19,8 @@
     w
 }
 
-fn spec(job: usize, pieces: u32, cores: f64) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn spec(job: usize, task_count: u32, cores: f64) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     (spec.cores, spec.expected_s) = (cores, 4.0);
     spec
 }
@@ -204,9 +204,9 @@
     for _ in 0..25 {
         for _ in 0..draw(5) {
             job += 1;
-            let pieces = [1, 4, 12, 60][draw(4) as usize];
-            let mut spec = spec(job, pieces, [0.5, 2.0, 4.0][draw(3) as usize]);
-            spec.jobclass = ["portal", "posting"][draw(2) as usize].into();
+            let task_count = [1, 4, 12, 60][draw(4) as usize];
+            let mut spec = spec(job, task_count, [0.5, 2.0, 4.0][draw(3) as usize]);
+            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
             users.submit(&mut w, &spec);
         }
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -3,24 +3,24 @@
 
 use cherryyard_core::{Effect, Reply};
 use cherryyard_rehearsal::{Setup, World, draws};
-use cherryyard_wire::cloud::{HostEntry, HostStatus};
+use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
-fn running(setup: Setup, pieces: u32) -> World {
+fn running(setup: Setup, task_count: u32) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", pieces));
-    w.run_until(10.0, |w| w.running() == pieces as usize);
+    w.submit(&World::spec("j-000001", "service", task_count));
+    w.run_until(10.0, |w| w.running() == task_count as usize);
     w.run(10.0);
     w
 }
 
-fn listed(w: &World, names: impl Iterator<Item = String>) -> Vec<HostEntry> {
-    let entry = |name: String| HostEntry {
+fn listed(w: &World, names: impl Iterator<Item = String>) -> Vec<Instance> {
+    let entry = |name: String| Instance {
         addr: format!("{name}:9000"),
-        host_kind: "m4".into(),
-        yard: w.workers[&name].yard.clone(),
-        borrowed: false,
-        status: HostStatus::Running,
+        machine_type: "m4".into(),
+        zone: w.workers[&name].zone.clone(),
+        spot: false,
+        status: InstanceStatus::Running,
         held_s: 500.0,
         id: name,
     };
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/gap.rs
@@ -353,7 +353,7 @@
     // It may run anywhere: nobody places it, as it is cancelled in the same moment.
     w.submit(&World::spec("j-000099", "service", 1));
     w.ask_cancel(other, "j-000099");
-    let worker = w.workers.values_mut().find(|x| x.yard == zone[leader]);
+    let worker = w.workers.values_mut().find(|x| x.zone == zone[leader]);
     let worker = worker.expect("a machine");
     let now = w.now;
     worker.tasks.insert("j-000099/0".into(), (1, now, None));
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-rehearsal/tests/largest.rs
@@ -21,8 +21,8 @@
     w
 }
 
-fn spec(job: usize, pieces: u32, cores: f64) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn spec(job: usize, task_count: u32, cores: f64) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     (spec.cores, spec.expected_s) = (cores, 4.0);
     spec
 }
@@ -128,13 +128,13 @@
         for _ in 0..40 {
             job += 1;
             let mut ping = spec(job, 1, 0.25);
-            ping.owner = "guest".into();
+            ping.team = "guest".into();
             ping.rank = cherryyard_wire::job::Rank::BestEffort;
             w.submit(&ping);
         }
         if second == 40 {
             let mut portal = spec(1, 4, 4.0);
-            portal.owner = "portal".into();
+            portal.team = "portal".into();
             portal.rank = cherryyard_wire::job::Rank::High;
             w.submit(&portal);
             waited = Some(w.now);
@@ -177,8 +177,8 @@
     }
     w.run(6.0);
     let mut users = Users::default();
-    let job = |n: usize, pieces: u32, cores: f64| {
-        let mut spec = World::spec(&format!("j-{n:06}"), "sweep", pieces);
+    let job = |n: usize, task_count: u32, cores: f64| {
+        let mut spec = World::spec(&format!("j-{n:06}"), "sweep", task_count);
         (spec.cores, spec.expected_s) = (cores, 6.0);
         spec
     };
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -15,9 +15,9 @@
     w
 }
 
-fn in_zone(id: &str, shape: &str, pieces: u32, zone: &str) -> JobSpec {
-    let mut spec = World::spec(id, shape, pieces);
-    spec.yard = Some(zone.into());
+fn in_zone(id: &str, shape: &str, task_count: u32, zone: &str) -> JobSpec {
+    let mut spec = World::spec(id, shape, task_count);
+    spec.zone = Some(zone.into());
     spec
 }
 
@@ -286,8 +286,8 @@
         w.late_writes = if draw(4) == 0 { 0 } else { share };
         for _ in 0..draw(6) {
             job += 1;
-            let pieces = [1, 2, 3, 24][draw(4) as usize];
-            let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+            let task_count = [1, 2, 3, 24][draw(4) as usize];
+            let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
             (spec.cores, spec.expected_s) = ([1.0, 2.0, 4.0][draw(3) as usize], 4.0);
             users.ask(&mut w, draw(3) as usize, &spec);
             open.push(spec.id.clone());
@@ -374,7 +374,7 @@
     w.hold_lead = true;
     for id in &ids {
         let mut spec = World::spec(id, "service", 4);
-        spec.bundle = format!("img-{id}");
+        spec.image = format!("img-{id}");
         w.submit(&spec);
     }
     let by_records = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/job/"));
--- a/crates/cherryyard-rehearsal/tests/limits.rs
+++ b/crates/cherryyard-rehearsal/tests/limits.rs
@@ -7,8 +7,8 @@
 /// Arrays that run while the limits fall.
 const JOBS: u64 = 19;
 
-fn sweep(job: u64, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn sweep(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     (spec.cores, spec.ram_gb) = (1.0, 0.5);
     spec
 }
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -23,8 +23,8 @@
     w
 }
 
-fn job(number: u64, shape: &str, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{number:06}"), shape, pieces);
+fn job(number: u64, shape: &str, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{number:06}"), shape, task_count);
     spec.expected_s = 4.0;
     spec
 }
@@ -208,7 +208,7 @@
                 users.submit(&mut w, &job(n, "service", 3));
             }
             let mut guest = job(5, "service", 4);
-            guest.owner = "guests".into();
+            guest.team = "guests".into();
             users.submit(&mut w, &guest);
             users.run(&mut w, 8.0);
             assert_eq!(w.cores_by_team()["team"], 24.0, "{state}");
@@ -216,7 +216,7 @@
             for n in 6..=9 {
                 users.submit(&mut w, &job(n, "sweep", 4));
                 let mut guest = job(n + 10, "sweep", 2);
-                guest.owner = "guests".into();
+                guest.team = "guests".into();
                 users.submit(&mut w, &guest);
             }
             users.run(&mut w, 3.0);
@@ -308,7 +308,7 @@
 }
 
 /// New machines are up within two seconds and get work at once while writes lag, are
-/// late, or are carried out without an answer, rentals too; the leader that rented them
+/// late, or are carried out without an answer, provisioning requests too; the leader that provisioned them
 /// ends at each step of it.
 #[test]
 fn machines_up_within_two_seconds() {
@@ -324,13 +324,13 @@
                 w.lists_ms = Some(3000.0);
                 w.run(10.0);
                 let mut users = Users::default();
-                (w.boot_ms, w.hires_unanswered) = (Some(boot_ms), unanswered);
+                (w.boot_ms, w.provisions_unanswered) = (Some(boot_ms), unanswered);
                 w.seed_late(step);
                 (w.late_writes, w.lost_answers, w.slow_ms) = (late, lost, slow_ms);
                 for n in 1..=3 {
                     users.submit(&mut w, &job(n, "service", 8));
                 }
-                w.run_until(30.0, |w| !w.hires.is_empty());
+                w.run_until(30.0, |w| !w.provision_requests.is_empty());
                 w.run(step as f64 * 0.05);
                 let i = leader(&w);
                 w.kill(i);
@@ -339,8 +339,13 @@
                 users.run(&mut w, 12.0);
                 whole(&mut w, &mut users, &state);
                 assert_eq!(w.running(), 24, "{state}: {}", w.trace.join("\n"));
-                let names: BTreeSet<&String> = w.hires.iter().map(|h| &h.hire).collect();
-                assert_eq!(names.len(), w.hires.len(), "{state}: a name was used again");
+                let names: BTreeSet<&String> =
+                    w.provision_requests.iter().map(|h| &h.request_id).collect();
+                assert_eq!(
+                    names.len(),
+                    w.provision_requests.len(),
+                    "{state}: a name was used again"
+                );
             }
         }
     }
@@ -549,7 +554,7 @@
                 }
                 users.run(&mut w, 5.0);
                 let hosts = w.workers.values().enumerate();
-                let some = hosts.filter(|(k, x)| if zone { x.yard == "b" } else { k % 4 == 0 });
+                let some = hosts.filter(|(k, x)| if zone { x.zone == "b" } else { k % 4 == 0 });
                 let some: BTreeSet<String> = some.map(|x| x.1.host.clone()).collect();
                 Away::Mute.begin(&mut w, &some);
                 users.run(&mut w, 1.0);
@@ -632,7 +637,7 @@
 }
 
 /// Leaders change ten times in two minutes, also inside an outage, with submissions,
-/// cancellations and rentals under way.
+/// cancellations and provisioning requests under way.
 #[test]
 fn leaders_change_ten_times() {
     for outage in [false, true] {
@@ -673,8 +678,8 @@
 }
 
 /// Jobs bound to one zone, arrays too, lose machines there, while other zones are full, or
-/// empty: nothing of them starts elsewhere, and what waits is served by what is rented
-/// there. (Empty zones' room once counted for them, and nothing was rented.)
+/// empty: nothing of them starts elsewhere, and what waits is served by what is provisioned
+/// there. (Empty zones' room once counted for them, and nothing was provisioned.)
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     for (lost, rents, ends, full) in [
@@ -690,8 +695,8 @@
         for n in 1..=3u64 {
             let shape = if n == 2 { "service" } else { "sweep" };
             let mut spec = job(n, shape, if full { 4 } else { 1 });
-            spec.yard = Some("b".into());
-            spec.jobclass = "bound".into();
+            spec.zone = Some("b".into());
+            spec.job_class = "bound".into();
             users.submit(&mut w, &spec);
             let mut spec = job(n + 10, shape, 4);
             spec.together = n != 3;
@@ -701,7 +706,7 @@
             }
         }
         users.run(&mut w, 4.0);
-        let zone = w.workers.values().filter(|x| x.yard == "b");
+        let zone = w.workers.values().filter(|x| x.zone == "b");
         let gone: Vec<String> = zone.map(|x| x.host.clone()).collect();
         for host in gone.iter().take(lost) {
             w.workers.remove(host);
@@ -740,7 +745,7 @@
                 low.rank = cherryyard_wire::job::Rank::BestEffort;
                 let mut high = job(round * 10 + 2, "sweep", 6);
                 high.rank = cherryyard_wire::job::Rank::High;
-                (low.jobclass, high.jobclass) = ("low".into(), "high".into());
+                (low.job_class, high.job_class) = ("low".into(), "high".into());
                 users.submit(&mut w, &low);
                 let hosts: Vec<String> = w.workers.keys().step_by(2).cloned().collect();
                 w.slow_direct.extend(hosts);
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-rehearsal/tests/pipelines.rs
@@ -37,8 +37,8 @@
     format!("j-{job:06}")
 }
 
-fn sweep(job: u64, pieces: u32, needs: &[u64]) -> JobSpec {
-    let mut spec = World::spec(&id(job), "sweep", pieces);
+fn sweep(job: u64, task_count: u32, needs: &[u64]) -> JobSpec {
+    let mut spec = World::spec(&id(job), "sweep", task_count);
     spec.waits_on = needs.iter().copied().map(id).collect();
     spec.expected_s = 5.0;
     spec
@@ -284,7 +284,7 @@
 }
 
 /// Jobs that wait hold nothing of their team's limit, whose ever the jobs are that they
-/// wait for, and no machine is rented for them.
+/// wait for, and no machine is provisioned for them.
 #[test]
 fn waiting_jobs_hold_nothing() {
     let mut w = cluster_of(
@@ -298,13 +298,13 @@
         },
     );
     let mut first = sweep(1, 1, &[]);
-    first.owner = "others".into();
+    first.team = "others".into();
     assert_eq!(submit(&mut w, 0, &first), Said::Taken);
     for job in 2..8 {
         assert_eq!(submit(&mut w, 0, &sweep(job, 40, &[1])), Said::Taken);
     }
     w.run(20.0);
-    w.hires.clear();
+    w.provision_requests.clear();
     assert_eq!(w.running(), 1, "only the first has a task");
     let node = w.nodes[0].as_ref().expect("it is up");
     assert!(node.mirror.undivided.is_empty());
@@ -312,7 +312,11 @@
     assert_eq!(submit(&mut w, 1, &sweep(9, 4, &[])), Said::Taken);
     w.run(10.0);
     assert_eq!(w.running(), 5, "all of its team's limit is free for it");
-    assert!(w.hires.is_empty(), "{:?}", w.hires);
+    assert!(
+        w.provision_requests.is_empty(),
+        "{:?}",
+        w.provision_requests
+    );
     whole(&w);
 }
 
@@ -479,7 +483,7 @@
             for stage in 1..=2 {
                 let mut spec = sweep(base + stage, 1 + draw(6) as u32, &[base]);
                 if draw(4) == 0 {
-                    spec.owner = "guests".into();
+                    spec.team = "guests".into();
                 }
                 if draw(3) == 0 && !made.is_empty() {
                     spec.waits_on
--- a/crates/cherryyard-rehearsal/tests/reach.rs
+++ b/crates/cherryyard-rehearsal/tests/reach.rs
@@ -68,7 +68,7 @@
         let zone: Vec<String> = w
             .workers
             .values()
-            .filter(|x| x.yard == "a")
+            .filter(|x| x.zone == "a")
             .map(|x| x.host.clone())
             .collect();
         w.one_way.extend(zone);
--- a/crates/cherryyard-rehearsal/tests/renting.rs
+++ b/crates/cherryyard-rehearsal/tests/renting.rs
@@ -23,10 +23,10 @@
 }
 
 fn rented(w: &World) -> usize {
-    w.hires.iter().map(|h| h.number as usize).sum()
+    w.provision_requests.iter().map(|h| h.number as usize).sum()
 }
 
-/// Up within a second: used, and no more are rented than are needed.
+/// Up within a second: used, and no more are provisioned than are needed.
 #[test]
 fn up_at_once() {
     let mut w = short(500.0);
@@ -47,8 +47,12 @@
     assert_eq!(w.running(), 24, "{}", w.trace.join("\n"));
     listing(&mut w, 400);
     assert!(w.workers.len() <= 24, "{}", w.workers.len());
-    let names: BTreeSet<&String> = w.hires.iter().map(|h| &h.hire).collect();
-    assert_eq!(names.len(), w.hires.len(), "a name was used again");
+    let names: BTreeSet<&String> = w.provision_requests.iter().map(|h| &h.request_id).collect();
+    assert_eq!(
+        names.len(),
+        w.provision_requests.len(),
+        "a name was used again"
+    );
 }
 
 /// None of the first comes: they are replaced once they are overdue, and returned.
@@ -70,7 +74,7 @@
     );
 }
 
-/// The leader ends with rentals in flight: its successor counts what is listed.
+/// The leader ends with provisioning requests in flight: its successor counts what is listed.
 #[test]
 fn the_leader_ends_with_rentals_in_flight() {
     let mut w = short(30_000.0);
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -352,7 +352,7 @@
     assert_eq!(w.most_cores, 12.0);
     w.most_cores = 0.0;
     let mut spec = World::spec("j-000002", "sweep", 12);
-    spec.yard = Some("a".into());
+    spec.zone = Some("a".into());
     w.submit(&spec);
     w.run(60.0);
     assert_eq!(
@@ -646,11 +646,11 @@
         machines: vec![("a", 2), ("b", 2)],
         ..Setup::default()
     });
-    let service = |id: &str, yard: Option<&str>| {
+    let service = |id: &str, zone: Option<&str>| {
         let mut spec = World::spec(id, "service", 1);
         spec.cores = 4.0;
         spec.image_gb = 12.0;
-        spec.yard = yard.map(str::to_string);
+        spec.zone = zone.map(str::to_string);
         spec
     };
     // One machine in each zone comes to hold the image.
@@ -761,17 +761,17 @@
     w.cancel(0, "j-000003");
     w.run(10.0);
     let whole = &w.nodes[0].as_ref().unwrap().mirror;
-    let mut pieces = Mirror::new(&w.nodes[0].as_ref().unwrap().config);
+    let mut task_count = Mirror::new(&w.nodes[0].as_ref().unwrap().config);
     let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
-    pieces.begin_load();
+    task_count.begin_load();
     for some in pairs.chunks(2) {
-        pieces.load_some(some);
-        assert!(!pieces.loaded && pieces.store_revision == 0);
+        task_count.load_some(some);
+        assert!(!task_count.loaded && task_count.store_revision == 0);
     }
-    pieces.end_load(store_revision);
-    assert!(pieces.loaded && pieces.store_revision == store_revision);
+    task_count.end_load(store_revision);
+    assert!(task_count.loaded && task_count.store_revision == store_revision);
     for job in 1..=9 {
-        assert_eq!(pieces.view(job), whole.view(job), "{job}");
+        assert_eq!(task_count.view(job), whole.view(job), "{job}");
     }
     // Read again after the page of jobs was deleted; then one in which it is newer.
     let newest = pairs
@@ -779,29 +779,29 @@
         .find(|p| p.key == arrivals_key(0))
         .unwrap()
         .revision;
-    pieces.begin_load();
+    task_count.begin_load();
     for some in pairs.chunks(2) {
         let left: Vec<_> = some
             .iter()
             .filter(|p| p.key != arrivals_key(0))
             .cloned()
             .collect();
-        pieces.load_some(&left);
+        task_count.load_some(&left);
     }
-    assert!(pieces.view(5).is_some());
-    pieces.end_load(store_revision);
-    assert!(pieces.view(5).is_none() && pieces.view(8).is_none());
-    pieces.begin_load();
-    pieces.load_some(&pairs);
-    pieces.end_load(store_revision);
-    pieces.begin_load();
+    assert!(task_count.view(5).is_some());
+    task_count.end_load(store_revision);
+    assert!(task_count.view(5).is_none() && task_count.view(8).is_none());
+    task_count.begin_load();
+    task_count.load_some(&pairs);
+    task_count.end_load(store_revision);
+    task_count.begin_load();
     let old: Vec<_> = pairs
         .iter()
         .filter(|p| p.revision < newest)
         .cloned()
         .collect();
-    pieces.load_some(&old);
-    pieces.store_revision = newest - 1;
-    pieces.end_load(newest - 1);
-    assert!(pieces.view(8).is_some());
+    task_count.load_some(&old);
+    task_count.store_revision = newest - 1;
+    task_count.end_load(newest - 1);
+    assert!(task_count.view(8).is_some());
 }
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-rehearsal/tests/two_troubles.rs
@@ -31,8 +31,8 @@
     w
 }
 
-fn sweep(job: u64, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn sweep(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     spec.expected_s = 10.0;
     spec
 }
@@ -135,12 +135,12 @@
                 users.run(&mut w, 16.0);
                 w.late_writes = 0;
                 users.run(&mut w, 16.0);
-                for (job, pieces) in [("j-000001", 2), ("j-000002", 3)] {
+                for (job, task_count) in [("j-000001", 2), ("j-000002", 3)] {
                     for i in 0..3 {
                         let view = w.view(i, job).expect("it is known");
                         assert_eq!(view.status, JobStatus::Done, "{state}: {job}");
                     }
-                    for n in 0..pieces {
+                    for n in 0..task_count {
                         let task_name = format!("{job}/{n}");
                         assert_eq!(starts(&w, &task_name), 1, "{state}: {task_name}");
                     }
@@ -175,7 +175,7 @@
         let away: BTreeSet<String> = w
             .workers
             .values()
-            .filter(|x| x.yard == zone)
+            .filter(|x| x.zone == zone)
             .map(|x| x.host.clone())
             .collect();
         if deaf {
@@ -386,10 +386,10 @@
                 spec = World::spec(&spec.id, "service", 2);
             }
             spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
-            spec.jobclass = ["portal", "posting"][draw(2) as usize].into();
+            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
             let at = draw(3) as usize;
-            if newer && spec.shape == Shape::Sweep && draw(4) == 0 {
-                spec.owner = "guests".into();
+            if newer && spec.shape == Shape::Array && draw(4) == 0 {
+                spec.team = "guests".into();
             }
             if newer && draw(2) == 0 {
                 w.submit_at(at, &spec);
--- a/crates/cherryyard-wire/src/arrivals.rs
+++ b/crates/cherryyard-wire/src/arrivals.rs
@@ -114,13 +114,13 @@
     pub fn push(&mut self, job: u64, spec: &JobSpec, at: u64, div: &[RangeSet], rest: Rest) {
         let bit = |set: bool, n: u8| u8::from(set) << n;
         let common = Common {
-            c: spec.jobclass.clone(),
-            o: spec.owner.clone(),
+            c: spec.job_class.clone(),
+            o: spec.team.clone(),
             s: spec.shape,
             r: spec.rank,
-            k: spec.kinds_of_host.clone(),
-            y: spec.yard.clone(),
-            f: bit(spec.together, 0) | bit(spec.apart, 1) | bit(spec.borrowed, 2),
+            k: spec.machine_types.clone(),
+            y: spec.zone.clone(),
+            f: bit(spec.together, 0) | bit(spec.apart, 1) | bit(spec.spot, 2),
             a: spec.accelerators,
             p: (spec.snapshot_every_s, spec.snapshot_cost_s),
         };
@@ -146,10 +146,10 @@
             job,
             place as u32,
             at - self.at,
-            spec.pieces,
+            spec.task_count,
             spec.cores,
             spec.ram_gb,
-            spec.bundle.clone(),
+            spec.image.clone(),
             spec.image_gb,
             spec.expected_s,
             spec.due_s,
@@ -162,7 +162,8 @@
     pub fn read(self, shards: usize) -> Option<Vec<Arrival>> {
         let (start, common) = (self.at, self.c);
         let arrival = |row: Row| {
-            let (job, place, after, pieces, cores, ram_gb, bundle, image_gb, expected_s, ..) = row;
+            let (job, place, after, task_count, cores, ram_gb, image, image_gb, expected_s, ..) =
+                row;
             let c = common.get(place as usize)?.clone();
             let mut div = Vec::new();
             for (p, first, last) in row.10 {
@@ -172,21 +173,21 @@
             }
             let spec = JobSpec {
                 id: job_id(job),
-                jobclass: c.c,
-                owner: c.o,
+                job_class: c.c,
+                team: c.o,
                 shape: c.s,
                 rank: c.r,
-                pieces,
+                task_count,
                 cores,
                 accelerators: c.a,
                 ram_gb,
-                bundle,
+                image,
                 image_gb,
-                kinds_of_host: c.k,
-                yard: c.y,
+                machine_types: c.k,
+                zone: c.y,
                 together: c.f & 1 != 0,
                 apart: c.f & 2 != 0,
-                borrowed: c.f & 4 != 0,
+                spot: c.f & 4 != 0,
                 expected_s,
                 snapshot_every_s: c.p.0,
                 snapshot_cost_s: c.p.1,
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -195,7 +195,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MachineSort {
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
--- a/crates/cherryyard-wire/src/record.rs
+++ b/crates/cherryyard-wire/src/record.rs
@@ -13,7 +13,7 @@
 /// The leader's lease.
 pub const LEADER_KEY: &str = "c/lead";
 /// The machine types, for a start while the cloud is down.
-pub const KINDS: &str = "c/kinds";
+pub const MACHINE_TYPES_KEY: &str = "c/kinds";
 
 /// Operators' own attributes of machines.
 pub const ATTRIBUTES: &str = "c/attributes";
@@ -79,7 +79,7 @@
 #[allow(missing_docs)]
 pub enum Key {
     Leader,
-    Kinds,
+    MachineTypes,
     Attributes,
     Ids,
     Submission(u64),
@@ -105,8 +105,8 @@
         if key == LEADER_KEY {
             return Some(Self::Leader);
         }
-        if key == KINDS {
-            return Some(Self::Kinds);
+        if key == MACHINE_TYPES_KEY {
+            return Some(Self::MachineTypes);
         }
         if key == ATTRIBUTES {
             return Some(Self::Attributes);
--- a/crates/cherryyard-wire/src/rules.rs
+++ b/crates/cherryyard-wire/src/rules.rs
@@ -3,7 +3,7 @@
 //!
 //! A *cell* is a machine type in a zone, ordinary or spot. Rules name cells outright,
 //! or by match expressions that are evaluated against each cell's attributes, or both:
-//! then a cell must satisfy both. `kinds_of_host`, `yard` and `borrowed` count as well.
+//! then a cell must satisfy both. `machine_types`, `zone` and `spot` count as well.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -20,13 +20,16 @@
 pub struct CellBlock {
     /// Machine types; absent: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kinds: Option<Vec<String>>,
+    #[serde(rename = "kinds")]
+    pub machine_types: Option<Vec<String>>,
     /// Zones; absent: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub yards: Option<Vec<String>>,
+    #[serde(rename = "yards")]
+    pub zones: Option<Vec<String>>,
     /// Spot machines only, or ordinary ones only; absent: both.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub borrowed: Option<bool>,
+    #[serde(rename = "borrowed")]
+    pub spot: Option<bool>,
     /// Lower ones are preferred; of a cell in several blocks the lowest counts.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tier: u32,
@@ -92,7 +95,8 @@
     pub all: Group,
     /// Of a type's machines.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub kinds: BTreeMap<String, Group>,
+    #[serde(rename = "kinds")]
+    pub machine_types: BTreeMap<String, Group>,
     /// Of a zone's machines.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub zones: BTreeMap<String, Group>,
@@ -118,7 +122,7 @@
     /// Checks names, values and bounds; the error names the attribute.
     pub fn check(&self) -> Result<(), String> {
         let all = [("all", &self.all)].into_iter();
-        let named = self.kinds.iter().chain(&self.zones);
+        let named = self.machine_types.iter().chain(&self.zones);
         let groups = all.chain(named.map(|(name, group)| (name.as_str(), group)));
         for (of, group) in groups {
             if group.len() > MAX_ATTRIBUTES {
--- a/crates/cherryyard-wire/src/worker.rs
+++ b/crates/cherryyard-wire/src/worker.rs
@@ -10,12 +10,15 @@
     /// Where it takes direct commands.
     pub addr: String,
     /// The machine's type.
-    pub host_kind: String,
+    #[serde(rename = "host_kind")]
+    pub machine_type: String,
     /// Its zone.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Whether it is a spot machine.
     #[serde(default)]
-    pub borrowed: bool,
+    #[serde(rename = "borrowed")]
+    pub spot: bool,
     /// The incarnation; the protocol's word.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -28,7 +28,7 @@
 
 fn report() -> CapacityReport {
     let sort = |i: u16| MachineSort {
-        kind: format!("standard-{}-highmem", i % 100),
+        machine_type: format!("standard-{}-highmem", i % 100),
         zone: format!("zone-{}", i / 100),
         spot: i.is_multiple_of(2),
     };
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -92,7 +92,7 @@
             shard: 2,
             revision: 41,
             sorts: vec![MachineSort {
-                kind: "qanat-4".into(),
+                machine_type: "qanat-4".into(),
                 zone: "lahore-east".into(),
                 spot: true,
             }],
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -87,15 +87,15 @@
     }
 
     pub(crate) async fn watch_cloud(self: Arc<Self>) {
-        let mut kinds_at: Option<Instant> = None;
+        let mut machine_types_at: Option<Instant> = None;
         let mut failures = Repeats::default();
         loop {
-            if kinds_at.is_none_or(|at| at.elapsed() > Duration::from_secs(120)) {
-                match self.cloud.kinds().await {
-                    Ok(kinds) => {
-                        kinds_at = Some(Instant::now());
+            if machine_types_at.is_none_or(|at| at.elapsed() > Duration::from_secs(120)) {
+                match self.cloud.machine_types().await {
+                    Ok(machine_types) => {
+                        machine_types_at = Some(Instant::now());
                         failures.worked();
-                        self.with(|n, now| n.kinds(kinds, now));
+                        self.with(|n, now| n.machine_types(machine_types, now));
                     }
                     Err(e) => {
                         if let Some(times) = failures.failed(Instant::now()) {
@@ -107,7 +107,7 @@
             if let Ok(hosts) = self.cloud.list().await {
                 self.with(|n, now| n.listed(hosts, now));
             }
-            let unknown = kinds_at.is_none();
+            let unknown = machine_types_at.is_none();
             tokio::time::sleep(if unknown {
                 jittered(1500)
             } else {
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -161,9 +161,9 @@
                     app.with(|n, now| n.released(&hosts, ok, now));
                 });
             }
-            Effect::Hire(request) => {
+            Effect::Provision(request) => {
                 tokio::spawn(async move {
-                    let answer = match app.cloud.hire(&request).await {
+                    let answer = match app.cloud.provision(&request).await {
                         Ok(hosts) => Ok(hosts),
                         Err(CloudError::NoCapacity | CloudError::Malformed) => Err(true),
                         Err(CloudError::Unavailable) => {
@@ -171,7 +171,7 @@
                             Err(false)
                         }
                     };
-                    app.with(|n, now| n.hired(&request, answer, now));
+                    app.with(|n, now| n.provisioned(&request, answer, now));
                 });
             }
         }
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -208,10 +208,10 @@
         table.add_row([
             format!("{}", group.first),
             group.tasks.to_string(),
-            t.spec.owner.clone(),
+            t.spec.team.clone(),
             t.spec.cores.to_string(),
             format!("{:.3} GB", t.spec.ram_gb),
-            t.spec.bundle.clone(),
+            t.spec.image.clone(),
             rules.unwrap_or_else(|| "any".into()),
         ]);
     }
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -145,7 +145,7 @@
     tuning.admission = admission(file.admission)?;
     tuning.attributes = Attributes {
         all: file.machines,
-        kinds: file.machine_type,
+        machine_types: file.machine_type,
         zones: file.zone,
     };
     tuning.attributes.check()?;
@@ -170,7 +170,7 @@
         "#;
         let t = parse(text).unwrap();
         assert!(t.condor && t.attributes.all["OpSys"] == "LINUX");
-        assert_eq!(t.attributes.kinds["g8"]["Licensed"], true);
+        assert_eq!(t.attributes.machine_types["g8"]["Licensed"], true);
         assert_eq!(t.attributes.zones["lahore-east"]["Department"], "posting");
         let error = parse("machine_type \"g8\" { Cpus = 3 }").unwrap_err();
         assert!(error.contains("Cpus of g8"), "{error}");
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -54,9 +54,9 @@
 fn admit_chunk(node: &Node, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
     for i in 0..post.jobs.t.len() {
         let uses = post.jobs.r.iter().filter(|r| r.0 as usize == i);
-        let pieces = uses.map(|r| r.1).max().unwrap_or(1);
+        let task_count = uses.map(|r| r.1).max().unwrap_or(1);
         let Template { spec, rules } = &mut post.jobs.t[i];
-        spec.pieces = pieces;
+        spec.task_count = task_count;
         if !spec.waits_on.is_empty() {
             let why = format!("t[{i}].waits_on: jobs of a submission cannot wait for others");
             return Err(Reject::Malformed(why));
@@ -359,10 +359,10 @@
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
     app.with(|n, _| {
-        if n.mirror.kinds.is_empty() {
+        if n.mirror.machine_types.is_empty() {
             return Answer::later("the machine types are not known yet");
         }
-        let all = &n.mirror.kinds;
+        let all = &n.mirror.machine_types;
         match n.mirror.matcher.explain(&template.spec, &rules, all, at) {
             Ok(explanation) => Answer::of(StatusCode::OK, &explanation),
             Err(e) => bad(e),
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -4,19 +4,19 @@
 use cherryyard_history::{Leaf, Level, Past, leaf_key};
 use cherryyard_rehearsal::http::{Budgets, HttpState};
 use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_kind};
+use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::history::{LAST, PackedRecord};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, KINDS, PACKED, bucket_key,
+    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, MACHINE_TYPES_KEY, PACKED, bucket_key,
 };
 use std::path::Path;
 
 /// Three old jobs, 10 to 30, in the large run.
 fn store() -> StateStandIn {
     let mut state = StateStandIn::default();
-    let kind = small_kind(vec!["a".into()]);
-    state.seed(KINDS, &[kind]);
+    let machine_type = small_machine_type(vec!["a".into()]);
+    state.seed(MACHINE_TYPES_KEY, &[machine_type]);
     state.seed(
         FORMAT,
         &FormatRecord {
