--- a/crates/cherryyard-condor/src/job.rs
+++ b/crates/cherryyard-condor/src/job.rs
@@ -265,7 +265,7 @@
             set("Cmd", Value::text(cmd));
         }
         let rules = Rules {
-            cells: Vec::new(),
+            pools: Vec::new(),
             requirements: self.rule("requirements", &ad, &mut names)?,
             rank: self.rule("rank", &ad, &mut names)?,
         };
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -126,7 +126,7 @@
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
         let a_second = config.user_writes_per_s * MOST_ROWS as f64 / 2.0;
         // Each takes about a kibibyte: of the memory a sixty-fourth.
-        let room = config.recent_ends.get() / 16;
+        let capacity = config.recent_ends.get() / 16;
         Self {
             phase: Phase::Idle,
             queues: BTreeMap::new(),
@@ -136,7 +136,7 @@
             sent_at: now,
             owed: BTreeMap::new(),
             owed_at: now,
-            most: ((a_second * QUEUE_S) as usize).clamp(16, room.max(16)),
+            most: ((a_second * QUEUE_S) as usize).clamp(16, capacity.max(16)),
         }
     }
 
@@ -192,7 +192,7 @@
 
     /// Who has to go for a newcomer to have room: the newest of the longest queue,
     /// if that is longer than the newcomer's own.
-    fn make_room(&mut self, flow: Flow) -> Option<Waiting> {
+    fn preempt_for(&mut self, flow: Flow) -> Option<Waiting> {
         let own = self.queues.get(&flow).map_or(0, VecDeque::len);
         let longest = self.queues.values_mut().max_by_key(|q| q.len())?;
         if longest.len() <= own + 1 {
@@ -248,7 +248,7 @@
             divided: None,
         };
         if self.intake.waiting >= self.intake.most {
-            match self.intake.make_room(flow) {
+            match self.intake.preempt_for(flow) {
                 Some(other) => self.send_away(&other, now),
                 None => {
                     self.send_away(&waiting, now);
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -118,18 +118,18 @@
 
     /// Cores of all machines that their owners can use.
     fn all_cores(&self) -> f64 {
-        let rooms = self.leader.rooms.iter().flatten();
-        let sizes = rooms.flat_map(|room| {
-            let sorts = room.report.sorts.iter();
-            let cores = sorts.map(|s| {
+        let capacities = self.leader.capacities.iter().flatten();
+        let sizes = capacities.flat_map(|capacity| {
+            let pools = capacity.report.pools.iter();
+            let cores = pools.map(|s| {
                 self.mirror
                     .machine_types
                     .iter()
                     .find(|k| k.sku == s.machine_type)
             });
             let cores: Vec<f64> = cores.map(|k| k.map_or(0.0, |k| k.cores)).collect();
-            let machines = room.report.machines.iter();
-            machines.map(move |m| cores.get(usize::from(m.sort)).copied().unwrap_or(0.0))
+            let machines = capacity.report.machines.iter();
+            machines.map(move |m| cores.get(usize::from(m.pool)).copied().unwrap_or(0.0))
         });
         sizes.sum()
     }
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -69,10 +69,10 @@
         return never("kinds_of_host: a task fits no allowed machine type".into());
     }
     if let Some(rules) = rules {
-        let cells = mirror.matcher.evaluate(rules, at);
-        let cells = cells.map_err(Reject::Malformed)?;
+        let pools = mirror.matcher.evaluate(rules, at);
+        let pools = pools.map_err(Reject::Malformed)?;
         let runs = |machine_type: &MachineType, zone: &str| {
-            let tier = |spot| cells.tier(&machine_type.sku, zone, spot);
+            let tier = |spot| pools.tier(&machine_type.sku, zone, spot);
             fits_machine_type(spec, machine_type)
                 && (tier(false).is_some() || spec.spot && tier(true).is_some())
         };
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -25,8 +25,8 @@
     /// The proposal's AutoscaleMultiClusterDelay in seconds: how long a shard
     /// may keep tasks waiting before the leader moves them.
     pub autoscale_multi_cluster_delay_s: f64,
-    /// Seconds between two reports of free room to the leader.
-    pub room_report_s: f64,
+    /// Seconds between two reports of free capacity to the leader.
+    pub capacity_report_s: f64,
     /// Share of the fleet's cores that renting ahead keeps free.
     pub headroom_share: f64,
     /// Seconds without work after which a rented machine may be returned.
@@ -52,7 +52,7 @@
     fn default() -> Self {
         Self {
             autoscale_multi_cluster_delay_s: 10.0,
-            room_report_s: 5.0,
+            capacity_report_s: 5.0,
             headroom_share: 0.5,
             idle_return_s: 150.0,
             history: false,
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -148,12 +148,12 @@
     /// What this controller tells the others now.
     pub fn heartbeat_out(&mut self, now: Millis) -> Heartbeat {
         self.notice(now);
-        let every = self.config.tuning.room_report_s * 1000.0;
+        let every = self.config.tuning.capacity_report_s * 1000.0;
         let due = now - self.reported_at;
         let mut shards: Vec<CapacityReport> = Vec::new();
-        if due >= every || (self.room_changed && due >= 900.0) {
+        if due >= every || (self.capacity_changed && due >= 900.0) {
             self.reported_at = now;
-            self.room_changed = false;
+            self.capacity_changed = false;
             for shard_id in 0..self.shards.len() {
                 if self.owned(shard_id).is_some() {
                     shards.push(self.capacity_report(shard_id, now));
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -1,4 +1,4 @@
-//! Rooms of shards whose owners' reports do not arrive.
+//! Capacities of shards whose owners' reports do not arrive.
 
 use super::*;
 use std::cell::RefCell;
@@ -10,27 +10,27 @@
     /// Where an owner's reports do not arrive (connections between controllers
     /// are refused), what the cloud lists and what is assigned stand for them:
     /// else every job went to the leader's own shard.
-    pub(crate) fn assume_rooms(&mut self, now: Millis) {
+    pub(crate) fn assume_capacities(&mut self, now: Millis) {
         if now - self.leader.since < ASSUME_AFTER_MS {
             return;
         }
         for shard_id in 0..self.shards.len() {
             let revision = self.mirror.revision(Key::Shard(shard_id));
-            let fresh = self.leader.rooms[shard_id].as_ref().is_some_and(|r| {
+            let fresh = self.leader.capacities[shard_id].as_ref().is_some_and(|r| {
                 let limit = if r.assumed {
                     1000.0
                 } else {
-                    self.config.tuning.room_report_s * 1000.0 + ASSUME_AFTER_MS
+                    self.config.tuning.capacity_report_s * 1000.0 + ASSUME_AFTER_MS
                 };
                 r.report.revision == revision && now - r.at < limit
             });
             if revision != 0 && !fresh && self.owned(shard_id).is_none() {
                 let report = self.assumed_report(shard_id, revision);
-                self.leader.rooms_heard += 1;
-                let debits = self.leader.rooms[shard_id]
+                self.leader.capacity_reports_received += 1;
+                let debits = self.leader.capacities[shard_id]
                     .take()
                     .map(|r| r.debits.into_iter().filter(|d| now - d.0 < 1500.0));
-                self.leader.rooms[shard_id] = Some(Room {
+                self.leader.capacities[shard_id] = Some(ShardCapacity {
                     report,
                     at: now,
                     assumed: true,
@@ -46,7 +46,7 @@
         let mut report = CapacityReport {
             shard: shard_id as u32,
             revision,
-            sorts: Vec::new(),
+            pools: Vec::new(),
             images: stored.record.i.iter().map(|i| i.0.clone()).collect(),
             machines: Vec::new(),
             waiting: Vec::new(),
@@ -83,18 +83,18 @@
                     yielding.take(&needs);
                 }
             }
-            let sort = MachineSort {
+            let pool = MachinePool {
                 machine_type: entry.machine_type.clone(),
                 zone: entry.zone.clone(),
                 spot: entry.spot,
             };
-            let place = report.sorts.iter().position(|s| *s == sort);
+            let place = report.pools.iter().position(|s| *s == pool);
             let place = place.unwrap_or_else(|| {
-                report.sorts.push(sort);
-                report.sorts.len() - 1
+                report.pools.push(pool);
+                report.pools.len() - 1
             });
-            report.machines.push(MachineRoom {
-                sort: place as u16,
+            report.machines.push(MachineCapacity {
+                pool: place as u16,
                 free: (free.cores as f32, free.acc as f32, free.ram as f32),
                 yielding: (
                     yielding.cores as f32,
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -8,13 +8,13 @@
 
 impl Node {
     /// A report's machines that the job may use, up to a tier of its preference.
-    pub(crate) fn rooms_for<'a>(
+    pub(crate) fn capacities_for<'a>(
         open: &OpenJob,
         report: &'a CapacityReport,
         most: u16,
-    ) -> impl Iterator<Item = &'a MachineRoom> + use<'a> {
+    ) -> impl Iterator<Item = &'a MachineCapacity> + use<'a> {
         let allowed: Vec<bool> = report
-            .sorts
+            .pools
             .iter()
             .map(|s| open.allows(&s.machine_type, &s.zone, s.spot))
             .map(|tier| tier.is_some_and(|t| t <= most))
@@ -22,14 +22,14 @@
         report
             .machines
             .iter()
-            .filter(move |m| allowed[usize::from(m.sort)])
+            .filter(move |m| allowed[usize::from(m.pool)])
     }
 
-    pub(crate) fn current_room(&self, shard_id: usize, now: Millis) -> Option<&Room> {
-        let room = self.leader.rooms[shard_id].as_ref()?;
-        let fresh = now - room.at <= self.config.tuning.room_report_s * 2000.0 + 2000.0;
-        (fresh && self.mirror.revision(Key::Shard(shard_id)) == room.report.revision)
-            .then_some(room)
+    pub(crate) fn current_capacity(&self, shard_id: usize, now: Millis) -> Option<&ShardCapacity> {
+        let capacity = self.leader.capacities[shard_id].as_ref()?;
+        let fresh = now - capacity.at <= self.config.tuning.capacity_report_s * 2000.0 + 2000.0;
+        (fresh && self.mirror.revision(Key::Shard(shard_id)) == capacity.report.revision)
+            .then_some(capacity)
     }
 
     /// How many of the job's tasks fit on machines of other shards that hold its
@@ -44,13 +44,13 @@
         fits.iter().sum()
     }
 
-    /// How many of the job's tasks fit into each shard's free room.
+    /// How many of the job's tasks fit into each shard's free capacity.
     ///
     /// A service counts only machines that hold its image, while these have
     /// room for it, arrays making way if its rank allows: elsewhere a replica
     /// would wait for the image, and inside its shard the image decides too.
     ///
-    /// Where rules prefer some cells, those count alone while they have room for all.
+    /// Where rules prefer some pools, those count alone while they have room for all.
     pub(crate) fn weights(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
         let all = |weights: &[f64]| weights.iter().sum::<f64>() >= f64::from(open.spec.task_count);
         let tiers = open.rules.as_ref().map_or(1, |r| r.1.tiers());
@@ -94,16 +94,16 @@
         let key = (open.signature(), holding, most, yielding);
         (0..self.shards.len())
             .map(|shard_id| {
-                let Some(room) = self.current_room(shard_id, now) else {
+                let Some(capacity) = self.current_capacity(shard_id, now) else {
                     return 0.0;
                 };
-                let known = room.fits.borrow().get(&key).copied();
+                let known = capacity.fits.borrow().get(&key).copied();
                 let fits = known.unwrap_or_else(|| {
-                    let n = Self::fits_in(open, &room.report, holding, most, yielding);
-                    room.fits.borrow_mut().insert(key, n);
+                    let n = Self::fits_in(open, &capacity.report, holding, most, yielding);
+                    capacity.fits.borrow_mut().insert(key, n);
                     n
                 });
-                let given: f64 = room.debits.iter().map(|d| d.1.cores).sum();
+                let given: f64 = capacity.debits.iter().map(|d| d.1.cores).sum();
                 (f64::from(fits) - given / needs.cores).max(0.0).floor()
             })
             .collect()
@@ -120,9 +120,9 @@
         if holding && image.is_none() {
             return 0;
         }
-        let held = |m: &MachineRoom| m.images.iter().any(|&i| Some(i.into()) == image);
+        let held = |m: &MachineCapacity| m.images.iter().any(|&i| Some(i.into()) == image);
         let needs = open.needs();
-        Self::rooms_for(open, report, most)
+        Self::capacities_for(open, report, most)
             .filter(|m| !holding || held(m))
             .map(|m| {
                 let (cores, acc, ram) = if yielding { m.yielding } else { m.free };
@@ -135,12 +135,12 @@
             .sum()
     }
 
-    /// Machines that could run the job, for when there is no free room.
+    /// Machines that could run the job, for when there is no free capacity.
     pub(crate) fn counts(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
         (0..self.shards.len())
             .map(|shard_id| {
-                self.current_room(shard_id, now).map_or(0.0, |r| {
-                    Self::rooms_for(open, &r.report, ANY).count() as f64
+                self.current_capacity(shard_id, now).map_or(0.0, |r| {
+                    Self::capacities_for(open, &r.report, ANY).count() as f64
                 })
             })
             .collect()
@@ -170,11 +170,11 @@
                 return None;
             }
         }
-        let room: f64 = weights.iter().sum();
-        let within = open.spec.task_count.min(room as u32);
+        let capacity: f64 = weights.iter().sum();
+        let within = open.spec.task_count.min(capacity as u32);
         let mut shares = divide(within, &weights);
         if within < open.spec.task_count {
-            // What has no free room follows machine counts, as a job does that
+            // What has no free capacity follows machine counts, as a job does that
             // finds none at all: weights of a few free cores would heap a large
             // job onto one shard.
             let counts = self.counts(open, now);
@@ -216,11 +216,11 @@
             let zone = self.config.zones.name(z);
             let (mut fits, mut count) = (0, 0);
             for shard_id in 0..self.shards.len() {
-                let Some(room) = self.current_room(shard_id, now) else {
+                let Some(capacity) = self.current_capacity(shard_id, now) else {
                     continue;
                 };
-                for m in Self::rooms_for(open, &room.report, ANY) {
-                    if room.report.sorts[usize::from(m.sort)].zone == zone {
+                for m in Self::capacities_for(open, &capacity.report, ANY) {
+                    if capacity.report.pools[usize::from(m.pool)].zone == zone {
                         let (cores, acc, ram) = m.free;
                         fits += open.needs().times_in(&Needs {
                             cores: cores.into(),
@@ -249,9 +249,9 @@
             let zone = self.config.zones.name(z as u32);
             let weights: Vec<f64> = (0..self.shards.len())
                 .map(|shard_id| {
-                    self.current_room(shard_id, now).map_or(0.0, |r| {
-                        let zones = &r.report.sorts;
-                        let here = |m: &&MachineRoom| zones[usize::from(m.sort)].zone == zone;
+                    self.current_capacity(shard_id, now).map_or(0.0, |r| {
+                        let zones = &r.report.pools;
+                        let here = |m: &&MachineCapacity| zones[usize::from(m.pool)].zone == zone;
                         r.report.machines.iter().filter(here).count() as f64
                     })
                 })
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -12,7 +12,7 @@
             }
             let lacking = (0..self.shards.len()).any(|shard_id| {
                 let grant = self.mirror.grants[t][shard_id].0;
-                self.current_room(shard_id, now).is_some_and(|r| {
+                self.current_capacity(shard_id, now).is_some_and(|r| {
                     r.report.wants.get(t).is_some_and(|w| {
                         w.1 > grant.cores + 1e-6 && team.cores_max.is_finite()
                             || w.2 > grant.acc + 1e-6 && team.acc_max.is_finite()
@@ -68,7 +68,7 @@
                 if fresh {
                     new.cores += most(team.cores_max) / n as f64;
                     new.acc += most(team.acc_max) / n as f64;
-                } else if let Some(r) = self.current_room(shard_id, now)
+                } else if let Some(r) = self.current_capacity(shard_id, now)
                     && let Some(w) = r.report.wants.get(t)
                 {
                     let wants = w.1 > new.cores + 1e-6 || w.2 > new.acc + 1e-6;
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -24,10 +24,10 @@
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
 use cherryyard_wire::job::{Rank, Shape};
-use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
+use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::{self, End, Grant, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use state::{LeadershipEvent, LeadershipPhase, ProvisionedBatch, Room};
+use state::{LeadershipEvent, LeadershipPhase, ProvisionedBatch, ShardCapacity};
 use std::collections::HashSet;
 
 impl Node {
@@ -153,8 +153,8 @@
         ) {
             // What it gave out was not given: the next try would find less room.
             let sent_at = self.leader.sent_at;
-            for room in self.leader.rooms.iter_mut().flatten() {
-                room.debits.retain(|d| d.0 != sent_at);
+            for capacity in self.leader.capacities.iter_mut().flatten() {
+                capacity.debits.retain(|d| d.0 != sent_at);
             }
         }
         match outcome {
@@ -184,13 +184,13 @@
         }
         self.leader.dirty = false;
         for shard_id in 0..self.shards.len() {
-            if self.current_room(shard_id, now).is_some() {
+            if self.current_capacity(shard_id, now).is_some() {
                 self.leader.ownerless.remove(&shard_id);
             } else {
                 self.leader.ownerless.entry(shard_id).or_insert(now);
             }
         }
-        self.assume_rooms(now);
+        self.assume_capacities(now);
         self.review(now);
         let commit = self
             .store_machine_types()
--- a/crates/cherryyard-core/src/leader/overflow.rs
+++ b/crates/cherryyard-core/src/leader/overflow.rs
@@ -23,7 +23,7 @@
         // the delay: fetching it would take longer than moving it.
         self.leader.handed.retain(|_, at| now - *at < HANDED_MS);
         let handed = self.handed_over();
-        let seen = self.leader.rooms_heard;
+        let seen = self.leader.capacity_reports_received;
         let (then, at) = self.leader.overflowed;
         if handed.is_empty() && then == seen && now - at < AGAIN_MS {
             return None;
@@ -113,7 +113,7 @@
                 }
                 Some(_) => {}
                 None => {
-                    let Some(r) = self.current_room(shard_id, now) else {
+                    let Some(r) = self.current_capacity(shard_id, now) else {
                         continue;
                     };
                     let passed = (now - r.at) / 1000.0;
@@ -147,12 +147,12 @@
                 *weight = weight.min(f64::from(cap.saturating_sub(has)));
             }
         }
-        let room: f64 = w.iter().sum();
-        if room < 1.0 {
+        let capacity: f64 = w.iter().sum();
+        if capacity < 1.0 {
             return None;
         }
         // From the end, so that both shards keep few ranges.
-        let moving = unassigned.last(room as u32);
+        let moving = unassigned.last(capacity as u32);
         let shares = divide(moving.len(), &w);
         Some((moving, shares))
     }
@@ -172,15 +172,15 @@
 
     /// Notes what has been given out, until the shards report it.
     pub(crate) fn give(&mut self, shares: &[u32], needs: &Needs, now: Millis) {
-        for (room, &n) in self.leader.rooms.iter_mut().zip(shares) {
-            if let Some(room) = room.as_mut().filter(|_| n > 0) {
+        for (capacity, &n) in self.leader.capacities.iter_mut().zip(shares) {
+            if let Some(capacity) = capacity.as_mut().filter(|_| n > 0) {
                 let n = f64::from(n);
                 let needs = Needs {
                     cores: needs.cores * n,
                     acc: needs.acc * n,
                     ram: needs.ram * n,
                 };
-                room.debits.push((now, needs));
+                capacity.debits.push((now, needs));
             }
         }
     }
--- a/crates/cherryyard-core/src/leader/rent.rs
+++ b/crates/cherryyard-core/src/leader/rent.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-/// A sort of machine that could be provisioned: spot or not, its cores, how many machines
+/// A pool of machines that could be provisioned: spot or not, its cores, how many machines
 /// are in its zone, type, zone, and how long it takes to be up.
 type Choice<'a> = (bool, f64, u32, &'a str, &'a str, f64);
 
-/// Waiting jobs that may use only some sorts of machine of which renting takes account.
+/// Waiting jobs that may use only some pools of machine of which renting takes account.
 const BOUND_JOBS: usize = 50;
 
 impl Node {
@@ -32,12 +32,12 @@
         };
         let (mut free, mut total) = (0.0, 0.0);
         for shard_id in 0..self.shards.len() {
-            let Some(room) = self.current_room(shard_id, now) else {
+            let Some(capacity) = self.current_capacity(shard_id, now) else {
                 continue;
             };
-            for m in &room.report.machines {
+            for m in &capacity.report.machines {
                 free += f64::from(m.free.0);
-                total += cores_of(&room.report.sorts[usize::from(m.sort)].machine_type);
+                total += cores_of(&capacity.report.pools[usize::from(m.pool)].machine_type);
             }
         }
         let mut waiting = 0.0;
@@ -110,7 +110,7 @@
         self.effects.push(Effect::Provision(request));
     }
 
-    /// Whether a job may use only some sorts of machine.
+    /// Whether a job may use only some pools of machine.
     fn is_bound(&self, open: &OpenJob) -> bool {
         let excluded = |k: &MachineType| !admit::allows_machine_type(&open.spec, &k.sku);
         open.rules.is_some()
@@ -119,7 +119,7 @@
             || self.mirror.machine_types.iter().any(excluded)
     }
 
-    /// Waiting jobs that may use only some sorts of machine, each with whether it lacks
+    /// Waiting jobs that may use only some pools of machine, each with whether it lacks
     /// room on these; and how many cores all of them lack, beyond what is on its way.
     fn lacking_for_bound(&self, now: Millis) -> (Vec<(&OpenJob, bool)>, f64) {
         let (mut bound, mut all) = (Vec::new(), 0.0);
@@ -130,11 +130,11 @@
             if left == 0.0 {
                 continue;
             }
-            let room: f64 = self
+            let capacity: f64 = self
                 .fits(open, now, false, division::ANY, false)
                 .iter()
                 .sum();
-            let lacks = ((left - room) * open.spec.cores).max(0.0);
+            let lacks = ((left - capacity) * open.spec.cores).max(0.0);
             let coming = self.cores_coming_for(open);
             bound.push((open, lacks > coming));
             all += (lacks - coming).max(0.0);
@@ -145,7 +145,7 @@
         (bound, all)
     }
 
-    /// Where a waiting job that may use only some sorts of machine lacks room on them, a
+    /// Where a waiting job that may use only some pools of machine lacks room on them, a
     /// sort that it allows comes first; and where only such jobs wait, nothing is provisioned
     /// that is of use to none of them. `due`: nothing is provisioned ahead of need; `alone`: for
     /// all others there is room.
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -55,7 +55,7 @@
 
 /// A shard's last report, and what has been given to it since.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
+pub(crate) struct ShardCapacity {
     pub(crate) report: CapacityReport,
     pub(crate) at: Millis,
     /// Not reported, but put together from what else is known.
@@ -84,10 +84,10 @@
     pub(crate) leadership_token: u64,
     pub(crate) acquire_after: Millis,
     pub(crate) leaderless_since: Option<Millis>,
-    pub(crate) rooms: Vec<Option<Room>>,
+    pub(crate) capacities: Vec<Option<ShardCapacity>>,
     /// How many reports have been heard, and how many had been when overflow last
     /// found nothing that could be moved, and when that was.
-    pub(crate) rooms_heard: u64,
+    pub(crate) capacity_reports_received: u64,
     pub(crate) overflowed: (u64, Millis),
     /// When pages of new jobs were last tidied.
     pub(crate) compacted_at: Millis,
@@ -133,8 +133,8 @@
             leadership_token: 0,
             acquire_after: now,
             leaderless_since: None,
-            rooms: vec![None; config.shards()],
-            rooms_heard: 0,
+            capacities: vec![None; config.shards()],
+            capacity_reports_received: 0,
             overflowed: (0, f64::NEG_INFINITY),
             compacted_at: now,
             pending: false,
@@ -182,7 +182,7 @@
 
     /// Takes a shard's report, unless it is from an owner before.
     pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
-        let Some(place) = self.rooms.get_mut(report.shard as usize) else {
+        let Some(place) = self.capacities.get_mut(report.shard as usize) else {
             return;
         };
         if !report.is_sound() {
@@ -198,14 +198,14 @@
             .take()
             .map(|r| r.debits.into_iter().filter(|d| now - d.0 < 700.0).collect())
             .unwrap_or_default();
-        *place = Some(Room {
+        *place = Some(ShardCapacity {
             report,
             at: now,
             assumed: false,
             debits,
             fits: RefCell::default(),
         });
-        self.rooms_heard += 1;
+        self.capacity_reports_received += 1;
         self.dirty = true;
     }
 }
--- a/crates/cherryyard-core/src/mirror/arrivals.rs
+++ b/crates/cherryyard-core/src/mirror/arrivals.rs
@@ -298,8 +298,8 @@
         let last = *self.arrivals.last_key_value()?.0;
         let mut left: Option<(u64, usize)> = None;
         for (&page, known) in self.arrivals.range(..last).filter(|(_, a)| !a.foreign) {
-            let room = config.txn_ops.saturating_sub(commit.apply.len());
-            if room < DELETE_CHANGES {
+            let capacity = config.txn_ops.saturating_sub(commit.apply.len());
+            if capacity < DELETE_CHANGES {
                 break;
             }
             let here = known.jobs.iter().filter(|job| self.in_page(**job)).count();
@@ -316,7 +316,7 @@
                 // Into the later of the two: one who reads page by page meanwhile
                 // finds its jobs in one or the other.
                 match left.take() {
-                    Some((earlier, n)) if n + here <= MOST_ROWS / 2 && room >= JOIN_CHANGES => {
+                    Some((earlier, n)) if n + here <= MOST_ROWS / 2 && capacity >= JOIN_CHANGES => {
                         if self.join_pages(&mut commit, earlier, page, config) {
                             break;
                         }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -3,8 +3,8 @@
 use super::{Mirror, Urgency};
 use crate::admission::flows::Flow;
 use crate::admit::allows_machine_type;
-use crate::cells::CellSet;
 use crate::needs::Needs;
+use crate::pools::PoolSet;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::{Dependencies, dependency_ids};
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Rank, Shape, job_id};
@@ -33,9 +33,9 @@
     pub zone: Option<String>,
     /// Most tasks per shard and zone, if tasks are to be apart.
     pub caps: Vec<Vec<u32>>,
-    /// Where it may run, beyond what the submission's fields say, and the cells that
+    /// Where it may run, beyond what the submission's fields say, and the pools that
     /// this comes to now.
-    pub rules: Option<(Box<Rules>, Arc<CellSet>)>,
+    pub rules: Option<(Box<Rules>, Arc<PoolSet>)>,
     /// Jobs that it waits for.
     pub after: Dependencies,
     /// Its priority and deadline, with what it inherits from jobs that need it.
@@ -60,11 +60,11 @@
             .flatten()
     }
 
-    /// How much its rules prefer a cell, 0 the most; none if they exclude it.
+    /// How much its rules prefer a pool, 0 the most; none if they exclude it.
     pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         match &self.rules {
             None => Some(0),
-            Some((_, cells)) => cells.tier(machine_type, zone, spot),
+            Some((_, pools)) => pools.tier(machine_type, zone, spot),
         }
     }
 
@@ -113,8 +113,8 @@
         let sizes = [s.cores, s.accelerators, s.ram_gb].map(f64::to_bits);
         sizes.hash(&mut hash);
         (&s.image, &s.machine_types, &s.zone, &self.zone, s.spot).hash(&mut hash);
-        if let Some((_, cells)) = &self.rules {
-            cells.hash(&mut hash);
+        if let Some((_, pools)) = &self.rules {
+            pools.hash(&mut hash);
         }
         hash.finish()
     }
@@ -279,8 +279,8 @@
             team,
             flow: self.flows.intern(team, &spec.job_class),
             rules: rules.map(|rules| {
-                let cells = self.matcher.cells(&rules, at);
-                (rules, cells)
+                let pools = self.matcher.pools(&rules, at);
+                (rules, pools)
             }),
             spec,
             at,
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -12,10 +12,10 @@
 
 use crate::Config;
 use crate::admission::flows::Flows;
-use crate::cells::Matcher;
 use crate::names::Names;
 use crate::needs::Needs;
 use crate::pages::{Assignment, JobAssignments, Page};
+use crate::pools::Matcher;
 use arrivals::Arrivals;
 pub use arrivals::MOST_ROWS;
 use buckets::Bucket;
@@ -349,8 +349,8 @@
     fn match_anew(&mut self) {
         self.matcher = Matcher::new(&self.machine_types, &self.attributes);
         for open in self.open.values_mut() {
-            if let Some((rules, cells)) = &mut open.rules {
-                *cells = self.matcher.cells(rules, open.at);
+            if let Some((rules, pools)) = &mut open.rules {
+                *pools = self.matcher.pools(rules, open.at);
             }
         }
     }
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -56,7 +56,7 @@
     pub(crate) seen_at: Millis,
     pub(crate) started_at: Millis,
     pub(crate) reported_at: Millis,
-    pub(crate) room_changed: bool,
+    pub(crate) capacity_changed: bool,
     pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
     pub(crate) listed: HashMap<String, Instance>,
     pub(crate) listed_at: Millis,
@@ -118,7 +118,7 @@
             seen_at: f64::NEG_INFINITY,
             started_at: now,
             reported_at: f64::NEG_INFINITY,
-            room_changed: false,
+            capacity_changed: false,
             machine_types_from_cloud: None,
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
@@ -236,7 +236,7 @@
                     self.shards[shard_id].held_since = self.clock;
                 }
                 self.queue_all(shard_id, self.clock);
-                self.room_changed = true;
+                self.capacity_changed = true;
                 for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
                     m.change(MachineEvent::TokenChanged);
                 }
--- a/crates/cherryyard-core/src/owner/room.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -1,4 +1,4 @@
-//! Free room of a shard's machines, and what the leader is told of it.
+//! Free capacity of a shard's machines, and what the leader is told of it.
 
 use super::*;
 use crate::admission::queue::Place;
@@ -52,7 +52,7 @@
         Some(free)
     }
 
-    /// Free room if arrays of ordinary rank or below made way.
+    /// Free capacity if arrays of ordinary rank or below made way.
     pub(crate) fn yielding(&self, m: &Machine, mut free: Needs) -> (f32, f32, f32) {
         for ((job, _), _) in self.mirror.on_host(m.host) {
             if let Some(o) = self.mirror.open.get(&job).filter(|o| o.makes_way()) {
@@ -62,7 +62,7 @@
         (free.cores as f32, free.acc as f32, free.ram as f32)
     }
 
-    /// Free room and waiting tasks, for the leader.
+    /// Free capacity and waiting tasks, for the leader.
     pub(crate) fn capacity_report(&self, shard_id: usize, now: Millis) -> CapacityReport {
         let silence = self.silence_ms();
         let mut machines: Vec<&Machine> = self
@@ -101,25 +101,25 @@
             want.cores = want.cores.min(whole.cores).max(used.cores);
             want.acc = want.acc.min(whole.acc).max(used.acc);
         }
-        let (mut sorts, mut images) = (Vec::new(), Names::default());
-        let rooms = machines
+        let (mut pools, mut images) = (Vec::new(), Names::default());
+        let capacities = machines
             .into_iter()
             .filter_map(|m| {
                 let free = self.free_on(m, None)?;
-                let same = |s: &MachineSort| {
+                let same = |s: &MachinePool| {
                     s.machine_type == m.machine_type && s.zone == m.zone && s.spot == m.spot
                 };
-                let sort = sorts.iter().position(same).unwrap_or_else(|| {
-                    sorts.push(MachineSort {
+                let pool = pools.iter().position(same).unwrap_or_else(|| {
+                    pools.push(MachinePool {
                         machine_type: m.machine_type.clone(),
                         zone: m.zone.clone(),
                         spot: m.spot,
                     });
-                    sorts.len() - 1
+                    pools.len() - 1
                 });
                 let held = m.images.iter().filter(|i| i.whole);
-                Some(MachineRoom {
-                    sort: sort.try_into().ok()?,
+                Some(MachineCapacity {
+                    pool: pool.try_into().ok()?,
                     free: (free.cores as f32, free.acc as f32, free.ram as f32),
                     yielding: self.yielding(m, free),
                     images: held
@@ -131,8 +131,8 @@
         CapacityReport {
             shard: shard_id as u32,
             revision: self.mirror.revision(Key::Shard(shard_id)),
-            machines: rooms,
-            sorts,
+            machines: capacities,
+            pools,
             images: (0..images.len() as u32)
                 .map(|i| images.name(i).to_string())
                 .collect(),
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -5,6 +5,7 @@
 //! transaction; commands are then the difference between assignments and reports.
 
 mod blame;
+mod capacity;
 mod images;
 mod oversize;
 mod place;
@@ -12,7 +13,6 @@
 mod recall;
 mod reconciliation;
 mod returns;
-mod room;
 mod round;
 mod search;
 pub(crate) mod state;
@@ -30,7 +30,7 @@
 use crate::shard_lease::ShardLease;
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use cherryyard_wire::job::{Rank, Shape};
-use cherryyard_wire::peer::{CapacityReport, MachineRoom, MachineSort};
+use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::{self, End, Grant, ImagesRecord, Key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use cherryyard_wire::worker::{
@@ -224,7 +224,7 @@
         }
         match outcome {
             Outcome::Applied(_) => {
-                self.room_changed = true;
+                self.capacity_changed = true;
                 for (job, host) in pending.done {
                     self.note_done(shard_id, job, host);
                 }
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -147,7 +147,7 @@
     const RANGE_BYTES: usize = 60;
 
     fn push_done(&mut self, job: u64, range: (u32, u32)) -> bool {
-        let Some(page) = self.room_for(Self::RANGE_BYTES) else {
+        let Some(page) = self.capacity_for(Self::RANGE_BYTES) else {
             return false;
         };
         let here = page.jobs.entry(job).or_default();
@@ -157,7 +157,7 @@
 
     fn push_assignment(&mut self, job: u64, number: u32, assignment: Assignment) -> bool {
         let bytes = Page::assignment_bytes(job, number, &assignment, self.hosts, self.format);
-        let Some(page) = self.room_for(bytes) else {
+        let Some(page) = self.capacity_for(bytes) else {
             return false;
         };
         let here = page.jobs.entry(job).or_default();
@@ -166,7 +166,7 @@
     }
 
     /// The page that has room for so many bytes more; none if all are full.
-    fn room_for(&mut self, bytes: usize) -> Option<&mut Page> {
+    fn capacity_for(&mut self, bytes: usize) -> Option<&mut Page> {
         if self.pages.is_empty() || self.bytes + bytes > self.most_bytes {
             let exact = self
                 .pages
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -20,8 +20,8 @@
 struct Placement {
     shard_id: usize,
     now: Millis,
-    /// Free room by machine, as it is used up.
-    rooms: Vec<(u32, Needs)>,
+    /// Free capacity by machine, as it is used up.
+    capacities: Vec<(u32, Needs)>,
     /// What each team uses in the shard, and everywhere.
     used: Vec<Needs>,
     totals: Vec<Needs>,
@@ -257,8 +257,8 @@
         let usable = self.machines.values();
         let usable = usable.filter(|m| m.shard == shard_id && m.usable(now, silence));
         let free = |m: &Machine| Some((m.host, self.free_on(m, Some(round))?));
-        let mut rooms: Vec<(u32, Needs)> = usable.filter_map(free).collect();
-        rooms.sort_by_key(|room| room.0);
+        let mut capacities: Vec<(u32, Needs)> = usable.filter_map(free).collect();
+        capacities.sort_by_key(|capacity| capacity.0);
         let mut used = self.mirror.usage(shard_id);
         for task in &round.gone {
             // What this very round proves gone makes room under the limit too.
@@ -275,7 +275,7 @@
         Placement {
             shard_id,
             now,
-            rooms,
+            capacities,
             used,
             preemptible: self.preemptible(shard_id, &totals),
             totals,
@@ -401,10 +401,10 @@
                 break;
             }
             let kept = self.kept_machine(shard_id, (job, number));
-            let Some(room) = self.best_room(placement, candidate, number, kept, &zones) else {
+            let Some(capacity) = self.best_fit(placement, candidate, number, kept, &zones) else {
                 unplaced.push(number);
                 // Where no machine has room for one of them, none has for the next.
-                let none = !placement.rooms.iter().any(|r| needs.fits(&r.1));
+                let none = !placement.capacities.iter().any(|r| needs.fits(&r.1));
                 if none {
                     placement.search.none_fits(*needs);
                 }
@@ -414,7 +414,7 @@
                 }
                 continue;
             };
-            let host = placement.rooms[room].0;
+            let host = placement.capacities[capacity].0;
             if candidate.service
                 && kept.is_none()
                 && self.better_elsewhere(placement, candidate, number, host, round)
@@ -423,7 +423,7 @@
             }
             let zone = self.machines[&host].zone.clone();
             *zones.entry(zone).or_default() += 1;
-            if !self.assign(placement, candidate, number, room, round, pending) {
+            if !self.assign(placement, candidate, number, capacity, round, pending) {
                 return Next::Nothing;
             }
             if placement.use_level(candidate.flow, needs.cores) {
@@ -434,7 +434,7 @@
                 return Next::Job;
             }
         }
-        self.make_room(placement, candidate, &unplaced, queues, &zones, round);
+        self.preempt_for(placement, candidate, &unplaced, queues, &zones, round);
         Next::Job
     }
 
@@ -445,7 +445,7 @@
     }
 
     /// The best of the machines that have room for a task, by its place.
-    fn best_room(
+    fn best_fit(
         &self,
         placement: &Placement,
         candidate: &Candidate,
@@ -479,9 +479,9 @@
             // room.
             (!failed, Reverse(tier), image, !m.spot)
         };
-        let rooms = placement.rooms.iter().enumerate();
-        let best = rooms
-            .filter(|(_, room)| is_possible(room))
+        let capacities = placement.capacities.iter().enumerate();
+        let best = capacities
+            .filter(|(_, capacity)| is_possible(capacity))
             .max_by(|(_, a), (_, b)| {
                 preference(a.0)
                     .cmp(&preference(b.0))
@@ -489,7 +489,7 @@
                     .then(a.1.ram.total_cmp(&b.1.ram))
                     .then(b.0.cmp(&a.0))
             });
-        best.map(|(room, _)| room)
+        best.map(|(capacity, _)| capacity)
     }
 
     /// Whether a replica that would have to fetch its image on the best machine is not
@@ -539,11 +539,11 @@
         placement: &mut Placement,
         candidate: &Candidate,
         number: u32,
-        room: usize,
+        capacity: usize,
         round: &mut Round,
         pending: &mut Pending,
     ) -> bool {
-        let host = placement.rooms[room].0;
+        let host = placement.capacities[capacity].0;
         let assignment = Assignment {
             host,
             incarnation: self.machines[&host].newest.0,
@@ -559,7 +559,7 @@
         if candidate.service {
             self.tell_placed(candidate, host, placement.now);
         }
-        placement.rooms[room].1.take(&candidate.needs);
+        placement.capacities[capacity].1.take(&candidate.needs);
         placement.used[candidate.team as usize].give(&candidate.needs);
         placement.placed += 1;
         placement.looks.found(candidate.flow);
@@ -580,7 +580,7 @@
 
     /// Makes room for what has found none: a machine is kept for the job whose turn it
     /// is, less important work is stopped.
-    fn make_room(
+    fn preempt_for(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
--- a/crates/cherryyard-core/src/owner/recall.rs
+++ b/crates/cherryyard-core/src/owner/recall.rs
@@ -42,15 +42,15 @@
         }
         let all = self.mirror.on_host(m.host).count() as u32;
         let silence = self.silence_ms();
-        let mut room = 0;
+        let mut capacity = 0;
         for other in self.machines.values().filter(|o| o.shard == m.shard) {
             if other.usable(now, silence)
                 && self.allowed(open, other)
                 && !self.shards[m.shard].reserved.contains_key(&other.host)
                 && let Some(free) = self.free_on(other, None)
             {
-                room += open.needs().times_in(&free);
-                if room >= all {
+                capacity += open.needs().times_in(&free);
+                if capacity >= all {
                     return true;
                 }
             }
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -211,7 +211,7 @@
         };
         // A new owner's machines are told of as they come, or the leader gives
         // the shard nothing until its next regular report.
-        self.room_changed |= (machine.state, machine.reach.hears()) != before;
+        self.capacity_changed |= (machine.state, machine.reach.hears()) != before;
         if heard == Heard::Old {
             return Reply::Answer(HeartbeatResponse {
                 fencing_token: token,
@@ -328,7 +328,7 @@
             self.shards[shard_id].touched.insert(host);
             return;
         };
-        self.room_changed |= !m.reach.hears();
+        self.capacity_changed |= !m.reach.hears();
         if m.answered(report, token, last, now) != Heard::Old {
             self.after_message(host, now);
         }
--- a/crates/cherryyard-rehearsal/src/users.rs
+++ b/crates/cherryyard-rehearsal/src/users.rs
@@ -34,7 +34,7 @@
     /// Its tasks that have been seen on a machine or completed; since when no other has
     /// followed though there was room; such times that were too long, from and until when.
     started: BTreeSet<String>,
-    room_since: Option<f64>,
+    capacity_since: Option<f64>,
     waited: Vec<(f64, f64)>,
 }
 
@@ -109,7 +109,7 @@
             done: false,
             cancelled: self.cancelled.contains(&spec.id),
             started: BTreeSet::new(),
-            room_since: None,
+            capacity_since: None,
             waited: Vec::new(),
         };
         self.jobs.entry(spec.id.clone()).or_insert(job);
@@ -153,12 +153,12 @@
             self.ask_again(w);
             self.take_note(w);
             self.look(w);
-            self.look_for_room(w);
+            self.look_for_capacity(w);
         }
     }
 
     /// Notes for how long tasks wait while a machine that fits has room.
-    fn look_for_room(&mut self, w: &World) {
+    fn look_for_capacity(&mut self, w: &World) {
         let now = w.now;
         let used = w.cores_by_team();
         let on = |id: &str, n: u32| {
@@ -192,7 +192,7 @@
                     && spec.cores <= m.2 + 1e-6
                     && spec.ram_gb <= m.3 + 1e-6
             };
-            let room = under
+            let capacity = under
                 && w.needs_are_complete(id)
                 && !spec.together
                 && !spec.apart
@@ -204,15 +204,15 @@
                     job.started.insert(task_name);
                 }
             }
-            let waits = room && job.started.len() < job.task_count as usize;
+            let waits = capacity && job.started.len() < job.task_count as usize;
             if waits && job.started.len() == before {
-                let since = *job.room_since.get_or_insert(now);
+                let since = *job.capacity_since.get_or_insert(now);
                 if now - since > WAIT_MS {
                     job.waited.retain(|x| x.0 != since);
                     job.waited.push((since, now));
                 }
             } else {
-                job.room_since = waits.then_some(now);
+                job.capacity_since = waits.then_some(now);
             }
         }
     }
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/both_ways.rs
@@ -7,7 +7,7 @@
 use cherryyard_wire::condor::Phase;
 use cherryyard_wire::job::{JobSpec, Rank, job_id};
 use cherryyard_wire::record::job_hash;
-use cherryyard_wire::rules::{CellBlock, Rules};
+use cherryyard_wire::rules::{PoolBlock, Rules};
 use std::collections::BTreeMap;
 
 struct Nothing;
@@ -69,17 +69,17 @@
     product.machine_types = Some(vec!["m4".into()]);
     product.zone = Some("a".into());
     all.push((product, None));
-    let block = |machine_type: &str, zone: &str, tier| CellBlock {
+    let block = |machine_type: &str, zone: &str, tier| PoolBlock {
         machine_types: Some(vec![machine_type.into()]),
         zones: Some(vec![zone.into()]),
         spot: None,
         tier,
     };
-    let cells = Rules {
-        cells: vec![block("m8", "b", 0), block("m4", "c", 1)],
+    let pools = Rules {
+        pools: vec![block("m8", "b", 0), block("m4", "c", 1)],
         ..Rules::default()
     };
-    all.push((job(60), Some(cells)));
+    all.push((job(60), Some(pools)));
     let mut small = job(1);
     small.rank = Rank::BestEffort;
     all.extend(std::iter::repeat_n((small, None), 20));
--- a/crates/cherryyard-rehearsal/tests/cells.rs
+++ b/crates/cherryyard-rehearsal/tests/pools.rs
@@ -46,7 +46,7 @@
         .collect()
 }
 
-/// Cells that are no product of types and zones: the division, the overflow of what
+/// Pools that are no product of types and zones: the division, the overflow of what
 /// finds no room, and placement keep to them, and what is too much waits.
 #[test]
 fn a_job_runs_in_its_cells_only() {
@@ -56,8 +56,8 @@
     w.run(40.0);
     // Six on the three machines of zone c, four on the large one.
     assert_eq!(w.running(), 10);
-    let cells: Vec<String> = started(&w, 0, "j-000001").into_iter().collect();
-    assert_eq!(cells, ["m4/c", "m8/b"]);
+    let pools: Vec<String> = started(&w, 0, "j-000001").into_iter().collect();
+    assert_eq!(pools, ["m4/c", "m8/b"]);
     // Others have the rest.
     w.submit(&World::spec("j-000002", "sweep", 40));
     w.run(30.0);
@@ -84,10 +84,10 @@
     w.submit_with(&World::spec("j-000003", "sweep", 9), rules);
     w.run(5.0);
     assert_eq!(w.running(), 2 + 3 + 9);
-    let cells = started(&w, 0, "j-000003");
+    let pools = started(&w, 0, "j-000003");
     assert!(
-        cells.contains("m4/c") && cells.contains("m8/b"),
-        "{cells:?}"
+        pools.contains("m4/c") && pools.contains("m8/b"),
+        "{pools:?}"
     );
 }
 
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -491,7 +491,7 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// What exceeds all free room follows machine counts: by the weights of a few
+/// What exceeds all free capacity follows machine counts: by the weights of a few
 /// free cores, a large array was heaped onto one shard.
 #[test]
 fn excess_is_not_heaped_onto_one_part() {
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -172,7 +172,7 @@
     pub refused: u64,
 }
 
-/// Free room and waiting tasks of a shard.
+/// Free capacity and waiting tasks of a shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct CapacityReport {
     /// The shard.
@@ -180,20 +180,20 @@
     /// Revision of the lease that the report was made under.
     pub revision: u64,
     /// Sorts of machine that the shard has.
-    pub sorts: Vec<MachineSort>,
+    pub pools: Vec<MachinePool>,
     /// Images that its machines hold.
     pub images: Vec<String>,
     /// Usable machines.
-    pub machines: Vec<MachineRoom>,
+    pub machines: Vec<MachineCapacity>,
     /// Waiting tasks by job: the job's number, how many, and for how long.
     pub waiting: Vec<(u64, u32, f32)>,
     /// What the shard uses and wants of each team's limit: team, cores and accelerators.
     pub wants: Vec<(String, f64, f64)>,
 }
 
-/// A sort of machine.
+/// A pool of machines.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct MachineSort {
+pub struct MachinePool {
     /// Its type.
     pub machine_type: String,
     /// Its zone.
@@ -202,11 +202,11 @@
     pub spot: bool,
 }
 
-/// Free room of a machine.
+/// Free capacity of a machine.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct MachineRoom {
-    /// Its place among the report's sorts.
-    pub sort: u16,
+pub struct MachineCapacity {
+    /// Its place among the report's pools.
+    pub pool: u16,
     /// Free cores, accelerators and memory.
     pub free: (f32, f32, f32),
     /// The same if arrays of ordinary rank or below made way.
@@ -219,7 +219,7 @@
     /// Whether the machines name only what the report lists.
     pub fn is_sound(&self) -> bool {
         self.machines.iter().all(|m| {
-            usize::from(m.sort) < self.sorts.len()
+            usize::from(m.pool) < self.pools.len()
                 && m.images.iter().all(|&i| usize::from(i) < self.images.len())
         })
     }
--- a/crates/cherryyard-wire/src/rules.rs
+++ b/crates/cherryyard-wire/src/rules.rs
@@ -1,23 +1,23 @@
 //! Where a job may run, beyond what the protocol's fields can say: an addition to a
 //! submission (`"rules": {...}`) and to a job's record, which other readers ignore.
 //!
-//! A *cell* is a machine type in a zone, ordinary or spot. Rules name cells outright,
-//! or by match expressions that are evaluated against each cell's attributes, or both:
-//! then a cell must satisfy both. `machine_types`, `zone` and `spot` count as well.
+//! A *pool* is a machine type in a zone, ordinary or spot. Rules name pools outright,
+//! or by match expressions that are evaluated against each pool's attributes, or both:
+//! then a pool must satisfy both. `machine_types`, `zone` and `spot` count as well.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Longest expression in a job's rules.
 pub const MAX_EXPRESSION: usize = 2048;
-/// Most blocks of cells.
+/// Most blocks of pools.
 pub const MAX_BLOCKS: usize = 64;
 /// Most attributes in one group of operators' own.
 pub const MAX_ATTRIBUTES: usize = 64;
 
-/// Cells that a job may run in: all of these types in all of these zones.
+/// Pools that a job may run in: all of these types in all of these zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct CellBlock {
+pub struct PoolBlock {
     /// Machine types; absent: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "kinds")]
@@ -30,7 +30,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "borrowed")]
     pub spot: Option<bool>,
-    /// Lower ones are preferred; of a cell in several blocks the lowest counts.
+    /// Lower ones are preferred; of a pool in several blocks the lowest counts.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tier: u32,
 }
@@ -42,13 +42,14 @@
 /// A job's rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
-    /// Cells, of which each must be in one; empty: any.
+    /// Pools, of which each must be in one; empty: any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub cells: Vec<CellBlock>,
-    /// An expression over a cell's attributes that must be true.
+    #[serde(rename = "cells")]
+    pub pools: Vec<PoolBlock>,
+    /// An expression over a pool's attributes that must be true.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requirements: Option<String>,
-    /// An expression over a cell's attributes: the larger, the more preferred.
+    /// An expression over a pool's attributes: the larger, the more preferred.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<String>,
 }
@@ -67,7 +68,7 @@
                 return Err(format!("rules.{name}: more than {MAX_EXPRESSION} bytes"));
             }
         }
-        if self.cells.len() > MAX_BLOCKS {
+        if self.pools.len() > MAX_BLOCKS {
             return Err(format!("rules.cells: more than {MAX_BLOCKS} blocks"));
         }
         Ok(())
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -1,7 +1,7 @@
 //! A heartbeat that tells of the largest part fits into a frame: 4,096 machines.
 
 use cherryyard_wire::peer::{
-    CapacityReport, Heartbeat, MAX_FRAME, MachineRoom, MachineSort, Message, Sender, encode,
+    CapacityReport, Heartbeat, MAX_FRAME, MachineCapacity, MachinePool, Message, Sender, encode,
     encode_legacy,
 };
 
@@ -14,10 +14,10 @@
 const WAITING: u32 = 500;
 
 /// Room of a machine; no two are alike, so nothing of it is packed well.
-fn room(machine: u16) -> MachineRoom {
+fn capacity(machine: u16) -> MachineCapacity {
     let free = f32::from(machine) * 0.37;
-    MachineRoom {
-        sort: machine % 300,
+    MachineCapacity {
+        pool: machine % 300,
         free: (free, free * 0.11, free * 3.7),
         yielding: (free * 1.3, free * 0.13, free * 4.1),
         images: (0..HELD)
@@ -27,7 +27,7 @@
 }
 
 fn report() -> CapacityReport {
-    let sort = |i: u16| MachineSort {
+    let pool = |i: u16| MachinePool {
         machine_type: format!("standard-{}-highmem", i % 100),
         zone: format!("zone-{}", i / 100),
         spot: i.is_multiple_of(2),
@@ -35,11 +35,11 @@
     CapacityReport {
         shard: 0,
         revision: 1,
-        sorts: (0..300).map(sort).collect(),
+        pools: (0..300).map(pool).collect(),
         images: (0..IMAGES)
             .map(|i| format!("registry/team/image-{i:04}:2026.12"))
             .collect(),
-        machines: (0..FLEET).map(room).collect(),
+        machines: (0..FLEET).map(capacity).collect(),
         waiting: (0..WAITING)
             .map(|i| {
                 (
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -6,7 +6,7 @@
 use cherryyard_wire::arrivals::{ArrivalsRecord, Rest};
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::peer::{
-    Ask, CapacityReport, DemandTold, FlowShare, Heartbeat, LevelTold, MachineRoom, MachineSort,
+    Ask, CapacityReport, DemandTold, FlowShare, Heartbeat, LevelTold, MachineCapacity, MachinePool,
     Message, Told, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
@@ -91,14 +91,14 @@
         shards: vec![CapacityReport {
             shard: 2,
             revision: 41,
-            sorts: vec![MachineSort {
+            pools: vec![MachinePool {
                 machine_type: "qanat-4".into(),
                 zone: "lahore-east".into(),
                 spot: true,
             }],
             images: vec!["img-02".into()],
-            machines: vec![MachineRoom {
-                sort: 0,
+            machines: vec![MachineCapacity {
+                pool: 0,
                 free: (1.5, 0.0, 8.25),
                 yielding: (4.0, 0.0, 16.0),
                 images: vec![0],
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::ask_status;
 use cherryyard_condor::{Cluster, Options, Source, SubmitError, read};
-use cherryyard_core::cells::Explanation;
+use cherryyard_core::pools::Explanation;
 use cherryyard_wire::condor::{Chunk, ChunkPost, SubmissionList, SubmissionView, check_name};
 use cherryyard_wire::job::job_number;
 use clap::Subcommand;
@@ -257,14 +257,14 @@
     let t = &cluster.templates[of];
     let rules = t.rules.as_ref().and_then(|r| r.requirements.as_deref());
     out += &format!("requirements: {}\n", rules.unwrap_or("any machine"));
-    for cell in &e.matching {
-        out += &format!("  matches {cell}\n");
+    for pool in &e.matching {
+        out += &format!("  matches {pool}\n");
     }
     if !e.unknown.is_empty() {
         out += &format!("  no machine advertises {}\n", e.unknown.join(", "));
     }
-    for (cell, lacks) in &e.near {
-        out += &format!("  not {cell}: {}\n", lacks.join("; "));
+    for (pool, lacks) in &e.near {
+        out += &format!("  not {pool}: {}\n", lacks.join("; "));
     }
     out
 }
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -291,7 +291,7 @@
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MOST_LISTED);
         let list = SubmissionList {
-            // Admission may lengthen a chunk: it sorts and spells out.
+            // Admission may lengthen a chunk: it pools and spells out.
             chunk_bytes: n.config.value_bytes.saturating_sub(64),
             submissions: views.filter_map(|(_, k)| n.submission_view(k)).collect(),
         };
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -23,7 +23,7 @@
 const PEER_QUEUE: usize = 64;
 
 /// A sixteenth of the memory, and at least a body of the largest size.
-fn body_room(limits: &Limits) -> usize {
+fn body_budget(limits: &Limits) -> usize {
     (limits.memory_bytes() / 16).max(MAX_BODY)
 }
 
@@ -74,7 +74,7 @@
         offers: Mutex::new(HashMap::new()),
         refusals: Mutex::default(),
         history: LookUps::new(c.state.rps, c.limits.memory_bytes()),
-        bodies: Arc::new(Semaphore::new(body_room(&c.limits))),
+        bodies: Arc::new(Semaphore::new(body_budget(&c.limits))),
         pace,
         list_every,
         ttl_ms: ((c.workers.lease_s * 500.0) as u64).clamp(1000, 5000),
