--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -289,7 +289,7 @@
             return;
         }
         self.set_user_rate(now);
-        if self.user_pace.left(now) < 1.0 {
+        if self.user_write_budget.left(now) < 1.0 {
             return;
         }
         let commit = if self.mirror.takes_pages() {
@@ -311,7 +311,7 @@
         if self.intake.sent.is_empty() {
             return;
         }
-        self.user_pace.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.apply.len() as f64);
         self.intake.change(Event::Sent);
         self.intake.sent_at = now;
         self.effects.push(Effect::Commit(Ticket::Admission, commit));
@@ -420,7 +420,10 @@
     /// Records of their own for the next submissions: before there are pages, and where
     /// few come to who does not lead.
     fn records_of_new(&mut self, now: Millis) -> Commit {
-        let most = self.config.txn_ops.min(self.user_pace.left(now) as usize);
+        let most = self
+            .config
+            .txn_ops
+            .min(self.user_write_budget.left(now) as usize);
         let mut next = self.next_offers(most.max(1));
         let mut commit = Commit::default();
         if next.is_empty() {
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -1,8 +1,8 @@
 //! What waits in a shard: a queue for each flow, in order, changed by what changed.
 //!
-//! The order over all is that of the places; a round takes from it until nothing more
+//! The order over all is that of the places; a scheduling cycle takes from it until nothing more
 //! finds room. Of a flow that finds none, a bounded number of jobs is looked at, and
-//! of the rest a few others each time: so a round's cost doesn't grow with what waits.
+//! of the rest a few others each time: so a scheduling cycle's cost doesn't grow with what waits.
 
 use super::flows::Flow;
 use crate::Millis;
@@ -271,7 +271,7 @@
         !self.unseen.is_empty()
     }
 
-    /// A round has looked at what waits.
+    /// A scheduling cycle has looked at what waits.
     pub fn seen(&mut self) {
         self.unseen.clear();
     }
@@ -432,11 +432,11 @@
             q.set(0, late, f64::INFINITY, 0.0);
         }
         let mut turns = Vec::new();
-        for round in 0..30 {
-            let fresh = 100 + round;
+        for cycle in 0..30 {
+            let fresh = 100 + cycle;
             q.set(0, place(fresh, Rank::High, 5.0), f64::INFINITY, 0.0);
             for job in q.turns_of_late(|_| 8.0) {
-                turns.push((round, job));
+                turns.push((cycle, job));
                 let at = Place {
                     hope: 2,
                     at: 10,
@@ -504,7 +504,7 @@
     }
 
     /// Of a flow that finds no room a bounded number is looked at, and over some
-    /// rounds every job of it.
+    /// scheduling cycles every job of it.
     #[test]
     fn all_of_a_long_queue_get_their_turn() {
         let mut q = Queues::default();
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -321,7 +321,7 @@
     }
 
     /// What a part of ours may start ahead of rank, by flow, and what it may stop of
-    /// those flows for others; `gone` are tasks that a round has proven gone.
+    /// those flows for others; `gone` are tasks that a scheduling cycle has proven gone.
     pub(crate) fn allowances(
         &self,
         shard_id: usize,
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -12,10 +12,10 @@
 /// to all controllers.
 const MAX_PAGE: usize = 12 * 1024;
 
-/// Shares of the write budget: all owners' rounds together, users' writes, and the
+/// Shares of the write budget: all owners' scheduling cycles together, users' writes, and the
 /// history of jobs that are over. They may add up to more than 1, as seldom all are
 /// spent at once.
-const ROUNDS_SHARE: f64 = 0.7;
+const CYCLES_SHARE: f64 = 0.7;
 const USERS_SHARE: f64 = 0.35;
 const HISTORY_SHARE: f64 = 0.1;
 
@@ -165,9 +165,9 @@
     pub writes_per_s: f64,
     /// The same after an announced change of the state service's limits.
     pub next_writes_per_s: f64,
-    /// Changes a second that one shard's rounds may write: the rest of the
+    /// Changes a second that one shard's scheduling cycles may write: the rest of the
     /// budget is for users, leases and the leader.
-    pub round_writes_per_s: f64,
+    pub cycle_writes_per_s: f64,
     /// Users' writes a second, all controllers together.
     pub user_writes_per_s: f64,
     /// Writes a second that go into the history, at most.
@@ -231,7 +231,7 @@
             txn_ops: c.state.safe_txn_ops(),
             writes_per_s: c.state.write_rps,
             next_writes_per_s: c.state.safe_write_rps(),
-            round_writes_per_s: 0.0,
+            cycle_writes_per_s: 0.0,
             user_writes_per_s: 0.0,
             history_writes_per_s: 0.0,
             history_reads_per_s: c.state.rps * 0.1,
@@ -258,7 +258,7 @@
     /// Sets the rate of puts and deletes, and divides it among those who write.
     pub(crate) fn set_writes_per_s(&mut self, rate: f64) {
         self.writes_per_s = rate;
-        self.round_writes_per_s = rate * ROUNDS_SHARE / self.shards() as f64;
+        self.cycle_writes_per_s = rate * CYCLES_SHARE / self.shards() as f64;
         self.user_writes_per_s = rate * USERS_SHARE;
         self.history_writes_per_s = rate * HISTORY_SHARE;
     }
--- a/crates/cherryyard-core/src/leader/arrivals.rs
+++ b/crates/cherryyard-core/src/leader/arrivals.rs
@@ -98,14 +98,14 @@
 
     /// Tidies pages now and then, where users leave room for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
-        let idle = self.intake.waiting() == 0 && self.user_pace.left(now) >= 2.0;
+        let idle = self.intake.waiting() == 0 && self.user_write_budget.left(now) >= 2.0;
         if self.mirror.arrivals.len() <= FEW || !idle || now - self.leader.compacted_at < COMPACT_MS
         {
             return None;
         }
         self.leader.compacted_at = now;
         let commit = self.mirror.compact_pages(&self.config)?;
-        self.user_pace.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.apply.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/creating.rs
@@ -7,7 +7,7 @@
 //! stops creation at once, and another leader goes on where this one was.
 
 use super::*;
-use crate::pace::Pace;
+use crate::token_bucket::TokenBucket;
 use cherryyard_wire::condor::{
     Chunk, Phase, PhaseEvent, SubmissionRecord, SubmissionView, Template, chunk_key, submission_key,
 };
@@ -94,7 +94,7 @@
 pub(crate) struct Creating {
     stage: Stage,
     work: Option<Work>,
-    pace: Pace,
+    write_budget: TokenBucket,
     retry_after: Millis,
     looked_at: Millis,
 }
@@ -104,7 +104,7 @@
         Self {
             stage: Stage::Idle,
             work: None,
-            pace: Pace::new(config.user_writes_per_s * SHARE, now),
+            write_budget: TokenBucket::new(config.user_writes_per_s * SHARE, now),
             retry_after: now,
             looked_at: f64::NEG_INFINITY,
         }
@@ -113,7 +113,8 @@
 
 impl Creating {
     pub(crate) fn set_write_rate(&mut self, config: &crate::Config, now: Millis) {
-        self.pace.set_rate(config.user_writes_per_s * SHARE, now);
+        self.write_budget
+            .set_rate(config.user_writes_per_s * SHARE, now);
     }
 }
 
@@ -134,7 +135,7 @@
             || now < creating.retry_after
             || now - creating.looked_at < LOOK_MS
             || !self.state_fresh(now)
-            || self.lateness.now(now) > 300.0
+            || self.lag.now(now) > 300.0
         {
             return;
         }
@@ -179,8 +180,8 @@
         self.mirror.require(&mut commit, Key::Submission(number));
         let spent = commit.apply.len() as f64;
         self.leader.creating.stage = Stage::Writing;
-        self.leader.creating.pace.spend(spent);
-        self.user_pace.spend(spent);
+        self.leader.creating.write_budget.spend(spent);
+        self.user_write_budget.spend(spent);
         self.effects
             .push(Effect::Commit(Ticket::BulkCreation, commit));
     }
@@ -198,8 +199,8 @@
     /// Whether creation may write now, beside users' other writes.
     fn may_create(&mut self, now: Millis) -> bool {
         self.set_user_rate(now);
-        let spare = self.user_pace.left(now) >= self.config.user_writes_per_s.max(1.5);
-        spare || self.leader.creating.pace.left(now) >= 1.0
+        let spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
+        spare || self.leader.creating.write_budget.left(now) >= 1.0
     }
 
     /// Of some jobs in a row, how many a transaction may change by the records that
@@ -313,7 +314,7 @@
             return;
         }
         // Like any cancellation it goes before what can wait, but it is many.
-        if self.user_pace.left(now) <= -self.user_pace.overdraft() {
+        if self.user_write_budget.left(now) <= -self.user_write_budget.overdraft() {
             return;
         }
         open.sort_by_cached_key(|&job| (self.mirror.assigned(job) == 0, job_hash(job)));
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// One round of the leader.
+    /// One scheduling cycle of the leader.
     pub(crate) fn plan_leader(&mut self, now: Millis) {
         self.leader.planned_at = now;
         if !self.leader.leads(&self.mirror)
--- a/crates/cherryyard-core/src/leader/packing.rs
+++ b/crates/cherryyard-core/src/leader/packing.rs
@@ -4,7 +4,7 @@
 //! batches that it is given, the format that it needs, and the pace.
 
 use super::*;
-use crate::pace::Pace;
+use crate::token_bucket::TokenBucket;
 use cherryyard_history::{Limits, Packer, Past, Step, Write};
 use cherryyard_wire::history::{LeafRecord, Level};
 use cherryyard_wire::record::BUCKETS;
@@ -35,10 +35,10 @@
 #[derive(Debug)]
 pub(crate) struct Packing {
     packer: Packer,
-    pace: Pace,
+    write_budget: TokenBucket,
     /// Reads of leaves: a fold that is done again finds what it would write there
     /// already, and would read leaf after leaf without a pause.
-    reads: Pace,
+    reads: TokenBucket,
     under: Under,
     retry_after: Millis,
     small_batch_at: Millis,
@@ -54,8 +54,8 @@
                 small_run: SPILL_BATCHES * config.tuning.history_batch as u64,
                 keep_days: config.tuning.history_keep_days,
             }),
-            pace: Pace::new(config.history_writes_per_s, now),
-            reads: Pace::new(config.history_reads_per_s, now),
+            write_budget: TokenBucket::new(config.history_writes_per_s, now),
+            reads: TokenBucket::new(config.history_reads_per_s, now),
             under: Under::Nothing,
             retry_after: now,
             small_batch_at: now,
@@ -64,12 +64,12 @@
     }
 
     pub(crate) fn set_write_rate(&mut self, config: &crate::Config, now: Millis) {
-        self.pace.set_rate(config.history_writes_per_s, now);
+        self.write_budget.set_rate(config.history_writes_per_s, now);
     }
 
     /// Whether the budgets have room for another read or transaction.
     fn may_step(&mut self, now: Millis) -> bool {
-        now >= self.retry_after && self.pace.left(now) >= 1.0 && self.reads.left(now) >= 1.0
+        now >= self.retry_after && self.write_budget.left(now) >= 1.0 && self.reads.left(now) >= 1.0
     }
 
     fn begin_read(&mut self) {
@@ -93,7 +93,7 @@
         if packing.under != Under::Nothing
             || !packing.may_step(now)
             || !self.state_fresh(now)
-            || self.lateness.now(now) > 300.0
+            || self.lag.now(now) > 300.0
         {
             return;
         }
@@ -133,7 +133,7 @@
                 let commit = self.packer_commit(write);
                 self.leader.packing.under = Under::Packer;
                 let packing = &mut self.leader.packing;
-                packing.pace.spend(commit.apply.len() as f64);
+                packing.write_budget.spend(commit.apply.len() as f64);
                 self.effects
                     .push(Effect::Commit(Ticket::HistoryCompaction, commit));
             }
@@ -203,7 +203,7 @@
         self.mirror.require(&mut commit, Key::Leader);
         let packing = &mut self.leader.packing;
         packing.under = Under::Other;
-        packing.pace.spend(commit.apply.len() as f64);
+        packing.write_budget.spend(commit.apply.len() as f64);
         self.effects
             .push(Effect::Commit(Ticket::HistoryCompaction, commit));
     }
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -5,13 +5,13 @@
 use crate::admission::rights::Rights;
 use crate::cancelled::Cancelled;
 use crate::effects::{Effect, Outcome, Ticket};
-use crate::lateness::Lateness;
+use crate::event_loop_lag::EventLoopLag;
 use crate::leader::state::Leader;
 use crate::machine::{Machine, MachineEvent, MachineState};
 use crate::owner::state::Shard;
-use crate::pace::Pace;
 use crate::peers::{PeerFormat, PeerState, Stray};
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
+use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
 use cherryyard_wire::cloud::{Instance, MachineType};
 use cherryyard_wire::record::Key;
@@ -61,7 +61,7 @@
     pub(crate) listed: HashMap<String, Instance>,
     pub(crate) listed_at: Millis,
     /// How far behind this controller is with what waits for it.
-    pub(crate) lateness: Lateness,
+    pub(crate) lag: EventLoopLag,
     /// The newest revision known, from the mirror or from our own transactions.
     pub(crate) newest_revision: u64,
     /// The time of the event at hand.
@@ -73,10 +73,10 @@
     /// Whether the log says that further ones are not counted.
     pub(crate) strays_full_logged: bool,
     /// Users' writes that this controller may make.
-    pub(crate) user_pace: Pace,
-    /// Machines whose assignments rounds have looked at so far: what rounds cost.
+    pub(crate) user_write_budget: TokenBucket,
+    /// Machines whose assignments scheduling cycles have looked at so far: what scheduling cycles cost.
     pub looked: u64,
-    /// Waiting jobs that rounds have looked at so far.
+    /// Waiting jobs that scheduling cycles have looked at so far.
     pub looked_jobs: u64,
     /// Cancellations that are told and were told.
     pub(crate) cancelled: Cancelled,
@@ -97,7 +97,7 @@
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
         let mirror = Mirror::new(&config);
         let shards = (0..config.shards())
-            .map(|_| Shard::new(config.round_writes_per_s, now))
+            .map(|_| Shard::new(config.cycle_writes_per_s, now))
             .collect();
         let peers = vec![None; config.shards()];
         let number = StdRng::seed_from_u64(seed).random();
@@ -122,13 +122,16 @@
             machine_types_from_cloud: None,
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
-            lateness: Lateness::new(now),
+            lag: EventLoopLag::new(now),
             newest_revision: 0,
             clock: now,
             woke_at: now,
             strays: BTreeMap::new(),
             strays_full_logged: false,
-            user_pace: Pace::new(config.user_writes_per_s / config.shards() as f64, now),
+            user_write_budget: TokenBucket::new(
+                config.user_writes_per_s / config.shards() as f64,
+                now,
+            ),
             looked: 0,
             looked_jobs: 0,
             cancelled: Cancelled::new(now),
@@ -155,7 +158,7 @@
         if now - self.clock > STOOD_STILL_MS {
             tracing::info!(ms = now - self.clock, "stood still");
             self.woke_at = now;
-            self.lateness.stood_still(now);
+            self.lag.stood_still(now);
             self.effects.push(Effect::Refresh);
         }
         self.clock = self.clock.max(now);
@@ -360,7 +363,7 @@
     /// all reports and requests that came before.
     pub fn queue_passed(&mut self, due: Millis, now: Millis) {
         self.notice(now);
-        self.lateness.passed(due, now);
+        self.lag.passed(due, now);
     }
 
     /// The state lease in use.
@@ -371,7 +374,7 @@
     /// Lets time pass.
     pub fn tick(&mut self, now: Millis) {
         self.notice(now);
-        self.lateness.ticked(now);
+        self.lag.ticked(now);
         for shard in &mut self.shards {
             if now - shard.planned_at >= 400.0 {
                 shard.dirty = true;
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -28,11 +28,11 @@
         })
     }
 
-    /// What is left on a machine, after assignments (as the round leaves them) and
+    /// What is left on a machine, after assignments (as the scheduling cycle leaves them) and
     /// strangers.
-    pub(crate) fn free_on(&self, m: &Machine, round: Option<&Round>) -> Option<Needs> {
+    pub(crate) fn free_on(&self, m: &Machine, cycle: Option<&Cycle>) -> Option<Needs> {
         let mut free = self.whole(m)?;
-        let gone = |task: &Task| round.is_some_and(|r| r.gone.contains(task));
+        let gone = |task: &Task| cycle.is_some_and(|r| r.gone.contains(task));
         for (task, _) in self.mirror.on_host(m.host) {
             if !gone(&task) {
                 free.take(&self.mirror.uses(task.0)?.1);
@@ -44,7 +44,7 @@
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
-        for task in round.and_then(|r| r.put.get(&m.host)).into_iter().flatten() {
+        for task in cycle.and_then(|r| r.put.get(&m.host)).into_iter().flatten() {
             if m.seen.get(task).is_none_or(|s| s.ended()) {
                 free.take(&self.mirror.uses(task.0)?.1);
             }
@@ -234,7 +234,7 @@
             }
             if !commit.apply.is_empty() {
                 // On no assignment having been made since, as the leader's moves are: where the
-                // answer is lost this may be carried out after later rounds, which count
+                // answer is lost this may be carried out after later scheduling cycles, which count
                 // on the grant as it was and do not change it.
                 self.mirror.require_last_page(&mut commit, shard_id);
                 // In the owner's turn, so that no assignment is under way meanwhile.
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -1,4 +1,4 @@
-//! What a round proves of assigned tasks, and the transaction it writes.
+//! What a scheduling cycle proves of assigned tasks, and the transaction it writes.
 //!
 //! A shard's assignments stand in pages, each with assignments of many jobs, so that one
 //! round costs a write or two however many jobs it touches. New assignments go into
@@ -9,14 +9,14 @@
 use crate::pages::PageFormat;
 use crate::{Config, Mirror};
 
-/// Time after which a round looks at all of a shard's machines, in case that
+/// Time after which a scheduling cycle looks at all of a shard's machines, in case that
 /// something has changed without a message.
 const LOOK_MS: f64 = 5000.0;
 /// Least time between two looks for pages that can go.
 const COMPACT_MS: f64 = 1000.0;
 
-/// A round in the making.
-pub(crate) struct Round {
+/// A scheduling cycle in the making.
+pub(crate) struct Cycle {
     shard: usize,
     max_ops: usize,
     max_conditions: usize,
@@ -44,7 +44,7 @@
     Gone { failed: bool },
 }
 
-impl Round {
+impl Cycle {
     pub fn new(config: &Config, mirror: &Mirror, shard: usize) -> Self {
         Self {
             shard,
@@ -240,12 +240,12 @@
         }
     }
 
-    /// Takes what reports prove into the round.
+    /// Takes what reports prove into the scheduling cycle.
     pub(crate) fn collect(
         &mut self,
         shard_id: usize,
         now: Millis,
-        round: &mut Round,
+        cycle: &mut Cycle,
         pending: &mut Pending,
     ) {
         let mut hosts = std::mem::take(&mut self.shards[shard_id].touched);
@@ -277,7 +277,7 @@
                     continue;
                 }
                 let done = matches!(task_outcome, TaskOutcome::Done);
-                if !round.unassign(&self.mirror, task, page, done) {
+                if !cycle.unassign(&self.mirror, task, page, done) {
                     left.insert(host);
                     continue;
                 }
@@ -352,8 +352,8 @@
     /// tasks are all done but which are not over: two shards that wrote their
     /// last done numbers at once did not see each other's. The first part with
     /// assignments writes that end.
-    pub(crate) fn finish(&self, shard_id: usize, round: &mut Round) {
-        for (job, gained) in std::mem::take(&mut round.gained) {
+    pub(crate) fn finish(&self, shard_id: usize, cycle: &mut Cycle) {
+        for (job, gained) in std::mem::take(&mut cycle.gained) {
             // All shards' done numbers only ever grow while the job is open, so
             // an old view of the others is enough.
             let done = self.mirror.done(job) + gained;
@@ -361,7 +361,7 @@
                 && open.spec.shape == Shape::Array
                 && done >= open.spec.task_count
             {
-                round.end(job);
+                cycle.end(job);
             }
         }
         for &job in &self.mirror.complete {
@@ -369,32 +369,32 @@
                 self.mirror.shards[q].is_some() && self.mirror.assignments.contains_key(&(q, job))
             });
             if first == Some(shard_id) {
-                round.end(job);
+                cycle.end(job);
             }
         }
     }
 
     /// When there is nothing else to write: drops a page of which nothing is
     /// needed any more, or moves what is left of one into the last.
-    pub(crate) fn compact(&mut self, shard_id: usize, now: Millis, round: &mut Round) {
+    pub(crate) fn compact(&mut self, shard_id: usize, now: Millis, cycle: &mut Cycle) {
         if self.shards[shard_id].budget.left(now) < 2.0
             || now - self.shards[shard_id].compacted_at < COMPACT_MS
         {
             return;
         }
         self.shards[shard_id].compacted_at = now;
-        let most = round.page_bytes;
+        let most = cycle.page_bytes;
         let Some(last) = self.mirror.last_page(shard_id) else {
             return;
         };
         for &number in self.mirror.pages[shard_id].keys() {
-            let Some((page, bytes)) = round.edit(&self.mirror, number) else {
+            let Some((page, bytes)) = cycle.edit(&self.mirror, number) else {
                 return;
             };
             let stored = self.mirror.pages[shard_id].get(&number);
             if number == 0 && stored.is_some_and(|page| page.jobs.is_empty()) {
                 // The first page stays, empty.
-                round.edits.clear();
+                cycle.edits.clear();
                 continue;
             }
             if page.jobs.is_empty() {
@@ -403,7 +403,7 @@
             let (jobs, bytes) = (page.jobs.clone(), *bytes);
             if number != last
                 && bytes * 4 < most
-                && let Some((into, held)) = round.edit(&self.mirror, last)
+                && let Some((into, held)) = cycle.edit(&self.mirror, last)
                 && *held + bytes <= most
             {
                 for (job, j) in jobs {
@@ -412,18 +412,18 @@
                     there.done = there.done.union(&j.done);
                 }
                 *held += bytes;
-                if let Some((page, _)) = round.edits.get_mut(&number) {
+                if let Some((page, _)) = cycle.edits.get_mut(&number) {
                     page.jobs.clear();
                 }
                 return;
             }
-            round.edits.clear();
+            cycle.edits.clear();
         }
     }
 
-    /// Says how long the jobs took that a round ends.
-    pub(crate) fn tell_ends(&self, round: &Round, now: Millis) {
-        for job in &round.ends {
+    /// Says how long the jobs took that a scheduling cycle ends.
+    pub(crate) fn tell_ends(&self, cycle: &Cycle, now: Millis) {
+        for job in &cycle.ends {
             if let Some(open) = self.mirror.open.get(job) {
                 let age_s = (now + self.wall_offset - open.ready_at() as f64) / 1000.0;
                 let late_s = (now + self.wall_offset - open.due_ms()) / 1000.0;
@@ -438,10 +438,10 @@
         }
     }
 
-    pub(crate) fn round_commit(&self, shard_id: usize, token: u64, round: &Round) -> Commit {
+    pub(crate) fn cycle_commit(&self, shard_id: usize, token: u64, cycle: &Cycle) -> Commit {
         let mut commit = Commit::default();
         commit.require(record::shard_key(shard_id), token);
-        for (&page, (new, _)) in &round.edits {
+        for (&page, (new, _)) in &cycle.edits {
             self.mirror.require(
                 &mut commit,
                 Key::Assignment {
@@ -451,7 +451,7 @@
             );
             let key = record::assignments_key(shard_id, page);
             if !new.jobs.is_empty() || page == 0 {
-                let stored = new.stored(&self.mirror.hosts, round.format);
+                let stored = new.stored(&self.mirror.hosts, cycle.format);
                 commit.apply.push(Apply::set(key, &stored));
             } else if self.mirror.pages[shard_id].contains_key(&page) {
                 commit.apply.push(Apply::delete(key));
@@ -459,15 +459,15 @@
         }
         // New assignments depend on the division and on the job's being open. What is
         // proven done or gone is so whatever has become of the job.
-        for &job in &round.jobs {
+        for &job in &cycle.jobs {
             self.mirror.require(&mut commit, Key::Job(job));
         }
-        if round.ruled {
+        if cycle.ruled {
             // Placed by attributes as they were: if an operator has changed them
             // meanwhile, it is decided anew.
             self.mirror.require(&mut commit, Key::Attributes);
         }
-        for &team in &round.teams {
+        for &team in &cycle.teams {
             // A lowering of the grant whose answer was lost may have been
             // applied; assignments made by the old grant must then die.
             let team = team as usize;
@@ -479,7 +479,7 @@
                 },
             );
         }
-        let ends = round.ends.iter().filter_map(|&job| {
+        let ends = cycle.ends.iter().filter_map(|&job| {
             let open = self.mirror.open.get(&job)?;
             Some((job, open.ended(End::Done)))
         });
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -53,7 +53,7 @@
 
     /// The record of the shard's images, if it is due and has changed. It costs
     /// a write that others may need more, so it is a rare one; but it goes with
-    /// a busy shard's rounds too, or a restart there forgets every image.
+    /// a busy shard's scheduling cycles too, or a restart there forgets every image.
     pub(crate) fn images_change(&mut self, shard_id: usize, now: Millis) -> Option<Apply> {
         // A new owner first hears from all machines: a record of the few that
         // have reported would forget what the others hold.
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -1,11 +1,12 @@
-//! The owner of a shard: rounds of assignments, placement, preemption, commands.
+//! The owner of a shard: scheduling cycles of assignments, placement, preemption, commands.
 //!
-//! What a machine should run follows from the durable assignments alone. A round
+//! What a machine should run follows from the durable assignments alone. A scheduling cycle
 //! collects what reports prove, places waiting numbers, and writes both in one
 //! transaction; commands are then the difference between assignments and reports.
 
 mod blame;
 mod capacity;
+mod cycle;
 mod images;
 mod oversize;
 mod place;
@@ -13,7 +14,6 @@
 mod recall;
 mod reconciliation;
 mod returns;
-mod round;
 mod search;
 pub(crate) mod state;
 mod turns;
@@ -37,14 +37,14 @@
     CommandBatch, ExitCause, TaskStatus, WorkerCommand, WorkerHeartbeat, parse_task_name,
     task_name_of,
 };
-pub(crate) use round::Round;
+pub(crate) use cycle::Cycle;
 use state::{Pending, Preempted};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// Bytes that a transaction's values may have together.
 const TXN_BYTES: usize = 48 * 1024;
-/// Least time between two rounds of a shard, and between two looks at leases.
-const ROUND_MS: f64 = 100.0;
+/// Least time between two scheduling cycles of a shard, and between two looks at leases.
+const CYCLE_MS: f64 = 100.0;
 const QUIET_MS: f64 = 700.0;
 const KEEP_MS: f64 = 400.0;
 /// Least time between two looks at all assignments for machines not heard of.
@@ -104,10 +104,10 @@
         self.push_due(shard_id, now);
     }
 
-    /// Whether a shard's share of the write budget has room for a round. Many
-    /// reports are served by one round: a write for each, from every owner,
+    /// Whether a shard's share of the write budget has room for a scheduling cycle. Many
+    /// reports are served by one scheduling cycle: a write for each, from every owner,
     /// would leave none for users and leases.
-    fn round_due(&mut self, shard_id: usize, now: Millis) -> bool {
+    fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let left = shard.budget.left(now);
         // Where nothing waits, completions can wait a moment for each other;
@@ -115,7 +115,7 @@
         let spacing = if self.mirror.waiting[shard_id].is_empty() {
             QUIET_MS
         } else {
-            ROUND_MS
+            CYCLE_MS
         };
         if now - shard.planned_at < spacing {
             return false;
@@ -125,7 +125,7 @@
         left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
     }
 
-    /// One round of a shard: collects, places, writes.
+    /// One scheduling cycle of a shard: collects, places, writes.
     pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
         let Some(token) = self.owned(shard_id) else {
             return;
@@ -135,7 +135,7 @@
             || self.shards[shard_id].acquiring
             || now < self.shards[shard_id].retry_after
             || self.mirror.store_revision < self.shards[shard_id].wait_revision
-            || !self.round_due(shard_id, now)
+            || !self.cycle_due(shard_id, now)
         {
             return;
         }
@@ -145,39 +145,39 @@
             return;
         }
         if let Some(commit) = self.divide_oversized_page(shard_id, token) {
-            self.send_round(shard_id, commit, Pending::default());
+            self.send_cycle(shard_id, commit, Pending::default());
             return;
         }
-        let mut round = Round::new(&self.config, &self.mirror, shard_id);
+        let mut cycle = Cycle::new(&self.config, &self.mirror, shard_id);
         let mut pending = Pending::default();
-        self.collect(shard_id, now, &mut round, &mut pending);
-        self.finish(shard_id, &mut round);
+        self.collect(shard_id, now, &mut cycle, &mut pending);
+        self.finish(shard_id, &mut cycle);
         // Whether anything new could be placed: a search over all waiting jobs
         // and machines for each report costs more than it finds.
         let news = (self.mirror.store_revision, self.newest_revision);
-        if !round.gone.is_empty()
+        if !cycle.gone.is_empty()
             || self.shards[shard_id].placed_as_of != news
             || now - self.shards[shard_id].placed_at >= STUCK_MS
         {
             self.shards[shard_id].placed_as_of = news;
             self.shards[shard_id].placed_at = now;
-            self.place(shard_id, now, &mut round, &mut pending);
+            self.place(shard_id, now, &mut cycle, &mut pending);
         }
-        if round.is_empty() {
-            self.compact(shard_id, now, &mut round);
+        if cycle.is_empty() {
+            self.compact(shard_id, now, &mut cycle);
         }
-        if round.is_empty() {
+        if cycle.is_empty() {
             if let Some(images) = self.images_change(shard_id, now) {
                 let mut commit = Commit::default();
                 commit.require(record::shard_key(shard_id), token);
                 commit.apply.push(images);
-                self.send_round(shard_id, commit, Pending::default());
+                self.send_cycle(shard_id, commit, Pending::default());
             }
             return;
         }
-        let mut commit = self.round_commit(shard_id, token, &round);
+        let mut commit = self.cycle_commit(shard_id, token, &cycle);
         if commit.apply.len() < self.config.txn_ops
-            && round.bytes() + self.config.page_bytes < TXN_BYTES
+            && cycle.bytes() + self.config.page_bytes < TXN_BYTES
         {
             commit.apply.extend(self.images_change(shard_id, now));
         }
@@ -186,12 +186,12 @@
             writes = commit.apply.len(),
             "a round of marks"
         );
-        self.tell_ends(&round, now);
-        self.send_round(shard_id, commit, pending);
+        self.tell_ends(&cycle, now);
+        self.send_cycle(shard_id, commit, pending);
     }
 
-    /// Sends a round's transaction; the shard's next round waits for its outcome.
-    fn send_round(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
+    /// Sends a scheduling cycle's transaction; the shard's next scheduling cycle waits for its outcome.
+    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
         self.shards[shard_id]
             .budget
             .spend(commit.apply.len() as f64);
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -9,14 +9,14 @@
 use cherryyard_wire::RangeSet;
 use std::cmp::Reverse;
 
-/// Tasks that one round places.
+/// Tasks that one scheduling cycle places.
 const MOST_PLACED: usize = 300;
 /// Tasks of a job that may find no room before the rest of it is passed over.
 const MOST_UNPLACED: usize = 8;
 /// A fetch of an image for which arrays make way elsewhere, in seconds.
 const SHORT_FETCH_S: f64 = 1.5;
 
-/// What a round of placement goes by, and what it has come to.
+/// What a scheduling cycle of placement goes by, and what it has come to.
 struct Placement {
     shard_id: usize,
     now: Millis,
@@ -71,7 +71,7 @@
     }
 }
 
-/// A waiting job as a round sees it.
+/// A waiting job as a scheduling cycle sees it.
 struct Candidate {
     job: u64,
     flow: Flow,
@@ -88,7 +88,7 @@
     failed_on: Option<BTreeSet<u32>>,
 }
 
-/// How a round goes on after a job.
+/// How a scheduling cycle goes on after a job.
 enum Next {
     /// With the next job.
     Job,
@@ -170,7 +170,7 @@
         &mut self,
         shard_id: usize,
         now: Millis,
-        round: &mut Round,
+        cycle: &mut Cycle,
         pending: &mut Pending,
     ) {
         self.requeue_changed(now);
@@ -203,7 +203,7 @@
         let shard = &mut self.shards[shard_id];
         // Back in its place at the end: nothing in between looks there.
         let mut queues = std::mem::take(&mut shard.queues);
-        self.place_queued(shard_id, now, &mut queues, round, pending);
+        self.place_queued(shard_id, now, &mut queues, cycle, pending);
         self.shards[shard_id].queues = queues;
     }
 
@@ -212,10 +212,10 @@
         shard_id: usize,
         now: Millis,
         queues: &mut Queues,
-        round: &mut Round,
+        cycle: &mut Cycle,
         pending: &mut Pending,
     ) {
-        let mut placement = self.begin_placement(shard_id, round, now);
+        let mut placement = self.begin_placement(shard_id, cycle, now);
         let mut line = queues.line();
         let ahead = placement.ahead.keys();
         ahead.for_each(|&flow| line.ahead(flow, true));
@@ -234,13 +234,13 @@
                 line.back(flow, at);
                 continue;
             }
-            let Some(candidate) = self.candidate(&placement, flow, at.job, queues, round) else {
+            let Some(candidate) = self.candidate(&placement, flow, at.job, queues, cycle) else {
                 continue;
             };
             if !self.may_start(&mut placement, &candidate, queues) {
                 continue;
             }
-            match self.place_job(&mut placement, &candidate, queues, round, pending) {
+            match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
                 Next::Job => {}
                 Next::JobAgain => {
                     line.ahead(flow, false);
@@ -252,15 +252,15 @@
         self.end_placement(placement, queues);
     }
 
-    fn begin_placement(&self, shard_id: usize, round: &Round, now: Millis) -> Placement {
+    fn begin_placement(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Placement {
         let silence = self.silence_ms();
         let usable = self.machines.values();
         let usable = usable.filter(|m| m.shard == shard_id && m.usable(now, silence));
-        let free = |m: &Machine| Some((m.host, self.free_on(m, Some(round))?));
+        let free = |m: &Machine| Some((m.host, self.free_on(m, Some(cycle))?));
         let mut capacities: Vec<(u32, Needs)> = usable.filter_map(free).collect();
         capacities.sort_by_key(|capacity| capacity.0);
         let mut used = self.mirror.usage(shard_id);
-        for task in &round.gone {
+        for task in &cycle.gone {
             // What this very round proves gone makes room under the limit too.
             if let Some((team, needs)) = self.mirror.uses(task.0)
                 && let Some(used) = used.get_mut(team as usize)
@@ -269,7 +269,7 @@
             }
         }
         let totals = self.team_totals();
-        let allowed = self.allowances(shard_id, &round.gone, now);
+        let allowed = self.allowances(shard_id, &cycle.gone, now);
         let mut ahead = allowed.start;
         ahead.retain(|_, cores| *cores > 0.0);
         Placement {
@@ -304,7 +304,7 @@
         flow: Flow,
         job: u64,
         queues: &Queues,
-        round: &Round,
+        cycle: &Cycle,
     ) -> Option<Candidate> {
         let shard_id = placement.shard_id;
         let open = self.mirror.open.get(&job)?;
@@ -317,7 +317,7 @@
         let blamed = trouble.is_some_and(Trouble::blamed);
         let is_tried = || {
             let here = self.mirror.assignments.get(&(shard_id, job));
-            here.is_some_and(|all| all.assignments.len() > round.gone_of(job))
+            here.is_some_and(|all| all.assignments.len() > cycle.gone_of(job))
         };
         if blamed && is_tried() {
             return None;
@@ -382,12 +382,12 @@
         placement: &mut Placement,
         candidate: &Candidate,
         queues: &Queues,
-        round: &mut Round,
+        cycle: &mut Cycle,
         pending: &mut Pending,
     ) -> Next {
         let (shard_id, job, needs) = (placement.shard_id, candidate.job, &candidate.needs);
         let waiting = &candidate.waiting;
-        let mut zones = self.zone_counts(shard_id, job, round);
+        let mut zones = self.zone_counts(shard_id, job, cycle);
         let mut unplaced = Vec::new();
         for number in waiting.iter() {
             if placement.placed >= MOST_PLACED {
@@ -417,13 +417,13 @@
             let host = placement.capacities[capacity].0;
             if candidate.service
                 && kept.is_none()
-                && self.better_elsewhere(placement, candidate, number, host, round)
+                && self.better_elsewhere(placement, candidate, number, host, cycle)
             {
                 continue;
             }
             let zone = self.machines[&host].zone.clone();
             *zones.entry(zone).or_default() += 1;
-            if !self.assign(placement, candidate, number, capacity, round, pending) {
+            if !self.assign(placement, candidate, number, capacity, cycle, pending) {
                 return Next::Nothing;
             }
             if placement.use_level(candidate.flow, needs.cores) {
@@ -434,7 +434,7 @@
                 return Next::Job;
             }
         }
-        self.preempt_for(placement, candidate, &unplaced, queues, &zones, round);
+        self.preempt_for(placement, candidate, &unplaced, queues, &zones, cycle);
         Next::Job
     }
 
@@ -500,7 +500,7 @@
         candidate: &Candidate,
         number: u32,
         host: u32,
-        round: &Round,
+        cycle: &Cycle,
     ) -> bool {
         let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let open = &self.mirror.open[&job];
@@ -512,7 +512,7 @@
                 shard_id,
                 job,
                 &[number],
-                round,
+                cycle,
                 now,
                 true,
                 &placement.totals,
@@ -533,14 +533,14 @@
         hand_over
     }
 
-    /// Assigns a task to a machine; false if the round has no room for more.
+    /// Assigns a task to a machine; false if the scheduling cycle has no room for more.
     fn assign(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
         number: u32,
         capacity: usize,
-        round: &mut Round,
+        cycle: &mut Cycle,
         pending: &mut Pending,
     ) -> bool {
         let host = placement.capacities[capacity].0;
@@ -552,7 +552,7 @@
             attempt: self.mirror.store_revision.max(self.newest_revision) + 1,
         };
         let task = (candidate.job, number);
-        if !round.assign(&self.mirror, task, assignment, candidate.limited) {
+        if !cycle.assign(&self.mirror, task, assignment, candidate.limited) {
             self.shards[placement.shard_id].dirty = true;
             return false;
         }
@@ -587,7 +587,7 @@
         unplaced: &[u32],
         queues: &Queues,
         zones: &HashMap<String, u32>,
-        round: &Round,
+        cycle: &Cycle,
     ) {
         let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let Some(&first) = unplaced.first() else {
@@ -599,7 +599,7 @@
                 shard_id,
                 job,
                 unplaced,
-                round,
+                cycle,
                 now,
                 false,
                 &placement.totals,
@@ -646,7 +646,7 @@
         &self,
         shard_id: usize,
         job: u64,
-        round: &Round,
+        cycle: &Cycle,
     ) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         if self.mirror.open.get(&job).is_none_or(|o| o.caps.is_empty()) {
@@ -665,12 +665,12 @@
         };
         if let Some(m) = self.mirror.assignments.get(&(shard_id, job)) {
             for (&number, (assignment, _)) in &m.assignments {
-                if !round.gone.contains(&(job, number)) {
+                if !cycle.gone.contains(&(job, number)) {
                     count(assignment.host);
                 }
             }
         }
-        for (&host, tasks) in &round.put {
+        for (&host, tasks) in &cycle.put {
             tasks
                 .iter()
                 .filter(|t| t.0 == job)
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -12,7 +12,7 @@
 }
 
 impl Node {
-    /// Looked at once a round: where nothing could make way, no machine need be
+    /// Looked at once a scheduling cycle: where nothing could make way, no machine need be
     /// searched for each job that waits.
     pub(crate) fn preemptible(&self, shard_id: usize, totals: &[Needs]) -> Preemptible {
         let mut found = Preemptible {
@@ -57,7 +57,7 @@
         shard_id: usize,
         job: u64,
         numbers: &[u32],
-        round: &Round,
+        cycle: &Cycle,
         now: Millis,
         holding: bool,
         totals: &[Needs],
@@ -76,7 +76,7 @@
             .map(|x| x.for_task)
             .collect();
         let silence = self.silence_ms();
-        let zones = self.zone_counts(shard_id, job, round);
+        let zones = self.zone_counts(shard_id, job, cycle);
         let mut chosen: Vec<(Task, Preempted, u32)> = Vec::new();
         for &number in numbers.iter().take(4) {
             if covered.contains(&(job, number))
@@ -108,7 +108,7 @@
                 {
                     continue;
                 }
-                let Some(mut free) = self.free_on(m, Some(round)) else {
+                let Some(mut free) = self.free_on(m, Some(cycle)) else {
                     continue;
                 };
                 let mut victims: Vec<(Rank, f64, Task, u64, Needs, Flow)> = self
--- a/crates/cherryyard-core/src/owner/returns.rs
+++ b/crates/cherryyard-core/src/owner/returns.rs
@@ -56,7 +56,7 @@
                 _ if entry.status == InstanceStatus::Failed => Some("failed"),
                 Some(m)
                     if now - m.heard_at > lease + 15_000.0
-                        && self.lateness.punctual_for(now) > lease + 15_000.0 =>
+                        && self.lag.punctual_for(now) > lease + 15_000.0 =>
                 {
                     Some("silent")
                 }
@@ -133,7 +133,7 @@
         if gain < 2.0
             || !self.state_fresh(now)
             || now - self.shards[shard_id].owned_since < 2.0 * limit
-            || self.lateness.punctual_for(now) < limit
+            || self.lag.punctual_for(now) < limit
         {
             return;
         }
@@ -229,7 +229,7 @@
             return;
         }
         let held_since = self.shards[shard_id].held_since;
-        let punctual_since = now - self.lateness.punctual_for(now);
+        let punctual_since = now - self.lag.punctual_for(now);
         // Since when nothing has been heard of a machine that should have been.
         let silent_since = |host: u32| match self.machines.get(&host) {
             Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
@@ -269,7 +269,7 @@
         let owned_for = now - self.shards[shard_id].owned_since;
         if owned_for < limit
             || owned_for > limit + 60_000.0
-            || self.lateness.punctual_for(now) < limit
+            || self.lag.punctual_for(now) < limit
             || !self.state_fresh(now)
         {
             return;
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -7,8 +7,8 @@
 use crate::admission::flows::Flow;
 use crate::admission::queue::Queues;
 use crate::machine::Task;
-use crate::pace::Pace;
 use crate::shard_lease::ShardLease;
+use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A task that is being stopped to make room for another.
@@ -19,7 +19,7 @@
     pub(crate) until: Millis,
 }
 
-/// What a round will do once its transaction is durable.
+/// What a scheduling cycle will do once its transaction is durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pending {
     pub(crate) hosts: BTreeSet<u32>,
@@ -37,20 +37,20 @@
     /// Ask for a new token, so that direct starts under this one die.
     pub(crate) bump: bool,
     pub(crate) dirty: bool,
-    /// Machines that the next round looks at.
+    /// Machines that the next scheduling cycle looks at.
     pub(crate) touched: BTreeSet<u32>,
-    /// When a round last looked at all of them.
+    /// When a scheduling cycle last looked at all of them.
     pub(crate) looked_at: Millis,
     pub(crate) compacted_at: Millis,
-    /// When the last round was planned, and when the last look at leases was.
+    /// When the last scheduling cycle was planned, and when the last look at leases was.
     pub(crate) planned_at: Millis,
     pub(crate) kept_at: Millis,
     pub(crate) unheard_at: Millis,
     /// When placement was last tried, and what was known of the state then.
     pub(crate) placed_at: Millis,
     pub(crate) placed_as_of: (u64, u64),
-    /// Changes that the shard's rounds may write.
-    pub(crate) budget: Pace,
+    /// Changes that the shard's scheduling cycles may write.
+    pub(crate) budget: TokenBucket,
     pub(crate) pending: Option<Pending>,
     pub(crate) retry_after: Millis,
     pub(crate) preempted: HashMap<Task, Preempted>,
@@ -99,7 +99,7 @@
             unheard_at: f64::NEG_INFINITY,
             placed_at: f64::NEG_INFINITY,
             placed_as_of: (0, 0),
-            budget: Pace::new(writes_per_s, now),
+            budget: TokenBucket::new(writes_per_s, now),
             pending: None,
             retry_after: now,
             preempted: HashMap::new(),
--- a/crates/cherryyard-core/src/reach.rs
+++ b/crates/cherryyard-core/src/reach.rs
@@ -153,7 +153,7 @@
             )
     }
 
-    /// Whether a start of this attempt is not sent any more. It stays so: the round that
+    /// Whether a start of this attempt is not sent any more. It stays so: the scheduling cycle that
     /// takes the assignment back may be applied at any later time.
     pub(crate) fn gave_up(&self, incarnation: u64, attempt: u64) -> bool {
         incarnation == self.given_up.0 && attempt <= self.given_up.1
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -143,7 +143,7 @@
         );
         self.config.set_writes_per_s(next);
         for shard in &mut self.shards {
-            shard.budget.set_rate(self.config.round_writes_per_s, now);
+            shard.budget.set_rate(self.config.cycle_writes_per_s, now);
         }
         self.leader.set_write_rates(&self.config, now);
         self.set_user_rate(now);
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -86,20 +86,20 @@
             let lent = heard.is_some_and(|peer| now - peer.heard_at <= LENT_MS * 1.25);
             even * if lent { 1.0 - LENT_SHARE } else { 1.0 }
         };
-        self.user_pace.set_rate(rate, now);
+        self.user_write_budget.set_rate(rate, now);
     }
 
     /// Whether a chunk of a submission may go to the state service now; if not, after
     /// how many seconds to come back.
     pub fn take_user_write(&mut self, now: Millis) -> Result<(), u32> {
         self.set_user_rate(now);
-        self.user_pace.take(now)
+        self.user_write_budget.take(now)
     }
 
     /// Notes a user's write that cannot wait.
     pub fn spend_user_write(&mut self, now: Millis) {
-        if self.user_pace.left(now) > -self.user_pace.overdraft() {
-            self.user_pace.spend(1.0);
+        if self.user_write_budget.left(now) > -self.user_write_budget.overdraft() {
+            self.user_write_budget.spend(1.0);
         }
     }
 
@@ -150,11 +150,11 @@
 
     /// Whether users' polls are refused for now.
     pub fn refuses_polls(&self, now: Millis) -> bool {
-        self.lateness.now(now) > POLLS_MS
+        self.lag.now(now) > POLLS_MS
     }
 
     /// Whether submissions are refused for now.
     pub fn refuses_submissions(&self, now: Millis) -> bool {
-        self.lateness.now(now) > SUBMISSIONS_MS
+        self.lag.now(now) > SUBMISSIONS_MS
     }
 }
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -367,7 +367,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// What a round looks at does not grow with what waits.
+/// What a scheduling cycle looks at does not grow with what waits.
 #[test]
 fn a_rounds_cost_does_not_grow_with_what_waits() {
     let looked = |jobs: u64, task_count: u32| {
@@ -473,7 +473,7 @@
         let now = running(&w);
         (steady, urgent) = (steady + now.0 / 20.0, urgent + now.1 / 20.0);
     }
-    // 144 cores in all; a floor of a quarter, which each shard rounds to whole tasks.
+    // 144 cores in all; a floor of a quarter, which each shard scheduling cycles to whole tasks.
     let asks = |class: usize| f64::from([5, 8][class]) * 2.0 * 12.0 / every[class];
     let floor = |class: usize| (asks(class) * 0.6).min(144.0 * 0.25);
     assert!(
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -172,7 +172,7 @@
 }
 
 /// What a step of the clock costs does not grow with the fleet: with nothing new
-/// to tell, the machines whose assignments rounds look at are bounded by the machines
+/// to tell, the machines whose assignments scheduling cycles look at are bounded by the machines
 /// that all are looked at for every 5 s; one completion costs the same at 130 and
 /// at 1,300 machines.
 #[test]
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/gap.rs
@@ -56,15 +56,15 @@
     for before_ms in [1950.0, 1000.0, 450.0, 100.0, 50.0, 0.0] {
         for end in [None, Some((0.0, 0.0)), Some((0.0, 4.0)), Some((0.3, 0.5))] {
             let (mut w, _) = running(12);
-            for round in 0..2 {
-                let state = format!("{before_ms} ms before, end {end:?}, round {round}");
+            for cycle in 0..2 {
+                let state = format!("{before_ms} ms before, end {end:?}, round {cycle}");
                 let alone = leader(&w).unwrap_or(0);
                 w.say(format!("the state service refuses node-{alone}"));
                 w.refused.insert(alone);
                 w.run((2000.0 - before_ms) / 1000.0);
-                let at = (alone + 1 + round) % 3;
+                let at = (alone + 1 + cycle) % 3;
                 for job in 1..=5 {
-                    w.ask_cancel(at, &id(round * 6 + job));
+                    w.ask_cancel(at, &id(cycle * 6 + job));
                 }
                 if let Some((after, back)) = end.filter(|e| e.0 == 0.0) {
                     w.run(after);
@@ -425,7 +425,7 @@
     let mut draw = draws(seed);
     let (mut w, _) = running(12);
     w.seed_late(seed);
-    for round in 0..2 {
+    for cycle in 0..2 {
         let alone = if draw(4) > 0 {
             leader(&w).unwrap_or(0)
         } else {
@@ -457,7 +457,7 @@
         let at = (alone + 1 + draw(2) as usize) % 3;
         for job in 1..=(1 + draw(5) as usize) {
             let at = if draw(4) == 0 { draw(3) as usize } else { at };
-            w.ask_cancel(at, &id(round * 6 + job));
+            w.ask_cancel(at, &id(cycle * 6 + job));
         }
         if draw(3) == 0 {
             w.alone.insert([at, alone][draw(2) as usize]);
@@ -485,7 +485,7 @@
             let one = draw(3) as usize;
             w.refused.remove(&one);
             w.run(back);
-            w.ask_cancel(one, &id(round * 6 + 6));
+            w.ask_cancel(one, &id(cycle * 6 + 6));
             w.run(draw(10) as f64 / 20.0);
             if draw(2) == 0 {
                 w.kill(one);
@@ -504,7 +504,7 @@
         w.one_way.clear();
         (w.late_writes, w.slow_ms, w.copies_ms, w.cloud_down) = (0, 0.0, None, false);
         w.run(20.0);
-        whole(&w, &format!("seed {seed}, round {round}"));
+        whole(&w, &format!("seed {seed}, round {cycle}"));
     }
     w.run(50.0);
     whole(&w, &format!("seed {seed}"));
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-rehearsal/tests/largest.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// A guest's swarm of single tiny tasks: what rounds write and look at follows rounds,
+/// A guest's swarm of single tiny tasks: what scheduling cycles write and look at follows scheduling cycles,
 /// not tasks, and the job of a team with a guarantee begins at once in the middle of it.
 #[test]
 fn a_swarm_costs_rounds_not_tasks() {
@@ -151,7 +151,7 @@
     w.run(30.0);
     let starts = w.trace.iter().filter(|l| l.contains(" starts ")).count();
     let writes = w.state.store_revision() - before - (job as u64 - 100);
-    // Three owners with at most ten rounds a second each, for 90 s.
+    // Three owners with at most ten scheduling cycles a second each, for 90 s.
     assert!(starts > 1500, "{starts}");
     assert!(
         writes * 2 < starts as u64,
--- a/crates/cherryyard-rehearsal/tests/late.rs
+++ b/crates/cherryyard-rehearsal/tests/late.rs
@@ -1,4 +1,4 @@
-//! Controllers that are behind, and what rounds cost.
+//! Controllers that are behind, and what scheduling cycles cost.
 
 use cherryyard_rehearsal::{Setup, World};
 
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -740,10 +740,10 @@
             if behind {
                 w.late.insert(1, 1200.0);
             }
-            for round in 0..8u64 {
-                let mut low = job(round * 10 + 1, "sweep", 16);
+            for cycle in 0..8u64 {
+                let mut low = job(cycle * 10 + 1, "sweep", 16);
                 low.rank = cherryyard_wire::job::Rank::BestEffort;
-                let mut high = job(round * 10 + 2, "sweep", 6);
+                let mut high = job(cycle * 10 + 2, "sweep", 6);
                 high.rank = cherryyard_wire::job::Rank::High;
                 (low.job_class, high.job_class) = ("low".into(), "high".into());
                 users.submit(&mut w, &low);
@@ -755,7 +755,7 @@
                 w.deliver_direct();
                 w.slow_direct.clear();
                 users.run(&mut w, 3.0);
-                if round % 3 == 2 {
+                if cycle % 3 == 2 {
                     users.ask_cancel(&mut w, 0, &low.id);
                 }
             }
--- a/crates/cherryyard-rehearsal/tests/pools.rs
+++ b/crates/cherryyard-rehearsal/tests/pools.rs
@@ -109,7 +109,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A round whose answer is lost and that arrives after an operator's change is not
+/// A scheduling cycle whose answer is lost and that arrives after an operator's change is not
 /// applied: its assignments were placed by attributes that are none any more.
 #[test]
 fn a_late_round_dies_with_the_attributes_it_was_placed_by() {
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -537,7 +537,7 @@
     );
 }
 
-/// One round writes a page or two however many jobs it touches. A write for
+/// One scheduling cycle writes a page or two however many jobs it touches. A write for
 /// each job and part took the whole budget of a large deployment: most tasks
 /// waited for the state service, not for machines.
 #[test]
--- a/crates/cherryyard-wire/src/page.rs
+++ b/crates/cherryyard-wire/src/page.rs
@@ -1,6 +1,6 @@
 //! Pages of assignments in few bytes.
 //!
-//! A page holds assignments of hundreds of tasks, and every round writes one or two, so
+//! A page holds assignments of hundreds of tasks, and every scheduling cycle writes one or two, so
 //! what a page can hold decides how many tasks a shard can start with the writes that it
 //! may make. [`pack`] brings a [`PageRecord`] into base64 of varints:
 //!
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -2,7 +2,7 @@
 
 use super::repeats::Repeats;
 use super::{App, jittered, wall_ms};
-use cherryyard_core::lateness::QUEUE_CHECK_MS;
+use cherryyard_core::event_loop_lag::QUEUE_CHECK_MS;
 use cherryyard_io::peer::Outgoing;
 use cherryyard_io::state::StateError;
 use cherryyard_wire::peer::Message;
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -58,7 +58,7 @@
     /// Bytes that all requests' bodies may take at once.
     pub bodies: Arc<Semaphore>,
     /// The least time between two reads of one kind, from the request budget.
-    pub(crate) pace: Duration,
+    pub(crate) read_interval: Duration,
     pub(crate) list_every: Duration,
     pub(crate) ttl_ms: u64,
     pub(crate) follow_ms: u64,
--- a/crates/cherryyard/src/app/reads.rs
+++ b/crates/cherryyard/src/app/reads.rs
@@ -52,8 +52,12 @@
                 // The one who waits may have given up.
                 let _ = tell.send(good);
             }
-            let pace = if good { self.pace } else { self.pace * 2 };
-            tokio::time::sleep(pace).await;
+            let read_interval = if good {
+                self.read_interval
+            } else {
+                self.read_interval * 2
+            };
+            tokio::time::sleep(read_interval).await;
         }
     }
 
@@ -111,7 +115,7 @@
             match self.state.follow(since, self.follow_ms).await {
                 Ok(news) => {
                     self.with(|n, now| n.news(&news, sent_at, now));
-                    tokio::time::sleep(self.pace).await;
+                    tokio::time::sleep(self.read_interval).await;
                 }
                 Err(StateError::Gone) => {
                     tracing::info!(since, "the watch is too old, reading everything again");
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -330,7 +330,7 @@
             Ok(commit) => commit,
             Err(status) => return app.with(|n, _| view(n, number, status)),
         };
-        // Like any cancellation never refused for the pace.
+        // Like any cancellation never refused for the read_interval.
         app.with(|n, now| n.spend_user_write(now));
         match app.commit(&commit).await {
             Outcome::Applied(store_revision) => {
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -25,7 +25,7 @@
 /// When a poll of an old or unknown job is to come back that is not looked up.
 const LOOK_RETRY_S: u32 = 3;
 
-/// When a poll is to come back that is refused because of lateness.
+/// When a poll is to come back that is refused because of event_loop_lag.
 const BEHIND_RETRY_S: u32 = 5;
 
 fn terminal(view: &JobView) -> bool {
@@ -265,7 +265,7 @@
         let Some(commit) = app.with(|n, _| n.cancellation(job)) else {
             continue;
         };
-        // Never refused for the pace: what runs for a cancelled job is in
+        // Never refused for the read_interval: what runs for a cancelled job is in
         // everybody's way.
         app.with(|n, now| n.spend_user_write(now));
         match app.commit(&commit).await {
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -34,7 +34,7 @@
     let connect = Duration::from_millis(1200);
     // A third of the requests each for watch and barrier, the rest for renewals
     // and transactions.
-    let pace = Duration::from_secs_f64((controllers * 3.0 / c.state.rps).clamp(0.02, 2.0));
+    let read_interval = Duration::from_secs_f64((controllers * 3.0 / c.state.rps).clamp(0.02, 2.0));
     let list_every = Duration::from_secs_f64((controllers * 4.0 / c.cloud.rps).clamp(3.0, 30.0));
     let seed = rand::random();
     let (out, heartbeats) = watch::channel(None);
@@ -75,7 +75,7 @@
         refusals: Mutex::default(),
         history: LookUps::new(c.state.rps, c.limits.memory_bytes()),
         bodies: Arc::new(Semaphore::new(body_budget(&c.limits))),
-        pace,
+        read_interval,
         list_every,
         ttl_ms: ((c.workers.lease_s * 500.0) as u64).clamp(1000, 5000),
         follow_ms: ((c.workers.lease_s * 300.0) as u64).clamp(500, 4000),
