--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -275,13 +275,13 @@
                 continue;
             };
             let cores = needs.cores * s;
-            let seen = m
-                .seen
+            let reported = m
+                .reported
                 .get(&task)
                 .filter(|t| t.attempt == assignment.attempt);
             let open = self.mirror.open.get(&task.0);
             let service = open.is_some_and(|o| o.spec.shape == Shape::Service);
-            let went = match seen.map(|t| t.status) {
+            let went = match reported.map(|t| t.status) {
                 None => Went::Starting,
                 Some(TaskStatus::Fetching) => Went::Fetching,
                 Some(TaskStatus::Ended) => Went::Ending,
@@ -294,8 +294,8 @@
             };
             account.sum.count(went, cores);
         }
-        for (task, seen) in &m.seen {
-            if !seen.ended() && self.mirror.assignment_on(m.host, *task).is_none() {
+        for (task, reported) in &m.reported {
+            if !reported.ended() && self.mirror.assignment_on(m.host, *task).is_none() {
                 let cores = self.mirror.uses(task.0).map_or(0.0, |u| u.1.cores);
                 account.sum.count(Went::Strays, cores * s);
             }
--- a/crates/cherryyard-core/src/admission/ledger.rs
+++ b/crates/cherryyard-core/src/admission/ledger.rs
@@ -5,7 +5,7 @@
 //! start ahead of rank, and down to so many it may stop for others. Both it decides by
 //! what its own shard runs, at once and on its own (a demarcation protocol: a bound over
 //! all is kept by bounds for each). The leader divides a floor into levels, and moves
-//! them where the flow runs and waits. Several owners act at once, on old news, and
+//! them where the flow runs and waits. Several owners act at once, on old watch events, and
 //! controllers end, are cut off, and go on after a freeze; so:
 //!
 //! - Every message between controllers is numbered and names the last one heard of each
@@ -118,9 +118,9 @@
 
 /// Whether a leader may give levels now: it has lately seen its lease, and its
 /// predecessor's levels are over. `since` is when it learnt that its lease was applied,
-/// `seen` when it sent the last request whose answer showed it.
-pub fn may_give<T: Time>(since: T, seen: T, now: T) -> bool {
-    now.is_after(since, LIFE + SEEN + LIFE / 50) && !now.is_after(seen, SEEN)
+/// `reported` when it sent the last request whose answer showed it.
+pub fn may_give<T: Time>(since: T, reported: T, now: T) -> bool {
+    now.is_after(since, LIFE + SEEN + LIFE / 50) && !now.is_after(reported, SEEN)
 }
 
 /// Whether an owner that was last heard of then can have no level any more.
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -272,7 +272,7 @@
     }
 
     /// A scheduling cycle has looked at what waits.
-    pub fn seen(&mut self) {
+    pub fn mark_seen(&mut self) {
         self.unseen.clear();
     }
 
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/rights.rs
@@ -203,7 +203,7 @@
     /// is left of the floor where they wait.
     fn divide_floors(&mut self, uses: &[FlowUse], now: Millis) {
         let leader_token = self.mirror.revision(Key::Leader);
-        let may = may_give(self.leader.since, self.seen_at, now);
+        let may = may_give(self.leader.since, self.state_read_at, now);
         let next = self.rights.number + 1;
         for (f, used) in uses.iter().enumerate() {
             let flow = f as Flow;
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -83,8 +83,11 @@
             self.lately.pop_front();
             self.since = self.since.max(at);
         }
-        let reach = (now - self.since).clamp(0.0, TELL_MS);
-        (self.lately.iter().map(|c| c.1).collect(), reach as u32)
+        let reachability = (now - self.since).clamp(0.0, TELL_MS);
+        (
+            self.lately.iter().map(|c| c.1).collect(),
+            reachability as u32,
+        )
     }
 
     /// Notes that we tell the others that we are cut off.
@@ -140,9 +143,9 @@
         let kept = self.cancelled.keep(unread, now);
         if mirror.loaded {
             // What a read since then does not show as open is over, or never was.
-            let seen = self.seen_at;
+            let reported = self.state_read_at;
             self.cancelled.told.retain(|job, at| {
-                mirror.end(*job).is_none() && (seen <= *at || mirror.open.contains_key(job))
+                mirror.end(*job).is_none() && (reported <= *at || mirror.open.contains_key(job))
             });
         }
         let before = self.peers[peer].as_ref().map(|p| p.covered);
@@ -163,7 +166,7 @@
         let slack = if before.cut { RESTART_MS } else { 0.0 };
         // No gap between what we knew and where the list begins. A read sent in the same
         // moment may have come before.
-        if kept && (from <= before.to + slack || from < self.seen_at) {
+        if kept && (from <= before.to + slack || from < self.state_read_at) {
             Covered {
                 contact,
                 to: before.to.max(made),
@@ -220,12 +223,12 @@
     /// and their tasks have gone.
     pub(crate) fn may_extend_lease(&self, p: usize, report: &WorkerHeartbeat, now: Millis) -> bool {
         let me = &self.config.labels[self.config.me];
-        let reach = self.config.lease_ms + 10_000.0;
+        let reachability = self.config.lease_ms + 10_000.0;
         let knows = |peer: &PeerState| {
             let holder = (p as u32, report.fencing_token, me.clone());
             peer.heartbeat.complete
                 && now - peer.made_at <= self.config.relied_ms()
-                && f64::from(peer.heartbeat.reach_ms) >= reach
+                && f64::from(peer.heartbeat.reach_ms) >= reachability
                 && peer.heartbeat.leases.contains(&holder)
         };
         let cancelled = |reported: &TaskReport| {
@@ -246,7 +249,7 @@
         others.map(|i| self.peers[i].as_ref()).all(|peer| {
             peer.is_some_and(|p| {
                 let contact = p.covered.contact;
-                contact <= p.covered.to || contact < self.seen_at
+                contact <= p.covered.to || contact < self.state_read_at
             })
         })
     }
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -274,7 +274,7 @@
         RELIED_MS.min(self.cut_off_bound_ms())
     }
 
-    /// After this long without news from the state service an owner stops
+    /// After this long without watch events from the state service an owner stops
     /// answering workers: their leases must have ended before a cancellation
     /// that it cannot see runs out.
     pub fn cut_off_bound_ms(&self) -> f64 {
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -12,7 +12,7 @@
 const DEAF_MS: f64 = 3000.0;
 /// How long a report counts that came to one who does not own its machine: a worker that
 /// cannot reach its owner waits 4 s there, 1 s more, and is sent there again.
-const STRAY_MS: f64 = 6000.0;
+const MISDIRECTED_MS: f64 = 6000.0;
 /// How long after a newer heartbeat an older one is taken for one that was held back. One who
 /// began anew counts from anywhere, but names ours of since then.
 const OLD_CONNECTION_MS: f64 = 3000.0;
@@ -80,7 +80,7 @@
         let older = |peer: &PeerState| {
             heartbeat.number < peer.heartbeat.number
                 && made_at <= peer.made_at
-                && now - peer.heard_at < OLD_CONNECTION_MS
+                && now - peer.last_heard_at < OLD_CONNECTION_MS
         };
         if self.peers[i].as_ref().is_some_and(older) {
             // Held back on a connection that has been given up since.
@@ -111,7 +111,7 @@
             self.leader.hear(report.clone(), now);
         }
         let up_since = match &self.peers[i] {
-            Some(peer) if now - peer.heard_at < 3000.0 => peer.up_since,
+            Some(peer) if now - peer.last_heard_at < 3000.0 => peer.up_since,
             _ => now,
         };
         if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
@@ -123,7 +123,7 @@
         self.peers[i] = Some(PeerState {
             made_at: before.map_or(made_at, |peer| peer.made_at.max(made_at)),
             heartbeat,
-            heard_at: now,
+            last_heard_at: now,
             up_since,
             covered,
         });
@@ -131,14 +131,15 @@
 
     /// How many workers of others' shards report here and hear, by shard. Not all are
     /// asked, as they may come by the hundred at once: those that were stand for them.
-    fn strays_out(&mut self, now: Millis) -> Vec<(u32, u32)> {
-        self.strays.retain(|_, stray| now - stray.at < STRAY_MS);
+    fn misdirected_counts(&mut self, now: Millis) -> Vec<(u32, u32)> {
+        self.misdirected
+            .retain(|_, worker| now - worker.at < MISDIRECTED_MS);
         let mut counts: BTreeMap<usize, (u32, u32, u32)> = BTreeMap::new();
-        for (&(shard_id, _), stray) in &self.strays {
+        for (&(shard_id, _), worker) in &self.misdirected {
             let (all, asked, hear) = counts.entry(shard_id).or_default();
             *all += 1;
-            *asked += u32::from(stray.asked_at.is_finite() && !stray.asking);
-            *hear += u32::from(stray.hears);
+            *asked += u32::from(worker.asked_at.is_finite() && !worker.asking);
+            *hear += u32::from(worker.is_reachable);
         }
         let told = counts.into_iter().filter(|c| c.1.1 > 0);
         told.map(|(shard_id, (all, asked, hear))| (shard_id as u32, all * hear / asked))
@@ -163,7 +164,7 @@
                 self.leader.hear(report.clone(), now);
             }
         }
-        let strays = self.strays_out(now);
+        let misdirected = self.misdirected_counts(now);
         let demand = self.demand_out();
         let mut short = Vec::new();
         if self.leader.leads(&self.mirror) {
@@ -175,7 +176,7 @@
         let (cancelled, reach_ms) = self.cancelled.tell(self.mirror.new_cancels(), gap, now);
         let cut_off = now - self.state_ok_at > 2500.0;
         // What it took last may have been carried out until it answered.
-        let silent = now - self.state_heard_at;
+        let silent = now - self.state_answered_at;
         if cut_off {
             self.cancelled.said_cut_off(now);
         }
@@ -197,7 +198,7 @@
                 })
                 .take(200)
                 .collect(),
-            strays,
+            misdirected,
             label: self.config.labels[self.config.me].clone(),
             cut_off,
             store_revision: self.mirror.store_revision,
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/creating.rs
@@ -167,10 +167,11 @@
                 _ => return None,
             })
         };
-        let seen = self.mirror.submissions.iter();
+        let reported = self.mirror.submissions.iter();
         // What came before its record has been seen too.
-        let seen = seen.filter(|(_, (_, revision))| *revision <= self.mirror.store_revision);
-        let needs = seen.filter_map(|(&n, (r, _))| Some((need(r)?, r.at, n)));
+        let reported =
+            reported.filter(|(_, (_, revision))| *revision <= self.mirror.store_revision);
+        let needs = reported.filter_map(|(&n, (r, _))| Some((need(r)?, r.at, n)));
         needs.min().map(|(need, _, n)| (need, n))
     }
 
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -53,7 +53,7 @@
                     .labels
                     .iter()
                     .position(|l| *l == c.label)
-                    .and_then(|i| self.peers[i].as_ref().map(|peer| now - peer.heard_at));
+                    .and_then(|i| self.peers[i].as_ref().map(|peer| now - peer.last_heard_at));
                 let rank = self.successor_rank(&c.label, now);
                 let limit = 1800.0 + 500.0 * rank as f64;
                 // Who hears nobody at all cannot tell a dead leader from a cut
@@ -63,7 +63,7 @@
                     .peers
                     .iter()
                     .flatten()
-                    .any(|peer| now - peer.heard_at < 1500.0);
+                    .any(|peer| now - peer.last_heard_at < 1500.0);
                 match silent.filter(|_| anyone) {
                     Some(ms) => ms > limit && now - self.started_at > 4000.0,
                     None => silent.is_none() && anyone && now - self.started_at > 4000.0 + limit,
@@ -112,7 +112,7 @@
             .filter(|&i| {
                 self.peers[i]
                     .as_ref()
-                    .is_some_and(|peer| now - peer.heard_at < 1500.0)
+                    .is_some_and(|peer| now - peer.last_heard_at < 1500.0)
             })
             .count()
     }
--- a/crates/cherryyard-core/src/leader/overflow.rs
+++ b/crates/cherryyard-core/src/leader/overflow.rs
@@ -23,9 +23,9 @@
         // the delay: fetching it would take longer than moving it.
         self.leader.handed.retain(|_, at| now - *at < HANDED_MS);
         let handed = self.handed_over();
-        let seen = self.leader.capacity_reports_received;
+        let reported = self.leader.capacity_reports_received;
         let (then, at) = self.leader.overflowed;
-        if handed.is_empty() && then == seen && now - at < AGAIN_MS {
+        if handed.is_empty() && then == reported && now - at < AGAIN_MS {
             return None;
         }
         let mut commit = Commit::default();
@@ -66,7 +66,7 @@
             }
         }
         if records.is_empty() {
-            self.leader.overflowed = (seen, now);
+            self.leader.overflowed = (reported, now);
         }
         (!records.is_empty()).then_some(commit)
     }
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -86,7 +86,7 @@
                     let since = *self.shards[shard_id].ownerless_since.get_or_insert(now);
                     let home_alive = self.peers[shard_id]
                         .as_ref()
-                        .is_some_and(|s| now - s.heard_at < 1500.0 && !s.heartbeat.cut_off);
+                        .is_some_and(|s| now - s.last_heard_at < 1500.0 && !s.heartbeat.cut_off);
                     let rank = ((me + n - shard_id) % n) as f64;
                     let wait = if shard_id == me {
                         0.0
@@ -138,14 +138,14 @@
                     && matches!(m.state, MachineState::Ready | MachineState::Expired)
             }) {
                 all += 1;
-                silent += u32::from(now - m.heard_at > limit);
+                silent += u32::from(now - m.last_heard_at > limit);
             }
             let elsewhere = self
                 .peers
                 .iter()
                 .flatten()
-                .filter(|s| now - s.heard_at < 2000.0 && !s.heartbeat.cut_off)
-                .flat_map(|s| &s.heartbeat.strays)
+                .filter(|s| now - s.last_heard_at < 2000.0 && !s.heartbeat.cut_off)
+                .flat_map(|s| &s.heartbeat.misdirected)
                 .filter(|x| x.0 as usize == shard_id)
                 // Each goes from one controller to the next: none hears them all.
                 .map(|x| x.1)
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod pages;
 mod peers;
 pub mod pools;
-pub mod reach;
+pub mod reachability;
 pub mod shard_lease;
 pub mod shard_map;
 pub mod state_limits;
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -1,7 +1,7 @@
 //! One machine as its shard's owner sees it.
 
 use crate::Millis;
-use crate::reach::{Reach, ReachEvent};
+use crate::reachability::{Reachability, ReachabilityEvent};
 use cherryyard_wire::cloud::Instance;
 use cherryyard_wire::worker::{
     ExitCause, TaskReport, TaskStatus, WorkerHeartbeat, parse_task_name,
@@ -48,7 +48,7 @@
 
 /// A task as a worker last reported it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct ReportedTask {
     /// The attempt.
     pub attempt: u64,
     /// Its state.
@@ -57,7 +57,7 @@
     pub cause: Option<ExitCause>,
 }
 
-impl Seen {
+impl ReportedTask {
     fn of(reported: &TaskReport) -> Self {
         Self {
             attempt: reported.attempt,
@@ -74,7 +74,7 @@
 
 /// What a message told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Freshness {
     /// Nothing: a newer one came before it.
     Old,
     /// That all is as before.
@@ -134,9 +134,9 @@
     /// The owner's token when the newest message came; 0 before any.
     pub confirmed_token: u64,
     /// Its tasks in the newest message.
-    pub seen: BTreeMap<Task, Seen>,
+    pub reported: BTreeMap<Task, ReportedTask>,
     /// The same as the message listed it, to compare the next with.
-    told: Vec<(Task, Seen)>,
+    told: Vec<(Task, ReportedTask)>,
     /// Since when its tasks have been seen to run, by attempt.
     pub runs: BTreeMap<Task, (u64, Millis)>,
     /// Whether its lease has run out with nobody but us able to renew it.
@@ -144,11 +144,11 @@
     /// When it will be taken away, if it has said so.
     pub reclaim_at: Option<Millis>,
     /// When a message last came.
-    pub heard_at: Millis,
+    pub last_heard_at: Millis,
     /// When a report of it was last answered 200.
     pub answered_at: Millis,
     /// Whether what we send it arrives.
-    pub reach: Reach,
+    pub reachability: Reachability,
     /// When it became unreachable: its incarnation, and the last attempt up to then. Whatever
     /// was assigned here before and is not there is given up, also if it hears again.
     pub(crate) given_up: (u64, u64),
@@ -202,14 +202,14 @@
             newest: (0, 0),
             token: 0,
             confirmed_token: 0,
-            seen: BTreeMap::new(),
+            reported: BTreeMap::new(),
             told: Vec::new(),
             runs: BTreeMap::new(),
             lease_over: false,
             reclaim_at: None,
-            heard_at: now,
+            last_heard_at: now,
             answered_at: now,
-            reach: Reach::Hears(0),
+            reachability: Reachability::Reachable(0),
             given_up: (0, 0),
             asked: (f64::NEG_INFINITY, (0, 0)),
             asking: false,
@@ -281,20 +281,20 @@
     ///
     /// Most reports tell that all is as before: they are compared, and leave
     /// the list of tasks as it is (a fifth of all processor time, before).
-    pub fn hear(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) -> Heard {
+    pub fn hear(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) -> Freshness {
         let order = (report.incarnation, report.sequence);
         if order <= self.newest {
             self.old_in_a_row += 1;
-            return Heard::Old;
+            return Freshness::Old;
         }
         self.old_in_a_row = 0;
         if self.tells_the_same(report, own_token) {
             self.newest = order;
-            self.heard_at = now;
-            if !self.seen.is_empty() {
+            self.last_heard_at = now;
+            if !self.reported.is_empty() {
                 self.busy_at = now;
             }
-            return Heard::Same;
+            return Freshness::Same;
         }
         if report.incarnation > self.newest.0 || report.fencing_token > self.token {
             // Direct commands to an older incarnation, or under a lower token than
@@ -305,12 +305,12 @@
                 .retain(|p| p.incarnation >= incarnation && p.token >= token);
         }
         if report.fencing_token == own_token && self.token < own_token {
-            self.reached(ReachEvent::Reflected, now);
+            self.reached(ReachabilityEvent::Reflected, now);
         } else if report.fencing_token < own_token && self.confirmed_token == own_token {
             // The last one was answered with our token.
-            self.reached(ReachEvent::Missed, now);
+            self.reached(ReachabilityEvent::Missed, now);
         } else if report.incarnation > self.newest.0 && self.newest.0 > 0 {
-            self.reached(ReachEvent::NewSession, now);
+            self.reached(ReachabilityEvent::NewSession, now);
         }
         if report.incarnation > self.newest.0 {
             // A incarnation has its whole lease from when it began, which was at the latest
@@ -320,14 +320,14 @@
         }
         self.newest = order;
         self.take(report, own_token, now);
-        Heard::New
+        Freshness::New
     }
 
     /// Takes over what a message tells.
     pub(crate) fn take(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) {
         self.token = report.fencing_token;
         self.confirmed_token = own_token;
-        self.heard_at = now;
+        self.last_heard_at = now;
         self.addr.clone_from(&report.addr);
         // Only ever nearer: an assignment that a late transaction takes back for it must not be
         // started again meanwhile.
@@ -336,21 +336,21 @@
             (Some(new), Some(old)) => Some(new.min(old)),
             (new, _) => new,
         };
-        self.seen.clear();
+        self.reported.clear();
         self.told.clear();
         for reported in &report.tasks {
             if let Some(task) = parse_task_name(&reported.task_name) {
-                let seen = Seen::of(reported);
-                self.told.push((task, seen));
+                let reported = ReportedTask::of(reported);
+                self.told.push((task, reported));
                 // The same task twice: the one still there counts.
-                let place = self.seen.entry(task).or_insert(seen);
+                let place = self.reported.entry(task).or_insert(reported);
                 if place.ended() {
-                    *place = seen;
+                    *place = reported;
                 }
             }
         }
         self.note_runs(now);
-        if !self.seen.is_empty() {
+        if !self.reported.is_empty() {
             self.busy_at = now;
         }
         if report.fencing_token == own_token {
@@ -360,10 +360,10 @@
 
     /// Keeps the times of tasks that go on running, or have just ended.
     fn note_runs(&mut self, now: Millis) {
-        let seen = &self.seen;
+        let reported = &self.reported;
         self.runs
-            .retain(|task, run| seen.get(task).is_some_and(|s| s.attempt == run.0));
-        for (&task, s) in seen {
+            .retain(|task, run| reported.get(task).is_some_and(|s| s.attempt == run.0));
+        for (&task, s) in reported {
             if s.status == TaskStatus::Running {
                 self.runs.entry(task).or_insert((s.attempt, now));
             }
@@ -379,7 +379,8 @@
     /// Whether the cloud has said it would take the machine by now, and nothing
     /// has been heard of it for longer than a report takes.
     pub fn taken(&self, now: Millis, silence_ms: f64) -> bool {
-        self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS) && now - self.heard_at > silence_ms
+        self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS)
+            && now - self.last_heard_at > silence_ms
     }
 
     /// Whether a report differs in nothing that matters from the last one. It
@@ -398,7 +399,8 @@
             && report.addr == self.addr
             && report.tasks.len() == self.told.len()
             && report.tasks.iter().zip(&self.told).all(|(reported, told)| {
-                told.1 == Seen::of(reported) && parse_task_name(&reported.task_name) == Some(told.0)
+                told.1 == ReportedTask::of(reported)
+                    && parse_task_name(&reported.task_name) == Some(told.0)
             })
     }
 
@@ -435,7 +437,7 @@
                         || (incarnation == self.newest.0
                             && !self.start_pending(task, attempt)
                             && self
-                                .seen
+                                .reported
                                 .get(&task)
                                 .is_none_or(|s| s.attempt != attempt || s.ended())))
             }
@@ -479,9 +481,9 @@
     /// Whether new tasks may be placed here.
     pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
         self.state == MachineState::Ready
-            && self.reach.hears()
+            && self.reachability.is_reachable()
             && self.reclaim_at.is_none()
-            && now - self.heard_at <= silence_ms
+            && now - self.last_heard_at <= silence_ms
             && now >= self.avoid_until
     }
 }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -308,8 +308,8 @@
         let known = self.ended.insert(job, ended).is_some() || self.recent.contains(&job);
         self.refresh_dependents(job);
         // Also one that a full read shows and that came and went since the one before.
-        let news = was_open || (self.loaded && !known);
-        if ended.end == End::Cancelled && news && !never_ran {
+        let events = was_open || (self.loaded && !known);
+        if ended.end == End::Cancelled && events && !never_ran {
             self.new_cancels.push(job);
         }
         match uses {
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -26,7 +26,7 @@
     End, FormatRecord, Grant, ImagesRecord, Key, LeaseRecord, StoredPage,
 };
 use cherryyard_wire::rules::Attributes;
-use cherryyard_wire::state::{Apply, Commit, Json, News, Pair};
+use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchResponse};
 use cherryyard_wire::{RangeSet, record};
 use dependencies::DependencyGraph;
 pub use dependencies::{Deadline, Urgency};
@@ -246,8 +246,8 @@
     }
 
     /// Takes the changes that a watch or barrier told.
-    pub fn news(&mut self, news: &News) {
-        for change in &news.news {
+    pub fn events(&mut self, events: &WatchResponse) {
+        for change in &events.events {
             // A watch and a barrier may tell the same change; what has been
             // seen is skipped, or an old put could bring back a deleted key.
             if change.revision <= self.store_revision {
@@ -259,9 +259,9 @@
                 (None, None) => {}
             }
         }
-        self.store_revision = self.store_revision.max(news.store_revision);
-        let seen = self.store_revision;
-        self.deleted.retain(|_, revision| *revision > seen);
+        self.store_revision = self.store_revision.max(events.store_revision);
+        let reported = self.store_revision;
+        self.deleted.retain(|_, revision| *revision > reported);
     }
 
     /// Takes our own transaction, answered with revision `store_revision`.
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -9,13 +9,13 @@
 use crate::leader::state::Leader;
 use crate::machine::{Machine, MachineEvent, MachineState};
 use crate::owner::state::Shard;
-use crate::peers::{PeerFormat, PeerState, Stray};
+use crate::peers::{MisdirectedWorker, PeerFormat, PeerState};
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
 use cherryyard_wire::cloud::{Instance, MachineType};
 use cherryyard_wire::record::Key;
-use cherryyard_wire::state::{Commit, News};
+use cherryyard_wire::state::{Commit, WatchResponse};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -51,9 +51,9 @@
     /// When a request was sent that the state service has answered.
     pub(crate) state_ok_at: Millis,
     /// When an answer of the state service last came.
-    pub(crate) state_heard_at: Millis,
+    pub(crate) state_answered_at: Millis,
     /// When the newest read of the state was sent.
-    pub(crate) seen_at: Millis,
+    pub(crate) state_read_at: Millis,
     pub(crate) started_at: Millis,
     pub(crate) reported_at: Millis,
     pub(crate) capacity_changed: bool,
@@ -69,9 +69,9 @@
     /// When this controller last started, or went on after it had stood still.
     pub(crate) woke_at: Millis,
     /// Workers of others' shards that reported here, by shard and machine.
-    pub(crate) strays: BTreeMap<(usize, u32), Stray>,
+    pub(crate) misdirected: BTreeMap<(usize, u32), MisdirectedWorker>,
     /// Whether the log says that further ones are not counted.
-    pub(crate) strays_full_logged: bool,
+    pub(crate) misdirected_full_logged: bool,
     /// Users' writes that this controller may make.
     pub(crate) user_write_budget: TokenBucket,
     /// Machines whose assignments scheduling cycles have looked at so far: what scheduling cycles cost.
@@ -114,8 +114,8 @@
             effects: Vec::new(),
             rng,
             state_ok_at: f64::NEG_INFINITY,
-            state_heard_at: f64::NEG_INFINITY,
-            seen_at: f64::NEG_INFINITY,
+            state_answered_at: f64::NEG_INFINITY,
+            state_read_at: f64::NEG_INFINITY,
             started_at: now,
             reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
@@ -126,8 +126,8 @@
             newest_revision: 0,
             clock: now,
             woke_at: now,
-            strays: BTreeMap::new(),
-            strays_full_logged: false,
+            misdirected: BTreeMap::new(),
+            misdirected_full_logged: false,
             user_write_budget: TokenBucket::new(
                 config.user_writes_per_s / config.shards() as f64,
                 now,
@@ -166,7 +166,7 @@
 
     /// Whether the state has been read since this controller last stood still.
     pub(crate) fn caught_up(&self) -> bool {
-        self.seen_at >= self.woke_at
+        self.state_read_at >= self.woke_at
     }
 
     /// Ends a full read of the state whose first page was asked for at `sent_at`
@@ -179,12 +179,12 @@
     }
 
     /// Takes what a watch or barrier told; its request was sent at `sent_at`.
-    pub fn news(&mut self, news: &News, sent_at: Millis, now: Millis) {
+    pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
         self.notice(now);
-        let changed = !news.news.is_empty();
-        self.mirror.news(news);
+        let changed = !events.events.is_empty();
+        self.mirror.events(events);
         self.state_answered(sent_at, now);
-        self.seen_at = self.seen_at.max(sent_at);
+        self.state_read_at = self.state_read_at.max(sent_at);
         if changed {
             self.after_state(sent_at, now);
         }
@@ -192,7 +192,7 @@
 
     fn after_state(&mut self, sent_at: Millis, now: Millis) {
         self.state_answered(sent_at, now);
-        self.seen_at = self.seen_at.max(sent_at);
+        self.state_read_at = self.state_read_at.max(sent_at);
         for text in self.mirror.complaints() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
@@ -252,7 +252,7 @@
     /// Notes that the state service has answered a request sent at `sent_at`.
     pub fn state_answered(&mut self, sent_at: Millis, now: Millis) {
         self.state_ok_at = self.state_ok_at.max(sent_at);
-        self.state_heard_at = self.state_heard_at.max(now);
+        self.state_answered_at = self.state_answered_at.max(now);
     }
 
     /// Takes the state lease under which leases are made, or its loss.
@@ -421,7 +421,7 @@
         // until it is gone). Of the latter a busy fleet has some hundreds a day.
         let (mirror, listed) = (&self.mirror, &self.listed);
         self.machines.retain(|&host, m| {
-            now - m.heard_at < FORGET_MS
+            now - m.last_heard_at < FORGET_MS
                 || mirror.on_host(host).next().is_some()
                 || (m.state != MachineState::Gone && listed.contains_key(mirror.hosts.name(host)))
         });
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -38,14 +38,16 @@
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
-        for (task, seen) in &m.seen {
-            if !seen.ended() && (gone(task) || self.mirror.assignment_on(m.host, *task).is_none()) {
+        for (task, reported) in &m.reported {
+            if !reported.ended()
+                && (gone(task) || self.mirror.assignment_on(m.host, *task).is_none())
+            {
                 // Not ours, or not any more: it takes room until it is gone.
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
         for task in cycle.and_then(|r| r.put.get(&m.host)).into_iter().flatten() {
-            if m.seen.get(task).is_none_or(|s| s.ended()) {
+            if m.reported.get(task).is_none_or(|s| s.ended()) {
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -209,11 +209,11 @@
         let task = (job, number);
         if m.token_ours()
             && m.newest.0 == assignment.incarnation
-            && let Some(seen) = m.seen.get(&task)
-            && seen.attempt == assignment.attempt
-            && seen.ended()
+            && let Some(reported) = m.reported.get(&task)
+            && reported.attempt == assignment.attempt
+            && reported.ended()
         {
-            return match seen.cause {
+            return match reported.cause {
                 Some(ExitCause::Done) => TaskOutcome::Done,
                 cause => TaskOutcome::Gone {
                     failed: !matches!(
@@ -282,8 +282,8 @@
                     continue;
                 }
                 if !done && self.mirror.open.contains_key(&job) {
-                    let seen = self.machines.get(&host).and_then(|m| m.seen.get(&task));
-                    let cause = seen.and_then(|s| s.cause);
+                    let reported = self.machines.get(&host).and_then(|m| m.reported.get(&task));
+                    let cause = reported.and_then(|s| s.cause);
                     let machine = self.mirror.hosts.name(host);
                     let m = self.machines.get(&host);
                     let newest = m.map_or((0, 0), |m| m.newest);
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -20,7 +20,7 @@
         for task in tasks {
             if let Some(open) = self.mirror.open.get(&task.0) {
                 // A task runs, or has completed, only once its image is there.
-                let whole = m.seen.get(&task).is_some_and(|s| {
+                let whole = m.reported.get(&task).is_some_and(|s| {
                     matches!(s.status, TaskStatus::Running | TaskStatus::Saving)
                         || s.cause == Some(ExitCause::Done)
                 });
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -26,7 +26,7 @@
 use crate::needs::Needs;
 use crate::node::Node;
 use crate::pages::{Assignment, Page};
-use crate::reach::Reach;
+use crate::reachability::Reachability;
 use crate::shard_lease::ShardLease;
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use cherryyard_wire::job::{Rank, Shape};
@@ -154,12 +154,12 @@
         self.finish(shard_id, &mut cycle);
         // Whether anything new could be placed: a search over all waiting jobs
         // and machines for each report costs more than it finds.
-        let news = (self.mirror.store_revision, self.newest_revision);
+        let events = (self.mirror.store_revision, self.newest_revision);
         if !cycle.gone.is_empty()
-            || self.shards[shard_id].placed_as_of != news
+            || self.shards[shard_id].placed_as_of != events
             || now - self.shards[shard_id].placed_at >= STUCK_MS
         {
-            self.shards[shard_id].placed_as_of = news;
+            self.shards[shard_id].placed_as_of = events;
             self.shards[shard_id].placed_at = now;
             self.place(shard_id, now, &mut cycle, &mut pending);
         }
@@ -261,7 +261,7 @@
         let shard_id = m.shard;
         self.shards[shard_id].dirty = true;
         self.shards[shard_id].touched.insert(host);
-        if !m.seen.is_empty() {
+        if !m.reported.is_empty() {
             self.note_images(host);
         }
         self.plan_shard(shard_id, now);
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -190,7 +190,7 @@
             shard.handing.clear();
             return;
         }
-        shard.queues.seen();
+        shard.queues.mark_seen();
         let (mirror, queues) = (&self.mirror, &mut shard.queues);
         let turns = queues.turns_of_late(|job| {
             let waiting = mirror.waiting(shard_id, job).map_or(0, |w| w.len());
@@ -461,7 +461,7 @@
             candidate.needs.fits(free)
                 && kept.is_none_or(|kept| kept == *host)
                 && self.allowed(open, m)
-                && !m.seen.contains_key(&task)
+                && !m.reported.contains_key(&task)
                 && reserved.get(host).is_none_or(|other| other.0 == task)
                 && !self.kept_from(shard_id, *host, open)
                 && self.zone_open(shard_id, open, &m.zone, zones)
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -96,7 +96,7 @@
             {
                 if !self.allowed(open, m)
                     || (holding && m.image(&open.spec.image) < 2)
-                    || m.seen.contains_key(&(job, number))
+                    || m.reported.contains_key(&(job, number))
                     || chosen.iter().any(|c| c.2 == m.host)
                     || self.shards[shard_id].reserved.contains_key(&m.host)
                     || self.kept_from(shard_id, m.host, open)
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -17,25 +17,25 @@
         let shard_id = m.shard;
         let fresh = self.state_fresh(now);
         let owned = self.owned(shard_id).is_some();
-        for (&(job, number), seen) in &m.seen {
+        for (&(job, number), reported) in &m.reported {
             let task = (job, number);
             let assignment = self
                 .mirror
                 .assignment_on(host, task)
-                .filter(|k| k.incarnation == m.newest.0 && k.attempt == seen.attempt);
+                .filter(|k| k.incarnation == m.newest.0 && k.attempt == reported.attempt);
             let task_name = || task_name_of(job, number);
-            if seen.ended() {
+            if reported.ended() {
                 // Cleared only once its end is durable, and only when no start
                 // of it is on its way: it would start a second time.
                 if in_answer
                     && assignment.is_none()
-                    && !m.start_pending(task, seen.attempt)
+                    && !m.start_pending(task, reported.attempt)
                     && fresh
                     && owned
                 {
                     commands.push(WorkerCommand::Clear {
                         task_name: task_name(),
-                        attempt: seen.attempt,
+                        attempt: reported.attempt,
                     });
                 }
                 continue;
@@ -48,14 +48,15 @@
                     let preempted = self.shards[shard_id]
                         .preempted
                         .get(&task)
-                        .is_some_and(|x| x.attempt == seen.attempt && x.until > now);
+                        .is_some_and(|x| x.attempt == reported.attempt && x.until > now);
                     let recalled = m.reclaim_at.is_some_and(|at| {
                         open.spec.snapshot_every_s > 0.0
                             && at - now
                                 < open.spec.snapshot_cost_s * 1000.0 + self.config.report_ms * 2.5
                     });
-                    let doomed = fresh && owned && self.doomed(m, task, seen.attempt, open, now);
-                    if (preempted || recalled || doomed) && seen.status != TaskStatus::Saving {
+                    let doomed =
+                        fresh && owned && self.doomed(m, task, reported.attempt, open, now);
+                    if (preempted || recalled || doomed) && reported.status != TaskStatus::Saving {
                         let saves = open.spec.snapshot_every_s > 0.0;
                         let grace_period_s = if saves {
                             open.spec.snapshot_cost_s + 1.0
@@ -64,7 +65,7 @@
                         };
                         commands.push(WorkerCommand::Kill {
                             task_name: task_name(),
-                            attempt: seen.attempt,
+                            attempt: reported.attempt,
                             grace_period_s,
                         });
                     }
@@ -75,7 +76,7 @@
                     if (fresh && owned) || told || self.mirror.end(job).is_some() {
                         commands.push(WorkerCommand::Kill {
                             task_name: task_name(),
-                            attempt: seen.attempt,
+                            attempt: reported.attempt,
                             grace_period_s: 0.0,
                         });
                     }
@@ -89,7 +90,7 @@
                 // task proves that it is not there.
                 if assignment.incarnation == m.newest.0
                     && !m.gave_up(assignment.incarnation, assignment.attempt)
-                    && !m.seen.contains_key(&task)
+                    && !m.reported.contains_key(&task)
                     && self.mirror.open.contains_key(&task.0)
                 {
                     commands.push(WorkerCommand::Start {
@@ -113,8 +114,8 @@
         };
         if m.pushing
             || now < m.push_after
-            || now - m.heard_at > self.silence_ms()
-            || matches!(m.reach, Reach::Unreachable(_))
+            || now - m.last_heard_at > self.silence_ms()
+            || matches!(m.reachability, Reachability::Unreachable(_))
         {
             return;
         }
--- a/crates/cherryyard-core/src/owner/returns.rs
+++ b/crates/cherryyard-core/src/owner/returns.rs
@@ -33,7 +33,7 @@
         let mut unreachable: HashMap<usize, (usize, usize)> = HashMap::new();
         for m in self.machines.values() {
             let n = unreachable.entry(m.shard).or_default();
-            n.0 += usize::from(matches!(m.reach, Reach::Unreachable(_)));
+            n.0 += usize::from(matches!(m.reachability, Reachability::Unreachable(_)));
             n.1 += 1;
         }
         let lease = self.config.lease_ms;
@@ -55,7 +55,7 @@
                 Some(m) if m.state == MachineState::Returning => Some("asked before"),
                 _ if entry.status == InstanceStatus::Failed => Some("failed"),
                 Some(m)
-                    if now - m.heard_at > lease + 15_000.0
+                    if now - m.last_heard_at > lease + 15_000.0
                         && self.lag.punctual_for(now) > lease + 15_000.0 =>
                 {
                     Some("silent")
@@ -73,7 +73,7 @@
                     let (free, whole) = spare.get(&shard_id).copied().unwrap_or_default();
                     let cores = self.whole(m).map_or(0.0, |w| w.cores);
                     let idle = now - m.busy_at > self.config.tuning.idle_return_s * 1000.0
-                        && m.seen.is_empty()
+                        && m.reported.is_empty()
                         && host.is_some_and(|h| self.mirror.on_host(h).next().is_none());
                     if idle && free - cores > 0.6 * whole {
                         spare.entry(shard_id).and_modify(|s| s.0 -= cores);
@@ -115,7 +115,7 @@
 
     /// Whether a machine has not heard us for so long that it is of no use.
     fn long_unreachable(&self, m: &Machine, now: Millis) -> bool {
-        matches!(m.reach, Reach::Unreachable(since) if now - since > self.config.lease_ms + UNREACHABLE_MS)
+        matches!(m.reachability, Reachability::Unreachable(since) if now - since > self.config.lease_ms + UNREACHABLE_MS)
     }
 
     /// A machine that has fallen silent with replicas on it is released at
@@ -144,7 +144,7 @@
             .values()
             .filter(known)
             .filter(|m| {
-                now - m.heard_at > limit
+                now - m.last_heard_at > limit
                     && !m.lease_over
                     && matches!(m.state, MachineState::Ready | MachineState::Returning)
             })
@@ -160,8 +160,8 @@
         let lately = self.config.report_ms * if all > 8 { 0.5 } else { 0.9 };
         let (mut missing, mut heard) = (0, 0);
         for m in self.machines.values().filter(known) {
-            missing += usize::from(now - m.heard_at > overdue && !m.lease_over);
-            heard += usize::from(now - m.heard_at < lately);
+            missing += usize::from(now - m.last_heard_at > overdue && !m.lease_over);
+            heard += usize::from(now - m.last_heard_at < lately);
         }
         let others = all.saturating_sub(missing);
         if silent.is_empty() || missing > (all / 5).max(1) || heard * 4 < others {
@@ -233,7 +233,7 @@
         // Since when nothing has been heard of a machine that should have been.
         let silent_since = |host: u32| match self.machines.get(&host) {
             Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
-            Some(m) => m.heard_at.max(held_since).max(punctual_since),
+            Some(m) => m.last_heard_at.max(held_since).max(punctual_since),
             None => held_since.max(punctual_since),
         };
         let due = |host: u32| {
@@ -283,7 +283,8 @@
                 Some(m) if now < m.release_after => all += 1,
                 // It reports, but does not hear us: it will never show our token.
                 Some(m)
-                    if now - m.heard_at < limit && !matches!(m.reach, Reach::Unreachable(_)) =>
+                    if now - m.last_heard_at < limit
+                        && !matches!(m.reachability, Reachability::Unreachable(_)) =>
                 {
                     all += 1;
                 }
@@ -341,7 +342,7 @@
                 || known.is_some_and(|m| {
                     m.state == MachineState::Gone
                         || now < m.release_after
-                        || now - m.heard_at < self.config.lease_ms
+                        || now - m.last_heard_at < self.config.lease_ms
                 })
             {
                 continue;
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -73,17 +73,21 @@
         let even = self.config.user_writes_per_s / self.shards.len() as f64;
         let me = self.config.me;
         let rate = if self.leader.leads(&self.mirror) {
-            let seen = now - self.seen_at <= LEADS_MS && self.caught_up();
+            let reported = now - self.state_read_at <= LEADS_MS && self.caught_up();
             let waited = now - self.leader.since >= LEADS_MS * 1.01;
             let lends = |i: &usize| self.named_at(*i).is_some_and(|at| now - at <= LENT_MS);
             let lenders = (0..self.shards.len()).filter(|&i| i != me).filter(lends);
-            let lenders = if seen && waited { lenders.count() } else { 0 };
+            let lenders = if reported && waited {
+                lenders.count()
+            } else {
+                0
+            };
             even * (1.0 + LENT_SHARE * lenders as f64)
         } else {
             let label = self.mirror.leader_lease.as_ref().map(|c| &c.label);
             let leader = self.config.labels.iter().position(|l| Some(l) == label);
             let heard = leader.and_then(|i| self.peers[i].as_ref());
-            let lent = heard.is_some_and(|peer| now - peer.heard_at <= LENT_MS * 1.25);
+            let lent = heard.is_some_and(|peer| now - peer.last_heard_at <= LENT_MS * 1.25);
             even * if lent { 1.0 - LENT_SHARE } else { 1.0 }
         };
         self.user_write_budget.set_rate(rate, now);
@@ -112,9 +116,9 @@
         }
         let able = |i: &usize| {
             *i != self.config.me
-                && self.peers[*i]
-                    .as_ref()
-                    .is_some_and(|peer| now - peer.heard_at < 1200.0 && !peer.heartbeat.cut_off)
+                && self.peers[*i].as_ref().is_some_and(|peer| {
+                    now - peer.last_heard_at < 1200.0 && !peer.heartbeat.cut_off
+                })
         };
         let all = 0..self.config.labels.len();
         let leader = all
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -2,10 +2,10 @@
 
 use crate::Millis;
 use crate::effects::{Effect, PushOutcome, Reply};
-use crate::machine::{Heard, Machine, MachineState, PushedStart};
+use crate::machine::{Freshness, Machine, MachineState, PushedStart};
 use crate::node::Node;
-use crate::peers::Stray;
-use crate::reach::{Reach, ReachEvent};
+use crate::peers::MisdirectedWorker;
+use crate::reachability::{Reachability, ReachabilityEvent};
 use crate::shard_lease::ShardLease;
 use cherryyard_wire::record::End;
 use cherryyard_wire::worker::{
@@ -34,7 +34,7 @@
         // last of them lost it, those who took it have told.
         let bound = self.config.cut_off_bound_ms();
         let outage = || self.all_cut_off(now) && self.knows_cancellations();
-        (now - self.seen_at <= bound || outage()).then_some(token)
+        (now - self.state_read_at <= bound || outage()).then_some(token)
     }
 
     /// Who takes reports of shard `shard_id`, if it is someone else.
@@ -46,7 +46,7 @@
             .peers
             .iter()
             .flatten()
-            .filter(|s| now - s.heard_at < 5000.0)
+            .filter(|s| now - s.last_heard_at < 5000.0)
         {
             for (shard, token, label) in &peer.heartbeat.leases {
                 if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *token) {
@@ -61,29 +61,33 @@
     /// Notes that a worker of another's part reports here. It may have lost its owner, or
     /// hear nobody, and roam from one to the next: then no other owner would do better.
     /// So it is asked, unless the owner has ended anyway.
-    fn note_stray(&mut self, shard_id: usize, report: &WorkerHeartbeat, now: Millis) {
-        if report.host.len() > MAX_HOST_NAME || !self.has_stray_room(shard_id, &report.host) {
+    fn note_misdirected_worker(&mut self, shard_id: usize, report: &WorkerHeartbeat, now: Millis) {
+        if report.host.len() > MAX_HOST_NAME || !self.can_track_misdirected(shard_id, &report.host)
+        {
             return;
         }
         let owner = self.owner_elsewhere(shard_id, now);
         let owner = owner.and_then(|label| self.config.labels.iter().position(|l| *l == label));
         let alive = owner.and_then(|i| self.peers[i].as_ref());
-        let alive = alive.is_some_and(|peer| now - peer.heard_at < 2000.0);
+        let alive = alive.is_some_and(|peer| now - peer.last_heard_at < 2000.0);
         let host = self.mirror.hosts.intern(&report.host);
-        let due = |s: &Stray| !s.hears && !s.asking && now - s.asked_at > 3000.0;
-        let due = self.strays.get(&(shard_id, host)).is_none_or(due);
+        let due = |s: &MisdirectedWorker| !s.is_reachable && !s.asking && now - s.asked_at > 3000.0;
+        let due = self.misdirected.get(&(shard_id, host)).is_none_or(due);
         // Counted only where it decides: there may be thousands.
-        let asking = || self.strays.values().filter(|s| s.asking).count();
+        let asking = || self.misdirected.values().filter(|s| s.asking).count();
         let ask = alive && due && asking() < ASKS;
-        let stray = self.strays.entry((shard_id, host)).or_insert(Stray {
-            at: now,
-            asked_at: f64::NEG_INFINITY,
-            asking: false,
-            hears: false,
-        });
-        stray.at = now;
+        let worker = self
+            .misdirected
+            .entry((shard_id, host))
+            .or_insert(MisdirectedWorker {
+                at: now,
+                asked_at: f64::NEG_INFINITY,
+                asking: false,
+                is_reachable: false,
+            });
+        worker.at = now;
         if ask {
-            (stray.asking, stray.asked_at) = (true, now);
+            (worker.asking, worker.asked_at) = (true, now);
             let addr = report.addr.clone();
             self.effects.push(Effect::Ask { host, addr });
         }
@@ -91,11 +95,11 @@
 
     /// Whether a machine of another's part is known or may become so; says in the log
     /// once that it may not.
-    fn has_stray_room(&mut self, shard_id: usize, host: &str) -> bool {
-        if self.strays.len() < MAX_MACHINES {
+    fn can_track_misdirected(&mut self, shard_id: usize, host: &str) -> bool {
+        if self.misdirected.len() < MAX_MACHINES {
             return true;
         }
-        if !std::mem::replace(&mut self.strays_full_logged, true) {
+        if !std::mem::replace(&mut self.misdirected_full_logged, true) {
             let most = MAX_MACHINES;
             tracing::warn!(
                 most,
@@ -103,7 +107,7 @@
             );
         }
         let host = self.mirror.hosts.get(host);
-        host.is_some_and(|host| self.strays.contains_key(&(shard_id, host)))
+        host.is_some_and(|host| self.misdirected.contains_key(&(shard_id, host)))
     }
 
     /// Takes a worker's report.
@@ -143,7 +147,7 @@
         self.notice(now);
         let shard_id = self.config.shard_map.shard(&report.zone, &report.host);
         let Some(token) = self.answering(shard_id, now) else {
-            self.note_stray(shard_id, report, now);
+            self.note_misdirected_worker(shard_id, report, now);
             if self.may_extend_lease(shard_id, report, now) {
                 tracing::debug!(host = %report.host, "vouch for a lease");
                 return Reply::Answer(HeartbeatResponse {
@@ -173,13 +177,13 @@
         if machine.state == MachineState::Gone {
             return Reply::Unavailable;
         }
-        let blind = now - self.seen_at > self.config.cut_off_bound_ms() / 2.0;
+        let blind = now - self.state_read_at > self.config.cut_off_bound_ms() / 2.0;
         let cancelled =
             |job: u64| self.cancelled.is_told(job) || self.mirror.end(job) == Some(End::Cancelled);
         let arrives = |s: &PushedStart| {
             // Where the attempt is known it has no effect.
-            let seen = machine.seen.get(&s.task);
-            cancelled(s.task.0) && seen.is_none_or(|seen| seen.attempt != s.attempt)
+            let reported = machine.reported.get(&s.task);
+            cancelled(s.task.0) && reported.is_none_or(|reported| reported.attempt != s.attempt)
         };
         if blind && machine.pushed.iter().any(arrives) {
             // A start of a cancelled job may yet arrive there, and while the state service
@@ -191,7 +195,7 @@
             // It, or a copy of what it said in the life before: it is asked. Starts are
             // sent directly only, as a report without the task would not tell that one
             // in the answer to another has not arrived.
-            (machine.answered_at, machine.heard_at) = (now, now);
+            (machine.answered_at, machine.last_heard_at) = (now, now);
             machine.old_in_a_row = machine.old_in_a_row.max(2);
             self.ask_machines(shard_id, now);
             let mut commands = self.reconcile(host, now, true);
@@ -201,18 +205,18 @@
                 commands,
             });
         }
-        let before = (machine.state, machine.reach.hears());
+        let before = (machine.state, machine.reachability.is_reachable());
         let heard = machine.hear(report, token, now);
         // The answer to an older report renews the lease, if at all, from when that was
         // sent, before the newest message: a late copy keeps no dead machine alive.
         machine.answered_at = match heard {
-            Heard::Old => machine.answered_at.max(machine.heard_at),
-            Heard::Same | Heard::New => now,
+            Freshness::Old => machine.answered_at.max(machine.last_heard_at),
+            Freshness::Same | Freshness::New => now,
         };
         // A new owner's machines are told of as they come, or the leader gives
         // the shard nothing until its next regular report.
-        self.capacity_changed |= (machine.state, machine.reach.hears()) != before;
-        if heard == Heard::Old {
+        self.capacity_changed |= (machine.state, machine.reachability.is_reachable()) != before;
+        if heard == Freshness::Old {
             return Reply::Answer(HeartbeatResponse {
                 fencing_token: token,
                 commands: Vec::new(),
@@ -221,7 +225,7 @@
         // The worker has one report under way at a time, so a newer one shows
         // that the last answer was executed or dropped.
         machine.check_offered(now);
-        if heard == Heard::New {
+        if heard == Freshness::New {
             self.after_message(host, now);
         }
         let commands = self.reconcile(host, now, true);
@@ -259,23 +263,23 @@
         match outcome {
             PushOutcome::Answered(report) => {
                 machine.settle_push(request, false);
-                machine.reached(ReachEvent::Reflected, now);
+                machine.reached(ReachabilityEvent::Reflected, now);
                 let ShardLease::Held(token) = self.shards[shard_id].lease else {
                     return;
                 };
-                if machine.hear(&report, token, now) != Heard::Old {
+                if machine.hear(&report, token, now) != Freshness::Old {
                     self.after_message(host, now);
                 }
                 self.push(host, now);
             }
             PushOutcome::Unsent => {
                 machine.settle_push(request, false);
-                machine.reached(ReachEvent::Missed, now);
+                machine.reached(ReachabilityEvent::Missed, now);
                 machine.push_after = now + 500.0;
             }
             PushOutcome::Unknown => {
                 machine.settle_push(request, true);
-                machine.reached(ReachEvent::Missed, now);
+                machine.reached(ReachabilityEvent::Missed, now);
                 machine.push_after = now + 1000.0;
             }
         }
@@ -304,12 +308,12 @@
     pub fn asked(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
         self.notice(now);
         let last = self.mirror.store_revision.max(self.newest_revision) + 1;
-        for (_, stray) in self
-            .strays
+        for (_, worker) in self
+            .misdirected
             .iter_mut()
             .filter(|s| s.0.1 == host && s.1.asking)
         {
-            (stray.asking, stray.hears) = (false, answer.is_some());
+            (worker.asking, worker.is_reachable) = (false, answer.is_some());
         }
         let Some(m) = self.machines.get_mut(&host) else {
             return;
@@ -320,16 +324,16 @@
             return;
         };
         let Some(report) = answer else {
-            let before = m.reach;
-            m.reached(ReachEvent::NoAnswer, now);
-            if m.reach != before && matches!(m.reach, Reach::Unreachable(_)) {
+            let before = m.reachability;
+            m.reached(ReachabilityEvent::NoAnswer, now);
+            if m.reachability != before && matches!(m.reachability, Reachability::Unreachable(_)) {
                 m.given_up = (m.newest.0, last);
             }
             self.shards[shard_id].touched.insert(host);
             return;
         };
-        self.capacity_changed |= !m.reach.hears();
-        if m.answered(report, token, last, now) != Heard::Old {
+        self.capacity_changed |= !m.reachability.is_reachable();
+        if m.answered(report, token, last, now) != Freshness::Old {
             self.after_message(host, now);
         }
     }
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -62,7 +62,7 @@
         shards: Vec::new(),
         short: Vec::new(),
         handing: Vec::new(),
-        strays: Vec::new(),
+        misdirected: Vec::new(),
         number: 1,
         heard: Vec::new(),
         shares: Vec::new(),
@@ -108,7 +108,7 @@
         }
     }
     assert_eq!(asked, 16, "a sample is asked");
-    assert_eq!(node.heartbeat_out(400.0).strays, [(1, FLEET as u32)]);
+    assert_eq!(node.heartbeat_out(400.0).misdirected, [(1, FLEET as u32)]);
 }
 
 /// Beyond the bound the log says so once, and those that are known stay known.
--- a/crates/cherryyard-io/src/state.rs
+++ b/crates/cherryyard-io/src/state.rs
@@ -5,7 +5,7 @@
 use cherryyard_wire::history::{LeafRecord, Level, leaf_of_key, since_key};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Commit, LeaseGrant, News, Page, Pair, StoreRevision};
+use cherryyard_wire::state::{Commit, LeaseGrant, Page, Pair, StoreRevision, WatchResponse};
 use hyper::Method;
 use std::time::Duration;
 
@@ -164,7 +164,7 @@
     }
 
     /// Waits up to `wait_ms` for changes after `since`.
-    pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<News, StateError> {
+    pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<WatchResponse, StateError> {
         let path = format!("/follow?starts={PREFIX}&since={since}&wait_ms={wait_ms}");
         let url = format!("{}{path}", self.base);
         let timeout = Duration::from_millis(wait_ms + 1500);
--- a/crates/cherryyard-rehearsal/src/http.rs
+++ b/crates/cherryyard-rehearsal/src/http.rs
@@ -176,9 +176,9 @@
                         if !service.state.remembers(since) {
                             return (410, json!({}));
                         }
-                        let news = service.state.news(since);
-                        if !news.news.is_empty() || Instant::now() >= until {
-                            return (200, json!(news));
+                        let events = service.state.events(since);
+                        if !events.events.is_empty() || Instant::now() >= until {
+                            return (200, json!(events));
                         }
                     }
                     tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/cherryyard-rehearsal/src/state.rs
+++ b/crates/cherryyard-rehearsal/src/state.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_wire::history::{LeafRecord, Level, leaf_key, leaf_of_key};
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Apply, Change, Commit, Json, News, Pair};
+use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Keys, revisions and leases.
@@ -15,7 +15,7 @@
     next_lease: u64,
     /// Changes up to this revision are not told any more.
     forgotten: u64,
-    changes: Vec<Change>,
+    changes: Vec<WatchEvent>,
     largest: BTreeMap<String, usize>,
     /// Puts and deletes of assignments so far.
     pub assignment_writes: usize,
@@ -129,8 +129,8 @@
     }
 
     /// What has changed after `since`.
-    pub fn news(&self, since: u64) -> News {
-        let news = self
+    pub fn events(&self, since: u64) -> WatchResponse {
+        let events = self
             .changes
             .iter()
             .filter(|c| c.revision > since)
@@ -140,9 +140,9 @@
             })
             .cloned()
             .collect();
-        News {
+        WatchResponse {
             store_revision: self.store_revision,
-            news,
+            events,
         }
     }
 
@@ -191,7 +191,7 @@
 
     fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.changes.push(Change {
+            self.changes.push(WatchEvent {
                 set: None,
                 delete: Some(key.to_string()),
                 v: Json::default(),
@@ -240,7 +240,7 @@
                     *largest = (*largest).max(size);
                     self.keys
                         .insert(set.clone(), (v.clone(), self.store_revision, *lease_id));
-                    self.changes.push(Change {
+                    self.changes.push(WatchEvent {
                         set: Some(set.clone()),
                         delete: None,
                         v: v.clone(),
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -18,7 +18,7 @@
 use cherryyard_wire::record::{ARRIVALS, IDS, JobRecord, job_key};
 use cherryyard_wire::rules::Rules;
 use cherryyard_wire::settings::Settings;
-use cherryyard_wire::state::{Apply, Commit, News};
+use cherryyard_wire::state::{Apply, Commit, WatchResponse};
 use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -191,7 +191,7 @@
     /// between half of it and all.
     pub slow_ms: f64,
     /// Reads under way: by controller, when answered, when sent, what they tell.
-    reads: BTreeMap<usize, (f64, f64, News)>,
+    reads: BTreeMap<usize, (f64, f64, WatchResponse)>,
     /// Answers to transactions under way: when, for which start of which controller.
     answers: Vec<(f64, usize, u64, Ticket, Commit, Outcome)>,
     /// Which start of each controller runs.
@@ -517,10 +517,10 @@
                     node.mirror.load_some(&self.state.pairs());
                     node.loaded(self.state.store_revision(), now, now);
                 } else if self.slow_ms == 0.0 {
-                    node.news(&self.state.news(node.mirror.store_revision), now, now);
+                    node.events(&self.state.events(node.mirror.store_revision), now, now);
                 } else if !self.reads.contains_key(&i) {
                     let takes = slow(self.slow_ms, &mut self.late_draw);
-                    let read = self.state.news(node.mirror.store_revision);
+                    let read = self.state.events(node.mirror.store_revision);
                     self.reads.insert(i, (now + takes, now, read));
                 }
                 match node.lease_id() {
--- a/crates/cherryyard-rehearsal/src/world/late.rs
+++ b/crates/cherryyard-rehearsal/src/world/late.rs
@@ -82,7 +82,7 @@
             .collect();
         for (i, (_, sent_at, read)) in due {
             if let Some(node) = &mut self.nodes[i] {
-                node.news(&read, sent_at, now);
+                node.events(&read, sent_at, now);
                 self.effects(i);
             }
         }
@@ -123,8 +123,8 @@
         }
         let node = self.nodes[i].as_mut().filter(|n| n.mirror.loaded)?;
         if !self.refused.contains(&i) {
-            let news = self.state.news(node.mirror.store_revision);
-            node.news(&news, now, now);
+            let events = self.state.events(node.mirror.store_revision);
+            node.events(&events, now, now);
             if let Some(commit) = node.cancellation(job)
                 && let Outcome::Applied(e) = self.late_commit(&commit)
             {
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-rehearsal/src/world/machines.rs
@@ -56,8 +56,8 @@
     /// A controller takes a report that was sent at `sent_at`, and answers.
     pub(super) fn reported(&mut self, i: usize, report: &WorkerHeartbeat, sent_at: f64) {
         let now = self.now;
-        let hears = !self.deaf.contains(&i) && !self.frozen.contains(&i);
-        let node = self.nodes[i].as_mut().filter(|_| hears);
+        let is_reachable = !self.deaf.contains(&i) && !self.frozen.contains(&i);
+        let node = self.nodes[i].as_mut().filter(|_| is_reachable);
         let reply = node.map(|n| n.report(report, now));
         let name = &report.host;
         let mut log = Vec::new();
--- a/crates/cherryyard-rehearsal/src/world/requests.rs
+++ b/crates/cherryyard-rehearsal/src/world/requests.rs
@@ -16,7 +16,7 @@
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, job_number};
 use cherryyard_wire::record::End;
-use cherryyard_wire::state::{Commit, News};
+use cherryyard_wire::state::{Commit, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a user waits for an answer.
@@ -66,7 +66,7 @@
     /// Waits for the next read of the state, and whether a view must follow.
     Barrier(f64),
     /// That read is under way: when it comes, when it was sent, what it tells.
-    Reading(f64, f64, News),
+    Reading(f64, f64, WatchResponse),
     /// Everything up to the request has been read.
     CaughtUp,
     /// Passed on to another controller by this request, until then.
@@ -308,7 +308,7 @@
                     let said = Some(Said::Later);
                     return self.go_on(r, said);
                 }
-                let read = self.state.news(self.node(i).mirror.store_revision);
+                let read = self.state.events(self.node(i).mirror.store_revision);
                 let takes = if self.slow_ms > 0.0 {
                     slow(self.slow_ms, &mut self.late_draw)
                 } else {
@@ -319,7 +319,7 @@
             }
             Stage::Reading(at, sent_at, read) if at <= now => {
                 let node = self.nodes[i].as_mut().expect("it is up");
-                node.news(&read, sent_at, now);
+                node.events(&read, sent_at, now);
                 self.effects(i);
                 r.stage = Stage::CaughtUp;
                 true
--- a/crates/cherryyard-rehearsal/src/world/submitting.rs
+++ b/crates/cherryyard-rehearsal/src/world/submitting.rs
@@ -39,7 +39,7 @@
         };
         let node = able.and_then(|i| self.nodes[i].as_mut());
         if let Some(node) = node.filter(|n| n.mirror.loaded) {
-            node.news(&self.state.news(node.mirror.store_revision), now, now);
+            node.events(&self.state.events(node.mirror.store_revision), now, now);
             let config = node.config.clone();
             let fits = if node.mirror.takes_pages() {
                 let rules = rules.map(Box::new);
@@ -73,7 +73,7 @@
                     node.mirror.load_some(&self.state.pairs());
                     node.loaded(self.state.store_revision(), now, now);
                 }
-                node.news(&self.state.news(node.mirror.store_revision), now, now);
+                node.events(&self.state.events(node.mirror.store_revision), now, now);
             }
             let rules = rules.map(Box::new);
             let new = node.mirror.new_job(spec.clone(), rules, now as u64);
@@ -150,8 +150,8 @@
         let now = self.now;
         let store_revision = self.state.store_revision();
         let node = self.nodes[i].as_mut().expect("a running controller");
-        let news = self.state.news(node.mirror.store_revision);
-        node.news(&news, now, now);
+        let events = self.state.events(node.mirror.store_revision);
+        node.events(&events, now, now);
         let commit = node.cancellation(job).expect("an open job");
         let outcome = self.state.commit(&commit);
         self.requests.cancelling.insert(id.into());
@@ -182,8 +182,8 @@
         let now = self.now;
         let node = self.nodes[i].as_mut()?;
         if !self.refused.contains(&i) {
-            let news = self.state.news(node.mirror.store_revision);
-            node.news(&news, now, now);
+            let events = self.state.events(node.mirror.store_revision);
+            node.events(&events, now, now);
         }
         node.mirror.view(job_number(id)?)
     }
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -249,7 +249,7 @@
 
 /// What makes a controller's work change hands.
 #[derive(Clone, Copy, Debug)]
-enum Change {
+enum WatchEvent {
     Ends,
     Deaf,
     Refused,
@@ -261,7 +261,12 @@
 /// of the one before on its way.
 #[test]
 fn cancelled_while_work_changes_hands() {
-    for change in [Change::Ends, Change::Deaf, Change::Refused, Change::Back] {
+    for change in [
+        WatchEvent::Ends,
+        WatchEvent::Deaf,
+        WatchEvent::Refused,
+        WatchEvent::Back,
+    ] {
         for step in (0..60).step_by(7) {
             for at in 0..3 {
                 let state = format!("{change:?}, step {step}, at {at}");
@@ -272,7 +277,7 @@
                 }
                 users.run(&mut w, 6.0);
                 let i = 1;
-                if matches!(change, Change::Back) {
+                if matches!(change, WatchEvent::Back) {
                     w.kill(i);
                     users.run(&mut w, 8.0);
                     w.start(i);
@@ -285,10 +290,10 @@
                 users.submit(&mut w, &job(4, "service", 8));
                 w.run(0.4);
                 match change {
-                    Change::Ends => w.kill(i),
-                    Change::Deaf => drop(w.deaf.insert(i)),
-                    Change::Refused => drop(w.refused.insert(i)),
-                    Change::Back => {}
+                    WatchEvent::Ends => w.kill(i),
+                    WatchEvent::Deaf => drop(w.deaf.insert(i)),
+                    WatchEvent::Refused => drop(w.refused.insert(i)),
+                    WatchEvent::Back => {}
                 }
                 w.run(f64::from(step) * 0.15);
                 w.insist(at, "j-000001", Question::Cancel);
@@ -828,8 +833,8 @@
             assert_eq!(w.running(), all, "{state}: {}", w.trace.join("\n"));
             let store_revision = w.state.store_revision();
             w.run(20.0);
-            let news = w.state.news(store_revision).news;
-            let keys = news.iter().filter_map(|c| c.set.clone());
+            let events = w.state.events(store_revision).events;
+            let keys = events.iter().filter_map(|c| c.set.clone());
             let grants: Vec<String> = keys.filter(|k| k.starts_with("c/grant")).collect();
             assert!(grants.is_empty(), "{state}: {grants:?} go round");
             assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -4,7 +4,7 @@
 use cherryyard_rehearsal::{Setup, World};
 use cherryyard_wire::job::{JobStatus, Rank};
 use cherryyard_wire::record::{arrivals_key, job_key};
-use cherryyard_wire::state::{Change, News};
+use cherryyard_wire::state::{WatchEvent, WatchResponse};
 
 /// A running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
@@ -295,7 +295,7 @@
     let mut w = settled(Setup::default());
     w.submit(&World::spec("j-000001", "service", 1));
     w.run(2.0);
-    let old = w.state.news(0);
+    let old = w.state.events(0);
     w.cancel(0, "j-000001");
     for i in [1, 2, 0] {
         let status = w.view(i, "j-000001").map(|v| v.status);
@@ -304,12 +304,12 @@
     w.refused.insert(1);
     let now = w.now;
     let node = w.nodes[1].as_mut().unwrap();
-    node.news(&old, now, now);
-    let late = Change {
+    node.events(&old, now, now);
+    let late = WatchEvent {
         set: Some(arrivals_key(0)),
         delete: None,
         v: old
-            .news
+            .events
             .iter()
             .find(|c| c.set == Some(arrivals_key(0)))
             .unwrap()
@@ -317,10 +317,10 @@
             .clone(),
         revision: node.mirror.store_revision + 5,
     };
-    node.news(
-        &News {
+    node.events(
+        &WatchResponse {
             store_revision: node.mirror.store_revision + 5,
-            news: vec![late],
+            events: vec![late],
         },
         now,
         now,
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -119,7 +119,7 @@
     /// hold their images: part and job's number.
     pub handing: Vec<(u32, u64)>,
     /// Parts of others whose workers have lately reported here: part, how many.
-    pub strays: Vec<(u32, u32)>,
+    pub misdirected: Vec<(u32, u32)>,
     /// The sender's number for this heartbeat; they grow, from anywhere.
     pub number: u64,
     /// The last number heard of each other controller, by its place among all.
@@ -342,7 +342,7 @@
             shards: vec![],
             short: vec![],
             handing: vec![],
-            strays: vec![],
+            misdirected: vec![],
             number: 3,
             heard: vec![(1, 7)],
             shares: vec![],
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -170,18 +170,19 @@
 
 /// What a watch returns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchResponse {
     /// The revision up to which the changes are told.
     #[serde(rename = "epoch")]
     pub store_revision: u64,
     /// The changes, in order.
     #[serde(default)]
-    pub news: Vec<Change>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// One change that a watch tells.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// The key put, or null.
     #[serde(default)]
     pub set: Option<String>,
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -69,7 +69,7 @@
         shards: vec![report()],
         short: Vec::new(),
         handing: (0..200).map(|i| (0, 800_000_000_000 + i)).collect(),
-        strays: Vec::new(),
+        misdirected: Vec::new(),
         number: 3,
         heard: (0..7).map(|p| (p, 7)).collect(),
         shares: Vec::new(),
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -108,7 +108,7 @@
         }],
         short: vec!["servicing".into()],
         handing: vec![(1, 77)],
-        strays: vec![(0, 3)],
+        misdirected: vec![(0, 3)],
         number: 9,
         heard: vec![(0, 7), (2, 8)],
         shares: vec![FlowShare {
--- a/crates/cherryyard/src/app/reads.rs
+++ b/crates/cherryyard/src/app/reads.rs
@@ -42,8 +42,8 @@
             let (loaded, since) = self.with(|n, _| (n.mirror.loaded, n.mirror.store_revision));
             let good = loaded
                 && match self.state.follow(since, 0).await {
-                    Ok(news) => {
-                        self.with(|n, now| n.news(&news, sent_at, now));
+                    Ok(events) => {
+                        self.with(|n, now| n.events(&events, sent_at, now));
                         true
                     }
                     Err(_) => false,
@@ -113,8 +113,8 @@
             }
             let since = self.with(|n, _| n.mirror.store_revision);
             match self.state.follow(since, self.follow_ms).await {
-                Ok(news) => {
-                    self.with(|n, now| n.news(&news, sent_at, now));
+                Ok(events) => {
+                    self.with(|n, now| n.events(&events, sent_at, now));
                     tokio::time::sleep(self.read_interval).await;
                 }
                 Err(StateError::Gone) => {
--- a/crates/cherryyard/tests/condor.rs
+++ b/crates/cherryyard/tests/condor.rs
@@ -38,9 +38,9 @@
 /// The submission once it has come to this phase, or as it is after some time.
 async fn reaches(client: &Client, name: &str, phase: Phase) -> SubmissionView {
     for _ in 0..200 {
-        let seen = view(client, name).await;
-        if seen.phase == phase {
-            return seen;
+        let reported = view(client, name).await;
+        if reported.phase == phase {
+            return reported;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
