--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -39,7 +39,7 @@
     strum::IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Went {
+pub enum CoreUse {
     /// Services' tasks that ran.
     Replicas,
     /// Arrays' tasks that ran to completion, or still run.
@@ -82,22 +82,22 @@
 
 /// Core-seconds by what they went to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CoreSeconds([f64; Went::COUNT]);
+pub struct CoreSeconds([f64; CoreUse::COUNT]);
 
 impl CoreSeconds {
     /// What went to one thing.
-    pub fn get(&self, went: Went) -> f64 {
-        self.0[went as usize]
+    pub fn get(&self, core_use: CoreUse) -> f64 {
+        self.0[core_use as usize]
     }
 
     /// Counts core-seconds.
-    pub fn count(&mut self, went: Went, s: f64) {
-        self.0[went as usize] += s;
+    pub fn count(&mut self, core_use: CoreUse, s: f64) {
+        self.0[core_use as usize] += s;
     }
 
     /// Each figure by name, in the order of the account.
     pub fn figures(&self) -> impl Iterator<Item = (&'static str, f64)> + '_ {
-        Went::iter().map(|went| (went.into(), self.get(went)))
+        CoreUse::iter().map(|core_use| (core_use.into(), self.get(core_use)))
     }
 
     /// All core-seconds together.
@@ -127,8 +127,9 @@
         let map: HashMap<String, f64> = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let mut sum = Self::default();
         for (name, s) in map {
-            let went = Went::from_str(&name).map_err(|_| format!("{name}: no such figure"))?;
-            sum.count(went, s);
+            let core_use =
+                CoreUse::from_str(&name).map_err(|_| format!("{name}: no such figure"))?;
+            sum.count(core_use, s);
         }
         Ok(sum)
     }
@@ -173,8 +174,8 @@
                 .is_some_and(|o| o.spec.shape == Shape::Service);
             // A replica was of use while it ran; so is what its user ended.
             if !done && !service && mirror.end(job).is_none() {
-                sum.count(Went::Lost, s * cores);
-                sum.count(Went::Arrays, -s * cores);
+                sum.count(CoreUse::Lost, s * cores);
+                sum.count(CoreUse::Arrays, -s * cores);
             }
             false
         });
@@ -221,11 +222,11 @@
             self.count_tasks(m, s, account);
             let free = self.free_on(m, None).map_or(0.0, |f| f.cores.max(0.0));
             if !m.usable(now, silence) {
-                account.sum.count(Went::Unusable, free * s);
+                account.sum.count(CoreUse::Unusable, free * s);
                 continue;
             }
             if self.shards[shard_id].reserved.contains_key(&m.host) {
-                account.sum.count(Went::Kept, free * s);
+                account.sum.count(CoreUse::Kept, free * s);
                 continue;
             }
             let here = free.min(wanted);
@@ -236,11 +237,11 @@
             }
             let there = (free - here).min(elsewhere);
             elsewhere -= there;
-            account.sum.count(Went::Elsewhere, there * s);
+            account.sum.count(CoreUse::Elsewhere, there * s);
             let rest = if undivided {
-                Went::Undivided
+                CoreUse::Undivided
             } else {
-                Went::Spare
+                CoreUse::Spare
             };
             account.sum.count(rest, (free - here - there) * s);
         }
@@ -254,7 +255,7 @@
                     .iter()
                     .find(|k| k.sku == entry.machine_type);
                 let cores = machine_type.map_or(0.0, |k| k.cores);
-                account.sum.count(Went::Booting, cores * s);
+                account.sum.count(CoreUse::Booting, cores * s);
             }
         }
     }
@@ -281,23 +282,23 @@
                 .filter(|t| t.attempt == assignment.attempt);
             let open = self.mirror.open.get(&task.0);
             let service = open.is_some_and(|o| o.spec.shape == Shape::Service);
-            let went = match reported.map(|t| t.status) {
-                None => Went::Starting,
-                Some(TaskStatus::Fetching) => Went::Fetching,
-                Some(TaskStatus::Ended) => Went::Ending,
-                Some(_) if service => Went::Replicas,
+            let core_use = match reported.map(|t| t.status) {
+                None => CoreUse::Starting,
+                Some(TaskStatus::Fetching) => CoreUse::Fetching,
+                Some(TaskStatus::Ended) => CoreUse::Ending,
+                Some(_) if service => CoreUse::Replicas,
                 Some(_) => {
                     let key = (task, assignment.attempt);
                     account.ran.entry(key).or_insert((0.0, needs.cores)).0 += s;
-                    Went::Arrays
+                    CoreUse::Arrays
                 }
             };
-            account.sum.count(went, cores);
+            account.sum.count(core_use, cores);
         }
         for (task, reported) in &m.reported {
             if !reported.ended() && self.mirror.assignment_on(m.host, *task).is_none() {
                 let cores = self.mirror.uses(task.0).map_or(0.0, |u| u.1.cores);
-                account.sum.count(Went::Strays, cores * s);
+                account.sum.count(CoreUse::Strays, cores * s);
             }
         }
     }
@@ -310,25 +311,25 @@
         waiting: &[(u64, &OpenJob)],
         used: &[crate::needs::Needs],
         now: Millis,
-    ) -> Went {
+    ) -> CoreUse {
         let free = self.free_on(m, None).unwrap_or_default();
         let why = |&(job, open): &(u64, &OpenJob)| {
             let needs = open.needs();
             let at_limit = self.beyond_grant(shard_id, open.team, used, &needs);
-            let trouble = self.shards[shard_id].trouble.get(&job);
+            let job_failures = self.shards[shard_id].job_failures.get(&job);
             if !self.allowed(open, m) {
-                Went::Excluded
+                CoreUse::Excluded
             } else if !needs.fits(&free) {
-                Went::Fragments
-            } else if trouble.is_some_and(|t| t.held_off(now)) {
-                Went::Troubled
+                CoreUse::Fragments
+            } else if job_failures.is_some_and(|t| t.held_off(now)) {
+                CoreUse::Troubled
             } else if at_limit {
-                Went::Limits
+                CoreUse::Limits
             } else {
-                Went::Round
+                CoreUse::Round
             }
         };
-        waiting.iter().map(why).max().unwrap_or(Went::Excluded)
+        waiting.iter().map(why).max().unwrap_or(CoreUse::Excluded)
     }
 
     /// What each part of ours has counted since the last call.
--- a/crates/cherryyard-core/src/admission/rights.rs
+++ b/crates/cherryyard-core/src/admission/entitlements.rs
@@ -5,10 +5,10 @@
 //! owners. One without a level in force starts nothing ahead, and for a while goes on
 //! stopping nothing of such a flow: it errs on the careful side.
 
+use super::fair_share_status::{FairShareStatus, Has};
 use super::flows::Flow;
 use super::ledger::{Account, Amount, Level, Under, is_over, left, may_give};
-use super::shares::{Asks, floors};
-use super::standing::{Has, Standing};
+use super::shares::{FlowDemand, floors};
 use crate::Millis;
 use crate::machine::Task;
 use crate::node::Node;
@@ -33,8 +33,8 @@
 
 /// Floors, and levels by them.
 #[derive(Debug, Default)]
-pub(crate) struct Rights {
-    standings: Vec<Standing>,
+pub(crate) struct Entitlements {
+    statuses: Vec<FairShareStatus>,
     floors: Vec<f64>,
     /// When they were last found or told.
     told_at: Option<Millis>,
@@ -54,7 +54,7 @@
     (cores.max(0.0) * 1000.0).round() as Amount
 }
 
-impl Rights {
+impl Entitlements {
     pub(crate) fn new(number: u64) -> Self {
         Self {
             // Not where an earlier process of ours began.
@@ -63,18 +63,18 @@
         }
     }
 
-    fn standing(&self, flow: Flow) -> Standing {
-        let known = self.standings.get(flow as usize).copied();
-        known.unwrap_or(Standing::Served)
+    fn status(&self, flow: Flow) -> FairShareStatus {
+        let known = self.statuses.get(flow as usize).copied();
+        known.unwrap_or(FairShareStatus::Served)
     }
 
-    fn set(&mut self, flow: Flow, standing: Standing, floor: f64) {
+    fn set(&mut self, flow: Flow, status: FairShareStatus, floor: f64) {
         let at = flow as usize;
-        if self.standings.len() <= at {
-            self.standings.resize(at + 1, Standing::Served);
+        if self.statuses.len() <= at {
+            self.statuses.resize(at + 1, FairShareStatus::Served);
             self.floors.resize(at + 1, 0.0);
         }
-        (self.standings[at], self.floors[at]) = (standing, floor);
+        (self.statuses[at], self.floors[at]) = (status, floor);
     }
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// What each flow asks for: of what waits no more than its team's limit allows.
-    fn asks(&self, uses: &[FlowUse]) -> Vec<Asks> {
+    fn asks(&self, uses: &[FlowUse]) -> Vec<FlowDemand> {
         let admission = &self.config.tuning.admission;
         let sum = |x: &[f64]| x.iter().sum::<f64>();
         let teams = self.config.teams.len();
@@ -150,7 +150,7 @@
             let may = (self.config.teams[t].cores_max - runs[t]).max(0.0);
             let shard = if waits[t] > may { may / waits[t] } else { 1.0 };
             let own = admission.of(self.mirror.flows.class(f as Flow));
-            Asks {
+            FlowDemand {
                 demand: sum(&used.running) + sum(&used.waiting) * shard,
                 team: t as u32,
                 weight: own.weight,
@@ -163,13 +163,16 @@
 
     /// The leader's look at what everyone has.
     pub(crate) fn review(&mut self, now: Millis) {
-        let ahead = self.rights.standings.iter().any(|s| s.ahead());
+        let ahead = self.entitlements.statuses.iter().any(|s| s.ahead());
         let every = if ahead { CLOSE_LOOK_MS } else { LOOK_MS };
-        let due = self.rights.looked_at.is_none_or(|at| now - at >= every);
+        let due = self
+            .entitlements
+            .looked_at
+            .is_none_or(|at| now - at >= every);
         if !due || !self.leader.leads(&self.mirror) || !self.state_fresh(now) {
             return;
         }
-        self.rights.looked_at = Some(now);
+        self.entitlements.looked_at = Some(now);
         let uses = self.flow_use();
         let asks = self.asks(&uses);
         let guarantees: Vec<f64> = self.config.teams.iter().map(|t| t.cores).collect();
@@ -179,7 +182,7 @@
             let flow = f as Flow;
             let had: f64 = used.running.iter().sum();
             let waits: f64 = used.waiting.iter().sum();
-            let before = self.rights.standing(flow);
+            let before = self.entitlements.status(flow);
             let after = before.after(Has::of(had, waits, floor), window, now);
             if after.ahead() != before.ahead() {
                 tracing::info!(
@@ -193,9 +196,9 @@
                     "a share has changed"
                 );
             }
-            self.rights.set(flow, after, floor);
+            self.entitlements.set(flow, after, floor);
         }
-        self.rights.told_at = Some(now);
+        self.entitlements.told_at = Some(now);
         self.divide_floors(&uses, now);
     }
 
@@ -204,20 +207,28 @@
     fn divide_floors(&mut self, uses: &[FlowUse], now: Millis) {
         let leader_token = self.mirror.revision(Key::Leader);
         let may = may_give(self.leader.since, self.state_read_at, now);
-        let next = self.rights.number + 1;
+        let next = self.entitlements.number + 1;
         for (f, used) in uses.iter().enumerate() {
             let flow = f as Flow;
-            if !self.rights.standing(flow).ahead() {
-                self.rights.accounts.retain(|holding, _| holding.0 != flow);
-                self.rights.levels.retain(|holding, _| holding.0 != flow);
+            if !self.entitlements.status(flow).ahead() {
+                self.entitlements
+                    .accounts
+                    .retain(|holding, _| holding.0 != flow);
+                self.entitlements
+                    .levels
+                    .retain(|holding, _| holding.0 != flow);
                 continue;
             }
             let (runs, waits): (f64, f64) = (used.running.iter().sum(), used.waiting.iter().sum());
-            let floor = self.rights.floors[f];
+            let floor = self.entitlements.floors[f];
             for shard_id in 0..self.shards.len() {
                 let shard = self.mirror.revision(Key::Shard(shard_id));
                 let over = self.owner_is_over(shard_id, now);
-                let account = self.rights.accounts.entry((flow, shard_id)).or_default();
+                let account = self
+                    .entitlements
+                    .accounts
+                    .entry((flow, shard_id))
+                    .or_default();
                 account.meet(Under {
                     leader_token,
                     shard,
@@ -240,13 +251,17 @@
                     (shard_id, amount(here + more))
                 })
                 .collect();
-            let level =
-                |rights: &Rights, shard_id: usize| rights.accounts[&(flow, shard_id)].level();
-            wanted.sort_by_key(|&(shard_id, want)| want > level(&self.rights, shard_id));
+            let level = |entitlements: &Entitlements, shard_id: usize| {
+                entitlements.accounts[&(flow, shard_id)].level()
+            };
+            wanted.sort_by_key(|&(shard_id, want)| want > level(&self.entitlements, shard_id));
             for (shard_id, want) in wanted {
-                let of_flow = self.rights.accounts.range((flow, 0)..=(flow, usize::MAX));
+                let of_flow = self
+                    .entitlements
+                    .accounts
+                    .range((flow, 0)..=(flow, usize::MAX));
                 let more = left(amount(floor), of_flow.map(|a| a.1));
-                let Some(account) = self.rights.accounts.get_mut(&(flow, shard_id)) else {
+                let Some(account) = self.entitlements.accounts.get_mut(&(flow, shard_id)) else {
                     continue;
                 };
                 // Not for every core: each change has to be named before the next.
@@ -262,7 +277,7 @@
     /// Our own shards need no message.
     fn level_ours(&mut self, number: u64, now: Millis) {
         let ours: Vec<(Holding, Level<Millis>)> = self
-            .rights
+            .entitlements
             .accounts
             .iter()
             .filter(|((_, shard_id), _)| self.owned(*shard_id).is_some())
@@ -277,8 +292,8 @@
             })
             .collect();
         for (holding, level) in ours {
-            self.rights.levels.insert(holding, level);
-            if let Some(account) = self.rights.accounts.get_mut(&holding) {
+            self.entitlements.levels.insert(holding, level);
+            if let Some(account) = self.entitlements.accounts.get_mut(&holding) {
                 account.named(number);
             }
         }
@@ -292,7 +307,7 @@
         match i {
             Some(i) if i == self.config.me => false,
             Some(i) => {
-                let heard = self.rights.heard.get(&i);
+                let heard = self.entitlements.heard.get(&i);
                 heard.is_none_or(|&(_, at)| is_over(at, now))
             }
             None => true,
@@ -304,20 +319,23 @@
     pub(crate) fn made_at(&self, heartbeat: &Heartbeat) -> Millis {
         let me = self.config.me as u32;
         let named = heartbeat.heard.iter().find(|h| h.0 == me).map(|h| h.1);
-        let sent = self.rights.sent.iter().find(|s| Some(s.0) == named);
+        let sent = self.entitlements.sent.iter().find(|s| Some(s.0) == named);
         sent.map_or(f64::NEG_INFINITY, |s| s.1)
     }
 
     /// When the last of our messages went that another controller has named.
     pub(crate) fn named_at(&self, i: usize) -> Option<Millis> {
-        self.rights.named.get(&i).copied()
+        self.entitlements.named.get(&i).copied()
     }
 
     /// Whether a flow goes ahead, as far as is known here.
     pub(crate) fn is_ahead(&self, flow: Flow, now: Millis) -> bool {
         let window = self.config.tuning.admission.window_s * 1000.0;
-        let told = self.rights.told_at.is_some_and(|at| now - at <= window);
-        told && self.rights.standing(flow).ahead()
+        let told = self
+            .entitlements
+            .told_at
+            .is_some_and(|at| now - at <= window);
+        told && self.entitlements.status(flow).ahead()
     }
 
     /// What a part of ours may start ahead of rank, by flow, and what it may stop of
@@ -354,7 +372,7 @@
         }
         let shard = self.mirror.revision(Key::Shard(shard_id));
         for flow in ahead {
-            let level = self.rights.levels.get(&(flow, shard_id));
+            let level = self.entitlements.levels.get(&(flow, shard_id));
             let level = level.and_then(|level| level.now(shard, now));
             let level = level.map(|level| level as f64 / 1000.0);
             let runs = runs.get(&flow).copied().unwrap_or(0.0);
@@ -367,26 +385,29 @@
     }
 
     /// Puts into a heartbeat what this controller has to say of shares.
-    pub(crate) fn rights_out(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
-        self.rights.number += 1;
-        let number = self.rights.number;
-        self.rights.sent.push_back((number, now));
-        if self.rights.sent.len() > SENT {
-            self.rights.sent.pop_front();
+    pub(crate) fn entitlements_out(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
+        self.entitlements.number += 1;
+        let number = self.entitlements.number;
+        self.entitlements.sent.push_back((number, now));
+        if self.entitlements.sent.len() > SENT {
+            self.entitlements.sent.pop_front();
         }
         heartbeat.number = number;
-        let heard = self.rights.heard.iter();
+        let heard = self.entitlements.heard.iter();
         heartbeat.heard = heard.map(|(&i, &(n, _))| (i as u32, n)).collect();
         if !self.leader.leads(&self.mirror) {
             return;
         }
         let flows = &self.mirror.flows;
-        for (f, &standing) in self.rights.standings.iter().enumerate() {
-            if !standing.ahead() {
+        for (f, &status) in self.entitlements.statuses.iter().enumerate() {
+            if !status.ahead() {
                 continue;
             }
             let flow = f as Flow;
-            let accounts = self.rights.accounts.range((flow, 0)..=(flow, usize::MAX));
+            let accounts = self
+                .entitlements
+                .accounts
+                .range((flow, 0)..=(flow, usize::MAX));
             let levels = accounts.map(|(&(_, shard_id), account)| LevelTold {
                 shard: shard_id as u32,
                 under: (account.under.leader_token, account.under.shard),
@@ -395,22 +416,22 @@
             heartbeat.shares.push(FlowShare {
                 class: flows.class(flow).into(),
                 team: flows.team(flow),
-                floor: self.rights.floors[f] as f32,
+                floor: self.entitlements.floors[f] as f32,
                 levels: levels.collect(),
             });
         }
     }
 
     /// Takes what another controller says of shares.
-    pub(crate) fn rights_in(&mut self, i: usize, heartbeat: &Heartbeat, now: Millis) {
-        self.rights.heard.insert(i, (heartbeat.number, now));
+    pub(crate) fn entitlements_in(&mut self, i: usize, heartbeat: &Heartbeat, now: Millis) {
+        self.entitlements.heard.insert(i, (heartbeat.number, now));
         let me = self.config.me as u32;
         let named = heartbeat.heard.iter().find(|h| h.0 == me).map(|h| h.1);
         // When our message went that it had last heard of.
-        let sent = self.rights.sent.iter().find(|s| Some(s.0) == named);
+        let sent = self.entitlements.sent.iter().find(|s| Some(s.0) == named);
         let from = sent.map(|s| s.1);
         if let Some(from) = from {
-            let known = self.rights.named.entry(i).or_insert(from);
+            let known = self.entitlements.named.entry(i).or_insert(from);
             *known = known.max(from);
         }
         if self.leader.leads(&self.mirror) {
@@ -418,7 +439,7 @@
             let owns = |shard_id: usize| {
                 self.mirror.shards[shard_id].as_ref().map(|c| &c.label) == Some(label)
             };
-            for ((_, shard_id), account) in &mut self.rights.accounts {
+            for ((_, shard_id), account) in &mut self.entitlements.accounts {
                 if let Some(number) = named.filter(|_| owns(*shard_id)) {
                     account.named(number);
                 }
@@ -428,7 +449,7 @@
         if !self.leader.is_label(&self.mirror, &heartbeat.label) {
             return;
         }
-        self.rights.told_at = Some(now);
+        self.entitlements.told_at = Some(now);
         let mut ahead = Vec::new();
         for share in &heartbeat.shares {
             if share.team as usize >= self.config.teams.len() {
@@ -436,8 +457,8 @@
             }
             let flow = self.mirror.flows.intern(share.team, &share.class);
             ahead.push(flow);
-            self.rights
-                .set(flow, Standing::Ahead, f64::from(share.floor));
+            self.entitlements
+                .set(flow, FairShareStatus::Ahead, f64::from(share.floor));
             for told in &share.levels {
                 let shard_id = told.shard as usize;
                 let under = Under {
@@ -454,18 +475,18 @@
                         level: told.level,
                         from,
                     };
-                    let known = self.rights.levels.get(&(flow, shard_id)).copied();
+                    let known = self.entitlements.levels.get(&(flow, shard_id)).copied();
                     let level = Level::told(known, new);
-                    self.rights.levels.insert((flow, shard_id), level);
+                    self.entitlements.levels.insert((flow, shard_id), level);
                 }
             }
         }
-        for f in 0..self.rights.standings.len() {
+        for f in 0..self.entitlements.statuses.len() {
             if !ahead.contains(&(f as Flow)) {
-                self.rights.standings[f] = Standing::Served;
+                self.entitlements.statuses[f] = FairShareStatus::Served;
             }
         }
-        self.rights
+        self.entitlements
             .levels
             .retain(|(flow, _), _| ahead.contains(flow));
     }
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -6,7 +6,7 @@
 //! and not from the number of writes, one flow's flood lengthens its own queue only,
 //! and when it is calm nobody waits for company.
 
-use super::fair::Turns;
+use super::fair_queue::FairQueue;
 use super::flows::Flow;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::mirror::{MOST_ROWS, OpenJob};
@@ -111,7 +111,7 @@
     phase: Phase,
     queues: BTreeMap<Flow, VecDeque<Waiting>>,
     waiting: usize,
-    turns: Turns,
+    turns: FairQueue,
     /// Those of the transaction under way, and when it was sent.
     sent: Vec<Waiting>,
     sent_at: Millis,
@@ -131,7 +131,7 @@
             phase: Phase::Idle,
             queues: BTreeMap::new(),
             waiting: 0,
-            turns: Turns::default(),
+            turns: FairQueue::default(),
             sent: Vec::new(),
             sent_at: now,
             owed: BTreeMap::new(),
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -197,7 +197,7 @@
 
     /// Late jobs whose turn has come, given what each takes here: they are to be set
     /// anew.
-    pub fn turns_of_late(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
+    pub fn late_share_due(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
         let mut all = Vec::new();
         for late in &mut self.late {
             while let Some(&(at, job)) = late.jobs.first() {
@@ -223,7 +223,7 @@
 
     /// Gives each flow's turn to its oldest job, if it is old enough, that has not
     /// `begun`; says which jobs are to be set anew.
-    pub fn give_turns(
+    pub fn reserve_for_oldest(
         &mut self,
         old: impl Fn(u64) -> bool,
         begun: impl Fn(u64) -> bool,
@@ -435,7 +435,7 @@
         for cycle in 0..30 {
             let fresh = 100 + cycle;
             q.set(0, place(fresh, Rank::High, 5.0), f64::INFINITY, 0.0);
-            for job in q.turns_of_late(|_| 8.0) {
+            for job in q.late_share_due(|_| 8.0) {
                 turns.push((cycle, job));
                 let at = Place {
                     hope: 2,
@@ -468,19 +468,22 @@
         (1..6).for_each(|job| set(&mut q, job));
         assert_eq!(order(&mut q.line()), [3, 4, 5, 1, 2]);
         assert!(
-            q.give_turns(|at| at < 10, |_| false).is_empty(),
+            q.reserve_for_oldest(|at| at < 10, |_| false).is_empty(),
             "too young"
         );
-        assert_eq!(q.give_turns(|at| at <= 20, |_| false), [1]);
+        assert_eq!(q.reserve_for_oldest(|at| at <= 20, |_| false), [1]);
         set(&mut q, 1);
         assert_eq!(order(&mut q.line()), [1, 3, 4, 5, 2]);
-        let changed = q.give_turns(|at| at <= 20, |job| job == 1);
+        let changed = q.reserve_for_oldest(|at| at <= 20, |job| job == 1);
         assert_eq!(changed, [1, 2]);
         changed.into_iter().for_each(|job| set(&mut q, job));
         assert_eq!(order(&mut q.line()), [2, 3, 4, 5, 1]);
         q.remove(2);
         assert_eq!(q.turn(0), None);
-        assert!(q.give_turns(|at| at <= 20, |job| job == 1).is_empty());
+        assert!(
+            q.reserve_for_oldest(|at| at <= 20, |job| job == 1)
+                .is_empty()
+        );
     }
 
     /// Flows come as one line, by their jobs' places; one that is ahead comes first.
--- a/crates/cherryyard-core/src/admission/shares.rs
+++ b/crates/cherryyard-core/src/admission/shares.rs
@@ -9,7 +9,7 @@
 
 /// What one flow asks for, in cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Asks {
+pub struct FlowDemand {
     /// What runs and what waits.
     pub demand: f64,
     /// Its team, by index.
@@ -23,7 +23,7 @@
 }
 
 /// The flows' floors, given their teams' guarantees and all cores that there are.
-pub fn floors(asks: &[Asks], guarantees: &[f64], cores: f64) -> Vec<f64> {
+pub fn floors(asks: &[FlowDemand], guarantees: &[f64], cores: f64) -> Vec<f64> {
     let of_team = |team: u32| {
         let same = asks.iter().filter(move |a| a.team == team);
         same.map(|a| a.demand).sum::<f64>()
@@ -66,8 +66,8 @@
 mod tests {
     use super::*;
 
-    fn ask(team: u32, demand: f64) -> Asks {
-        Asks {
+    fn ask(team: u32, demand: f64) -> FlowDemand {
+        FlowDemand {
             demand,
             team,
             weight: 1.0,
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -117,7 +117,7 @@
         if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
             self.lower_grants(&heartbeat.short, now);
         }
-        self.rights_in(i, &heartbeat, now);
+        self.entitlements_in(i, &heartbeat, now);
         let covered = self.told_of_cancellations(i, &heartbeat, made_at, now);
         let before = self.peers[i].as_ref();
         self.peers[i] = Some(PeerState {
@@ -216,7 +216,7 @@
             intake_ms: self.intake.wait_ms(now) as u32,
             demand,
         };
-        self.rights_out(&mut heartbeat, now);
+        self.entitlements_out(&mut heartbeat, now);
         heartbeat
     }
 }
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation.rs
@@ -91,7 +91,7 @@
 
 /// The creator and its pace.
 #[derive(Debug)]
-pub(crate) struct Creating {
+pub(crate) struct BulkCreation {
     stage: Stage,
     work: Option<Work>,
     write_budget: TokenBucket,
@@ -99,7 +99,7 @@
     looked_at: Millis,
 }
 
-impl Creating {
+impl BulkCreation {
     pub(crate) fn new(config: &crate::Config, now: Millis) -> Self {
         Self {
             stage: Stage::Idle,
@@ -111,7 +111,7 @@
     }
 }
 
-impl Creating {
+impl BulkCreation {
     pub(crate) fn set_write_rate(&mut self, config: &crate::Config, now: Millis) {
         self.write_budget
             .set_rate(config.user_writes_per_s * SHARE, now);
@@ -126,21 +126,21 @@
         }
         if !self.leader.leads(&self.mirror) {
             // What is under way dies with the lead's revision, or was done by it.
-            self.leader.creating.work = None;
-            self.leader.creating.stage = Stage::Idle;
+            self.leader.bulk_creation.work = None;
+            self.leader.bulk_creation.stage = Stage::Idle;
             return;
         }
-        let creating = &mut self.leader.creating;
-        if creating.stage != Stage::Idle
-            || now < creating.retry_after
-            || now - creating.looked_at < LOOK_MS
+        let bulk_creation = &mut self.leader.bulk_creation;
+        if bulk_creation.stage != Stage::Idle
+            || now < bulk_creation.retry_after
+            || now - bulk_creation.looked_at < LOOK_MS
             || !self.state_fresh(now)
             || self.lag.now(now) > 300.0
         {
             return;
         }
         match self.next_need(now) {
-            None => self.leader.creating.looked_at = now,
+            None => self.leader.bulk_creation.looked_at = now,
             Some((Need::Cancel, n)) => self.cancel_some(n, now),
             Some((Need::Create, n)) => self.create_some(n, now),
             Some((Need::GiveUp, n)) => self.change_submission(n, PhaseEvent::GivenUp),
@@ -180,8 +180,8 @@
         self.mirror.require(&mut commit, Key::Leader);
         self.mirror.require(&mut commit, Key::Submission(number));
         let spent = commit.apply.len() as f64;
-        self.leader.creating.stage = Stage::Writing;
-        self.leader.creating.write_budget.spend(spent);
+        self.leader.bulk_creation.stage = Stage::Writing;
+        self.leader.bulk_creation.write_budget.spend(spent);
         self.user_write_budget.spend(spent);
         self.effects
             .push(Effect::Commit(Ticket::BulkCreation, commit));
@@ -201,7 +201,7 @@
     fn may_create(&mut self, now: Millis) -> bool {
         self.set_user_rate(now);
         let spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
-        spare || self.leader.creating.write_budget.left(now) >= 1.0
+        spare || self.leader.bulk_creation.write_budget.left(now) >= 1.0
     }
 
     /// Of some jobs in a row, how many a transaction may change by the records that
@@ -247,16 +247,16 @@
     fn create_some(&mut self, number: u64, now: Millis) {
         let record = self.mirror.submissions[&number].0.clone();
         let chunk = record.chunk.0;
-        let work = self.leader.creating.work.take();
+        let work = self.leader.bulk_creation.work.take();
         let Some(work) = work.filter(|w| w.submission == number && w.chunk == chunk) else {
-            self.leader.creating.stage = Stage::Reading;
+            self.leader.bulk_creation.stage = Stage::Reading;
             self.effects.push(Effect::ReadChunk(number, chunk));
             return;
         };
         if self.may_create(now) && self.mirror.open.len() < MOST_OPEN {
             self.create_from(&work, &record, now);
         }
-        self.leader.creating.work = Some(work);
+        self.leader.bulk_creation.work = Some(work);
     }
 
     fn create_from(&mut self, work: &Work, record: &SubmissionRecord, now: Millis) {
@@ -300,7 +300,7 @@
             None => {
                 // The buckets have not been read, or a record is too large for one;
                 // the latter was refused when it came.
-                self.leader.creating.retry_after = now + 1000.0;
+                self.leader.bulk_creation.retry_after = now + 1000.0;
             }
         }
     }
@@ -324,7 +324,7 @@
         let records: Vec<Option<(u64, JobRecord)>> = open[..n].iter().map(ended).collect();
         match self.fitting(number, &records, |_| record.clone()) {
             Some(commit) => self.send_step(number, commit),
-            None => self.leader.creating.retry_after = now + 1000.0,
+            None => self.leader.bulk_creation.retry_after = now + 1000.0,
         }
     }
 
@@ -363,26 +363,26 @@
         now: Millis,
     ) {
         self.notice(now);
-        if self.leader.creating.stage != Stage::Reading {
+        if self.leader.bulk_creation.stage != Stage::Reading {
             return;
         }
-        self.leader.creating.stage = Stage::Idle;
+        self.leader.bulk_creation.stage = Stage::Idle;
         match (answer, self.mirror.submissions.get(&number)) {
             (Ok(Some(read)), Some((record, _))) => {
                 let first = record.chunk.1;
-                self.leader.creating.work = Some(Work::new(number, chunk, first, read));
+                self.leader.bulk_creation.work = Some(Work::new(number, chunk, first, read));
             }
             (Ok(None), _) => {
                 tracing::error!(number, chunk, "a chunk of a submission is missing");
-                self.leader.creating.retry_after = now + 5000.0;
+                self.leader.bulk_creation.retry_after = now + 5000.0;
             }
-            _ => self.leader.creating.retry_after = now + 1000.0,
+            _ => self.leader.bulk_creation.retry_after = now + 1000.0,
         }
         self.create(now);
     }
 
-    pub(crate) fn creator_committed(&mut self, outcome: Outcome, now: Millis) {
-        self.leader.creating.stage = Stage::Idle;
+    pub(crate) fn bulk_creation_committed(&mut self, outcome: Outcome, now: Millis) {
+        self.leader.bulk_creation.stage = Stage::Idle;
         match outcome {
             Outcome::Applied(_) => {
                 self.leader.dirty = true;
@@ -390,7 +390,7 @@
                     shard.dirty = true;
                 }
             }
-            _ => self.leader.creating.retry_after = now + self.jitter(100.0, 400.0),
+            _ => self.leader.bulk_creation.retry_after = now + self.jitter(100.0, 400.0),
         }
     }
 
--- a/crates/cherryyard-core/src/leader/packing.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -33,7 +33,7 @@
 
 /// The leader's packer and its pace.
 #[derive(Debug)]
-pub(crate) struct Packing {
+pub(crate) struct HistoryCompaction {
     packer: Packer,
     write_budget: TokenBucket,
     /// Reads of leaves: a fold that is done again finds what it would write there
@@ -45,7 +45,7 @@
     looked_at: Millis,
 }
 
-impl Packing {
+impl HistoryCompaction {
     pub(crate) fn new(config: &crate::Config, now: Millis) -> Self {
         Self {
             packer: Packer::new(Limits {
@@ -86,23 +86,23 @@
             return;
         }
         if !self.leader.leads(&self.mirror) {
-            self.leader.packing.packer.stop();
+            self.leader.history_compaction.packer.stop();
             return;
         }
-        let packing = &mut self.leader.packing;
-        if packing.under != Under::Nothing
-            || !packing.may_step(now)
+        let history_compaction = &mut self.leader.history_compaction;
+        if history_compaction.under != Under::Nothing
+            || !history_compaction.may_step(now)
             || !self.state_fresh(now)
             || self.lag.now(now) > 300.0
         {
             return;
         }
-        let idle = self.leader.packing.packer.is_idle();
-        if idle && now - self.leader.packing.looked_at < LOOK_MS {
+        let idle = self.leader.history_compaction.packer.is_idle();
+        if idle && now - self.leader.history_compaction.looked_at < LOOK_MS {
             return;
         }
         if !self.calm() {
-            self.leader.packing.retry_after = now + BUSY_MS;
+            self.leader.history_compaction.retry_after = now + BUSY_MS;
             return;
         }
         if self.mirror.format < BUCKETS {
@@ -115,25 +115,27 @@
         }
         let record = self.mirror.packed;
         let (leaf_bytes, txn_ops) = (self.config.page_bytes, self.config.txn_ops);
-        let packer = &mut self.leader.packing.packer;
+        let packer = &mut self.leader.history_compaction.packer;
         packer.set_limits(leaf_bytes, txn_ops);
         packer.resume(record);
-        if self.leader.packing.packer.is_idle() {
-            self.leader.packing.looked_at = now;
+        if self.leader.history_compaction.packer.is_idle() {
+            self.leader.history_compaction.looked_at = now;
             self.next_batch(now);
         }
-        match self.leader.packing.packer.step() {
-            Step::Nothing if self.leader.packing.under == Under::Nothing => self.sweep(),
+        match self.leader.history_compaction.packer.step() {
+            Step::Nothing if self.leader.history_compaction.under == Under::Nothing => self.sweep(),
             Step::Nothing => {}
             Step::Read(level, job) => {
-                self.leader.packing.begin_read();
+                self.leader.history_compaction.begin_read();
                 self.effects.push(Effect::ReadLeaf(level, job));
             }
             Step::Write(write) => {
-                let commit = self.packer_commit(write);
-                self.leader.packing.under = Under::Packer;
-                let packing = &mut self.leader.packing;
-                packing.write_budget.spend(commit.apply.len() as f64);
+                let commit = self.compaction_commit(write);
+                self.leader.history_compaction.under = Under::Packer;
+                let history_compaction = &mut self.leader.history_compaction;
+                history_compaction
+                    .write_budget
+                    .spend(commit.apply.len() as f64);
                 self.effects
                     .push(Effect::Commit(Ticket::HistoryCompaction, commit));
             }
@@ -176,7 +178,10 @@
                     })
                     .collect();
                 tracing::info!(jobs = jobs.len(), done, "fold ends into the history");
-                self.leader.packing.packer.begin(done, own, jobs, day);
+                self.leader
+                    .history_compaction
+                    .packer
+                    .begin(done, own, jobs, day);
             }
             return;
         }
@@ -186,10 +191,10 @@
             fresh += usize::from(new_own || e.revision == 0 && e.generation > record.gen_done);
             own |= new_own;
         }
-        let packing = &mut self.leader.packing;
-        let small = own && now - packing.small_batch_at >= SMALL_BATCH_MS;
+        let history_compaction = &mut self.leader.history_compaction;
+        let small = own && now - history_compaction.small_batch_at >= SMALL_BATCH_MS;
         if fresh >= self.config.tuning.history_batch || small {
-            packing.small_batch_at = now;
+            history_compaction.small_batch_at = now;
             let mut closed = record;
             closed.gen_now = record.generation() + 1;
             let mut commit = Commit::default();
@@ -201,14 +206,16 @@
 
     fn commit_other(&mut self, mut commit: Commit) {
         self.mirror.require(&mut commit, Key::Leader);
-        let packing = &mut self.leader.packing;
-        packing.under = Under::Other;
-        packing.write_budget.spend(commit.apply.len() as f64);
+        let history_compaction = &mut self.leader.history_compaction;
+        history_compaction.under = Under::Other;
+        history_compaction
+            .write_budget
+            .spend(commit.apply.len() as f64);
         self.effects
             .push(Effect::Commit(Ticket::HistoryCompaction, commit));
     }
 
-    fn packer_commit(&self, write: Write) -> Commit {
+    fn compaction_commit(&self, write: Write) -> Commit {
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Leader);
         for (key, revision) in write.when {
@@ -246,7 +253,7 @@
             return;
         }
         // More may follow at once, as fast as the pace allows.
-        self.leader.packing.looked_at = f64::NEG_INFINITY;
+        self.leader.history_compaction.looked_at = f64::NEG_INFINITY;
         let mut commit = Commit::default();
         for (job, revision) in gone {
             commit.require(record::job_key(job), revision);
@@ -259,10 +266,10 @@
     /// none if there is no such leaf.
     pub fn leaf_read(&mut self, answer: Result<Option<(u64, u64, LeafRecord)>, ()>, now: Millis) {
         self.notice(now);
-        if self.leader.packing.under != Under::Packer {
+        if self.leader.history_compaction.under != Under::Packer {
             return;
         }
-        self.leader.packing.under = Under::Nothing;
+        self.leader.history_compaction.under = Under::Nothing;
         let leaf = match answer {
             Ok(Some((last, revision, record))) => {
                 match cherryyard_history::Leaf::of_record(&record) {
@@ -276,22 +283,22 @@
             Ok(None) => Ok(None),
             Err(()) => Err(()),
         };
-        let packing = &mut self.leader.packing;
+        let history_compaction = &mut self.leader.history_compaction;
         if leaf.is_err() {
-            packing.retry_after = now + 1000.0;
+            history_compaction.retry_after = now + 1000.0;
         }
-        packing.packer.read(leaf);
+        history_compaction.packer.read(leaf);
         self.pack(now);
     }
 
-    pub(crate) fn packer_committed(&mut self, outcome: Outcome, now: Millis) {
+    pub(crate) fn compaction_committed(&mut self, outcome: Outcome, now: Millis) {
         let applied = matches!(outcome, Outcome::Applied(_));
-        let packing = &mut self.leader.packing;
-        if std::mem::replace(&mut packing.under, Under::Nothing) == Under::Packer {
-            packing.packer.written(applied);
+        let history_compaction = &mut self.leader.history_compaction;
+        if std::mem::replace(&mut history_compaction.under, Under::Nothing) == Under::Packer {
+            history_compaction.packer.written(applied);
         }
         if !applied {
-            packing.retry_after = now + 300.0;
+            history_compaction.retry_after = now + 300.0;
         }
     }
 
@@ -352,11 +359,11 @@
         let text = include_bytes!("../../../../examples/controller.json");
         let settings = cherryyard_wire::settings::Settings::parse(text).unwrap();
         let config = crate::Config::new(&settings, crate::Tuning::default());
-        let mut packing = Packing::new(&config, 0.0);
+        let mut history_compaction = HistoryCompaction::new(&config, 0.0);
         let mut reads = 0;
         for now in 0..60_000 {
-            if packing.may_step(f64::from(now)) {
-                packing.begin_read();
+            if history_compaction.may_step(f64::from(now)) {
+                history_compaction.begin_read();
                 reads += 1;
             }
         }
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -3,17 +3,17 @@
 
 mod arrivals;
 mod assumed;
-pub(crate) mod boots;
-mod creating;
+mod bulk_creation;
 mod dependents;
 mod division;
+pub(crate) mod history_compaction;
 mod limits;
-mod overflow;
-pub(crate) mod packing;
-mod rent;
+pub(crate) mod provisioning_times;
+mod rebalancing;
+mod scale_out;
 pub(crate) mod state;
 
-pub use packing::HistoryCounts;
+pub use history_compaction::HistoryCounts;
 
 use crate::divide::divide;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -209,7 +209,7 @@
             self.effects
                 .push(Effect::Commit(Ticket::LeaderCycle, commit));
         }
-        self.rent(now);
+        self.scale_out(now);
     }
 
     pub(crate) fn store_machine_types(&mut self) -> Option<Commit> {
--- a/crates/cherryyard-core/src/leader/boots.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -25,7 +25,7 @@
 
 /// Where a provisioned machine stands, on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Boot {
+pub(crate) enum ProvisioningProgress {
     /// It should be up at any time.
     Expected,
     /// It should have been up.
@@ -43,11 +43,11 @@
 
 /// What machines take to be up, as learned from the lists.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Boots {
+pub(crate) struct ProvisioningTimes {
     learned: HashMap<(String, String), Learned>,
 }
 
-impl Boots {
+impl ProvisioningTimes {
     /// A machine of this type and zone was up after so many seconds, at the latest.
     pub(crate) fn up(&mut self, machine_type: &str, zone: &str, ready_s: f64, took_s: f64) {
         let key = (machine_type.to_string(), zone.to_string());
@@ -69,14 +69,20 @@
     }
 
     /// Where a machine stands that has been on its way for so long.
-    pub(crate) fn stands(&self, machine_type: &str, zone: &str, ready_s: f64, held_s: f64) -> Boot {
+    pub(crate) fn stands(
+        &self,
+        machine_type: &str,
+        zone: &str,
+        ready_s: f64,
+        held_s: f64,
+    ) -> ProvisioningProgress {
         let by = self.expected_s(machine_type, zone, ready_s);
         if held_s <= by {
-            Boot::Expected
+            ProvisioningProgress::Expected
         } else if held_s <= by * NEVER + NEVER_MORE_S {
-            Boot::Overdue
+            ProvisioningProgress::Overdue
         } else {
-            Boot::Never
+            ProvisioningProgress::Never
         }
     }
 }
@@ -97,24 +103,24 @@
 
     /// Learns from the next list which machines have come up. `held_s` is as of the list,
     /// so it is at most one list too much.
-    pub(crate) fn learn_boots(&mut self, hosts: &[Instance]) {
+    pub(crate) fn learn_provisioning_times(&mut self, hosts: &[Instance]) {
         for host in hosts.iter().filter(|h| h.status == InstanceStatus::Running) {
             let before = self.listed.get(&host.id);
             if before.is_some_and(|b| b.status == InstanceStatus::Starting) {
                 let ready_s = self.ready_s(&host.machine_type);
                 let (machine_type, zone) = (&host.machine_type, &host.zone);
                 self.leader
-                    .boots
+                    .provisioning_times
                     .up(machine_type, zone, ready_s, host.held_s);
             }
         }
     }
 
     /// Where a listed machine stands that is not up yet.
-    pub(crate) fn boot(&self, host: &Instance) -> Boot {
+    pub(crate) fn provisioning_progress(&self, host: &Instance) -> ProvisioningProgress {
         let ready_s = self.ready_s(&host.machine_type);
-        let boots = &self.leader.boots;
-        boots.stands(&host.machine_type, &host.zone, ready_s, host.held_s)
+        let provisioning_times = &self.leader.provisioning_times;
+        provisioning_times.stands(&host.machine_type, &host.zone, ready_s, host.held_s)
     }
 
     /// Cores of provisioned machines that should be up at any time and that a job may use.
@@ -129,7 +135,7 @@
         let starting = |h: &&Instance| {
             h.status == InstanceStatus::Starting
                 && open.allows(&h.machine_type, &h.zone, h.spot).is_some()
-                && self.boot(h) == Boot::Expected
+                && self.provisioning_progress(h) == ProvisioningProgress::Expected
         };
         let listed = self.listed.values().filter(starting);
         let listed: f64 = listed.map(|h| cores_of(&h.machine_type)).sum();
@@ -157,10 +163,10 @@
             if h.status == InstanceStatus::Starting {
                 let cores = cores_of(&h.machine_type);
                 largest = largest.max(cores);
-                match self.boot(h) {
-                    Boot::Expected => expected += cores,
-                    Boot::Overdue => overdue += cores,
-                    Boot::Never => {}
+                match self.provisioning_progress(h) {
+                    ProvisioningProgress::Expected => expected += cores,
+                    ProvisioningProgress::Overdue => overdue += cores,
+                    ProvisioningProgress::Never => {}
                 }
             }
         }
@@ -179,14 +185,17 @@
     /// What has come up sets when the next is expected, within bounds.
     #[test]
     fn expectations_are_learned() {
-        let mut b = Boots::default();
+        let mut b = ProvisioningTimes::default();
         assert_eq!(b.expected_s("m", "a", 25.0), 50.0);
         for _ in 0..50 {
             b.up("m", "a", 25.0, 22.0);
         }
         assert_eq!(b.expected_s("m", "a", 25.0), 40.0, "no less than the least");
-        assert_eq!(b.stands("m", "a", 25.0, 41.0), Boot::Overdue);
-        assert_eq!(b.stands("m", "a", 25.0, 151.0), Boot::Never);
+        assert_eq!(
+            b.stands("m", "a", 25.0, 41.0),
+            ProvisioningProgress::Overdue
+        );
+        assert_eq!(b.stands("m", "a", 25.0, 151.0), ProvisioningProgress::Never);
         for _ in 0..50 {
             b.up("m", "a", 25.0, 100.0);
         }
--- a/crates/cherryyard-core/src/leader/rent.rs
+++ b/crates/cherryyard-core/src/leader/scale_out.rs
@@ -11,7 +11,7 @@
 
 impl Node {
     /// Rents ahead of need.
-    pub(crate) fn rent(&mut self, now: Millis) {
+    pub(crate) fn scale_out(&mut self, now: Millis) {
         if self.leader.provisioning.is_some()
             || now < self.leader.provision_after
             || self.listed_at < 0.0
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -1,8 +1,8 @@
 //! What a leader remembers; every controller keeps it, so that taking over is quick.
 
-use super::boots::Boots;
-use super::creating::Creating;
-use super::packing::Packing;
+use super::bulk_creation::BulkCreation;
+use super::history_compaction::HistoryCompaction;
+use super::provisioning_times::ProvisioningTimes;
 use crate::needs::Needs;
 use crate::{Config, Millis, Mirror};
 use cherryyard_wire::cloud::ProvisionRequest;
@@ -105,7 +105,7 @@
     pub(crate) refused: HashMap<(String, String, bool), Millis>,
     pub(crate) provisioned: Vec<ProvisionedBatch>,
     /// What machines take to be up.
-    pub(crate) boots: Boots,
+    pub(crate) provisioning_times: ProvisioningTimes,
     pub(crate) ownerless: HashMap<usize, Millis>,
     /// Services lately handed over: not again at once, or one went round among
     /// shards whose reports are a moment old.
@@ -113,18 +113,18 @@
     /// Whether it has been said that attributes cannot be kept.
     pub(crate) warned: bool,
     /// The history's packer.
-    pub(crate) packing: Packing,
+    pub(crate) history_compaction: HistoryCompaction,
     /// Since when every controller has been able to work with dependencies.
     pub(crate) able_since: Option<Millis>,
     /// The creator of submissions' jobs.
-    pub(crate) creating: Creating,
+    pub(crate) bulk_creation: BulkCreation,
 }
 
 impl Leader {
     /// Takes over the shares of the write budget from a changed configuration.
     pub(crate) fn set_write_rates(&mut self, config: &Config, now: Millis) {
-        self.packing.set_write_rate(config, now);
-        self.creating.set_write_rate(config, now);
+        self.history_compaction.set_write_rate(config, now);
+        self.bulk_creation.set_write_rate(config, now);
     }
 
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
@@ -149,13 +149,13 @@
             provision_after: now + 8000.0,
             refused: HashMap::new(),
             provisioned: Vec::new(),
-            boots: Boots::default(),
+            provisioning_times: ProvisioningTimes::default(),
             ownerless: HashMap::new(),
             handed: HashMap::new(),
             warned: false,
-            packing: Packing::new(config, now),
+            history_compaction: HistoryCompaction::new(config, now),
             able_since: None,
-            creating: Creating::new(config, now),
+            bulk_creation: BulkCreation::new(config, now),
         }
     }
 
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -1,8 +1,8 @@
 //! One controller: leases, reports, heartbeats, and what ties the rest together.
 
 use crate::admission::demand::Demand;
+use crate::admission::entitlements::Entitlements;
 use crate::admission::intake::Intake;
-use crate::admission::rights::Rights;
 use crate::cancelled::Cancelled;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::event_loop_lag::EventLoopLag;
@@ -81,7 +81,7 @@
     /// Cancellations that are told and were told.
     pub(crate) cancelled: Cancelled,
     /// Floors, and rights by them.
-    pub(crate) rights: Rights,
+    pub(crate) entitlements: Entitlements,
     /// Submissions on their way into the state service.
     pub(crate) intake: Intake,
     /// What has become of submissions here.
@@ -135,7 +135,7 @@
             looked: 0,
             looked_jobs: 0,
             cancelled: Cancelled::new(now),
-            rights: Rights::new(number),
+            entitlements: Entitlements::new(number),
             process: number,
             intake: Intake::new(&config, now),
             demand: Demand::new(),
@@ -345,8 +345,8 @@
             }
             Ticket::AcquireLeadership => self.leadership_committed(outcome, now),
             Ticket::LeaderCycle => self.leader_committed(outcome, now),
-            Ticket::HistoryCompaction => self.packer_committed(outcome, now),
-            Ticket::BulkCreation => self.creator_committed(outcome, now),
+            Ticket::HistoryCompaction => self.compaction_committed(outcome, now),
+            Ticket::BulkCreation => self.bulk_creation_committed(outcome, now),
             Ticket::Admission => self.intake_committed(outcome, now),
         }
         if outcome == Outcome::NoLease {
@@ -413,7 +413,7 @@
     /// Takes a reading of the cloud's machine list.
     pub fn listed(&mut self, hosts: Vec<Instance>, now: Millis) {
         self.notice(now);
-        self.learn_boots(&hosts);
+        self.learn_provisioning_times(&hosts);
         self.listed = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
         self.listed_at = now;
         // Machines long gone are forgotten, unless something still names them:
@@ -425,7 +425,7 @@
                 || mirror.on_host(host).next().is_some()
                 || (m.state != MachineState::Gone && listed.contains_key(mirror.hosts.name(host)))
         });
-        self.return_listed(now);
+        self.scale_in_listed(now);
     }
 
     /// Takes the answer to a release.
--- a/crates/cherryyard-core/src/owner/turns.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -55,16 +55,16 @@
     }
 
     /// Gives each flow's turn to its oldest job that has not begun.
-    pub(crate) fn give_turns(&mut self, shard_id: usize, now: Millis) {
+    pub(crate) fn reserve_for_oldest(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
         let turn_ms = self.config.tuning.admission.turn_s * 1000.0;
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
         // Where a job that fails everywhere had the turn, none other ever would.
         let over = |job: u64| {
-            let trouble = self.shards[shard_id].trouble.get(&job);
-            self.begun(job) || trouble.is_some_and(|t| t.blamed())
+            let job_failures = self.shards[shard_id].job_failures.get(&job);
+            self.begun(job) || job_failures.is_some_and(|t| t.is_quarantined())
         };
-        let changed = queues.give_turns(|at| wall - at as f64 >= turn_ms, over);
+        let changed = queues.reserve_for_oldest(|at| wall - at as f64 >= turn_ms, over);
         self.shards[shard_id].queues = queues;
         for job in changed {
             self.requeue(shard_id, job, now);
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -4,19 +4,19 @@
 //! collects what reports prove, places waiting numbers, and writes both in one
 //! transaction; commands are then the difference between assignments and reports.
 
-mod blame;
+mod aging;
 mod capacity;
 mod cycle;
+mod failure_attribution;
 mod images;
 mod oversize;
 mod place;
 mod preempt;
-mod recall;
 mod reconciliation;
-mod returns;
+mod scale_in;
 mod search;
+mod spot_reclaim;
 pub(crate) mod state;
-mod turns;
 
 use crate::Millis;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -93,12 +93,12 @@
         }
         self.shards[shard_id].kept_at = now;
         self.expire(shard_id, now);
-        self.return_silent(shard_id, now);
-        self.return_taken(shard_id, now);
+        self.release_silent(shard_id, now);
+        self.release_reclaimed(shard_id, now);
         if now - self.shards[shard_id].unheard_at >= UNHEARD_MS {
             self.shards[shard_id].unheard_at = now;
-            self.return_unheard(shard_id, now);
-            self.return_cancelled(shard_id, now);
+            self.release_unreachable(shard_id, now);
+            self.release_with_cancelled_tasks(shard_id, now);
         }
         self.ask_machines(shard_id, now);
         self.push_due(shard_id, now);
@@ -231,7 +231,7 @@
                 for (job, host) in pending.failed {
                     self.note_failed(shard_id, job, host, now);
                 }
-                self.forget_troubles(shard_id, now);
+                self.forget_job_failures(shard_id, now);
                 for host in pending.hosts {
                     self.note_images(host);
                     self.push(host, now);
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -90,7 +90,7 @@
     /// As many pages with a part of this as one transaction may write.
     fn copies(&self, shard_id: usize, page: &Page) -> Vec<Page> {
         let most_pages = self.config.txn_ops.min(TXN_BYTES / self.config.page_bytes);
-        let mut packing = Packing {
+        let mut plan = HistoryCompaction {
             hosts: &self.mirror.hosts,
             format: self.mirror.page_format(),
             most_bytes: self.config.page_bytes,
@@ -100,22 +100,18 @@
         };
         for (&job, j) in &page.jobs {
             for range in j.done.ranges() {
-                if !packing.push_done(job, *range) {
-                    return packing.pages;
+                if !plan.push_done(job, *range) {
+                    return plan.pages;
                 }
             }
             for (&number, &assignment) in &j.assignments {
-                if !packing.push_assignment(job, number, assignment) {
-                    return packing.pages;
+                if !plan.push_assignment(job, number, assignment) {
+                    return plan.pages;
                 }
             }
         }
-        tracing::debug!(
-            shard = shard_id,
-            copies = packing.pages.len(),
-            "copy a page"
-        );
-        packing.pages
+        tracing::debug!(shard = shard_id, copies = plan.pages.len(), "copy a page");
+        plan.pages
     }
 }
 
@@ -130,7 +126,7 @@
 }
 
 /// Pages that are being filled one after the other.
-struct Packing<'a> {
+struct HistoryCompaction<'a> {
     hosts: &'a Names,
     format: PageFormat,
     most_bytes: usize,
@@ -140,7 +136,7 @@
     bytes: usize,
 }
 
-impl Packing<'_> {
+impl HistoryCompaction<'_> {
     /// Bytes of a page that holds nothing.
     const EMPTY_BYTES: usize = 20;
     /// Most bytes that a range of completed numbers adds: its job and both ends.
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -1,6 +1,6 @@
 //! Placement: which waiting number goes to which machine.
 
-use super::blame::Trouble;
+use super::failure_attribution::JobFailures;
 use super::preempt::Preemptible;
 use super::search::{Looks, Search};
 use super::*;
@@ -84,7 +84,7 @@
     since: Option<Millis>,
     waiting: RangeSet,
     /// Whether it fails everywhere, and where else it has failed.
-    blamed: bool,
+    is_quarantined: bool,
     failed_on: Option<BTreeSet<u32>>,
 }
 
@@ -192,14 +192,14 @@
         }
         shard.queues.mark_seen();
         let (mirror, queues) = (&self.mirror, &mut shard.queues);
-        let turns = queues.turns_of_late(|job| {
+        let turns = queues.late_share_due(|job| {
             let waiting = mirror.waiting(shard_id, job).map_or(0, |w| w.len());
             mirror.open.get(&job).map_or(0.0, |o| o.spec.cores) * f64::from(waiting)
         });
         for job in turns {
             self.requeue(shard_id, job, now);
         }
-        self.give_turns(shard_id, now);
+        self.reserve_for_oldest(shard_id, now);
         let shard = &mut self.shards[shard_id];
         // Back in its place at the end: nothing in between looks there.
         let mut queues = std::mem::take(&mut shard.queues);
@@ -309,17 +309,17 @@
         let shard_id = placement.shard_id;
         let open = self.mirror.open.get(&job)?;
         let mut waiting = self.mirror.waiting(shard_id, job)?.clone();
-        let trouble = self.shards[shard_id].trouble.get(&job);
-        if trouble.is_some_and(|t| t.held_off(placement.now)) {
+        let job_failures = self.shards[shard_id].job_failures.get(&job);
+        if job_failures.is_some_and(|t| t.held_off(placement.now)) {
             return None;
         }
         // Of a job that fails everywhere one task at a time is tried.
-        let blamed = trouble.is_some_and(Trouble::blamed);
+        let is_quarantined = job_failures.is_some_and(JobFailures::is_quarantined);
         let is_tried = || {
             let here = self.mirror.assignments.get(&(shard_id, job));
             here.is_some_and(|all| all.assignments.len() > cycle.gone_of(job))
         };
-        if blamed && is_tried() {
+        if is_quarantined && is_tried() {
             return None;
         }
         if let Some(&last) = placement.gone_to.get(&job) {
@@ -336,9 +336,11 @@
             service: open.spec.shape == Shape::Service,
             since: queues.since(job),
             waiting,
-            blamed,
+            is_quarantined,
             // Elsewhere than where it failed, while that may tell whose fault it is.
-            failed_on: trouble.filter(|t| !t.blamed()).map(|t| t.hosts.clone()),
+            failed_on: job_failures
+                .filter(|t| !t.is_quarantined())
+                .map(|t| t.hosts.clone()),
         })
     }
 
@@ -430,7 +432,7 @@
                 placement.gone_to.insert(job, number);
                 return Next::JobAgain;
             }
-            if candidate.blamed {
+            if candidate.is_quarantined {
                 return Next::Job;
             }
         }
--- a/crates/cherryyard-core/src/owner/returns.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -1,7 +1,7 @@
 //! Machines to return: dead, never up, silent, or of no use.
 
 use super::*;
-use crate::leader::boots::Boot;
+use crate::leader::provisioning_times::ProvisioningProgress;
 
 /// How much longer than its lease a machine may fail to hear us before it is returned.
 const UNREACHABLE_MS: f64 = 30_000.0;
@@ -13,7 +13,7 @@
 
 impl Node {
     /// Machines to return: dead, never up, silent, or of no use.
-    pub(crate) fn return_listed(&mut self, now: Millis) {
+    pub(crate) fn scale_in_listed(&mut self, now: Millis) {
         // What is owned may be an old belief.
         if !self.caught_up() {
             return;
@@ -60,7 +60,7 @@
                 {
                     Some("silent")
                 }
-                Some(m) if m.failures() >= blame::FAULTY => Some("failing"),
+                Some(m) if m.failures() >= failure_attribution::FAULTY => Some("failing"),
                 Some(m)
                     if self.long_unreachable(m, now)
                         && unreachable
@@ -83,7 +83,8 @@
                     }
                 }
                 None if entry.status == InstanceStatus::Starting => {
-                    (self.boot(entry) == Boot::Never).then_some("never up")
+                    (self.provisioning_progress(entry) == ProvisioningProgress::Never)
+                        .then_some("never up")
                 }
                 None => (owned_for > lease * 2.0 + 20_000.0
                     && entry.held_s * 1000.0 > ready_ms + lease * 2.0 + 20_000.0)
@@ -110,7 +111,7 @@
         if !release.is_empty() {
             self.effects.push(Effect::Release(release));
         }
-        self.return_unlisted(now);
+        self.release_unlisted(now);
     }
 
     /// Whether a machine has not heard us for so long that it is of no use.
@@ -123,7 +124,7 @@
     /// machine is dead. Arrays wait for the lease, as their machine may come
     /// back with its work. When many are silent, the fault is between us and
     /// them, and nothing is released.
-    pub(crate) fn return_silent(&mut self, shard_id: usize, now: Millis) {
+    pub(crate) fn release_silent(&mut self, shard_id: usize, now: Millis) {
         let limit = self.config.report_ms * 1.25 + 2000.0;
         // A machine that merely hangs loses what is left of its lease by this:
         // worth it only where the lease would be waited for much longer, or
@@ -224,7 +225,7 @@
     /// token of ours gets there. So a silent machine whose assignment of a cancelled job is not
     /// proven gone is returned before that job's time is over. (Where the owner stays the
     /// same the end of the lease proves it, but for such a start.)
-    pub(crate) fn return_cancelled(&mut self, shard_id: usize, now: Millis) {
+    pub(crate) fn release_with_cancelled_tasks(&mut self, shard_id: usize, now: Millis) {
         if !self.state_fresh(now) {
             return;
         }
@@ -264,7 +265,7 @@
     /// Once all others have found the new owner, the few that have not are
     /// released, as only that proves what was on them gone. While many have not
     /// come, they are with the old owner, or the network is at fault.
-    pub(crate) fn return_unheard(&mut self, shard_id: usize, now: Millis) {
+    pub(crate) fn release_unreachable(&mut self, shard_id: usize, now: Millis) {
         let limit = self.finding_ms();
         let owned_for = now - self.shards[shard_id].owned_since;
         if owned_for < limit
@@ -330,7 +331,7 @@
     /// Assignments may name machines that neither report nor are listed (they were
     /// taken, or died and were dropped from the list); only a release proves
     /// that nothing of them is left.
-    pub(crate) fn return_unlisted(&mut self, now: Millis) {
+    pub(crate) fn release_unlisted(&mut self, now: Millis) {
         let mut release: Vec<String> = Vec::new();
         for host in self.mirror.assigned_hosts().collect::<Vec<_>>() {
             if release.len() >= 90 {
--- a/crates/cherryyard-core/src/owner/recall.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -61,7 +61,7 @@
     /// Recalled machines that have fallen silent when they were to be taken are
     /// released: the answer proves gone what was on them, three quarters of a
     /// lease before it ends.
-    pub(crate) fn return_taken(&mut self, shard_id: usize, now: Millis) {
+    pub(crate) fn release_reclaimed(&mut self, shard_id: usize, now: Millis) {
         let silence = self.silence_ms();
         let taken: Vec<u32> = self
             .machines
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,7 +1,7 @@
 //! What an owner remembers of a shard.
 
-use super::blame::Trouble;
-use super::turns::KeptRests;
+use super::aging::KeptRests;
+use super::failure_attribution::JobFailures;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
@@ -58,7 +58,7 @@
     pub(crate) reserved: BTreeMap<u32, (Task, Millis)>,
     /// Machines kept for the oldest jobs that have not begun, by flow.
     pub(crate) kept: BTreeMap<Flow, (Task, u32)>,
-    pub(crate) trouble: HashMap<u64, Trouble>,
+    pub(crate) job_failures: HashMap<u64, JobFailures>,
     /// Services kept back for a moment, for the leader to move.
     pub(crate) handing: BTreeSet<u64>,
     /// What waits, in the order of service.
@@ -105,7 +105,7 @@
             preempted: HashMap::new(),
             reserved: BTreeMap::new(),
             kept: BTreeMap::new(),
-            trouble: HashMap::new(),
+            job_failures: HashMap::new(),
             handing: BTreeSet::new(),
             queues: Queues::default(),
             stuck_grants: HashMap::new(),
@@ -129,7 +129,7 @@
         self.queues.clear();
         self.handing.clear();
         self.kept.clear();
-        self.trouble.clear();
+        self.job_failures.clear();
         self.stuck_grants.clear();
         self.kept_rests = KeptRests::default();
         self.bump = false;
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-rehearsal/src/trouble.rs
@@ -166,7 +166,7 @@
             Self::CopiesForNext => w.copies_for_next = true,
             Self::LostAnswers => w.lost_answers = 10 + draw(40),
             Self::FastBoots => {
-                w.boot_ms = Some(draw(2000) as f64);
+                w.provisioning_ms = Some(draw(2000) as f64);
                 w.provisions_unanswered = draw(2) == 0;
             }
             Self::CancelNow => {
@@ -235,7 +235,7 @@
             Self::CopiesForNext => w.copies_for_next = false,
             Self::LostAnswers => w.lost_answers = 0,
             Self::FastBoots => {
-                w.boot_ms = Some(5000.0);
+                w.provisioning_ms = Some(5000.0);
                 w.provisions_unanswered = false;
             }
             Self::CancelNow => {
--- a/crates/cherryyard-rehearsal/src/worker.rs
+++ b/crates/cherryyard-rehearsal/src/worker.rs
@@ -26,7 +26,7 @@
     /// Its tasks: attempt, since when, and why it ended.
     pub tasks: BTreeMap<String, (u64, f64, Option<ExitCause>)>,
     /// When its machine was provisioned, about.
-    pub rented_at: f64,
+    pub provisioned_at: f64,
     /// When the last answered report was sent, or the incarnation began.
     renewed_at: f64,
     /// The controller it reports to.
@@ -57,7 +57,7 @@
             sequence: 0,
             fencing_token: 0,
             tasks: BTreeMap::new(),
-            rented_at: now - 10_000.0,
+            provisioned_at: now - 10_000.0,
             renewed_at: now,
             node,
             report_at: now,
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -228,9 +228,9 @@
     provisions_lost: Vec<(f64, usize, u64, ProvisionRequest)>,
     /// What a provisioned machine takes to be up, in milliseconds; none: there are none to
     /// rent.
-    pub boot_ms: Option<f64>,
+    pub provisioning_ms: Option<f64>,
     /// How long tasks run on provisioned machines.
-    pub rented_run_ms: f64,
+    pub provisioned_run_ms: f64,
     /// Machines on their way: when up, when provisioned.
     pub booting: BTreeMap<String, (f64, f64, String)>,
     /// The time.
@@ -313,8 +313,8 @@
             provision_requests: Vec::new(),
             provisioned: BTreeMap::new(),
             provisions_lost: Vec::new(),
-            boot_ms: None,
-            rented_run_ms: f64::INFINITY,
+            provisioning_ms: None,
+            provisioned_run_ms: f64::INFINITY,
             booting: BTreeMap::new(),
             now: 0.0,
             trace: Vec::new(),
--- a/crates/cherryyard-rehearsal/src/world/cloud.rs
+++ b/crates/cherryyard-rehearsal/src/world/cloud.rs
@@ -21,12 +21,12 @@
             return Some(names.clone());
         }
         self.provision_requests.push(request.clone());
-        let boot_ms = self.boot_ms?;
+        let provisioning_ms = self.provisioning_ms?;
         let first =
             100_000 + self.booting.len() + self.workers.len() + self.provision_requests.len() * 100;
         let names = (0..request.number as usize).map(|k| format!("host-{:06}", first + k));
         let names: Vec<String> = names.collect();
-        let on_the_way = (self.now + boot_ms, self.now, request.zone.clone());
+        let on_the_way = (self.now + provisioning_ms, self.now, request.zone.clone());
         for name in &names {
             self.booting.insert(name.clone(), on_the_way.clone());
         }
@@ -42,7 +42,7 @@
         let up = self.booting.extract_if(.., |_, b| b.0 <= now);
         for (name, (_, _, zone)) in up.collect::<Vec<_>>() {
             let mut worker = WorkerStandIn::new(&name, &zone, 0, 10_000.0, now);
-            worker.run_ms = self.rented_run_ms;
+            worker.run_ms = self.provisioned_run_ms;
             self.workers.insert(name, worker);
         }
     }
@@ -70,7 +70,7 @@
                 zone: w.zone.clone(),
                 spot: false,
                 status: InstanceStatus::Running,
-                held_s: (now - w.rented_at) / 1000.0,
+                held_s: (now - w.provisioned_at) / 1000.0,
             })
             .chain(starting)
             .collect();
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/both_ways.rs
@@ -2,7 +2,7 @@
 //! same tasks, under the same limit, and the same account comes out.
 
 use cherryyard_condor::{Options, Source, read};
-use cherryyard_core::account::Went;
+use cherryyard_core::account::CoreUse;
 use cherryyard_rehearsal::{Setup, World};
 use cherryyard_wire::condor::Phase;
 use cherryyard_wire::job::{JobSpec, Rank, job_id};
@@ -175,7 +175,7 @@
         assert!(w.most_cores <= 400.0, "{}", w.most_cores);
         let done = w.trace.iter().filter(|l| l.contains(" ends j-")).count();
         let account = w.account();
-        ends.push((done, w.most_cores, account.get(Went::Arrays)));
+        ends.push((done, w.most_cores, account.get(CoreUse::Arrays)));
     }
     // All tasks, and some that were done again; the account within the samples' step.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-rehearsal/tests/end_of_day.rs
@@ -198,7 +198,7 @@
 fn day(seed: u64) {
     let mut draw = draws(seed);
     let mut w = cluster(|_| {});
-    (w.boot_ms, w.rented_run_ms) = (Some(5000.0), 4000.0);
+    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut job = 100;
     for _ in 0..25 {
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/meetings.rs
@@ -17,7 +17,7 @@
     for worker in w.workers.values_mut() {
         worker.run_ms = run_s * 1000.0;
     }
-    w.rented_run_ms = run_s * 1000.0;
+    w.provisioned_run_ms = run_s * 1000.0;
     w.lists_ms = Some(5000.0);
     w.run(6.0);
     w
@@ -317,10 +317,13 @@
 /// ends at each step of it.
 #[test]
 fn machines_up_within_two_seconds() {
-    for (boot_ms, unanswered) in [(0.0, false), (400.0, true), (1900.0, false), (1900.0, true)] {
+    for (provisioning_ms, unanswered) in
+        [(0.0, false), (400.0, true), (1900.0, false), (1900.0, true)]
+    {
         for (late, lost, slow_ms) in [(0, 0, 1500.0), (40, 0, 0.0), (0, 40, 300.0)] {
             for step in (0..60).step_by(10) {
-                let state = format!("{boot_ms} ms, {unanswered}, {late} {lost} {slow_ms}, {step}");
+                let state =
+                    format!("{provisioning_ms} ms, {unanswered}, {late} {lost} {slow_ms}, {step}");
                 let mut w = World::new(Setup {
                     machines: vec![("a", 1), ("b", 1), ("c", 1)],
                     write_rps: 60.0,
@@ -329,7 +332,7 @@
                 w.lists_ms = Some(3000.0);
                 w.run(10.0);
                 let mut users = Users::default();
-                (w.boot_ms, w.provisions_unanswered) = (Some(boot_ms), unanswered);
+                (w.provisioning_ms, w.provisions_unanswered) = (Some(provisioning_ms), unanswered);
                 w.seed_late(step);
                 (w.late_writes, w.lost_answers, w.slow_ms) = (late, lost, slow_ms);
                 for n in 1..=3 {
@@ -649,7 +652,7 @@
         for (late, lost) in [(0, 0), (25, 0), (0, 25)] {
             let state = format!("outage {outage}, {late}% late, {lost}% lost");
             let mut w = cluster(32.0, 6.0);
-            w.boot_ms = Some(3000.0);
+            w.provisioning_ms = Some(3000.0);
             let mut users = Users::default();
             Trouble::LeadersEnd.begin(&mut w, &mut |_| 0);
             (w.late_writes, w.lost_answers) = (late, lost);
@@ -717,7 +720,7 @@
             w.workers.remove(host);
         }
         if rents {
-            w.boot_ms = Some(4000.0);
+            w.provisioning_ms = Some(4000.0);
         }
         if ends {
             let i = leader(&w);
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-rehearsal/tests/pipelines.rs
@@ -466,7 +466,7 @@
     w.requests.seed(seed);
     w.seed_late(seed);
     w.lists_ms = Some(5000.0);
-    (w.boot_ms, w.rented_run_ms) = (Some(5000.0), 4000.0);
+    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut pipelines = Pipelines::default();
     let mut job = 100;
--- a/crates/cherryyard-rehearsal/tests/renting.rs
+++ b/crates/cherryyard-rehearsal/tests/renting.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeSet;
 
 /// Two machines, and work for twelve.
-fn short(boot_ms: f64) -> World {
+fn short(provisioning_ms: f64) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 1), ("b", 1)],
         ..Setup::default()
     });
-    w.boot_ms = Some(boot_ms);
+    w.provisioning_ms = Some(provisioning_ms);
     w.run(10.0);
     w.submit(&World::spec("j-000001", "service", 24));
     w
@@ -60,7 +60,7 @@
 fn some_never_come() {
     let mut w = short(1e12);
     listing(&mut w, 20);
-    w.boot_ms = Some(20_000.0);
+    w.provisioning_ms = Some(20_000.0);
     let lost: Vec<String> = w.booting.keys().cloned().collect();
     assert!(lost.len() >= 8);
     listing(&mut w, 100);
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-rehearsal/tests/two_troubles.rs
@@ -374,7 +374,7 @@
     w.requests.seed(seed);
     w.lists_ms = newer.then_some(5000.0);
     w.seed_late(seed);
-    (w.boot_ms, w.rented_run_ms) = (Some(5000.0), 8000.0);
+    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 8000.0);
     let mut users = Users::default();
     let mut job = 100;
     let mut open: Vec<String> = Vec::new();
