--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -2,7 +2,7 @@
 
 use super::flows::Flow;
 use crate::node::Node;
-use cherryyard_wire::peer::DemandTold;
+use cherryyard_wire::peer::DemandReport;
 use lru::LruCache;
 use std::collections::{BTreeMap, HashMap};
 use std::num::NonZeroUsize;
@@ -83,10 +83,10 @@
     }
 
     /// What has become of submissions here.
-    pub(crate) fn demand_out(&self) -> Vec<DemandTold> {
+    pub(crate) fn demand_out(&self) -> Vec<DemandReport> {
         let flows = &self.mirror.flows;
         let all = self.demand.counts.iter();
-        all.map(|(&flow, &[offered, taken, refused])| DemandTold {
+        all.map(|(&flow, &[offered, taken, refused])| DemandReport {
             class: flows.class(flow).into(),
             team: flows.team(flow),
             offered,
--- a/crates/cherryyard-core/src/admission/entitlements.rs
+++ b/crates/cherryyard-core/src/admission/entitlements.rs
@@ -12,13 +12,13 @@
 use crate::Millis;
 use crate::machine::Task;
 use crate::node::Node;
-use cherryyard_wire::peer::{FlowShare, Heartbeat, LevelTold};
+use cherryyard_wire::peer::{FlowShare, Heartbeat, LevelGrant};
 use cherryyard_wire::record::Key;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// Time between two looks of the leader's, and while a flow is ahead.
-const LOOK_MS: f64 = 1000.0;
-const CLOSE_LOOK_MS: f64 = 500.0;
+const INSPECT_MS: f64 = 1000.0;
+const INSPECT_AHEAD_MS: f64 = 500.0;
 /// Own messages of which it is remembered when they were sent.
 const SENT: usize = 64;
 
@@ -37,8 +37,8 @@
     statuses: Vec<FairShareStatus>,
     floors: Vec<f64>,
     /// When they were last found or told.
-    told_at: Option<Millis>,
-    looked_at: Option<Millis>,
+    updated_at: Option<Millis>,
+    inspected_at: Option<Millis>,
     accounts: BTreeMap<Holding, Account>,
     levels: BTreeMap<Holding, Level<Millis>>,
     /// Own messages: the last one's number, and when the last few were sent.
@@ -135,7 +135,7 @@
     }
 
     /// What each flow asks for: of what waits no more than its team's limit allows.
-    fn asks(&self, uses: &[FlowUse]) -> Vec<FlowDemand> {
+    fn queries(&self, uses: &[FlowUse]) -> Vec<FlowDemand> {
         let admission = &self.config.tuning.admission;
         let sum = |x: &[f64]| x.iter().sum::<f64>();
         let teams = self.config.teams.len();
@@ -145,7 +145,7 @@
             runs[team(f)] += sum(&used.running);
             waits[team(f)] += sum(&used.waiting);
         }
-        let asks = uses.iter().enumerate().map(|(f, used)| {
+        let queries = uses.iter().enumerate().map(|(f, used)| {
             let t = team(f);
             let may = (self.config.teams[t].cores_max - runs[t]).max(0.0);
             let shard = if waits[t] > may { may / waits[t] } else { 1.0 };
@@ -158,25 +158,25 @@
                 share: own.share,
             }
         });
-        asks.collect()
+        queries.collect()
     }
 
     /// The leader's look at what everyone has.
     pub(crate) fn review(&mut self, now: Millis) {
         let ahead = self.entitlements.statuses.iter().any(|s| s.ahead());
-        let every = if ahead { CLOSE_LOOK_MS } else { LOOK_MS };
+        let every = if ahead { INSPECT_AHEAD_MS } else { INSPECT_MS };
         let due = self
             .entitlements
-            .looked_at
+            .inspected_at
             .is_none_or(|at| now - at >= every);
         if !due || !self.leader.leads(&self.mirror) || !self.state_fresh(now) {
             return;
         }
-        self.entitlements.looked_at = Some(now);
+        self.entitlements.inspected_at = Some(now);
         let uses = self.flow_use();
-        let asks = self.asks(&uses);
+        let queries = self.queries(&uses);
         let guarantees: Vec<f64> = self.config.teams.iter().map(|t| t.cores).collect();
-        let floors = floors(&asks, &guarantees, self.all_cores());
+        let floors = floors(&queries, &guarantees, self.all_cores());
         let window = self.config.tuning.admission.window_s * 1000.0;
         for (f, (used, &floor)) in uses.iter().zip(&floors).enumerate() {
             let flow = f as Flow;
@@ -198,7 +198,7 @@
             }
             self.entitlements.set(flow, after, floor);
         }
-        self.entitlements.told_at = Some(now);
+        self.entitlements.updated_at = Some(now);
         self.divide_floors(&uses, now);
     }
 
@@ -333,7 +333,7 @@
         let window = self.config.tuning.admission.window_s * 1000.0;
         let told = self
             .entitlements
-            .told_at
+            .updated_at
             .is_some_and(|at| now - at <= window);
         told && self.entitlements.status(flow).ahead()
     }
@@ -408,7 +408,7 @@
                 .entitlements
                 .accounts
                 .range((flow, 0)..=(flow, usize::MAX));
-            let levels = accounts.map(|(&(_, shard_id), account)| LevelTold {
+            let levels = accounts.map(|(&(_, shard_id), account)| LevelGrant {
                 shard: shard_id as u32,
                 under: (account.under.leader_token, account.under.shard),
                 level: account.level(),
@@ -449,7 +449,7 @@
         if !self.leader.is_label(&self.mirror, &heartbeat.label) {
             return;
         }
-        self.entitlements.told_at = Some(now);
+        self.entitlements.updated_at = Some(now);
         let mut ahead = Vec::new();
         for share in &heartbeat.shares {
             if share.team as usize >= self.config.teams.len() {
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -36,7 +36,7 @@
     /// The job is known already: what it has come to tells more.
     Known,
     /// The history has moved since it was looked for there.
-    LookAgain,
+    Retry,
     /// Refused: come back after so many seconds.
     Busy(u32),
     /// The state service did not take it, or nobody knows.
@@ -352,7 +352,7 @@
             if self.mirror.view(job).is_some() {
                 self.answer(ticket, Verdict::Known);
             } else if self.mirror.packed_revision != moved && self.mirror.packed.any() {
-                self.answer(ticket, Verdict::LookAgain);
+                self.answer(ticket, Verdict::Retry);
             } else if jobs.insert(job) {
                 next.push(waiting);
             } else {
--- a/crates/cherryyard-core/src/admission/ledger.rs
+++ b/crates/cherryyard-core/src/admission/ledger.rs
@@ -27,11 +27,11 @@
 /// Thousandths of a core.
 pub type Amount = u64;
 
-/// For how long an owner may go by what it was told, in milliseconds.
+/// For how long an owner may go by what it was granted, in milliseconds.
 pub const LIFE: u32 = 3000;
 /// For how long a leader may go by what it has seen of its own lease.
 pub const SEEN: u32 = 3000;
-/// Levels that an owner may be told before it has named any message.
+/// Levels that an owner may be granted before it has named any message.
 const MOST_UNNAMED: usize = 6;
 
 /// A time, by whatever clock: only differences and order count.
@@ -55,14 +55,14 @@
     pub shard: u64,
 }
 
-/// What a leader has told the owner of a shard.
+/// What a leader has granted the owner of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Account {
     /// Under which leases.
     pub under: Under,
     /// Levels since the one that the owner is known to have, each with the number of
-    /// the first message that told it.
-    told: VecDeque<(u64, Amount)>,
+    /// the first message that granted it.
+    granted: VecDeque<(u64, Amount)>,
 }
 
 impl Account {
@@ -71,43 +71,43 @@
         if self.under != under {
             *self = Self {
                 under,
-                told: VecDeque::new(),
+                granted: VecDeque::new(),
             };
         }
     }
 
     /// The level now.
     pub fn level(&self) -> Amount {
-        self.told.back().map_or(0, |t| t.1)
+        self.granted.back().map_or(0, |t| t.1)
     }
 
     /// The highest level that the owner may act on.
     pub fn high(&self) -> Amount {
-        self.told.iter().map(|t| t.1).max().unwrap_or(0)
+        self.granted.iter().map(|t| t.1).max().unwrap_or(0)
     }
 
     /// Tells a level from message `number` on; not if too many wait to be named.
     pub fn set(&mut self, number: u64, level: Amount) {
-        if self.level() == level || self.told.len() >= MOST_UNNAMED {
+        if self.level() == level || self.granted.len() >= MOST_UNNAMED {
             return;
         }
-        match self.told.back_mut() {
+        match self.granted.back_mut() {
             // The message has not gone yet.
             Some(last) if last.0 == number => last.1 = level,
-            _ => self.told.push_back((number, level)),
+            _ => self.granted.push_back((number, level)),
         }
     }
 
     /// The owner has named message `number`.
     pub fn named(&mut self, number: u64) {
-        while self.told.get(1).is_some_and(|next| next.0 <= number) {
-            self.told.pop_front();
+        while self.granted.get(1).is_some_and(|next| next.0 <= number) {
+            self.granted.pop_front();
         }
     }
 
     /// The owner's time is over: it has not been heard of for too long.
     pub fn lapse(&mut self) {
-        self.told.clear();
+        self.granted.clear();
     }
 }
 
@@ -143,7 +143,7 @@
 }
 
 impl<T: Time> Level<T> {
-    /// The leader has told a level, when it had heard what we sent at `from`. What is
+    /// The leader has granted a level, when it had heard what we sent at `from`. What is
     /// older than what is known changes nothing.
     pub fn told(known: Option<Self>, new: Self) -> Self {
         match known {
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -301,7 +301,7 @@
 
     /// Notes how many of a flow's others have been looked at, and the last of them;
     /// after the end of the queue it begins anew.
-    pub fn looked_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
+    pub fn inspected_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
         if let Some(cursor) = self.cursors.get_mut(flow as usize) {
             *cursor = last.filter(|_| others >= OTHERS);
         }
@@ -517,18 +517,18 @@
         let mut seen = BTreeSet::new();
         for _ in 0..70 {
             let mut line = q.line();
-            let (mut looked, mut others, mut last) = (0, 0, None);
+            let (mut inspected_machines, mut others, mut last) = (0, 0, None);
             while let Some((flow, at)) = line.step() {
                 seen.insert(at.job);
-                looked += 1;
-                if looked > WINDOW {
+                inspected_machines += 1;
+                if inspected_machines > WINDOW {
                     (others, last) = (others + 1, Some(at));
-                } else if looked == WINDOW {
+                } else if inspected_machines == WINDOW {
                     line.close(flow);
                 }
             }
-            assert!(looked <= WINDOW + OTHERS as u32);
-            q.looked_at(0, others, last);
+            assert!(inspected_machines <= WINDOW + OTHERS as u32);
+            q.inspected_at(0, others, last);
         }
         assert_eq!(seen.len(), 1000);
     }
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -74,7 +74,7 @@
         request: CommandBatch,
     },
     /// Ask a machine directly for its report.
-    Ask {
+    QueryStatus {
         /// The machine.
         host: u32,
         /// Its address.
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -118,7 +118,7 @@
             self.lower_grants(&heartbeat.short, now);
         }
         self.entitlements_in(i, &heartbeat, now);
-        let covered = self.told_of_cancellations(i, &heartbeat, made_at, now);
+        let covered = self.learn_cancellations(i, &heartbeat, made_at, now);
         let before = self.peers[i].as_ref();
         self.peers[i] = Some(PeerState {
             made_at: before.map_or(made_at, |peer| peer.made_at.max(made_at)),
@@ -136,13 +136,13 @@
             .retain(|_, worker| now - worker.at < MISDIRECTED_MS);
         let mut counts: BTreeMap<usize, (u32, u32, u32)> = BTreeMap::new();
         for (&(shard_id, _), worker) in &self.misdirected {
-            let (all, asked, hear) = counts.entry(shard_id).or_default();
+            let (all, queried, hear) = counts.entry(shard_id).or_default();
             *all += 1;
-            *asked += u32::from(worker.asked_at.is_finite() && !worker.asking);
+            *queried += u32::from(worker.asked_at.is_finite() && !worker.query_pending);
             *hear += u32::from(worker.is_reachable);
         }
         let told = counts.into_iter().filter(|c| c.1.1 > 0);
-        told.map(|(shard_id, (all, asked, hear))| (shard_id as u32, all * hear / asked))
+        told.map(|(shard_id, (all, queried, hear))| (shard_id as u32, all * hear / queried))
             .collect()
     }
 
@@ -178,7 +178,7 @@
         // What it took last may have been carried out until it answered.
         let silent = now - self.state_answered_at;
         if cut_off {
-            self.cancelled.said_cut_off(now);
+            self.cancelled.announced_cut_off(now);
         }
         let mut heartbeat = Heartbeat {
             silent_ms: if silent.is_finite() {
--- a/crates/cherryyard-core/src/leader/arrivals.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -1,7 +1,7 @@
 //! Pages of new jobs: the leader begins them, divides what came undivided, tidies.
 
 use super::*;
-use cherryyard_wire::record::{ARRIVALS, FORMAT, FormatRecord};
+use cherryyard_wire::record::{ADMISSION_LOG, FORMAT, FormatRecord};
 use std::collections::BTreeMap;
 
 /// Least time between two looks for pages to compact.
@@ -32,7 +32,7 @@
 
     /// New jobs come by pages from now on, once every controller can read them.
     pub(crate) fn begin_pages(&mut self) -> Option<Commit> {
-        if self.mirror.by_pages || !self.all_able(ARRIVALS) {
+        if self.mirror.by_pages || !self.all_able(ADMISSION_LOG) {
             return None;
         }
         tracing::info!("new jobs come by pages");
@@ -51,7 +51,7 @@
     /// depends on them.
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        let last = self.mirror.arrivals.last_key_value().map(|l| *l.0);
+        let last = self.mirror.admission_log.last_key_value().map(|l| *l.0);
         for &job in &self.mirror.undivided {
             if self.mirror.in_page(job)
                 && let Some(page) = self.mirror.page_of(job)
@@ -87,7 +87,7 @@
                     if self.mirror.write_jobs(&mut commit, some, &self.config) {
                         // On the page too: carried out late, after they have been divided
                         // there, it would find no records of them and divide them again.
-                        self.mirror.require(&mut commit, Key::Arrivals(page));
+                        self.mirror.require(&mut commit, Key::AdmissionPage(page));
                         break;
                     }
                 }
@@ -99,7 +99,9 @@
     /// Tidies pages now and then, where users leave room for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
         let idle = self.intake.waiting() == 0 && self.user_write_budget.left(now) >= 2.0;
-        if self.mirror.arrivals.len() <= FEW || !idle || now - self.leader.compacted_at < COMPACT_MS
+        if self.mirror.admission_log.len() <= FEW
+            || !idle
+            || now - self.leader.compacted_at < COMPACT_MS
         {
             return None;
         }
--- a/crates/cherryyard-core/src/leader/bulk_creation.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation.rs
@@ -22,9 +22,9 @@
 /// little room, open jobs are not.
 const MOST_OPEN: usize = 20_000;
 /// Open jobs of a removed submission that are looked at for one step.
-const CANCEL_LOOK: usize = 5000;
+const CANCEL_BATCH: usize = 5000;
 /// Least time between two looks for something to do.
-const LOOK_MS: f64 = 100.0;
+const INSPECT_MS: f64 = 100.0;
 /// Time after which a submission whose chunks have stopped coming is given up.
 const RECEIVE_MS: f64 = 600_000.0;
 /// Time for which the names of submissions are kept once all their jobs are over.
@@ -96,7 +96,7 @@
     work: Option<Work>,
     write_budget: TokenBucket,
     retry_after: Millis,
-    looked_at: Millis,
+    inspected_at: Millis,
 }
 
 impl BulkCreation {
@@ -106,7 +106,7 @@
             work: None,
             write_budget: TokenBucket::new(config.user_writes_per_s * SHARE, now),
             retry_after: now,
-            looked_at: f64::NEG_INFINITY,
+            inspected_at: f64::NEG_INFINITY,
         }
     }
 }
@@ -133,14 +133,14 @@
         let bulk_creation = &mut self.leader.bulk_creation;
         if bulk_creation.stage != Stage::Idle
             || now < bulk_creation.retry_after
-            || now - bulk_creation.looked_at < LOOK_MS
+            || now - bulk_creation.inspected_at < INSPECT_MS
             || !self.state_fresh(now)
             || self.lag.now(now) > 300.0
         {
             return;
         }
         match self.next_need(now) {
-            None => self.leader.bulk_creation.looked_at = now,
+            None => self.leader.bulk_creation.inspected_at = now,
             Some((Need::Cancel, n)) => self.cancel_some(n, now),
             Some((Need::Create, n)) => self.create_some(n, now),
             Some((Need::GiveUp, n)) => self.change_submission(n, PhaseEvent::GivenUp),
@@ -309,7 +309,7 @@
     fn cancel_some(&mut self, number: u64, now: Millis) {
         let record = self.mirror.submissions[&number].0.clone();
         let open = self.mirror.open.range(record.block());
-        let mut open: Vec<u64> = open.map(|o| *o.0).take(CANCEL_LOOK).collect();
+        let mut open: Vec<u64> = open.map(|o| *o.0).take(CANCEL_BATCH).collect();
         if open.is_empty() {
             self.change_submission(number, PhaseEvent::NoneOpen);
             return;
--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -18,7 +18,7 @@
 /// Batches that may wait for one.
 const OVERDUE_BATCHES: usize = 2;
 /// Least time between two looks at all ends, while there is nothing to do.
-const LOOK_MS: f64 = 1000.0;
+const INSPECT_MS: f64 = 1000.0;
 const DAY_MS: f64 = 86_400_000.0;
 
 /// What the leader's packer has under way.
@@ -42,7 +42,7 @@
     under: Under,
     retry_after: Millis,
     small_batch_at: Millis,
-    looked_at: Millis,
+    inspected_at: Millis,
 }
 
 impl HistoryCompaction {
@@ -59,7 +59,7 @@
             under: Under::Nothing,
             retry_after: now,
             small_batch_at: now,
-            looked_at: f64::NEG_INFINITY,
+            inspected_at: f64::NEG_INFINITY,
         }
     }
 
@@ -98,7 +98,7 @@
             return;
         }
         let idle = self.leader.history_compaction.packer.is_idle();
-        if idle && now - self.leader.history_compaction.looked_at < LOOK_MS {
+        if idle && now - self.leader.history_compaction.inspected_at < INSPECT_MS {
             return;
         }
         if !self.calm() {
@@ -119,7 +119,7 @@
         packer.set_limits(leaf_bytes, txn_ops);
         packer.resume(record);
         if self.leader.history_compaction.packer.is_idle() {
-            self.leader.history_compaction.looked_at = now;
+            self.leader.history_compaction.inspected_at = now;
             self.next_batch(now);
         }
         match self.leader.history_compaction.packer.step() {
@@ -253,7 +253,7 @@
             return;
         }
         // More may follow at once, as fast as the pace allows.
-        self.leader.history_compaction.looked_at = f64::NEG_INFINITY;
+        self.leader.history_compaction.inspected_at = f64::NEG_INFINITY;
         let mut commit = Commit::default();
         for (job, revision) in gone {
             commit.require(record::job_key(job), revision);
@@ -321,7 +321,7 @@
 
     /// Runs in which a level's leaves are looked for, in the order that finds every
     /// job: it is in the large run before it leaves the small one.
-    pub const LOOK_UP_ORDER: [Level; 2] = [Level::Small, Level::Large];
+    pub const LOOKUP_ORDER: [Level; 2] = [Level::Small, Level::Large];
 }
 
 /// What an operator sees of the history.
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -1,7 +1,7 @@
 //! The leader: divides jobs among the shards, moves what waits, hands out team
 //! limits, scales out machines.
 
-mod arrivals;
+mod admission_log;
 mod assumed;
 mod bulk_creation;
 mod dependents;
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after the time it was told a recalled machine counts as taken.
+/// How long after the time it was last_reported a recalled machine counts as taken.
 const TAKEN_MS: f64 = 1000.0;
 
 /// A task: its job's number and its own.
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a message told.
+/// What a message last_reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// Nothing: a newer one came before it.
@@ -136,7 +136,7 @@
     /// Its tasks in the newest message.
     pub reported: BTreeMap<Task, ReportedTask>,
     /// The same as the message listed it, to compare the next with.
-    told: Vec<(Task, ReportedTask)>,
+    last_reported: Vec<(Task, ReportedTask)>,
     /// Since when its tasks have been seen to run, by attempt.
     pub runs: BTreeMap<Task, (u64, Millis)>,
     /// Whether its lease has run out with nobody but us able to renew it.
@@ -153,9 +153,9 @@
     /// was assigned here before and is not there is given up, also if it hears again.
     pub(crate) given_up: (u64, u64),
     /// When it was last asked directly, and what was the newest message then.
-    pub(crate) asked: (Millis, (u64, u64)),
+    pub(crate) queried: (Millis, (u64, u64)),
     /// Whether a question is under way.
-    pub(crate) asking: bool,
+    pub(crate) query_pending: bool,
     /// Reports in a row that were older than one before them.
     pub(crate) old_in_a_row: u32,
     /// Attempts up to this one are of a life before: the worker began anew.
@@ -203,7 +203,7 @@
             token: 0,
             confirmed_token: 0,
             reported: BTreeMap::new(),
-            told: Vec::new(),
+            last_reported: Vec::new(),
             runs: BTreeMap::new(),
             lease_over: false,
             reclaim_at: None,
@@ -211,8 +211,8 @@
             answered_at: now,
             reachability: Reachability::Reachable(0),
             given_up: (0, 0),
-            asked: (f64::NEG_INFINITY, (0, 0)),
-            asking: false,
+            queried: (f64::NEG_INFINITY, (0, 0)),
+            query_pending: false,
             old_in_a_row: 0,
             born_after: 0,
             anew: false,
@@ -277,7 +277,7 @@
         };
     }
 
-    /// Takes a message if it is newer than what is known; says what it told.
+    /// Takes a message if it is newer than what is known; says what it last_reported.
     ///
     /// Most reports tell that all is as before: they are compared, and leave
     /// the list of tasks as it is (a fifth of all processor time, before).
@@ -288,7 +288,7 @@
             return Freshness::Old;
         }
         self.old_in_a_row = 0;
-        if self.tells_the_same(report, own_token) {
+        if self.reports_the_same(report, own_token) {
             self.newest = order;
             self.last_heard_at = now;
             if !self.reported.is_empty() {
@@ -314,7 +314,7 @@
         }
         if report.incarnation > self.newest.0 {
             // A incarnation has its whole lease from when it began, which was at the latest
-            // now: a direct answer told of it though no report was answered for long, and
+            // now: a direct answer last_reported of it though no report was answered for long, and
             // what was then started there was taken for lost at once, by the lease before.
             self.answered_at = now;
         }
@@ -337,11 +337,11 @@
             (new, _) => new,
         };
         self.reported.clear();
-        self.told.clear();
+        self.last_reported.clear();
         for reported in &report.tasks {
             if let Some(task) = parse_task_name(&reported.task_name) {
                 let reported = ReportedTask::of(reported);
-                self.told.push((task, reported));
+                self.last_reported.push((task, reported));
                 // The same task twice: the one still there counts.
                 let place = self.reported.entry(task).or_insert(reported);
                 if place.ended() {
@@ -385,7 +385,7 @@
 
     /// Whether a report differs in nothing that matters from the last one. It
     /// matters while a start may be on its way that it shows or does not show.
-    fn tells_the_same(&self, report: &WorkerHeartbeat, own_token: u64) -> bool {
+    fn reports_the_same(&self, report: &WorkerHeartbeat, own_token: u64) -> bool {
         self.state == MachineState::Ready
             && !self.lease_over
             && report.incarnation == self.newest.0
@@ -397,11 +397,15 @@
             && self.pushed.iter().all(|start| start.lost)
             && self.offered.is_empty()
             && report.addr == self.addr
-            && report.tasks.len() == self.told.len()
-            && report.tasks.iter().zip(&self.told).all(|(reported, told)| {
-                told.1 == ReportedTask::of(reported)
-                    && parse_task_name(&reported.task_name) == Some(told.0)
-            })
+            && report.tasks.len() == self.last_reported.len()
+            && report
+                .tasks
+                .iter()
+                .zip(&self.last_reported)
+                .all(|(reported, last_reported)| {
+                    last_reported.1 == ReportedTask::of(reported)
+                        && parse_task_name(&reported.task_name) == Some(last_reported.0)
+                })
     }
 
     /// Whether a start of this attempt may yet take effect.
--- a/crates/cherryyard-core/src/mirror/arrivals.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -18,8 +18,8 @@
 
 use super::{Mirror, OpenJob};
 use crate::Config;
-use cherryyard_wire::arrivals::{Arrival, ArrivalsRecord, Rest};
-use cherryyard_wire::record::{BUCKETS, Key, arrivals_key};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, Arrival, Rest};
+use cherryyard_wire::record::{BUCKETS, Key, admission_log_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::BTreeSet;
 
@@ -35,7 +35,7 @@
 
 /// A page of new jobs as the mirror knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Arrivals {
+pub struct AdmissionPage {
     /// Revision of its key.
     pub revision: u64,
     /// Its jobs.
@@ -47,15 +47,15 @@
 /// A page in the making.
 #[derive(Debug, Default)]
 pub struct Draft {
-    record: ArrivalsRecord,
+    record: AdmissionPageRecord,
     bytes: usize,
 }
 
 impl Draft {
     /// Adds a job if there is room for it.
     fn push(&mut self, job: u64, open: &OpenJob, most: usize) -> bool {
-        let mut one = ArrivalsRecord::default();
-        let add = |record: &mut ArrivalsRecord| {
+        let mut one = AdmissionPageRecord::default();
+        let add = |record: &mut AdmissionPageRecord| {
             let rest = Rest {
                 zone: open.zone.clone(),
                 caps: open.caps.clone(),
@@ -81,7 +81,7 @@
     }
 
     fn apply(&self, page: u64) -> Apply {
-        Apply::put(arrivals_key(page), Json::of(&self.record))
+        Apply::put(admission_log_key(page), Json::of(&self.record))
     }
 }
 
@@ -113,16 +113,16 @@
         self.arrived.get(&job).copied()
     }
 
-    pub(super) fn put_arrivals(
+    pub(super) fn put_admission_page(
         &mut self,
         page: u64,
-        record: ArrivalsRecord,
+        record: AdmissionPageRecord,
         revision: u64,
     ) -> Result<(), String> {
         let all = record.read(self.shards.len()).ok_or("bad rows")?;
-        let mut new = Arrivals {
+        let mut new = AdmissionPage {
             revision,
-            ..Arrivals::default()
+            ..AdmissionPage::default()
         };
         for arrival in all {
             let job = arrival.job;
@@ -133,15 +133,15 @@
             if !self.ended.contains_key(&job)
                 && (!self.open.contains_key(&job) || self.in_page(job))
             {
-                self.put_arrival(arrival);
+                self.put_admission(arrival);
             }
         }
-        let old = self.arrivals.insert(page, new).unwrap_or_default();
-        self.drop_arrivals(page, old.jobs);
+        let old = self.admission_log.insert(page, new).unwrap_or_default();
+        self.drop_admission_page(page, old.jobs);
         Ok(())
     }
 
-    fn put_arrival(&mut self, arrival: Arrival) {
+    fn put_admission(&mut self, arrival: Arrival) {
         let job = arrival.job;
         if self.open.get(&job).is_some_and(|o| o.div == arrival.div) {
             return;
@@ -161,16 +161,17 @@
     }
 
     pub(super) fn drop_page(&mut self, page: u64) {
-        let old = self.arrivals.remove(&page).unwrap_or_default();
-        self.drop_arrivals(page, old.jobs);
+        let old = self.admission_log.remove(&page).unwrap_or_default();
+        self.drop_admission_page(page, old.jobs);
     }
 
     /// Of a page's jobs before, those that it does not name any more and that have not
     /// gone to another.
-    fn drop_arrivals(&mut self, page: u64, before: BTreeSet<u64>) {
+    fn drop_admission_page(&mut self, page: u64, before: BTreeSet<u64>) {
         for job in before {
-            let named = |a: &Arrivals| a.jobs.contains(&job);
-            if self.arrived.get(&job) == Some(&page) && !self.arrivals.get(&page).is_some_and(named)
+            let named = |a: &AdmissionPage| a.jobs.contains(&job);
+            if self.arrived.get(&job) == Some(&page)
+                && !self.admission_log.get(&page).is_some_and(named)
             {
                 self.arrived.remove(&job);
                 if self.in_page(job) {
@@ -182,7 +183,7 @@
 
     /// A page with what still depends on it; none if it is not ours to write anew.
     fn draft(&self, page: u64, most: usize) -> Option<Draft> {
-        let known = self.arrivals.get(&page).filter(|a| !a.foreign)?;
+        let known = self.admission_log.get(&page).filter(|a| !a.foreign)?;
         let mut draft = Draft::default();
         // What has a record of its own need not be named any longer.
         let mut here = known.jobs.iter().filter(|job| self.in_page(**job));
@@ -200,7 +201,7 @@
         config: &Config,
     ) -> usize {
         let most = page_bytes(config);
-        let last = self.arrivals.last_key_value().map(|(&page, _)| page);
+        let last = self.admission_log.last_key_value().map(|(&page, _)| page);
         let after = last.map_or(0, |page| page + 1);
         let drafted = last.and_then(|page| Some((page, self.draft(page, most)?)));
         let (mut page, mut draft) = drafted.unwrap_or((after, Draft::default()));
@@ -234,11 +235,11 @@
 
     /// Adds the conditions that no job has come by a page that is not known here.
     pub(crate) fn require_pages(&self, commit: &mut Commit) {
-        let last = self.arrivals.last_key_value().map(|(&page, _)| page);
+        let last = self.admission_log.last_key_value().map(|(&page, _)| page);
         if let Some(last) = last {
-            self.require(commit, Key::Arrivals(last));
+            self.require(commit, Key::AdmissionPage(last));
         }
-        self.require(commit, Key::Arrivals(last.map_or(0, |page| page + 1)));
+        self.require(commit, Key::AdmissionPage(last.map_or(0, |page| page + 1)));
     }
 
     /// Adds to a transaction what writes a page anew with these jobs changed; false if
@@ -251,7 +252,7 @@
         config: &Config,
     ) -> bool {
         let most = page_bytes(config);
-        let Some(known) = self.arrivals.get(&page).filter(|a| !a.foreign) else {
+        let Some(known) = self.admission_log.get(&page).filter(|a| !a.foreign) else {
             return false;
         };
         let mut draft = Draft::default();
@@ -264,7 +265,7 @@
                 return false;
             }
         }
-        self.require(commit, Key::Arrivals(page));
+        self.require(commit, Key::AdmissionPage(page));
         commit.apply.push(draft.apply(page));
         true
     }
@@ -273,20 +274,20 @@
     /// carried out late, depends on the page before: that is changed, if it is there.
     fn delete_page(&self, commit: &mut Commit, page: u64, config: &Config) -> bool {
         let changed = |at: u64| {
-            let key = arrivals_key(at);
+            let key = admission_log_key(at);
             commit.apply.iter().any(|a| a.key() == key)
         };
         let before = page.checked_sub(1);
-        let before = before.filter(|at| self.arrivals.contains_key(at) && !changed(*at));
+        let before = before.filter(|at| self.admission_log.contains_key(at) && !changed(*at));
         if let Some(before) = before {
             let Some(draft) = self.draft(before, page_bytes(config)) else {
                 return false;
             };
-            self.require(commit, Key::Arrivals(before));
+            self.require(commit, Key::AdmissionPage(before));
             commit.apply.push(draft.apply(before));
         }
-        self.require(commit, Key::Arrivals(page));
-        commit.apply.push(Apply::delete(arrivals_key(page)));
+        self.require(commit, Key::AdmissionPage(page));
+        commit.apply.push(Apply::delete(admission_log_key(page)));
         true
     }
 
@@ -295,9 +296,9 @@
     /// into one. Never the last: it shows what has been added. The first is emptied.
     pub(crate) fn compact_pages(&self, config: &Config) -> Option<Commit> {
         let mut commit = Commit::default();
-        let last = *self.arrivals.last_key_value()?.0;
+        let last = *self.admission_log.last_key_value()?.0;
         let mut left: Option<(u64, usize)> = None;
-        for (&page, known) in self.arrivals.range(..last).filter(|(_, a)| !a.foreign) {
+        for (&page, known) in self.admission_log.range(..last).filter(|(_, a)| !a.foreign) {
             let capacity = config.txn_ops.saturating_sub(commit.apply.len());
             if capacity < DELETE_CHANGES {
                 break;
@@ -305,7 +306,7 @@
             let here = known.jobs.iter().filter(|job| self.in_page(**job)).count();
             if page == 0 {
                 if here == 0 && !known.jobs.is_empty() {
-                    self.require(&mut commit, Key::Arrivals(0));
+                    self.require(&mut commit, Key::AdmissionPage(0));
                     commit.apply.push(Draft::default().apply(0));
                 }
             } else if here == 0 {
@@ -333,14 +334,14 @@
         let Some(mut draft) = self.draft(into, most) else {
             return false;
         };
-        let moving = &self.arrivals[&from].jobs;
+        let moving = &self.admission_log[&from].jobs;
         let fits = moving.iter().filter(|job| self.in_page(**job)).all(|&job| {
             let open = self.open.get(&job);
             open.is_some_and(|open| draft.push(job, open, most))
         });
         // First what comes, then what goes: a reader of the changes loses no job.
         let mut joined = commit.clone();
-        self.require(&mut joined, Key::Arrivals(into));
+        self.require(&mut joined, Key::AdmissionPage(into));
         joined.apply.push(draft.apply(into));
         let fits = fits && self.delete_page(&mut joined, from, config);
         if fits {
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -167,7 +167,7 @@
     /// Adds to a transaction what adds a new job, with the condition that it is
     /// absent. False, and nothing added, if this mirror knows it already: to write it
     /// anew, as one that is known, would divide again what may run (so it once did),
-    /// or if it cannot be written. So jobs came before there were pages of arrivals:
+    /// or if it cannot be written. So jobs came before there were pages of admissions:
     /// it depends on their not having begun.
     pub fn add_job(
         &self,
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -17,7 +17,7 @@
 /// A job that is not over.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// Revision of its record; 0 while it is as its page of arrivals says.
+    /// Revision of its record; 0 while it is as its page of admissions says.
     pub revision: u64,
     /// What was submitted.
     pub spec: JobSpec,
@@ -355,8 +355,8 @@
             || self.recent.iter().any(|(job, _)| jobs.contains(job))
     }
 
-    /// Whether any page names the job, of assignments or of arrivals: while one of assignments
-    /// does, its tasks may be on machines, and while one of arrivals does, it would be
+    /// Whether any page names the job, of assignments or of admissions: while one of assignments
+    /// does, its tasks may be on machines, and while one of admissions does, it would be
     /// open again if nothing said that it is over.
     pub fn named_in_pages(&self, job: u64) -> bool {
         self.page_of(job).is_some()
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -4,7 +4,7 @@
 //! transactions, in any order between these; each key keeps the change with
 //! the highest revision.
 
-mod arrivals;
+mod admission_log;
 mod assignments;
 mod buckets;
 mod dependencies;
@@ -16,8 +16,8 @@
 use crate::needs::Needs;
 use crate::pages::{Assignment, JobAssignments, Page};
 use crate::pools::Matcher;
-use arrivals::Arrivals;
-pub use arrivals::MOST_ROWS;
+use admission_log::AdmissionPage;
+pub use admission_log::MOST_ROWS;
 use buckets::Bucket;
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
@@ -120,12 +120,12 @@
     /// The format of jobs' records in use.
     pub format: u32,
     format_revision: u64,
-    /// Whether new jobs come by pages of arrivals.
+    /// Whether new jobs come by pages of admissions.
     pub by_pages: bool,
     /// Whether jobs may wait for others: all controllers know of that.
     pub dependencies: bool,
     /// Those pages.
-    pub arrivals: BTreeMap<u64, Arrivals>,
+    pub admission_log: BTreeMap<u64, AdmissionPage>,
     /// The page that names each job.
     arrived: HashMap<u64, u64>,
     /// How far the history of jobs that are over goes.
@@ -187,7 +187,7 @@
             format_revision: 0,
             by_pages: false,
             dependencies: false,
-            arrivals: BTreeMap::new(),
+            admission_log: BTreeMap::new(),
             arrived: HashMap::new(),
             packed: PackedRecord::default(),
             packed_revision: 0,
@@ -288,7 +288,11 @@
         let own = |j: &&u64| !self.bucket_of.contains_key(j);
         let with_own = self.open.keys().filter(own).filter(|j| !self.in_page(**j));
         keys.extend(with_own.map(|&j| Key::Job(j)));
-        keys.extend(self.arrivals.keys().map(|&page| Key::Arrivals(page)));
+        keys.extend(
+            self.admission_log
+                .keys()
+                .map(|&page| Key::AdmissionPage(page)),
+        );
         keys.extend(self.ended.keys().filter(own).map(|&j| Key::Job(j)));
         keys.extend(self.buckets.keys().map(|&from| Key::Bucket(from)));
         for (shard, pages) in self.pages.iter().enumerate() {
@@ -320,7 +324,7 @@
                 self.open.get(&j).map_or_else(ended, |o| o.revision)
             }
             Key::Bucket(from) => self.buckets.get(&from).map_or(0, |b| b.revision),
-            Key::Arrivals(page) => self.arrivals.get(&page).map_or(0, |a| a.revision),
+            Key::AdmissionPage(page) => self.admission_log.get(&page).map_or(0, |a| a.revision),
             Key::Format => self.format_revision,
             Key::Packed => self.packed_revision,
             Key::Assignment { shard, page } => self
@@ -380,7 +384,7 @@
             }
             Key::Job(j) => self.drop_job(j),
             Key::Bucket(from) => self.drop_bucket(from),
-            Key::Arrivals(page) => self.drop_page(page),
+            Key::AdmissionPage(page) => self.drop_page(page),
             Key::Format => {
                 (self.format, self.format_revision) = (0, 0);
                 (self.by_pages, self.dependencies) = (false, false);
@@ -456,7 +460,7 @@
             }
             Key::Job(j) => self.put_job(j, value.read()?, revision)?,
             Key::Bucket(from) => self.put_bucket(from, value.read()?, revision),
-            Key::Arrivals(page) => self.put_arrivals(page, value.read()?, revision)?,
+            Key::AdmissionPage(page) => self.put_admission_page(page, value.read()?, revision)?,
             Key::Format => {
                 let record: FormatRecord = value.read()?;
                 (self.format, self.by_pages) = (record.jobs, record.new);
@@ -504,7 +508,7 @@
             Key::Images(shard_id) => record::images_key(shard_id),
             Key::Job(j) => record::job_key(j),
             Key::Bucket(from) => record::bucket_key(from),
-            Key::Arrivals(page) => record::arrivals_key(page),
+            Key::AdmissionPage(page) => record::admission_log_key(page),
             Key::Assignment { shard, page } => record::assignments_key(shard, page),
             Key::Grant { team, shard } => record::grant_key(team, shard),
         };
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/node.rs
@@ -75,9 +75,9 @@
     /// Users' writes that this controller may make.
     pub(crate) user_write_budget: TokenBucket,
     /// Machines whose assignments scheduling cycles have looked at so far: what scheduling cycles cost.
-    pub looked: u64,
+    pub inspected_machines: u64,
     /// Waiting jobs that scheduling cycles have looked at so far.
-    pub looked_jobs: u64,
+    pub inspected_jobs: u64,
     /// Cancellations that are told and were told.
     pub(crate) cancelled: Cancelled,
     /// Floors, and rights by them.
@@ -132,8 +132,8 @@
                 config.user_writes_per_s / config.shards() as f64,
                 now,
             ),
-            looked: 0,
-            looked_jobs: 0,
+            inspected_machines: 0,
+            inspected_jobs: 0,
             cancelled: Cancelled::new(now),
             entitlements: Entitlements::new(number),
             process: number,
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -4,7 +4,7 @@
 use crate::admission::queue::Place;
 
 /// Waiting jobs that the leader is told of, in the order of service.
-const TOLD_JOBS: usize = 500;
+const MAX_REPORTED_JOBS: usize = 500;
 /// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
 const STUCK_GRANT_MS: f64 = 2000.0;
 
@@ -77,7 +77,7 @@
         let mut wants = used.clone();
         let mut waiting = Vec::new();
         let mut line = self.shards[shard_id].queues.line();
-        let first = std::iter::from_fn(|| line.step()).take(TOLD_JOBS);
+        let first = std::iter::from_fn(|| line.step()).take(MAX_REPORTED_JOBS);
         for (_, Place { job, .. }) in first {
             let count = self
                 .mirror
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -11,7 +11,7 @@
 
 /// Time after which a scheduling cycle looks at all of a shard's machines, in case that
 /// something has changed without a message.
-const LOOK_MS: f64 = 5000.0;
+const INSPECT_MS: f64 = 5000.0;
 /// Least time between two looks for pages that can go.
 const COMPACT_MS: f64 = 1000.0;
 
@@ -249,8 +249,8 @@
         pending: &mut Pending,
     ) {
         let mut hosts = std::mem::take(&mut self.shards[shard_id].touched);
-        if now - self.shards[shard_id].looked_at >= LOOK_MS {
-            self.shards[shard_id].looked_at = now;
+        if now - self.shards[shard_id].inspected_at >= INSPECT_MS {
+            self.shards[shard_id].inspected_at = now;
             hosts = self
                 .machines
                 .values()
@@ -260,7 +260,7 @@
         }
         let mut blocked = false;
         let mut left = BTreeSet::new();
-        self.looked += hosts.len() as u64;
+        self.inspected_machines += hosts.len() as u64;
         for host in hosts {
             for (task, assignment) in self.mirror.on_host(host) {
                 let (job, number) = task;
@@ -422,7 +422,7 @@
     }
 
     /// Says how long the jobs took that a scheduling cycle ends.
-    pub(crate) fn tell_ends(&self, cycle: &Cycle, now: Millis) {
+    pub(crate) fn announce_ends(&self, cycle: &Cycle, now: Millis) {
         for job in &cycle.ends {
             if let Some(open) = self.mirror.open.get(job) {
                 let age_s = (now + self.wall_offset - open.ready_at() as f64) / 1000.0;
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -100,7 +100,7 @@
             self.release_unreachable(shard_id, now);
             self.release_with_cancelled_tasks(shard_id, now);
         }
-        self.ask_machines(shard_id, now);
+        self.query_machines(shard_id, now);
         self.push_due(shard_id, now);
     }
 
@@ -186,7 +186,7 @@
             writes = commit.apply.len(),
             "a round of marks"
         );
-        self.tell_ends(&cycle, now);
+        self.announce_ends(&cycle, now);
         self.send_cycle(shard_id, commit, pending);
     }
 
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -220,7 +220,7 @@
         let ahead = placement.ahead.keys();
         ahead.for_each(|&flow| line.ahead(flow, true));
         while let Some((flow, at)) = line.step() {
-            self.looked_jobs += 1;
+            self.inspected_jobs += 1;
             // Counted as stuck until one of its tasks is placed.
             if placement.looks.look(flow, at) {
                 line.close(flow);
@@ -559,7 +559,7 @@
             return false;
         }
         if candidate.service {
-            self.tell_placed(candidate, host, placement.now);
+            self.log_placed(candidate, host, placement.now);
         }
         placement.capacities[capacity].1.take(&candidate.needs);
         placement.used[candidate.team as usize].give(&candidate.needs);
@@ -571,7 +571,7 @@
         true
     }
 
-    fn tell_placed(&self, candidate: &Candidate, host: u32, now: Millis) {
+    fn log_placed(&self, candidate: &Candidate, host: u32, now: Millis) {
         let job = candidate.job;
         let open = &self.mirror.open[&job];
         let waited = candidate.since.map(|at| now - at);
@@ -616,7 +616,7 @@
             queues.started(flow, cores);
         }
         for (flow, others, last) in placement.looks.others() {
-            queues.looked_at(flow, others, last);
+            queues.inspected_at(flow, others, last);
         }
         let handing = placement.handing;
         if !handing.is_empty() && handing != self.shards[placement.shard_id].handing {
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -41,7 +41,7 @@
                 continue;
             }
             // Others may know that it is cancelled before the state service tells us.
-            let told = self.cancelled.is_told(job);
+            let told = self.cancelled.is_announced(job);
             let open = self.mirror.open.get(&job).filter(|_| !told);
             match (assignment, open) {
                 (Some(_), Some(open)) => {
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -40,7 +40,7 @@
     /// Machines that the next scheduling cycle looks at.
     pub(crate) touched: BTreeSet<u32>,
     /// When a scheduling cycle last looked at all of them.
-    pub(crate) looked_at: Millis,
+    pub(crate) inspected_at: Millis,
     pub(crate) compacted_at: Millis,
     /// When the last scheduling cycle was planned, and when the last look at leases was.
     pub(crate) planned_at: Millis,
@@ -92,7 +92,7 @@
             bump: false,
             dirty: true,
             touched: BTreeSet::new(),
-            looked_at: f64::NEG_INFINITY,
+            inspected_at: f64::NEG_INFINITY,
             compacted_at: now,
             planned_at: f64::NEG_INFINITY,
             kept_at: f64::NEG_INFINITY,
@@ -124,7 +124,7 @@
     pub(crate) fn clear(&mut self) {
         self.preempted.clear();
         self.touched.clear();
-        self.looked_at = f64::NEG_INFINITY;
+        self.inspected_at = f64::NEG_INFINITY;
         self.reserved.clear();
         self.queues.clear();
         self.handing.clear();
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -34,7 +34,7 @@
     /// When it was asked whether it hears.
     pub(crate) asked_at: Millis,
     /// Whether the question is under way.
-    pub(crate) asking: bool,
+    pub(crate) query_pending: bool,
     /// Whether it has answered.
     pub(crate) is_reachable: bool,
 }
--- a/crates/cherryyard-core/src/reachability.rs
+++ b/crates/cherryyard-core/src/reachability.rs
@@ -16,8 +16,8 @@
 /// How often it is asked in vain before it counts as unreachable.
 const TRIES: u32 = 2;
 /// Time between two questions to a doubted machine, and to an unreachable one.
-const ASK_MS: f64 = 1000.0;
-const ASK_LATER_MS: f64 = 4000.0;
+const QUERY_MS: f64 = 1000.0;
+const QUERY_LATER_MS: f64 = 4000.0;
 
 /// Whether what we send a machine arrives there.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -64,11 +64,11 @@
     }
 
     /// How long after a question the next is due, if one is.
-    pub fn ask_ms(self) -> Option<Millis> {
+    pub fn query_interval_ms(self) -> Option<Millis> {
         match self {
             Self::Reachable(_) => None,
-            Self::Doubted(_) => Some(ASK_MS),
-            Self::Unreachable(_) => Some(ASK_LATER_MS),
+            Self::Doubted(_) => Some(QUERY_MS),
+            Self::Unreachable(_) => Some(QUERY_LATER_MS),
         }
     }
 }
@@ -122,7 +122,7 @@
     ) -> Freshness {
         self.reached(ReachabilityEvent::Reflected, now);
         let order = (report.incarnation, report.sequence);
-        if order >= self.asked.1 {
+        if order >= self.queried.1 {
             return self.hear(report, token, now);
         }
         tracing::info!(machine = %self.addr, incarnation = report.incarnation, before = self.newest.0, "a worker began anew");
@@ -141,13 +141,16 @@
     }
 
     /// Whether it is to be asked directly now.
-    pub(crate) fn ask_due(&self, lost_ms: f64, now: Millis) -> bool {
-        let since = now - self.asked.0;
-        let doubt = self.reachability.ask_ms().is_some_and(|ms| since >= ms)
+    pub(crate) fn query_due(&self, lost_ms: f64, now: Millis) -> bool {
+        let since = now - self.queried.0;
+        let doubt = self
+            .reachability
+            .query_interval_ms()
+            .is_some_and(|ms| since >= ms)
             && now - self.last_heard_at < lost_ms;
         // A copy that came late, or a worker that began anew: only it can tell.
         let old = self.old_in_a_row >= 2 && since >= if self.anew { 300.0 } else { 1000.0 };
-        !self.asking
+        !self.query_pending
             && (doubt || old)
             && matches!(
                 self.state,
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -21,7 +21,7 @@
 
 /// What a user can be told of a job.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Tell {
+pub enum UserAnswer {
     /// This.
     View(JobView),
     /// Nothing yet: first all has to be read that was durable when the user asked.
@@ -35,20 +35,20 @@
 impl Node {
     /// What a user can be told of a job: a final state at once, any other only if all
     /// that was durable when the user asked has been read (`caught_up`).
-    pub fn tell(&self, job: u64, caught_up: bool, now: Millis) -> Tell {
+    pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
             // Other controllers may count on our having told nobody.
             // One that never had a task is in nobody's way.
             Some((JobStatus::Cancelled, view))
-                if view.cancelled_by.is_none() && !self.may_tell_cancelled(job, now) =>
+                if view.cancelled_by.is_none() && !self.may_confirm_cancelled(job, now) =>
             {
-                Tell::NotYet
+                UserAnswer::NotYet
             }
-            Some((JobStatus::Done | JobStatus::Cancelled, view)) => Tell::View(view),
-            _ if !caught_up => Tell::Barrier,
-            Some((_, view)) => Tell::View(view),
-            None => Tell::Unknown,
+            Some((JobStatus::Done | JobStatus::Cancelled, view)) => UserAnswer::View(view),
+            _ if !caught_up => UserAnswer::Barrier,
+            Some((_, view)) => UserAnswer::View(view),
+            None => UserAnswer::Unknown,
         }
     }
 
@@ -110,7 +110,7 @@
     /// Who should write a submission instead of this controller: the leader,
     /// as it divides the job in the same write; or, if the state service does
     /// not answer here, anyone whom it answers.
-    pub fn whom_to_ask(&self, now: Millis) -> Option<&str> {
+    pub fn forwarding_target(&self, now: Millis) -> Option<&str> {
         if self.leader.leads(&self.mirror) && self.state_fresh(now) {
             return None;
         }
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -13,7 +13,7 @@
 };
 
 /// Questions to machines under way at once.
-const ASKS: usize = 16;
+const MAX_QUERIES: usize = 16;
 /// Machines that a controller keeps: of its own shards, and as many of other controllers'.
 /// It bounds the memory that reports can take; the largest fleets have some 4,000.
 pub const MAX_MACHINES: usize = 20_000;
@@ -71,25 +71,32 @@
         let alive = owner.and_then(|i| self.peers[i].as_ref());
         let alive = alive.is_some_and(|peer| now - peer.last_heard_at < 2000.0);
         let host = self.mirror.hosts.intern(&report.host);
-        let due = |s: &MisdirectedWorker| !s.is_reachable && !s.asking && now - s.asked_at > 3000.0;
+        let due = |s: &MisdirectedWorker| {
+            !s.is_reachable && !s.query_pending && now - s.asked_at > 3000.0
+        };
         let due = self.misdirected.get(&(shard_id, host)).is_none_or(due);
         // Counted only where it decides: there may be thousands.
-        let asking = || self.misdirected.values().filter(|s| s.asking).count();
-        let ask = alive && due && asking() < ASKS;
+        let query_pending = || {
+            self.misdirected
+                .values()
+                .filter(|s| s.query_pending)
+                .count()
+        };
+        let query = alive && due && query_pending() < MAX_QUERIES;
         let worker = self
             .misdirected
             .entry((shard_id, host))
             .or_insert(MisdirectedWorker {
                 at: now,
                 asked_at: f64::NEG_INFINITY,
-                asking: false,
+                query_pending: false,
                 is_reachable: false,
             });
         worker.at = now;
-        if ask {
-            (worker.asking, worker.asked_at) = (true, now);
+        if query {
+            (worker.query_pending, worker.asked_at) = (true, now);
             let addr = report.addr.clone();
-            self.effects.push(Effect::Ask { host, addr });
+            self.effects.push(Effect::QueryStatus { host, addr });
         }
     }
 
@@ -128,8 +135,9 @@
     fn stop_cancelled(&self, report: &WorkerHeartbeat, answer: &mut HeartbeatResponse) {
         for reported in &report.tasks {
             let task = parse_task_name(&reported.task_name);
-            let over =
-                |job| self.cancelled.is_told(job) || self.mirror.end(job) == Some(End::Cancelled);
+            let over = |job| {
+                self.cancelled.is_announced(job) || self.mirror.end(job) == Some(End::Cancelled)
+            };
             let stopped = answer.commands.iter().any(
                 |o| matches!(o, WorkerCommand::Kill { task_name: stopped, attempt, .. } if *stopped == reported.task_name && *attempt == reported.attempt),
             );
@@ -178,8 +186,9 @@
             return Reply::Unavailable;
         }
         let blind = now - self.state_read_at > self.config.cut_off_bound_ms() / 2.0;
-        let cancelled =
-            |job: u64| self.cancelled.is_told(job) || self.mirror.end(job) == Some(End::Cancelled);
+        let cancelled = |job: u64| {
+            self.cancelled.is_announced(job) || self.mirror.end(job) == Some(End::Cancelled)
+        };
         let arrives = |s: &PushedStart| {
             // Where the attempt is known it has no effect.
             let reported = machine.reported.get(&s.task);
@@ -197,7 +206,7 @@
             // in the answer to another has not arrived.
             (machine.answered_at, machine.last_heard_at) = (now, now);
             machine.old_in_a_row = machine.old_in_a_row.max(2);
-            self.ask_machines(shard_id, now);
+            self.query_machines(shard_id, now);
             let mut commands = self.reconcile(host, now, true);
             commands.retain(|o| !matches!(o, WorkerCommand::Start { .. }));
             return Reply::Answer(HeartbeatResponse {
@@ -286,39 +295,40 @@
     }
 
     /// Asks machines directly whose reports leave something open.
-    pub(crate) fn ask_machines(&mut self, shard_id: usize, now: Millis) {
+    pub(crate) fn query_machines(&mut self, shard_id: usize, now: Millis) {
         let shard = |m: &&mut Machine| m.shard == shard_id;
         let lost_ms = self.config.lease_ms + LOST_MS;
-        let mut left = ASKS.saturating_sub(self.machines.values().filter(|m| m.asking).count());
+        let mut left =
+            MAX_QUERIES.saturating_sub(self.machines.values().filter(|m| m.query_pending).count());
         for m in self.machines.values_mut().filter(shard) {
             if left == 0 {
                 return;
             }
-            if m.ask_due(lost_ms, now) {
+            if m.query_due(lost_ms, now) {
                 left -= 1;
-                m.asking = true;
-                m.asked = (now, m.newest);
+                m.query_pending = true;
+                m.queried = (now, m.newest);
                 let (host, addr) = (m.host, m.addr.clone());
-                self.effects.push(Effect::Ask { host, addr });
+                self.effects.push(Effect::QueryStatus { host, addr });
             }
         }
     }
 
     /// Takes the answer to a direct question, or that there was none.
-    pub fn asked(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
+    pub fn queried(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
         self.notice(now);
         let last = self.mirror.store_revision.max(self.newest_revision) + 1;
         for (_, worker) in self
             .misdirected
             .iter_mut()
-            .filter(|s| s.0.1 == host && s.1.asking)
+            .filter(|s| s.0.1 == host && s.1.query_pending)
         {
-            (worker.asking, worker.is_reachable) = (false, answer.is_some());
+            (worker.query_pending, worker.is_reachable) = (false, answer.is_some());
         }
         let Some(m) = self.machines.get_mut(&host) else {
             return;
         };
-        m.asking = false;
+        m.query_pending = false;
         let shard_id = m.shard;
         let ShardLease::Held(token) = self.shards[shard_id].lease else {
             return;
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -100,14 +100,14 @@
         let reply = node.report(&report(machine), 200.0);
         assert!(matches!(reply, Reply::Elsewhere(Some(b)) if b == "b"));
     }
-    let mut asked = 0;
+    let mut queried = 0;
     for effect in node.effects() {
-        if let Effect::Ask { host, .. } = effect {
-            asked += 1;
-            node.asked(host, Some(&report(0)), 300.0);
+        if let Effect::QueryStatus { host, .. } = effect {
+            queried += 1;
+            node.queried(host, Some(&report(0)), 300.0);
         }
     }
-    assert_eq!(asked, 16, "a sample is asked");
+    assert_eq!(queried, 16, "a sample is asked");
     assert_eq!(node.heartbeat_out(400.0).misdirected, [(1, FLEET as u32)]);
 }
 
@@ -133,6 +133,6 @@
     for machine in [0, MAX_MACHINES] {
         node.report(&report(machine), 6600.0);
     }
-    let asks = |e: &Effect| matches!(e, Effect::Ask { .. });
-    assert_eq!(node.effects().into_iter().filter(asks).count(), 2);
+    let queries = |e: &Effect| matches!(e, Effect::QueryStatus { .. });
+    assert_eq!(node.effects().into_iter().filter(queries).count(), 2);
 }
--- a/crates/cherryyard-io/src/worker.rs
+++ b/crates/cherryyard-io/src/worker.rs
@@ -10,7 +10,7 @@
 const MAX_HEARTBEAT: usize = 1024 * 1024;
 
 /// Asks a worker for its report.
-pub async fn ask(http: &Http, addr: &str) -> Result<WorkerHeartbeat, Failure> {
+pub async fn query(http: &Http, addr: &str) -> Result<WorkerHeartbeat, Failure> {
     let url = format!("http://{addr}/status");
     let patience = Duration::from_millis(2500);
     let (status, body) = http
--- a/crates/cherryyard-rehearsal/src/bin/history.rs
+++ b/crates/cherryyard-rehearsal/src/bin/history.rs
@@ -244,9 +244,9 @@
             } else {
                 rng.random_range(0..LAST)
             };
-            let asked = Instant::now();
+            let queried = Instant::now();
             let status = get(format!("/v2/runs/{}", job_id(id))).await;
-            worst = worst.max(asked.elapsed());
+            worst = worst.max(queried.elapsed());
             let expected = if old && !ids.is_empty() { 200 } else { 404 };
             good += u64::from(status == Ok(expected));
         }
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -15,7 +15,7 @@
 };
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobView, Shape, job_number};
-use cherryyard_wire::record::{ARRIVALS, IDS, JobRecord, job_key};
+use cherryyard_wire::record::{ADMISSION_LOG, IDS, JobRecord, job_key};
 use cherryyard_wire::rules::Rules;
 use cherryyard_wire::settings::Settings;
 use cherryyard_wire::state::{Apply, Commit, WatchResponse};
@@ -419,7 +419,7 @@
         }
         let mut config = Config::new(&self.settings(i), tuning);
         if self.setup.earlier.contains(&i) {
-            config.format = ARRIVALS;
+            config.format = ADMISSION_LOG;
         }
         let mut node = Node::new(config, self.starts, self.now);
         node.accounting = true;
@@ -674,7 +674,7 @@
                         addr,
                         request,
                     } => self.push(i, host, &addr, request),
-                    Effect::Ask { host, addr } => self.ask(i, host, &addr),
+                    Effect::QueryStatus { host, addr } => self.ask(i, host, &addr),
                     Effect::Release(hosts) if self.cloud_down => {
                         self.releases_failed += 1;
                         if let Some(n) = &mut self.nodes[i] {
--- a/crates/cherryyard-rehearsal/src/world/late.rs
+++ b/crates/cherryyard-rehearsal/src/world/late.rs
@@ -133,7 +133,7 @@
         }
         let node = self.nodes[i].as_mut()?;
         let how = match node.mirror.view(job)?.status {
-            JobStatus::Cancelled if node.may_tell_cancelled(job, now) => Some("cancelled"),
+            JobStatus::Cancelled if node.may_confirm_cancelled(job, now) => Some("cancelled"),
             JobStatus::Done => Some("done"),
             _ => None,
         };
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-rehearsal/src/world/machines.rs
@@ -128,7 +128,7 @@
         let worker = self.workers.get_mut(name).filter(|_| !cut);
         let report = worker.map(|w| w.report(now));
         if let Some(node) = &mut self.nodes[i] {
-            node.asked(host, report.as_ref(), now);
+            node.queried(host, report.as_ref(), now);
         }
     }
 
--- a/crates/cherryyard-rehearsal/src/world/requests.rs
+++ b/crates/cherryyard-rehearsal/src/world/requests.rs
@@ -10,7 +10,7 @@
 use cherryyard_core::admission::intake::{Offer, Verdict};
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::dependencies::{PastEnds, Resolution};
-use cherryyard_core::users::Tell;
+use cherryyard_core::users::UserAnswer;
 use cherryyard_core::{Node, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::dependencies::Dependencies;
@@ -350,7 +350,7 @@
                     None if until > now => return false,
                     Some(Verdict::Taken) => Some(Said::Taken),
                     Some(Verdict::Known) => self.looked_up(r, false),
-                    Some(Verdict::LookAgain) if r.tries < TRIES => self.offered_here(r),
+                    Some(Verdict::Retry) if r.tries < TRIES => self.offered_here(r),
                     _ => Some(Said::Later),
                 };
                 self.go_on(r, said)
@@ -406,7 +406,7 @@
         if !spec.waits_on.is_empty() && !node.accepts_dependencies() {
             return Some(Said::Later);
         }
-        let whom = node.whom_to_ask(now).filter(|_| !r.passed);
+        let whom = node.forwarding_target(now).filter(|_| !r.passed);
         let whom = whom.and_then(|l| l.trim_start_matches("node-").parse::<usize>().ok());
         let reached = whom.filter(|&k| self.hear_each_other(r.node, k));
         if let Some(k) = reached.filter(|&k| self.nodes[k].is_some()) {
@@ -506,7 +506,7 @@
 
     /// How a job ended that is only in the history.
     fn past_end(&self, job: u64) -> Option<End> {
-        Node::LOOK_UP_ORDER.iter().find_map(|&level| {
+        Node::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::of_record(&record).ok()?;
             leaf.find(job).map(|past| past.end)
@@ -523,17 +523,19 @@
         if r.question == Question::Poll && node.refuses_polls(now) {
             return Some(Said::Later);
         }
-        let view = match node.tell(job, caught_up || self.requests.without_barrier, now) {
-            Tell::Barrier => {
+        let view = match node.answer_for(job, caught_up || self.requests.without_barrier, now) {
+            UserAnswer::Barrier => {
                 let at = now + (self.requests.draw)(PACE_MS) as f64;
                 r.stage = Stage::Barrier(at);
                 return None;
             }
-            Tell::NotYet => return Some(Said::Later),
-            Tell::Unknown if r.refusing => return Some(Said::Never),
-            Tell::Unknown if matches!(r.question, Question::Submit(_)) => return Some(Said::Later),
-            Tell::Unknown => return Some(Said::Unknown),
-            Tell::View(view) => view,
+            UserAnswer::NotYet => return Some(Said::Later),
+            UserAnswer::Unknown if r.refusing => return Some(Said::Never),
+            UserAnswer::Unknown if matches!(r.question, Question::Submit(_)) => {
+                return Some(Said::Later);
+            }
+            UserAnswer::Unknown => return Some(Said::Unknown),
+            UserAnswer::View(view) => view,
         };
         let over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
         if r.question != Question::Cancel || over {
--- a/crates/cherryyard-rehearsal/src/world/submitting.rs
+++ b/crates/cherryyard-rehearsal/src/world/submitting.rs
@@ -162,7 +162,7 @@
             matches!(outcome, Outcome::Applied(e) if e > store_revision),
             "{outcome:?}"
         );
-        if node.may_tell_cancelled(job, now) {
+        if node.may_confirm_cancelled(job, now) {
             self.cancelled_at.insert(id.to_string(), now);
         } else {
             self.asking.push((i, now + 1000.0, id.to_string()));
@@ -194,7 +194,7 @@
             return Some(view);
         }
         let job = job_number(id)?;
-        Node::LOOK_UP_ORDER.iter().find_map(|&level| {
+        Node::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::of_record(&record).expect("a good leaf");
             leaf.find(job).map(|p| over(job, p.end, p.done))
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -370,7 +370,7 @@
 /// What a scheduling cycle looks at does not grow with what waits.
 #[test]
 fn a_rounds_cost_does_not_grow_with_what_waits() {
-    let looked = |jobs: u64, task_count: u32| {
+    let inspected_machines = |jobs: u64, task_count: u32| {
         let mut w = cluster(fleet(3, 6));
         w.workers
             .values_mut()
@@ -379,12 +379,22 @@
             w.submit(&spec(URGENT + i, task_count));
         }
         w.run(5.0);
-        let sum = |w: &World| w.nodes.iter().flatten().map(|n| n.looked_jobs).sum::<u64>();
+        let sum = |w: &World| {
+            w.nodes
+                .iter()
+                .flatten()
+                .map(|n| n.inspected_jobs)
+                .sum::<u64>()
+        };
         let before = sum(&w);
         w.run(10.0);
         (sum(&w) - before) as f64
     };
-    let (few, many, large) = (looked(100, 1), looked(3000, 1), looked(1000, 100));
+    let (few, many, large) = (
+        inspected_machines(100, 1),
+        inspected_machines(3000, 1),
+        inspected_machines(1000, 100),
+    );
     // In each of three shards 48 jobs of the only flow and 16 others, at most every 0.4 s.
     let most = 3.0 * 64.0 * 26.0;
     assert!(few > 0.0 && few < most, "{few}");
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -66,7 +66,10 @@
                 }
                 // A question to a machine changes nothing.
                 let acts = |e: &Effect| {
-                    !matches!(e, Effect::Refresh | Effect::Heartbeat | Effect::Ask { .. })
+                    !matches!(
+                        e,
+                        Effect::Refresh | Effect::Heartbeat | Effect::QueryStatus { .. }
+                    )
                 };
                 let effects = node.effects();
                 assert!(!effects.iter().any(acts), "{frozen_s}: {effects:?}");
@@ -187,14 +190,14 @@
         w.submit(&World::spec("j-000001", "sweep", machines as u32));
         w.run_until(30.0, |w| w.running() == machines);
         w.run(10.0);
-        let looked = |w: &World| w.nodes[0].as_ref().unwrap().looked;
+        let inspected_machines = |w: &World| w.nodes[0].as_ref().unwrap().inspected_machines;
         // Between two looks at all machines, which come every 5 s.
-        let before = looked(&w);
-        w.run_until(6.0, |w| looked(w) > before);
-        let quiet = looked(&w);
+        let before = inspected_machines(&w);
+        w.run_until(6.0, |w| inspected_machines(w) > before);
+        let quiet = inspected_machines(&w);
         w.workers.values_mut().next().unwrap().run_ms = 0.0;
         w.run(4.0);
-        looked(&w) - quiet
+        inspected_machines(&w) - quiet
     };
     let (small, large) = (cost(130), cost(1300));
     assert!(small > 0, "{small}");
--- a/crates/cherryyard-rehearsal/tests/late.rs
+++ b/crates/cherryyard-rehearsal/tests/late.rs
@@ -59,7 +59,7 @@
 /// times as large. All machines are looked at every 5 s, in case.
 #[test]
 fn rounds_look_at_what_changed() {
-    let looked = |machines: usize, change: bool| {
+    let inspected_machines = |machines: usize, change: bool| {
         let mut w = settled(Setup {
             zones: vec!["a"],
             machines: vec![("a", machines)],
@@ -68,20 +68,20 @@
         w.submit(&World::spec("j-000001", "service", machines as u32));
         w.run_until(10.0, |w| w.running() == machines);
         w.run(20.0);
-        let before = w.nodes[0].as_ref().unwrap().looked;
+        let before = w.nodes[0].as_ref().unwrap().inspected_machines;
         if change {
             w.workers.values_mut().next().unwrap().run_ms = 0.0;
             w.workers.values_mut().next().unwrap().faulty = true;
         }
         w.run(20.0);
-        w.nodes[0].as_ref().unwrap().looked - before
+        w.nodes[0].as_ref().unwrap().inspected_machines - before
     };
     for machines in [6, 60] {
-        let all = looked(machines, false);
+        let all = inspected_machines(machines, false);
         // 4 looks at all; each report had one before, 40 in all.
         assert!(all <= 5 * machines as u64, "{all} for {machines}");
     }
-    let cost = |n: usize| looked(n, true).saturating_sub(looked(n, false));
+    let cost = |n: usize| inspected_machines(n, true).saturating_sub(inspected_machines(n, false));
     let (small, large) = (cost(6), cost(60));
     assert!(small > 0 && large <= small + 70, "{small} {large}");
 }
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -5,7 +5,7 @@
 use cherryyard_core::{Node, Outcome};
 use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
-use cherryyard_wire::record::{PageRecord, StoredPage, arrivals_key, assignments_key};
+use cherryyard_wire::record::{PageRecord, StoredPage, admission_log_key, assignments_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::BTreeSet;
 
@@ -192,7 +192,7 @@
             w.run(0.2);
             w.hold_intake.clear();
             let commits = w.held_commits.split_off(before);
-            let begins = |c: &Commit| c.when.iter().any(|x| x.key == arrivals_key(4));
+            let begins = |c: &Commit| c.when.iter().any(|x| x.key == admission_log_key(4));
             assert!(commits.iter().all(begins), "{commits:?}");
             // The user asks the leader.
             w.submit(&service(next));
@@ -219,7 +219,7 @@
             }
         }
         w.run_until(40.0, |w| {
-            let gone = w.state.get(&arrivals_key(5));
+            let gone = w.state.get(&admission_log_key(5));
             gone.is_none()
         });
         assert_eq!(page(&w, job), (Some(6), true), "joined with the next page");
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-rehearsal/tests/pipelines.rs
@@ -6,7 +6,7 @@
     Pipelines, Question, Said, Setup, Trouble, Users, World, draws, play_seeds,
 };
 use cherryyard_wire::job::{JobSpec, JobStatus};
-use cherryyard_wire::record::{ARRIVALS, job_key};
+use cherryyard_wire::record::{ADMISSION_LOG, job_key};
 
 fn cluster(seconds: f64) -> World {
     cluster_of(
@@ -359,7 +359,7 @@
         w.start(last);
         w.run(20.0);
         let format = w.nodes[last].as_ref().map(|n| n.config.format);
-        assert!(format.is_some_and(|f| f > ARRIVALS));
+        assert!(format.is_some_and(|f| f > ADMISSION_LOG));
         assert_eq!(submit(&mut w, last, &sweep(2, 1, &[1])), Said::Taken);
         whole(&w);
     }
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::{Mirror, Outcome, Tuning};
 use cherryyard_rehearsal::{Setup, World};
 use cherryyard_wire::job::{JobStatus, Rank};
-use cherryyard_wire::record::{arrivals_key, job_key};
+use cherryyard_wire::record::{admission_log_key, job_key};
 use cherryyard_wire::state::{WatchEvent, WatchResponse};
 
 /// A running cluster whose shards are owned and whose machines have reported.
@@ -306,12 +306,12 @@
     let node = w.nodes[1].as_mut().unwrap();
     node.events(&old, now, now);
     let late = WatchEvent {
-        set: Some(arrivals_key(0)),
+        set: Some(admission_log_key(0)),
         delete: None,
         v: old
             .events
             .iter()
-            .find(|c| c.set == Some(arrivals_key(0)))
+            .find(|c| c.set == Some(admission_log_key(0)))
             .unwrap()
             .v
             .clone(),
@@ -776,14 +776,14 @@
     // Read again after the page of jobs was deleted; then one in which it is newer.
     let newest = pairs
         .iter()
-        .find(|p| p.key == arrivals_key(0))
+        .find(|p| p.key == admission_log_key(0))
         .unwrap()
         .revision;
     task_count.begin_load();
     for some in pairs.chunks(2) {
         let left: Vec<_> = some
             .iter()
-            .filter(|p| p.key != arrivals_key(0))
+            .filter(|p| p.key != admission_log_key(0))
             .cloned()
             .collect();
         task_count.load_some(&left);
--- a/crates/cherryyard-wire/src/arrivals.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -83,7 +83,7 @@
 
 /// A page of new jobs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ArrivalsRecord {
+pub struct AdmissionPageRecord {
     /// From when the rows' times count, in milliseconds of the day's clock.
     pub at: u64,
     /// What some of them have in common.
@@ -109,7 +109,7 @@
     pub rest: Rest,
 }
 
-impl ArrivalsRecord {
+impl AdmissionPageRecord {
     /// Adds a job.
     pub fn push(&mut self, job: u64, spec: &JobSpec, at: u64, div: &[RangeSet], rest: Rest) {
         let bit = |set: bool, n: u8| u8::from(set) << n;
@@ -219,7 +219,7 @@
             "together":false,"apart":true,"borrowed":true,"expected_s":0.0,
             "snapshot_every_s":0.0,"snapshot_cost_s":0.0,"due_s":null}"#;
         let spec = JobSpec::parse(text).unwrap();
-        let mut page = ArrivalsRecord::default();
+        let mut page = AdmissionPageRecord::default();
         let mut all = Vec::new();
         for n in 0..40 {
             let mut spec = spec.clone();
@@ -244,7 +244,7 @@
         }
         let text = serde_json::to_vec(&page).unwrap();
         assert!(text.len() < 4000, "{}", text.len());
-        let read: ArrivalsRecord = serde_json::from_slice(&text).unwrap();
+        let read: AdmissionPageRecord = serde_json::from_slice(&text).unwrap();
         assert_eq!(read.read(7), Some(all));
         let mut bad = page.clone();
         bad.j[0].1 = 9;
--- a/crates/cherryyard-wire/src/lib.rs
+++ b/crates/cherryyard-wire/src/lib.rs
@@ -6,7 +6,7 @@
 //! state service and the frames that controllers exchange. The crate does no
 //! I/O, so clients can use it too.
 
-pub mod arrivals;
+pub mod admission_log;
 pub mod cloud;
 pub mod condor;
 pub mod dependencies;
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -57,14 +57,14 @@
     /// What every controller tells every other.
     Heartbeat(Box<Heartbeat>),
     /// A submission for the receiver to write.
-    Ask(Ask),
+    ForwardedSubmission(ForwardedSubmission),
     /// The answer to one.
-    Told(Told),
+    ForwardResponse(ForwardResponse),
 }
 
 /// A submission that its receiver passes on.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Ask {
+pub struct ForwardedSubmission {
     /// The sender's name.
     pub label: String,
     /// The sender's number for it.
@@ -78,7 +78,7 @@
 
 /// What the user is to be answered.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Told {
+pub struct ForwardResponse {
     /// The number in the question.
     pub ticket: u64,
     /// The status.
@@ -129,7 +129,7 @@
     /// How long submissions wait at the sender, in milliseconds.
     pub intake_ms: u32,
     /// What has become of submissions at the sender since its start.
-    pub demand: Vec<DemandTold>,
+    pub demand: Vec<DemandReport>,
 }
 
 /// A flow that has long had less than its floor.
@@ -142,13 +142,13 @@
     /// Its floor in cores.
     pub floor: f32,
     /// How it is divided among shards.
-    pub levels: Vec<LevelTold>,
+    pub levels: Vec<LevelGrant>,
 }
 
 /// A shard's level of a flow: up to it its owner may start tasks ahead of rank, and down
 /// to it stop them for others.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct LevelTold {
+pub struct LevelGrant {
     /// The shard.
     pub shard: u32,
     /// Stamps of the leader's lease and the shard's.
@@ -159,7 +159,7 @@
 
 /// What has become of a flow's submissions at one controller since its start.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct DemandTold {
+pub struct DemandReport {
     /// The flow's class.
     pub class: String,
     /// Its team, by its place in the settings.
@@ -305,7 +305,7 @@
     /// Sections of a kind that is not known are passed over, and what is known is read.
     #[test]
     fn unknown_sections_are_passed_over() {
-        let told = Message::Told(Told {
+        let told = Message::ForwardResponse(ForwardResponse {
             ticket: 1,
             status: 200,
             retry_after: 0,
--- a/crates/cherryyard-wire/src/record.rs
+++ b/crates/cherryyard-wire/src/record.rs
@@ -26,15 +26,15 @@
 /// The format in which jobs stand in buckets, and their ends go into the history.
 pub const BUCKETS: u32 = 2;
 
-/// The format in which new jobs stand in pages of arrivals.
-pub const ARRIVALS: u32 = 3;
+/// The format in which new jobs stand in pages of admissions.
+pub const ADMISSION_LOG: u32 = 3;
 /// The format in which jobs may wait for others.
 pub const DEPENDENCIES: u32 = 4;
 /// The newest format of records that this build can work with.
 pub const NEWEST_FORMAT: u32 = DEPENDENCIES;
 
 /// Key of a page of new jobs. Their order is that of the keys.
-pub fn arrivals_key(page: u64) -> String {
+pub fn admission_log_key(page: u64) -> String {
     format!("c/new/{page:016x}")
 }
 
@@ -87,7 +87,7 @@
     Images(usize),
     Job(u64),
     Bucket(u64),
-    Arrivals(u64),
+    AdmissionPage(u64),
     Format,
     Packed,
     Assignment { shard: usize, page: u32 },
@@ -126,7 +126,7 @@
             "images" => Self::Images(words.next()?.parse().ok()?),
             "job" => Self::Job(crate::job::job_number(words.next()?)?),
             "jobs" => Self::Bucket(hex(words.next()?)?),
-            "new" => Self::Arrivals(hex(words.next()?)?),
+            "new" => Self::AdmissionPage(hex(words.next()?)?),
             "sub" => Self::Submission(hex(words.next()?)?),
             "mark" => Self::Assignment {
                 shard: words.next()?.parse().ok()?,
@@ -173,7 +173,7 @@
 pub struct FormatRecord {
     /// How jobs are kept.
     pub jobs: u32,
-    /// Whether new jobs come by pages of arrivals, and by these alone.
+    /// Whether new jobs come by pages of admissions, and by these alone.
     #[serde(default, skip_serializing_if = "is_false")]
     pub new: bool,
     /// Whether jobs may wait for others.
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -3,14 +3,14 @@
 //! it is read, and written again to the byte while such a version may read it.
 
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::arrivals::{ArrivalsRecord, Rest};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, Rest};
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::peer::{
-    Ask, CapacityReport, DemandTold, FlowShare, Heartbeat, LevelTold, MachineCapacity, MachinePool,
-    Message, Told, decode, encode_legacy,
+    CapacityReport, DemandReport, FlowShare, ForwardResponse, ForwardedSubmission, Heartbeat,
+    LevelGrant, MachineCapacity, MachinePool, Message, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
-    ARRIVALS, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
+    ADMISSION_LOG, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
     PageRecord, StoredPage,
 };
 use serde::Serialize;
@@ -115,14 +115,14 @@
             class: "ledger-extract".into(),
             team: 1,
             floor: 12.5,
-            levels: vec![LevelTold {
+            levels: vec![LevelGrant {
                 shard: 2,
                 under: (40, 41),
                 level: 12_500,
             }],
         }],
         intake_ms: 12,
-        demand: vec![DemandTold {
+        demand: vec![DemandReport {
             class: "ledger-extract".into(),
             team: 1,
             offered: 5,
@@ -131,20 +131,20 @@
         }],
     };
     same_frame("beat", &Message::Heartbeat(Box::new(heartbeat)));
-    let ask = Ask {
+    let query = ForwardedSubmission {
         label: "orchard-1".into(),
         ticket: 99,
         at: 1_790_000_000_000,
         body: br#"{"id":"j-000412"}"#.to_vec(),
     };
-    same_frame("ask", &Message::Ask(ask));
-    let told = Told {
+    same_frame("ask", &Message::ForwardedSubmission(query));
+    let told = ForwardResponse {
         ticket: 99,
         status: 201,
         retry_after: 0,
         body: r#"{"id":"j-000412","status":"queued"}"#.into(),
     };
-    same_frame("told", &Message::Told(told));
+    same_frame("told", &Message::ForwardResponse(told));
 }
 
 #[test]
@@ -180,7 +180,7 @@
         u: vec![(398_405, r#use)],
     };
     same("bucket", &bucket);
-    let mut page = ArrivalsRecord::default();
+    let mut page = AdmissionPageRecord::default();
     let rest = Rest {
         zone: Some("lahore-east".into()),
         ..Rest::default()
@@ -196,7 +196,7 @@
     // This build's own leases name a newer format; an earlier build reads it as a number.
     same(
         "claim",
-        &LeaseRecord::of("orchard-1", 123_456_789, ARRIVALS),
+        &LeaseRecord::of("orchard-1", 123_456_789, ADMISSION_LOG),
     );
     let format = FormatRecord {
         jobs: 1,
--- a/crates/cherryyard/src/app/line.rs
+++ b/crates/cherryyard/src/app/line.rs
@@ -40,7 +40,7 @@
 impl<T> Line<T> {
     /// A job is asked for. Where too many wait, the one that came last makes way; its
     /// waiting are dropped.
-    pub(super) fn ask(&mut self, job: u64, waiting: T, now: u64) {
+    pub(super) fn query(&mut self, job: u64, waiting: T, now: u64) {
         let place = self.jobs.entry(job).or_insert_with(|| Place {
             first: now,
             last: now,
@@ -85,7 +85,7 @@
             for job in 0..100 + now / 600 {
                 let came = u64::saturating_sub(job, 99) * 600;
                 if !answered.contains_key(&job) && (now + job * 500) % 5000 == 0 && came <= now {
-                    line.ask(job, (), now);
+                    line.query(job, (), now);
                 }
             }
             if let Some((job, _)) = line.next(now) {
@@ -102,7 +102,7 @@
     fn a_flood_makes_way() {
         let mut line = Line::default();
         for job in 0..5000 {
-            line.ask(job, (), job);
+            line.query(job, (), job);
         }
         assert_eq!(line.jobs.len(), MOST);
         assert_eq!(line.next(5000).map(|n| n.0), Some(0));
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -1,6 +1,6 @@
 //! The running controller: tasks around the core.
 
-mod asks;
+mod forwarding;
 mod history;
 mod line;
 mod loops;
@@ -16,10 +16,10 @@
 use cherryyard_io::peer::Outgoing;
 use cherryyard_io::state::{Committed, State, StateError};
 use cherryyard_io::worker;
-use cherryyard_wire::peer::{Sender, Told};
+use cherryyard_wire::peer::{ForwardResponse, Sender};
 use cherryyard_wire::state::Commit;
 use hdrhistogram::Histogram;
-pub(crate) use history::{Look, LookUps};
+pub(crate) use history::{HistoryLookups, LookupKind};
 use refusals::Refusals;
 use std::collections::HashMap;
 use std::sync::atomic::AtomicU64;
@@ -47,14 +47,14 @@
     /// Tells that the connection to one of them is to be made anew.
     pub(crate) anew: HashMap<String, Arc<Notify>>,
     /// Submissions passed on that wait for an answer.
-    pub(crate) asked: Mutex<HashMap<u64, oneshot::Sender<Told>>>,
+    pub(crate) queried: Mutex<HashMap<u64, oneshot::Sender<ForwardResponse>>>,
     pub(crate) tickets: AtomicU64,
     /// Submissions that wait for their verdicts.
     pub(crate) offers: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
     /// Transactions that are not sent again.
     pub(crate) refusals: Mutex<Refusals>,
     /// Look-ups in the history of jobs that are over.
-    pub(crate) history: LookUps,
+    pub(crate) history: HistoryLookups,
     /// Bytes that all requests' bodies may take at once.
     pub bodies: Arc<Semaphore>,
     /// The least time between two reads of one kind, from the request budget.
@@ -108,7 +108,7 @@
         match effect {
             Effect::Refresh => self.barrier_wanted.notify_one(),
             Effect::Heartbeat => self.heartbeat_wanted.notify_one(),
-            Effect::Answer(ticket, verdict) => self.tell_verdict(ticket, verdict),
+            Effect::Answer(ticket, verdict) => self.reply_verdict(ticket, verdict),
             Effect::Commit(ticket, commit) => {
                 tokio::spawn(async move {
                     let outcome = app.commit(&commit).await;
@@ -132,14 +132,14 @@
                     app.with(|n, now| n.pushed(host, &request, outcome, now));
                 });
             }
-            Effect::Ask { host, addr } => {
+            Effect::QueryStatus { host, addr } => {
                 tokio::spawn(async move {
-                    let answer = worker::ask(&app.workers, &addr).await;
+                    let answer = worker::query(&app.workers, &addr).await;
                     if let Err(e) = &answer {
                         tracing::debug!(addr, "a machine does not answer a question: {e}");
                     }
                     let answer = answer.ok();
-                    app.with(|n, now| n.asked(host, answer.as_ref(), now));
+                    app.with(|n, now| n.queried(host, answer.as_ref(), now));
                 });
             }
             Effect::ReadLeaf(level, job) => {
--- a/crates/cherryyard/src/app/reads.rs
+++ b/crates/cherryyard/src/app/reads.rs
@@ -18,16 +18,16 @@
     /// Waits until the mirror holds everything that was durable when this was
     /// called. One read serves all who wait.
     pub async fn caught_up(self: &Arc<Self>) -> bool {
-        let (tell, told) = oneshot::channel();
+        let (reply_to, reply) = oneshot::channel();
         {
             let mut waiting = self.barrier.lock().unwrap_or_else(PoisonError::into_inner);
             if waiting.len() >= MAX_WAITING {
                 return false;
             }
-            waiting.push(tell);
+            waiting.push(reply_to);
         }
         self.barrier_wanted.notify_one();
-        matches!(tokio::time::timeout(PATIENCE, told).await, Ok(Ok(true)))
+        matches!(tokio::time::timeout(PATIENCE, reply).await, Ok(Ok(true)))
     }
 
     /// Reads the newest state whenever someone waits for it.
@@ -48,9 +48,9 @@
                     }
                     Err(_) => false,
                 };
-            for tell in waiting {
+            for reply_to in waiting {
                 // The one who waits may have given up.
-                let _ = tell.send(good);
+                let _ = reply_to.send(good);
             }
             let read_interval = if good {
                 self.read_interval
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -1,6 +1,6 @@
 //! `cherryyard condor`: submit files from the command line.
 
-use crate::cli::ask_status;
+use crate::cli::query_status;
 use cherryyard_condor::{Cluster, Options, Source, SubmitError, read};
 use cherryyard_core::pools::Explanation;
 use cherryyard_wire::condor::{Chunk, ChunkPost, SubmissionList, SubmissionView, check_name};
@@ -136,7 +136,7 @@
     let since = Instant::now();
     let mut pause = 1.0;
     loop {
-        let answer = ask_status(method, server, path, body.clone()).await;
+        let answer = query_status(method, server, path, body.clone()).await;
         let later = match &answer {
             Ok((status, _)) => matches!(status, 429 | 503 | 504),
             Err(_) => true,
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -43,7 +43,7 @@
 /// What is to be done with a chunk.
 enum Next {
     /// Nothing: the answer.
-    Tell(Answer),
+    UserAnswer(Answer),
     /// This is to be written, and then answered with the state.
     Write(Commit, StatusCode),
     /// This is to be written; whatever becomes of it, this is the answer.
@@ -75,24 +75,24 @@
 fn decide(node: &Node, post: &mut ChunkPost, at: u64, free: Option<(u64, u64)>) -> Next {
     let number = submission_number(&post.name);
     let known = node.mirror.submissions.get(&number).map(|s| s.0.clone());
-    let conflict = |why: String| Next::Tell(Answer::error(StatusCode::CONFLICT, why));
+    let conflict = |why: String| Next::UserAnswer(Answer::error(StatusCode::CONFLICT, why));
     let mut record = match known {
         Some(r) if r.name != post.name => {
             return conflict("name: another one has the same number; choose one anew".into());
         }
         Some(r) if r.phase == Phase::Dropped => {
-            return Next::Tell(Answer::later(
+            return Next::UserAnswer(Answer::later(
                 "what was sent under this name is being dropped",
             ));
         }
         Some(r) if r.phase != Phase::Receiving => {
-            return Next::Tell(view(node, number, StatusCode::OK));
+            return Next::UserAnswer(view(node, number, StatusCode::OK));
         }
         Some(r) if r.of != post.of => {
             return conflict(format!("of: the chunks before said {}", r.of));
         }
         Some(r) if post.chunk < r.chunks => {
-            return Next::Tell(view(node, number, StatusCode::ACCEPTED));
+            return Next::UserAnswer(view(node, number, StatusCode::ACCEPTED));
         }
         Some(r) => r,
         None => {
@@ -100,7 +100,7 @@
             let busy = |r: &SubmissionRecord| matches!(r.phase, Phase::Receiving | Phase::Creating);
             if all.filter(|s| busy(&s.0)).count() >= MOST_UNDER_WAY {
                 let why = "too many submissions are under way";
-                return Next::Tell(Answer::later_in(why, UNDER_WAY_RETRY_S));
+                return Next::UserAnswer(Answer::later_in(why, UNDER_WAY_RETRY_S));
             }
             SubmissionRecord {
                 name: post.name.clone(),
@@ -125,7 +125,7 @@
     let before = record.clone();
     let refuse = |answer: Answer| {
         if before.chunks == 0 {
-            return Next::Tell(answer);
+            return Next::UserAnswer(answer);
         }
         // One of its jobs can never run: nothing of it is queued.
         let mut dropped = before.clone();
@@ -137,7 +137,7 @@
     };
     match admit_chunk(node, post, record.at) {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return Next::Tell(Answer::later(why)),
+        Err(Reject::NotYet(why)) => return Next::UserAnswer(Answer::later(why)),
         Err(Reject::Malformed(why)) => return refuse(bad(why)),
         Err(Reject::Never(why)) => {
             return refuse(Answer::error(StatusCode::UNPROCESSABLE_ENTITY, why));
@@ -159,7 +159,7 @@
     let mut status = StatusCode::ACCEPTED;
     if record.chunks == record.of {
         let Some((first, moved)) = free else {
-            return Next::Tell(Answer::later("no block of ids could be found"));
+            return Next::UserAnswer(Answer::later("no block of ids could be found"));
         };
         status = StatusCode::CREATED;
         record.phase = record.phase.after(PhaseEvent::Accepted);
@@ -190,7 +190,7 @@
             first += jobs;
             continue;
         }
-        for level in Node::LOOK_UP_ORDER.into_iter().filter(|_| any) {
+        for level in Node::LOOKUP_ORDER.into_iter().filter(|_| any) {
             let mut from = first;
             while from < first + jobs {
                 reads += 1;
@@ -235,7 +235,7 @@
             free = free_block(app, before + post.jobs.jobs()).await;
         }
         let (commit, status) = match app.with(|n, _| decide(n, &mut post, at, free)) {
-            Next::Tell(answer) => return answer,
+            Next::UserAnswer(answer) => return answer,
             Next::GiveUp(commit, answer) => {
                 // If this is lost, it is given up later for its silence.
                 let outcome = app.commit(&commit).await;
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -10,7 +10,7 @@
 use cherryyard_wire::parse_object;
 use cherryyard_wire::settings::Limits;
 use cherryyard_wire::worker::{Misdirected, WorkerHeartbeat};
-pub use jobs::answer_ask;
+pub use jobs::answer_forwarded;
 use jobs::{cancel, poll, submit};
 use salvo::conn::Acceptor;
 use salvo::fuse::FuseConfig;
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -1,6 +1,6 @@
 //! Puts a controller together and runs it.
 
-use crate::app::{App, LookUps};
+use crate::app::{App, HistoryLookups};
 use crate::routes;
 use cherryyard_core::{Config, Node, Tuning};
 use cherryyard_io::cloud::Cloud;
@@ -68,12 +68,12 @@
         sender: sender.clone(),
         peers,
         anew,
-        asked: Mutex::new(HashMap::new()),
+        queried: Mutex::new(HashMap::new()),
         // A late answer to a process before this one must find nobody waiting.
         tickets: AtomicU64::new(rand::random()),
         offers: Mutex::new(HashMap::new()),
         refusals: Mutex::default(),
-        history: LookUps::new(c.state.rps, c.limits.memory_bytes()),
+        history: HistoryLookups::new(c.state.rps, c.limits.memory_bytes()),
         bodies: Arc::new(Semaphore::new(body_budget(&c.limits))),
         read_interval,
         list_every,
@@ -98,10 +98,10 @@
     tokio::spawn(app.clone().clock());
     tokio::spawn(app.clone().serve_barriers());
     tokio::spawn(app.clone().watch_queue());
-    tokio::spawn(app.clone().serve_look_ups());
-    tokio::spawn(app.clone().tell_latency());
+    tokio::spawn(app.clone().serve_lookups());
+    tokio::spawn(app.clone().log_latency());
     if app.with(|n, _| n.accounting) {
-        tokio::spawn(app.clone().tell_account());
+        tokio::spawn(app.clone().log_account());
     }
     tokio::spawn(app.clone().watch_cloud());
 
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -103,7 +103,7 @@
     assert_eq!(status, 200);
     assert!(counts.contains("\"open\":1"), "{counts}");
     // What was asked of the state service stayed within what it allows.
-    let asked = service.requests();
-    assert!(asked.refused * 10 <= asked.all, "{asked:?}");
+    let queried = service.requests();
+    assert!(queried.refused * 10 <= queried.all, "{queried:?}");
     assert_eq!(poll(&client, 10).await, (200, Some(JobStatus::Done)));
 }
