--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -4,9 +4,9 @@
 //! It is sampled: each sample counts every core of the shard once, for the time
 //! since the sample before. Nothing depends on it.
 
+use crate::controller::Controller;
 use crate::machine::{Machine, MachineState, Task};
 use crate::mirror::OpenJob;
-use crate::node::Node;
 use crate::{Millis, Mirror};
 use cherryyard_wire::cloud::InstanceStatus;
 use cherryyard_wire::job::Shape;
@@ -182,7 +182,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Takes a sample of shard `shard_id`, if it is ours and one is due.
     pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
         if self.owned(shard_id).is_none() {
--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -1,7 +1,7 @@
 //! What has become of submissions, by flow: at every controller, and over all.
 
 use super::flows::Flow;
-use crate::node::Node;
+use crate::controller::Controller;
 use cherryyard_wire::peer::DemandReport;
 use lru::LruCache;
 use std::collections::{BTreeMap, HashMap};
@@ -48,7 +48,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What has become of submissions at all controllers since the last call, by class
     /// and team: offered, taken, refused. What is counted is totals, so a heartbeat that is
     /// lost or comes twice changes nothing, and a controller that starts anew begins at
--- a/crates/cherryyard-core/src/admission/entitlements.rs
+++ b/crates/cherryyard-core/src/admission/entitlements.rs
@@ -10,8 +10,8 @@
 use super::ledger::{Account, Amount, Level, Under, is_over, left, may_give};
 use super::shares::{FlowDemand, floors};
 use crate::Millis;
+use crate::controller::Controller;
 use crate::machine::Task;
-use crate::node::Node;
 use cherryyard_wire::peer::{FlowShare, Heartbeat, LevelGrant};
 use cherryyard_wire::record::Key;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -78,7 +78,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What each flow runs and has waiting, as the assignments and divisions say.
     pub(crate) fn flow_use(&self) -> Vec<FlowUse> {
         let shards = self.shards.len();
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -8,9 +8,9 @@
 
 use super::fair_queue::FairQueue;
 use super::flows::Flow;
+use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::mirror::{MOST_ROWS, OpenJob};
-use crate::node::Node;
 use crate::{Config, Millis};
 use cherryyard_wire::record::{BUCKETS, Key};
 use cherryyard_wire::state::Commit;
@@ -222,7 +222,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The flows' weights, by index.
     pub(crate) fn flow_weights(&self) -> Vec<f64> {
         let flows = &self.mirror.flows;
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -287,16 +287,18 @@
     }
 
     /// The jobs in the order of service.
-    pub fn line(&self) -> Line<'_> {
+    pub fn service_order(&self) -> ServiceOrder<'_> {
         let runs = self.flows.iter().map(|set| Run::Whole(set.iter()));
-        let mut line = Line {
+        let mut service_order = ServiceOrder {
             queues: self,
             heads: Vec::new(),
             runs: runs.collect(),
             first: vec![false; self.flows.len()],
         };
-        line.heads = (0..line.runs.len()).map(|f| line.runs[f].next()).collect();
-        line
+        service_order.heads = (0..service_order.runs.len())
+            .map(|f| service_order.runs[f].next())
+            .collect();
+        service_order
     }
 
     /// Notes how many of a flow's others have been looked at, and the last of them;
@@ -327,9 +329,9 @@
     }
 }
 
-/// What waits, as one line: the flows' queues merged.
+/// What waits, as one service_order: the flows' queues merged.
 #[derive(Debug)]
-pub struct Line<'a> {
+pub struct ServiceOrder<'a> {
     queues: &'a Queues,
     heads: Vec<Option<&'a Place>>,
     runs: Vec<Run<'a>>,
@@ -337,7 +339,7 @@
     first: Vec<bool>,
 }
 
-impl Line<'_> {
+impl ServiceOrder<'_> {
     /// From here on a flow goes ahead of those that do not, whatever its rank; or not
     /// any more.
     pub fn ahead(&mut self, flow: Flow, ahead: bool) {
@@ -411,8 +413,8 @@
         }
     }
 
-    fn order(line: &mut Line<'_>) -> Vec<u64> {
-        std::iter::from_fn(|| line.step())
+    fn order(service_order: &mut ServiceOrder<'_>) -> Vec<u64> {
+        std::iter::from_fn(|| service_order.step())
             .map(|s| s.1.job)
             .collect()
     }
@@ -443,7 +445,7 @@
                     ..place(job, Rank::High, 1.0)
                 };
                 q.set(0, at, f64::INFINITY, 0.0);
-                assert_eq!(q.line().step().unwrap().1.job, job);
+                assert_eq!(q.service_order().step().unwrap().1.job, job);
                 q.remove(job);
             }
             q.remove(fresh);
@@ -466,18 +468,18 @@
             q.set(0, place, f64::INFINITY, 0.0);
         };
         (1..6).for_each(|job| set(&mut q, job));
-        assert_eq!(order(&mut q.line()), [3, 4, 5, 1, 2]);
+        assert_eq!(order(&mut q.service_order()), [3, 4, 5, 1, 2]);
         assert!(
             q.reserve_for_oldest(|at| at < 10, |_| false).is_empty(),
             "too young"
         );
         assert_eq!(q.reserve_for_oldest(|at| at <= 20, |_| false), [1]);
         set(&mut q, 1);
-        assert_eq!(order(&mut q.line()), [1, 3, 4, 5, 2]);
+        assert_eq!(order(&mut q.service_order()), [1, 3, 4, 5, 2]);
         let changed = q.reserve_for_oldest(|at| at <= 20, |job| job == 1);
         assert_eq!(changed, [1, 2]);
         changed.into_iter().for_each(|job| set(&mut q, job));
-        assert_eq!(order(&mut q.line()), [2, 3, 4, 5, 1]);
+        assert_eq!(order(&mut q.service_order()), [2, 3, 4, 5, 1]);
         q.remove(2);
         assert_eq!(q.turn(0), None);
         assert!(
@@ -486,7 +488,7 @@
         );
     }
 
-    /// Flows come as one line, by their jobs' places; one that is ahead comes first.
+    /// Flows come as one service_order, by their jobs' places; one that is ahead comes first.
     #[test]
     fn flows_are_merged() {
         let mut q = Queues::default();
@@ -494,14 +496,14 @@
         q.set(0, place(2, Rank::High, 1.0), f64::INFINITY, 0.0);
         q.set(1, place(3, Rank::Standard, 9.0), f64::INFINITY, 0.0);
         q.set(1, place(4, Rank::High, 3.0), 500.0, 7.0);
-        assert_eq!(order(&mut q.line()), [2, 4, 1, 3]);
-        let mut line = q.line();
-        line.ahead(1, true);
-        assert_eq!(order(&mut line), [4, 3, 2, 1]);
+        assert_eq!(order(&mut q.service_order()), [2, 4, 1, 3]);
+        let mut service_order = q.service_order();
+        service_order.ahead(1, true);
+        assert_eq!(order(&mut service_order), [4, 3, 2, 1]);
         assert_eq!((q.turned(500.0), q.turned(501.0)), (vec![], vec![4]));
         q.set(1, place(4, Rank::Standard, 3.0), f64::INFINITY, 90.0);
         assert_eq!(q.since(4), Some(7.0), "moved, not come anew");
-        assert_eq!(order(&mut q.line()), [2, 1, 4, 3]);
+        assert_eq!(order(&mut q.service_order()), [2, 1, 4, 3]);
         q.remove(1);
         assert_eq!((q.len(), q.since(1)), (3, None));
     }
@@ -516,15 +518,15 @@
         }
         let mut seen = BTreeSet::new();
         for _ in 0..70 {
-            let mut line = q.line();
+            let mut service_order = q.service_order();
             let (mut inspected_machines, mut others, mut last) = (0, 0, None);
-            while let Some((flow, at)) = line.step() {
+            while let Some((flow, at)) = service_order.step() {
                 seen.insert(at.job);
                 inspected_machines += 1;
                 if inspected_machines > WINDOW {
                     (others, last) = (others + 1, Some(at));
                 } else if inspected_machines == WINDOW {
-                    line.close(flow);
+                    service_order.close(flow);
                 }
             }
             assert!(inspected_machines <= WINDOW + OTHERS as u32);
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -8,7 +8,7 @@
 //! has been told without a gap.
 
 use crate::Millis;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::peers::PeerState;
 use cherryyard_wire::peer::Heartbeat;
 use cherryyard_wire::worker::{TaskReport, WorkerHeartbeat, parse_task_name};
@@ -20,7 +20,7 @@
 const MOST: usize = 200;
 /// Time between the last heartbeat of a process that said it was cut off and the start of the
 /// one after it, in which it has told no user of a cancellation: see
-/// [`Node::may_confirm_cancelled`].
+/// [`Controller::may_confirm_cancelled`].
 const RESTART_MS: f64 = 10_000.0;
 /// The same as the one who keeps it counts: clocks drift apart.
 const KEPT_MS: f64 = RESTART_MS * 1.01;
@@ -126,7 +126,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Takes what a heartbeat tells of cancellations, one that was made at `made` or later:
     /// up to when we know of all that its sender has learnt, until when it may have
     /// taken some.
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -29,7 +29,7 @@
 
 /// One controller.
 #[derive(Debug)]
-pub struct Node {
+pub struct Controller {
     /// What it was configured with.
     pub config: Config,
     /// This process's number, among all that have run under its name.
@@ -92,7 +92,7 @@
     pub wall_offset: f64,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has just started.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
         let mirror = Mirror::new(&config);
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -1,8 +1,8 @@
 //! What controllers tell each other.
 
 use crate::Millis;
+use crate::controller::Controller;
 use crate::effects::Effect;
-use crate::node::Node;
 use crate::peers::{PeerFormat, PeerState};
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
@@ -17,7 +17,7 @@
 /// began anew counts from anywhere, but names ours of since then.
 const OLD_CONNECTION_MS: f64 = 3000.0;
 
-impl Node {
+impl Controller {
     /// Whether every other controller says lately that the state service does
     /// not answer it either.
     pub(crate) fn all_cut_off(&self, now: Millis) -> bool {
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -11,7 +11,7 @@
 /// Pages that are left alone.
 const FEW: usize = 3;
 
-impl Node {
+impl Controller {
     /// Whether every controller runs a build that can work with a format. An earlier one
     /// would not see the jobs in it.
     pub(crate) fn all_able(&self, format: u32) -> bool {
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -6,7 +6,7 @@
 /// Time without an owner's report after which its room is assumed.
 const ASSUME_AFTER_MS: f64 = 2500.0;
 
-impl Node {
+impl Controller {
     /// Where an owner's reports do not arrive (connections between controllers
     /// are refused), what the cloud lists and what is assigned stand for them:
     /// else every job went to the leader's own shard.
--- a/crates/cherryyard-core/src/leader/bulk_creation.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation.rs
@@ -118,7 +118,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// One step for the submissions: at most one read or transaction at once.
     pub(crate) fn create(&mut self, now: Millis) {
         if self.mirror.submissions.is_empty() {
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -8,7 +8,7 @@
 /// leader says so: one that is being replaced by an earlier build is noticed by then.
 const ABLE_MS: f64 = 3000.0;
 
-impl Node {
+impl Controller {
     /// Whether submissions may name jobs that they wait for. All that came before that
     /// was decided has been read.
     pub fn accepts_dependencies(&self) -> bool {
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -6,7 +6,7 @@
 /// Any tier of preference.
 pub(crate) const ANY: u16 = u16::MAX;
 
-impl Node {
+impl Controller {
     /// A report's machines that the job may use, up to a tier of its preference.
     pub(crate) fn capacities_for<'a>(
         open: &OpenJob,
--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -78,7 +78,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// One step of the history's leader: at most one read or transaction at once,
     /// within a share of the write budget that leaves the rest to all else.
     pub(crate) fn pack(&mut self, now: Millis) {
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// Teams whose limit is spread so that some shard lacks room under it.
     pub(crate) fn short_teams(&self, now: Millis) -> Vec<String> {
         let mut short = Vec::new();
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -15,11 +15,11 @@
 
 pub use history_compaction::HistoryCounts;
 
+use crate::controller::Controller;
 use crate::divide::divide;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::mirror::OpenJob;
 use crate::needs::Needs;
-use crate::node::Node;
 use crate::{Millis, admit};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
@@ -30,7 +30,7 @@
 use state::{LeadershipEvent, LeadershipPhase, ProvisionedBatch, ShardCapacity};
 use std::collections::HashSet;
 
-impl Node {
+impl Controller {
     pub(crate) fn acquire_leadership(&mut self, now: Millis) {
         let Some(lease_id) = self.lease_id else {
             return;
--- a/crates/cherryyard-core/src/leader/provisioning_times.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -94,7 +94,7 @@
     expected + (overdue - replaced).max(0.0)
 }
 
-impl Node {
+impl Controller {
     /// The published time of a type until a machine is up.
     pub(crate) fn ready_s(&self, sku: &str) -> f64 {
         let machine_type = self.mirror.machine_types.iter().find(|k| k.sku == sku);
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -15,7 +15,7 @@
 /// A job of which a shard has kept numbers waiting for too long.
 type Overdue = (u64, usize, bool);
 
-impl Node {
+impl Controller {
     /// Overflow: a shard that has kept tasks waiting for the delay loses its
     /// unassigned numbers to shards with room for them.
     pub(crate) fn move_waiting(&mut self, now: Millis) -> Option<Commit> {
--- a/crates/cherryyard-core/src/leader/scale_out.rs
+++ b/crates/cherryyard-core/src/leader/scale_out.rs
@@ -9,7 +9,7 @@
 /// Waiting jobs that may use only some pools of machine of which renting takes account.
 const BOUND_JOBS: usize = 50;
 
-impl Node {
+impl Controller {
     /// Rents ahead of need.
     pub(crate) fn scale_out(&mut self, now: Millis) {
         if self.leader.provisioning.is_some()
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -1,16 +1,16 @@
 //! Leases on shards: made, renewed under a new token, and given up.
 
 use crate::Millis;
+use crate::controller::Controller;
 use crate::effects::{Effect, Ticket};
 use crate::leader::state::LeadershipPhase;
 use crate::machine::MachineState;
 use crate::mirror::LeaseHolder;
-use crate::node::Node;
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use cherryyard_wire::record::{self, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
 
-impl Node {
+impl Controller {
     /// Takes leases of this very process that the state shows, whether they have been
     /// answered or not: where only the answer was lost, a lease made anew would get its
     /// answer no sooner, and a shard went without an owner until one came. A lease of a
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -1,6 +1,6 @@
 //! The scheduling core of cherryyard.
 //!
-//! [`Node`] is one controller: it takes events (state changes, reports, heartbeats,
+//! [`Controller`] is one controller: it takes events (state changes, reports, heartbeats,
 //! answers, the time) and returns effects (transactions, direct commands,
 //! provisioning requests). It does no I/O and reads no clock, so the same events always give
 //! the same effects, which is what the rehearsal crate builds on.
@@ -10,6 +10,7 @@
 pub mod admit;
 mod cancelled;
 pub mod config;
+pub mod controller;
 pub mod dependencies;
 pub mod divide;
 pub mod effects;
@@ -21,7 +22,6 @@
 pub mod mirror;
 pub mod names;
 pub mod needs;
-pub mod node;
 pub mod owner;
 pub mod pages;
 mod peers;
@@ -35,10 +35,10 @@
 mod worker_heartbeats;
 
 pub use config::{Config, Tuning};
+pub use controller::Controller;
 pub use effects::{Effect, Outcome, PushOutcome, Reply, Ticket};
 pub use machine::{Machine, MachineState, Task};
 pub use mirror::Mirror;
-pub use node::Node;
 pub use worker_heartbeats::MAX_MACHINES;
 
 /// Milliseconds on this process's steady clock.
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -30,7 +30,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What each team's services use of the shard, which does not come free by itself.
     pub(crate) fn held_by_services(&self, shard_id: usize) -> Vec<Needs> {
         let mut held = vec![Needs::default(); self.config.teams.len()];
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -8,7 +8,7 @@
 /// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
 const STUCK_GRANT_MS: f64 = 2000.0;
 
-impl Node {
+impl Controller {
     /// Silence after which a machine gets nothing new.
     pub(crate) fn silence_ms(&self) -> f64 {
         self.config.report_ms * 1.25 + 700.0
@@ -76,8 +76,8 @@
         let used = self.mirror.usage(shard_id);
         let mut wants = used.clone();
         let mut waiting = Vec::new();
-        let mut line = self.shards[shard_id].queues.line();
-        let first = std::iter::from_fn(|| line.step()).take(MAX_REPORTED_JOBS);
+        let mut service_order = self.shards[shard_id].queues.service_order();
+        let first = std::iter::from_fn(|| service_order.step()).take(MAX_REPORTED_JOBS);
         for (_, Place { job, .. }) in first {
             let count = self
                 .mirror
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -193,7 +193,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What reports prove of a assigned task.
     pub(crate) fn task_outcome(
         &self,
--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -140,7 +140,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// A task of a job has completed on a machine: neither is at fault.
     pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
         if let Some(t) = self.shards[shard_id].job_failures.remove(&job)
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -5,7 +5,7 @@
 /// Least time between two records of a shard's images.
 const IMAGES_MS: f64 = 10_000.0;
 
-impl Node {
+impl Controller {
     pub(crate) fn note_images(&mut self, host: u32) {
         let tasks: Vec<Task> = self.mirror.on_host(host).map(|(task, _)| task).collect();
         let Some(m) = self.machines.get_mut(&host) else {
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -19,12 +19,12 @@
 pub(crate) mod state;
 
 use crate::Millis;
+use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::machine::{Machine, MachineEvent, MachineState, PushedStart, Task};
 use crate::mirror::OpenJob;
 use crate::names::Names;
 use crate::needs::Needs;
-use crate::node::Node;
 use crate::pages::{Assignment, Page};
 use crate::reachability::Reachability;
 use crate::shard_lease::ShardLease;
@@ -85,7 +85,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What time alone brings about: leases that end, commands that are due.
     fn keep_shard(&mut self, shard_id: usize, now: Millis) {
         if now - self.shards[shard_id].kept_at < KEEP_MS || !self.caught_up() {
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -13,7 +13,7 @@
 use crate::pages::PageFormat;
 use cherryyard_wire::RangeSet;
 
-impl Node {
+impl Controller {
     /// The transaction that brings the division of a shard's first page that is too large
     /// one step further; none if no page is.
     pub(super) fn divide_oversized_page(&self, shard_id: usize, token: u64) -> Option<Commit> {
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -2,7 +2,7 @@
 
 use super::failure_attribution::JobFailures;
 use super::preempt::Preemptible;
-use super::search::{Looks, Search};
+use super::search::{Search, SearchBudget};
 use super::*;
 use crate::admission::flows::Flow;
 use crate::admission::queue::{Place, Queues};
@@ -34,7 +34,7 @@
     /// Cores that flows may start ahead of rank, and that may be stopped of them.
     ahead: HashMap<Flow, f64>,
     may_stop: HashMap<Flow, f64>,
-    looks: Looks,
+    search_budget: SearchBudget,
     /// Cores started, by flow.
     started: HashMap<Flow, f64>,
     /// Teams whose rest of the limit here is kept for a job whose turn it is.
@@ -98,7 +98,7 @@
     Nothing,
 }
 
-impl Node {
+impl Controller {
     /// Which of the deadline's multiples the job can still make if its waiting
     /// tasks start now, and when that is over, by the day's clock; the later ones only
     /// come after all that can still make an earlier one, so that a job that is late
@@ -201,7 +201,7 @@
         }
         self.reserve_for_oldest(shard_id, now);
         let shard = &mut self.shards[shard_id];
-        // Back in its place at the end: nothing in between looks there.
+        // Back in its place at the end: nothing in between search_budget there.
         let mut queues = std::mem::take(&mut shard.queues);
         self.place_queued(shard_id, now, &mut queues, cycle, pending);
         self.shards[shard_id].queues = queues;
@@ -216,22 +216,22 @@
         pending: &mut Pending,
     ) {
         let mut placement = self.begin_placement(shard_id, cycle, now);
-        let mut line = queues.line();
+        let mut service_order = queues.service_order();
         let ahead = placement.ahead.keys();
-        ahead.for_each(|&flow| line.ahead(flow, true));
-        while let Some((flow, at)) = line.step() {
+        ahead.for_each(|&flow| service_order.ahead(flow, true));
+        while let Some((flow, at)) = service_order.step() {
             self.inspected_jobs += 1;
             // Counted as stuck until one of its tasks is placed.
-            if placement.looks.look(flow, at) {
-                line.close(flow);
+            if placement.search_budget.look(flow, at) {
+                service_order.close(flow);
             }
             let Some(needs) = self.needs_of_waiting(shard_id, at.job) else {
                 continue;
             };
             if placement.is_beyond_level(flow, &needs) {
                 // Not all of it has its turn now; what is next in its own place may.
-                line.ahead(flow, false);
-                line.back(flow, at);
+                service_order.ahead(flow, false);
+                service_order.back(flow, at);
                 continue;
             }
             let Some(candidate) = self.candidate(&placement, flow, at.job, queues, cycle) else {
@@ -243,8 +243,8 @@
             match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
                 Next::Job => {}
                 Next::JobAgain => {
-                    line.ahead(flow, false);
-                    line.back(flow, at);
+                    service_order.ahead(flow, false);
+                    service_order.back(flow, at);
                 }
                 Next::Nothing => break,
             }
@@ -284,7 +284,7 @@
             placed: 0,
             ahead,
             may_stop: allowed.stop,
-            looks: Looks::default(),
+            search_budget: SearchBudget::default(),
             started: HashMap::new(),
             kept_for: HashMap::new(),
             gone_to: HashMap::new(),
@@ -564,7 +564,7 @@
         placement.capacities[capacity].1.take(&candidate.needs);
         placement.used[candidate.team as usize].give(&candidate.needs);
         placement.placed += 1;
-        placement.looks.found(candidate.flow);
+        placement.search_budget.found(candidate.flow);
         let started = placement.started.entry(candidate.flow).or_insert(0.0);
         *started += candidate.needs.cores;
         pending.hosts.insert(host);
@@ -615,7 +615,7 @@
         for (flow, cores) in placement.started {
             queues.started(flow, cores);
         }
-        for (flow, others, last) in placement.looks.others() {
+        for (flow, others, last) in placement.search_budget.others() {
             queues.inspected_at(flow, others, last);
         }
         let handing = placement.handing;
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -11,7 +11,7 @@
     beyond: BTreeSet<u32>,
 }
 
-impl Node {
+impl Controller {
     /// Looked at once a scheduling cycle: where nothing could make way, no machine need be
     /// searched for each job that waits.
     pub(crate) fn preemptible(&self, shard_id: usize, totals: &[Needs]) -> Preemptible {
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// The commands that bring a machine to what its assignments say.
     pub(crate) fn reconcile(&self, host: u32, now: Millis, in_answer: bool) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -11,7 +11,7 @@
 const CANCELLED_SHARE: f64 = 0.7;
 const CANCELLED_LATE: f64 = 0.8;
 
-impl Node {
+impl Controller {
     /// Machines to return: dead, never up, silent, or of no use.
     pub(crate) fn scale_in_listed(&mut self, now: Millis) {
         // What is owned may be an old belief.
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -46,12 +46,12 @@
 
 /// How many of each flow's jobs a scheduling cycle has looked at in vain.
 #[derive(Debug, Default)]
-pub(crate) struct Looks {
+pub(crate) struct SearchBudget {
     stuck: HashMap<Flow, u32>,
     others: HashMap<Flow, (usize, Place)>,
 }
 
-impl Looks {
+impl SearchBudget {
     /// Whether enough of a flow has been stuck for it to be closed.
     pub(crate) fn look(&mut self, flow: Flow, at: Place) -> bool {
         if let Some((n, last)) = self.others.get_mut(&flow) {
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -5,7 +5,7 @@
 /// Least tasks of a job that must have completed for their run time to count.
 const KNOWN_RUNS: u32 = 3;
 
-impl Node {
+impl Controller {
     /// How long a task of the job takes: as its completed tasks did, or as its
     /// owner estimates, whichever is longer (those that complete first are short).
     fn run_ms(&self, shard_id: usize, job: u64, open: &OpenJob) -> Millis {
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -7,7 +7,7 @@
 //! so whoever wrote it plans a smaller one: it is divided, waits, or is refused, and is
 //! never sent again unchanged.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::{Config, Millis};
 use cherryyard_wire::state::{Apply, Commit};
 
@@ -117,7 +117,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The state service has called a transaction malformed: what is written from now
     /// on is smaller.
     pub fn commit_refused_as_malformed(&mut self, refused: &Commit) {
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -1,7 +1,7 @@
 //! Users' writes and polls: who takes them, when they are refused, and what is told.
 
 use crate::Millis;
-use crate::node::Node;
+use crate::controller::Controller;
 use cherryyard_wire::job::{JobStatus, JobView};
 use cherryyard_wire::record::End;
 use cherryyard_wire::state::Commit;
@@ -32,7 +32,7 @@
     Unknown,
 }
 
-impl Node {
+impl Controller {
     /// What a user can be told of a job: a final state at once, any other only if all
     /// that was durable when the user asked has been read (`caught_up`).
     pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -1,9 +1,9 @@
 //! Workers' reports and direct commands, as a controller takes them.
 
 use crate::Millis;
+use crate::controller::Controller;
 use crate::effects::{Effect, PushOutcome, Reply};
 use crate::machine::{Freshness, Machine, MachineState, PushedStart};
-use crate::node::Node;
 use crate::peers::MisdirectedWorker;
 use crate::reachability::{Reachability, ReachabilityEvent};
 use crate::shard_lease::ShardLease;
@@ -22,7 +22,7 @@
 /// How much longer than its lease a silent machine is still asked.
 const LOST_MS: f64 = 15_000.0;
 
-impl Node {
+impl Controller {
     /// The token under which reports of shard `shard_id` are answered now, if any.
     fn answering(&self, shard_id: usize, now: Millis) -> Option<u64> {
         let ShardLease::Held(token) = self.shards[shard_id].lease else {
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -1,6 +1,6 @@
 //! Fixed limits on the number of machines are above the largest fleets: 4,096 machines.
 
-use cherryyard_core::{Config, Effect, MAX_MACHINES, Node, Reply, Tuning};
+use cherryyard_core::{Config, Controller, Effect, MAX_MACHINES, Reply, Tuning};
 use cherryyard_wire::peer::Heartbeat;
 use cherryyard_wire::settings::Settings;
 use cherryyard_wire::worker::WorkerHeartbeat;
@@ -14,7 +14,7 @@
 const FLEET: usize = 4096;
 
 /// Controller `a` of two, each alone in the zone of its name.
-fn controller() -> Node {
+fn controller() -> Controller {
     let settings = json!({
         "label": "a", "domain": "a",
         "public_addr": "127.0.0.1:1", "peer_listen": "127.0.0.1:2",
@@ -29,7 +29,7 @@
         },
     });
     let settings = Settings::parse(settings.to_string().as_bytes()).expect("good settings");
-    Node::new(Config::new(&settings, Tuning::default()), 1, 0.0)
+    Controller::new(Config::new(&settings, Tuning::default()), 1, 0.0)
 }
 
 /// The first report of a machine in the zone of controller `b`.
@@ -94,45 +94,48 @@
 /// controllers learn how many it has lost. With 1,000 at most it was a quarter of them.
 #[test]
 fn every_machine_of_another_part_is_counted() {
-    let mut node = controller();
-    node.heartbeat_in(heartbeat(), 100.0);
+    let mut controller = controller();
+    controller.heartbeat_in(heartbeat(), 100.0);
     for machine in 0..FLEET {
-        let reply = node.report(&report(machine), 200.0);
+        let reply = controller.report(&report(machine), 200.0);
         assert!(matches!(reply, Reply::Elsewhere(Some(b)) if b == "b"));
     }
     let mut queried = 0;
-    for effect in node.effects() {
+    for effect in controller.effects() {
         if let Effect::QueryStatus { host, .. } = effect {
             queried += 1;
-            node.queried(host, Some(&report(0)), 300.0);
+            controller.queried(host, Some(&report(0)), 300.0);
         }
     }
     assert_eq!(queried, 16, "a sample is asked");
-    assert_eq!(node.heartbeat_out(400.0).misdirected, [(1, FLEET as u32)]);
+    assert_eq!(
+        controller.heartbeat_out(400.0).misdirected,
+        [(1, FLEET as u32)]
+    );
 }
 
 /// Beyond the bound the log says so once, and those that are known stay known.
 #[test]
 fn too_many_machines_are_logged_once() {
     let warnings = Arc::new(AtomicUsize::new(0));
-    let mut node = controller();
+    let mut controller = controller();
     tracing::subscriber::with_default(Warnings(warnings.clone()), || {
         for machine in 0..MAX_MACHINES {
-            node.report(&report(machine), 200.0);
+            controller.report(&report(machine), 200.0);
         }
         assert_eq!(warnings.load(Ordering::Relaxed), 0);
         for machine in 0..100 {
-            node.report(&report(MAX_MACHINES + machine), 200.0);
+            controller.report(&report(MAX_MACHINES + machine), 200.0);
         }
         assert_eq!(warnings.load(Ordering::Relaxed), 1);
         // The first report again; the others are forgotten after 6 s.
-        node.report(&report(0), 5000.0);
+        controller.report(&report(0), 5000.0);
     });
-    node.heartbeat_in(heartbeat(), 6000.0);
-    node.heartbeat_out(6500.0);
+    controller.heartbeat_in(heartbeat(), 6000.0);
+    controller.heartbeat_out(6500.0);
     for machine in [0, MAX_MACHINES] {
-        node.report(&report(machine), 6600.0);
+        controller.report(&report(machine), 6600.0);
     }
     let queries = |e: &Effect| matches!(e, Effect::QueryStatus { .. });
-    assert_eq!(node.effects().into_iter().filter(queries).count(), 2);
+    assert_eq!(controller.effects().into_iter().filter(queries).count(), 2);
 }
--- a/crates/cherryyard-core/tests/hang_model.rs
+++ b/crates/cherryyard-core/tests/hang_model.rs
@@ -3,7 +3,7 @@
 //! later than `CANCEL` after its user was told. (That it never runs twice is the concern of
 //! the lease's model; the state service serves everybody here.)
 //!
-//! The rule is that of `Node::release_with_cancelled_tasks`; each mutant leaves a part of it out and
+//! The rule is that of `Controller::release_with_cancelled_tasks`; each mutant leaves a part of it out and
 //! must be caught.
 
 use pathfinding::directed::bfs::bfs_reach;
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-rehearsal/src/fault.rs
@@ -1,11 +1,11 @@
 //! Troubles by name, each of which begins and ends: what random days draw from.
 
 use crate::World;
-use cherryyard_core::Node;
+use cherryyard_core::Controller;
 
 /// A trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// The leader is down.
     LeaderDown,
     /// All controllers are.
@@ -45,7 +45,7 @@
     /// A zone's machines cannot be reached.
     ZoneSilent,
     /// A third of the machines reach no controller, while direct commands reach them.
-    Mute,
+    OneWaySilence,
     /// Copies of reports are kept for the next leader, and come to all controllers.
     CopiesForNext,
     /// Transactions are carried out at once and get no answer.
@@ -67,8 +67,8 @@
 }
 
 /// Those of the pairs of before, in the order in which their seeds know them.
-pub const OLDER: [Trouble; 19] = {
-    use Trouble::*;
+pub const OLDER: [Fault; 19] = {
+    use Fault::*;
     [
         LeaderDown,
         AllDown,
@@ -93,10 +93,10 @@
 };
 
 /// The further ones.
-pub const NEWER: [Trouble; 10] = {
-    use Trouble::*;
+pub const NEWER: [Fault; 10] = {
+    use Fault::*;
     [
-        Mute,
+        OneWaySilence,
         CopiesForNext,
         LostAnswers,
         FastBoots,
@@ -111,19 +111,22 @@
 
 /// Who leads, or the first controller.
 pub fn leader(w: &World) -> usize {
-    let leads = |n: &Node| n.leadership_token().is_some();
-    let at = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+    let leads = |n: &Controller| n.leadership_token().is_some();
+    let at = w
+        .controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads));
     at.unwrap_or(0)
 }
 
-impl Trouble {
+impl Fault {
     /// Begins it.
     pub fn begin(self, w: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
         let mut some =
             |of: u64| -> Vec<String> { hosts.iter().filter(|_| draw(of) == 0).cloned().collect() };
         let leader_index = leader(w);
-        let all = w.nodes.len();
+        let all = w.controllers.len();
         let n = all as u64;
         match self {
             Self::LeaderDown => w.kill(leader_index),
@@ -162,7 +165,7 @@
                 let zone: Vec<String> = zone.map(|x| x.host.clone()).collect();
                 w.unreachable.extend(zone);
             }
-            Self::Mute => w.mute.extend(some(3)),
+            Self::OneWaySilence => w.one_way_silent.extend(some(3)),
             Self::CopiesForNext => w.copies_for_next = true,
             Self::LostAnswers => w.lost_answers = 10 + draw(40),
             Self::FastBoots => {
@@ -205,8 +208,8 @@
     pub fn finish(self, w: &mut World) {
         match self {
             Self::LeaderDown | Self::AllDown | Self::SuccessorDown => {
-                for i in 0..w.nodes.len() {
-                    if w.nodes[i].is_none() {
+                for i in 0..w.controllers.len() {
+                    if w.controllers[i].is_none() {
                         w.start(i);
                     }
                 }
@@ -231,7 +234,7 @@
             Self::Behind => w.late.clear(),
             Self::SlowState => w.slow_ms = 0.0,
             Self::CloudDown => w.cloud_down = false,
-            Self::Mute => w.mute.clear(),
+            Self::OneWaySilence => w.one_way_silent.clear(),
             Self::CopiesForNext => w.copies_for_next = false,
             Self::LostAnswers => w.lost_answers = 0,
             Self::FastBoots => {
@@ -255,8 +258,8 @@
 
     /// Ends all that may be going on: nothing fails any more.
     pub fn finish_all(w: &mut World) {
-        for trouble in OLDER.into_iter().chain(NEWER) {
-            trouble.finish(w);
+        for fault in OLDER.into_iter().chain(NEWER) {
+            fault.finish(w);
         }
     }
 }
--- a/crates/cherryyard-rehearsal/src/users.rs
+++ b/crates/cherryyard-rehearsal/src/users.rs
@@ -1,6 +1,6 @@
 //! Users, as they see a day: they submit, poll what was accepted, and judge at its end.
 
-use crate::{Trouble, World};
+use crate::{Fault, World};
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView};
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct Asking {
     spec: JobSpec,
-    node: usize,
+    controller: usize,
     ticket: u64,
     again: f64,
 }
@@ -75,7 +75,7 @@
         let ticket = w.offer(i, spec, None);
         self.asking.push(Asking {
             spec: spec.clone(),
-            node: i,
+            controller: i,
             ticket,
             again: w.now + 5000.0,
         });
@@ -88,7 +88,7 @@
                 Some(Verdict::Taken | Verdict::Known) => self.accepted(w, &asking.spec),
                 None if w.now < asking.again => self.asking.push(asking),
                 _ => {
-                    let next = (asking.node + 1) % w.nodes.len();
+                    let next = (asking.controller + 1) % w.controllers.len();
                     self.ask(w, next, &asking.spec);
                 }
             }
@@ -277,7 +277,7 @@
     /// Ends all troubles, lets what is left of the day pass, and says what is wrong: rules
     /// broken, jobs forgotten, groups left out.
     pub fn see_out(&mut self, w: &mut World) -> Vec<String> {
-        Trouble::finish_all(w);
+        Fault::finish_all(w);
         let over = w.now;
         for _ in 0..40 {
             self.run(w, 5.0);
@@ -339,15 +339,17 @@
 fn poll(w: &mut World, k: usize, id: &str) -> Option<Option<JobView>> {
     let now = w.now;
     let able = |w: &World, i: usize| {
-        let node = w.nodes[i].as_ref().filter(|_| !w.frozen.contains(&i));
-        node.is_some_and(|n| n.ready(now) && !n.refuses_polls(now))
+        let controller = w.controllers[i].as_ref().filter(|_| !w.frozen.contains(&i));
+        controller.is_some_and(|n| n.ready(now) && !n.refuses_polls(now))
     };
-    let able: Vec<usize> = (0..w.nodes.len()).filter(|&i| able(w, i)).collect();
+    let able: Vec<usize> = (0..w.controllers.len()).filter(|&i| able(w, i)).collect();
     let i = *able.get(k % able.len().max(1))?;
     if w.refused.contains(&i) {
         // Only a final state needs no barrier.
-        let node = w.nodes[i].as_ref()?;
-        let view = node.mirror.view(cherryyard_wire::job::job_number(id)?)?;
+        let controller = w.controllers[i].as_ref()?;
+        let view = controller
+            .mirror
+            .view(cherryyard_wire::job::job_number(id)?)?;
         let over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
         return over.then_some(Some(view));
     }
--- a/crates/cherryyard-rehearsal/src/worker.rs
+++ b/crates/cherryyard-rehearsal/src/worker.rs
@@ -30,7 +30,7 @@
     /// When the last answered report was sent, or the incarnation began.
     renewed_at: f64,
     /// The controller it reports to.
-    pub node: usize,
+    pub controller: usize,
     /// When it reports next.
     pub report_at: f64,
     /// How long its tasks run; infinite for replicas.
@@ -48,7 +48,7 @@
 
 impl WorkerStandIn {
     /// A worker that has just started.
-    pub fn new(host: &str, zone: &str, node: usize, lease_ms: f64, now: f64) -> Self {
+    pub fn new(host: &str, zone: &str, controller: usize, lease_ms: f64, now: f64) -> Self {
         Self {
             host: host.into(),
             machine_type: "m4".into(),
@@ -59,7 +59,7 @@
             tasks: BTreeMap::new(),
             provisioned_at: now - 10_000.0,
             renewed_at: now,
-            node,
+            controller,
             report_at: now,
             run_ms: f64::INFINITY,
             faulty: false,
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-rehearsal/src/world.rs
@@ -5,7 +5,7 @@
 use cherryyard_core::account::CoreSeconds;
 use cherryyard_core::admission::intake::{Offer, Verdict};
 use cherryyard_core::mirror::over;
-use cherryyard_core::{Config, Effect, Node, Outcome, PushOutcome, Reply, Ticket, Tuning};
+use cherryyard_core::{Config, Controller, Effect, Outcome, PushOutcome, Reply, Ticket, Tuning};
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
@@ -34,7 +34,7 @@
 use check::Checker;
 use late::slow;
 use requests::Requests;
-pub use requests::{Question, Said};
+pub use requests::{Question, Response};
 
 /// Milliseconds between two steps of the clock.
 const STEP: f64 = 50.0;
@@ -116,7 +116,7 @@
     /// The state service.
     pub state: StateStandIn,
     /// Controllers; `None` while one is down.
-    pub nodes: Vec<Option<Node>>,
+    pub controllers: Vec<Option<Controller>>,
     /// Workers by name.
     pub workers: BTreeMap<String, WorkerStandIn>,
     /// Controllers that the state service refuses.
@@ -141,7 +141,7 @@
     /// Machines whose reports arrive, but neither answers nor commands reach them.
     pub one_way: BTreeSet<String>,
     /// Machines whose reports reach no controller, while direct commands reach them.
-    pub mute: BTreeSet<String>,
+    pub one_way_silent: BTreeSet<String>,
     /// Zones whose machines and controllers reach none of another zone.
     pub zones_cut: BTreeSet<String>,
     /// A copy of each machine's next report is kept for the next leader: it comes to
@@ -256,7 +256,7 @@
     pub fn new(setup: Setup) -> Self {
         let mut world = Self {
             state: StateStandIn::default(),
-            nodes: Vec::new(),
+            controllers: Vec::new(),
             workers: BTreeMap::new(),
             refused: BTreeSet::new(),
             alone: BTreeSet::new(),
@@ -268,7 +268,7 @@
             unreachable: BTreeSet::new(),
             hung: BTreeSet::new(),
             one_way: BTreeSet::new(),
-            mute: BTreeSet::new(),
+            one_way_silent: BTreeSet::new(),
             zones_cut: BTreeSet::new(),
             copies_for_next: false,
             copies_wait_ms: 0.0,
@@ -327,8 +327,8 @@
             starts: 0,
         };
         for i in 0..setup.zones.len() {
-            let node = world.new_node(i);
-            world.nodes.push(Some(node));
+            let controller = world.new_node(i);
+            world.controllers.push(Some(controller));
             world.lives.push(world.starts);
         }
         world.enforce_limits(setup.value_kb, setup.txn_ops);
@@ -337,8 +337,8 @@
         for (machine_type, (zone, count)) in small.chain(setup.large.iter().map(|m| ("m8", m))) {
             for _ in 0..*count {
                 let name = format!("host-{number:06}");
-                let node = number % setup.zones.len();
-                let mut worker = WorkerStandIn::new(&name, zone, node, 10_000.0, 0.0);
+                let controller = number % setup.zones.len();
+                let mut worker = WorkerStandIn::new(&name, zone, controller, 10_000.0, 0.0);
                 worker.machine_type = machine_type.into();
                 world.workers.insert(name, worker);
                 number += 1;
@@ -411,7 +411,7 @@
         Settings::parse(text.as_bytes()).expect("the rehearsal's settings are good")
     }
 
-    fn new_node(&mut self, i: usize) -> Node {
+    fn new_node(&mut self, i: usize) -> Controller {
         self.starts += 1;
         let mut tuning = self.setup.tuning.clone();
         if let Some(batch) = self.setup.history {
@@ -421,8 +421,8 @@
         if self.setup.earlier.contains(&i) {
             config.format = ADMISSION_LOG;
         }
-        let mut node = Node::new(config, self.starts, self.now);
-        node.accounting = true;
+        let mut controller = Controller::new(config, self.starts, self.now);
+        controller.accounting = true;
         let zones: Vec<String> = self
             .setup
             .machines
@@ -437,28 +437,28 @@
             (large.cores, large.ram_gb) = (8.0, 32.0);
             machine_types.push(large);
         }
-        node.machine_types(machine_types, self.now);
-        node
+        controller.machine_types(machine_types, self.now);
+        controller
     }
 
     /// A controller ends.
     pub fn kill(&mut self, i: usize) {
         self.say(format!("node-{i} ends"));
-        self.nodes[i] = None;
+        self.controllers[i] = None;
     }
 
     /// A controller starts again.
     pub fn start(&mut self, i: usize) {
         self.say(format!("node-{i} starts"));
-        let node = self.new_node(i);
-        self.nodes[i] = Some(node);
+        let controller = self.new_node(i);
+        self.controllers[i] = Some(controller);
         self.lives[i] = self.starts;
         self.reads.remove(&i);
     }
 
     /// All controllers end and start again.
     pub fn restart_all(&mut self) {
-        for i in 0..self.nodes.len() {
+        for i in 0..self.controllers.len() {
             self.kill(i);
             self.start(i);
         }
@@ -507,30 +507,39 @@
         self.give_up_provisions();
         self.change_leaders();
         self.deliver_copies();
-        for i in 0..self.nodes.len() {
-            let Some(node) = self.nodes[i].as_mut().filter(|_| !self.frozen.contains(&i)) else {
+        for i in 0..self.controllers.len() {
+            let Some(controller) = self.controllers[i]
+                .as_mut()
+                .filter(|_| !self.frozen.contains(&i))
+            else {
                 continue;
             };
             if !self.refused.contains(&i) {
-                if !node.mirror.loaded {
-                    node.mirror.begin_load();
-                    node.mirror.load_some(&self.state.pairs());
-                    node.loaded(self.state.store_revision(), now, now);
+                if !controller.mirror.loaded {
+                    controller.mirror.begin_load();
+                    controller.mirror.load_some(&self.state.pairs());
+                    controller.loaded(self.state.store_revision(), now, now);
                 } else if self.slow_ms == 0.0 {
-                    node.events(&self.state.events(node.mirror.store_revision), now, now);
+                    controller.events(
+                        &self.state.events(controller.mirror.store_revision),
+                        now,
+                        now,
+                    );
                 } else if !self.reads.contains_key(&i) {
                     let takes = slow(self.slow_ms, &mut self.late_draw);
-                    let read = self.state.events(node.mirror.store_revision);
+                    let read = self.state.events(controller.mirror.store_revision);
                     self.reads.insert(i, (now + takes, now, read));
                 }
-                match node.lease_id() {
+                match controller.lease_id() {
                     Some(h) if self.state.renew_lease(h, now + TTL) => {}
-                    _ => node.state_lease_changed(Some(self.state.grant_lease(now + TTL)), now),
+                    _ => {
+                        controller.state_lease_changed(Some(self.state.grant_lease(now + TTL)), now)
+                    }
                 }
             }
-            node.tick(now);
+            controller.tick(now);
             let late = self.late.get(&i).copied().unwrap_or(0.0);
-            node.queue_passed(now - late, now);
+            controller.queue_passed(now - late, now);
             self.effects(i);
         }
         if ((now / STEP) as u64).is_multiple_of(10) {
@@ -566,7 +575,7 @@
         self.check();
         for id in std::mem::take(&mut self.checker.ended) {
             if self.cancel_at_end > 0 && (self.late_draw)(100) < self.cancel_at_end {
-                let i = (self.late_draw)(self.nodes.len() as u64) as usize;
+                let i = (self.late_draw)(self.controllers.len() as u64) as usize;
                 self.insist(i, &id, Question::Cancel);
             }
         }
@@ -598,10 +607,10 @@
         let Some(every) = self.leaders_end_ms else {
             return;
         };
-        let leads = |n: &Node| n.leadership_token().is_some();
+        let leads = |n: &Controller| n.leadership_token().is_some();
         if self.now >= self.leader_ends_at
-            && let Some(i) =
-                (0..self.nodes.len()).find(|&i| self.nodes[i].as_ref().is_some_and(leads))
+            && let Some(i) = (0..self.controllers.len())
+                .find(|&i| self.controllers[i].as_ref().is_some_and(leads))
         {
             self.leader_ends_at = self.now + every;
             self.kill(i);
@@ -613,7 +622,7 @@
             .extract_if(.., |b| b.0 <= now)
             .collect::<Vec<_>>()
         {
-            if self.nodes[i].is_none() {
+            if self.controllers[i].is_none() {
                 self.start(i);
             }
         }
@@ -632,7 +641,7 @@
         self.copies_due = None;
         for (name, report) in std::mem::take(&mut self.kept_copies) {
             self.say(format!("an old report of {name} comes to all"));
-            for i in 0..self.nodes.len() {
+            for i in 0..self.controllers.len() {
                 self.reported(i, &report, f64::NAN);
             }
         }
@@ -640,14 +649,17 @@
 
     fn heartbeats(&mut self) {
         let now = self.now;
-        for i in 0..self.nodes.len() {
-            let Some(node) = self.nodes[i].as_mut().filter(|_| !self.frozen.contains(&i)) else {
+        for i in 0..self.controllers.len() {
+            let Some(controller) = self.controllers[i]
+                .as_mut()
+                .filter(|_| !self.frozen.contains(&i))
+            else {
                 continue;
             };
-            let heartbeat = node.heartbeat_out(now);
-            for k in 0..self.nodes.len() {
+            let heartbeat = controller.heartbeat_out(now);
+            for k in 0..self.controllers.len() {
                 if k != i && self.hear_each_other(i, k) {
-                    if let Some(other) = &mut self.nodes[k] {
+                    if let Some(other) = &mut self.controllers[k] {
                         other.heartbeat_in(heartbeat.clone(), now);
                     }
                     self.effects(k);
@@ -659,10 +671,10 @@
     fn effects(&mut self, i: usize) {
         let now = self.now;
         for _ in 0..100 {
-            let Some(node) = &mut self.nodes[i] else {
+            let Some(controller) = &mut self.controllers[i] else {
                 return;
             };
-            let effects = node.effects();
+            let effects = controller.effects();
             if effects.is_empty() {
                 return;
             }
@@ -677,7 +689,7 @@
                     Effect::QueryStatus { host, addr } => self.ask(i, host, &addr),
                     Effect::Release(hosts) if self.cloud_down => {
                         self.releases_failed += 1;
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.released(&hosts, false, now);
                         }
                     }
@@ -687,7 +699,7 @@
                             self.workers.remove(name);
                             self.booting.remove(name);
                         }
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.released(&hosts, true, now);
                         }
                     }
@@ -696,7 +708,7 @@
                         if self.provisions_unanswered {
                             let life = self.lives[i];
                             self.provisions_lost.push((now + 2500.0, i, life, request));
-                        } else if let Some(n) = &mut self.nodes[i] {
+                        } else if let Some(n) = &mut self.controllers[i] {
                             n.provisioned(&request, hosts, now);
                         }
                     }
@@ -706,7 +718,7 @@
                         } else {
                             Ok(self.state.leaf(level, job))
                         };
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.leaf_read(leaf, now);
                         }
                     }
@@ -720,7 +732,7 @@
                                 .get(&key)
                                 .map(|(v, _)| v.read().expect("a chunk")))
                         };
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.chunk_read(number, chunk, read, now);
                         }
                     }
@@ -774,8 +786,8 @@
         }
         if self.slow_ms > 0.0 && outcome != Outcome::Refused {
             self.slow_answer(i, ticket, commit, outcome);
-        } else if let Some(node) = &mut self.nodes[i] {
-            node.committed(ticket, commit, outcome, now);
+        } else if let Some(controller) = &mut self.controllers[i] {
+            controller.committed(ticket, commit, outcome, now);
         }
     }
 
--- a/crates/cherryyard-rehearsal/src/world/cloud.rs
+++ b/crates/cherryyard-rehearsal/src/world/cloud.rs
@@ -8,7 +8,10 @@
         let now = self.now;
         let due = self.provisions_lost.extract_if(.., |h| h.0 <= now);
         for (_, i, life, request) in due.collect::<Vec<_>>() {
-            if let Some(n) = self.nodes[i].as_mut().filter(|_| self.lives[i] == life) {
+            if let Some(n) = self.controllers[i]
+                .as_mut()
+                .filter(|_| self.lives[i] == life)
+            {
                 n.provisioned(&request, Err(false), now);
                 self.effects(i);
             }
@@ -74,9 +77,9 @@
             })
             .chain(starting)
             .collect();
-        for i in 0..self.nodes.len() {
-            if let Some(node) = &mut self.nodes[i] {
-                node.listed(hosts.clone(), now);
+        for i in 0..self.controllers.len() {
+            if let Some(controller) = &mut self.controllers[i] {
+                controller.listed(hosts.clone(), now);
             }
             self.effects(i);
         }
@@ -85,8 +88,8 @@
     /// What the cores of all shards did since the last call.
     pub fn account(&mut self) -> CoreSeconds {
         let mut all = CoreSeconds::default();
-        for node in self.nodes.iter_mut().flatten() {
-            for (_, cores) in node.accounts() {
+        for controller in self.controllers.iter_mut().flatten() {
+            for (_, cores) in controller.accounts() {
                 all.add(&cores);
             }
         }
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-rehearsal/src/world/machines.rs
@@ -22,22 +22,22 @@
         if let Some(&sent_at) = self.waiting.get(name) {
             if now - sent_at > ANSWER_MS {
                 self.waiting.remove(name);
-                worker.node = (worker.node + 1) % self.nodes.len();
+                worker.controller = (worker.controller + 1) % self.controllers.len();
                 worker.report_at = now + 1000.0;
             }
         } else if now >= worker.report_at
             && !self.unreachable.contains(name)
-            && !self.mute.contains(name)
+            && !self.one_way_silent.contains(name)
         {
             worker.report_at = now + 2000.0;
-            let (i, report) = (worker.node, worker.report(now));
+            let (i, report) = (worker.controller, worker.report(now));
             let zone = worker.zone.clone();
             if self.copies_for_next {
                 let kept = self.kept_copies.entry(name.to_string());
                 kept.or_insert_with(|| report.clone());
             }
             if let Some(ms) = self.copies_ms {
-                for k in [i, (i + 1) % self.nodes.len()] {
+                for k in [i, (i + 1) % self.controllers.len()] {
                     self.copies.push((now + ms, k, report.clone()));
                 }
             }
@@ -57,8 +57,8 @@
     pub(super) fn reported(&mut self, i: usize, report: &WorkerHeartbeat, sent_at: f64) {
         let now = self.now;
         let is_reachable = !self.deaf.contains(&i) && !self.frozen.contains(&i);
-        let node = self.nodes[i].as_mut().filter(|_| is_reachable);
-        let reply = node.map(|n| n.report(report, now));
+        let controller = self.controllers[i].as_mut().filter(|_| is_reachable);
+        let reply = controller.map(|n| n.report(report, now));
         let name = &report.host;
         let mut log = Vec::new();
         // A worker that has given up drops the answer.
@@ -76,11 +76,11 @@
                     log.extend(worker.answered(&answer, sent_at, now));
                 }
                 Some(Reply::Elsewhere(Some(label))) => {
-                    worker.node = label.trim_start_matches("node-").parse().expect("a label");
+                    worker.controller = label.trim_start_matches("node-").parse().expect("a label");
                     worker.report_at = now + 100.0;
                 }
                 _ => {
-                    worker.node = (i + 1) % self.nodes.len();
+                    worker.controller = (i + 1) % self.controllers.len();
                     worker.report_at = now + 1000.0;
                 }
             }
@@ -111,8 +111,8 @@
         for line in log {
             self.say(line);
         }
-        if let Some(node) = &mut self.nodes[i] {
-            node.pushed(host, &request, outcome, now);
+        if let Some(controller) = &mut self.controllers[i] {
+            controller.pushed(host, &request, outcome, now);
         }
     }
 
@@ -127,8 +127,8 @@
         let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
         let worker = self.workers.get_mut(name).filter(|_| !cut);
         let report = worker.map(|w| w.report(now));
-        if let Some(node) = &mut self.nodes[i] {
-            node.queried(host, report.as_ref(), now);
+        if let Some(controller) = &mut self.controllers[i] {
+            controller.queried(host, report.as_ref(), now);
         }
     }
 
@@ -164,7 +164,12 @@
 
     /// Whether nothing keeps a machine from taking tasks.
     pub fn in_order(&self, host: &str) -> bool {
-        let bad = [&self.unreachable, &self.hung, &self.one_way, &self.mute];
+        let bad = [
+            &self.unreachable,
+            &self.hung,
+            &self.one_way,
+            &self.one_way_silent,
+        ];
         !bad.iter().any(|set| set.contains(host))
     }
 
--- a/crates/cherryyard-rehearsal/src/world/pipelines.rs
+++ b/crates/cherryyard-rehearsal/src/world/pipelines.rs
@@ -50,11 +50,11 @@
         if !matches!(status, JobStatus::Queued | JobStatus::Running) {
             return false;
         }
-        let told = |need: &String| {
+        let answered = |need: &String| {
             let at = self.cancelled_at.get(need);
             at.is_some_and(|at| sent_at - at > CANCEL_MS)
         };
-        self.ancestors(id).iter().any(told)
+        self.ancestors(id).iter().any(answered)
     }
 
     /// Notes a start of a task before all jobs that its job needs are done.
@@ -108,7 +108,7 @@
         self.pending = later;
         for (spec, _) in due {
             self.next += 1;
-            w.submit_at(self.next % w.nodes.len(), &spec);
+            w.submit_at(self.next % w.controllers.len(), &spec);
         }
     }
 }
--- a/crates/cherryyard-rehearsal/tests/account.rs
+++ b/crates/cherryyard-rehearsal/tests/account.rs
@@ -36,5 +36,5 @@
     let lost = w.account().get(CoreUse::Lost);
     let least = 15.0 * 2.0 * tasks;
     assert!(lost > least - 5.0 && lost < 2.0 * least, "{lost}");
-    assert_eq!(w.nodes[0].as_ref().unwrap().mirror.open.len(), 0);
+    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.open.len(), 0);
 }
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-rehearsal/tests/admission.rs
@@ -78,9 +78,9 @@
             self.due[class] += 1.0 / self.every_s[class];
             while self.due[class] >= 1.0 {
                 self.due[class] -= 1.0;
-                let able = (0..w.nodes.len()).find(|i| {
-                    let fresh = |n: &cherryyard_core::Node| n.state_fresh(w.now);
-                    w.nodes[*i].as_ref().is_some_and(fresh)
+                let able = (0..w.controllers.len()).find(|i| {
+                    let fresh = |n: &cherryyard_core::Controller| n.state_fresh(w.now);
+                    w.controllers[*i].as_ref().is_some_and(fresh)
                         && !w.refused.contains(i)
                         && !w.frozen.contains(i)
                 });
@@ -106,10 +106,10 @@
 
 fn leader(w: &World) -> Option<usize> {
     let leads = |i: &usize| {
-        let node = w.nodes[*i].as_ref();
-        node.is_some_and(|n| n.leadership_token().is_some()) && !w.frozen.contains(i)
+        let controller = w.controllers[*i].as_ref();
+        controller.is_some_and(|n| n.leadership_token().is_some()) && !w.frozen.contains(i)
     };
-    (0..w.nodes.len()).find(leads)
+    (0..w.controllers.len()).find(leads)
 }
 
 /// The higher rank asks for several times all there is, for minutes. The other class
@@ -302,9 +302,9 @@
     assert!(!matches!(w.verdicts.get(&odd), None | Some(Verdict::Taken)));
     // The same job through two controllers at once: one takes it, the other knows it.
     let other = (leader_index + 1) % 3;
-    let node = w.nodes[other].as_ref().unwrap().mirror.store_revision;
+    let controller = w.controllers[other].as_ref().unwrap().mirror.store_revision;
     let one = w.offer(leader_index, &spec(URGENT + 502, 1), None);
-    assert!(w.nodes[other].as_ref().unwrap().mirror.store_revision >= node);
+    assert!(w.controllers[other].as_ref().unwrap().mirror.store_revision >= controller);
     let two = w.offer(other, &spec(URGENT + 502, 1), None);
     w.run(2.0);
     assert_eq!(w.verdicts.get(&one), Some(&Verdict::Taken));
@@ -380,7 +380,7 @@
         }
         w.run(5.0);
         let sum = |w: &World| {
-            w.nodes
+            w.controllers
                 .iter()
                 .flatten()
                 .map(|n| n.inspected_jobs)
@@ -446,8 +446,8 @@
     w.frozen.clear();
     w.alone.clear();
     w.refused.clear();
-    for i in 0..w.nodes.len() {
-        if w.nodes[i].is_none() {
+    for i in 0..w.controllers.len() {
+        if w.controllers[i].is_none() {
             w.start(i);
         }
     }
@@ -462,7 +462,7 @@
     for _ in 0..70 {
         let i = rng.random_range(0..n);
         match rng.random_range(0..30) {
-            0 if w.nodes[i].is_some() => w.kill(i),
+            0 if w.controllers[i].is_some() => w.kill(i),
             1 => drop(w.frozen.insert(i)),
             2 => drop(w.alone.insert(i)),
             3 => drop(w.refused.insert(i)),
@@ -471,7 +471,7 @@
             _ => {}
         }
         arrivals.second(&mut w);
-        if w.nodes.iter().all(Option::is_none) {
+        if w.controllers.iter().all(Option::is_none) {
             w.start(i);
         }
     }
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/asymmetric_partition.rs
@@ -114,7 +114,7 @@
 }
 
 fn open_jobs(w: &World) -> usize {
-    w.nodes
+    w.controllers
         .iter()
         .flatten()
         .next()
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-rehearsal/tests/checker.rs
@@ -165,8 +165,8 @@
     w.submit_at(1, &World::spec("j-000002", "sweep", 2));
     w.run(5.0);
     for job in 1..=2 {
-        let node = w.nodes[0].as_ref().expect("it runs");
-        let mut commit = node.cancellation(job).expect("it is open");
+        let controller = w.controllers[0].as_ref().expect("it runs");
+        let mut commit = controller.cancellation(job).expect("it is open");
         if job == 1
             && let cherryyard_wire::state::Apply::Set { v, .. } = &mut commit.apply[0]
         {
@@ -262,8 +262,8 @@
     // Another one's cancellation says nothing of it.
     w.insist(0, "j-000003", Question::Cancel);
     w.run(3.0);
-    let node = w.nodes[0].as_ref().expect("it is up");
-    let commit = node.cancellation(2).expect("an open job");
+    let controller = w.controllers[0].as_ref().expect("it is up");
+    let commit = controller.cancellation(2).expect("an open job");
     w.state.commit(&commit);
     w.ask_once(2, "j-000002", Question::Poll);
     w.run(3.0);
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-rehearsal/tests/concurrent_faults.rs
@@ -2,8 +2,8 @@
 //! pair of troubles within each other's span. `docs/restart.md` has the table of
 //! meetings and tests; the gap and late transactions have files of their own.
 
-use cherryyard_rehearsal::trouble::{NEWER, OLDER, leader};
-use cherryyard_rehearsal::{Question, Setup, Trouble, Users, World, draws, play_seeds};
+use cherryyard_rehearsal::fault::{NEWER, OLDER, leader};
+use cherryyard_rehearsal::{Fault, Question, Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::{JobSpec, JobStatus, Shape};
 use std::collections::BTreeSet;
 
@@ -357,16 +357,16 @@
 
 /// A pair of troubles that begin and end within each other's span, one after the other,
 /// while users submit, cancel, repeat and poll at every controller.
-fn day(seed: u64, troubles: &[Trouble], at_once: usize) {
-    day_of(seed, troubles, at_once, vec!["a", "b", "c"]);
+fn day(seed: u64, faults: &[Fault], at_once: usize) {
+    day_of(seed, faults, at_once, vec!["a", "b", "c"]);
 }
 
-fn day_of(seed: u64, troubles: &[Trouble], at_once: usize, zones: Vec<&'static str>) {
+fn day_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
     let mut draw = draws(seed);
     let seconds = 4.0 + draw(12) as f64;
     // With the newer troubles users' requests come as in the program, and a guest team is
     // at its limit.
-    let newer = troubles.len() > OLDER.len();
+    let newer = faults.len() > OLDER.len();
     let mut w = match newer {
         false => cluster(seconds),
         true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
@@ -415,16 +415,16 @@
     };
     for _ in 0..3 {
         // The pairs come in turn, so that so many seeds have them all.
-        let (pair, all) = (seed * 3 + draw(3), troubles.len() as u64);
-        let trouble = |n: u64| troubles[(n % all) as usize];
-        let (first, second) = (trouble(pair), trouble(pair / all));
+        let (pair, all) = (seed * 3 + draw(3), faults.len() as u64);
+        let fault = |n: u64| faults[(n % all) as usize];
+        let (first, second) = (fault(pair), fault(pair / all));
         some(&mut w, &mut users, &mut draw);
         users.run(&mut w, 3.0);
         w.say(format!("begin {first:?}"));
         first.begin(&mut w, &mut draw);
         w.run(draw(80) as f64 / 20.0);
         some(&mut w, &mut users, &mut draw);
-        let third = (at_once > 2).then(|| trouble(draw(all)));
+        let third = (at_once > 2).then(|| fault(draw(all)));
         for next in [Some(second), third].into_iter().flatten() {
             w.say(format!("begin {next:?}"));
             next.begin(&mut w, &mut draw);
@@ -456,7 +456,7 @@
 }
 
 /// All troubles, the newer ones first.
-fn every() -> Vec<Trouble> {
+fn every() -> Vec<Fault> {
     NEWER.into_iter().chain(OLDER).collect()
 }
 
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-rehearsal/tests/end_of_day.rs
@@ -170,8 +170,11 @@
             w.run(5.0);
             w.submit(&World::spec("j-000001", "service", 6));
             w.run(4.0);
-            let leads = |n: &cherryyard_core::Node| n.leadership_token().is_some();
-            let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+            let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+            let leader = w
+                .controllers
+                .iter()
+                .position(|n| n.as_ref().is_some_and(leads));
             let leader = leader.expect("a leader");
             w.kill(leader);
             w.run(back);
@@ -187,7 +190,7 @@
             let state = format!("back after {back} s, step {step}");
             assert_eq!(w.running(), 6, "{state}: {}", w.trace.join("\n"));
             assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
-            let leaders = w.nodes.iter().flatten().filter(|n| leads(n)).count();
+            let leaders = w.controllers.iter().flatten().filter(|n| leads(n)).count();
             assert_eq!(leaders, 1, "{state}");
         }
     }
--- a/crates/cherryyard-rehearsal/tests/late.rs
+++ b/crates/cherryyard-rehearsal/tests/event_loop_lag.rs
@@ -68,13 +68,13 @@
         w.submit(&World::spec("j-000001", "service", machines as u32));
         w.run_until(10.0, |w| w.running() == machines);
         w.run(20.0);
-        let before = w.nodes[0].as_ref().unwrap().inspected_machines;
+        let before = w.controllers[0].as_ref().unwrap().inspected_machines;
         if change {
             w.workers.values_mut().next().unwrap().run_ms = 0.0;
             w.workers.values_mut().next().unwrap().faulty = true;
         }
         w.run(20.0);
-        w.nodes[0].as_ref().unwrap().inspected_machines - before
+        w.controllers[0].as_ref().unwrap().inspected_machines - before
     };
     for machines in [6, 60] {
         let all = inspected_machines(machines, false);
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-rehearsal/tests/fault_combinations.rs
@@ -1,8 +1,8 @@
 //! Meetings of two troubles, each by itself: the operators' further ones. `docs/restart.md`
 //! has the table of all meetings and their tests.
 
-use cherryyard_rehearsal::trouble::leader;
-use cherryyard_rehearsal::{Question, Setup, Trouble, Users, World};
+use cherryyard_rehearsal::fault::leader;
+use cherryyard_rehearsal::{Fault, Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
@@ -163,18 +163,18 @@
     Hang,
     Cut,
     Deaf,
-    Mute,
+    OneWaySilence,
 }
 
 impl Away {
-    const ALL: [Self; 4] = [Self::Hang, Self::Cut, Self::Deaf, Self::Mute];
+    const ALL: [Self; 4] = [Self::Hang, Self::Cut, Self::Deaf, Self::OneWaySilence];
 
     fn begin(self, w: &mut World, hosts: &BTreeSet<String>) {
         let set = match self {
             Self::Hang => &mut w.hung,
             Self::Cut => &mut w.unreachable,
             Self::Deaf => &mut w.one_way,
-            Self::Mute => &mut w.mute,
+            Self::OneWaySilence => &mut w.one_way_silent,
         };
         set.extend(hosts.iter().cloned());
     }
@@ -184,7 +184,7 @@
         w.hung.clear();
         w.unreachable.clear();
         w.one_way.clear();
-        w.mute.clear();
+        w.one_way_silent.clear();
     }
 }
 
@@ -302,7 +302,7 @@
                 w.slow_direct.clear();
                 w.deliver_direct();
                 users.run(&mut w, 6.0);
-                if w.nodes[i].is_none() {
+                if w.controllers[i].is_none() {
                     w.start(i);
                 }
                 whole(&mut w, &mut users, &state);
@@ -478,26 +478,26 @@
 #[test]
 fn a_hung_machine_goes_on_with_a_cancelled_task() {
     for hang_s in [1.0, 6.0, 9.5, 10.5, 20.0, 39.0, 45.0] {
-        for told in [-0.5, 0.0, 0.5, 0.95] {
+        for answered in [-0.5, 0.0, 0.5, 0.95] {
             let mut w = cluster(0.0, f64::INFINITY);
             let mut users = Users::default();
             users.submit(&mut w, &job(1, "service", 6));
             users.submit(&mut w, &job(2, "service", 6));
             users.run(&mut w, 5.0);
             let hosts = hosts_of(&w, &["j-000001".into()]);
-            if told < 0.0 {
+            if answered < 0.0 {
                 w.insist(2, "j-000001", Question::Cancel);
                 w.run(0.1);
             }
             Away::Hang.begin(&mut w, &hosts);
-            let first = hang_s * f64::max(told, 0.0);
+            let first = hang_s * f64::max(answered, 0.0);
             users.run(&mut w, first);
-            if told >= 0.0 {
+            if answered >= 0.0 {
                 w.insist(1, "j-000001", Question::Cancel);
             }
             users.run(&mut w, hang_s - first);
             Away::finish(&mut w);
-            let state = format!("hangs for {hang_s} s, told at {told}");
+            let state = format!("hangs for {hang_s} s, told at {answered}");
             whole(&mut w, &mut users, &state);
             assert_eq!(w.running(), 6, "{state}");
         }
@@ -564,7 +564,7 @@
                 let hosts = w.workers.values().enumerate();
                 let some = hosts.filter(|(k, x)| if zone { x.zone == "b" } else { k % 4 == 0 });
                 let some: BTreeSet<String> = some.map(|x| x.1.host.clone()).collect();
-                Away::Mute.begin(&mut w, &some);
+                Away::OneWaySilence.begin(&mut w, &some);
                 users.run(&mut w, 1.0);
                 w.insist(0, "j-000002", Question::Cancel);
                 if ends {
@@ -654,7 +654,7 @@
             let mut w = cluster(32.0, 6.0);
             w.provisioning_ms = Some(3000.0);
             let mut users = Users::default();
-            Trouble::LeadersEnd.begin(&mut w, &mut |_| 0);
+            Fault::LeadersEnd.begin(&mut w, &mut |_| 0);
             (w.late_writes, w.lost_answers) = (late, lost);
             for second in 0..120u64 {
                 if second % 2 == 0 {
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-rehearsal/tests/frozen.rs
@@ -49,17 +49,17 @@
         let now = w.now;
         let names: Vec<String> = w.workers.keys().cloned().collect();
         let list = listed(&w, names.into_iter());
-        let heartbeat = w.nodes[1].as_mut().unwrap().heartbeat_out(now);
-        let node = w.nodes[0].as_mut().unwrap();
-        node.effects();
+        let heartbeat = w.controllers[1].as_mut().unwrap().heartbeat_out(now);
+        let controller = w.controllers[0].as_mut().unwrap();
+        controller.effects();
         for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
             for event in order {
                 match event {
-                    0 => node.tick(now),
-                    1 => node.listed(list.clone(), now),
-                    2 => node.heartbeat_in(heartbeat.clone(), now),
+                    0 => controller.tick(now),
+                    1 => controller.listed(list.clone(), now),
+                    2 => controller.heartbeat_in(heartbeat.clone(), now),
                     _ => {
-                        if let Reply::Answer(a) = node.report(&old, now) {
+                        if let Reply::Answer(a) = controller.report(&old, now) {
                             assert!(a.commands.is_empty(), "{frozen_s}: {:?}", a.commands);
                         }
                     }
@@ -71,11 +71,11 @@
                         Effect::Refresh | Effect::Heartbeat | Effect::QueryStatus { .. }
                     )
                 };
-                let effects = node.effects();
+                let effects = controller.effects();
                 assert!(!effects.iter().any(acts), "{frozen_s}: {effects:?}");
             }
         }
-        assert!(!node.ready(now));
+        assert!(!controller.ready(now));
         w.frozen.clear();
         w.run(60.0);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -137,7 +137,7 @@
     let now = w.now;
     for report in &held {
         // What the answer commands reaches nobody: its worker gave up long ago.
-        w.nodes[0].as_mut().unwrap().report(report, now);
+        w.controllers[0].as_mut().unwrap().report(report, now);
     }
     w.run(1.0);
     assert_eq!(assignments(&w), before);
@@ -167,7 +167,7 @@
         let seen = seen.filter(|(i, _)| i / 3 != missing).map(|n| n.1.clone());
         let list = listed(&w, seen);
         let now = w.now;
-        w.nodes[0].as_mut().unwrap().listed(list, now);
+        w.controllers[0].as_mut().unwrap().listed(list, now);
         w.run(3.0);
     }
     assert_eq!(w.workers.len(), 9, "{}", w.trace.join("\n"));
@@ -190,7 +190,7 @@
         w.submit(&World::spec("j-000001", "sweep", machines as u32));
         w.run_until(30.0, |w| w.running() == machines);
         w.run(10.0);
-        let inspected_machines = |w: &World| w.nodes[0].as_ref().unwrap().inspected_machines;
+        let inspected_machines = |w: &World| w.controllers[0].as_ref().unwrap().inspected_machines;
         // Between two looks at all machines, which come every 5 s.
         let before = inspected_machines(&w);
         w.run_until(6.0, |w| inspected_machines(w) > before);
@@ -277,10 +277,10 @@
                 }
                 4 => w.refused = [0, 1, 2].into(),
                 5 => w.refused.clear(),
-                6 if w.nodes[i].is_some() => w.kill(i),
+                6 if w.controllers[i].is_some() => w.kill(i),
                 6 => w.start(i),
                 _ => {
-                    let able = w.nodes[i].as_ref().is_some_and(|n| n.mirror.loaded);
+                    let able = w.controllers[i].as_ref().is_some_and(|n| n.mirror.loaded);
                     let able = able && !w.refused.contains(&i) && !w.frozen.contains(&i);
                     if able
                         && open.len() > 1
@@ -299,7 +299,7 @@
             w.frozen.clear();
             w.refused.clear();
             for k in 0..3 {
-                if w.nodes[k].is_none() {
+                if w.controllers[k].is_none() {
                     w.start(k);
                 }
             }
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-rehearsal/tests/heartbeat_gap.rs
@@ -26,8 +26,10 @@
 }
 
 fn leader(w: &World) -> Option<usize> {
-    let leads = |n: &cherryyard_core::Node| n.leadership_token().is_some();
-    w.nodes.iter().position(|n| n.as_ref().is_some_and(leads))
+    let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+    w.controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads))
 }
 
 fn whole(w: &World, state: &str) {
@@ -79,11 +81,11 @@
                 w.refused = [0, 1, 2].into();
                 if let Some((after, back)) = end {
                     w.run(after);
-                    if w.nodes[at].is_some() && after > 0.0 {
+                    if w.controllers[at].is_some() && after > 0.0 {
                         w.kill(at);
                     }
                     w.run(back);
-                    if w.nodes[at].is_none() {
+                    if w.controllers[at].is_none() {
                         w.start(at);
                     }
                 }
@@ -229,8 +231,8 @@
         // The others come to own its shard within these seconds.
         w.run(4.5 + f64::from(step) * 0.05);
         let owner = (0..2).find(|&i| {
-            let node = w.nodes[i].as_ref();
-            node.is_some_and(|n| {
+            let controller = w.controllers[i].as_ref();
+            controller.is_some_and(|n| {
                 n.mirror.shards[2]
                     .as_ref()
                     .is_some_and(|c| c.label == format!("node-{i}"))
@@ -313,7 +315,10 @@
     w.refused = [0, 1, 2].into();
     w.run(3.0);
     let now = w.now;
-    let old = w.nodes[other].as_mut().expect("it runs").heartbeat_out(now);
+    let old = w.controllers[other]
+        .as_mut()
+        .expect("it runs")
+        .heartbeat_out(now);
     assert!(old.cut_off);
     w.refused.clear();
     w.run(14.0);
@@ -328,15 +333,18 @@
     for _ in 0..140 {
         w.run(0.5);
         let now = w.now;
-        let heartbeat = w.nodes[third].as_mut().expect("it runs").heartbeat_out(now);
+        let heartbeat = w.controllers[third]
+            .as_mut()
+            .expect("it runs")
+            .heartbeat_out(now);
         let heartbeat = cherryyard_wire::peer::Heartbeat {
             // The third one does not know of it either.
             cancelled: Vec::new(),
             ..heartbeat
         };
-        let node = w.nodes[leader].as_mut().expect("it runs");
-        node.heartbeat_in(old.clone(), now);
-        node.heartbeat_in(heartbeat, now);
+        let controller = w.controllers[leader].as_mut().expect("it runs");
+        controller.heartbeat_in(old.clone(), now);
+        controller.heartbeat_in(heartbeat, now);
     }
     whole(&w, "old heartbeats");
 }
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-rehearsal/tests/late_writes.rs
@@ -2,7 +2,7 @@
 //! controller, under the same lease. `docs/protocol.md` has the table of all kinds; here
 //! are those that did harm, and days on which any transaction may be so late.
 
-use cherryyard_core::{Node, Outcome};
+use cherryyard_core::{Controller, Outcome};
 use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::record::{PageRecord, StoredPage, admission_log_key, assignments_key};
@@ -22,8 +22,11 @@
 }
 
 fn leader(w: &World) -> usize {
-    let leads = |n: &Node| n.leadership_token().is_some();
-    let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+    let leads = |n: &Controller| n.leadership_token().is_some();
+    let leader = w
+        .controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads));
     leader.expect("a leader")
 }
 
@@ -151,8 +154,11 @@
         });
         let service = |job: u64| World::spec(&format!("j-{job:06}"), "service", 1);
         let page = |w: &World, job: u64| {
-            let node = w.nodes[leader(w)].as_ref().expect("it runs");
-            (node.mirror.page_of(job), node.mirror.in_page(job))
+            let controller = w.controllers[leader(w)].as_ref().expect("it runs");
+            (
+                controller.mirror.page_of(job),
+                controller.mirror.in_page(job),
+            )
         };
         // Pages 0 and 1, the second one full.
         let mut last = 0;
@@ -243,7 +249,7 @@
     let value = value.clone();
     w.deaf.insert(0);
     w.run_until(20.0, |w| w.state.get("c/part/0").is_none());
-    let lease_id = w.nodes[0].as_ref().and_then(Node::lease_id);
+    let lease_id = w.controllers[0].as_ref().and_then(Controller::lease_id);
     let mut late = Commit::default();
     late.require("c/part/0", 0);
     late.apply.push(cherryyard_wire::state::Apply::Set {
@@ -253,7 +259,9 @@
     });
     assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
     w.run(6.0);
-    let owner = w.nodes[1].as_ref().and_then(|n| n.mirror.shards[0].clone());
+    let owner = w.controllers[1]
+        .as_ref()
+        .and_then(|n| n.mirror.shards[0].clone());
     assert_ne!(owner.expect("an owner").label, "node-0");
     w.run(15.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -399,9 +407,9 @@
     w.run_until(20.0, |w| w.copies(&format!("{}/0", divided[0])) == 1);
     w.run(5.0);
     let in_page = |w: &World| {
-        let node = w.nodes[leader(w)].as_ref().expect("it runs");
+        let controller = w.controllers[leader(w)].as_ref().expect("it runs");
         let job = cherryyard_wire::job::job_number(&divided[0]).expect("a job");
-        node.mirror.in_page(job)
+        controller.mirror.in_page(job)
     };
     assert!(in_page(&w), "it was divided in its page");
     w.held_commits.push(held);
--- a/crates/cherryyard-rehearsal/tests/reachability.rs
+++ b/crates/cherryyard-rehearsal/tests/reachability.rs
@@ -261,7 +261,7 @@
             2 => w.copies_ms = Some(500.0 + draw(44_500) as f64),
             3 => w.reborn(&host),
             4 => {
-                if w.nodes[i].is_some() {
+                if w.controllers[i].is_some() {
                     w.kill(i);
                     w.run([0.0, 0.05, 0.5, 4.0][draw(4) as usize]);
                 }
@@ -336,19 +336,23 @@
     let mut w = settled(Setup::default());
     let deaf = |w: &mut World| -> Vec<String> {
         let now = w.now;
-        let node = w.nodes[0].as_mut().expect("running");
-        node.deaf_peers(now).into_iter().map(Into::into).collect()
+        let controller = w.controllers[0].as_mut().expect("running");
+        controller
+            .deaf_peers(now)
+            .into_iter()
+            .map(Into::into)
+            .collect()
     };
     assert!(deaf(&mut w).is_empty());
     w.kill(2);
     w.run(2.0);
     assert!(deaf(&mut w).is_empty());
-    let mut told = Vec::new();
+    let mut answered = Vec::new();
     for _ in 0..16 {
         w.run(0.5);
-        told.extend(deaf(&mut w));
+        answered.extend(deaf(&mut w));
     }
-    assert_eq!(told, ["node-2", "node-2"]);
+    assert_eq!(answered, ["node-2", "node-2"]);
     w.start(2);
     w.run(3.5);
     assert!(deaf(&mut w).is_empty());
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-rehearsal/tests/rules.rs
@@ -58,8 +58,8 @@
     assert!(w.broken.is_empty());
     // The list no longer shows the machine; its release is the proof.
     let now = w.now;
-    for node in w.nodes.iter_mut().flatten() {
-        node.listed(Vec::new(), now);
+    for controller in w.controllers.iter_mut().flatten() {
+        controller.listed(Vec::new(), now);
     }
     w.run_until(40.0, |w| starts(w, "j-000001/0").len() == 2);
     assert!(!w.workers.contains_key(&host));
@@ -148,7 +148,7 @@
     // Its report gets through; the answer, and with it the token, is lost.
     let report = w.workers.get_mut(&host).unwrap().report(w.now);
     let now = w.now;
-    w.nodes[1].as_mut().unwrap().report(&report, now);
+    w.controllers[1].as_mut().unwrap().report(&report, now);
     w.run(60.0);
     assert_eq!(starts(&w, "j-000001/0").len(), 1, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -303,8 +303,8 @@
     }
     w.refused.insert(1);
     let now = w.now;
-    let node = w.nodes[1].as_mut().unwrap();
-    node.events(&old, now, now);
+    let controller = w.controllers[1].as_mut().unwrap();
+    controller.events(&old, now, now);
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
         delete: None,
@@ -315,11 +315,11 @@
             .unwrap()
             .v
             .clone(),
-        revision: node.mirror.store_revision + 5,
+        revision: controller.mirror.store_revision + 5,
     };
-    node.events(
+    controller.events(
         &WatchResponse {
-            store_revision: node.mirror.store_revision + 5,
+            store_revision: controller.mirror.store_revision + 5,
             events: vec![late],
         },
         now,
@@ -329,7 +329,7 @@
         w.view(1, "j-000001").map(|v| v.status),
         Some(JobStatus::Cancelled)
     );
-    let open = &w.nodes[1].as_ref().unwrap().mirror.open;
+    let open = &w.controllers[1].as_ref().unwrap().mirror.open;
     assert!(!open.contains_key(&1), "nothing may start it again");
 }
 
@@ -375,8 +375,8 @@
     let before = record(&w);
     let assigned: Vec<Vec<u32>> = (0..3)
         .map(|p| {
-            let node = w.nodes[0].as_ref().unwrap();
-            let assignments = &node.mirror.assignments[&(p, 1)];
+            let controller = w.controllers[0].as_ref().unwrap();
+            let assignments = &controller.mirror.assignments[&(p, 1)];
             assignments.assignments.keys().copied().collect()
         })
         .collect();
@@ -760,8 +760,8 @@
     w.run(10.0);
     w.cancel(0, "j-000003");
     w.run(10.0);
-    let whole = &w.nodes[0].as_ref().unwrap().mirror;
-    let mut task_count = Mirror::new(&w.nodes[0].as_ref().unwrap().config);
+    let whole = &w.controllers[0].as_ref().unwrap().mirror;
+    let mut task_count = Mirror::new(&w.controllers[0].as_ref().unwrap().config);
     let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
     task_count.begin_load();
     for some in pairs.chunks(2) {
--- a/crates/cherryyard-rehearsal/tests/renting.rs
+++ b/crates/cherryyard-rehearsal/tests/scale_out.rs
@@ -79,8 +79,11 @@
 fn the_leader_ends_with_rentals_in_flight() {
     let mut w = short(30_000.0);
     listing(&mut w, 12);
-    let leads = |n: &cherryyard_core::Node| n.leadership_token().is_some();
-    let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+    let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+    let leader = w
+        .controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads));
     let leader = leader.expect("a leader");
     w.kill(leader);
     listing(&mut w, 6);
--- a/crates/cherryyard-rehearsal/tests/recall.rs
+++ b/crates/cherryyard-rehearsal/tests/spot_reclaim.rs
@@ -39,7 +39,7 @@
         assert_eq!(started_after(&w, from, "j-000001/0"), moves, "{notice_s}");
         w.run(25.0);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
-        assert!(w.nodes[0].as_ref().unwrap().mirror.open.is_empty());
+        assert!(w.controllers[0].as_ref().unwrap().mirror.open.is_empty());
     }
 }
 
--- a/crates/cherryyard-rehearsal/tests/submissions.rs
+++ b/crates/cherryyard-rehearsal/tests/submissions.rs
@@ -48,7 +48,7 @@
 }
 
 fn open_jobs(w: &World) -> usize {
-    let up = w.nodes.iter().flatten().next().unwrap();
+    let up = w.controllers.iter().flatten().next().unwrap();
     up.mirror.open.len()
 }
 
@@ -104,7 +104,7 @@
             let (number, first) = w.queue("june", &chunks);
             w.run(12.0);
             let ended = w
-                .nodes
+                .controllers
                 .iter()
                 .position(Option::is_none)
                 .expect("one has ended");
@@ -149,7 +149,7 @@
     w.workers.values_mut().for_each(|x| x.run_ms = 1e9);
     let (number, first) = w.queue("june", &[chunk(&[(300, 1)])]);
     w.cut_creator = Some((6, false));
-    w.run_until(30.0, |w| w.nodes.iter().any(Option::is_none));
+    w.run_until(30.0, |w| w.controllers.iter().any(Option::is_none));
     let late = std::mem::take(&mut w.held_commits);
     w.remove(number);
     let created = w.submission(number).unwrap().created();
@@ -158,7 +158,7 @@
         let outcome = w.state.commit(commit);
         assert!(!matches!(outcome, cherryyard_core::Outcome::Applied(_)));
     }
-    let ended = w.nodes.iter().position(Option::is_none).unwrap();
+    let ended = w.controllers.iter().position(Option::is_none).unwrap();
     w.start(ended);
     w.run_until(60.0, |w| {
         w.submission(number).unwrap().phase == Phase::Cancelled
@@ -168,9 +168,12 @@
     // Gone within `cancel_s`.
     w.run(40.0);
     assert_eq!(w.running(), 0);
-    let node = w.nodes.iter().flatten().next().unwrap();
+    let controller = w.controllers.iter().flatten().next().unwrap();
     let block = first..first + 300;
-    let ends = node.mirror.ended_jobs().filter(|(j, _)| block.contains(j));
+    let ends = controller
+        .mirror
+        .ended_jobs()
+        .filter(|(j, _)| block.contains(j));
     let ends: Vec<End> = ends.map(|(_, e)| e.end).collect();
     assert_eq!(ends.len() as u64, created);
     assert!(ends.iter().all(|e| *e == End::Cancelled));
@@ -215,7 +218,7 @@
             match next(5) {
                 0 => {
                     let i = next(3) as usize;
-                    if w.nodes.iter().flatten().count() > 1 && w.nodes[i].is_some() {
+                    if w.controllers.iter().flatten().count() > 1 && w.controllers[i].is_some() {
                         w.kill(i);
                     }
                 }
@@ -234,7 +237,7 @@
             w.run(next(60) as f64 / 10.0);
             w.refused.clear();
             for i in 0..3 {
-                if w.nodes[i].is_none() && next(2) == 0 {
+                if w.controllers[i].is_none() && next(2) == 0 {
                     w.start(i);
                 }
             }
@@ -242,7 +245,7 @@
         }
         w.cut_creator = None;
         for i in 0..3 {
-            if w.nodes[i].is_none() {
+            if w.controllers[i].is_none() {
                 w.start(i);
             }
         }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -5,8 +5,8 @@
 //! asks for a job that a leaf read for another covers is answered by it.
 
 use super::App;
-use super::line::Line;
-use cherryyard_core::Node;
+use super::lookup_queue::LookupQueue;
+use cherryyard_core::Controller;
 use cherryyard_history::{Answer, Cache, Leaf, Past};
 use cherryyard_wire::history::{LAST, Level};
 use std::collections::VecDeque;
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct Queues {
     submissions: VecDeque<Waiting>,
-    polls: Line<oneshot::Sender<Option<Found>>>,
+    polls: LookupQueue<oneshot::Sender<Option<Found>>>,
     /// Submissions served since the last poll.
     in_a_row: u32,
 }
@@ -90,8 +90,11 @@
 }
 
 /// The revision of the history's record, and whether jobs are moving between the runs.
-fn moved(node: &Node) -> (u64, bool) {
-    (node.mirror.packed_revision, node.mirror.packed.spilling)
+fn moved(controller: &Controller) -> (u64, bool) {
+    (
+        controller.mirror.packed_revision,
+        controller.mirror.packed.spilling,
+    )
 }
 
 impl App {
@@ -133,7 +136,7 @@
         let (moved, spilling) = self.with(|n, _| moved(n));
         let mut cache = lock(&self.history.cache);
         let mut absent = 0;
-        for level in Node::LOOKUP_ORDER {
+        for level in Controller::LOOKUP_ORDER {
             match cache.look(level, job, moved) {
                 Answer::Over(past) => {
                     let past = Some(past);
@@ -152,7 +155,7 @@
     async fn look(self: &Arc<Self>, job: u64) -> Option<Found> {
         let (moved_at, spilling) = self.with(|n, _| moved(n));
         let mut small_epoch = 0;
-        for level in Node::LOOKUP_ORDER {
+        for level in Controller::LOOKUP_ORDER {
             let known = lock(&self.history.cache).look(level, job, moved_at);
             match known {
                 Answer::Over(past) => {
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -2,7 +2,7 @@
 
 mod forwarding;
 mod history;
-mod line;
+mod lookup_queue;
 mod loops;
 mod reads;
 mod refusals;
@@ -10,7 +10,7 @@
 mod tell;
 
 use cherryyard_core::admission::intake::Verdict;
-use cherryyard_core::{Effect, Node, Outcome, PushOutcome, Ticket};
+use cherryyard_core::{Controller, Effect, Outcome, PushOutcome, Ticket};
 use cherryyard_io::cloud::{Cloud, CloudError};
 use cherryyard_io::http::{Failure, Http};
 use cherryyard_io::peer::Outgoing;
@@ -29,7 +29,7 @@
 
 /// What all tasks share.
 pub struct App {
-    pub(crate) node: Mutex<Node>,
+    pub(crate) controller: Mutex<Controller>,
     /// Client of the state service.
     pub state: State,
     pub(crate) cloud: Cloud,
@@ -90,12 +90,15 @@
     }
 
     /// Works on the core, then does what it wants done.
-    pub fn with<T>(self: &Arc<Self>, work: impl FnOnce(&mut Node, f64) -> T) -> T {
+    pub fn with<T>(self: &Arc<Self>, work: impl FnOnce(&mut Controller, f64) -> T) -> T {
         let now = self.now();
         let (result, effects) = {
-            let mut node = self.node.lock().unwrap_or_else(PoisonError::into_inner);
-            let result = work(&mut node, now);
-            (result, node.effects())
+            let mut controller = self
+                .controller
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            let result = work(&mut controller, now);
+            (result, controller.effects())
         };
         for effect in effects {
             self.perform(effect);
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -4,7 +4,7 @@
 use super::answer::Answer;
 use crate::app::{App, wall_ms};
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::{Node, Outcome};
+use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::condor::{
     ChunkPost, END_ID, FIRST_ID, IdsRecord, MAX_JOBS, Phase, PhaseEvent, SubmissionList,
@@ -33,8 +33,8 @@
 }
 
 /// A submission's state, with this status.
-fn view(node: &Node, number: u64, status: StatusCode) -> Answer {
-    match node.submission_view(number) {
+fn view(controller: &Controller, number: u64, status: StatusCode) -> Answer {
+    match controller.submission_view(number) {
         Some(view) => Answer::of(status, &view),
         None => Answer::error(StatusCode::NOT_FOUND, "no such submission"),
     }
@@ -51,7 +51,7 @@
 }
 
 /// Checks that all of a chunk's jobs can run.
-fn admit_chunk(node: &Node, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
+fn admit_chunk(controller: &Controller, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
     for i in 0..post.jobs.t.len() {
         let uses = post.jobs.r.iter().filter(|r| r.0 as usize == i);
         let task_count = uses.map(|r| r.1).max().unwrap_or(1);
@@ -67,14 +67,23 @@
             Reject::Never(e) => Reject::Never(format!("t[{i}].{e}")),
             not_yet => not_yet,
         };
-        admit(spec, rules, at, &node.mirror, &node.config).map_err(named)?;
+        admit(spec, rules, at, &controller.mirror, &controller.config).map_err(named)?;
     }
     Ok(())
 }
 
-fn decide(node: &Node, post: &mut ChunkPost, at: u64, free: Option<(u64, u64)>) -> Next {
+fn decide(
+    controller: &Controller,
+    post: &mut ChunkPost,
+    at: u64,
+    free: Option<(u64, u64)>,
+) -> Next {
     let number = submission_number(&post.name);
-    let known = node.mirror.submissions.get(&number).map(|s| s.0.clone());
+    let known = controller
+        .mirror
+        .submissions
+        .get(&number)
+        .map(|s| s.0.clone());
     let conflict = |why: String| Next::UserAnswer(Answer::error(StatusCode::CONFLICT, why));
     let mut record = match known {
         Some(r) if r.name != post.name => {
@@ -86,17 +95,17 @@
             ));
         }
         Some(r) if r.phase != Phase::Receiving => {
-            return Next::UserAnswer(view(node, number, StatusCode::OK));
+            return Next::UserAnswer(view(controller, number, StatusCode::OK));
         }
         Some(r) if r.of != post.of => {
             return conflict(format!("of: the chunks before said {}", r.of));
         }
         Some(r) if post.chunk < r.chunks => {
-            return Next::UserAnswer(view(node, number, StatusCode::ACCEPTED));
+            return Next::UserAnswer(view(controller, number, StatusCode::ACCEPTED));
         }
         Some(r) => r,
         None => {
-            let all = node.mirror.submissions.values();
+            let all = controller.mirror.submissions.values();
             let busy = |r: &SubmissionRecord| matches!(r.phase, Phase::Receiving | Phase::Creating);
             if all.filter(|s| busy(&s.0)).count() >= MOST_UNDER_WAY {
                 let why = "too many submissions are under way";
@@ -120,7 +129,9 @@
         return conflict(format!("chunk: {} is the next one", record.chunks));
     }
     let mut commit = Commit::default();
-    node.mirror.require(&mut commit, Key::Submission(number));
+    controller
+        .mirror
+        .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
     let before = record.clone();
     let refuse = |answer: Answer| {
@@ -131,11 +142,13 @@
         let mut dropped = before.clone();
         dropped.phase = dropped.phase.after(PhaseEvent::GivenUp);
         let mut commit = Commit::default();
-        node.mirror.require(&mut commit, Key::Submission(number));
+        controller
+            .mirror
+            .require(&mut commit, Key::Submission(number));
         commit.apply.push(Apply::set(key.clone(), &dropped));
         Next::GiveUp(commit, answer)
     };
-    match admit_chunk(node, post, record.at) {
+    match admit_chunk(controller, post, record.at) {
         Ok(()) => {}
         Err(Reject::NotYet(why)) => return Next::UserAnswer(Answer::later(why)),
         Err(Reject::Malformed(why)) => return refuse(bad(why)),
@@ -144,8 +157,8 @@
         }
     }
     let chunk = Json::of(&post.jobs);
-    if chunk.text().len() > node.config.value_bytes {
-        let why = format!("larger than {} bytes", node.config.value_bytes);
+    if chunk.text().len() > controller.config.value_bytes {
+        let why = format!("larger than {} bytes", controller.config.value_bytes);
         return refuse(Answer::error(StatusCode::PAYLOAD_TOO_LARGE, why));
     }
     record.jobs += post.jobs.jobs();
@@ -165,7 +178,7 @@
         record.phase = record.phase.after(PhaseEvent::Accepted);
         record.first = first;
         record.chunk = (0, first);
-        node.mirror.require(&mut commit, Key::Ids);
+        controller.mirror.require(&mut commit, Key::Ids);
         let next = first + record.jobs;
         commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
         if moved > 0 {
@@ -190,7 +203,7 @@
             first += jobs;
             continue;
         }
-        for level in Node::LOOKUP_ORDER.into_iter().filter(|_| any) {
+        for level in Controller::LOOKUP_ORDER.into_iter().filter(|_| any) {
             let mut from = first;
             while from < first + jobs {
                 reads += 1;
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::app::{App, HistoryLookups};
 use crate::routes;
-use cherryyard_core::{Config, Node, Tuning};
+use cherryyard_core::{Config, Controller, Tuning};
 use cherryyard_io::cloud::Cloud;
 use cherryyard_io::http::Http;
 use cherryyard_io::peer;
@@ -54,7 +54,7 @@
         }
     }
     let app = Arc::new(App {
-        node: Mutex::new(Node::new(Config::new(&settings, tuning), seed, 0.0)),
+        controller: Mutex::new(Controller::new(Config::new(&settings, tuning), seed, 0.0)),
         state: State::new(Http::new(connect, 8), &settings.services.state),
         cloud: Cloud::new(Http::new(connect, 1), &settings.services.cloud),
         workers: Http::new(Duration::from_millis(1000), 1),
