--- a/crates/cherryyard-rehearsal/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -2,7 +2,7 @@
 //! it costs, on a simulated clock: by the budgets of a state service, with the leader
 //! ending midway and without.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use clap::Parser;
 
--- a/crates/cherryyard-rehearsal/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -2,11 +2,11 @@
 //! state service with jobs that are over, starts the real program on it over
 //! loopback, and prints a line.
 
+use cherryyard_clients::http::Http;
 use cherryyard_history::{Leaf, Level, Past, fold, leaf_key};
-use cherryyard_io::http::Http;
-use cherryyard_rehearsal::http::{Budgets, HttpState};
-use cherryyard_rehearsal::process::{self, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
+use cherryyard_simulation::http::{Budgets, HttpState};
+use cherryyard_simulation::process::{self, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::history::{LAST, PackedRecord};
--- a/crates/cherryyard-rehearsal/tests/account.rs
+++ b/crates/cherryyard-simulation/tests/account.rs
@@ -1,7 +1,7 @@
 //! The account of core-seconds: every core is counted once, whatever fails.
 
 use cherryyard_core::account::CoreUse;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
 /// Twelve machines of 4 cores under one controller; tasks run for 20 s. Idle cores
 /// count as idle only as far as waiting tasks could fill them, and what a dead
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission under overload: nobody starves, whatever fails meanwhile.
 
 use cherryyard_core::admission::intake::Verdict;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, Rank};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -204,7 +204,7 @@
     let mut had = 0.0;
     for _ in 0..20 {
         arrivals.second(&mut w);
-        let left = |x: &&cherryyard_rehearsal::WorkerStandIn| x.zone == "a";
+        let left = |x: &&cherryyard_simulation::WorkerStandIn| x.zone == "a";
         let task_count = w.workers.values().filter(left).flat_map(|x| &x.tasks);
         let steady = task_count.filter(|(name, p)| p.2.is_none() && name.len() < 12);
         had += steady.count() as f64 * CORES / 20.0;
--- a/crates/cherryyard-rehearsal/tests/asymmetric_partition.rs
+++ b/crates/cherryyard-simulation/tests/asymmetric_partition.rs
@@ -3,7 +3,7 @@
 
 use cherryyard_condor::{Options, Source, read};
 use cherryyard_core::account::CoreUse;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::condor::Phase;
 use cherryyard_wire::job::{JobSpec, Rank, job_id};
 use cherryyard_wire::record::job_hash;
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -1,6 +1,6 @@
 //! The checker itself: each rule that it judges is broken once on purpose, and seen.
 
-use cherryyard_rehearsal::{Question, Setup, Users, World};
+use cherryyard_simulation::{Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::worker::{CommandBatch, WorkerCommand};
 
--- a/crates/cherryyard-rehearsal/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -2,8 +2,8 @@
 //! pair of troubles within each other's span. `docs/restart.md` has the table of
 //! meetings and tests; the gap and late transactions have files of their own.
 
-use cherryyard_rehearsal::fault::{NEWER, OLDER, leader};
-use cherryyard_rehearsal::{Fault, Question, Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::fault::{NEWER, OLDER, leader};
+use cherryyard_simulation::{Fault, Question, Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::{JobSpec, JobStatus, Shape};
 use std::collections::BTreeSet;
 
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -1,7 +1,7 @@
 //! What is checked at the end of a day: nothing forgotten, nobody left out, and the new
 //! troubles alone, overlapping, and at every step of a lease.
 
-use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
 
 fn cluster(tuning: impl Fn(&mut Setup)) -> World {
--- a/crates/cherryyard-rehearsal/tests/event_loop_lag.rs
+++ b/crates/cherryyard-simulation/tests/event_loop_lag.rs
@@ -1,6 +1,6 @@
 //! Controllers that are behind, and what scheduling cycles cost.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
 /// A running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
--- a/crates/cherryyard-rehearsal/tests/failure_attribution.rs
+++ b/crates/cherryyard-simulation/tests/failure_attribution.rs
@@ -1,6 +1,6 @@
 //! Jobs submitted with a mistake, and machines that are faulty.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use std::collections::BTreeSet;
 
 /// A cluster of twelve machines on which tasks run for `run_ms`.
--- a/crates/cherryyard-rehearsal/tests/fault_combinations.rs
+++ b/crates/cherryyard-simulation/tests/fault_combinations.rs
@@ -1,8 +1,8 @@
 //! Meetings of two troubles, each by itself: the operators' further ones. `docs/restart.md`
 //! has the table of all meetings and their tests.
 
-use cherryyard_rehearsal::fault::leader;
-use cherryyard_rehearsal::{Fault, Question, Setup, Users, World};
+use cherryyard_simulation::fault::leader;
+use cherryyard_simulation::{Fault, Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
@@ -39,7 +39,7 @@
 
 /// Machines with a task of one of these jobs.
 fn hosts_of(w: &World, ids: &[String]) -> BTreeSet<String> {
-    let on = |x: &&cherryyard_rehearsal::WorkerStandIn| {
+    let on = |x: &&cherryyard_simulation::WorkerStandIn| {
         let here = x.tasks.iter().filter(|p| p.1.2.is_none());
         here.map(|p| p.0)
             .any(|p| ids.iter().any(|id| p.starts_with(id.as_str())))
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -2,7 +2,7 @@
 //! and lists that disagree.
 
 use cherryyard_core::{Effect, Reply};
-use cherryyard_rehearsal::{Setup, World, draws};
+use cherryyard_simulation::{Setup, World, draws};
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
 fn running(setup: Setup, task_count: u32) -> World {
--- a/crates/cherryyard-rehearsal/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -2,7 +2,7 @@
 //! cancellations, then it refuses everybody for longer than a cancellation has. What an
 //! owner may take for known of the others' cancellations decides.
 
-use cherryyard_rehearsal::{Setup, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, World, draws, play_seeds};
 
 fn id(job: usize) -> String {
     format!("j-{job:06}")
--- a/crates/cherryyard-rehearsal/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -1,7 +1,7 @@
 //! The history of jobs that are over: what must hold whatever fails on its way.
 
 use cherryyard_core::Outcome;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
 use cherryyard_wire::record::{LeaseRecord, job_key, shard_key};
 use cherryyard_wire::state::{Apply, Commit};
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-simulation/tests/largest.rs
@@ -1,6 +1,6 @@
 //! The largest jobs of a class begin, whatever else comes.
 
-use cherryyard_rehearsal::{Setup, Users, World};
+use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 
 fn cluster(controllers: usize, machines: usize) -> World {
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -3,7 +3,7 @@
 //! are those that did harm, and days on which any transaction may be so late.
 
 use cherryyard_core::{Controller, Outcome};
-use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::record::{PageRecord, StoredPage, admission_log_key, assignments_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
--- a/crates/cherryyard-rehearsal/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -1,6 +1,6 @@
 //! Leases of workers whose owner ends in an outage of the state service.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
 /// Six replicas on three machines, one in each shard.
 fn running() -> World {
--- a/crates/cherryyard-rehearsal/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -1,7 +1,7 @@
 //! The state service lowers its limits: announced while controllers are upgraded one
 //! after the other, or without a word.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::JobSpec;
 
 /// Arrays that run while the limits fall.
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -1,8 +1,8 @@
 //! Jobs that wait for others: order, cancellations, submissions that name them, and
 //! pipelines on days with troubles.
 
-use cherryyard_rehearsal::fault::{NEWER, OLDER};
-use cherryyard_rehearsal::{
+use cherryyard_simulation::fault::{NEWER, OLDER};
+use cherryyard_simulation::{
     Fault, Pipelines, Question, Response, Setup, Users, World, draws, play_seeds,
 };
 use cherryyard_wire::job::{JobSpec, JobStatus};
@@ -278,7 +278,7 @@
         assert_eq!(submit(&mut w, 0, &sweep(2, 3, &[1])), Response::Taken);
         w.run_until(20.0, |w| w.is_complete(&id(1)));
         w.run(f64::from(step) * 0.1);
-        let leader_index = cherryyard_rehearsal::fault::leader(&w);
+        let leader_index = cherryyard_simulation::fault::leader(&w);
         w.kill(leader_index);
         w.run(1.0);
         w.start(leader_index);
--- a/crates/cherryyard-rehearsal/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Jobs with rules of their own: where they may run, whatever changes.
 
 use cherryyard_core::Tuning;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::rules::{Attributes, Rules};
 use serde_json::json;
 use std::collections::BTreeSet;
--- a/crates/cherryyard-rehearsal/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -1,7 +1,7 @@
 //! Machines that report but do not hear, copies of reports that come late, and workers
 //! that begin anew.
 
-use cherryyard_rehearsal::{Setup, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, World, draws, play_seeds};
 
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, rehearsed: each test is a failure that could break one.
 
 use cherryyard_core::{Mirror, Outcome, Tuning};
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobStatus, Rank};
 use cherryyard_wire::record::{admission_log_key, job_key};
 use cherryyard_wire::state::{WatchEvent, WatchResponse};
@@ -382,7 +382,7 @@
         .collect();
     for n in 10..13 {
         let name = format!("host-{n:06}");
-        let worker = cherryyard_rehearsal::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
+        let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
         w.workers.insert(name, worker);
     }
     w.run(Tuning::default().autoscale_multi_cluster_delay_s / 2.0);
@@ -696,7 +696,7 @@
     w.run_until(5.0, |w| w.running() == 6);
     for n in 10..13 {
         let name = format!("host-{n:06}");
-        let worker = cherryyard_rehearsal::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
+        let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
         w.workers.insert(name, worker);
     }
     w.hold_lead = true;
--- a/crates/cherryyard-rehearsal/tests/scale_out.rs
+++ b/crates/cherryyard-simulation/tests/scale_out.rs
@@ -1,6 +1,6 @@
 //! Rented machines that come late, never, or all at once.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use std::collections::BTreeSet;
 
 /// Two machines, and work for twelve.
--- a/crates/cherryyard-rehearsal/tests/spot_reclaim.rs
+++ b/crates/cherryyard-simulation/tests/spot_reclaim.rs
@@ -1,6 +1,6 @@
 //! Machines that the cloud takes back.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
 /// Four machines under one controller with an array of two tasks that take 20 s,
 /// by their owner's estimate too.
--- a/crates/cherryyard-rehearsal/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -1,6 +1,6 @@
 //! Submissions of many jobs: each of their jobs is created once, whatever fails.
 
-use cherryyard_rehearsal::{Setup, World, draws};
+use cherryyard_simulation::{Setup, World, draws};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::End;
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -1,9 +1,9 @@
 //! Submissions: passed on to another controller, or handed to the core.
 
 use super::App;
+use cherryyard_clients::peer::Outgoing;
 use cherryyard_core::admission::intake::{Offer, Verdict};
 use cherryyard_core::mirror::OpenJob;
-use cherryyard_io::peer::Outgoing;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission, Message};
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -2,9 +2,9 @@
 
 use super::repeats::Repeats;
 use super::{App, jittered, wall_ms};
+use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::state::StateError;
 use cherryyard_core::event_loop_lag::QUEUE_CHECK_MS;
-use cherryyard_io::peer::Outgoing;
-use cherryyard_io::state::StateError;
 use cherryyard_wire::peer::Message;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -9,13 +9,13 @@
 mod repeats;
 mod tell;
 
+use cherryyard_clients::cloud::{Cloud, CloudError};
+use cherryyard_clients::http::{Failure, Http};
+use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::state::{Committed, State, StateError};
+use cherryyard_clients::worker;
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_core::{Controller, Effect, Outcome, PushOutcome, Ticket};
-use cherryyard_io::cloud::{Cloud, CloudError};
-use cherryyard_io::http::{Failure, Http};
-use cherryyard_io::peer::Outgoing;
-use cherryyard_io::state::{Committed, State, StateError};
-use cherryyard_io::worker;
 use cherryyard_wire::peer::{ForwardResponse, Sender};
 use cherryyard_wire::state::Commit;
 use hdrhistogram::Histogram;
--- a/crates/cherryyard/src/app/reads.rs
+++ b/crates/cherryyard/src/app/reads.rs
@@ -2,7 +2,7 @@
 
 use super::repeats::Repeats;
 use super::{App, jittered};
-use cherryyard_io::state::StateError;
+use cherryyard_clients::state::StateError;
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -2,8 +2,8 @@
 
 use crate::condor::{self, Condor};
 use crate::{account, operator, run};
+use cherryyard_clients::http::Http;
 use cherryyard_core::{Config, Tuning};
-use cherryyard_io::http::Http;
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::settings::Settings;
 use clap::{Parser, Subcommand};
@@ -114,7 +114,7 @@
         .with_default(level.min(LevelFilter::WARN))
         .with_target("cherryyard", level)
         .with_target("cherryyard_core", level)
-        .with_target("cherryyard_io", level);
+        .with_target("cherryyard_clients", level);
     let format = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
--- a/crates/cherryyard/src/messages.rs
+++ b/crates/cherryyard/src/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::app::{App, wall_ms};
 use crate::routes;
-use cherryyard_io::peer::Outgoing;
+use cherryyard_clients::peer::Outgoing;
 use cherryyard_wire::peer::{Frame, Message};
 use std::sync::Arc;
 
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -2,11 +2,11 @@
 
 use crate::app::{App, HistoryLookups};
 use crate::routes;
+use cherryyard_clients::cloud::Cloud;
+use cherryyard_clients::http::Http;
+use cherryyard_clients::peer;
+use cherryyard_clients::state::State;
 use cherryyard_core::{Config, Controller, Tuning};
-use cherryyard_io::cloud::Cloud;
-use cherryyard_io::http::Http;
-use cherryyard_io::peer;
-use cherryyard_io::state::State;
 use cherryyard_wire::MAX_BODY;
 use cherryyard_wire::peer::Sender;
 use cherryyard_wire::record::NEWEST_FORMAT;
--- a/crates/cherryyard/tests/condor.rs
+++ b/crates/cherryyard/tests/condor.rs
@@ -1,8 +1,8 @@
 //! The real program with submissions of many jobs turned on, over loopback.
 
-use cherryyard_rehearsal::http::HttpState;
-use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
+use cherryyard_simulation::http::HttpState;
+use cherryyard_simulation::process::{self, Client, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::condor::{NO_ID, Phase, SubmissionView};
 use cherryyard_wire::record::MACHINE_TYPES_KEY;
 use serde_json::{Value, json};
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -2,9 +2,9 @@
 //! unknown ones, and floods of polls for them.
 
 use cherryyard_history::{Leaf, Level, Past, leaf_key};
-use cherryyard_rehearsal::http::{Budgets, HttpState};
-use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
+use cherryyard_simulation::http::{Budgets, HttpState};
+use cherryyard_simulation::process::{self, Client, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::history::{LAST, PackedRecord};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
--- a/crates/cherryyard/tests/limits.rs
+++ b/crates/cherryyard/tests/limits.rs
@@ -1,9 +1,9 @@
 //! A state service whose limits are below what the settings say, with the real program:
 //! transactions get smaller, and none is sent again unchanged.
 
-use cherryyard_rehearsal::process::Process;
-use cherryyard_rehearsal::state::ServiceLimits;
-use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
+use cherryyard_simulation::process::Process;
+use cherryyard_simulation::state::ServiceLimits;
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::record::MACHINE_TYPES_KEY;
 use std::path::Path;
 
--- a/crates/cherryyard/tests/pipelines.rs
+++ b/crates/cherryyard/tests/pipelines.rs
@@ -1,8 +1,8 @@
 //! Jobs that wait for others, with the real program over loopback and its command line.
 
-use cherryyard_rehearsal::http::HttpState;
-use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_machine_type};
+use cherryyard_simulation::http::HttpState;
+use cherryyard_simulation::process::{self, Client, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::record::MACHINE_TYPES_KEY;
 use serde_json::{Value, json};
 use std::path::Path;
