--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -29,7 +29,7 @@
 use crate::reachability::Reachability;
 use crate::shard_lease::ShardLease;
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
-use cherryyard_wire::job::{Rank, Shape};
+use cherryyard_wire::job::Shape;
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::{self, End, Grant, ImagesRecord, Key};
 use cherryyard_wire::state::{Apply, Commit, Json};
@@ -38,7 +38,7 @@
     task_name_of,
 };
 pub(crate) use cycle::Cycle;
-use state::{Pending, Preempted};
+use state::Pending;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// Bytes that a transaction's values may have together.
@@ -59,9 +59,6 @@
 /// Commands in one message to a worker.
 const MAX_COMMANDS: usize = 300;
 
-/// What making room on a machine costs, whom it stops, and where.
-type Eviction = (f64, Vec<(Task, u64)>, u32);
-
 impl Machine {
     /// Settles the starts of a direct command. Of an answered or unsent one they are no
     /// longer on their way; of one whose answer was lost they may be, until the incarnation
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -1,8 +1,8 @@
 //! Placement: which waiting number goes to which machine.
 
 use super::failure_attribution::JobFailures;
-use super::preempt::Preemptible;
-use super::search::{Search, SearchBudget};
+use super::preempt::{EvictionScope, Preemption, PreemptionRequest};
+use super::search::{SearchBudget, UnmetNeeds};
 use super::*;
 use crate::admission::flows::Flow;
 use crate::admission::queue::{Place, Queues};
@@ -22,18 +22,16 @@
     now: Millis,
     /// Free capacity by machine, as it is used up.
     capacities: Vec<(u32, Needs)>,
-    /// What each team uses in the shard, and everywhere.
+    /// What each team uses in the shard.
     used: Vec<Needs>,
-    totals: Vec<Needs>,
-    preemptible: Preemptible,
-    search: Search,
+    preemption: Preemption,
+    unmet_needs: UnmetNeeds,
     /// Services that another shard should get.
     handing: BTreeSet<u64>,
     /// How many tasks have been placed.
     placed: usize,
-    /// Cores that flows may start ahead of rank, and that may be stopped of them.
+    /// Cores that flows may start ahead of rank.
     ahead: HashMap<Flow, f64>,
-    may_stop: HashMap<Flow, f64>,
     search_budget: SearchBudget,
     /// Cores started, by flow.
     started: HashMap<Flow, f64>,
@@ -180,11 +178,12 @@
         let shard = &mut self.shards[shard_id];
         shard.preempted.retain(|_, x| x.until > now);
         let (mirror, held) = (&self.mirror, &mut shard.reserved);
-        held.retain(|_, (task, until)| {
-            *until > now
+        held.retain(|_, reservation| {
+            let (job, number) = reservation.for_task;
+            reservation.until > now
                 && mirror
-                    .waiting(shard_id, task.0)
-                    .is_some_and(|w| w.contains(task.1))
+                    .waiting(shard_id, job)
+                    .is_some_and(|waiting| waiting.contains(number))
         });
         if shard.queues.is_empty() {
             shard.handing.clear();
@@ -268,7 +267,6 @@
                 used.take(&needs);
             }
         }
-        let totals = self.team_totals();
         let allowed = self.allowances(shard_id, &cycle.gone, now);
         let mut ahead = allowed.start;
         ahead.retain(|_, cores| *cores > 0.0);
@@ -277,13 +275,11 @@
             now,
             capacities,
             used,
-            preemptible: self.preemptible(shard_id, &totals),
-            totals,
-            search: Search::default(),
+            preemption: self.begin_preemption(shard_id, allowed.stop),
+            unmet_needs: UnmetNeeds::default(),
             handing: BTreeSet::new(),
             placed: 0,
             ahead,
-            may_stop: allowed.stop,
             search_budget: SearchBudget::default(),
             started: HashMap::new(),
             kept_for: HashMap::new(),
@@ -398,7 +394,7 @@
             if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
                 return Next::Job;
             }
-            if placement.search.too_large(needs) {
+            if placement.unmet_needs.too_large(needs) {
                 unplaced.extend(waiting.iter().filter(|n| *n >= number).take(4));
                 break;
             }
@@ -408,7 +404,7 @@
                 // Where no machine has room for one of them, none has for the next.
                 let none = !placement.capacities.iter().any(|r| needs.fits(&r.1));
                 if none {
-                    placement.search.none_fits(*needs);
+                    placement.unmet_needs.none_fits(*needs);
                 }
                 if none || unplaced.len() >= MOST_UNPLACED {
                     unplaced.extend(waiting.iter().filter(|n| *n > number).take(3));
@@ -443,7 +439,8 @@
     /// The machine that is kept for a task, because others were stopped there for it.
     fn kept_machine(&self, shard_id: usize, task: Task) -> Option<u32> {
         let mut kept = self.shards[shard_id].reserved.iter();
-        kept.find(|kept| kept.1.0 == task).map(|kept| *kept.0)
+        kept.find(|kept| kept.1.for_task == task)
+            .map(|kept| *kept.0)
     }
 
     /// The best of the machines that have room for a task, by its place.
@@ -464,7 +461,9 @@
                 && kept.is_none_or(|kept| kept == *host)
                 && self.allowed(open, m)
                 && !m.reported.contains_key(&task)
-                && reserved.get(host).is_none_or(|other| other.0 == task)
+                && reserved
+                    .get(host)
+                    .is_none_or(|other| other.for_task == task)
                 && !self.kept_from(shard_id, *host, open)
                 && self.zone_open(shard_id, open, &m.zone, zones)
         };
@@ -506,23 +505,18 @@
     ) -> bool {
         let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let open = &self.mirror.open[&job];
-        if self.fetch_s(open, host) > SHORT_FETCH_S
-            && self.may_preempt(open, &placement.preemptible)
+        if self.fetch_s(open, host) > SHORT_FETCH_S && placement.preemption.is_possible_for(open) {
             // Where the image is, the replica runs at once; the arrays there can make
             // way more easily than it can wait.
-            && self.preempt(
+            let request = PreemptionRequest {
                 shard_id,
                 job,
-                &[number],
-                cycle,
-                now,
-                true,
-                &placement.totals,
-                &mut placement.search,
-                &mut placement.may_stop,
-            )
-        {
-            return true;
+                numbers: &[number],
+                scope: EvictionScope::HoldingImage,
+            };
+            if self.preempt(&request, &mut placement.preemption, cycle, now) {
+                return true;
+            }
         }
         let open = &self.mirror.open[&job];
         let waits_ms = now - candidate.since.unwrap_or(now);
@@ -596,18 +590,17 @@
             return;
         };
         self.keep_machine(shard_id, candidate.flow, (job, first), queues, zones, now);
-        if self.may_preempt(&self.mirror.open[&job], &placement.preemptible) {
-            self.preempt(
+        if placement
+            .preemption
+            .is_possible_for(&self.mirror.open[&job])
+        {
+            let request = PreemptionRequest {
                 shard_id,
                 job,
-                unplaced,
-                cycle,
-                now,
-                false,
-                &placement.totals,
-                &mut placement.search,
-                &mut placement.may_stop,
-            );
+                numbers: unplaced,
+                scope: EvictionScope::AnyMachine,
+            };
+            self.preempt(&request, &mut placement.preemption, cycle, now);
         }
     }
 
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -1,68 +1,62 @@
-//! What one scheduling cycle has looked for in vain.
+//! What one scheduling cycle has looked for in vain: what is alike is not searched for again.
 
-use super::*;
 use crate::admission::flows::Flow;
 use crate::admission::queue::{Place, WINDOW};
+use crate::needs::Needs;
+use std::collections::HashMap;
 
-/// What a scheduling cycle has searched for in vain: what is alike is not searched for again.
+/// Amounts for which no machine has free capacity.
 #[derive(Debug, Default)]
-pub(crate) struct Search {
-    /// Amounts for which no machine has room.
-    too_large: Vec<Needs>,
-    /// Signatures, ranks and teams for which nothing can make way; and whether only
-    /// machines that hold the image counted.
-    firm: HashSet<(u64, Rank, u32, bool)>,
-}
+pub(crate) struct UnmetNeeds(Vec<Needs>);
 
-impl Search {
-    /// Whether no machine has room for so much.
+impl UnmetNeeds {
+    /// Whether it is known that no machine has room for so much.
     pub(crate) fn too_large(&self, needs: &Needs) -> bool {
-        self.too_large.iter().any(|n| n.fits(needs))
+        self.0.iter().any(|unmet| unmet.fits(needs))
     }
 
     /// Notes that no machine has room for so much.
     pub(crate) fn none_fits(&mut self, needs: Needs) {
         if !self.too_large(&needs) {
-            self.too_large.retain(|n| !needs.fits(n));
-            self.too_large.push(needs);
+            self.0.retain(|unmet| !needs.fits(unmet));
+            self.0.push(needs);
         }
     }
+}
 
-    /// Whether nothing makes way for such jobs.
-    pub(crate) fn is_firm(&self, open: &OpenJob, holding: bool) -> bool {
-        let key = (open.signature(), open.rank(), open.team, holding);
-        self.firm.contains(&key)
-    }
-
-    /// Notes that nothing does. A job whose tasks are to be apart may have found the
-    /// room in the wrong zone: that says nothing of others.
-    pub(crate) fn firm(&mut self, open: &OpenJob, holding: bool) {
-        if !open.spec.apart {
-            let key = (open.signature(), open.rank(), open.team, holding);
-            self.firm.insert(key);
-        }
-    }
+/// Jobs of a flow that have been looked at since it was closed.
+#[derive(Debug)]
+struct ClosedFlow {
+    inspected: usize,
+    last: Place,
 }
 
 /// How many of each flow's jobs a scheduling cycle has looked at in vain.
 #[derive(Debug, Default)]
 pub(crate) struct SearchBudget {
+    /// Jobs in a row of which no task found room.
     stuck: HashMap<Flow, u32>,
-    others: HashMap<Flow, (usize, Place)>,
+    closed: HashMap<Flow, ClosedFlow>,
 }
 
 impl SearchBudget {
-    /// Whether enough of a flow has been stuck for it to be closed.
+    /// Counts a job that is looked at. Says whether enough of its flow has been stuck for the
+    /// flow to be closed.
     pub(crate) fn look(&mut self, flow: Flow, at: Place) -> bool {
-        if let Some((n, last)) = self.others.get_mut(&flow) {
-            (*n, *last) = (*n + 1, at);
+        if let Some(closed) = self.closed.get_mut(&flow) {
+            closed.inspected += 1;
+            closed.last = at;
             return false;
         }
         let stuck = self.stuck.entry(flow).or_default();
         *stuck += 1;
         let close = *stuck >= WINDOW;
         if close {
-            self.others.insert(flow, (0, at));
+            let closed = ClosedFlow {
+                inspected: 0,
+                last: at,
+            };
+            self.closed.insert(flow, closed);
         }
         close
     }
@@ -72,9 +66,10 @@
         self.stuck.insert(flow, 0);
     }
 
-    /// Flows of which others were looked at: how many, and the last.
+    /// Closed flows: how many of their other jobs were looked at, and the last.
     pub(crate) fn others(self) -> impl Iterator<Item = (Flow, usize, Option<Place>)> {
-        let all = self.others.into_iter();
-        all.map(|(flow, (n, last))| (flow, n, Some(last)))
+        self.closed
+            .into_iter()
+            .map(|(flow, closed)| (flow, closed.inspected, Some(closed.last)))
     }
 }
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -19,6 +19,13 @@
     pub(crate) until: Millis,
 }
 
+/// A machine kept for a task that others were stopped for.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Reservation {
+    pub(crate) for_task: Task,
+    pub(crate) until: Millis,
+}
+
 /// What a scheduling cycle will do once its transaction is durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pending {
@@ -55,7 +62,7 @@
     pub(crate) retry_after: Millis,
     pub(crate) preempted: HashMap<Task, Preempted>,
     /// Machines kept for a task that others were stopped for.
-    pub(crate) reserved: BTreeMap<u32, (Task, Millis)>,
+    pub(crate) reserved: BTreeMap<u32, Reservation>,
     /// Machines kept for the oldest jobs that have not begun, by flow.
     pub(crate) kept: BTreeMap<Flow, (Task, u32)>,
     pub(crate) job_failures: HashMap<u64, JobFailures>,
