--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -118,7 +118,7 @@
     }
 
     /// Takes a worker's report.
-    pub fn report(&mut self, report: &WorkerHeartbeat, now: Millis) -> Reply {
+    pub fn handle_worker_heartbeat(&mut self, report: &WorkerHeartbeat, now: Millis) -> Reply {
         match self.answer_report(report, now) {
             Reply::Answer(mut answer) => {
                 self.stop_cancelled(report, &mut answer);
@@ -256,7 +256,13 @@
     }
 
     /// Takes how a direct command came out.
-    pub fn pushed(&mut self, host: u32, request: &CommandBatch, outcome: PushOutcome, now: Millis) {
+    pub fn handle_push_outcome(
+        &mut self,
+        host: u32,
+        request: &CommandBatch,
+        outcome: PushOutcome,
+        now: Millis,
+    ) {
         self.notice(now);
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
@@ -315,7 +321,12 @@
     }
 
     /// Takes the answer to a direct question, or that there was none.
-    pub fn queried(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
+    pub fn handle_status_answer(
+        &mut self,
+        host: u32,
+        answer: Option<&WorkerHeartbeat>,
+        now: Millis,
+    ) {
         self.notice(now);
         let last = self.mirror.store_revision.max(self.newest_revision) + 1;
         for (_, worker) in self
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -97,14 +97,14 @@
     let mut controller = controller();
     controller.heartbeat_in(heartbeat(), 100.0);
     for machine in 0..FLEET {
-        let reply = controller.report(&report(machine), 200.0);
+        let reply = controller.handle_worker_heartbeat(&report(machine), 200.0);
         assert!(matches!(reply, Reply::Elsewhere(Some(b)) if b == "b"));
     }
     let mut queried = 0;
     for effect in controller.effects() {
         if let Effect::QueryStatus { host, .. } = effect {
             queried += 1;
-            controller.queried(host, Some(&report(0)), 300.0);
+            controller.handle_status_answer(host, Some(&report(0)), 300.0);
         }
     }
     assert_eq!(queried, 16, "a sample is asked");
@@ -121,20 +121,20 @@
     let mut controller = controller();
     tracing::subscriber::with_default(Warnings(warnings.clone()), || {
         for machine in 0..MAX_MACHINES {
-            controller.report(&report(machine), 200.0);
+            controller.handle_worker_heartbeat(&report(machine), 200.0);
         }
         assert_eq!(warnings.load(Ordering::Relaxed), 0);
         for machine in 0..100 {
-            controller.report(&report(MAX_MACHINES + machine), 200.0);
+            controller.handle_worker_heartbeat(&report(MAX_MACHINES + machine), 200.0);
         }
         assert_eq!(warnings.load(Ordering::Relaxed), 1);
         // The first report again; the others are forgotten after 6 s.
-        controller.report(&report(0), 5000.0);
+        controller.handle_worker_heartbeat(&report(0), 5000.0);
     });
     controller.heartbeat_in(heartbeat(), 6000.0);
     controller.heartbeat_out(6500.0);
     for machine in [0, MAX_MACHINES] {
-        controller.report(&report(machine), 6600.0);
+        controller.handle_worker_heartbeat(&report(machine), 6600.0);
     }
     let queries = |e: &Effect| matches!(e, Effect::QueryStatus { .. });
     assert_eq!(controller.effects().into_iter().filter(queries).count(), 2);
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -58,7 +58,7 @@
         let now = self.now;
         let is_reachable = !self.deaf.contains(&i) && !self.frozen.contains(&i);
         let controller = self.controllers[i].as_mut().filter(|_| is_reachable);
-        let reply = controller.map(|n| n.report(report, now));
+        let reply = controller.map(|n| n.handle_worker_heartbeat(report, now));
         let name = &report.host;
         let mut log = Vec::new();
         // A worker that has given up drops the answer.
@@ -112,7 +112,7 @@
             self.say(line);
         }
         if let Some(controller) = &mut self.controllers[i] {
-            controller.pushed(host, &request, outcome, now);
+            controller.handle_push_outcome(host, &request, outcome, now);
         }
     }
 
@@ -128,7 +128,7 @@
         let worker = self.workers.get_mut(name).filter(|_| !cut);
         let report = worker.map(|w| w.report(now));
         if let Some(controller) = &mut self.controllers[i] {
-            controller.queried(host, report.as_ref(), now);
+            controller.handle_status_answer(host, report.as_ref(), now);
         }
     }
 
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -59,7 +59,7 @@
                     1 => controller.listed(list.clone(), now),
                     2 => controller.heartbeat_in(heartbeat.clone(), now),
                     _ => {
-                        if let Reply::Answer(a) = controller.report(&old, now) {
+                        if let Reply::Answer(a) = controller.handle_worker_heartbeat(&old, now) {
                             assert!(a.commands.is_empty(), "{frozen_s}: {:?}", a.commands);
                         }
                     }
@@ -137,7 +137,10 @@
     let now = w.now;
     for report in &held {
         // What the answer commands reaches nobody: its worker gave up long ago.
-        w.controllers[0].as_mut().unwrap().report(report, now);
+        w.controllers[0]
+            .as_mut()
+            .unwrap()
+            .handle_worker_heartbeat(report, now);
     }
     w.run(1.0);
     assert_eq!(assignments(&w), before);
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -132,7 +132,7 @@
                         Err(Failure::Unsent) => PushOutcome::Unsent,
                         Err(Failure::Unknown | Failure::TooLarge) => PushOutcome::Unknown,
                     };
-                    app.with(|n, now| n.pushed(host, &request, outcome, now));
+                    app.with(|n, now| n.handle_push_outcome(host, &request, outcome, now));
                 });
             }
             Effect::QueryStatus { host, addr } => {
@@ -142,7 +142,7 @@
                         tracing::debug!(addr, "a machine does not answer a question: {e}");
                     }
                     let answer = answer.ok();
-                    app.with(|n, now| n.queried(host, answer.as_ref(), now));
+                    app.with(|n, now| n.handle_status_answer(host, answer.as_ref(), now));
                 });
             }
             Effect::ReadLeaf(level, job) => {
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -141,7 +141,10 @@
             Err(answer) => answer,
             Ok(body) => match parse_object::<WorkerHeartbeat>(&body.text) {
                 Err(e) => Answer::error(StatusCode::BAD_REQUEST, e),
-                Ok(report) => match self.0.with(|n, now| n.report(&report, now)) {
+                Ok(report) => match self
+                    .0
+                    .with(|n, now| n.handle_worker_heartbeat(&report, now))
+                {
                     Reply::Answer(a) => Answer::of(StatusCode::OK, &a),
                     Reply::Elsewhere(owner) => {
                         Answer::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
