--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -10,6 +10,8 @@
 
 /// How long after the time it was last_reported a recalled machine counts as taken.
 const TAKEN_MS: f64 = 1000.0;
+/// Least time before it is taken at which something is still started on a machine.
+const LAST_START_MS: f64 = 60_000.0;
 
 /// A task: its job's number and its own.
 pub type Task = (u64, u32);
@@ -376,6 +378,11 @@
         run.map(|run| now - run.1)
     }
 
+    /// Whether the cloud takes the machine so soon that nothing more is started there.
+    pub fn is_reclaimed_soon(&self, now: Millis) -> bool {
+        self.reclaim_at.is_some_and(|at| at - now <= LAST_START_MS)
+    }
+
     /// Whether the cloud has said it would take the machine by now, and nothing
     /// has been heard of it for longer than a report takes.
     pub fn taken(&self, now: Millis, silence_ms: f64) -> bool {
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -232,7 +232,7 @@
             && m.newest.0 == assignment.incarnation
             && !m.lease_over
             && !m.gave_up(assignment.incarnation, assignment.attempt)
-            && m.reclaim_at.is_none_or(|at| at - now > 60_000.0);
+            && !m.is_reclaimed_soon(now);
         if open && may_start {
             TaskOutcome::Keep
         } else {
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/direct_commands.rs
@@ -0,0 +1,105 @@
+//! Direct commands: what a machine is due is sent to it at once, without waiting for its next
+//! heartbeat.
+
+use super::reconciliation::CommandChannel;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::effects::Effect;
+use crate::machine::{Machine, PushedStart};
+use crate::reachability::Reachability;
+use crate::shard_lease::ShardLease;
+use cherryyard_wire::worker::{CommandBatch, WorkerCommand, parse_task_name};
+
+/// Least time between two messages to a machine.
+const PUSH_INTERVAL_MS: f64 = 50.0;
+
+impl Machine {
+    /// Notes the starts of direct commands: they are on their way.
+    fn note_pushed_starts(&mut self, request: &CommandBatch) {
+        for command in &request.commands {
+            if let WorkerCommand::Start { task_name, attempt } = command
+                && let Some(task) = parse_task_name(task_name)
+            {
+                self.pushed.push(PushedStart {
+                    task,
+                    attempt: *attempt,
+                    incarnation: request.incarnation,
+                    token: request.fencing_token,
+                    lost: false,
+                });
+            }
+        }
+    }
+
+    /// Settles the starts of a direct command. Of an answered or unsent one they are no
+    /// longer on their way; of one whose answer was lost they may be, until the incarnation
+    /// or the token has changed.
+    pub(crate) fn settle_push(&mut self, request: &CommandBatch, lost: bool) {
+        for command in &request.commands {
+            if let WorkerCommand::Start { task_name, attempt } = command
+                && let Some(task) = parse_task_name(task_name)
+                && let Some(i) = self.pushed.iter().position(|start| {
+                    start.task == task && start.attempt == *attempt && !start.lost
+                })
+            {
+                let start = PushedStart {
+                    lost,
+                    ..self.pushed.remove(i)
+                };
+                if lost && !self.pushed.contains(&start) {
+                    self.pushed.push(start);
+                }
+            }
+        }
+    }
+}
+
+impl Controller {
+    /// Sends a machine its due commands directly, if there are any.
+    pub(crate) fn push(&mut self, host: u32, now: Millis) {
+        let Some(machine) = self.machines.get(&host) else {
+            return;
+        };
+        let ShardLease::Held(token) = self.shards[machine.shard].lease else {
+            return;
+        };
+        if machine.pushing
+            || now < machine.push_after
+            || now - machine.last_heard_at > self.silence_ms()
+            || matches!(machine.reachability, Reachability::Unreachable(_))
+        {
+            return;
+        }
+        let commands = self.reconcile(host, now, CommandChannel::Direct);
+        if commands.is_empty() {
+            return;
+        }
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
+        tracing::debug!(machine = %machine.addr, ?commands, "direct commands sent");
+        let request = CommandBatch {
+            fencing_token: token,
+            incarnation: machine.newest.0,
+            commands,
+        };
+        machine.pushing = true;
+        machine.push_after = now + PUSH_INTERVAL_MS;
+        machine.note_pushed_starts(&request);
+        let addr = machine.addr.clone();
+        self.effects.push(Effect::Push {
+            host,
+            addr,
+            request,
+        });
+    }
+
+    /// Sends direct commands to every machine of the shard that is due any.
+    pub(crate) fn push_due(&mut self, shard_id: usize, now: Millis) {
+        let due = |m: &&Machine| m.shard == shard_id && !m.pushing && now >= m.push_after;
+        let hosts: Vec<u32> = self.machines.values().filter(due).map(|m| m.host).collect();
+        for host in hosts {
+            self.push(host, now);
+        }
+    }
+}
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -7,36 +7,34 @@
 mod aging;
 mod capacity;
 mod cycle;
+mod direct_commands;
 mod failure_attribution;
 mod images;
 mod oversize;
 mod place;
 mod preempt;
-mod reconciliation;
+pub(crate) mod reconciliation;
+mod release;
 mod scale_in;
 mod search;
 mod spot_reclaim;
 pub(crate) mod state;
+mod unresponsive;
 
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
-use crate::machine::{Machine, MachineEvent, MachineState, PushedStart, Task};
+use crate::machine::{Machine, MachineEvent, MachineState, Task};
 use crate::mirror::OpenJob;
 use crate::names::Names;
 use crate::needs::Needs;
 use crate::pages::{Assignment, Page};
-use crate::reachability::Reachability;
 use crate::shard_lease::ShardLease;
-use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::{self, End, Grant, ImagesRecord, Key};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use cherryyard_wire::worker::{
-    CommandBatch, ExitCause, TaskStatus, WorkerCommand, WorkerHeartbeat, parse_task_name,
-    task_name_of,
-};
+use cherryyard_wire::worker::{ExitCause, TaskStatus, WorkerHeartbeat};
 pub(crate) use cycle::Cycle;
 use state::Pending;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -56,31 +54,6 @@
 /// worth it.
 const HAND_OVER_MS: f64 = 1500.0;
 const HAND_OVER_FETCH_S: f64 = 4.0;
-/// Commands in one message to a worker.
-const MAX_COMMANDS: usize = 300;
-
-impl Machine {
-    /// Settles the starts of a direct command. Of an answered or unsent one they are no
-    /// longer on their way; of one whose answer was lost they may be, until the incarnation
-    /// or the token has changed.
-    pub(crate) fn settle_push(&mut self, request: &CommandBatch, lost: bool) {
-        for command in &request.commands {
-            if let WorkerCommand::Start { task_name, attempt } = command
-                && let Some(task) = parse_task_name(task_name)
-                && let Some(i) = self
-                    .pushed
-                    .iter()
-                    .position(|s| s.task == task && s.attempt == *attempt && !s.lost)
-            {
-                let start = self.pushed.remove(i);
-                let start = PushedStart { lost, ..start };
-                if lost && !self.pushed.contains(&start) {
-                    self.pushed.push(start);
-                }
-            }
-        }
-    }
-}
 
 impl Controller {
     /// What time alone brings about: leases that end, commands that are due.
@@ -94,7 +67,7 @@
         self.release_reclaimed(shard_id, now);
         if now - self.shards[shard_id].unheard_at >= UNHEARD_MS {
             self.shards[shard_id].unheard_at = now;
-            self.release_unreachable(shard_id, now);
+            self.release_without_owner(shard_id, now);
             self.release_with_cancelled_tasks(shard_id, now);
         }
         self.query_machines(shard_id, now);
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -1,171 +1,200 @@
-//! Commands: what brings a machine to what its assignments say.
+//! Reconciliation: the commands that bring a machine to what its assignments say.
+//!
+//! Commands are the difference between a machine's durable assignments and the tasks in its
+//! newest message, so every command is repeatable and every owner replaceable.
 
-use super::*;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::machine::{Machine, MachineState, ReportedTask, Task};
+use crate::mirror::OpenJob;
+use cherryyard_wire::worker::{TaskStatus, WorkerCommand, task_name_of};
 
-impl Controller {
-    /// The commands that bring a machine to what its assignments say.
-    pub(crate) fn reconcile(&self, host: u32, now: Millis, in_answer: bool) -> Vec<WorkerCommand> {
-        let mut commands = Vec::new();
-        let Some(m) = self.machines.get(&host) else {
-            return commands;
-        };
-        // A machine that is being returned is answered for as long as the cloud does not
-        // release it: what is cancelled there must be stopped all the same.
-        if !m.token_ours() || !matches!(m.state, MachineState::Ready | MachineState::Returning) {
-            return commands;
-        }
-        let shard_id = m.shard;
-        let fresh = self.state_fresh(now);
-        let owned = self.owned(shard_id).is_some();
-        for (&(job, number), reported) in &m.reported {
-            let task = (job, number);
-            let assignment = self
-                .mirror
-                .assignment_on(host, task)
-                .filter(|k| k.incarnation == m.newest.0 && k.attempt == reported.attempt);
-            let task_name = || task_name_of(job, number);
-            if reported.ended() {
-                // Cleared only once its end is durable, and only when no start
-                // of it is on its way: it would start a second time.
-                if in_answer
-                    && assignment.is_none()
-                    && !m.start_pending(task, reported.attempt)
-                    && fresh
-                    && owned
-                {
-                    commands.push(WorkerCommand::Clear {
-                        task_name: task_name(),
-                        attempt: reported.attempt,
-                    });
-                }
-                continue;
-            }
-            // Others may know that it is cancelled before the state service tells us.
-            let told = self.cancelled.is_announced(job);
-            let open = self.mirror.open.get(&job).filter(|_| !told);
-            match (assignment, open) {
-                (Some(_), Some(open)) => {
-                    let preempted = self.shards[shard_id]
-                        .preempted
-                        .get(&task)
-                        .is_some_and(|x| x.attempt == reported.attempt && x.until > now);
-                    let recalled = m.reclaim_at.is_some_and(|at| {
-                        open.spec.snapshot_every_s > 0.0
-                            && at - now
-                                < open.spec.snapshot_cost_s * 1000.0 + self.config.report_ms * 2.5
-                    });
-                    let doomed =
-                        fresh && owned && self.doomed(m, task, reported.attempt, open, now);
-                    if (preempted || recalled || doomed) && reported.status != TaskStatus::Saving {
-                        let saves = open.spec.snapshot_every_s > 0.0;
-                        let grace_period_s = if saves {
-                            open.spec.snapshot_cost_s + 1.0
-                        } else {
-                            0.0
-                        };
-                        commands.push(WorkerCommand::Kill {
-                            task_name: task_name(),
-                            attempt: reported.attempt,
-                            grace_period_s,
-                        });
-                    }
-                }
-                // The job is over, or no assignment accounts for this attempt. While
-                // cut off, a missing assignment may only mean an old mirror.
-                (_, None) | (None, _) => {
-                    if (fresh && owned) || told || self.mirror.end(job).is_some() {
-                        commands.push(WorkerCommand::Kill {
-                            task_name: task_name(),
-                            attempt: reported.attempt,
-                            grace_period_s: 0.0,
-                        });
-                    }
-                }
-            }
+/// Commands in one message to a worker.
+const MAX_COMMANDS: usize = 300;
+/// Intervals between heartbeats before a reclaim at which a task begins to save its snapshot.
+const SAVE_MARGIN_HEARTBEATS: f64 = 2.5;
+/// Seconds that a task may take to stop beyond what its snapshot takes.
+const SAVE_MARGIN_S: f64 = 1.0;
+
+/// How commands get to a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CommandChannel {
+    /// In the answer to a heartbeat.
+    HeartbeatResponse,
+    /// In a request to the worker.
+    Direct,
+}
+
+/// A machine that is being reconciled.
+struct Reconciliation<'a> {
+    controller: &'a Controller,
+    machine: &'a Machine,
+    channel: CommandChannel,
+    /// Whether the mirror's assignments are those that count: the state service answers, and
+    /// the shard is ours beyond doubt. Else a missing one may only mean an old mirror.
+    assignments_are_current: bool,
+    now: Millis,
+}
+
+impl Reconciliation<'_> {
+    /// The command for a task that the machine reports, if it is due one.
+    fn command_for_reported(&self, task: Task, reported: &ReportedTask) -> Option<WorkerCommand> {
+        let assignment = self
+            .controller
+            .mirror
+            .assignment_on(self.machine.host, task);
+        let is_assigned = assignment.is_some_and(|assignment| {
+            assignment.incarnation == self.machine.newest.0
+                && assignment.attempt == reported.attempt
+        });
+        if reported.ended() {
+            return self.clear_ended(task, reported, is_assigned);
         }
-        let ready = m.state == MachineState::Ready;
-        if ready && fresh && owned && m.reclaim_at.is_none_or(|at| at - now > 60_000.0) {
-            for (task, assignment) in self.mirror.on_host(host) {
-                // Of what was given up no start is sent: only then a report without the
-                // task proves that it is not there.
-                if assignment.incarnation == m.newest.0
-                    && !m.gave_up(assignment.incarnation, assignment.attempt)
-                    && !m.reported.contains_key(&task)
-                    && self.mirror.open.contains_key(&task.0)
-                {
-                    commands.push(WorkerCommand::Start {
-                        task_name: task_name_of(task.0, task.1),
-                        attempt: assignment.attempt,
-                    });
-                }
-            }
+        let job = task.0;
+        // Others may know that it is cancelled before the state service tells us.
+        let is_cancelled = self.controller.cancelled.is_announced(job);
+        let open = self.controller.mirror.open.get(&job);
+        match open.filter(|_| is_assigned && !is_cancelled) {
+            Some(open) => self.stop_assigned(task, reported, open),
+            None => self.kill_unassigned(task, reported, is_cancelled),
         }
-        commands.truncate(MAX_COMMANDS);
-        commands
     }
 
-    /// Sends a machine its due commands directly, if there are any.
-    pub(crate) fn push(&mut self, host: u32, now: Millis) {
-        let Some(m) = self.machines.get(&host) else {
-            return;
-        };
-        let ShardLease::Held(token) = self.shards[m.shard].lease else {
-            return;
-        };
-        if m.pushing
-            || now < m.push_after
-            || now - m.last_heard_at > self.silence_ms()
-            || matches!(m.reachability, Reachability::Unreachable(_))
-        {
-            return;
-        }
-        let commands = self.reconcile(host, now, false);
-        if commands.is_empty() {
-            return;
-        }
-        let Some(m) = self.machines.get_mut(&host) else {
-            return;
-        };
-        m.pushing = true;
-        m.push_after = now + 50.0;
-        let incarnation = m.newest.0;
-        for command in &commands {
-            if let WorkerCommand::Start { task_name, attempt } = command
-                && let Some(task) = parse_task_name(task_name)
-            {
-                m.pushed.push(PushedStart {
-                    task,
-                    attempt: *attempt,
-                    incarnation,
-                    token,
-                    lost: false,
-                });
-            }
+    /// An ended task is cleared only once its end is durable, and only when no start of it is
+    /// on its way: it would start a second time.
+    fn clear_ended(
+        &self,
+        task: Task,
+        reported: &ReportedTask,
+        is_assigned: bool,
+    ) -> Option<WorkerCommand> {
+        let is_clear = self.channel == CommandChannel::HeartbeatResponse
+            && !is_assigned
+            && !self.machine.start_pending(task, reported.attempt)
+            && self.assignments_are_current;
+        is_clear.then(|| WorkerCommand::Clear {
+            task_name: task_name_of(task.0, task.1),
+            attempt: reported.attempt,
+        })
+    }
+
+    /// A task that should run is stopped if it makes way, or would be lost with its machine.
+    fn stop_assigned(
+        &self,
+        task: Task,
+        reported: &ReportedTask,
+        open: &OpenJob,
+    ) -> Option<WorkerCommand> {
+        let must_stop = self.is_preempted(task, reported.attempt)
+            || self.must_save_before_reclaim(open)
+            || self.should_restart_elsewhere(task, reported.attempt, open);
+        if !must_stop || reported.status == TaskStatus::Saving {
+            return None;
         }
-        tracing::debug!(machine = %m.addr, ?commands, "direct commands");
-        let request = CommandBatch {
-            fencing_token: token,
-            incarnation,
-            commands,
+        let has_snapshots = open.spec.snapshot_every_s > 0.0;
+        let grace_period_s = if has_snapshots {
+            open.spec.snapshot_cost_s + SAVE_MARGIN_S
+        } else {
+            0.0
         };
-        self.effects.push(Effect::Push {
-            host,
-            addr: m.addr.clone(),
-            request,
+        Some(kill(task, reported, grace_period_s))
+    }
+
+    fn is_preempted(&self, task: Task, attempt: u64) -> bool {
+        let preempted = self.controller.shards[self.machine.shard]
+            .preempted
+            .get(&task);
+        preempted.is_some_and(|p| p.attempt == attempt && p.until > self.now)
+    }
+
+    /// Whether there is just time to save a snapshot before the cloud takes the machine.
+    fn must_save_before_reclaim(&self, open: &OpenJob) -> bool {
+        let margin_ms = self.controller.config.report_ms * SAVE_MARGIN_HEARTBEATS;
+        self.machine.reclaim_at.is_some_and(|at| {
+            open.spec.snapshot_every_s > 0.0
+                && at - self.now < open.spec.snapshot_cost_s * 1000.0 + margin_ms
+        })
+    }
+
+    fn should_restart_elsewhere(&self, task: Task, attempt: u64, open: &OpenJob) -> bool {
+        self.assignments_are_current
+            && self
+                .controller
+                .should_restart_elsewhere(self.machine, task, attempt, open, self.now)
+    }
+
+    /// A task is killed whose job is over, or for which no assignment accounts. While cut
+    /// off, a missing assignment may only mean an old mirror.
+    fn kill_unassigned(
+        &self,
+        task: Task,
+        reported: &ReportedTask,
+        is_cancelled: bool,
+    ) -> Option<WorkerCommand> {
+        let is_over = || self.controller.mirror.end(task.0).is_some();
+        (self.assignments_are_current || is_cancelled || is_over())
+            .then(|| kill(task, reported, 0.0))
+    }
+
+    /// Starts of assigned tasks that the machine does not report. Of what was given up no
+    /// start is sent: only then a message without the task proves that it is not there.
+    fn missing_starts(&self) -> impl Iterator<Item = WorkerCommand> {
+        let may_start = self.machine.state == MachineState::Ready
+            && self.assignments_are_current
+            && !self.machine.is_reclaimed_soon(self.now);
+        let (machine, mirror) = (self.machine, &self.controller.mirror);
+        let assigned = may_start.then(|| mirror.on_host(machine.host));
+        let missing = assigned.into_iter().flatten().filter(|(task, assignment)| {
+            assignment.incarnation == machine.newest.0
+                && !machine.gave_up(assignment.incarnation, assignment.attempt)
+                && !machine.reported.contains_key(task)
+                && mirror.open.contains_key(&task.0)
         });
+        missing.map(|(task, assignment)| WorkerCommand::Start {
+            task_name: task_name_of(task.0, task.1),
+            attempt: assignment.attempt,
+        })
     }
+}
 
-    /// Pushes to every machine of the shard that has due commands.
-    pub(crate) fn push_due(&mut self, shard_id: usize, now: Millis) {
-        let mut hosts: Vec<u32> = self
-            .machines
-            .values()
-            .filter(|m| m.shard == shard_id && !m.pushing && now >= m.push_after)
-            .map(|m| m.host)
-            .collect();
-        hosts.sort_unstable();
-        for host in hosts {
-            self.push(host, now);
+fn kill(task: Task, reported: &ReportedTask, grace_period_s: f64) -> WorkerCommand {
+    WorkerCommand::Kill {
+        task_name: task_name_of(task.0, task.1),
+        attempt: reported.attempt,
+        grace_period_s,
+    }
+}
+
+impl Controller {
+    /// The commands that bring a machine to what its assignments say.
+    pub(crate) fn reconcile(
+        &self,
+        host: u32,
+        now: Millis,
+        channel: CommandChannel,
+    ) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
+        let Some(machine) = self.machines.get(&host) else {
+            return commands;
+        };
+        // A machine that is being released is answered for as long as the cloud has not
+        // taken it: what is cancelled there must be stopped all the same.
+        let is_commanded = matches!(machine.state, MachineState::Ready | MachineState::Returning);
+        if !machine.token_ours() || !is_commanded {
+            return commands;
+        }
+        let reconciliation = Reconciliation {
+            controller: self,
+            machine,
+            channel,
+            assignments_are_current: self.state_fresh(now) && self.owned(machine.shard).is_some(),
+            now,
+        };
+        for (&task, reported) in &machine.reported {
+            commands.extend(reconciliation.command_for_reported(task, reported));
         }
+        commands.extend(reconciliation.missing_starts());
+        commands.truncate(MAX_COMMANDS);
+        commands
     }
 }
--- /dev/null
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -0,0 +1,78 @@
+//! Status queries: machines are asked directly where their heartbeats leave something open.
+
+use super::MAX_QUERIES;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::effects::Effect;
+use crate::machine::Freshness;
+use crate::reachability::{Reachability, ReachabilityEvent};
+use crate::shard_lease::ShardLease;
+use cherryyard_wire::worker::WorkerHeartbeat;
+
+/// How much longer than its lease a silent machine is still queried.
+const LOST_MS: f64 = 15_000.0;
+
+impl Controller {
+    /// Queries the machines of a shard for which that is due.
+    pub(crate) fn query_machines(&mut self, shard_id: usize, now: Millis) {
+        let lost_ms = self.config.lease_ms + LOST_MS;
+        let pending = self.machines.values().filter(|m| m.query_pending).count();
+        let mut left = MAX_QUERIES.saturating_sub(pending);
+        for machine in self.machines.values_mut() {
+            if left == 0 {
+                return;
+            }
+            if machine.shard == shard_id && machine.query_due(lost_ms, now) {
+                left -= 1;
+                machine.query_pending = true;
+                machine.queried = (now, machine.newest);
+                let (host, addr) = (machine.host, machine.addr.clone());
+                self.effects.push(Effect::QueryStatus { host, addr });
+            }
+        }
+    }
+
+    /// Handles the answer to a status query, or that there was none.
+    pub fn handle_status_answer(
+        &mut self,
+        host: u32,
+        answer: Option<&WorkerHeartbeat>,
+        now: Millis,
+    ) {
+        self.notice(now);
+        self.note_misdirected_answer(host, answer.is_some());
+        let newest_attempt = self.mirror.store_revision.max(self.newest_revision) + 1;
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
+        machine.query_pending = false;
+        let shard_id = machine.shard;
+        let ShardLease::Held(token) = self.shards[shard_id].lease else {
+            return;
+        };
+        let Some(status) = answer else {
+            let before = machine.reachability;
+            machine.reached(ReachabilityEvent::NoAnswer, now);
+            let is_unreachable = matches!(machine.reachability, Reachability::Unreachable(_));
+            if machine.reachability != before && is_unreachable {
+                machine.given_up = (machine.newest.0, newest_attempt);
+            }
+            self.shards[shard_id].touched.insert(host);
+            return;
+        };
+        self.capacity_changed |= !machine.reachability.is_reachable();
+        if machine.answered(status, token, newest_attempt, now) != Freshness::Old {
+            self.after_message(host, now);
+        }
+    }
+
+    /// Takes whether a machine has answered, if it was queried as a misdirected worker.
+    fn note_misdirected_answer(&mut self, host: u32, has_answered: bool) {
+        for (&(_, misdirected), worker) in &mut self.misdirected {
+            if misdirected == host && worker.query_pending {
+                worker.query_pending = false;
+                worker.is_reachable = has_answered;
+            }
+        }
+    }
+}
