--- /dev/null
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -0,0 +1,209 @@
+//! Collection: what machines' messages prove of assigned tasks is taken into a scheduling
+//! cycle.
+
+use super::cycle::Cycle;
+use super::state::Pending;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::machine::{MachineState, Task};
+use crate::pages::Assignment;
+use cherryyard_wire::worker::ExitCause;
+use std::collections::BTreeSet;
+
+/// Time after which a scheduling cycle looks at all of a shard's machines, in case that
+/// something has changed without a message.
+const INSPECT_MS: f64 = 5000.0;
+
+/// How an assigned attempt is proven to have ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ProvenEnd {
+    /// It has completed.
+    Done,
+    /// It has failed.
+    Failed,
+    /// It was stopped or is gone with its machine; that is nobody's fault.
+    Lost,
+}
+
+/// What messages prove, as it is taken into a cycle.
+struct Collection<'a> {
+    cycle: &'a mut Cycle,
+    pending: &'a mut Pending,
+    /// A start of a job that is over may still be on its way, and only a higher token
+    /// stops it.
+    needs_new_token: bool,
+    /// Machines for whose assignments the cycle has no room.
+    deferred: BTreeSet<u32>,
+    /// For how long completed tasks have run, with their jobs.
+    runs: Vec<(u64, Millis)>,
+}
+
+impl Controller {
+    /// Takes what messages prove into the scheduling cycle.
+    pub(super) fn collect(
+        &mut self,
+        shard_id: usize,
+        now: Millis,
+        cycle: &mut Cycle,
+        pending: &mut Pending,
+    ) {
+        let hosts = self.hosts_to_inspect(shard_id, now);
+        self.inspected_machines += hosts.len() as u64;
+        let mut collection = Collection {
+            cycle,
+            pending,
+            needs_new_token: false,
+            deferred: BTreeSet::new(),
+            runs: Vec::new(),
+        };
+        for host in hosts {
+            for (task, assignment) in self.mirror.on_host(host) {
+                self.collect_task(shard_id, task, &assignment, now, &mut collection);
+            }
+        }
+        let Collection {
+            needs_new_token,
+            deferred,
+            runs,
+            ..
+        } = collection;
+        let shard = &mut self.shards[shard_id];
+        shard.bump |= needs_new_token;
+        shard.dirty |= !deferred.is_empty();
+        shard.touched.extend(deferred);
+        for (job, run_ms) in runs {
+            let (tasks, sum) = shard.ran.entry(job).or_default();
+            *tasks += 1;
+            *sum += run_ms;
+        }
+        let open = &self.mirror.open;
+        shard.ran.retain(|job, _| open.contains_key(job));
+    }
+
+    /// Machines whose assignments the cycle looks at.
+    fn hosts_to_inspect(&mut self, shard_id: usize, now: Millis) -> BTreeSet<u32> {
+        let shard = &mut self.shards[shard_id];
+        let touched = std::mem::take(&mut shard.touched);
+        if now - shard.inspected_at < INSPECT_MS {
+            return touched;
+        }
+        shard.inspected_at = now;
+        let machines = self.machines.values();
+        let of_shard = machines.filter(|m| m.shard == shard_id);
+        of_shard.map(|m| m.host).collect()
+    }
+
+    /// Takes what is proven of one assigned task.
+    fn collect_task(
+        &self,
+        shard_id: usize,
+        task: Task,
+        assignment: &Assignment,
+        now: Millis,
+        collection: &mut Collection,
+    ) {
+        let (job, number) = task;
+        let host = assignment.host;
+        let here = self.mirror.assignments.get(&(shard_id, job));
+        let Some(&(_, page)) = here.and_then(|here| here.assignments.get(&number)) else {
+            return;
+        };
+        let Some(end) = self.proven_end(task, assignment, now) else {
+            collection.needs_new_token |= self.is_kept_by_lost_start(task, assignment, now);
+            return;
+        };
+        let is_done = end == ProvenEnd::Done;
+        let cycle = &mut *collection.cycle;
+        if !cycle.unassign(&self.mirror, task, page, is_done) {
+            collection.deferred.insert(host);
+            return;
+        }
+        match end {
+            ProvenEnd::Done => {
+                let machine = self.machines.get(&host);
+                let run_ms = machine.and_then(|m| m.ran_ms(task, assignment.attempt, now));
+                collection.runs.extend(run_ms.map(|ms| (job, ms)));
+                collection.pending.done.push((job, host));
+            }
+            ProvenEnd::Failed => {
+                self.log_lost(task, assignment);
+                collection.pending.failed.push((job, host));
+            }
+            ProvenEnd::Lost => self.log_lost(task, assignment),
+        }
+        collection.pending.hosts.insert(host);
+    }
+
+    /// How messages prove an assigned task to have ended, if they do.
+    fn proven_end(&self, task: Task, assignment: &Assignment, now: Millis) -> Option<ProvenEnd> {
+        let machine = self.machines.get(&assignment.host)?;
+        if machine.token_ours()
+            && machine.newest.0 == assignment.incarnation
+            && let Some(reported) = machine.reported.get(&task)
+            && reported.attempt == assignment.attempt
+            && reported.ended()
+        {
+            return Some(match reported.cause {
+                Some(ExitCause::Done) => ProvenEnd::Done,
+                Some(ExitCause::Halted | ExitCause::Busy | ExitCause::NoCapacity) => {
+                    ProvenEnd::Lost
+                }
+                Some(ExitCause::Error | ExitCause::NoSuchTask | ExitCause::Other) | None => {
+                    ProvenEnd::Failed
+                }
+            });
+        }
+        if !machine.proven_gone(task, assignment.incarnation, assignment.attempt) {
+            return None;
+        }
+        // Absent in the same incarnation means that the start has not arrived. It
+        // is sent again, as the same attempt, unless nothing should start.
+        let may_start = machine.state == MachineState::Ready
+            && machine.newest.0 == assignment.incarnation
+            && !machine.lease_over
+            && !machine.gave_up(assignment.incarnation, assignment.attempt)
+            && !machine.is_reclaimed_soon(now);
+        let is_open = self.mirror.open.contains_key(&task.0);
+        (!is_open || !may_start).then_some(ProvenEnd::Lost)
+    }
+
+    /// Whether an assignment that should go is kept by a start whose answer was lost: its job
+    /// is over, or its worker has begun anew since.
+    fn is_kept_by_lost_start(&self, task: Task, assignment: &Assignment, now: Millis) -> bool {
+        let Some(machine) = self.machines.get(&assignment.host) else {
+            return false;
+        };
+        let is_of_life_before = assignment.attempt <= machine.born_after;
+        let should_go = is_of_life_before || !self.mirror.open.contains_key(&task.0);
+        let was_pushed = || {
+            let mut pushed = machine.pushed.iter();
+            pushed.any(|start| start.task == task && start.attempt == assignment.attempt)
+        };
+        should_go
+            && machine.token_ours()
+            && !machine.pushing
+            && now >= machine.push_after
+            && was_pushed()
+    }
+
+    fn log_lost(&self, task: Task, assignment: &Assignment) {
+        let (job, number) = task;
+        if !self.mirror.open.contains_key(&job) {
+            return;
+        }
+        let machine = self.machines.get(&assignment.host);
+        let reported = machine.and_then(|m| m.reported.get(&task));
+        tracing::debug!(
+            job,
+            number,
+            machine = self.mirror.hosts.name(assignment.host),
+            attempt = assignment.attempt,
+            incarnation = assignment.incarnation,
+            newest = ?machine.map(|m| m.newest),
+            lease_over = machine.is_some_and(|m| m.lease_over),
+            state = ?machine.map(|m| m.state),
+            cause = ?reported.and_then(|reported| reported.cause),
+            "task attempt lost"
+        );
+    }
+}
--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -1,24 +1,31 @@
-//! Whose fault a failure is: the machine's or the job's.
+//! Failure attribution: whether a failure is the machine's fault or the job's.
 //!
 //! A faulty machine fails whatever it gets; a job that was submitted with a mistake
 //! fails wherever it runs. One failure tells neither. So a job's failures count against
 //! the machines it failed on only until it has failed on several of them: then they are
-//! taken back, and it is the job that is held off. Before, four failures of any job
-//! returned a machine, and one bad array emptied a part of its machines.
+//! taken back, and the job is quarantined. Before, four failures of any job
+//! released a machine, and one bad array emptied a shard of its machines.
 
-use super::*;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::machine::Machine;
 use rand::RngExt;
-
-/// On so many machines a job that never completed anything has to fail to be blamed.
-pub(crate) const MACHINES: usize = 3;
-/// So many failures without a completion in between return a machine.
-pub(crate) const FAULTY: u32 = 3;
-/// Longest that a blamed job is held off, before jitter of a quarter either way.
-const LONGEST_MS: f64 = 32_000.0;
+use std::collections::BTreeSet;
+
+/// On so many machines a job that never completed anything has to fail to be quarantined.
+const QUARANTINE_MACHINES: usize = 3;
+/// So many failures without a completion in between show that a machine is faulty.
+pub(super) const FAULTY_MACHINE_FAILURES: u32 = 3;
+/// How long a quarantined job is first held off; twice as long after each further strike.
+const FIRST_HOLD_MS: f64 = 1000.0;
+/// Longest that it is held off, before jitter of a quarter either way.
+const LONGEST_HOLD_MS: f64 = 32_000.0;
 /// How long a job's failures are remembered when none has followed.
 const FORGET_MS: f64 = 180_000.0;
-/// How long a machine is left alone after its first failure.
+/// Half of how long a machine is left alone after its first failure; twice as long after each
+/// further one.
 const AVOID_MS: f64 = 5000.0;
+const MAX_AVOID_DOUBLINGS: u32 = 6;
 
 /// Where a job that has failed stands in a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,18 +72,18 @@
         }
     }
 
-    /// The one place where a job's blame changes: it has failed on a machine. `jitter`
+    /// The one place where the attribution changes: the job has failed on a machine. `jitter`
     /// is between 0 and 1.
     pub(crate) fn failed(&mut self, host: u32, jitter: f64, now: Millis) -> Verdict {
         self.at = now;
         let wait = |strikes: u32| {
-            let ms = (1000.0 * f64::from(1u32 << strikes.min(5))).min(LONGEST_MS);
-            now + ms * (0.75 + 0.5 * jitter)
+            let hold_ms = FIRST_HOLD_MS * f64::from(1u32 << strikes.min(5));
+            now + hold_ms.min(LONGEST_HOLD_MS) * (0.75 + 0.5 * jitter)
         };
         match self.attribution {
             FailureAttribution::Open => {
                 self.hosts.insert(host);
-                if self.hosts.len() < MACHINES {
+                if self.hosts.len() < QUARANTINE_MACHINES {
                     return Verdict::Machine;
                 }
                 self.attribution = FailureAttribution::Quarantined {
@@ -129,7 +136,8 @@
         } else {
             self.suspected.insert(job);
         }
-        self.avoid_until = now + AVOID_MS * f64::from(1u32 << self.failures().clamp(1, 6));
+        let doublings = self.failures().clamp(1, MAX_AVOID_DOUBLINGS);
+        self.avoid_until = now + AVOID_MS * f64::from(1u32 << doublings);
     }
 
     /// A job has shown to be at fault itself.
@@ -143,18 +151,13 @@
 impl Controller {
     /// A task of a job has completed on a machine: neither is at fault.
     pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
-        if let Some(t) = self.shards[shard_id].job_failures.remove(&job)
-            && t.is_quarantined()
-        {
-            tracing::info!(
-                job,
-                shard = shard_id,
-                "a job that failed everywhere completes"
-            );
+        let failures = self.shards[shard_id].job_failures.remove(&job);
+        if failures.is_some_and(|failures| failures.is_quarantined()) {
+            tracing::info!(job, shard = shard_id, "job left quarantine");
         }
-        if let Some(m) = self.machines.get_mut(&host) {
-            m.failures = 0;
-            m.suspected.clear();
+        if let Some(machine) = self.machines.get_mut(&host) {
+            machine.failures = 0;
+            machine.suspected.clear();
         }
     }
 
@@ -163,33 +166,29 @@
         let proven = self.mirror.done(job) > 0;
         let jitter = self.rng.random_range(0.0..1.0);
         let job_failures = &mut self.shards[shard_id].job_failures;
-        let t = job_failures
+        let failures = job_failures
             .entry(job)
             .or_insert_with(|| JobFailures::new(now));
-        let verdict = if proven && !t.is_quarantined() {
+        let verdict = if proven && !failures.is_quarantined() {
             // Others of it have completed: the machine, unless it fails on many.
-            t.hosts.insert(host);
-            t.at = now;
+            failures.hosts.insert(host);
+            failures.at = now;
             Verdict::Machine
         } else {
-            t.failed(host, jitter, now)
+            failures.failed(host, jitter, now)
         };
         match verdict {
             Verdict::Machine => {
-                if let Some(m) = self.machines.get_mut(&host) {
-                    m.fails(job, proven, now);
+                if let Some(machine) = self.machines.get_mut(&host) {
+                    machine.fails(job, proven, now);
                 }
             }
             Verdict::JobNow => {
-                let hosts = std::mem::take(&mut t.hosts);
-                tracing::info!(
-                    job,
-                    shard = shard_id,
-                    "a job fails on every machine: hold it off"
-                );
+                let hosts = std::mem::take(&mut failures.hosts);
+                tracing::info!(job, shard = shard_id, "job quarantined");
                 for host in hosts {
-                    if let Some(m) = self.machines.get_mut(&host) {
-                        m.cleared_of(job, now);
+                    if let Some(machine) = self.machines.get_mut(&host) {
+                        machine.cleared_of(job, now);
                     }
                 }
             }
@@ -202,46 +201,9 @@
         let open = &self.mirror.open;
         self.shards[shard_id]
             .job_failures
-            .retain(|job, t| open.contains_key(job) && !t.past(now));
+            .retain(|job, failures| open.contains_key(job) && !failures.past(now));
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// One bad array of a hundred tasks on four machines is one strike, not a hundred,
-    /// and is known after three machines; waits are bounded and jittered.
-    #[test]
-    fn a_job_is_blamed_after_three_machines() {
-        let mut t = JobFailures::new(0.0);
-        let verdicts: Vec<Verdict> = (0..100)
-            .map(|i| t.failed(i % 4, 0.5, f64::from(i)))
-            .collect();
-        assert_eq!(verdicts[..2], [Verdict::Machine, Verdict::Machine]);
-        assert_eq!(verdicts[2], Verdict::JobNow);
-        assert!(verdicts[3..].iter().all(|v| *v == Verdict::Job));
-        assert!(t.held_off(1001.0) && !t.held_off(1002.0));
-        let mut now = 1002.0;
-        let mut waits = Vec::new();
-        for jitter in [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.0, 0.999] {
-            t.failed(9, jitter, now);
-            let FailureAttribution::Quarantined { until, .. } = t.attribution else {
-                panic!("not blamed")
-            };
-            waits.push(((until - now) / 1000.0).round());
-            now = until;
-        }
-        assert_eq!(waits, [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 24.0, 40.0]);
-    }
-
-    /// The same machine again and again says nothing of the job.
-    #[test]
-    fn one_machine_blames_no_job() {
-        let mut t = JobFailures::new(0.0);
-        for i in 0..50 {
-            assert_eq!(t.failed(7, 0.5, f64::from(i)), Verdict::Machine);
-        }
-        assert!(!t.is_quarantined());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -0,0 +1,177 @@
+//! On which machines a task may run, and which of those with room is best.
+
+use super::cycle::Cycle;
+use crate::controller::Controller;
+use crate::machine::{Machine, Task};
+use crate::mirror::OpenJob;
+use crate::needs::Needs;
+use cherryyard_wire::job::Shape;
+use std::cmp::Reverse;
+use std::collections::{BTreeSet, HashMap};
+
+/// A task for which a machine is sought.
+pub(super) struct FitRequest<'a> {
+    pub(super) shard_id: usize,
+    pub(super) task: Task,
+    pub(super) open: &'a OpenJob,
+    pub(super) needs: Needs,
+    /// Machines on which its job has failed.
+    pub(super) failed_on: Option<&'a BTreeSet<u32>>,
+    /// The machine that is reserved for it: no other is taken.
+    pub(super) reserved_host: Option<u32>,
+    /// Tasks of its job by zone.
+    pub(super) zones: &'a HashMap<String, u32>,
+}
+
+/// What makes a machine better for a task than another; the first that differs decides.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Preference {
+    /// Its job has not failed there, as far as that may tell whose fault it is.
+    has_not_failed: bool,
+    /// How much the job's rules prefer the machine's pool.
+    tier: Reverse<Option<u16>>,
+    image: u8,
+    /// A spot machine may be taken with its work: only for what finds no other room.
+    is_on_demand: bool,
+}
+
+impl FitRequest<'_> {
+    fn preference(&self, machine: &Machine) -> Preference {
+        let image = &self.open.spec.image;
+        let has_failed = self
+            .failed_on
+            .is_some_and(|hosts| hosts.contains(&machine.host));
+        Preference {
+            has_not_failed: !has_failed,
+            tier: Reverse(
+                self.open
+                    .tier(&machine.machine_type, &machine.zone, machine.spot),
+            ),
+            image: match self.open.spec.shape {
+                Shape::Service => machine.image(image),
+                Shape::Array => u8::from(machine.has_image(image)),
+            },
+            is_on_demand: !machine.spot,
+        }
+    }
+}
+
+impl Controller {
+    /// The best of the machines with room for a task, by its place among `capacities`. Of
+    /// machines that are alike the one with the most room is the best.
+    pub(super) fn best_fit(
+        &self,
+        request: &FitRequest,
+        capacities: &[(u32, Needs)],
+    ) -> Option<usize> {
+        let possible = capacities.iter().enumerate().filter(|(_, (host, free))| {
+            request.needs.fits(free) && self.is_possible(request, &self.machines[host])
+        });
+        let best = possible.max_by(|(_, (host_a, free_a)), (_, (host_b, free_b))| {
+            let preference_a = request.preference(&self.machines[host_a]);
+            let preference_b = request.preference(&self.machines[host_b]);
+            preference_a
+                .cmp(&preference_b)
+                .then(free_a.cores.total_cmp(&free_b.cores))
+                .then(free_a.ram.total_cmp(&free_b.ram))
+                .then(host_b.cmp(host_a))
+        });
+        best.map(|(capacity, _)| capacity)
+    }
+
+    /// Whether a task may start on a machine now.
+    fn is_possible(&self, request: &FitRequest, machine: &Machine) -> bool {
+        let (shard_id, open, host) = (request.shard_id, request.open, machine.host);
+        let reserved = self.shards[shard_id].reserved.get(&host);
+        request.reserved_host.is_none_or(|kept| kept == host)
+            && self.allowed(open, machine)
+            && !machine.reported.contains_key(&request.task)
+            && reserved.is_none_or(|reservation| reservation.for_task == request.task)
+            && !self.kept_from(shard_id, host, open)
+            && self.zone_open(shard_id, open, &machine.zone, request.zones)
+    }
+
+    /// Whether the job's rules allow this machine.
+    pub(crate) fn allowed(&self, open: &OpenJob, machine: &Machine) -> bool {
+        (!open.spec.together || open.zone.is_some())
+            && open
+                .allows(&machine.machine_type, &machine.zone, machine.spot)
+                .is_some()
+    }
+
+    /// How many tasks of a job are in each zone, as the cycle leaves them; counted only for
+    /// jobs with caps by zone.
+    pub(super) fn zone_counts(
+        &self,
+        shard_id: usize,
+        job: u64,
+        cycle: &Cycle,
+    ) -> HashMap<String, u32> {
+        let mut counts = HashMap::new();
+        let open = self.mirror.open.get(&job);
+        if open.is_none_or(|open| open.caps.is_empty()) {
+            return counts;
+        }
+        if let Some(here) = self.mirror.assignments.get(&(shard_id, job)) {
+            for (&number, (assignment, _)) in &here.assignments {
+                if !cycle.gone.contains(&(job, number)) {
+                    self.count_zone(assignment.host, &mut counts);
+                }
+            }
+        }
+        for (&host, tasks) in &cycle.put {
+            for _ in tasks.iter().filter(|task| task.0 == job) {
+                self.count_zone(host, &mut counts);
+            }
+        }
+        counts
+    }
+
+    /// Counts a task in its machine's zone. A machine that is not known may be in any.
+    fn count_zone(&self, host: u32, counts: &mut HashMap<String, u32>) {
+        match self.machines.get(&host) {
+            Some(machine) => *counts.entry(machine.zone.clone()).or_default() += 1,
+            None => {
+                for zone in 0..self.config.zones.len() as u32 {
+                    let name = self.config.zones.name(zone);
+                    *counts.entry(name.into()).or_default() += 1;
+                }
+            }
+        }
+    }
+
+    /// Whether the shard may start one more task of a job in a zone.
+    pub(super) fn zone_open(
+        &self,
+        shard_id: usize,
+        open: &OpenJob,
+        zone: &str,
+        counts: &HashMap<String, u32>,
+    ) -> bool {
+        if !open.spec.apart || open.spec.task_count == 1 {
+            return true;
+        }
+        let Some(zone_index) = self.config.zones.get(zone) else {
+            return false;
+        };
+        let caps = open.caps.get(shard_id);
+        let cap = caps.and_then(|caps| caps.get(zone_index as usize));
+        counts.get(zone).copied().unwrap_or(0) < cap.copied().unwrap_or(0)
+    }
+
+    /// Seconds until the job's image would be on a machine.
+    pub(super) fn fetch_s(&self, open: &OpenJob, host: u32) -> f64 {
+        let machine = &self.machines[&host];
+        if machine.image(&open.spec.image) == 2 {
+            return 0.0;
+        }
+        let machine_type = self.mirror.machine_types.iter();
+        let mut of_machine = machine_type.filter(|t| t.sku == machine.machine_type);
+        let rate = of_machine.next().map_or(0.0, |t| t.fetch_gb_per_s);
+        if rate > 0.0 {
+            open.spec.image_gb / rate
+        } else {
+            0.0
+        }
+    }
+}
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/job_ends.rs
@@ -0,0 +1,48 @@
+//! Ends of jobs: the owner that proves a job's last tasks done ends it.
+
+use super::cycle::Cycle;
+use crate::Millis;
+use crate::controller::Controller;
+use cherryyard_wire::job::Shape;
+
+impl Controller {
+    /// Ends the jobs whose last tasks this cycle proves done, and those whose
+    /// tasks are all done but which are not over: two shards that wrote their
+    /// last done numbers at once did not see each other's. The first shard with
+    /// assignments writes that end.
+    pub(super) fn end_jobs(&self, shard_id: usize, cycle: &mut Cycle) {
+        for (job, gained) in cycle.take_gained() {
+            // All shards' done numbers only ever grow while the job is open, so
+            // an old view of the others is enough.
+            let done = self.mirror.done(job) + gained;
+            if let Some(open) = self.mirror.open.get(&job)
+                && open.spec.shape == Shape::Array
+                && done >= open.spec.task_count
+            {
+                cycle.end(job);
+            }
+        }
+        for &job in &self.mirror.complete {
+            let first = (0..self.shards.len()).find(|&shard| {
+                self.mirror.shards[shard].is_some()
+                    && self.mirror.assignments.contains_key(&(shard, job))
+            });
+            if first == Some(shard_id) {
+                cycle.end(job);
+            }
+        }
+    }
+
+    /// Logs how long the jobs took that a scheduling cycle ends.
+    pub(super) fn log_ends(&self, cycle: &Cycle, now: Millis) {
+        let wall = now + self.wall_offset;
+        for job in cycle.ends() {
+            if let Some(open) = self.mirror.open.get(job) {
+                let age_s = (wall - open.ready_at() as f64) / 1000.0;
+                let late_s = (wall - open.due_ms()) / 1000.0;
+                let tasks = open.spec.task_count;
+                tracing::debug!(job, age_s, late_s, tasks, "job completed");
+            }
+        }
+    }
+}
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -9,9 +9,13 @@
 //! good as the original whoever owns the shard next. Every step depends on the page's
 //! revision, so none is carried out late, after the page has gone.
 
-use super::*;
-use crate::pages::PageFormat;
+use super::TXN_BYTES;
+use crate::controller::Controller;
+use crate::names::Names;
+use crate::pages::{Assignment, Page, PageFormat};
 use cherryyard_wire::RangeSet;
+use cherryyard_wire::record::{self, Key};
+use cherryyard_wire::state::{Apply, Commit};
 
 impl Controller {
     /// The transaction that brings the division of a shard's first page that is too large
@@ -28,11 +32,7 @@
         let copies = self.copies(shard_id, &self.without_copies(shard_id, number, page));
         if copies.is_empty() {
             commit.apply.push(delete_page(shard_id, number));
-            tracing::info!(
-                shard = shard_id,
-                page = number,
-                "divided a page that was too large"
-            );
+            tracing::info!(shard = shard_id, page = number, "oversized page divided");
             return Some(commit);
         }
         let format = self.mirror.page_format();
@@ -63,8 +63,9 @@
                     return None;
                 }
                 let mut page = page.clone();
-                page.jobs
-                    .retain(|&job, j| self.mirror.end(job).is_none() || !j.assignments.is_empty());
+                page.jobs.retain(|&job, here| {
+                    self.mirror.end(job).is_none() || !here.assignments.is_empty()
+                });
                 (page.bytes(&self.mirror.hosts, format) > most).then_some((number, page))
             })
     }
@@ -78,19 +79,19 @@
         for (job, mine) in &mut page.jobs {
             for copy in others().filter_map(|other| other.jobs.get(job)) {
                 mine.assignments
-                    .retain(|n, assignment| copy.assignments.get(n) != Some(assignment));
+                    .retain(|number, assignment| copy.assignments.get(number) != Some(assignment));
                 mine.done = mine.done.minus(&copy.done);
             }
         }
         page.jobs
-            .retain(|_, j| !(j.assignments.is_empty() && j.done.is_empty()));
+            .retain(|_, here| !(here.assignments.is_empty() && here.done.is_empty()));
         page
     }
 
     /// As many pages with a part of this as one transaction may write.
     fn copies(&self, shard_id: usize, page: &Page) -> Vec<Page> {
         let most_pages = self.config.txn_ops.min(TXN_BYTES / self.config.page_bytes);
-        let mut plan = HistoryCompaction {
+        let mut plan = PagePlan {
             hosts: &self.mirror.hosts,
             format: self.mirror.page_format(),
             most_bytes: self.config.page_bytes,
@@ -98,19 +99,23 @@
             pages: Vec::new(),
             bytes: 0,
         };
-        for (&job, j) in &page.jobs {
-            for range in j.done.ranges() {
+        for (&job, here) in &page.jobs {
+            for range in here.done.ranges() {
                 if !plan.push_done(job, *range) {
                     return plan.pages;
                 }
             }
-            for (&number, &assignment) in &j.assignments {
+            for (&number, &assignment) in &here.assignments {
                 if !plan.push_assignment(job, number, assignment) {
                     return plan.pages;
                 }
             }
         }
-        tracing::debug!(shard = shard_id, copies = plan.pages.len(), "copy a page");
+        tracing::debug!(
+            shard = shard_id,
+            copies = plan.pages.len(),
+            "oversized page copied"
+        );
         plan.pages
     }
 }
@@ -126,7 +131,7 @@
 }
 
 /// Pages that are being filled one after the other.
-struct HistoryCompaction<'a> {
+struct PagePlan<'a> {
     hosts: &'a Names,
     format: PageFormat,
     most_bytes: usize,
@@ -136,7 +141,7 @@
     bytes: usize,
 }
 
-impl HistoryCompaction<'_> {
+impl PagePlan<'_> {
     /// Bytes of a page that holds nothing.
     const EMPTY_BYTES: usize = 20;
     /// Most bytes that a range of completed numbers adds: its job and both ends.
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -0,0 +1,478 @@
+//! Placement: one scheduling cycle assigns waiting tasks to machines, in the order of service.
+
+use super::cycle::Cycle;
+use super::failure_attribution::JobFailures;
+use super::fit::FitRequest;
+use super::preempt::{EvictionScope, Preemption, PreemptionRequest};
+use super::search::{SearchBudget, UnmetNeeds};
+use super::state::Pending;
+use crate::Millis;
+use crate::admission::flows::Flow;
+use crate::admission::queue::Queues;
+use crate::controller::Controller;
+use crate::effects::Effect;
+use crate::machine::{Machine, Task};
+use crate::mirror::OpenJob;
+use crate::needs::Needs;
+use crate::pages::Assignment;
+use cherryyard_wire::RangeSet;
+use cherryyard_wire::job::Shape;
+use std::collections::{BTreeSet, HashMap};
+
+/// Tasks that one scheduling cycle places.
+const MAX_PLACED: usize = 300;
+/// Tasks of a job that may find no room before the rest of it is passed over.
+const MAX_UNPLACED: usize = 8;
+/// Tasks of a job for which preemption is tried where no machine has room for any of them.
+const PREEMPTED_FOR: usize = 4;
+
+/// What a scheduling cycle's placement goes by, and what it has come to.
+pub(super) struct Placement {
+    pub(super) shard_id: usize,
+    pub(super) now: Millis,
+    /// Free capacity by machine, as it is used up.
+    pub(super) capacities: Vec<(u32, Needs)>,
+    /// What each team uses in the shard.
+    pub(super) used: Vec<Needs>,
+    pub(super) preemption: Preemption,
+    unmet_needs: UnmetNeeds,
+    /// Services that another shard should get.
+    pub(super) handed_over: BTreeSet<u64>,
+    /// How many tasks have been placed.
+    placed: usize,
+    /// Cores that flows may start ahead of rank.
+    ahead_cores: HashMap<Flow, f64>,
+    search_budget: SearchBudget,
+    /// Cores started, by flow.
+    started_cores: HashMap<Flow, f64>,
+    /// Teams whose rest of the limit here is kept for a job.
+    pub(super) limit_kept_for: HashMap<usize, u64>,
+    /// Of jobs that were put back, up to which number placement has gone.
+    last_tried: HashMap<u64, u32>,
+}
+
+impl Placement {
+    /// Whether a flow goes ahead of rank, and what is left of that is too little.
+    fn is_beyond_allowance(&mut self, flow: Flow, needs: &Needs) -> bool {
+        let left = self.ahead_cores.get(&flow);
+        let is_beyond = left.is_some_and(|left| *left < needs.cores);
+        if is_beyond {
+            self.ahead_cores.remove(&flow);
+        }
+        is_beyond
+    }
+
+    /// Takes cores from what a flow may start ahead of rank; whether too little is left
+    /// for as much again.
+    fn use_allowance(&mut self, flow: Flow, cores: f64) -> bool {
+        let Some(left) = self.ahead_cores.get_mut(&flow) else {
+            return false;
+        };
+        *left -= cores;
+        let is_used_up = *left < cores;
+        if is_used_up {
+            self.ahead_cores.remove(&flow);
+        }
+        is_used_up
+    }
+
+    /// Whether no machine has room for so much, as there is then none for the next task.
+    fn is_hopeless(&mut self, needs: &Needs) -> bool {
+        let is_hopeless = !self.capacities.iter().any(|(_, free)| needs.fits(free));
+        if is_hopeless {
+            self.unmet_needs.none_fits(*needs);
+        }
+        is_hopeless
+    }
+}
+
+/// A waiting job as a scheduling cycle sees it.
+pub(super) struct Candidate {
+    pub(super) job: u64,
+    pub(super) flow: Flow,
+    pub(super) team: u32,
+    /// Its team, if that has a limit.
+    limited_team: Option<u32>,
+    pub(super) needs: Needs,
+    is_service: bool,
+    /// Since when it waits here.
+    pub(super) since: Option<Millis>,
+    waiting: RangeSet,
+    /// Whether it fails wherever it runs.
+    is_quarantined: bool,
+    /// Machines that it has failed on, while that may tell whose fault it is.
+    failed_on: Option<BTreeSet<u32>>,
+}
+
+/// How placement goes on after a job.
+enum Next {
+    /// With the next job.
+    Job,
+    /// With the next job; this one comes once more, in its own place.
+    JobAgain,
+    /// It has no room for more.
+    Nothing,
+}
+
+impl Controller {
+    /// Assigns waiting tasks of a shard to its machines.
+    pub(crate) fn place(
+        &mut self,
+        shard_id: usize,
+        now: Millis,
+        cycle: &mut Cycle,
+        pending: &mut Pending,
+    ) {
+        self.requeue_changed(now);
+        self.requeue_turned(shard_id, now);
+        self.drop_old_reservations(shard_id, now);
+        let shard = &mut self.shards[shard_id];
+        if shard.queues.is_empty() {
+            shard.handing.clear();
+            return;
+        }
+        shard.queues.mark_seen();
+        self.requeue_late_share(shard_id, now);
+        self.reserve_for_oldest(shard_id, now);
+        // Back in its place at the end: nothing in between looks for it there.
+        let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
+        self.place_queued(shard_id, now, &mut queues, cycle, pending);
+        self.shards[shard_id].queues = queues;
+    }
+
+    /// Drops what has been preempted long ago, and reservations that no task waits for.
+    fn drop_old_reservations(&mut self, shard_id: usize, now: Millis) {
+        let shard = &mut self.shards[shard_id];
+        shard.preempted.retain(|_, stopped| stopped.until > now);
+        let mirror = &self.mirror;
+        shard.reserved.retain(|_, reservation| {
+            let (job, number) = reservation.for_task;
+            let waiting = mirror.waiting(shard_id, job);
+            reservation.until > now && waiting.is_some_and(|waiting| waiting.contains(number))
+        });
+    }
+
+    fn place_queued(
+        &mut self,
+        shard_id: usize,
+        now: Millis,
+        queues: &mut Queues,
+        cycle: &mut Cycle,
+        pending: &mut Pending,
+    ) {
+        let mut placement = self.begin_placement(shard_id, cycle, now);
+        let mut service_order = queues.service_order();
+        for &flow in placement.ahead_cores.keys() {
+            service_order.ahead(flow, true);
+        }
+        while let Some((flow, at)) = service_order.step() {
+            self.inspected_jobs += 1;
+            // Counted as stuck until one of its tasks is placed.
+            if placement.search_budget.look(flow, at) {
+                service_order.close(flow);
+            }
+            let Some(needs) = self.needs_of_waiting(shard_id, at.job) else {
+                continue;
+            };
+            if placement.is_beyond_allowance(flow, &needs) {
+                // Not all of it goes ahead now; what is next in its own place may.
+                service_order.ahead(flow, false);
+                service_order.back(flow, at);
+                continue;
+            }
+            let Some(candidate) = self.candidate(&placement, flow, at.job, queues, cycle) else {
+                continue;
+            };
+            if !self.may_start(&mut placement, &candidate, queues) {
+                continue;
+            }
+            match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
+                Next::Job => {}
+                Next::JobAgain => {
+                    service_order.ahead(flow, false);
+                    service_order.back(flow, at);
+                }
+                Next::Nothing => break,
+            }
+        }
+        self.end_placement(placement, queues);
+    }
+
+    fn begin_placement(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Placement {
+        let allowances = self.allowances(shard_id, &cycle.gone, now);
+        let mut ahead_cores = allowances.start;
+        ahead_cores.retain(|_, cores| *cores > 0.0);
+        Placement {
+            shard_id,
+            now,
+            capacities: self.free_capacities(shard_id, cycle, now),
+            used: self.usage_after(shard_id, cycle),
+            preemption: self.begin_preemption(shard_id, allowances.stop),
+            unmet_needs: UnmetNeeds::default(),
+            handed_over: BTreeSet::new(),
+            placed: 0,
+            ahead_cores,
+            search_budget: SearchBudget::default(),
+            started_cores: HashMap::new(),
+            limit_kept_for: HashMap::new(),
+            last_tried: HashMap::new(),
+        }
+    }
+
+    /// Free capacity of a shard's usable machines, in the machines' order.
+    fn free_capacities(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Vec<(u32, Needs)> {
+        let silence = self.silence_ms();
+        let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
+        let free = |m: &Machine| Some((m.host, self.free_on(m, Some(cycle))?));
+        let usable_machines = self.machines.values().filter(usable);
+        usable_machines.filter_map(free).collect()
+    }
+
+    /// What each team uses in a shard, less what the cycle proves gone: that makes room
+    /// under the limit too.
+    fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Needs> {
+        let mut used = self.mirror.usage(shard_id);
+        for task in &cycle.gone {
+            if let Some((team, needs)) = self.mirror.uses(task.0)
+                && let Some(used) = used.get_mut(team as usize)
+            {
+                used.take(&needs);
+            }
+        }
+        used
+    }
+
+    /// What a task of a job takes that waits in the shard.
+    fn needs_of_waiting(&self, shard_id: usize, job: u64) -> Option<Needs> {
+        self.mirror.waiting(shard_id, job)?;
+        self.mirror.open.get(&job).map(OpenJob::needs)
+    }
+
+    /// A waiting job as this cycle sees it; none if nothing of it may be tried now.
+    fn candidate(
+        &self,
+        placement: &Placement,
+        flow: Flow,
+        job: u64,
+        queues: &Queues,
+        cycle: &Cycle,
+    ) -> Option<Candidate> {
+        let shard_id = placement.shard_id;
+        let open = self.mirror.open.get(&job)?;
+        let mut waiting = self.mirror.waiting(shard_id, job)?.clone();
+        let failures = self.shards[shard_id].job_failures.get(&job);
+        if failures.is_some_and(|failures| failures.held_off(placement.now)) {
+            return None;
+        }
+        let is_quarantined = failures.is_some_and(JobFailures::is_quarantined);
+        if is_quarantined && self.has_assigned_tasks(shard_id, job, cycle) {
+            return None;
+        }
+        if let Some(&last) = placement.last_tried.get(&job) {
+            waiting = waiting.minus(&RangeSet::span(0, last));
+        }
+        let team = open.team;
+        let is_limited = self.config.teams[team as usize].limited();
+        Some(Candidate {
+            job,
+            flow,
+            team,
+            limited_team: is_limited.then_some(team),
+            needs: open.needs(),
+            is_service: open.spec.shape == Shape::Service,
+            since: queues.since(job),
+            waiting,
+            is_quarantined,
+            failed_on: failures
+                .filter(|failures| !failures.is_quarantined())
+                .map(|failures| failures.hosts.clone()),
+        })
+    }
+
+    /// Whether tasks of a job are assigned in a shard that the cycle does not prove gone: of a
+    /// job that fails everywhere one at a time is tried.
+    fn has_assigned_tasks(&self, shard_id: usize, job: u64, cycle: &Cycle) -> bool {
+        let here = self.mirror.assignments.get(&(shard_id, job));
+        here.is_some_and(|here| here.assignments.len() > cycle.gone_of(job))
+    }
+
+    /// Places what waits of a job, as far as there is room.
+    fn place_job(
+        &mut self,
+        placement: &mut Placement,
+        candidate: &Candidate,
+        queues: &Queues,
+        cycle: &mut Cycle,
+        pending: &mut Pending,
+    ) -> Next {
+        let (shard_id, job, needs) = (placement.shard_id, candidate.job, &candidate.needs);
+        let waiting = &candidate.waiting;
+        let mut zones = self.zone_counts(shard_id, job, cycle);
+        let mut unplaced = Vec::new();
+        for number in waiting.iter() {
+            if placement.placed >= MAX_PLACED {
+                return Next::Nothing;
+            }
+            if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
+                return Next::Job;
+            }
+            if placement.unmet_needs.too_large(needs) {
+                let rest = waiting.iter().filter(|n| *n >= number);
+                unplaced.extend(rest.take(PREEMPTED_FOR));
+                break;
+            }
+            let reserved_host = self.reserved_host(shard_id, (job, number));
+            let request = self.fit_request(placement, candidate, number, reserved_host, &zones);
+            let Some(capacity) = self.best_fit(&request, &placement.capacities) else {
+                unplaced.push(number);
+                if placement.is_hopeless(needs) || unplaced.len() >= MAX_UNPLACED {
+                    let rest = waiting.iter().filter(|n| *n > number);
+                    unplaced.extend(rest.take(PREEMPTED_FOR - 1));
+                    break;
+                }
+                continue;
+            };
+            let host = placement.capacities[capacity].0;
+            if candidate.is_service
+                && reserved_host.is_none()
+                && self.better_elsewhere(placement, candidate, number, host, cycle)
+            {
+                continue;
+            }
+            let zone = self.machines[&host].zone.clone();
+            *zones.entry(zone).or_default() += 1;
+            if !self.assign(placement, candidate, number, capacity, cycle, pending) {
+                return Next::Nothing;
+            }
+            if placement.use_allowance(candidate.flow, needs.cores) {
+                placement.last_tried.insert(job, number);
+                return Next::JobAgain;
+            }
+            if candidate.is_quarantined {
+                return Next::Job;
+            }
+        }
+        self.make_room(placement, candidate, &unplaced, queues, &zones, cycle);
+        Next::Job
+    }
+
+    /// The machine that is reserved for a task, because others were stopped there for it.
+    fn reserved_host(&self, shard_id: usize, task: Task) -> Option<u32> {
+        let mut reserved = self.shards[shard_id].reserved.iter();
+        reserved
+            .find(|(_, reservation)| reservation.for_task == task)
+            .map(|(host, _)| *host)
+    }
+
+    /// What is sought for a task of a candidate.
+    fn fit_request<'a>(
+        &'a self,
+        placement: &Placement,
+        candidate: &'a Candidate,
+        number: u32,
+        reserved_host: Option<u32>,
+        zones: &'a HashMap<String, u32>,
+    ) -> FitRequest<'a> {
+        FitRequest {
+            shard_id: placement.shard_id,
+            task: (candidate.job, number),
+            open: &self.mirror.open[&candidate.job],
+            needs: candidate.needs,
+            failed_on: candidate.failed_on.as_ref(),
+            reserved_host,
+            zones,
+        }
+    }
+
+    /// Assigns a task to a machine; false if the scheduling cycle has no room for more.
+    fn assign(
+        &mut self,
+        placement: &mut Placement,
+        candidate: &Candidate,
+        number: u32,
+        capacity: usize,
+        cycle: &mut Cycle,
+        pending: &mut Pending,
+    ) -> bool {
+        let (host, free) = &mut placement.capacities[capacity];
+        let host = *host;
+        let assignment = Assignment {
+            host,
+            incarnation: self.machines[&host].newest.0,
+            // Above every attempt before: each of those was at most the revision of its
+            // own assignment, which has been seen since.
+            attempt: self.mirror.store_revision.max(self.newest_revision) + 1,
+        };
+        let task = (candidate.job, number);
+        if !cycle.assign(&self.mirror, task, assignment, candidate.limited_team) {
+            self.shards[placement.shard_id].dirty = true;
+            return false;
+        }
+        if candidate.is_service {
+            self.log_service_placed(candidate, host, placement.now);
+        }
+        free.take(&candidate.needs);
+        placement.used[candidate.team as usize].give(&candidate.needs);
+        placement.placed += 1;
+        placement.search_budget.found(candidate.flow);
+        let started = placement.started_cores.entry(candidate.flow);
+        *started.or_insert(0.0) += candidate.needs.cores;
+        pending.hosts.insert(host);
+        true
+    }
+
+    fn log_service_placed(&self, candidate: &Candidate, host: u32, now: Millis) {
+        let job = candidate.job;
+        let open = &self.mirror.open[&job];
+        let waited = candidate.since.map(|at| now - at);
+        let age = now + self.wall_offset - open.at as f64;
+        let fetch_s = self.fetch_s(open, host);
+        tracing::debug!(job, host, fetch_s, ?waited, age, "service task placed");
+    }
+
+    /// Makes room for what has found none: a machine is kept for the oldest job of its flow,
+    /// less important work is stopped.
+    fn make_room(
+        &mut self,
+        placement: &mut Placement,
+        candidate: &Candidate,
+        unplaced: &[u32],
+        queues: &Queues,
+        zones: &HashMap<String, u32>,
+        cycle: &Cycle,
+    ) {
+        let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
+        let Some(&first) = unplaced.first() else {
+            return;
+        };
+        if queues.turn(candidate.flow) == Some(job) {
+            self.keep_machine(shard_id, candidate.flow, (job, first), zones, now);
+        }
+        let open = &self.mirror.open[&job];
+        if placement.preemption.is_possible_for(open) {
+            let request = PreemptionRequest {
+                shard_id,
+                job,
+                numbers: unplaced,
+                scope: EvictionScope::AnyMachine,
+            };
+            self.preempt(&request, &mut placement.preemption, cycle, now);
+        }
+    }
+
+    fn end_placement(&mut self, placement: Placement, queues: &mut Queues) {
+        for (flow, cores) in placement.started_cores {
+            queues.started(flow, cores);
+        }
+        for (flow, others, last) in placement.search_budget.others() {
+            queues.inspected_at(flow, others, last);
+        }
+        let handed_over = placement.handed_over;
+        let shard = &mut self.shards[placement.shard_id];
+        if !handed_over.is_empty() && handed_over != shard.handing {
+            self.effects.push(Effect::Heartbeat);
+            self.leader.dirty = true;
+        }
+        shard.handing = handed_over;
+    }
+}
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -0,0 +1,255 @@
+//! When an owner does what: scheduling cycles, their outcomes, and what time alone brings about.
+
+use super::TXN_BYTES;
+use super::cycle::Cycle;
+use super::state::Pending;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::effects::{Effect, Outcome, Ticket};
+use crate::machine::MachineEvent;
+use cherryyard_wire::record;
+use cherryyard_wire::state::Commit;
+
+/// Least time between two scheduling cycles of a shard.
+const CYCLE_MS: f64 = 100.0;
+/// The same where nothing waits.
+const QUIET_CYCLE_MS: f64 = 700.0;
+/// Least time between two looks at leases and due commands.
+const MAINTENANCE_MS: f64 = 400.0;
+/// Least time between two looks at all assignments for machines not heard of.
+const UNHEARD_MS: f64 = 1200.0;
+/// Time before placement is tried again where nothing found room and nothing
+/// has changed since.
+const PLACE_AGAIN_MS: f64 = 400.0;
+/// Least time between two looks for pages that can go.
+const COMPACT_MS: f64 = 1000.0;
+/// Changes of the write budget that a compaction leaves at least.
+const COMPACT_BUDGET: f64 = 2.0;
+/// How much longer than by our clock a worker's lease may last: the worker counts from when
+/// it sent the heartbeat, on a clock that may be slow while ours is fast.
+const CLOCK_DRIFT: f64 = 1.001;
+const LEASE_MARGIN_MS: f64 = 50.0;
+/// Time before the next cycle after a failed condition, and without the state lease.
+const CONFLICT_RETRY_MS: f64 = 30.0;
+const NO_LEASE_RETRY_MS: f64 = 100.0;
+
+impl Controller {
+    /// One scheduling cycle of a shard, if one is due: collects, places, writes.
+    pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
+        let Some(token) = self.owned(shard_id) else {
+            return;
+        };
+        self.maintain_shard(shard_id, now);
+        if !self.may_plan(shard_id, now) {
+            return;
+        }
+        self.shards[shard_id].dirty = false;
+        self.shards[shard_id].planned_at = now;
+        if !self.state_fresh(now) {
+            return;
+        }
+        if let Some(commit) = self.divide_oversized_page(shard_id, token) {
+            self.send_cycle(shard_id, commit, Pending::default());
+            return;
+        }
+        let (cycle, pending) = self.plan_cycle(shard_id, now);
+        if cycle.is_empty() {
+            self.send_images(shard_id, token, now);
+            return;
+        }
+        let mut commit = self.cycle_commit(shard_id, token, &cycle);
+        if commit.apply.len() < self.config.txn_ops
+            && cycle.bytes() + self.config.page_bytes < TXN_BYTES
+        {
+            commit.apply.extend(self.images_change(shard_id, now));
+        }
+        let writes = commit.apply.len();
+        tracing::debug!(shard = shard_id, writes, "scheduling cycle written");
+        self.log_ends(&cycle, now);
+        self.send_cycle(shard_id, commit, pending);
+    }
+
+    /// What time alone brings about: leases that end, commands that are due, machines to
+    /// release.
+    fn maintain_shard(&mut self, shard_id: usize, now: Millis) {
+        if now - self.shards[shard_id].kept_at < MAINTENANCE_MS || !self.caught_up() {
+            return;
+        }
+        self.shards[shard_id].kept_at = now;
+        self.expire_leases(shard_id, now);
+        self.release_silent(shard_id, now);
+        self.release_reclaimed(shard_id, now);
+        if now - self.shards[shard_id].unheard_at >= UNHEARD_MS {
+            self.shards[shard_id].unheard_at = now;
+            self.release_without_owner(shard_id, now);
+            self.release_with_cancelled_tasks(shard_id, now);
+        }
+        self.query_machines(shard_id, now);
+        self.push_due(shard_id, now);
+    }
+
+    /// Lets workers' leases run out.
+    fn expire_leases(&mut self, shard_id: usize, now: Millis) {
+        let lease = self.config.lease_ms * CLOCK_DRIFT + LEASE_MARGIN_MS;
+        let shard = &mut self.shards[shard_id];
+        for machine in self.machines.values_mut() {
+            if machine.shard == shard_id
+                && !machine.lease_over
+                && machine.token_ours()
+                && now - machine.answered_at > lease
+            {
+                machine.change(MachineEvent::LeaseOver);
+                shard.touched.insert(machine.host);
+            }
+        }
+    }
+
+    /// Whether a scheduling cycle can be planned now.
+    fn may_plan(&mut self, shard_id: usize, now: Millis) -> bool {
+        let shard = &self.shards[shard_id];
+        shard.pending.is_none()
+            && !shard.acquiring
+            && now >= shard.retry_after
+            && self.mirror.store_revision >= shard.wait_revision
+            && self.cycle_due(shard_id, now)
+    }
+
+    /// Whether a shard's share of the write budget has room for a scheduling cycle. Many
+    /// heartbeats are served by one scheduling cycle: a write for each, from every owner,
+    /// would leave none for users and leases.
+    fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
+        let shard = &mut self.shards[shard_id];
+        let left = shard.budget.left(now);
+        // Where nothing waits, completions can wait a moment for each other;
+        // what that saves is there when something comes.
+        let spacing = if self.mirror.waiting[shard_id].is_empty() {
+            QUIET_CYCLE_MS
+        } else {
+            CYCLE_MS
+        };
+        if now - shard.planned_at < spacing {
+            return false;
+        }
+        // A service that no cycle has seen yet need not wait for the budget of
+        // completions; what it takes is missing later.
+        left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
+    }
+
+    /// Plans a cycle: what is proven, what is placed, and if that is nothing, a compaction.
+    fn plan_cycle(&mut self, shard_id: usize, now: Millis) -> (Cycle, Pending) {
+        let mut cycle = Cycle::new(&self.config, &self.mirror, shard_id);
+        let mut pending = Pending::default();
+        self.collect(shard_id, now, &mut cycle, &mut pending);
+        self.end_jobs(shard_id, &mut cycle);
+        if self.placement_due(shard_id, &cycle, now) {
+            self.place(shard_id, now, &mut cycle, &mut pending);
+        }
+        if cycle.is_empty() && self.compaction_due(shard_id, now) {
+            cycle.compact_pages(&self.mirror);
+        }
+        (cycle, pending)
+    }
+
+    /// Whether anything new could be placed: a search over all waiting jobs
+    /// and machines for each heartbeat costs more than it finds.
+    fn placement_due(&mut self, shard_id: usize, cycle: &Cycle, now: Millis) -> bool {
+        let shard = &mut self.shards[shard_id];
+        let events = (self.mirror.store_revision, self.newest_revision);
+        let is_due = !cycle.gone.is_empty()
+            || shard.placed_as_of != events
+            || now - shard.placed_at >= PLACE_AGAIN_MS;
+        if is_due {
+            shard.placed_as_of = events;
+            shard.placed_at = now;
+        }
+        is_due
+    }
+
+    /// Whether pages may be compacted, with a cycle that has nothing else to write.
+    fn compaction_due(&mut self, shard_id: usize, now: Millis) -> bool {
+        let shard = &mut self.shards[shard_id];
+        let is_due =
+            shard.budget.left(now) >= COMPACT_BUDGET && now - shard.compacted_at >= COMPACT_MS;
+        if is_due {
+            shard.compacted_at = now;
+        }
+        is_due
+    }
+
+    /// Writes the record of the shard's images alone, if it is due.
+    fn send_images(&mut self, shard_id: usize, token: u64, now: Millis) {
+        if let Some(images) = self.images_change(shard_id, now) {
+            let mut commit = Commit::default();
+            commit.require(record::shard_key(shard_id), token);
+            commit.apply.push(images);
+            self.send_cycle(shard_id, commit, Pending::default());
+        }
+    }
+
+    /// Sends a scheduling cycle's transaction; the shard's next cycle waits for its outcome.
+    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
+        let shard = &mut self.shards[shard_id];
+        shard.budget.spend(commit.apply.len() as f64);
+        shard.pending = Some(pending);
+        self.effects
+            .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
+    }
+
+    /// Takes the outcome of an owner's scheduling cycle.
+    pub(crate) fn owner_committed(&mut self, shard_id: usize, outcome: Outcome, now: Millis) {
+        let shard = &mut self.shards[shard_id];
+        let Some(pending) = shard.pending.take() else {
+            return;
+        };
+        shard.dirty = true;
+        if !matches!(outcome, Outcome::Applied(_)) {
+            shard.touched.extend(&pending.hosts);
+        }
+        match outcome {
+            Outcome::Applied(_) => self.cycle_applied(shard_id, pending, now),
+            Outcome::Conflict(store_revision) => {
+                // Each failed condition costs write budget too, so the next
+                // try waits for the change that made it fail.
+                shard.wait_revision = store_revision;
+                shard.retry_after = now + CONFLICT_RETRY_MS;
+            }
+            Outcome::NoLease => shard.retry_after = now + NO_LEASE_RETRY_MS,
+            Outcome::Refused | Outcome::Malformed => {
+                self.shards[shard_id].retry_after = now + self.jitter(150.0, 400.0);
+            }
+            Outcome::Unknown => {
+                self.shards[shard_id].retry_after = now + self.jitter(100.0, 300.0);
+            }
+        }
+    }
+
+    /// What a cycle proved and assigned is durable: failures are attributed, commands sent.
+    fn cycle_applied(&mut self, shard_id: usize, pending: Pending, now: Millis) {
+        self.capacity_changed = true;
+        for (job, host) in pending.done {
+            self.note_done(shard_id, job, host);
+        }
+        for (job, host) in pending.failed {
+            self.note_failed(shard_id, job, host, now);
+        }
+        self.forget_job_failures(shard_id, now);
+        for host in pending.hosts {
+            self.note_images(host);
+            self.push(host, now);
+        }
+    }
+
+    /// After any message of a machine: the owner's scheduling cycle is due.
+    pub(crate) fn after_message(&mut self, host: u32, now: Millis) {
+        let Some(machine) = self.machines.get(&host) else {
+            return;
+        };
+        let shard_id = machine.shard;
+        self.shards[shard_id].dirty = true;
+        self.shards[shard_id].touched.insert(host);
+        if !machine.reported.is_empty() {
+            self.note_images(host);
+        }
+        self.plan_shard(shard_id, now);
+    }
+}
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -1,6 +1,6 @@
 //! Scale in: listed machines that are dead, never came up, are silent or of no use.
 
-use super::failure_attribution;
+use super::failure_attribution::FAULTY_MACHINE_FAILURES;
 use super::release::{MAX_RELEASED, RELEASE_RETRY_MS, ReleaseReason};
 use crate::Millis;
 use crate::controller::Controller;
@@ -130,7 +130,7 @@
         {
             return Some(ReleaseReason::Silent);
         }
-        if machine.failures() >= failure_attribution::FAULTY {
+        if machine.failures() >= FAULTY_MACHINE_FAILURES {
             return Some(ReleaseReason::Failing);
         }
         if self.is_long_unreachable(machine, now) && usage.few_unreachable() {
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,7 +1,7 @@
 //! What an owner remembers of a shard.
 
-use super::aging::KeptRests;
 use super::failure_attribution::JobFailures;
+use super::team_limits::KeptRests;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
@@ -26,6 +26,13 @@
     pub(crate) until: Millis,
 }
 
+/// A machine kept for the first task of its flow's oldest job.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct KeptMachine {
+    pub(crate) task: Task,
+    pub(crate) host: u32,
+}
+
 /// What a scheduling cycle will do once its transaction is durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pending {
@@ -64,7 +71,7 @@
     /// Machines kept for a task that others were stopped for.
     pub(crate) reserved: BTreeMap<u32, Reservation>,
     /// Machines kept for the oldest jobs that have not begun, by flow.
-    pub(crate) kept: BTreeMap<Flow, (Task, u32)>,
+    pub(crate) kept_machines: BTreeMap<Flow, KeptMachine>,
     pub(crate) job_failures: HashMap<u64, JobFailures>,
     /// Services kept back for a moment, for the leader to move.
     pub(crate) handing: BTreeSet<u64>,
@@ -111,7 +118,7 @@
             retry_after: now,
             preempted: HashMap::new(),
             reserved: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            kept_machines: BTreeMap::new(),
             job_failures: HashMap::new(),
             handing: BTreeSet::new(),
             queues: Queues::default(),
@@ -135,7 +142,7 @@
         self.reserved.clear();
         self.queues.clear();
         self.handing.clear();
-        self.kept.clear();
+        self.kept_machines.clear();
         self.job_failures.clear();
         self.stuck_grants.clear();
         self.kept_rests = KeptRests::default();
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -0,0 +1,223 @@
+//! Teams' limits: a shard starts tasks only within its grants of them, and gives back what it
+//! does not need.
+
+use super::placement::{Candidate, Placement};
+use super::state::Pending;
+use crate::Millis;
+use crate::admission::queue::Queues;
+use crate::controller::Controller;
+use crate::effects::{Effect, Ticket};
+use crate::mirror::OpenJob;
+use crate::needs::Needs;
+use cherryyard_wire::job::Shape;
+use cherryyard_wire::peer::CapacityReport;
+use cherryyard_wire::record::{self, Grant};
+use cherryyard_wire::state::{Apply, Commit};
+use std::collections::HashMap;
+
+/// Longest that a shard's rest of a team's limit is kept for a task, and then for so long
+/// not: whoever else waits for it must not wait for minutes.
+const KEEP_REST_MS: f64 = 45_000.0;
+/// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
+const STUCK_GRANT_MS: f64 = 2000.0;
+/// Differences of cores and accelerators below this are rounding.
+const ROUNDING: f64 = 1e-6;
+/// Conditions that giving a grant back may need: the grant, the last page and the one after it.
+const CONDITIONS_OF_GRANT: usize = 3;
+
+/// Teams whose rest of the limit in a shard is kept for a job: which, and since when.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct KeptRests(HashMap<usize, (u64, Millis)>);
+
+impl KeptRests {
+    /// Whether a team's rest is kept for a job now.
+    fn keep(&mut self, team: usize, job: u64, now: Millis) -> bool {
+        let (kept_for, since) = self.0.entry(team).or_insert((job, now));
+        if *kept_for != job || now - *since > 2.0 * KEEP_REST_MS {
+            (*kept_for, *since) = (job, now);
+        }
+        now - *since < KEEP_REST_MS
+    }
+}
+
+impl Controller {
+    /// Whether the team's limit lets a task of the job start. The oldest job of its flow that
+    /// has not begun keeps what is left of the limit here.
+    pub(super) fn may_start(
+        &mut self,
+        placement: &mut Placement,
+        candidate: &Candidate,
+        queues: &Queues,
+    ) -> bool {
+        let (job, team) = (candidate.job, candidate.team as usize);
+        let kept_for = placement.limit_kept_for.get(&team);
+        if kept_for.is_some_and(|other| *other != job) {
+            return false;
+        }
+        let shard_id = placement.shard_id;
+        if !self.beyond_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
+            return true;
+        }
+        // Smaller tasks would take what comes free, each before it is enough.
+        if queues.turn(candidate.flow) == Some(job)
+            && !self.begun(job)
+            && self.fits_beside_services(shard_id, candidate)
+            && self.shards[shard_id]
+                .kept_rests
+                .keep(team, job, placement.now)
+        {
+            placement.limit_kept_for.insert(team, job);
+        }
+        false
+    }
+
+    /// Whether a task would be within its team's limit once the shard's arrays are done.
+    fn fits_beside_services(&self, shard_id: usize, candidate: &Candidate) -> bool {
+        let held = self.held_by_services(shard_id);
+        !self.beyond_grant(shard_id, candidate.team, &held, &candidate.needs)
+    }
+
+    /// What each team's services use of the shard, which does not come free by itself.
+    fn held_by_services(&self, shard_id: usize) -> Vec<Needs> {
+        let mut held = vec![Needs::default(); self.config.teams.len()];
+        let assigned = self
+            .mirror
+            .assignments
+            .range((shard_id, 0)..=(shard_id, u64::MAX));
+        for (&(_, job), here) in assigned {
+            if let Some(open) = self.mirror.open.get(&job)
+                && open.spec.shape == Shape::Service
+                && let Some(held) = held.get_mut(open.team as usize)
+            {
+                (0..here.assignments.len()).for_each(|_| held.give(&open.needs()));
+            }
+        }
+        held
+    }
+
+    /// Whether one more task would take its team beyond what the shard may use of
+    /// its limit, with what each team uses there now.
+    pub(crate) fn beyond_grant(
+        &self,
+        shard_id: usize,
+        team: u32,
+        used: &[Needs],
+        more: &Needs,
+    ) -> bool {
+        let team = team as usize;
+        let limits = &self.config.teams[team];
+        let (grant, _) = &self.mirror.grants[team][shard_id];
+        let used = &used[team];
+        limits.cores_max.is_finite() && used.cores + more.cores > grant.cores + ROUNDING
+            || limits.acc_max.is_finite() && used.acc + more.acc > grant.acc + ROUNDING
+    }
+
+    /// What one more of a team's waiting tasks takes in a shard, at least.
+    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
+        let waiting = self.mirror.waiting[shard_id].keys();
+        let open = waiting.filter_map(|job| self.mirror.open.get(job));
+        let of_team = open.filter(|open| open.team as usize == team);
+        of_team.map(OpenJob::needs).reduce(|a, b| Needs {
+            cores: a.cores.min(b.cores),
+            acc: a.acc.min(b.acc),
+            ram: a.ram.min(b.ram),
+        })
+    }
+
+    /// Whether tasks of a team wait in the shard, and what is left of its grant has for some
+    /// time been too little for any of them: shards' rests are of use only together.
+    fn rest_is_stuck(&mut self, shard_id: usize, team: usize, used: &[Needs], now: Millis) -> bool {
+        let least = self.least_waiting(shard_id, team);
+        let is_stuck =
+            least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
+        let stuck_since = &mut self.shards[shard_id].stuck_grants;
+        if !is_stuck {
+            stuck_since.remove(&team);
+            return false;
+        }
+        now - *stuck_since.entry(team).or_insert(now) >= STUCK_GRANT_MS
+    }
+
+    /// Gives back what our shards do not need of teams that are short.
+    pub(crate) fn lower_grants(&mut self, short_teams: &[String], now: Millis) {
+        for shard_id in 0..self.shards.len() {
+            let Some(token) = self.owned(shard_id) else {
+                continue;
+            };
+            if self.shards[shard_id].pending.is_some() || !self.state_fresh(now) {
+                continue;
+            }
+            let mut commit = self.lowered_grants(shard_id, token, short_teams, now);
+            if !commit.apply.is_empty() {
+                // On no assignment having been made since, as the leader's moves are: where the
+                // answer is lost this may be carried out after later scheduling cycles, which count
+                // on the grant as it was and do not change it.
+                self.mirror.require_last_page(&mut commit, shard_id);
+                // In place of a scheduling cycle, so that no assignment is under way meanwhile.
+                self.shards[shard_id].pending = Some(Pending::default());
+                self.effects
+                    .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
+            }
+        }
+    }
+
+    /// The transaction that lowers a shard's grants of teams that are short; without changes
+    /// if it needs all that it has.
+    fn lowered_grants(
+        &mut self,
+        shard_id: usize,
+        token: u64,
+        short_teams: &[String],
+        now: Millis,
+    ) -> Commit {
+        let report = self.capacity_report(shard_id, now);
+        let used = self.mirror.usage(shard_id);
+        let mut commit = Commit::default();
+        commit.require(record::shard_key(shard_id), token);
+        for name in short_teams {
+            if commit.apply.len() >= self.config.txn_ops
+                || commit.when.len() + CONDITIONS_OF_GRANT > self.config.max_conditions()
+            {
+                break;
+            }
+            let Some(team) = self.config.team_names.get(name).map(|team| team as usize) else {
+                continue;
+            };
+            let (grant, revision) = self.mirror.grants[team][shard_id];
+            let is_stuck = self.rest_is_stuck(shard_id, team, &used, now);
+            let kept = if is_stuck {
+                Grant {
+                    cores: used[team].cores.min(grant.cores),
+                    acc: used[team].acc.min(grant.acc),
+                }
+            } else {
+                needed_grant(&grant, &report, team)
+            };
+            let is_lower = kept.cores < grant.cores - ROUNDING || kept.acc < grant.acc - ROUNDING;
+            if revision != 0 && is_lower {
+                let key = record::grant_key(team, shard_id);
+                commit.require(key.clone(), revision);
+                commit.apply.push(Apply::set(key, &kept));
+            }
+        }
+        commit
+    }
+}
+
+/// What a shard keeps of a grant: what it wants, which is never below what is assigned, and
+/// half of the rest, so that its next job need not wait for the leader.
+fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
+    let (cores, acc) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
+    let kept = |have: f64, want: f64| {
+        let half_rest = (have - want) / 2.0;
+        if half_rest < 1.0 {
+            have.min(want)
+        } else {
+            want + half_rest
+        }
+    };
+    Grant {
+        cores: kept(grant.cores, cores),
+        acc: kept(grant.acc, acc),
+    }
+}
