--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -7,6 +7,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, MachineState, Task};
 use crate::mirror::OpenJob;
+use crate::needs::Needs;
 use crate::{Millis, Mirror};
 use cherryyard_wire::cloud::InstanceStatus;
 use cherryyard_wire::job::Shape;
@@ -21,7 +22,9 @@
 /// Longer gaps are not this account's to fill: the controller stood still.
 const GAP_MS: f64 = 5000.0;
 /// Waiting jobs that are looked at to tell why a machine is idle.
-const JOBS: usize = 40;
+const MAX_INSPECTED_JOBS: usize = 40;
+/// Figures below this many core-seconds are left out where they are written.
+const LEAST_WRITTEN: f64 = 0.5;
 
 /// What a core-second went to. Those with a reason for idle cores are in the order
 /// in which they come nearer to letting a waiting task run.
@@ -80,6 +83,17 @@
     Round,
 }
 
+/// Why the text of an account could not be read.
+#[derive(Debug, thiserror::Error)]
+pub enum AccountError {
+    /// It is not a JSON object of numbers.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// It has a figure that is not known.
+    #[error("{0}: no such figure")]
+    UnknownFigure(String),
+}
+
 /// Core-seconds by what they went to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreSeconds([f64; CoreUse::COUNT]);
@@ -91,8 +105,8 @@
     }
 
     /// Counts core-seconds.
-    pub fn count(&mut self, core_use: CoreUse, s: f64) {
-        self.0[core_use as usize] += s;
+    pub fn count(&mut self, core_use: CoreUse, core_seconds: f64) {
+        self.0[core_use as usize] += core_seconds;
     }
 
     /// Each figure by name, in the order of the account.
@@ -114,22 +128,26 @@
 
     /// The account as a line of JSON, whole core-seconds by name.
     pub fn to_json(&self) -> String {
-        let all = self.figures().filter(|f| f.1.abs() >= 0.5);
-        let map: serde_json::Map<_, _> = all
+        let written = self.figures().filter(|(_, s)| s.abs() >= LEAST_WRITTEN);
+        let map: serde_json::Map<_, _> = written
             .map(|(name, s)| (name.to_string(), (s.round() as i64).into()))
             .collect();
         serde_json::Value::Object(map).to_string()
     }
 
-    /// Reads what [`to_json`](Self::to_json) wrote; figures that are not known
-    /// are named in the error.
-    pub fn from_json(text: &str) -> Result<Self, String> {
-        let map: HashMap<String, f64> = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    /// Reads what [`to_json`](Self::to_json) wrote.
+    ///
+    /// # Errors
+    ///
+    /// If it is no account, or has a figure that is not known.
+    pub fn from_json(text: &str) -> Result<Self, AccountError> {
+        let map: HashMap<String, f64> = serde_json::from_str(text)?;
         let mut sum = Self::default();
-        for (name, s) in map {
-            let core_use =
-                CoreUse::from_str(&name).map_err(|_| format!("{name}: no such figure"))?;
-            sum.count(core_use, s);
+        for (name, core_seconds) in map {
+            let Ok(core_use) = CoreUse::from_str(&name) else {
+                return Err(AccountError::UnknownFigure(name));
+            };
+            sum.count(core_use, core_seconds);
         }
         Ok(sum)
     }
@@ -159,29 +177,44 @@
     /// Attempts without an assignment any more were either of use or lost.
     fn settle(&mut self, shard_id: usize, mirror: &Mirror) {
         let sum = &mut self.sum;
-        self.ran.retain(|&(task, attempt), &mut (s, cores)| {
+        self.ran.retain(|&(task, attempt), &mut (seconds, cores)| {
             let (job, number) = task;
-            let assignments = mirror.assignments.get(&(shard_id, job));
-            let assigned = assignments.and_then(|m| m.assignments.get(&number));
-            if assigned.is_some_and(|(m, _)| m.attempt == attempt) {
+            let here = mirror.assignments.get(&(shard_id, job));
+            let assigned = here.and_then(|here| here.assignments.get(&number));
+            if assigned.is_some_and(|(assignment, _)| assignment.attempt == attempt) {
                 return true;
             }
-            let done = mirror.end(job) == Some(End::Done)
-                || assignments.is_some_and(|m| m.done.contains(number));
-            let service = mirror
-                .open
-                .get(&job)
-                .is_some_and(|o| o.spec.shape == Shape::Service);
-            // A replica was of use while it ran; so is what its user ended.
-            if !done && !service && mirror.end(job).is_none() {
-                sum.count(CoreUse::Lost, s * cores);
-                sum.count(CoreUse::Arrays, -s * cores);
+            let is_done = mirror.end(job) == Some(End::Done)
+                || here.is_some_and(|here| here.done.contains(number));
+            let open = mirror.open.get(&job);
+            let is_service = open.is_some_and(|open| open.spec.shape == Shape::Service);
+            // A service's task was of use while it ran; so is what its user ended.
+            if !is_done && !is_service && mirror.end(job).is_none() {
+                sum.count(CoreUse::Lost, seconds * cores);
+                sum.count(CoreUse::Arrays, -seconds * cores);
             }
             false
         });
     }
 }
 
+/// One sample of a shard: what the time since the last one is counted by.
+struct Sample<'a> {
+    shard_id: usize,
+    now: Millis,
+    seconds: f64,
+    waiting: Vec<(u64, &'a OpenJob)>,
+    /// What each team uses in the shard.
+    used: Vec<Needs>,
+    /// Cores that waiting tasks of this shard, and of the others, could fill and that have
+    /// not been counted as idle yet: capacity is idle while something waits only as far as
+    /// that could fill it.
+    wanted_here: f64,
+    wanted_elsewhere: f64,
+    /// What idle cores count as that nothing divided could fill.
+    rest: CoreUse,
+}
+
 impl Controller {
     /// Takes a sample of shard `shard_id`, if it is ours and one is due.
     pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
@@ -196,66 +229,83 @@
         let mut account = std::mem::take(&mut self.shards[shard_id].account);
         account.sampled_at = Some(now);
         if passed > 0.0 && passed <= GAP_MS {
-            self.count(shard_id, now, passed / 1000.0, &mut account);
+            self.count_shard(shard_id, now, passed / 1000.0, &mut account);
         }
         account.settle(shard_id, &self.mirror);
         self.shards[shard_id].account = account;
     }
 
-    fn count(&self, shard_id: usize, now: Millis, s: f64, account: &mut Account) {
-        let silence = self.silence_ms();
-        let waiting: Vec<(u64, &OpenJob)> = self.mirror.waiting[shard_id]
-            .keys()
-            .filter_map(|job| Some((*job, self.mirror.open.get(job)?)))
-            .take(JOBS)
-            .collect();
-        let undivided = !self.mirror.undivided.is_empty();
-        // Room is idle while something waits only as far as that could fill it.
-        let mut wanted = self.wanted(shard_id);
-        let others = (0..self.shards.len()).filter(|&q| q != shard_id);
-        let mut elsewhere = others.map(|q| self.wanted(q)).sum::<f64>() / self.shards.len() as f64;
-        let used = self.mirror.usage(shard_id);
-        for m in self.machines.values().filter(|m| m.shard == shard_id) {
-            if m.state == MachineState::Gone {
-                continue;
-            }
-            self.count_tasks(m, s, account);
-            let free = self.free_on(m, None).map_or(0.0, |f| f.cores.max(0.0));
-            if !m.usable(now, silence) {
-                account.sum.count(CoreUse::Unusable, free * s);
-                continue;
-            }
-            if self.shards[shard_id].reserved.contains_key(&m.host) {
-                account.sum.count(CoreUse::Kept, free * s);
-                continue;
-            }
-            let here = free.min(wanted);
-            if here > 0.0 {
-                let why = self.why_idle(shard_id, m, &waiting, &used, now);
-                account.sum.count(why, here * s);
-                wanted -= here;
+    /// Counts every core of a shard once, for some seconds.
+    fn count_shard(&self, shard_id: usize, now: Millis, seconds: f64, account: &mut Account) {
+        let mut sample = self.begin_sample(shard_id, now, seconds);
+        for machine in self.machines.values() {
+            if machine.shard == shard_id && machine.state != MachineState::Gone {
+                self.count_tasks(machine, seconds, account);
+                self.count_free(machine, &mut sample, account);
             }
-            let there = (free - here).min(elsewhere);
-            elsewhere -= there;
-            account.sum.count(CoreUse::Elsewhere, there * s);
-            let rest = if undivided {
-                CoreUse::Undivided
-            } else {
+        }
+        self.count_booting(shard_id, seconds, account);
+    }
+
+    fn begin_sample(&self, shard_id: usize, now: Millis, seconds: f64) -> Sample<'_> {
+        let waiting = self.mirror.waiting[shard_id].keys();
+        let open = waiting.filter_map(|job| Some((*job, self.mirror.open.get(job)?)));
+        let others = (0..self.shards.len()).filter(|&other| other != shard_id);
+        let wanted_by_others = others.map(|other| self.wanted(other)).sum::<f64>();
+        Sample {
+            shard_id,
+            now,
+            seconds,
+            waiting: open.take(MAX_INSPECTED_JOBS).collect(),
+            used: self.mirror.usage(shard_id),
+            wanted_here: self.wanted(shard_id),
+            wanted_elsewhere: wanted_by_others / self.shards.len() as f64,
+            rest: if self.mirror.undivided.is_empty() {
                 CoreUse::Spare
-            };
-            account.sum.count(rest, (free - here - there) * s);
+            } else {
+                CoreUse::Undivided
+            },
+        }
+    }
+
+    /// Counts a machine's free cores, by why they are free.
+    fn count_free(&self, machine: &Machine, sample: &mut Sample, account: &mut Account) {
+        let seconds = sample.seconds;
+        let free = self
+            .free_on(machine, None)
+            .map_or(0.0, |free| free.cores.max(0.0));
+        if !machine.usable(sample.now, self.silence_ms()) {
+            account.sum.count(CoreUse::Unusable, free * seconds);
+            return;
         }
+        let reserved = &self.shards[sample.shard_id].reserved;
+        if reserved.contains_key(&machine.host) {
+            account.sum.count(CoreUse::Kept, free * seconds);
+            return;
+        }
+        let here = free.min(sample.wanted_here);
+        if here > 0.0 {
+            let reason = self.why_idle(machine, sample);
+            account.sum.count(reason, here * seconds);
+            sample.wanted_here -= here;
+        }
+        let elsewhere = (free - here).min(sample.wanted_elsewhere);
+        sample.wanted_elsewhere -= elsewhere;
+        account.sum.count(CoreUse::Elsewhere, elsewhere * seconds);
+        let rest = free - here - elsewhere;
+        account.sum.count(sample.rest, rest * seconds);
+    }
+
+    /// Counts machines of the shard that were provisioned and are not up yet.
+    fn count_booting(&self, shard_id: usize, seconds: f64, account: &mut Account) {
         for (name, entry) in &self.listed {
             if entry.status == InstanceStatus::Starting
                 && self.config.shard_map.shard(&entry.zone, name) == shard_id
             {
-                let machine_type = self
-                    .mirror
-                    .machine_types
-                    .iter()
-                    .find(|k| k.sku == entry.machine_type);
-                let cores = machine_type.map_or(0.0, |k| k.cores);
-                account.sum.count(CoreUse::Booting, cores * s);
+                let mut machine_types = self.mirror.machine_types.iter();
+                let machine_type = machine_types.find(|t| t.sku == entry.machine_type);
+                let cores = machine_type.map_or(0.0, |t| t.cores);
+                account.sum.count(CoreUse::Booting, cores * seconds);
             }
         }
     }
@@ -270,69 +320,70 @@
         cores.sum()
     }
 
-    fn count_tasks(&self, m: &Machine, s: f64, account: &mut Account) {
-        for (task, assignment) in self.mirror.on_host(m.host) {
+    /// Counts the cores of a machine's tasks.
+    fn count_tasks(&self, machine: &Machine, seconds: f64, account: &mut Account) {
+        for (task, assignment) in self.mirror.on_host(machine.host) {
             let Some((_, needs)) = self.mirror.uses(task.0) else {
                 continue;
             };
-            let cores = needs.cores * s;
-            let reported = m
-                .reported
-                .get(&task)
-                .filter(|t| t.attempt == assignment.attempt);
+            let reported = machine.reported.get(&task);
+            let reported = reported.filter(|reported| reported.attempt == assignment.attempt);
             let open = self.mirror.open.get(&task.0);
-            let service = open.is_some_and(|o| o.spec.shape == Shape::Service);
-            let core_use = match reported.map(|t| t.status) {
+            let is_service = open.is_some_and(|open| open.spec.shape == Shape::Service);
+            let core_use = match reported.map(|reported| reported.status) {
                 None => CoreUse::Starting,
                 Some(TaskStatus::Fetching) => CoreUse::Fetching,
                 Some(TaskStatus::Ended) => CoreUse::Ending,
-                Some(_) if service => CoreUse::Replicas,
-                Some(_) => {
-                    let key = (task, assignment.attempt);
-                    account.ran.entry(key).or_insert((0.0, needs.cores)).0 += s;
+                Some(TaskStatus::Running | TaskStatus::Saving | TaskStatus::Other)
+                    if is_service =>
+                {
+                    CoreUse::Replicas
+                }
+                Some(TaskStatus::Running | TaskStatus::Saving | TaskStatus::Other) => {
+                    let attempt = (task, assignment.attempt);
+                    let ran = account.ran.entry(attempt).or_insert((0.0, needs.cores));
+                    ran.0 += seconds;
                     CoreUse::Arrays
                 }
             };
-            account.sum.count(core_use, cores);
+            account.sum.count(core_use, needs.cores * seconds);
         }
-        for (task, reported) in &m.reported {
-            if !reported.ended() && self.mirror.assignment_on(m.host, *task).is_none() {
-                let cores = self.mirror.uses(task.0).map_or(0.0, |u| u.1.cores);
-                account.sum.count(CoreUse::Strays, cores * s);
+        for (task, reported) in &machine.reported {
+            if !reported.ended() && self.mirror.assignment_on(machine.host, *task).is_none() {
+                let cores = self
+                    .mirror
+                    .uses(task.0)
+                    .map_or(0.0, |(_, needs)| needs.cores);
+                account.sum.count(CoreUse::Strays, cores * seconds);
             }
         }
     }
 
-    /// The reason that comes nearest to letting one of them run there.
-    fn why_idle(
-        &self,
-        shard_id: usize,
-        m: &Machine,
-        waiting: &[(u64, &OpenJob)],
-        used: &[crate::needs::Needs],
-        now: Millis,
-    ) -> CoreUse {
-        let free = self.free_on(m, None).unwrap_or_default();
+    /// Why free cores of a machine are idle while jobs wait: the reason that comes nearest to
+    /// letting one of them run there.
+    fn why_idle(&self, machine: &Machine, sample: &Sample) -> CoreUse {
+        let free = self.free_on(machine, None).unwrap_or_default();
+        let shard_id = sample.shard_id;
         let why = |&(job, open): &(u64, &OpenJob)| {
             let needs = open.needs();
-            let at_limit = self.beyond_grant(shard_id, open.team, used, &needs);
-            let job_failures = self.shards[shard_id].job_failures.get(&job);
-            if !self.allowed(open, m) {
+            let failures = self.shards[shard_id].job_failures.get(&job);
+            if !self.allowed(open, machine) {
                 CoreUse::Excluded
             } else if !needs.fits(&free) {
                 CoreUse::Fragments
-            } else if job_failures.is_some_and(|t| t.held_off(now)) {
+            } else if failures.is_some_and(|failures| failures.held_off(sample.now)) {
                 CoreUse::Troubled
-            } else if at_limit {
+            } else if self.beyond_grant(shard_id, open.team, &sample.used, &needs) {
                 CoreUse::Limits
             } else {
                 CoreUse::Round
             }
         };
-        waiting.iter().map(why).max().unwrap_or(CoreUse::Excluded)
+        let reasons = sample.waiting.iter().map(why);
+        reasons.max().unwrap_or(CoreUse::Excluded)
     }
 
-    /// What each part of ours has counted since the last call.
+    /// What each shard of ours has counted since the last call.
     pub fn accounts(&mut self) -> Vec<(usize, CoreSeconds)> {
         let taken = self.shards.iter_mut().map(|shard| shard.account.take());
         let all = taken.enumerate();
