--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -1,116 +1,30 @@
 //! One machine as its shard's owner sees it.
 
+mod images;
+mod messages;
+mod proofs;
+mod state;
+mod tasks;
+
 use crate::Millis;
 use crate::reachability::{Reachability, ReachabilityEvent};
 use cherryyard_wire::cloud::Instance;
-use cherryyard_wire::worker::{
-    ExitCause, TaskReport, TaskStatus, WorkerHeartbeat, parse_task_name,
-};
+use cherryyard_wire::worker::WorkerHeartbeat;
+pub use images::{Image, ImageState};
+pub use messages::Freshness;
+pub use state::{MachineEvent, MachineState};
 use std::collections::{BTreeMap, BTreeSet};
+pub use tasks::{PushedStart, ReportedTask, Task};
 
-/// How long after the time it was last_reported a recalled machine counts as taken.
+/// How long after the time that was announced a reclaimed machine counts as taken.
 const TAKEN_MS: f64 = 1000.0;
 /// Least time before it is taken at which something is still started on a machine.
 const LAST_START_MS: f64 = 60_000.0;
-
-/// A task: its job's number and its own.
-pub type Task = (u64, u32);
-
-/// Where a machine stands with its owner.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MachineState {
-    /// Has not reported under our token: nothing is known of it that counts.
-    Unconfirmed,
-    /// Reports under our token.
-    Ready,
-    /// Its last answered report is older than its lease: its tasks are gone.
-    Expired,
-    /// A release has been asked for.
-    Returning,
-    /// The cloud has answered the release: it and all on it are gone.
-    Gone,
-}
-
-/// What moves a machine from one state to another.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MachineEvent {
-    /// A report that carries our token.
-    Confirmed,
-    /// Its lease has run out.
-    LeaseOver,
-    /// We have asked the cloud to take it back.
-    ReleaseAsked,
-    /// The cloud has refused or not answered.
-    ReleaseFailed,
-    /// The cloud has answered 200.
-    Released,
-    /// Our token has changed, so nothing reported under the old one counts.
-    TokenChanged,
-}
-
-/// A task as a worker last reported it.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReportedTask {
-    /// The attempt.
-    pub attempt: u64,
-    /// Its state.
-    pub status: TaskStatus,
-    /// Why it ended.
-    pub cause: Option<ExitCause>,
-}
-
-impl ReportedTask {
-    fn of(reported: &TaskReport) -> Self {
-        Self {
-            attempt: reported.attempt,
-            status: reported.status,
-            cause: reported.cause,
-        }
-    }
-
-    /// Whether the task is over.
-    pub fn ended(&self) -> bool {
-        self.status == TaskStatus::Ended
-    }
-}
-
-/// What a message last_reported.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Freshness {
-    /// Nothing: a newer one came before it.
-    Old,
-    /// That all is as before.
-    Same,
-    /// Something else than the one before.
-    New,
-}
-
-/// A start that was sent directly and may yet take effect.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PushedStart {
-    /// The task.
-    pub task: Task,
-    /// The attempt.
-    pub attempt: u64,
-    /// The incarnation it was sent to, and under which token.
-    pub incarnation: u64,
-    /// See `incarnation`.
-    pub token: u64,
-    /// Whether its answer was lost. It may arrive at any later time, also after the same
-    /// start was sent again and answered.
-    pub lost: bool,
-}
-
-/// An image on a machine.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Image {
-    /// Its name.
-    pub name: String,
-    /// Its size.
-    pub gb: f64,
-    /// Whether it is there, not on its way.
-    pub whole: bool,
-}
+/// Messages in a row older than one before them after which a machine is queried.
+const STALE_BEFORE_QUERY: u32 = 2;
+/// Time between two queries after such messages: of a worker that began anew, and of others.
+const RESTARTED_QUERY_MS: f64 = 300.0;
+const STALE_QUERY_MS: f64 = 1000.0;
 
 /// One machine.
 #[derive(Clone, Debug)]
@@ -125,11 +39,11 @@
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
-    /// Its part.
+    /// Its shard.
     pub shard: usize,
     /// Where it stands.
     pub state: MachineState,
-    /// Session and sequence number of the newest message.
+    /// Incarnation and sequence number of the newest message.
     pub newest: (u64, u64),
     /// The token in the newest message.
     pub token: u64,
@@ -147,27 +61,27 @@
     pub reclaim_at: Option<Millis>,
     /// When a message last came.
     pub last_heard_at: Millis,
-    /// When a report of it was last answered 200.
+    /// When a heartbeat of it was last answered 200.
     pub answered_at: Millis,
     /// Whether what we send it arrives.
     pub reachability: Reachability,
     /// When it became unreachable: its incarnation, and the last attempt up to then. Whatever
-    /// was assigned here before and is not there is given up, also if it hears again.
+    /// was assigned here before and is not there is given up, also if it is reachable again.
     pub(crate) given_up: (u64, u64),
-    /// When it was last asked directly, and what was the newest message then.
+    /// When it was last queried, and what was the newest message then.
     pub(crate) queried: (Millis, (u64, u64)),
-    /// Whether a question is under way.
+    /// Whether a query is under way.
     pub(crate) query_pending: bool,
-    /// Reports in a row that were older than one before them.
-    pub(crate) old_in_a_row: u32,
+    /// Messages in a row that were older than one before them.
+    pub(crate) stale_in_a_row: u32,
     /// Attempts up to this one are of a life before: the worker began anew.
-    pub(crate) born_after: u64,
-    /// It began anew under our present token. Copies of reports of its life before may
+    pub(crate) restarted_after: u64,
+    /// It began anew under our present token. Copies of messages of its life before may
     /// still come, and would look newer than its own: only its direct answers count.
-    pub(crate) anew: bool,
-    /// Starts sent directly whose task_outcome is not known.
+    pub(crate) has_restarted: bool,
+    /// Starts sent directly whose outcome is not known.
     pub pushed: Vec<PushedStart>,
-    /// Starts in the answer to the newest report.
+    /// Starts in the answer to the newest heartbeat.
     pub offered: Vec<(Task, u64)>,
     /// Whether a direct command is under way.
     pub pushing: bool,
@@ -191,14 +105,14 @@
 }
 
 impl Machine {
-    /// A machine of which nothing is known but what `report` says it is.
-    pub fn new(host: u32, shard: usize, report: &WorkerHeartbeat, now: Millis) -> Self {
+    /// A machine of which nothing is known but what `heartbeat` says it is.
+    pub fn new(host: u32, shard: usize, heartbeat: &WorkerHeartbeat, now: Millis) -> Self {
         Self {
             host,
-            addr: report.addr.clone(),
-            machine_type: report.machine_type.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
+            addr: heartbeat.addr.clone(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
             shard,
             state: MachineState::Unconfirmed,
             newest: (0, 0),
@@ -215,9 +129,9 @@
             given_up: (0, 0),
             queried: (f64::NEG_INFINITY, (0, 0)),
             query_pending: false,
-            old_in_a_row: 0,
-            born_after: 0,
-            anew: false,
+            stale_in_a_row: 0,
+            restarted_after: 0,
+            has_restarted: false,
             pushed: Vec::new(),
             offered: Vec::new(),
             pushing: false,
@@ -234,7 +148,7 @@
 
     /// A machine that has not reported, as the cloud lists it.
     pub fn unheard(host: u32, shard: usize, entry: &Instance, now: Millis) -> Self {
-        let report = WorkerHeartbeat {
+        let heartbeat = WorkerHeartbeat {
             host: entry.id.clone(),
             addr: entry.addr.clone(),
             machine_type: entry.machine_type.clone(),
@@ -246,136 +160,64 @@
             reclaim_in_s: None,
             tasks: Vec::new(),
         };
-        Self::new(host, shard, &report, now)
+        Self::new(host, shard, &heartbeat, now)
     }
 
     /// The one place where a machine's state changes.
     pub fn change(&mut self, event: MachineEvent) {
-        use MachineEvent::*;
-        use MachineState::*;
         match event {
-            LeaseOver => self.lease_over = self.token_ours(),
-            Confirmed | TokenChanged => self.lease_over = false,
-            _ => {}
-        }
-        if event == TokenChanged {
-            self.confirmed_token = 0;
-            // No copy shows the new one.
-            self.anew = false;
-        }
-        self.state = match (self.state, event) {
-            (Gone, _) | (_, Released) => Gone,
-            (_, ReleaseAsked) => Returning,
-            // Never back to Ready by itself: the release may yet take effect.
-            (Returning, Confirmed | LeaseOver | ReleaseFailed) => Returning,
-            (Returning, TokenChanged) => Returning,
-            (_, TokenChanged) => Unconfirmed,
-            (_, Confirmed) => Ready,
-            (Ready | Expired, LeaseOver) => Expired,
-            // Silence of a machine that has never shown our token proves
-            // nothing: its old owner may still be answering it.
-            (Unconfirmed, LeaseOver) => Unconfirmed,
-            (state, ReleaseFailed) => state,
-        };
-    }
-
-    /// Takes a message if it is newer than what is known; says what it last_reported.
-    ///
-    /// Most reports tell that all is as before: they are compared, and leave
-    /// the list of tasks as it is (a fifth of all processor time, before).
-    pub fn hear(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) -> Freshness {
-        let order = (report.incarnation, report.sequence);
-        if order <= self.newest {
-            self.old_in_a_row += 1;
-            return Freshness::Old;
-        }
-        self.old_in_a_row = 0;
-        if self.reports_the_same(report, own_token) {
-            self.newest = order;
-            self.last_heard_at = now;
-            if !self.reported.is_empty() {
-                self.busy_at = now;
+            MachineEvent::LeaseOver => self.lease_over = self.shows_our_token(),
+            MachineEvent::Confirmed => self.lease_over = false,
+            MachineEvent::TokenChanged => {
+                self.lease_over = false;
+                self.confirmed_token = 0;
+                // No copy of an earlier message shows the new one.
+                self.has_restarted = false;
             }
-            return Freshness::Same;
-        }
-        if report.incarnation > self.newest.0 || report.fencing_token > self.token {
-            // Direct commands to an older incarnation, or under a lower token than
-            // the worker has seen, can no longer take effect.
-            // (One that began anew comes from token 0 to the one that they were sent under.)
-            let (incarnation, token) = (report.incarnation, report.fencing_token);
-            self.pushed
-                .retain(|p| p.incarnation >= incarnation && p.token >= token);
-        }
-        if report.fencing_token == own_token && self.token < own_token {
-            self.reached(ReachabilityEvent::Reflected, now);
-        } else if report.fencing_token < own_token && self.confirmed_token == own_token {
-            // The last one was answered with our token.
-            self.reached(ReachabilityEvent::Missed, now);
-        } else if report.incarnation > self.newest.0 && self.newest.0 > 0 {
-            self.reached(ReachabilityEvent::NewSession, now);
+            MachineEvent::ReleaseAsked | MachineEvent::ReleaseFailed | MachineEvent::Released => {}
         }
-        if report.incarnation > self.newest.0 {
-            // A incarnation has its whole lease from when it began, which was at the latest
-            // now: a direct answer last_reported of it though no report was answered for long, and
-            // what was then started there was taken for lost at once, by the lease before.
-            self.answered_at = now;
-        }
-        self.newest = order;
-        self.take(report, own_token, now);
-        Freshness::New
+        self.state = self.state.after(event);
     }
 
-    /// Takes over what a message tells.
-    pub(crate) fn take(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) {
-        self.token = report.fencing_token;
-        self.confirmed_token = own_token;
-        self.last_heard_at = now;
-        self.addr.clone_from(&report.addr);
-        // Only ever nearer: an assignment that a late transaction takes back for it must not be
-        // started again meanwhile.
-        let reclaim_at = report.reclaim_in_s.map(|s| now + s.max(0.0) * 1000.0);
-        self.reclaim_at = match (reclaim_at, self.reclaim_at) {
-            (Some(new), Some(old)) => Some(new.min(old)),
-            (new, _) => new,
-        };
-        self.reported.clear();
-        self.last_reported.clear();
-        for reported in &report.tasks {
-            if let Some(task) = parse_task_name(&reported.task_name) {
-                let reported = ReportedTask::of(reported);
-                self.last_reported.push((task, reported));
-                // The same task twice: the one still there counts.
-                let place = self.reported.entry(task).or_insert(reported);
-                if place.ended() {
-                    *place = reported;
-                }
+    /// The one place where its reachability changes.
+    pub(crate) fn note_reachability(&mut self, event: ReachabilityEvent, now: Millis) {
+        let after = self.reachability.after(event, now);
+        match (self.reachability, after) {
+            (Reachability::Doubted(_), Reachability::Unreachable(_)) => {
+                tracing::info!(machine = %self.addr, "machine reports but is unreachable");
             }
+            (Reachability::Unreachable(since), Reachability::Reachable(_)) => {
+                tracing::info!(machine = %self.addr, after_ms = now - since, "machine reachable again");
+            }
+            _ => {}
         }
-        self.note_runs(now);
-        if !self.reported.is_empty() {
-            self.busy_at = now;
-        }
-        if report.fencing_token == own_token {
-            self.change(MachineEvent::Confirmed);
-        }
+        self.reachability = after;
     }
 
-    /// Keeps the times of tasks that go on running, or have just ended.
-    fn note_runs(&mut self, now: Millis) {
-        let reported = &self.reported;
-        self.runs
-            .retain(|task, run| reported.get(task).is_some_and(|s| s.attempt == run.0));
-        for (&task, s) in reported {
-            if s.status == TaskStatus::Running {
-                self.runs.entry(task).or_insert((s.attempt, now));
-            }
-        }
+    /// Whether it is to be queried now. One that has been silent for `lost_ms` is not.
+    pub(crate) fn query_due(&self, lost_ms: f64, now: Millis) -> bool {
+        let since = now - self.queried.0;
+        let interval = self.reachability.query_interval_ms();
+        let is_doubted = interval.is_some_and(|interval| since >= interval)
+            && now - self.last_heard_at < lost_ms;
+        // A copy that came late, or a worker that began anew: only it can tell.
+        let stale_interval = if self.has_restarted {
+            RESTARTED_QUERY_MS
+        } else {
+            STALE_QUERY_MS
+        };
+        let is_stale = self.stale_in_a_row >= STALE_BEFORE_QUERY && since >= stale_interval;
+        !self.query_pending
+            && (is_doubted || is_stale)
+            && matches!(
+                self.state,
+                MachineState::Unconfirmed | MachineState::Ready | MachineState::Expired
+            )
     }
 
-    /// For how long an attempt has been seen to run.
-    pub fn ran_ms(&self, task: Task, attempt: u64, now: Millis) -> Option<Millis> {
-        let run = self.runs.get(&task).filter(|run| run.0 == attempt);
-        run.map(|run| now - run.1)
+    /// Has its worker queried as soon as that is possible.
+    pub(crate) fn request_query(&mut self) {
+        self.stale_in_a_row = self.stale_in_a_row.max(STALE_BEFORE_QUERY);
     }
 
     /// Whether the cloud takes the machine so soon that nothing more is started there.
@@ -384,111 +226,12 @@
     }
 
     /// Whether the cloud has said it would take the machine by now, and nothing
-    /// has been heard of it for longer than a report takes.
-    pub fn taken(&self, now: Millis, silence_ms: f64) -> bool {
+    /// has been heard of it for longer than a heartbeat takes.
+    pub fn is_taken_by_now(&self, now: Millis, silence_ms: f64) -> bool {
         self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS)
             && now - self.last_heard_at > silence_ms
     }
 
-    /// Whether a report differs in nothing that matters from the last one. It
-    /// matters while a start may be on its way that it shows or does not show.
-    fn reports_the_same(&self, report: &WorkerHeartbeat, own_token: u64) -> bool {
-        self.state == MachineState::Ready
-            && !self.lease_over
-            && report.incarnation == self.newest.0
-            && report.fencing_token == self.token
-            && own_token == self.token
-            && own_token == self.confirmed_token
-            && report.reclaim_in_s.is_none()
-            && self.reclaim_at.is_none()
-            && self.pushed.iter().all(|start| start.lost)
-            && self.offered.is_empty()
-            && report.addr == self.addr
-            && report.tasks.len() == self.last_reported.len()
-            && report
-                .tasks
-                .iter()
-                .zip(&self.last_reported)
-                .all(|(reported, last_reported)| {
-                    last_reported.1 == ReportedTask::of(reported)
-                        && parse_task_name(&reported.task_name) == Some(last_reported.0)
-                })
-    }
-
-    /// Whether a start of this attempt may yet take effect.
-    pub fn start_pending(&self, task: Task, attempt: u64) -> bool {
-        self.pushed
-            .iter()
-            .any(|p| p.task == task && p.attempt == attempt)
-            || self.offered.contains(&(task, attempt))
-    }
-
-    /// Whether a task with this assignment is proven not to be on the machine, nor
-    /// able to come back there.
-    pub fn proven_gone(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
-        // A machine that hung beyond its lease may carry out what was sent to it before it
-        // sees that its incarnation is over: then only its release, or a newer incarnation, is proof.
-        if self.lease_over && incarnation <= self.newest.0 && !self.start_pending(task, attempt) {
-            return true;
-        }
-        if self.born_after > 0 && self.of_life_before(task, incarnation, attempt) {
-            return true;
-        }
-        match self.state {
-            MachineState::Gone => true,
-            MachineState::Unconfirmed | MachineState::Expired => false,
-            MachineState::Ready | MachineState::Returning => {
-                // Returning may follow Unconfirmed; only a report that carries
-                // our token counts.
-                // An assignment older than our token in a incarnation that has yet to come is of a
-                // life before of the worker: it was there before it showed the token.
-                self.token_ours()
-                    && (incarnation < self.newest.0
-                        || (incarnation > self.newest.0 && attempt <= self.token)
-                        || (incarnation == self.newest.0
-                            && !self.start_pending(task, attempt)
-                            && self
-                                .reported
-                                .get(&task)
-                                .is_none_or(|s| s.attempt != attempt || s.ended())))
-            }
-        }
-    }
-
-    /// Whether the newest message carried the token that is ours now.
-    pub fn token_ours(&self) -> bool {
-        self.confirmed_token != 0 && self.token == self.confirmed_token
-    }
-
-    /// Notes that an image was used, and drops what no longer fits the cache.
-    pub fn use_image(&mut self, name: &str, gb: f64, whole: bool, cache_gb: f64) {
-        let before = self.images.iter().position(|i| i.name == name);
-        let before = before.map(|i| self.images.remove(i));
-        let whole = whole || before.is_some_and(|i| i.whole);
-        self.images.push(Image {
-            name: name.to_string(),
-            gb,
-            whole,
-        });
-        let mut total: f64 = self.images.iter().map(|i| i.gb).sum();
-        while total > cache_gb && self.images.len() > 1 {
-            total -= self.images.remove(0).gb;
-        }
-    }
-
-    /// 2 if the machine holds an image, 1 if it fetches it, else 0.
-    pub fn image(&self, name: &str) -> u8 {
-        self.images
-            .iter()
-            .find(|i| i.name == name)
-            .map_or(0, |i| 1 + u8::from(i.whole))
-    }
-
-    /// Whether the machine holds or fetches an image.
-    pub fn has_image(&self, name: &str) -> bool {
-        self.image(name) > 0
-    }
-
     /// Whether new tasks may be placed here.
     pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
         self.state == MachineState::Ready
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -137,7 +137,7 @@
     /// How messages prove an assigned task to have ended, if they do.
     fn proven_end(&self, task: Task, assignment: &Assignment, now: Millis) -> Option<ProvenEnd> {
         let machine = self.machines.get(&assignment.host)?;
-        if machine.token_ours()
+        if machine.shows_our_token()
             && machine.newest.0 == assignment.incarnation
             && let Some(reported) = machine.reported.get(&task)
             && reported.attempt == assignment.attempt
@@ -161,7 +161,7 @@
         let may_start = machine.state == MachineState::Ready
             && machine.newest.0 == assignment.incarnation
             && !machine.lease_over
-            && !machine.gave_up(assignment.incarnation, assignment.attempt)
+            && !machine.has_given_up(assignment.incarnation, assignment.attempt)
             && !machine.is_reclaimed_soon(now);
         let is_open = self.mirror.open.contains_key(&task.0);
         (!is_open || !may_start).then_some(ProvenEnd::Lost)
@@ -173,14 +173,14 @@
         let Some(machine) = self.machines.get(&assignment.host) else {
             return false;
         };
-        let is_of_life_before = assignment.attempt <= machine.born_after;
+        let is_of_life_before = assignment.attempt <= machine.restarted_after;
         let should_go = is_of_life_before || !self.mirror.open.contains_key(&task.0);
         let was_pushed = || {
             let mut pushed = machine.pushed.iter();
             pushed.any(|start| start.task == task && start.attempt == assignment.attempt)
         };
         should_go
-            && machine.token_ours()
+            && machine.shows_our_token()
             && !machine.pushing
             && now >= machine.push_after
             && was_pushed()
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -2,7 +2,7 @@
 
 use super::cycle::Cycle;
 use crate::controller::Controller;
-use crate::machine::{Machine, Task};
+use crate::machine::{ImageState, Machine, Task};
 use crate::mirror::OpenJob;
 use crate::needs::Needs;
 use cherryyard_wire::job::Shape;
@@ -30,7 +30,7 @@
     has_not_failed: bool,
     /// How much the job's rules prefer the machine's pool.
     tier: Reverse<Option<u16>>,
-    image: u8,
+    image: ImageState,
     /// A spot machine may be taken with its work: only for what finds no other room.
     is_on_demand: bool,
 }
@@ -49,7 +49,8 @@
             ),
             image: match self.open.spec.shape {
                 Shape::Service => machine.image(image),
-                Shape::Array => u8::from(machine.has_image(image)),
+                // For arrays one that is being fetched is as good as one that is there.
+                Shape::Array => machine.image(image).min(ImageState::Fetching),
             },
             is_on_demand: !machine.spot,
         }
@@ -162,7 +163,7 @@
     /// Seconds until the job's image would be on a machine.
     pub(super) fn fetch_s(&self, open: &OpenJob, host: u32) -> f64 {
         let machine = &self.machines[&host];
-        if machine.image(&open.spec.image) == 2 {
+        if machine.image(&open.spec.image) == ImageState::Held {
             return 0.0;
         }
         let machine_type = self.mirror.machine_types.iter();
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -77,7 +77,7 @@
         let mut images: Vec<(String, f64)> = Vec::new();
         let mut held_by_machine = Vec::new();
         for machine in self.machines.values() {
-            if machine.shard != shard_id || !machine.token_ours() {
+            if machine.shard != shard_id || !machine.shows_our_token() {
                 continue;
             }
             let mut held = Vec::new();
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -95,7 +95,7 @@
         for machine in self.machines.values_mut() {
             if machine.shard == shard_id
                 && !machine.lease_over
-                && machine.token_ours()
+                && machine.shows_our_token()
                 && now - machine.answered_at > lease
             {
                 machine.change(MachineEvent::LeaseOver);
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -9,7 +9,7 @@
 use crate::Millis;
 use crate::admission::flows::Flow;
 use crate::controller::Controller;
-use crate::machine::{Machine, Task};
+use crate::machine::{ImageState, Machine, Task};
 use crate::mirror::OpenJob;
 use crate::needs::Needs;
 use cherryyard_wire::job::Rank;
@@ -159,7 +159,7 @@
 
     /// Whether the waiting task may run on a machine.
     fn is_eligible(&self, machine: &Machine, number: u32) -> bool {
-        let holds_image = || machine.image(&self.open.spec.image) == 2;
+        let holds_image = || machine.image(&self.open.spec.image) == ImageState::Held;
         self.controller.allowed(self.open, machine)
             && (self.scope == EvictionScope::AnyMachine || holds_image())
             && !machine.reported.contains_key(&(self.job, number))
@@ -208,7 +208,7 @@
         if !self.needs.fits(&free) || victims.is_empty() {
             return None;
         }
-        if machine.image(&self.open.spec.image) != 2 {
+        if machine.image(&self.open.spec.image) != ImageState::Held {
             cost += IMAGE_FETCH_COST;
         }
         Some(Eviction {
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -146,7 +146,7 @@
         let assigned = may_start.then(|| mirror.on_host(machine.host));
         let missing = assigned.into_iter().flatten().filter(|(task, assignment)| {
             assignment.incarnation == machine.newest.0
-                && !machine.gave_up(assignment.incarnation, assignment.attempt)
+                && !machine.has_given_up(assignment.incarnation, assignment.attempt)
                 && !machine.reported.contains_key(task)
                 && mirror.open.contains_key(&task.0)
         });
@@ -180,7 +180,7 @@
         // A machine that is being released is answered for as long as the cloud has not
         // taken it: what is cancelled there must be stopped all the same.
         let is_commanded = matches!(machine.state, MachineState::Ready | MachineState::Returning);
-        if !machine.token_ours() || !is_commanded {
+        if !machine.shows_our_token() || !is_commanded {
             return commands;
         }
         let reconciliation = Reconciliation {
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -98,7 +98,7 @@
                 m.shard == shard_id
                     && matches!(m.state, MachineState::Ready | MachineState::Expired)
                     && now >= m.release_after
-                    && m.taken(now, silence)
+                    && m.is_taken_by_now(now, silence)
             })
             .map(|m| m.host)
             .take(MAX_RELEASED)
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -104,7 +104,7 @@
     fn confirmed_machines(&self, shard_id: usize) -> impl Iterator<Item = &Machine> {
         self.machines
             .values()
-            .filter(move |m| m.shard == shard_id && m.token_ours())
+            .filter(move |m| m.shard == shard_id && m.shows_our_token())
     }
 
     /// Machines fall silent one after the other, as each heartbeat would have been
@@ -250,7 +250,7 @@
     // One that reports but is unreachable will never show our token.
     let may_yet = now - machine.last_heard_at < limit
         && !matches!(machine.reachability, Reachability::Unreachable(_));
-    machine.token_ours()
+    machine.shows_our_token()
         || machine.state == MachineState::Gone
         || now < machine.release_after
         || may_yet
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -156,13 +156,13 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return Taken::Stale;
         };
-        if machine.anew {
+        if machine.has_restarted {
             machine.answered_at = now;
             machine.last_heard_at = now;
             return Taken::OfRestartedWorker;
         }
         let before = (machine.state, machine.reachability.is_reachable());
-        let freshness = machine.hear(heartbeat, token, now);
+        let freshness = machine.receive(heartbeat, token, now);
         // The answer to an older heartbeat renews the lease, if at all, from when that was
         // sent, before the newest message: a late copy keeps no dead machine alive.
         machine.answered_at = match freshness {
@@ -205,7 +205,7 @@
     /// arrived.
     fn commands_for_restarted_worker(&mut self, host: u32, now: Millis) -> Vec<WorkerCommand> {
         if let Some(machine) = self.machines.get_mut(&host) {
-            machine.old_in_a_row = machine.old_in_a_row.max(2);
+            machine.request_query();
             let shard_id = machine.shard;
             self.query_machines(shard_id, now);
         }
@@ -258,11 +258,11 @@
                 let answered_by = status.incarnation;
                 tracing::debug!(machine = %machine.addr, incarnation, answered_by, "direct commands answered");
                 machine.settle_push(request, false);
-                machine.reached(ReachabilityEvent::Reflected, now);
+                machine.note_reachability(ReachabilityEvent::Reflected, now);
                 let ShardLease::Held(token) = self.shards[shard_id].lease else {
                     return;
                 };
-                if machine.hear(&status, token, now) != Freshness::Old {
+                if machine.receive(&status, token, now) != Freshness::Old {
                     self.after_message(host, now);
                 }
                 self.push(host, now);
@@ -270,13 +270,13 @@
             PushOutcome::Unsent => {
                 tracing::debug!(machine = %machine.addr, incarnation, "direct commands not sent");
                 machine.settle_push(request, false);
-                machine.reached(ReachabilityEvent::Missed, now);
+                machine.note_reachability(ReachabilityEvent::Missed, now);
                 machine.push_after = now + UNSENT_RETRY_MS;
             }
             PushOutcome::Unknown => {
                 tracing::debug!(machine = %machine.addr, incarnation, "direct commands not answered");
                 machine.settle_push(request, true);
-                machine.reached(ReachabilityEvent::Missed, now);
+                machine.note_reachability(ReachabilityEvent::Missed, now);
                 machine.push_after = now + UNANSWERED_RETRY_MS;
             }
         }
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -52,7 +52,7 @@
         };
         let Some(status) = answer else {
             let before = machine.reachability;
-            machine.reached(ReachabilityEvent::NoAnswer, now);
+            machine.note_reachability(ReachabilityEvent::NoAnswer, now);
             let is_unreachable = matches!(machine.reachability, Reachability::Unreachable(_));
             if machine.reachability != before && is_unreachable {
                 machine.given_up = (machine.newest.0, newest_attempt);
@@ -61,7 +61,7 @@
             return;
         };
         self.capacity_changed |= !machine.reachability.is_reachable();
-        if machine.answered(status, token, newest_attempt, now) != Freshness::Old {
+        if machine.receive_status(status, token, newest_attempt, now) != Freshness::Old {
             self.after_message(host, now);
         }
     }
