--- /dev/null
+++ b/crates/cherryyard-classad/src/builtins/pattern.rs
@@ -0,0 +1,92 @@
+//! Functions of regular expressions.
+
+use super::arguments::Arguments;
+use super::text::bounded;
+use crate::value::Value;
+use lru::LruCache;
+use regex::{Captures, Regex, RegexBuilder};
+use std::cell::RefCell;
+use std::num::NonZeroUsize;
+use std::rc::Rc;
+
+/// Largest size of a compiled pattern, in bytes.
+const MAX_PATTERN: usize = 1024 * 1024;
+/// Compiled patterns that each thread keeps.
+const CACHED_PATTERNS: NonZeroUsize = NonZeroUsize::new(64).expect("64 is not 0");
+
+/// Compiled patterns by text and options; `None` for one that does not compile.
+type PatternCache = LruCache<(String, String), Option<Rc<Regex>>>;
+
+thread_local! {
+    /// Patterns that were used recently: a match over many machines uses the same one
+    /// each time, and compiling takes longer than the rest of the match. The patterns are
+    /// shared, not cloned, as a clone has to allocate scratch memory of its own.
+    static PATTERNS: RefCell<PatternCache> = RefCell::new(LruCache::new(CACHED_PATTERNS));
+}
+
+/// The compiled pattern, from the cache if it was used recently.
+fn compiled(pattern: &str, options: &str) -> Option<Rc<Regex>> {
+    PATTERNS.with_borrow_mut(|patterns| {
+        let key = (pattern.to_string(), options.to_string());
+        let compile = || compile(pattern, options).map(Rc::new);
+        patterns.get_or_insert(key, compile).clone()
+    })
+}
+
+fn compile(pattern: &str, options: &str) -> Option<Regex> {
+    let has = |option: char| options.contains([option, option.to_ascii_uppercase()]);
+    RegexBuilder::new(pattern)
+        .case_insensitive(has('i'))
+        .multi_line(has('m'))
+        .dot_matches_new_line(has('s'))
+        .ignore_whitespace(has('x'))
+        .size_limit(MAX_PATTERN)
+        .build()
+        .ok()
+}
+
+/// `regexp(pattern, text [, options])`.
+pub(super) fn regexp(arguments: Arguments<'_>) -> Option<Value> {
+    let pattern = compiled(arguments.text(0)?, arguments.text_or(2, "")?)?;
+    Some(Value::Bool(pattern.is_match(arguments.text(1)?)))
+}
+
+/// `regexps(pattern, text, replacement [, options])`: the replacement filled in from the
+/// first match; empty if there is none.
+pub(super) fn regexps(arguments: Arguments<'_>) -> Option<Value> {
+    let pattern = compiled(arguments.text(0)?, arguments.text_or(3, "")?)?;
+    let Some(captures) = pattern.captures(arguments.text(1)?) else {
+        return Some(Value::text(""));
+    };
+    Some(bounded(&filled_in(arguments.text(2)?, &captures)))
+}
+
+/// The replacement text: `\1` is what the first group has matched, and so on to `\9`;
+/// `\0` is the whole match.
+fn filled_in(replacement: &str, captures: &Captures<'_>) -> String {
+    let mut out = String::new();
+    let mut chars = replacement.chars();
+    while let Some(c) = chars.next() {
+        if c != '\\' {
+            out.push(c);
+            continue;
+        }
+        match chars.next() {
+            Some(digit) if digit.is_ascii_digit() => {
+                let group = digit as usize - '0' as usize;
+                out.push_str(captures.get(group).map_or("", |group| group.as_str()));
+            }
+            Some(other) => out.push(other),
+            None => {}
+        }
+    }
+    out
+}
+
+/// `regexpMember(pattern, list [, options])`: whether the pattern matches any string of
+/// the list.
+pub(super) fn regexp_member(arguments: Arguments<'_>) -> Option<Value> {
+    let pattern = compiled(arguments.text(0)?, arguments.text_or(2, "")?)?;
+    let matches = |item: &Value| matches!(item, Value::Str(text) if pattern.is_match(text));
+    Some(Value::Bool(arguments.list(1)?.iter().any(matches)))
+}
--- a/crates/cherryyard-classad/src/eval.rs
+++ b/crates/cherryyard-classad/src/eval.rs
@@ -1,201 +1,230 @@
-//! Evaluation, with three values of truth.
+//! Evaluation of expressions, with three-valued logic.
 
-use crate::expr::{Ad, BinaryOp, Expr, Node, Side, UnaryOp};
-use crate::functions;
-use crate::value::{Pair, Value};
-use std::cmp::Ordering;
+use crate::ad::Ad;
+use crate::builtins;
+use crate::expr::{Expr, Node, NodeId, Side};
+use crate::function::Function;
+use crate::names::NameId;
+use crate::operator::BinaryOp;
+use crate::value::Value;
 
-/// Deepest that attributes may refer to each other, nesting included.
+/// Most nodes and attribute references that may be nested in one evaluation.
 const MAX_DEPTH: u32 = 400;
-/// Most steps of one evaluation.
+/// Most nodes that one evaluation may visit.
 const MAX_STEPS: u32 = 200_000;
 
-/// Whose ads an expression is evaluated against, and when.
+/// The ads that an expression is evaluated against, and the time.
 #[derive(Clone, Copy, Debug)]
 pub struct Scope<'a> {
-    /// The ad that the expression is of.
+    /// The ad that the expression belongs to.
     pub my: &'a Ad,
-    /// The other one, in a match.
+    /// The other ad of a match.
     pub target: Option<&'a Ad>,
-    /// Seconds since 1970, for `time()`.
+    /// Seconds since 1970, the value of `time()`.
     pub now: i64,
 }
 
-/// An evaluation under way.
-pub(crate) struct Eval<'a> {
-    scope: Scope<'a>,
-    depth: u32,
-    steps: u32,
-    /// Nested ads around what is evaluated, the innermost last.
-    inside: Vec<(&'a Expr, &'a [(u32, u32)])>,
-}
-
 impl<'a> Scope<'a> {
-    /// The value of an expression of `my`.
+    /// The value of an expression of `my`; `error` if it nests too deep, refers to itself
+    /// or takes too many steps.
     pub fn evaluate(self, expr: &'a Expr) -> Value {
-        let mut eval = Eval {
+        let mut evaluator = Evaluator {
             scope: self,
             depth: 0,
             steps: 0,
-            inside: Vec::new(),
+            enclosing_ads: Vec::new(),
         };
-        eval.node(expr, expr.root())
+        evaluator.node(expr, expr.root())
     }
 
-    /// The value of an attribute of `my`; undefined if it has none.
-    pub fn attribute(self, name: u32) -> Value {
+    /// The value of an attribute of `my`; `undefined` if it has none of that name.
+    pub fn attribute(self, name: NameId) -> Value {
         self.my
             .get(name)
-            .map_or(Value::Undefined, |e| self.evaluate(e))
+            .map_or(Value::Undefined, |expr| self.evaluate(expr))
     }
 
-    /// Whether an expression is true; neither undefined nor an error is.
+    /// Whether an expression is true; `undefined` and `error` are not.
     pub fn holds(self, expr: &'a Expr) -> bool {
         self.evaluate(expr).truth() == Some(true)
     }
 }
 
-impl<'a> Eval<'a> {
-    pub(crate) fn now(&self) -> i64 {
-        self.scope.now
-    }
+/// A nested ad under evaluation: the expression that it is part of, and its attributes.
+type EnclosingAd<'a> = (&'a Expr, &'a [(NameId, NodeId)]);
+
+/// The state of one evaluation.
+struct Evaluator<'a> {
+    scope: Scope<'a>,
+    depth: u32,
+    steps: u32,
+    /// Nested ads around the node under evaluation, the innermost last.
+    enclosing_ads: Vec<EnclosingAd<'a>>,
+}
 
-    pub(crate) fn node(&mut self, expr: &'a Expr, at: u32) -> Value {
+impl<'a> Evaluator<'a> {
+    /// The value of a node, within the bounds of depth and steps.
+    fn node(&mut self, expr: &'a Expr, id: NodeId) -> Value {
         self.steps += 1;
         if self.steps > MAX_STEPS || self.depth > MAX_DEPTH {
             // Cyclic references end here too.
             return Value::Error;
         }
         self.depth += 1;
-        let value = self.inner(expr, at);
+        let value = self.unbounded(expr, id);
         self.depth -= 1;
         value
     }
 
-    fn inner(&mut self, expr: &'a Expr, at: u32) -> Value {
-        let Some(node) = expr.nodes().get(at as usize) else {
+    fn unbounded(&mut self, expr: &'a Expr, id: NodeId) -> Value {
+        let Some(node) = expr.nodes().get(id.index()) else {
             return Value::Error;
         };
         match node {
-            Node::Const(value) => value.clone(),
-            Node::Attr(side, name) => self.attribute(*side, *name),
-            Node::Unary(op, a) => unary(*op, &self.node(expr, *a)),
-            Node::Binary(BinaryOp::And, a, b) => self.logic(expr, *a, *b, false),
-            Node::Binary(BinaryOp::Or, a, b) => self.logic(expr, *a, *b, true),
-            Node::Binary(op, a, b) => {
-                let a = self.node(expr, *a);
-                binary(*op, &a, &self.node(expr, *b))
+            Node::Constant(value) => value.clone(),
+            Node::Attribute(side, name) => self.attribute(*side, *name),
+            Node::Unary(op, operand) => op.apply(&self.node(expr, *operand)),
+            Node::Binary(BinaryOp::And, left, right) => self.logic(expr, *left, *right, false),
+            Node::Binary(BinaryOp::Or, left, right) => self.logic(expr, *left, *right, true),
+            Node::Binary(op, left, right) => {
+                let left = self.node(expr, *left);
+                op.apply(&left, &self.node(expr, *right))
             }
-            Node::Choice(a, yes, no) => match self.node(expr, *a) {
-                Value::Undefined => Value::Undefined,
-                condition => match condition.truth() {
-                    Some(true) => self.node(expr, *yes),
-                    Some(false) => self.node(expr, *no),
-                    None => Value::Error,
-                },
-            },
-            Node::Elvis(a, b) => match self.node(expr, *a) {
-                Value::Undefined => self.node(expr, *b),
+            Node::Conditional(condition, yes, no) => self.conditional(expr, *condition, *yes, *no),
+            Node::Elvis(value, default) => match self.node(expr, *value) {
+                Value::Undefined => self.node(expr, *default),
                 value => value,
             },
-            Node::Call(function, parts) => functions::call(*function, self, expr, parts),
-            Node::List(parts) => {
-                let all: Vec<Value> = parts.iter().map(|&p| self.node(expr, p)).collect();
-                Value::List(all.into())
-            }
-            Node::Ad(parts) => {
-                self.inside.push((expr, parts));
-                let all: Vec<(u32, Value)> = parts
-                    .iter()
-                    .map(|&(name, part)| (name, self.node(expr, part)))
-                    .collect();
-                self.inside.pop();
-                Value::Ad(all.into())
+            Node::Call(function, arguments) => self.call(*function, expr, arguments),
+            Node::List(items) => {
+                let items = items.iter().map(|&item| self.node(expr, item));
+                Value::List(items.collect())
             }
-            Node::Index(a, b) => {
-                let list = self.node(expr, *a);
-                let at = self.node(expr, *b);
-                match (list, at) {
-                    (Value::Error, _) | (_, Value::Error) => Value::Error,
-                    (Value::Undefined, _) | (_, Value::Undefined) => Value::Undefined,
-                    (Value::List(all), at) => {
-                        let at = at.int().and_then(|i| usize::try_from(i).ok());
-                        at.and_then(|i| all.get(i).cloned()).unwrap_or(Value::Error)
-                    }
-                    _ => Value::Error,
-                }
+            Node::Ad(attributes) => self.nested_ad(expr, attributes),
+            Node::Index(list, index) => {
+                let list = self.node(expr, *list);
+                item_at(&list, &self.node(expr, *index))
             }
-            Node::Select(a, name) => match self.node(expr, *a) {
-                Value::Ad(all) => {
-                    let found = all.iter().find(|(n, _)| n == name);
-                    found.map_or(Value::Undefined, |(_, v)| v.clone())
-                }
-                Value::Undefined => Value::Undefined,
-                _ => Value::Error,
+            Node::Select(ad, name) => select(&self.node(expr, *ad), *name),
+        }
+    }
+
+    fn conditional(&mut self, expr: &'a Expr, condition: NodeId, yes: NodeId, no: NodeId) -> Value {
+        match self.node(expr, condition) {
+            Value::Undefined => Value::Undefined,
+            condition => match condition.truth() {
+                Some(true) => self.node(expr, yes),
+                Some(false) => self.node(expr, no),
+                None => Value::Error,
             },
         }
     }
 
-    fn attribute(&mut self, side: Side, name: u32) -> Value {
-        if side == Side::Any {
-            for i in (0..self.inside.len()).rev() {
-                let (expr, parts) = self.inside[i];
-                if let Some(&(_, part)) = parts.iter().find(|(n, _)| *n == name) {
-                    // Seen from there, ads further in are not around it.
-                    let deeper = self.inside.split_off(i + 1);
-                    let value = self.node(expr, part);
-                    self.inside.extend(deeper);
-                    return value;
-                }
-            }
+    fn nested_ad(&mut self, expr: &'a Expr, attributes: &'a [(NameId, NodeId)]) -> Value {
+        self.enclosing_ads.push((expr, attributes));
+        let values: Vec<(NameId, Value)> = attributes
+            .iter()
+            .map(|&(name, attribute)| (name, self.node(expr, attribute)))
+            .collect();
+        self.enclosing_ads.pop();
+        Value::Ad(values.into())
+    }
+
+    /// The value of a function call. Functions that take exceptional values or need not
+    /// evaluate all of their arguments are handled here, all others are strict.
+    fn call(&mut self, function: Function, expr: &'a Expr, arguments: &[NodeId]) -> Value {
+        if let (Function::IfThenElse, &[condition, yes, no]) = (function, arguments) {
+            return self.conditional(expr, condition, yes, no);
         }
-        let (my, target) = (self.scope.my, self.scope.target);
+        let type_test: Option<fn(&Value) -> bool> = match function {
+            Function::Time => return Value::Int(self.scope.now),
+            Function::IsUndefined => Some(|value| *value == Value::Undefined),
+            Function::IsError => Some(|value| *value == Value::Error),
+            Function::IsString => Some(|value| matches!(value, Value::Str(_))),
+            Function::IsInteger => Some(|value| matches!(value, Value::Int(_))),
+            Function::IsReal => Some(|value| matches!(value, Value::Real(_))),
+            Function::IsBoolean => Some(|value| matches!(value, Value::Bool(_))),
+            Function::IsList => Some(|value| matches!(value, Value::List(_))),
+            Function::IsClassad => Some(|value| matches!(value, Value::Ad(_))),
+            _ => None,
+        };
+        if let (Some(type_test), &[argument]) = (type_test, arguments) {
+            return Value::Bool(type_test(&self.node(expr, argument)));
+        }
+        let arguments: Vec<Value> = arguments.iter().map(|&id| self.node(expr, id)).collect();
+        builtins::call(function, &arguments)
+    }
+
+    /// The value of an attribute reference: looked up in the enclosing nested ads, then
+    /// in this ad, then in the other one, as far as its scope allows.
+    fn attribute(&mut self, side: Side, name: NameId) -> Value {
+        if side == Side::Any
+            && let Some(value) = self.attribute_of_enclosing_ad(name)
+        {
+            return value;
+        }
+        let Scope { my, target, now } = self.scope;
         let own = my.get(name).filter(|_| side != Side::Target);
         if let Some(expr) = own {
-            return self.apart(expr, self.scope);
+            return self.in_scope(expr, self.scope);
         }
         let Some(target) = target.filter(|_| side != Side::My) else {
             return Value::Undefined;
         };
         match target.get(name) {
-            // Its own names mean its own ad there.
+            // From the other ad's point of view, that ad is its own.
             Some(expr) => {
-                let turned = Scope {
+                let reversed = Scope {
                     my: target,
                     target: Some(my),
-                    now: self.scope.now,
+                    now,
                 };
-                self.apart(expr, turned)
+                self.in_scope(expr, reversed)
             }
             None => Value::Undefined,
         }
     }
 
-    /// Evaluates another attribute's expression, outside of nested ads.
-    fn apart(&mut self, expr: &'a Expr, scope: Scope<'a>) -> Value {
-        let scope = std::mem::replace(&mut self.scope, scope);
-        let inside = std::mem::take(&mut self.inside);
+    fn attribute_of_enclosing_ad(&mut self, name: NameId) -> Option<Value> {
+        for level in (0..self.enclosing_ads.len()).rev() {
+            let (expr, attributes) = self.enclosing_ads[level];
+            if let Some(&(_, attribute)) = attributes.iter().find(|(n, _)| *n == name) {
+                // The attribute is not inside the ads further in.
+                let inner_ads = self.enclosing_ads.split_off(level + 1);
+                let value = self.node(expr, attribute);
+                self.enclosing_ads.extend(inner_ads);
+                return Some(value);
+            }
+        }
+        None
+    }
+
+    /// The value of an attribute's expression, which is outside of all nested ads.
+    fn in_scope(&mut self, expr: &'a Expr, scope: Scope<'a>) -> Value {
+        let outer_scope = std::mem::replace(&mut self.scope, scope);
+        let enclosing_ads = std::mem::take(&mut self.enclosing_ads);
         let value = self.node(expr, expr.root());
-        self.inside = inside;
-        self.scope = scope;
+        self.enclosing_ads = enclosing_ads;
+        self.scope = outer_scope;
         value
     }
 
-    /// `&&` (which `false` decides) and `||` (which `true` does): what decides does
-    /// so beside `undefined`, and the first operand alone if it can.
-    fn logic(&mut self, expr: &'a Expr, a: u32, b: u32, decides: bool) -> Value {
-        let first = match self.node(expr, a) {
+    /// `&&`, which a `false` operand decides, or `||`, which a `true` one does: `decisive`
+    /// is that truth value. A decisive first operand leaves the second unevaluated; a
+    /// decisive second operand outweighs an `undefined` first one.
+    fn logic(&mut self, expr: &'a Expr, left: NodeId, right: NodeId, decisive: bool) -> Value {
+        let left = match self.node(expr, left) {
             Value::Undefined => None,
             value => match value.truth() {
-                Some(truth) if truth == decides => return Value::Bool(decides),
+                Some(truth) if truth == decisive => return Value::Bool(decisive),
                 Some(truth) => Some(truth),
                 None => return Value::Error,
             },
         };
-        match self.node(expr, b) {
+        match self.node(expr, right) {
             Value::Undefined => Value::Undefined,
-            value => match (value.truth(), first) {
-                (Some(truth), _) if truth == decides => Value::Bool(decides),
+            value => match (value.truth(), left) {
+                (Some(truth), _) if truth == decisive => Value::Bool(decisive),
                 (Some(truth), Some(_)) => Value::Bool(truth),
                 (Some(_), None) => Value::Undefined,
                 (None, _) => Value::Error,
@@ -204,83 +233,27 @@
     }
 }
 
-pub(crate) fn unary(op: UnaryOp, a: &Value) -> Value {
-    match (op, a) {
-        (_, Value::Undefined) => Value::Undefined,
-        (UnaryOp::Not, a) => a.truth().map_or(Value::Error, |b| Value::Bool(!b)),
-        (UnaryOp::Plus, Value::Int(_) | Value::Real(_)) => a.clone(),
-        (UnaryOp::Minus, Value::Int(n)) => Value::Int(n.wrapping_neg()),
-        (UnaryOp::Minus, Value::Real(x)) => Value::Real(-x),
-        (UnaryOp::Invert, Value::Int(n)) => Value::Int(!n),
-        _ => Value::Error,
+/// `list[index]`; `error` for an index out of bounds.
+fn item_at(list: &Value, index: &Value) -> Value {
+    if let Some(value) = list.exceptional_with(index) {
+        return value;
     }
+    let Value::List(items) = list else {
+        return Value::Error;
+    };
+    let index = index.int().and_then(|i| usize::try_from(i).ok());
+    let item = index.and_then(|i| items.get(i));
+    item.cloned().unwrap_or(Value::Error)
 }
 
-pub(crate) fn binary(op: BinaryOp, a: &Value, b: &Value) -> Value {
-    use BinaryOp::*;
-    match op {
-        Is => return Value::Bool(a.identical(b)),
-        Isnt => return Value::Bool(!a.identical(b)),
-        _ => {}
-    }
-    if let Some(value) = a.strict(b) {
-        return value;
-    }
-    match op {
-        Eq | Ne | Lt | Le | Gt | Ge => {
-            let Some(order) = a.order(b) else {
-                return Value::Error;
-            };
-            Value::Bool(match op {
-                Eq => order == Ordering::Equal,
-                Ne => order != Ordering::Equal,
-                Lt => order == Ordering::Less,
-                Le => order != Ordering::Greater,
-                Gt => order == Ordering::Greater,
-                _ => order != Ordering::Less,
-            })
+/// `ad.name`; `undefined` if the ad has no such attribute.
+fn select(ad: &Value, name: NameId) -> Value {
+    match ad {
+        Value::Ad(attributes) => {
+            let found = attributes.iter().find(|(n, _)| *n == name);
+            found.map_or(Value::Undefined, |(_, value)| value.clone())
         }
-        Add | Sub | Mul | Div | Rem => match a.numbers(b) {
-            Some(Pair::Ints(a, b)) => {
-                let n = match op {
-                    Add => Some(a.wrapping_add(b)),
-                    Sub => Some(a.wrapping_sub(b)),
-                    Mul => Some(a.wrapping_mul(b)),
-                    Div => a.checked_div(b),
-                    _ => a.checked_rem(b),
-                };
-                n.map_or(Value::Error, Value::Int)
-            }
-            Some(Pair::Reals(a, b)) => Value::Real(match op {
-                Add => a + b,
-                Sub => a - b,
-                Mul => a * b,
-                Div => a / b,
-                _ => a % b,
-            }),
-            None => Value::Error,
-        },
-        BitOr | BitXor | BitAnd | Shl | Shr | Ushr => match (a, b) {
-            (Value::Bool(a), Value::Bool(b)) => match op {
-                BitOr => Value::Bool(a | b),
-                BitXor => Value::Bool(a ^ b),
-                BitAnd => Value::Bool(a & b),
-                _ => Value::Error,
-            },
-            (Value::Int(a), Value::Int(b)) => {
-                let by = (*b & 63) as u32;
-                Value::Int(match op {
-                    BitOr => a | b,
-                    BitXor => a ^ b,
-                    BitAnd => a & b,
-                    Shl => a.wrapping_shl(by),
-                    Shr => a.wrapping_shr(by),
-                    _ => (*a as u64).wrapping_shr(by) as i64,
-                })
-            }
-            _ => Value::Error,
-        },
-        // Decided without evaluating both, elsewhere.
-        And | Or | Is | Isnt => Value::Error,
+        Value::Undefined => Value::Undefined,
+        _ => Value::Error,
     }
 }
--- a/crates/cherryyard-classad/src/fold.rs
+++ b/crates/cherryyard-classad/src/fold.rs
@@ -1,18 +1,23 @@
-//! Folding: what depends on one ad alone is evaluated once.
+//! Constant folding: what depends on one ad alone is evaluated once.
 
+use crate::ad::Ad;
 use crate::eval::Scope;
-use crate::expr::{Ad, BinaryOp, Expr, Node, Side};
-use crate::functions::Function;
+use crate::expr::{Expr, Node, NodeId, Side};
+use crate::function::Function;
+use crate::operator::BinaryOp;
 use crate::value::Value;
 
-/// Deepest that attributes are taken in by each other.
+/// Most nodes and attribute references that may be nested; an expression beyond it stays
+/// as it is.
 const MAX_DEPTH: u32 = 60;
-/// Most nodes of a folded expression; beyond it the expression stays as it is.
+/// Most nodes of a folded expression; one beyond it stays as it is.
 const MAX_NODES: usize = 20_000;
 
-/// An expression of `my` with all that `my` alone decides replaced by its value, and
-/// its other attributes by what they say: evaluated against any target, with the same
-/// `my` or with none, it gives the same. `time()` is left as it is.
+/// An expression of `my` in which all that `my` alone decides is replaced by its value,
+/// and the other attributes of `my` by their expressions. Evaluated against any target,
+/// with the same `my` or an empty one, it yields the same value. `time()` is not folded.
+///
+/// An expression that is too large to fold, or has nested ads, is returned as it is.
 pub fn fold(expr: &Expr, my: &Ad) -> Expr {
     let mut folder = Folder {
         my,
@@ -28,144 +33,181 @@
     }
 }
 
+/// What a node is folded to.
 enum Folded {
+    /// It does not depend on the target.
     Value(Value),
-    /// It depends on the target; its place among the new nodes.
-    Node(u32),
+    /// It does; its position among the new nodes.
+    Node(NodeId),
 }
 
+/// Folds an expression; its methods return `None` for one that has to stay as it is.
 struct Folder<'a> {
     my: &'a Ad,
+    /// The nodes of the folded expression.
     nodes: Vec<Node>,
     depth: u32,
 }
 
 impl Folder<'_> {
-    fn push(&mut self, node: Node) -> Option<Folded> {
+    fn push(&mut self, node: Node) -> Option<NodeId> {
         self.nodes.push(node);
-        (self.nodes.len() <= MAX_NODES).then_some(Folded::Node(self.nodes.len() as u32 - 1))
+        (self.nodes.len() <= MAX_NODES).then_some(NodeId(self.nodes.len() as u32 - 1))
     }
 
-    /// A place for what is folded.
-    fn place(&mut self, folded: Folded) -> Option<u32> {
+    fn push_folded(&mut self, node: Node) -> Option<Folded> {
+        self.push(node).map(Folded::Node)
+    }
+
+    /// The position of a folded operand, whose value becomes a node if it is one.
+    fn position(&mut self, folded: Folded) -> Option<NodeId> {
         match folded {
-            Folded::Node(at) => Some(at),
-            Folded::Value(value) => match self.push(Node::Const(value))? {
-                Folded::Node(at) => Some(at),
-                Folded::Value(_) => None,
-            },
+            Folded::Node(id) => Some(id),
+            Folded::Value(value) => self.push(Node::Constant(value)),
         }
     }
 
-    fn node(&mut self, expr: &Expr, at: u32) -> Option<Folded> {
+    fn node(&mut self, expr: &Expr, id: NodeId) -> Option<Folded> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
             return None;
         }
-        let folded = self.inner(expr, expr.nodes().get(at as usize)?);
+        let folded = self.unbounded(expr, expr.nodes().get(id.index())?);
         self.depth -= 1;
         folded
     }
 
-    fn all(&mut self, expr: &Expr, parts: &[u32]) -> Option<Vec<Folded>> {
-        parts.iter().map(|&p| self.node(expr, p)).collect()
-    }
-
-    /// A node whose parts are folded: its value if they all are values.
-    fn join(&mut self, parts: Vec<Folded>, with: impl Fn(&[u32]) -> Node) -> Option<Folded> {
-        if parts.iter().all(|p| matches!(p, Folded::Value(_))) {
-            let mut nodes: Vec<Node> = parts
-                .into_iter()
-                .filter_map(|p| match p {
-                    Folded::Value(value) => Some(Node::Const(value)),
-                    Folded::Node(_) => None,
-                })
-                .collect();
-            let places: Vec<u32> = (0..nodes.len() as u32).collect();
-            nodes.push(with(&places));
-            let alone = Ad::default();
-            let scope = Scope {
-                my: &alone,
-                target: None,
-                now: 0,
-            };
-            return Some(Folded::Value(scope.evaluate(&Expr { nodes })));
-        }
-        let places: Option<Vec<u32>> = parts.into_iter().map(|p| self.place(p)).collect();
-        let node = with(&places?);
-        self.push(node)
+    fn operands(&mut self, expr: &Expr, operands: &[NodeId]) -> Option<Vec<Folded>> {
+        operands.iter().map(|&id| self.node(expr, id)).collect()
     }
 
-    fn inner(&mut self, expr: &Expr, node: &Node) -> Option<Folded> {
+    fn unbounded(&mut self, expr: &Expr, node: &Node) -> Option<Folded> {
         match node {
-            Node::Const(value) => Some(Folded::Value(value.clone())),
-            Node::Attr(side, name) => match self.my.get(*name) {
+            Node::Constant(value) => Some(Folded::Value(value.clone())),
+            Node::Attribute(side, name) => match self.my.get(*name) {
                 Some(own) if *side != Side::Target => self.node(own, own.root()),
                 _ if *side == Side::My => Some(Folded::Value(Value::Undefined)),
-                _ => self.push(Node::Attr(Side::Target, *name)),
+                _ => self.push_folded(Node::Attribute(Side::Target, *name)),
             },
-            Node::Unary(op, a) => {
-                let parts = self.all(expr, &[*a])?;
-                self.join(parts, |p| Node::Unary(*op, p[0]))
+            Node::Unary(op, operand) => {
+                let operands = self.operands(expr, &[*operand])?;
+                self.join(operands, |ids| Node::Unary(*op, ids[0]))
             }
-            Node::Binary(op, a, b) => {
-                let first = self.node(expr, *a)?;
-                // What the first operand decides, the second is not needed for.
-                let decides = match op {
-                    BinaryOp::And => Some(false),
-                    BinaryOp::Or => Some(true),
-                    _ => None,
-                };
-                if let (Folded::Value(value), Some(decides)) = (&first, decides) {
-                    match (value, value.truth()) {
-                        (Value::Undefined, _) => {}
-                        (_, Some(truth)) if truth != decides => {}
-                        (_, Some(truth)) => return Some(Folded::Value(Value::Bool(truth))),
-                        (_, None) => return Some(Folded::Value(Value::Error)),
-                    }
-                }
-                let second = self.node(expr, *b)?;
-                self.join(vec![first, second], |p| Node::Binary(*op, p[0], p[1]))
+            Node::Binary(op, left, right) => self.binary(expr, *op, *left, *right),
+            Node::Conditional(condition, yes, no) => self.conditional(expr, *condition, *yes, *no),
+            Node::Elvis(value, default) => self.elvis(expr, *value, *default),
+            Node::Call(Function::Time, _) => {
+                self.push_folded(Node::Call(Function::Time, Box::new([])))
             }
-            Node::Choice(a, yes, no) => match self.node(expr, *a)? {
-                Folded::Value(Value::Undefined) => Some(Folded::Value(Value::Undefined)),
-                Folded::Value(value) => match value.truth() {
-                    Some(true) => self.node(expr, *yes),
-                    Some(false) => self.node(expr, *no),
-                    None => Some(Folded::Value(Value::Error)),
-                },
-                condition => {
-                    let (yes, no) = (self.node(expr, *yes)?, self.node(expr, *no)?);
-                    self.join(vec![condition, yes, no], |p| Node::Choice(p[0], p[1], p[2]))
-                }
-            },
-            Node::Elvis(a, b) => match self.node(expr, *a)? {
-                Folded::Value(Value::Undefined) => self.node(expr, *b),
-                Folded::Value(value) => Some(Folded::Value(value)),
-                first => {
-                    let second = self.node(expr, *b)?;
-                    self.join(vec![first, second], |p| Node::Elvis(p[0], p[1]))
-                }
-            },
-            Node::Call(Function::Time, _) => self.push(Node::Call(Function::Time, Box::new([]))),
-            Node::Call(function, parts) => {
-                let parts = self.all(expr, parts)?;
-                self.join(parts, |p| Node::Call(*function, p.into()))
+            Node::Call(function, arguments) => {
+                let arguments = self.operands(expr, arguments)?;
+                self.join(arguments, |ids| Node::Call(*function, ids.into()))
             }
-            Node::List(parts) => {
-                let parts = self.all(expr, parts)?;
-                self.join(parts, |p| Node::List(p.into()))
+            Node::List(items) => {
+                let items = self.operands(expr, items)?;
+                self.join(items, |ids| Node::List(ids.into()))
             }
-            // Its names mean each other first: left as it is, and with it the whole.
+            // The names in it refer to its own attributes first.
             Node::Ad(_) => None,
-            Node::Index(a, b) => {
-                let parts = self.all(expr, &[*a, *b])?;
-                self.join(parts, |p| Node::Index(p[0], p[1]))
+            Node::Index(list, index) => {
+                let operands = self.operands(expr, &[*list, *index])?;
+                self.join(operands, |ids| Node::Index(ids[0], ids[1]))
             }
-            Node::Select(a, name) => {
-                let parts = self.all(expr, &[*a])?;
-                self.join(parts, |p| Node::Select(p[0], *name))
+            Node::Select(ad, name) => {
+                let operands = self.operands(expr, &[*ad])?;
+                self.join(operands, |ids| Node::Select(ids[0], *name))
             }
         }
     }
+
+    fn binary(&mut self, expr: &Expr, op: BinaryOp, left: NodeId, right: NodeId) -> Option<Folded> {
+        let left = self.node(expr, left)?;
+        if let Folded::Value(value) = &left
+            && let Some(result) = decided_by_first(op, value)
+        {
+            return Some(Folded::Value(result));
+        }
+        let right = self.node(expr, right)?;
+        self.join(vec![left, right], |ids| Node::Binary(op, ids[0], ids[1]))
+    }
+
+    fn conditional(
+        &mut self,
+        expr: &Expr,
+        condition: NodeId,
+        yes: NodeId,
+        no: NodeId,
+    ) -> Option<Folded> {
+        match self.node(expr, condition)? {
+            Folded::Value(Value::Undefined) => Some(Folded::Value(Value::Undefined)),
+            Folded::Value(value) => match value.truth() {
+                Some(true) => self.node(expr, yes),
+                Some(false) => self.node(expr, no),
+                None => Some(Folded::Value(Value::Error)),
+            },
+            condition @ Folded::Node(_) => {
+                let (yes, no) = (self.node(expr, yes)?, self.node(expr, no)?);
+                self.join(vec![condition, yes, no], |ids| {
+                    Node::Conditional(ids[0], ids[1], ids[2])
+                })
+            }
+        }
+    }
+
+    fn elvis(&mut self, expr: &Expr, value: NodeId, default: NodeId) -> Option<Folded> {
+        match self.node(expr, value)? {
+            Folded::Value(Value::Undefined) => self.node(expr, default),
+            Folded::Value(value) => Some(Folded::Value(value)),
+            value @ Folded::Node(_) => {
+                let default = self.node(expr, default)?;
+                self.join(vec![value, default], |ids| Node::Elvis(ids[0], ids[1]))
+            }
+        }
+    }
+
+    /// The node that `build` makes of these operands' positions; its value if all of the
+    /// operands are values.
+    fn join(&mut self, operands: Vec<Folded>, build: impl Fn(&[NodeId]) -> Node) -> Option<Folded> {
+        let depends_on_target = operands
+            .iter()
+            .any(|operand| matches!(operand, Folded::Node(_)));
+        if depends_on_target {
+            let ids: Option<Vec<NodeId>> = operands
+                .into_iter()
+                .map(|operand| self.position(operand))
+                .collect();
+            return self.push_folded(build(&ids?));
+        }
+        let mut nodes: Vec<Node> = operands
+            .into_iter()
+            .filter_map(|operand| match operand {
+                Folded::Value(value) => Some(Node::Constant(value)),
+                Folded::Node(_) => None,
+            })
+            .collect();
+        let ids: Vec<NodeId> = (0..nodes.len() as u32).map(NodeId).collect();
+        nodes.push(build(&ids));
+        let no_ad = Ad::default();
+        let scope = Scope {
+            my: &no_ad,
+            target: None,
+            now: 0,
+        };
+        Some(Folded::Value(scope.evaluate(&Expr { nodes })))
+    }
+}
+
+/// The result of `&&` or `||` if its first operand alone decides it.
+fn decided_by_first(op: BinaryOp, first: &Value) -> Option<Value> {
+    let decisive = match op {
+        BinaryOp::And => false,
+        BinaryOp::Or => true,
+        _ => return None,
+    };
+    match (first, first.truth()) {
+        (Value::Undefined, _) => None,
+        (_, Some(truth)) if truth != decisive => None,
+        (_, Some(truth)) => Some(Value::Bool(truth)),
+        (_, None) => Some(Value::Error),
+    }
 }
--- a/crates/cherryyard-classad/src/lib.rs
+++ b/crates/cherryyard-classad/src/lib.rs
@@ -1,24 +1,34 @@
 //! ClassAd expressions, the language of HTCondor's `requirements` and `rank`.
 //!
-//! An expression is parsed once ([`Expr::parse`]) into a flat form whose names are
-//! dense indices ([`Names`]); evaluating it ([`Scope::evaluate`]) allocates nothing
-//! for numbers and booleans, and ends in `error` rather than go too deep or too long.
-//! [`fold`] replaces what depends on one ad alone by its value, so that a match over
-//! many machines costs what depends on them. `docs/condor.md` says which published
-//! language this is.
+//! An expression is parsed once ([`Expr::parse`]) into a flat list of nodes whose
+//! attribute names are interned ([`Names`]). Evaluating it ([`Scope::evaluate`])
+//! allocates nothing for numbers and booleans; an evaluation that goes too deep or takes
+//! too many steps yields `error`. [`fold`] evaluates in advance what depends on one ad
+//! alone, so that matching against many machines costs only what depends on them.
+//! `docs/condor.md` says which published version of the language this is.
+//!
+//! The modules in the order of their dependencies: `names`, `value`, `operator` and
+//! `function` are the vocabulary; `expr` and `ad` the syntax tree; `parse` and `print`
+//! convert it from and to text; `builtins`, `eval` and `fold` give it its meaning.
 
+mod ad;
+mod builtins;
 mod eval;
 mod expr;
 mod fold;
-mod functions;
+mod function;
 mod names;
+mod operator;
 mod parse;
+mod print;
 mod value;
 
+pub use ad::Ad;
 pub use eval::Scope;
-pub use expr::{Ad, BinaryOp, Expr, Node, Side, UnaryOp};
+pub use expr::{Expr, Node, NodeId, Side};
 pub use fold::fold;
-pub use functions::Function;
-pub use names::Names;
-pub use parse::ParseError;
+pub use function::{Function, UnknownFunction};
+pub use names::{NameId, Names};
+pub use operator::{BinaryOp, UnaryOp};
+pub use parse::{ParseError, ParseErrorKind};
 pub use value::Value;
--- a/crates/cherryyard-classad/src/names.rs
+++ b/crates/cherryyard-classad/src/names.rs
@@ -1,33 +1,37 @@
-//! Attribute names as dense indices, whatever their case.
+//! Interning of attribute names, which are compared without regard to case.
 
 use indexmap::IndexMap;
 
-/// Gives each name an index, in order of first sight; case does not matter.
+/// An interned attribute name; meaningful only with the [`Names`] that issued it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct NameId(pub(crate) u32);
+
+/// Interns attribute names: spellings that differ in case only share one id.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// By name in lower case: as it was first spelled.
-    all: IndexMap<String, String>,
+    /// The first spelling of each name, by the name in lower case.
+    spellings: IndexMap<String, String>,
 }
 
 impl Names {
-    /// The index of `name`, new if it was unknown.
-    pub fn intern(&mut self, name: &str) -> u32 {
-        let entry = self.all.entry(name.to_ascii_lowercase());
+    /// The id of `name`; a new one if the name was unknown.
+    pub fn intern(&mut self, name: &str) -> NameId {
+        let entry = self.spellings.entry(name.to_ascii_lowercase());
         let index = entry.index();
         entry.or_insert_with(|| name.to_string());
-        index as u32
+        NameId(index as u32)
     }
 
-    /// The index of `name`, if it is known.
-    pub fn get(&self, name: &str) -> Option<u32> {
-        let index = self.all.get_index_of(&name.to_ascii_lowercase())?;
-        Some(index as u32)
+    /// The id of `name`, if it is known.
+    pub fn get(&self, name: &str) -> Option<NameId> {
+        let index = self.spellings.get_index_of(&name.to_ascii_lowercase())?;
+        Some(NameId(index as u32))
     }
 
-    /// The name at `index`, as it was first spelled.
-    pub fn name(&self, index: u32) -> &str {
-        self.all
-            .get_index(index as usize)
-            .map_or("", |(_, spelled)| spelled)
+    /// The name with this id, as it was first spelled; empty for an id issued elsewhere.
+    pub fn name(&self, id: NameId) -> &str {
+        self.spellings
+            .get_index(id.0 as usize)
+            .map_or("", |(_, spelling)| spelling)
     }
 }
--- a/crates/cherryyard-classad/src/value.rs
+++ b/crates/cherryyard-classad/src/value.rs
@@ -1,5 +1,6 @@
-//! Values, and what operators do to them.
+//! Values, and how they convert and compare.
 
+use crate::names::NameId;
 use std::cmp::Ordering;
 use std::fmt;
 use std::sync::Arc;
@@ -7,39 +8,39 @@
 /// What an expression evaluates to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// An attribute that is not there, or what depends on one.
+    /// The value of a missing attribute, and of most expressions that depend on one.
     Undefined,
-    /// What makes no sense.
+    /// The result of an operation that does not apply to its operands.
     Error,
     /// True or false.
     Bool(bool),
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// A number with a fraction.
+    /// A floating-point number.
     Real(f64),
-    /// Text.
+    /// A string.
     Str(Arc<str>),
     /// A list.
     List(Arc<[Value]>),
-    /// A nested ad, evaluated: names by index.
-    Ad(Arc<[(u32, Value)]>),
+    /// A nested ad whose attributes have been evaluated.
+    Ad(Arc<[(NameId, Value)]>),
 }
 
-/// Two numbers of one sort.
-pub(crate) enum Pair {
+/// Two operands converted to a common numeric type.
+pub(crate) enum NumericPair {
     Ints(i64, i64),
     Reals(f64, f64),
 }
 
 impl Value {
-    /// Text as a value.
+    /// A string value.
     pub fn text(text: &str) -> Self {
         Self::Str(text.into())
     }
 
-    /// `error` if either is, else `undefined` if either is: what strict operators
-    /// give without looking further.
-    pub(crate) fn strict(&self, other: &Self) -> Option<Self> {
+    /// The result of a strict operator with an exceptional operand: `error` if either
+    /// operand is, else `undefined` if either is; `None` if both are ordinary values.
+    pub(crate) fn exceptional_with(&self, other: &Self) -> Option<Self> {
         match (self, other) {
             (Self::Error, _) | (_, Self::Error) => Some(Self::Error),
             (Self::Undefined, _) | (_, Self::Undefined) => Some(Self::Undefined),
@@ -47,7 +48,8 @@
         }
     }
 
-    /// As a truth value: numbers count as true unless they are 0.
+    /// The value as a condition: numbers are true unless they are 0; `None` for values
+    /// that cannot be a condition.
     pub fn truth(&self) -> Option<bool> {
         match self {
             Self::Bool(b) => Some(*b),
@@ -57,7 +59,7 @@
         }
     }
 
-    /// As a whole number, where it is one; booleans are 0 and 1.
+    /// The value as an integer, if it is one; booleans are 0 and 1.
     pub fn int(&self) -> Option<i64> {
         match self {
             Self::Bool(b) => Some(i64::from(*b)),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// As a number; booleans are 0 and 1.
+    /// The value as a number; booleans are 0 and 1.
     pub fn real(&self) -> Option<f64> {
         match self {
             Self::Real(x) => Some(*x),
@@ -74,50 +76,52 @@
         }
     }
 
-    /// Both as numbers of one sort, whole ones if both are.
-    pub(crate) fn numbers(&self, other: &Self) -> Option<Pair> {
+    /// Both operands as numbers of one type: integers if both are, reals otherwise.
+    pub(crate) fn numeric_pair(&self, other: &Self) -> Option<NumericPair> {
         match (self.int(), other.int()) {
-            (Some(a), Some(b)) => Some(Pair::Ints(a, b)),
-            _ => Some(Pair::Reals(self.real()?, other.real()?)),
+            (Some(a), Some(b)) => Some(NumericPair::Ints(a, b)),
+            _ => Some(NumericPair::Reals(self.real()?, other.real()?)),
         }
     }
 
-    /// How the two compare by `<` and its kin: numbers by size, texts without
-    /// regard to case; others do not.
-    pub(crate) fn order(&self, other: &Self) -> Option<Ordering> {
+    /// The order that `<` and the other comparisons use: numbers by size, strings without
+    /// regard to case; `None` if the two cannot be compared.
+    pub(crate) fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
-            (Self::Str(a), Self::Str(b)) => {
-                let lower = |s: &str| {
-                    s.bytes()
-                        .map(|b| b.to_ascii_lowercase())
-                        .collect::<Vec<_>>()
-                };
-                Some(if a.eq_ignore_ascii_case(b) {
-                    Ordering::Equal
-                } else {
-                    lower(a).cmp(&lower(b))
-                })
-            }
-            _ => match self.numbers(other)? {
-                Pair::Ints(a, b) => Some(a.cmp(&b)),
-                Pair::Reals(a, b) => a.partial_cmp(&b),
+            (Self::Str(a), Self::Str(b)) => Some(compare_ignoring_case(a, b)),
+            _ => match self.numeric_pair(other)? {
+                NumericPair::Ints(a, b) => Some(a.cmp(&b)),
+                NumericPair::Reals(a, b) => a.partial_cmp(&b),
             },
         }
     }
 
-    /// Whether the two are the same, sort and case included (`=?=`).
+    /// Whether both have the same type and value, with regard to case (`=?=`).
     pub fn identical(&self, other: &Self) -> bool {
         match (self, other) {
-            // Not itself, as numbers go.
+            // NaN is not identical to itself.
             (Self::Real(a), Self::Real(b)) => a == b,
             _ => self == other,
         }
     }
 }
 
+fn compare_ignoring_case(a: &str, b: &str) -> Ordering {
+    let lower_case = |text: &str| -> Vec<u8> {
+        let bytes = text.bytes();
+        bytes.map(|byte| byte.to_ascii_lowercase()).collect()
+    };
+    // Equality is the usual question, and needs no copies.
+    if a.eq_ignore_ascii_case(b) {
+        Ordering::Equal
+    } else {
+        lower_case(a).cmp(&lower_case(b))
+    }
+}
+
 impl fmt::Display for Value {
-    /// As an expression that gives the value again; a nested ad's names are not
-    /// known here and stand as numbers.
+    /// Writes an expression that evaluates to the value; the names of a nested ad are
+    /// not known here and appear by number.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Undefined => write!(f, "undefined"),
@@ -130,18 +134,19 @@
                 write!(f, "real(\"{}INF\")", if *x < 0.0 { "-" } else { "" })
             }
             Self::Real(x) => write!(f, "{x:?}"),
-            Self::Str(s) => write_text(f, s, '"'),
-            Self::List(all) => {
+            Self::Str(text) => write_quoted(f, text, '"'),
+            Self::List(items) => {
                 write!(f, "{{")?;
-                for (i, v) in all.iter().enumerate() {
-                    write!(f, "{}{v}", if i > 0 { ", " } else { "" })?;
+                for (i, item) in items.iter().enumerate() {
+                    write!(f, "{}{item}", if i > 0 { ", " } else { "" })?;
                 }
                 write!(f, "}}")
             }
-            Self::Ad(all) => {
+            Self::Ad(attributes) => {
                 write!(f, "[")?;
-                for (i, (name, v)) in all.iter().enumerate() {
-                    write!(f, "{}a{name} = {v}", if i > 0 { "; " } else { "" })?;
+                for (i, (name, value)) in attributes.iter().enumerate() {
+                    let separator = if i > 0 { "; " } else { "" };
+                    write!(f, "{separator}a{} = {value}", name.0)?;
                 }
                 write!(f, "]")
             }
@@ -149,18 +154,18 @@
     }
 }
 
-/// Text between quotes, with what must be escaped.
-pub(crate) fn write_text(f: &mut impl fmt::Write, text: &str, quote: char) -> fmt::Result {
-    write!(f, "{quote}")?;
+/// Writes text between quotes, with escapes where the language needs them.
+pub(crate) fn write_quoted(out: &mut impl fmt::Write, text: &str, quote: char) -> fmt::Result {
+    write!(out, "{quote}")?;
     for c in text.chars() {
         match c {
-            '\n' => write!(f, "\\n")?,
-            '\t' => write!(f, "\\t")?,
-            '\r' => write!(f, "\\r")?,
-            c if c == quote || c == '\\' => write!(f, "\\{c}")?,
-            c if (c as u32) < 32 => write!(f, "\\{:03o}", c as u32)?,
-            c => write!(f, "{c}")?,
+            '\n' => write!(out, "\\n")?,
+            '\t' => write!(out, "\\t")?,
+            '\r' => write!(out, "\\r")?,
+            c if c == quote || c == '\\' => write!(out, "\\{c}")?,
+            c if (c as u32) < 32 => write!(out, "\\{:03o}", c as u32)?,
+            c => write!(out, "{c}")?,
         }
     }
-    write!(f, "{quote}")
+    write!(out, "{quote}")
 }
--- a/crates/cherryyard-classad/tests/language.rs
+++ b/crates/cherryyard-classad/tests/language.rs
@@ -227,7 +227,7 @@
 #[test]
 fn hostile_texts_are_refused() {
     let mut names = Names::default();
-    let mut error = |text: &str| Expr::parse(text, &mut names).unwrap_err().what;
+    let mut error = |text: &str| Expr::parse(text, &mut names).unwrap_err().kind.to_string();
     let deep = format!("{}1{}", "(".repeat(10_000), ")".repeat(10_000));
     assert_eq!(error(&deep), "nested too deep");
     assert_eq!(error(&"[a=".repeat(5000)), "nested too deep");
--- a/crates/cherryyard-condor/src/job.rs
+++ b/crates/cherryyard-condor/src/job.rs
@@ -33,7 +33,7 @@
 
     fn parse(&self, name: &str, text: &str, names: &mut Names) -> Read<Expr> {
         Expr::parse(text, names).map_err(|e| {
-            let mut error = self.bad(name, &e.what);
+            let mut error = self.bad(name, &e.kind);
             // To the column, where the text stands in the file as it is.
             let place = &self.commands[name].0;
             let here = place.file.text.get(place.at..).unwrap_or("");
@@ -47,7 +47,7 @@
                     at: at.min(place.file.text.len()),
                     len: 1,
                 };
-                error = spot.error(format!("{name}: {}", e.what));
+                error = spot.error(format!("{name}: {}", e.kind));
             }
             error
         })
