--- a/crates/cherryyard-classad/src/parse/limits.rs
+++ b/crates/cherryyard-classad/src/parse/limits.rs
@@ -69,8 +69,6 @@
     }
 
     fn is_too_deep(&self) -> bool {
-        [self.brackets, self.signs, self.conditionals]
-            .into_iter()
-            .any(|depth| depth > MAX_DEPTH)
+        self.brackets > MAX_DEPTH || self.signs > MAX_DEPTH || self.conditionals > MAX_DEPTH
     }
 }
