--- a/crates/cherryyard-history/src/lib.rs
+++ b/crates/cherryyard-history/src/lib.rs
@@ -11,11 +11,11 @@
 //! and the finder's cache. `docs/history.md` has the ways weighed and the proofs.
 
 mod cache;
+mod compactor;
 mod leaf;
-mod packer;
 
 pub use cache::{Answer, Cache};
+pub use compactor::{Limits, Packer, Phase, Step, Write};
 pub use leaf::{Leaf, Past, fold};
-pub use packer::{Limits, Packer, Phase, Step, Write};
 
 pub use cherryyard_wire::history::{LAST, Level, leaf_key, leaf_of_key, since_key};
