--- a/crates/cherryyard-core/src/leader/packing.rs
+++ b/crates/cherryyard-core/src/leader/packing.rs
@@ -5,7 +5,9 @@
 
 use super::*;
 use crate::pace::Pace;
-use cherryyard_history::{Limits, Packer, Past, Step, Write};
+use cherryyard_history::{
+    Compactor, FinishedJob, Leaf, Limits, Precondition, ReadFailed, Step, StoredLeaf, Transaction,
+};
 use cherryyard_wire::history::{LeafRecord, Level};
 use cherryyard_wire::record::BUCKETS;
 
@@ -34,7 +36,7 @@
 /// The leader's packer and its pace.
 #[derive(Debug)]
 pub(crate) struct Packing {
-    packer: Packer,
+    packer: Compactor,
     pace: Pace,
     /// Reads of leaves: a fold that is done again finds what it would write there
     /// already, and would read leaf after leaf without a pause.
@@ -48,7 +50,7 @@
 impl Packing {
     pub(crate) fn new(config: &crate::Config, now: Millis) -> Self {
         Self {
-            packer: Packer::new(Limits {
+            packer: Compactor::new(Limits {
                 leaf_bytes: config.page_bytes,
                 txn_ops: config.txn_ops,
                 small_run: SPILL_BATCHES * config.tuning.history_batch as u64,
@@ -166,8 +168,8 @@
                         e.generation > record.gen_done && e.generation <= done
                     }
                 });
-                let jobs: Vec<Past> = ends
-                    .map(|(job, e)| Past {
+                let jobs: Vec<FinishedJob> = ends
+                    .map(|(job, e)| FinishedJob {
                         job,
                         end: e.end,
                         done: if e.end == End::Done { e.n } else { 0 },
@@ -206,11 +208,11 @@
         self.effects.push(Effect::Commit(Ticket::Packer, commit));
     }
 
-    fn packer_commit(&self, write: Write) -> Commit {
+    fn packer_commit(&self, write: Transaction) -> Commit {
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Lead);
-        for (key, stamp) in write.when {
-            commit.require(key, stamp);
+        for Precondition { key, revision } in write.preconditions {
+            commit.require(key, revision);
         }
         for (key, leaf) in write.put {
             commit.apply.push(Apply::set(key, &leaf));
@@ -262,15 +264,19 @@
         }
         self.leader.packing.under = Under::Nothing;
         let leaf = match answer {
-            Ok(Some((last, stamp, record))) => match cherryyard_history::Leaf::of_record(&record) {
-                Ok(leaf) => Ok(Some((last, stamp, leaf))),
+            Ok(Some((last, stamp, record))) => match Leaf::from_record(&record) {
+                Ok(leaf) => Ok(Some(StoredLeaf {
+                    last,
+                    revision: stamp,
+                    leaf,
+                })),
                 Err(e) => {
                     tracing::error!(last, "a bad leaf of the history, left as it is: {e}");
-                    Err(())
+                    Err(ReadFailed)
                 }
             },
             Ok(None) => Ok(None),
-            Err(()) => Err(()),
+            Err(()) => Err(ReadFailed),
         };
         let packing = &mut self.leader.packing;
         if leaf.is_err() {
--- a/crates/cherryyard-history/src/cache.rs
+++ b/crates/cherryyard-history/src/cache.rs
@@ -1,108 +1,118 @@
-//! Leaves lately read, so that polls of old jobs and of unknown ones cost little.
+//! Recently read leaves, which make repeated look-ups of old and of unknown jobs cheap.
 
-use crate::leaf::{Leaf, Past};
+use crate::leaf::{FinishedJob, Leaf};
 use cherryyard_wire::history::Level;
 use lru::LruCache;
 use std::collections::BTreeSet;
 
-/// A leaf as it was read.
+/// What a leaf costs beside its jobs, in jobs' entries: an empty one costs something too.
+const LEAF_OVERHEAD: usize = 8;
+
+/// A leaf, as it was read.
 #[derive(Clone, Debug)]
-struct Read {
-    /// The ids that it covers: from here to the last of its key.
-    from: u64,
-    /// The revision that it was read at.
-    epoch: u64,
+struct CachedLeaf {
+    /// The first job number that the read covered; the last is that of the leaf's key.
+    first: u64,
+    /// The revision at which it was read.
+    revision: u64,
     leaf: Leaf,
 }
 
-/// What the cache says of a job.
+/// What the cache knows about a job in one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// It is over.
-    Over(Past),
+pub enum Lookup {
+    /// It is finished.
+    Finished(FinishedJob),
     /// It is not in this run, as of this revision.
     Absent(u64),
-    /// Its leaf is not here.
+    /// No leaf that could tell is cached.
     Unknown,
 }
 
-/// Leaves lately read, of both runs, within a bound of jobs.
+/// Recently read leaves of both runs, up to a bound on their jobs.
 ///
-/// A job found in a leaf is over for ever, however old the leaf. That a job is
-/// *not* in a leaf holds only while nothing has moved since it was read: see
-/// [`Cache::look`].
+/// A job found in a leaf stays finished, however old the leaf is. That a job is *not* in
+/// a leaf holds only until the history changes: see [`LeafCache::look_up`].
 #[derive(Debug)]
-pub struct Cache {
-    /// By run and last id, the least recently used first to go.
-    leaves: LruCache<(Level, u64), Read>,
+pub struct LeafCache {
+    /// By run and last job number; the least recently used is evicted first.
+    leaves: LruCache<(Level, u64), CachedLeaf>,
     /// The same keys in order.
     order: BTreeSet<(Level, u64)>,
     jobs: usize,
-    most: usize,
+    capacity: usize,
 }
 
-impl Cache {
-    /// A cache of at most `most` jobs' entries, 24 bytes each.
-    pub fn new(most: usize) -> Self {
+impl LeafCache {
+    /// A cache of at most `capacity` jobs' entries, 24 bytes each.
+    pub fn new(capacity: usize) -> Self {
         Self {
             leaves: LruCache::unbounded(),
             order: BTreeSet::new(),
             jobs: 0,
-            most,
+            capacity,
         }
     }
 
-    /// What is known of a job in one run. `moved` is the revision at which the
-    /// history last moved (its record's stamp): a leaf read before it may lack what
-    /// has come into it since, so its silence tells nothing.
-    pub fn look(&mut self, level: Level, job: u64, moved: u64) -> Answer {
+    /// What is known about a job in one run. `changed_at` is the revision at which the
+    /// history last changed, that of its record: a leaf read before it may lack jobs that
+    /// have been added since, so the job's absence from it proves nothing.
+    pub fn look_up(&mut self, level: Level, job: u64, changed_at: u64) -> Lookup {
         let Some(&key) = self.order.range((level, job)..=(level, u64::MAX)).next() else {
-            return Answer::Unknown;
+            return Lookup::Unknown;
         };
-        let Some(read) = self.leaves.get(&key) else {
-            return Answer::Unknown;
+        let Some(cached) = self.leaves.get(&key) else {
+            return Lookup::Unknown;
         };
-        match read.leaf.find(job) {
-            Some(past) => Answer::Over(*past),
-            None if job >= read.from && read.epoch >= moved => Answer::Absent(read.epoch),
-            None => Answer::Unknown,
+        match cached.leaf.find(job) {
+            Some(finished) => Lookup::Finished(*finished),
+            None if job >= cached.first && cached.revision >= changed_at => {
+                Lookup::Absent(cached.revision)
+            }
+            None => Lookup::Unknown,
         }
     }
 
-    /// Takes a leaf that covers the ids from `from` to `last`, read at `epoch`.
-    pub fn put(&mut self, level: Level, from: u64, last: u64, epoch: u64, leaf: Leaf) {
-        // An empty leaf costs something too.
-        let size = |leaf: &Leaf| leaf.jobs().len() + 8;
-        self.jobs += size(&leaf);
-        let mut read = Read { from, epoch, leaf };
+    /// Adds a leaf that covers the job numbers from `first` to `last`, read at `revision`.
+    pub fn put(&mut self, level: Level, first: u64, last: u64, revision: u64, leaf: Leaf) {
+        self.jobs += cost(&leaf);
+        let mut added = CachedLeaf {
+            first,
+            revision,
+            leaf,
+        };
         let key = (level, last);
-        if let Some(before) = self.leaves.pop(&key) {
-            self.jobs -= size(&before.leaf);
-            // What covered more, as late as this one, still does.
-            if before.epoch >= epoch {
-                read.from = read.from.min(before.from);
+        if let Some(replaced) = self.leaves.pop(&key) {
+            self.jobs -= cost(&replaced.leaf);
+            // A read at least as recent as this one, of more of the leaf, still covers it.
+            if replaced.revision >= revision {
+                added.first = added.first.min(replaced.first);
             }
         }
-        self.leaves.put(key, read);
+        self.leaves.put(key, added);
         self.order.insert(key);
-        while self.jobs > self.most
-            && let Some((key, gone)) = self.leaves.pop_lru()
+        while self.jobs > self.capacity
+            && let Some((key, evicted)) = self.leaves.pop_lru()
         {
             self.order.remove(&key);
-            self.jobs -= size(&gone.leaf);
+            self.jobs -= cost(&evicted.leaf);
         }
     }
 
-    /// How many jobs' entries it holds.
+    /// How many jobs' entries it holds, with the overhead of their leaves.
     pub fn len(&self) -> usize {
         self.jobs
     }
 
-    /// Whether it holds nothing.
+    /// Whether it holds no leaf.
     pub fn is_empty(&self) -> bool {
         self.leaves.is_empty()
     }
 }
 
+fn cost(leaf: &Leaf) -> usize {
+    leaf.jobs().len() + LEAF_OVERHEAD
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/cherryyard-history/src/lib.rs
+++ b/crates/cherryyard-history/src/lib.rs
@@ -1,21 +1,25 @@
-//! The history of jobs that are over.
+//! The history of finished jobs.
 //!
-//! It stands in the state service as two sorted runs of *leaves*, outside the
-//! prefix that controllers watch: a small run into which batches of ends are
-//! folded, and a large one into which the small one is spilled now and then. A
-//! leaf's key is the last id that it may hold, so the service's own order of keys
-//! is the index: one range read with a page of 1 finds the leaf of any id, however
-//! many there are, and nothing of it is kept in memory or read at a start.
+//! It is stored in the state service as two sorted runs of *leaves*, as in a log-structured
+//! merge tree, outside the prefix that controllers watch: a small run into which batches of
+//! finished jobs are archived, and a large run into which the small one is compacted when
+//! it has grown. A leaf's key is the last job number that it may hold, so the service's own
+//! order of keys is the index: a range read limited to one key finds the leaf of any job,
+//! however many there are, and no index is kept in memory or read at a start.
 //!
-//! Everything here is pure: keys, codecs, the packer (what to read and write next)
-//! and the finder's cache. `docs/history.md` has the ways weighed and the proofs.
+//! Everything here is pure and does no I/O: keys, the codec of leaves ([`Leaf`]), the state
+//! machine that says what to read and write next ([`Compactor`]), and the cache of leaves
+//! for look-ups ([`LeafCache`]). `docs/history.md` has the alternatives and the proofs.
 
 mod cache;
 mod compactor;
 mod leaf;
 
-pub use cache::{Answer, Cache};
-pub use compactor::{Limits, Packer, Phase, Step, Write};
-pub use leaf::{Leaf, Past, fold};
+pub use cache::{LeafCache, Lookup};
+pub use compactor::{
+    Batch, Compactor, Limits, Phase, Precondition, ReadFailed, Step, StoredLeaf, StoredLeafKey,
+    Transaction,
+};
+pub use leaf::{FinishedJob, Leaf, LeafError};
 
 pub use cherryyard_wire::history::{LAST, Level, leaf_key, leaf_of_key, since_key};
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -1,7 +1,9 @@
-//! The packer against a store: every cut, every reader, late transactions.
+//! The compactor against a store: every cut, every reader, late transactions.
 
-use cherryyard_history::{Leaf, Level, Limits, Packer, Past, Phase, Step, Write};
-use cherryyard_history::{leaf_key, leaf_of_key};
+use cherryyard_history::{
+    Compactor, FinishedJob, Leaf, Level, Limits, Phase, ReadFailed, Step, StoredLeaf, Transaction,
+    leaf_key, leaf_of_key,
+};
 use cherryyard_wire::history::{LeafRecord, PackedRecord};
 use cherryyard_wire::record::End;
 use std::collections::BTreeMap;
@@ -17,9 +19,12 @@
 }
 
 impl Store {
-    fn apply(&mut self, write: &Write, lead: u64, record_stamp: u64) -> bool {
+    fn apply(&mut self, write: &Transaction, lead: u64, record_stamp: u64) -> bool {
         let stamp = |key: &str| self.leaves.get(key).map_or(0, |l| l.1);
-        let holds = write.when.iter().all(|(key, s)| stamp(key) == *s);
+        let holds = write
+            .preconditions
+            .iter()
+            .all(|p| stamp(&p.key) == p.revision);
         let recorded = write.record.is_none() || self.record.1 == record_stamp;
         if lead != self.lead || !holds || !recorded {
             return false;
@@ -38,15 +43,19 @@
         true
     }
 
-    fn leaf(&self, level: Level, job: u64) -> Option<(u64, u64, Leaf)> {
+    fn leaf(&self, level: Level, job: u64) -> Option<StoredLeaf> {
         let (key, (record, stamp)) = self.leaves.range(leaf_key(level, job)..).next()?;
         let last = leaf_of_key(level, key)?;
-        Some((last, *stamp, Leaf::of_record(record).unwrap()))
+        Some(StoredLeaf {
+            last,
+            revision: *stamp,
+            leaf: Leaf::from_record(record).unwrap(),
+        })
     }
 
     fn has(&self, level: Level, job: u64) -> bool {
         self.leaf(level, job)
-            .is_some_and(|l| l.2.find(job).is_some())
+            .is_some_and(|l| l.leaf.find(job).is_some())
     }
 }
 
@@ -59,8 +68,8 @@
     }
 }
 
-fn batch(round: u64) -> Vec<Past> {
-    let job = |i: u64| Past {
+fn batch(round: u64) -> Vec<FinishedJob> {
+    let job = |i: u64| FinishedJob {
         job: (i * 48_271 + round * 69_621) % 100_003,
         end: if i.is_multiple_of(3) {
             End::Cancelled
@@ -73,10 +82,10 @@
     (0..12).map(job).collect()
 }
 
-/// Folds three batches, the last of which spills, with the leader ending at
+/// Archives three batches, the last of which leads to a compaction, with the leader ending at
 /// transaction `cut` (before it is applied, or after). Returns every state of the
 /// store in turn, the transaction that was held back, and the final store.
-fn play(cut: Option<(usize, bool)>) -> (Vec<Store>, Option<(Write, u64, u64)>, Store) {
+fn play(cut: Option<(usize, bool)>) -> (Vec<Store>, Option<(Transaction, u64, u64)>, Store) {
     let mut store = Store {
         lead: 1,
         ..Store::default()
@@ -84,19 +93,19 @@
     let mut states = vec![store.clone()];
     let mut held = None;
     let mut sent = 0;
-    let mut packer = Packer::new(limits(30));
+    let mut compactor = Compactor::new(limits(30));
     for round in 0..3u64 {
         loop {
-            packer.resume(store.record.0);
-            if packer.is_idle() {
+            compactor.resume(store.record.0);
+            if compactor.is_idle() {
                 if store.record.0.gen_done > round {
                     break;
                 }
-                packer.begin(round + 1, 0, batch(round), 1);
+                compactor.begin(round + 1, 0, batch(round), 1);
             }
-            match packer.step() {
+            match compactor.step() {
                 Step::Nothing => {}
-                Step::Read(level, job) => packer.read(Ok(store.leaf(level, job))),
+                Step::Read(level, job) => compactor.read(Ok(store.leaf(level, job))),
                 Step::Write(write) => {
                     sent += 1;
                     let (lead, stamp) = (store.lead, store.record.1);
@@ -108,9 +117,9 @@
                     if let Some((_, applied)) = ends {
                         held = (!applied).then_some((write, lead, stamp));
                         store.lead += 1;
-                        packer = Packer::new(limits(30));
+                        compactor = Compactor::new(limits(30));
                     } else {
-                        packer.written(true);
+                        compactor.written(true);
                     }
                 }
             }
@@ -120,7 +129,7 @@
 }
 
 /// Whatever the position of a cut, and however a reader's two reads fall between
-/// the packer's writes: a job is found in the small run, then in the large one, as
+/// the compactor's writes: a job is found in the small run, then in the large one, as
 /// soon as the record says that its generation is there. A transaction of the
 /// leader before, held back, changes nothing whenever it arrives.
 #[test]
@@ -161,25 +170,25 @@
 }
 
 /// Reads that fail and transactions that conflict are tried again from what is
-/// there; a packer that stops forgets what it had under way.
+/// there; a compactor that stops forgets what it had under way.
 #[test]
 fn failures_are_tried_again() {
     let mut store = Store {
         lead: 1,
         ..Store::default()
     };
-    let mut packer = Packer::new(limits(1000));
-    packer.begin(1, 0, batch(0), 1);
+    let mut compactor = Compactor::new(limits(1000));
+    compactor.begin(1, 0, batch(0), 1);
     let mut failures = 0;
-    while !packer.is_idle() {
-        match packer.step() {
+    while !compactor.is_idle() {
+        match compactor.step() {
             Step::Nothing => {}
             Step::Read(level, job) => {
                 failures += 1;
-                packer.read(if failures % 2 == 0 {
+                compactor.read(if failures % 2 == 0 {
                     Ok(store.leaf(level, job))
                 } else {
-                    Err(())
+                    Err(ReadFailed)
                 });
             }
             Step::Write(write) => {
@@ -187,18 +196,18 @@
                 let stamp = store.record.1;
                 let applied = store.apply(&write, 1, stamp);
                 // Applied, but the answer was lost.
-                packer.written(applied && failures % 3 == 0);
+                compactor.written(applied && failures % 3 == 0);
             }
         }
         assert!(failures < 500);
     }
     assert!(batch(0).iter().all(|p| store.has(Level::Small, p.job)));
-    packer.begin(2, 0, batch(1), 1);
-    assert!(matches!(packer.step(), Step::Read(..)));
-    packer.stop();
-    assert_eq!(packer.phase(), &Phase::Idle);
-    packer.read(Ok(None));
-    assert_eq!(packer.step(), Step::Nothing);
+    compactor.begin(2, 0, batch(1), 1);
+    assert!(matches!(compactor.step(), Step::Read(..)));
+    compactor.stop();
+    assert_eq!(compactor.phase(), &Phase::Idle);
+    compactor.read(Ok(None));
+    assert_eq!(compactor.step(), Step::Nothing);
 }
 
 /// Writes a job, amortised, at full size: ids of up to 18 digits in no order, leaves
@@ -209,7 +218,7 @@
         lead: 1,
         ..Store::default()
     };
-    let mut packer = Packer::new(Limits {
+    let mut compactor = Compactor::new(Limits {
         leaf_bytes: 4032,
         txn_ops: 8,
         small_run: 32 * 8192,
@@ -217,10 +226,10 @@
     });
     let (mut id, mut jobs) = (1u64, 0);
     for round in 0..72 {
-        let ends: Vec<Past> = (0..8192u64)
+        let ends: Vec<FinishedJob> = (0..8192u64)
             .map(|_| {
                 id = id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-                Past {
+                FinishedJob {
                     job: (id >> 5) % 1_000_000_000_000_000_000,
                     end: End::Done,
                     done: 50,
@@ -229,16 +238,16 @@
             })
             .collect();
         jobs += ends.len();
-        packer.resume(store.record.0);
-        packer.begin(u64::from(round) + 1, 0, ends, 20_000 + round);
-        while !packer.is_idle() {
-            match packer.step() {
+        compactor.resume(store.record.0);
+        compactor.begin(u64::from(round) + 1, 0, ends, 20_000 + round);
+        while !compactor.is_idle() {
+            match compactor.step() {
                 Step::Nothing => {}
-                Step::Read(level, job) => packer.read(Ok(store.leaf(level, job))),
+                Step::Read(level, job) => compactor.read(Ok(store.leaf(level, job))),
                 Step::Write(write) => {
                     let stamp = store.record.1;
                     let applied = store.apply(&write, 1, stamp);
-                    packer.written(applied);
+                    compactor.written(applied);
                 }
             }
         }
@@ -252,39 +261,39 @@
 /// Batches in the leaf of before.
 const OLD_BATCHES: u64 = 14;
 
-/// Folds a batch into a store whose one leaf was written under larger limits; the leader
+/// Archives a batch in a store whose one leaf was written under larger limits; the leader
 /// ends with transaction `cut`, before it is applied or after.
-fn fold_into_a_large_leaf(txn_ops: usize, cut: Option<(usize, bool)>) -> Store {
+fn merge_into_a_large_leaf(txn_ops: usize, cut: Option<(usize, bool)>) -> Store {
     let mut store = Store {
         lead: 1,
         ..Store::default()
     };
-    let old: Vec<Past> = (0..OLD_BATCHES).flat_map(batch).collect();
-    let leaf = Leaf::of(old);
+    let old: Vec<FinishedJob> = (0..OLD_BATCHES).flat_map(batch).collect();
+    let leaf = Leaf::new(old);
     let key = leaf_key(Level::Small, cherryyard_wire::history::LAST);
-    store.leaves.insert(key, (leaf.record(), 1));
+    store.leaves.insert(key, (leaf.to_record(), 1));
     store.epoch = 1;
     let lower = Limits {
         txn_ops,
         ..limits(10_000)
     };
-    let mut packer = Packer::new(lower);
+    let mut compactor = Compactor::new(lower);
     let mut sent = 0;
     for steps in 0.. {
         assert!(steps < 5000, "it never ends");
-        packer.resume(store.record.0);
-        if packer.is_idle() {
+        compactor.resume(store.record.0);
+        if compactor.is_idle() {
             if store.record.0.gen_done > 0 {
                 break;
             }
-            packer.begin(1, 0, batch(50), 1);
+            compactor.begin(1, 0, batch(50), 1);
         }
-        match packer.step() {
+        match compactor.step() {
             Step::Nothing => {}
-            Step::Read(level, job) => packer.read(Ok(store.leaf(level, job))),
+            Step::Read(level, job) => compactor.read(Ok(store.leaf(level, job))),
             Step::Write(write) => {
                 assert!(write.put.len() <= txn_ops, "{} changes", write.put.len());
-                assert!(write.when.len() + 2 <= txn_ops * 4);
+                assert!(write.preconditions.len() + 2 <= txn_ops * 4);
                 let large = |put: &&(String, LeafRecord)| put.1.b.len() > 120;
                 assert_eq!(write.put.iter().find(large), None);
                 sent += 1;
@@ -297,9 +306,9 @@
                 }
                 if ends.is_some() {
                     store.lead += 1;
-                    packer = Packer::new(lower);
+                    compactor = Compactor::new(lower);
                 } else {
-                    packer.written(true);
+                    compactor.written(true);
                 }
             }
         }
@@ -312,10 +321,10 @@
 #[test]
 fn a_leaf_of_larger_limits_is_divided_in_steps() {
     for txn_ops in [2, 4] {
-        let whole = fold_into_a_large_leaf(txn_ops, None);
+        let whole = merge_into_a_large_leaf(txn_ops, None);
         assert!(whole.leaves.len() > 6, "{} leaves", whole.leaves.len());
         for cut in (1..12).flat_map(|n| [(n, false), (n, true)]) {
-            let store = fold_into_a_large_leaf(txn_ops, Some(cut));
+            let store = merge_into_a_large_leaf(txn_ops, Some(cut));
             for past in (0..OLD_BATCHES).chain([50]).flat_map(batch) {
                 assert!(store.has(Level::Small, past.job), "{cut:?}: {}", past.job);
             }
--- a/crates/cherryyard-rehearsal/src/bin/history.rs
+++ b/crates/cherryyard-rehearsal/src/bin/history.rs
@@ -2,7 +2,7 @@
 //! state service with jobs that are over, starts the real program on it over
 //! loopback, and prints a line.
 
-use cherryyard_history::{Leaf, Level, Past, fold, leaf_key};
+use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
 use cherryyard_io::http::Http;
 use cherryyard_rehearsal::http::{Budgets, HttpState};
 use cherryyard_rehearsal::process::{self, Process};
@@ -54,8 +54,8 @@
     program: Option<PathBuf>,
 }
 
-fn past(job: u64) -> Past {
-    Past {
+fn past(job: u64) -> FinishedJob {
+    FinishedJob {
         job,
         end: if job.is_multiple_of(3) {
             End::Cancelled
@@ -170,14 +170,14 @@
     // Leaves as full as folds leave them on average.
     let mut rest = ids.chunks(350).peekable();
     while let Some(chunk) = rest.next() {
-        let jobs: Vec<Past> = chunk.iter().map(|&id| past(id)).collect();
-        let pieces = fold(&Leaf::default(), &jobs, 0, 4032);
+        let jobs: Vec<FinishedJob> = chunk.iter().map(|&id| past(id)).collect();
+        let pieces = Leaf::default().merged_with(&jobs, 0, 4032);
         let count = pieces.len();
         for (i, leaf) in pieces.into_iter().enumerate() {
             let last = leaf.jobs().last().map_or(LAST, |p| p.job);
             let open = rest.peek().is_none() && i + 1 == count;
             let last = if open { LAST } else { last };
-            state.seed(&leaf_key(Level::Large, last), &leaf.record());
+            state.seed(&leaf_key(Level::Large, last), &leaf.to_record());
         }
     }
 }
--- a/crates/cherryyard-rehearsal/src/world/requests.rs
+++ b/crates/cherryyard-rehearsal/src/world/requests.rs
@@ -508,7 +508,7 @@
     fn past_end(&self, job: u64) -> Option<End> {
         Node::LOOK_UP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
-            let leaf = Leaf::of_record(&record).ok()?;
+            let leaf = Leaf::from_record(&record).ok()?;
             leaf.find(job).map(|past| past.end)
         })
     }
--- a/crates/cherryyard-rehearsal/src/world/submitting.rs
+++ b/crates/cherryyard-rehearsal/src/world/submitting.rs
@@ -196,7 +196,7 @@
         let job = job_number(id)?;
         Node::LOOK_UP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
-            let leaf = Leaf::of_record(&record).expect("a good leaf");
+            let leaf = Leaf::from_record(&record).expect("a good leaf");
             leaf.find(job).map(|p| over(job, p.end, p.done))
         })
     }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -7,7 +7,7 @@
 use super::App;
 use super::line::Line;
 use cherryyard_core::Node;
-use cherryyard_history::{Answer, Cache, Leaf, Past};
+use cherryyard_history::{FinishedJob, Leaf, LeafCache, Lookup};
 use cherryyard_wire::history::{LAST, Level};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -38,7 +38,7 @@
 /// What a look-up found, and as of which stamp of the history's record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Found {
-    pub past: Option<Past>,
+    pub past: Option<FinishedJob>,
     pub moved: u64,
 }
 
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(crate) struct LookUps {
     queues: Mutex<Queues>,
-    cache: Mutex<Cache>,
+    cache: Mutex<LeafCache>,
     counts: Mutex<Counts>,
     wanted: Notify,
     rps: f64,
@@ -81,7 +81,7 @@
     pub(crate) fn new(rps: f64, memory_bytes: usize) -> Self {
         Self {
             queues: Mutex::default(),
-            cache: Mutex::new(Cache::new(memory_bytes / 64 / 32)),
+            cache: Mutex::new(LeafCache::new(memory_bytes / 64 / 32)),
             counts: Mutex::default(),
             wanted: Notify::new(),
             rps,
@@ -130,13 +130,13 @@
         let mut cache = lock(&self.history.cache);
         let mut absent = 0;
         for level in Node::LOOK_UP_ORDER {
-            match cache.look(level, job, moved) {
-                Answer::Over(past) => {
+            match cache.look_up(level, job, moved) {
+                Lookup::Finished(past) => {
                     let past = Some(past);
                     return Some(Found { past, moved });
                 }
-                Answer::Absent(_) => absent += 1,
-                Answer::Unknown => {}
+                Lookup::Absent(_) => absent += 1,
+                Lookup::Unknown => {}
             }
         }
         // While jobs go from one run to the other, one may have been missed in both.
@@ -149,21 +149,21 @@
         let (moved_at, spilling) = self.with(|n, _| moved(n));
         let mut small_epoch = 0;
         for level in Node::LOOK_UP_ORDER {
-            let known = lock(&self.history.cache).look(level, job, moved_at);
+            let known = lock(&self.history.cache).look_up(level, job, moved_at);
             match known {
-                Answer::Over(past) => {
+                Lookup::Finished(past) => {
                     return Some(Found {
                         past: Some(past),
                         moved: moved_at,
                     });
                 }
-                Answer::Absent(epoch) if level == Level::Small => {
+                Lookup::Absent(epoch) if level == Level::Small => {
                     small_epoch = epoch;
                     continue;
                 }
                 // As good as read now only if nothing has moved up to the time at
                 // which the small run was read.
-                Answer::Absent(_)
+                Lookup::Absent(_)
                     if !spilling
                         && self.with(|n, _| {
                             n.mirror.packed_stamp == moved_at && n.mirror.epoch >= small_epoch
@@ -171,7 +171,7 @@
                 {
                     continue;
                 }
-                Answer::Absent(_) | Answer::Unknown => {}
+                Lookup::Absent(_) | Lookup::Unknown => {}
             }
             lock(&self.history.counts).reads += 1;
             let (epoch, leaf) = self.state.read_leaf(level, job).await.ok()?;
@@ -180,7 +180,7 @@
             }
             let (last, leaf) = match leaf {
                 Some((last, _, record)) => {
-                    let leaf = Leaf::of_record(&record).map_err(|e| {
+                    let leaf = Leaf::from_record(&record).map_err(|e| {
                         tracing::error!(last, "a bad leaf of the history: {e}");
                     });
                     (last, leaf.ok()?)
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -199,7 +199,7 @@
                 }
                 let (_, leaf) = app.state.read_leaf(level, from).await.ok()?;
                 let Some((last, _, record)) = leaf else { break };
-                let leaf = Leaf::of_record(&record).ok()?;
+                let leaf = Leaf::from_record(&record).ok()?;
                 let block = first..first + jobs;
                 if leaf.jobs().iter().any(|p| block.contains(&p.job)) {
                     first = last + 1;
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -1,7 +1,7 @@
 //! The real program on a stand-in of the state service over loopback: old jobs,
 //! unknown ones, and floods of polls for them.
 
-use cherryyard_history::{Leaf, Level, Past, leaf_key};
+use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
 use cherryyard_rehearsal::http::{Budgets, HttpState};
 use cherryyard_rehearsal::process::{self, Client, Process};
 use cherryyard_rehearsal::{StateStandIn, World, small_kind};
@@ -33,14 +33,14 @@
         ..PackedRecord::default()
     };
     state.seed(PACKED, &record);
-    let past = |job| Past {
+    let past = |job| FinishedJob {
         job,
         end: if job == 20 { End::Cancelled } else { End::Done },
         done: 4,
         day: 1,
     };
-    let leaf = Leaf::of([10, 20, 30].map(past).to_vec());
-    state.seed(&leaf_key(Level::Large, LAST), &leaf.record());
+    let leaf = Leaf::new([10, 20, 30].map(past).to_vec());
+    state.seed(&leaf_key(Level::Large, LAST), &leaf.to_record());
     state
 }
 
