--- a/crates/cherryyard-history/tests/model.rs
+++ b/crates/cherryyard-history/tests/model.rs
@@ -1,4 +1,4 @@
-//! A model of how jobs are submitted, ended, folded into the history and dropped
+//! A model of how jobs are submitted, ended, archived in the history and dropped
 //! from the watched records, checked over every interleaving: two controllers whose
 //! mirrors lag, transactions that are applied as late as can be, a change of the
 //! leader in between, one job that is submitted again and again, one that is
@@ -18,13 +18,13 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Watched {
     job: Entry,
-    job_stamp: u8,
+    job_revision: u8,
     gen_now: u8,
     gen_done: u8,
-    record_stamp: u8,
-    lead: u8,
-    lead_stamp: u8,
-    epoch: u8,
+    record_revision: u8,
+    leader: u8,
+    leader_revision: u8,
+    revision: u8,
 }
 
 /// A transaction that was sent and may be applied at any later time.
@@ -32,42 +32,42 @@
 enum Sent {
     /// Depends on the job's record and on the history's, as they were.
     Submit {
-        job_stamp: u8,
-        record_stamp: u8,
+        job_revision: u8,
+        record_revision: u8,
     },
     /// The same; the end carries the generation that its writer knew.
     End {
-        job_stamp: u8,
-        record_stamp: u8,
+        job_revision: u8,
+        record_revision: u8,
         cancelled: bool,
         generation: u8,
     },
     /// A write of the bucket for another job's sake, which leaves out what may go.
     Drop {
-        job_stamp: u8,
+        job_revision: u8,
     },
     /// The leader's: they depend on its claim too.
     Close {
-        record_stamp: u8,
-        lead_stamp: u8,
+        record_revision: u8,
+        leader_revision: u8,
     },
-    Fold {
+    Archive {
         end: Option<bool>,
-        lead_stamp: u8,
-        leaf_was: Option<bool>,
+        leader_revision: u8,
+        leaf_before: Option<bool>,
     },
     Record {
         done: u8,
-        record_stamp: u8,
-        lead_stamp: u8,
+        record_revision: u8,
+        leader_revision: u8,
     },
-    Lead {
-        lead_stamp: u8,
+    Elect {
+        leader_revision: u8,
     },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
-enum Fold {
+enum Archival {
     #[default]
     Idle,
     /// All ends of generations up to this one were collected: the job's, if any.
@@ -75,7 +75,7 @@
         done: u8,
         end: Option<bool>,
     },
-    Folded {
+    Archived {
         done: u8,
     },
 }
@@ -86,46 +86,46 @@
     leaf: Option<bool>,
     mirror: [Watched; 2],
     sent: [Option<Sent>; 2],
-    fold: [Fold; 2],
-    /// A look into the history that found nothing, and the record's stamp before it.
-    looked: [Option<u8>; 2],
+    archival: [Archival; 2],
+    /// A look into the history that found nothing, and the revision of the record before it.
+    looked_up: [Option<u8>; 2],
     accepted: u8,
-    told: Option<bool>,
-    bad: Option<&'static str>,
+    reported: Option<bool>,
+    violation: Option<&'static str>,
 }
 
 /// Parts of the design that a mutant leaves out.
 #[derive(Clone, Copy, Default)]
 struct Mutant {
-    submit_without_look: bool,
+    submit_without_lookup: bool,
     end_without_record: bool,
-    record_before_fold: bool,
+    record_before_leaves: bool,
 }
 
 /// Applied transactions beyond which no interleaving is followed.
-const LAST_EPOCH: u8 = 8;
+const LAST_REVISION: u8 = 8;
 
 fn start() -> State {
     let now = Watched {
         job: Entry::Absent,
-        job_stamp: 1,
+        job_revision: 1,
         gen_now: 1,
         gen_done: 0,
-        record_stamp: 1,
-        lead: 0,
-        lead_stamp: 1,
-        epoch: 1,
+        record_revision: 1,
+        leader: 0,
+        leader_revision: 1,
+        revision: 1,
     };
     State {
         now,
         leaf: None,
         mirror: [now; 2],
         sent: [None; 2],
-        fold: [Fold::Idle; 2],
-        looked: [None; 2],
+        archival: [Archival::Idle; 2],
+        looked_up: [None; 2],
         accepted: 0,
-        told: None,
-        bad: None,
+        reported: None,
+        violation: None,
     }
 }
 
@@ -135,118 +135,118 @@
         let seen = match self.now.job {
             Entry::Over { cancelled, .. } => Some(cancelled),
             Entry::Open => {
-                if self.told.is_some() {
-                    self.bad = Some("open again after its end was told");
+                if self.reported.is_some() {
+                    self.violation = Some("open again after its end was reported");
                 }
                 return;
             }
             Entry::Absent => self.leaf,
         };
-        match (seen, self.told) {
-            (None, _) if self.accepted > 0 => self.bad = Some("accepted, and 404"),
-            (Some(end), Some(told)) if end != told => self.bad = Some("ended twice"),
-            (Some(end), _) => self.told = Some(end),
+        match (seen, self.reported) {
+            (None, _) if self.accepted > 0 => self.violation = Some("accepted, and 404"),
+            (Some(end), Some(reported)) if end != reported => self.violation = Some("ended twice"),
+            (Some(end), _) => self.reported = Some(end),
             _ => {}
         }
     }
 
-    fn apply(&mut self, by: usize, sent: Sent, m: Mutant) {
+    fn apply(&mut self, by: usize, sent: Sent, mutant: Mutant) {
         let n = &mut self.now;
-        let leads = |stamp: u8| n.lead_stamp == stamp;
-        let stamp = n.epoch + 1;
+        let leads = |revision: u8| n.leader_revision == revision;
+        let next_revision = n.revision + 1;
         let applied = match sent {
             Sent::Submit {
-                job_stamp,
-                record_stamp,
+                job_revision,
+                record_revision,
             } => {
-                let ok = n.job_stamp == job_stamp && n.record_stamp == record_stamp;
+                let ok = n.job_revision == job_revision && n.record_revision == record_revision;
                 if ok {
-                    (n.job, n.job_stamp) = (Entry::Open, stamp);
+                    (n.job, n.job_revision) = (Entry::Open, next_revision);
                     self.accepted += 1;
                     if self.accepted > 1 {
-                        self.bad = Some("accepted twice");
+                        self.violation = Some("accepted twice");
                     }
                 }
                 ok
             }
             Sent::End {
-                job_stamp,
-                record_stamp,
+                job_revision,
+                record_revision,
                 cancelled,
                 generation,
             } => {
-                let ok = n.job_stamp == job_stamp
-                    && (n.record_stamp == record_stamp || m.end_without_record);
+                let ok = n.job_revision == job_revision
+                    && (n.record_revision == record_revision || mutant.end_without_record);
                 if ok {
                     n.job = Entry::Over {
                         cancelled,
                         generation,
                     };
-                    n.job_stamp = stamp;
+                    n.job_revision = next_revision;
                 }
                 ok
             }
-            Sent::Drop { job_stamp } => {
-                let ok = n.job_stamp == job_stamp;
+            Sent::Drop { job_revision } => {
+                let ok = n.job_revision == job_revision;
                 if ok {
-                    (n.job, n.job_stamp) = (Entry::Absent, stamp);
+                    (n.job, n.job_revision) = (Entry::Absent, next_revision);
                 }
                 ok
             }
             Sent::Close {
-                record_stamp,
-                lead_stamp,
+                record_revision,
+                leader_revision,
             } => {
-                let ok = n.record_stamp == record_stamp && leads(lead_stamp);
+                let ok = n.record_revision == record_revision && leads(leader_revision);
                 if ok {
                     n.gen_now += 1;
-                    n.record_stamp = stamp;
+                    n.record_revision = next_revision;
                 }
                 ok
             }
-            Sent::Fold {
+            Sent::Archive {
                 end,
-                lead_stamp,
-                leaf_was,
+                leader_revision,
+                leaf_before,
             } => {
-                let ok = leads(lead_stamp) && self.leaf == leaf_was;
+                let ok = leads(leader_revision) && self.leaf == leaf_before;
                 if ok {
                     self.leaf = self.leaf.or(end);
-                    if let Fold::Collected { done, .. } = self.fold[by] {
-                        self.fold[by] = Fold::Folded { done };
+                    if let Archival::Collected { done, .. } = self.archival[by] {
+                        self.archival[by] = Archival::Archived { done };
                     }
                 }
                 ok
             }
             Sent::Record {
                 done,
-                record_stamp,
-                lead_stamp,
+                record_revision,
+                leader_revision,
             } => {
-                let ok = n.record_stamp == record_stamp && leads(lead_stamp);
+                let ok = n.record_revision == record_revision && leads(leader_revision);
                 if ok {
-                    (n.gen_done, n.record_stamp) = (done, stamp);
-                    self.fold[by] = Fold::Idle;
+                    (n.gen_done, n.record_revision) = (done, next_revision);
+                    self.archival[by] = Archival::Idle;
                 }
                 ok
             }
-            Sent::Lead { lead_stamp } => {
-                let ok = n.lead_stamp == lead_stamp;
+            Sent::Elect { leader_revision } => {
+                let ok = n.leader_revision == leader_revision;
                 if ok {
-                    (n.lead, n.lead_stamp) = (by as u8, stamp);
-                    self.fold[by] = Fold::Idle;
+                    (n.leader, n.leader_revision) = (by as u8, next_revision);
+                    self.archival[by] = Archival::Idle;
                 }
                 ok
             }
         };
         if applied {
-            self.now.epoch = stamp;
+            self.now.revision = next_revision;
         }
     }
 
-    fn next(&self, m: Mutant) -> Vec<State> {
+    fn next(&self, mutant: Mutant) -> Vec<State> {
         let mut all = Vec::new();
-        if self.bad.is_some() {
+        if self.violation.is_some() {
             return all;
         }
         let mut polled = self.clone();
@@ -259,14 +259,14 @@
             if self.mirror[c] != self.now {
                 let mut s = self.clone();
                 s.mirror[c] = s.now;
-                s.looked[c] = None;
+                s.looked_up[c] = None;
                 all.push(s);
             }
             if let Some(sent) = self.sent[c] {
                 let mut s = self.clone();
                 s.sent[c] = None;
-                s.apply(c, sent, m);
-                if s.now.epoch <= LAST_EPOCH {
+                s.apply(c, sent, mutant);
+                if s.now.revision <= LAST_REVISION {
                     all.push(s);
                 }
                 // The controller ends; what it sent may yet be applied, and it
@@ -281,23 +281,23 @@
             };
             match v.job {
                 Entry::Absent => {
-                    if m.submit_without_look {
+                    if mutant.submit_without_lookup {
                         send(Sent::Submit {
-                            job_stamp: v.job_stamp,
-                            record_stamp: v.record_stamp,
+                            job_revision: v.job_revision,
+                            record_revision: v.record_revision,
                         });
-                    } else if let Some(record_stamp) = self.looked[c] {
+                    } else if let Some(record_revision) = self.looked_up[c] {
                         send(Sent::Submit {
-                            job_stamp: v.job_stamp,
-                            record_stamp,
+                            job_revision: v.job_revision,
+                            record_revision,
                         });
                     }
                 }
                 Entry::Open => {
                     for cancelled in [false, true] {
                         send(Sent::End {
-                            job_stamp: v.job_stamp,
-                            record_stamp: v.record_stamp,
+                            job_revision: v.job_revision,
+                            record_revision: v.record_revision,
                             cancelled,
                             generation: v.gen_now,
                         });
@@ -306,21 +306,21 @@
                 Entry::Over { generation, .. } => {
                     if generation <= v.gen_done {
                         send(Sent::Drop {
-                            job_stamp: v.job_stamp,
+                            job_revision: v.job_revision,
                         });
                     }
                 }
             }
-            let leads = v.lead as usize == c;
-            let lead_stamp = v.lead_stamp;
+            let is_leader = v.leader as usize == c;
+            let leader_revision = v.leader_revision;
             let closed = v.gen_now - 1;
-            if !leads {
-                send(Sent::Lead { lead_stamp });
+            if !is_leader {
+                send(Sent::Elect { leader_revision });
             } else {
-                match self.fold[c] {
-                    Fold::Idle if closed > v.gen_done => {
+                match self.archival[c] {
+                    Archival::Idle if closed > v.gen_done => {
                         // Everything up to the record that closed it has been read.
-                        if v.epoch >= v.record_stamp {
+                        if v.revision >= v.record_revision {
                             let end = match v.job {
                                 Entry::Over {
                                     cancelled,
@@ -330,33 +330,33 @@
                             };
                             let done = closed;
                             let mut s = self.clone();
-                            s.fold[c] = if m.record_before_fold {
-                                Fold::Folded { done }
+                            s.archival[c] = if mutant.record_before_leaves {
+                                Archival::Archived { done }
                             } else {
-                                Fold::Collected { done, end }
+                                Archival::Collected { done, end }
                             };
                             all.push(s);
                         }
                     }
-                    Fold::Idle => send(Sent::Close {
-                        record_stamp: v.record_stamp,
-                        lead_stamp,
+                    Archival::Idle => send(Sent::Close {
+                        record_revision: v.record_revision,
+                        leader_revision,
                     }),
-                    Fold::Collected { end, .. } => send(Sent::Fold {
+                    Archival::Collected { end, .. } => send(Sent::Archive {
                         end,
-                        lead_stamp,
-                        leaf_was: self.leaf,
+                        leader_revision,
+                        leaf_before: self.leaf,
                     }),
-                    Fold::Folded { done } => send(Sent::Record {
+                    Archival::Archived { done } => send(Sent::Record {
                         done,
-                        record_stamp: v.record_stamp,
-                        lead_stamp,
+                        record_revision: v.record_revision,
+                        leader_revision,
                     }),
                 }
             }
-            if v.job == Entry::Absent && self.looked[c].is_none() && self.leaf.is_none() {
+            if v.job == Entry::Absent && self.looked_up[c].is_none() && self.leaf.is_none() {
                 let mut s = self.clone();
-                s.looked[c] = Some(v.record_stamp);
+                s.looked_up[c] = Some(v.record_revision);
                 all.push(s);
             }
         }
@@ -364,11 +364,11 @@
     }
 }
 
-fn explore(m: Mutant) -> (usize, Option<State>) {
+fn explore(mutant: Mutant) -> (usize, Option<State>) {
     let mut count = 0;
-    for state in bfs_reach(start(), |s| s.next(m)) {
+    for state in bfs_reach(start(), |s| s.next(mutant)) {
         count += 1;
-        if state.bad.is_some() {
+        if state.violation.is_some() {
             return (count, Some(state));
         }
     }
@@ -378,8 +378,8 @@
 /// No interleaving breaks a rule.
 #[test]
 fn no_interleaving_breaks_a_rule() {
-    let (count, bad) = explore(Mutant::default());
-    assert!(bad.is_none(), "{bad:#?}");
+    let (count, violation) = explore(Mutant::default());
+    assert!(violation.is_none(), "{violation:#?}");
     assert!(count > 20_000, "{count} states");
 }
 
@@ -390,7 +390,7 @@
         (
             "submissions look into the history",
             Mutant {
-                submit_without_look: true,
+                submit_without_lookup: true,
                 ..Mutant::default()
             },
         ),
@@ -404,7 +404,7 @@
         (
             "leaves come before the record",
             Mutant {
-                record_before_fold: true,
+                record_before_leaves: true,
                 ..Mutant::default()
             },
         ),
