--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -1,19 +1,24 @@
 //! A file's procs as jobs, and as the chunks in which they are sent.
 
 use crate::error::Warning;
-use crate::macros::{CLUSTER, PROCESS, STEP};
+use crate::placeholders::{CLUSTER, PROCESS, STEP};
 use cherryyard_wire::condor::{Chunk, Template};
 use cherryyard_wire::job::{MAX_PIECES, job_id};
 use std::sync::Arc;
 
-/// Procs that differ by their numbers only: an array.
+/// Bytes of JSON that a chunk takes beside its templates and runs.
+const CHUNK_FRAME: usize = 20;
+/// Most bytes of JSON that a run of jobs takes.
+const RUN_BYTES: usize = 32;
+
+/// Procs that differ by their numbers only: an array, which is one job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Its template.
+    /// The index of its template.
     pub template: usize,
-    /// The first of its procs.
+    /// The number of its first proc.
     pub first: u64,
-    /// How many there are.
+    /// How many procs there are.
     pub tasks: u32,
     /// What its procs run, command by command; `$(Process)`, `$(Step)` and `$(Cluster)`
     /// stand for what is each proc's own.
@@ -34,34 +39,34 @@
 impl Cluster {
     /// How many procs there are.
     pub fn procs(&self) -> u64 {
-        self.groups.iter().map(|g| u64::from(g.tasks)).sum()
+        self.groups.iter().map(|group| u64::from(group.tasks)).sum()
     }
 
-    /// Adds procs: to the last group if they belong to it.
+    /// Adds procs, to the last group if they differ from its procs by their numbers only.
     pub(crate) fn add(
         &mut self,
         template: usize,
         described: &Arc<Vec<(String, String)>>,
-        mut n: u32,
+        mut count: u32,
     ) {
         let mut first = self
             .groups
             .last()
-            .map_or(0, |g| g.first + u64::from(g.tasks));
-        // A step is counted anew for each item.
-        let steps = described.iter().any(|d| d.1.contains(STEP));
+            .map_or(0, |group| group.first + u64::from(group.tasks));
+        // Steps are counted from 0 again for each item.
+        let has_steps = described.iter().any(|(_, text)| text.contains(STEP));
         if let Some(last) = self.groups.last_mut()
             && last.template == template
-            && !steps
+            && !has_steps
             && *last.described == **described
         {
-            let more = n.min(MAX_PIECES - last.tasks);
-            last.tasks += more;
-            first += u64::from(more);
-            n -= more;
+            let added = count.min(MAX_PIECES - last.tasks);
+            last.tasks += added;
+            first += u64::from(added);
+            count -= added;
         }
-        while n > 0 {
-            let tasks = n.min(MAX_PIECES);
+        while count > 0 {
+            let tasks = count.min(MAX_PIECES);
             self.groups.push(Group {
                 template,
                 first,
@@ -69,75 +74,112 @@
                 described: described.clone(),
             });
             first += u64::from(tasks);
-            n -= tasks;
+            count -= tasks;
         }
     }
 
-    /// The chunks in which it is sent, each of at most `most` bytes of JSON where a
-    /// single job allows it.
-    pub fn chunks(&self, most: usize) -> Vec<Chunk> {
-        let size = |t: &Template| serde_json::to_vec(t).map_or(most, |v| v.len()) + 1;
-        let sizes: Vec<usize> = self.templates.iter().map(size).collect();
-        let mut all = vec![Chunk::default()];
-        let mut places: Vec<Option<u32>> = vec![None; self.templates.len()];
-        let mut bytes = 20;
+    /// The chunks in which it is sent, each of at most `max_bytes` of JSON unless a single
+    /// job takes more.
+    pub fn chunks(&self, max_bytes: usize) -> Vec<Chunk> {
+        let template_bytes = self
+            .templates
+            .iter()
+            .map(|template| serde_json::to_vec(template).map_or(max_bytes, |json| json.len()) + 1)
+            .collect();
+        let mut chunks = ChunkBuilder {
+            templates: &self.templates,
+            template_bytes,
+            max_bytes,
+            done: Vec::new(),
+            current: Chunk::default(),
+            positions: vec![None; self.templates.len()],
+            bytes: CHUNK_FRAME,
+        };
         for group in &self.groups {
-            let same =
-                |r: &(u32, u32, u32)| Some(r.0) == places[group.template] && r.1 == group.tasks;
-            if let Some(last) = all.last_mut()
-                && let Some(run) = last.r.last_mut().filter(|r| same(r))
-            {
-                run.2 += 1;
-                continue;
-            }
-            // A run of numbers takes at most this much.
-            let new = places[group.template].map_or(sizes[group.template], |_| 0) + 32;
-            if bytes + new > most && bytes > 20 {
-                all.push(Chunk::default());
-                places.fill(None);
-                bytes = 20;
-            }
-            bytes += places[group.template].map_or(sizes[group.template], |_| 0) + 32;
-            if let Some(chunk) = all.last_mut() {
-                let place = *places[group.template].get_or_insert_with(|| {
-                    chunk.t.push(self.templates[group.template].clone());
-                    chunk.t.len() as u32 - 1
-                });
-                chunk.r.push((place, group.tasks, 1));
-            }
+            chunks.add(group);
         }
-        all
+        chunks.done.push(chunks.current);
+        chunks.done
     }
 
-    /// What its jobs run, a line of JSON each, for whoever uploads descriptions to the
+    /// What its jobs run, as a JSON object each, for whoever uploads descriptions to the
     /// workers; `first` is the number of its first job.
     pub fn descriptions(&self, first: u64) -> impl Iterator<Item = serde_json::Value> + '_ {
-        self.groups.iter().enumerate().map(move |(i, group)| {
-            let text = |t: &String| t.replace(CLUSTER, &first.to_string());
-            let of = group.described.iter();
-            let described: serde_json::Map<String, serde_json::Value> = of
+        self.groups.iter().enumerate().map(move |(index, group)| {
+            let text = |text: &String| text.replace(CLUSTER, &first.to_string());
+            let described: serde_json::Map<String, serde_json::Value> = group
+                .described
+                .iter()
                 .map(|(name, value)| (name.clone(), text(value).into()))
                 .collect();
-            serde_json::json!({ "id": job_id(first + i as u64), "first_proc": group.first,
+            serde_json::json!({ "id": job_id(first + index as u64), "first_proc": group.first,
                 "tasks": group.tasks, "run": described })
         })
     }
 
-    /// What one proc runs, its number in place.
+    /// What one proc runs, with its numbers filled in; `None` if there is no such proc.
     pub fn proc(&self, proc: u64) -> Option<Vec<(String, String)>> {
-        let group = self.groups.iter();
-        let group = group.rev().find(|g| g.first <= proc)?;
+        let group = self.groups.iter().rev().find(|group| group.first <= proc)?;
         let step = proc - group.first;
-        (step < u64::from(group.tasks)).then(|| {
-            let text = |t: &String| {
-                let t = t.replace(PROCESS, &proc.to_string());
-                t.replace(STEP, &step.to_string())
-            };
-            group
-                .described
-                .iter()
-                .map(|d| (d.0.clone(), text(&d.1)))
-                .collect()
-        })
+        if step >= u64::from(group.tasks) {
+            return None;
+        }
+        let filled_in = |text: &String| {
+            text.replace(PROCESS, &proc.to_string())
+                .replace(STEP, &step.to_string())
+        };
+        let commands = group.described.iter();
+        Some(
+            commands
+                .map(|(name, text)| (name.clone(), filled_in(text)))
+                .collect(),
+        )
+    }
+}
+
+/// Distributes groups to chunks.
+struct ChunkBuilder<'a> {
+    templates: &'a [Template],
+    /// Bytes of JSON of each template.
+    template_bytes: Vec<usize>,
+    max_bytes: usize,
+    /// Chunks that are full.
+    done: Vec<Chunk>,
+    current: Chunk,
+    /// The position of each template in the current chunk, if it is there.
+    positions: Vec<Option<u32>>,
+    /// Most bytes of JSON of the current chunk.
+    bytes: usize,
+}
+
+impl ChunkBuilder<'_> {
+    fn add(&mut self, group: &Group) {
+        let position = self.positions[group.template];
+        if let Some(run) = self.current.r.last_mut()
+            && Some(run.0) == position
+            && run.1 == group.tasks
+        {
+            run.2 += 1;
+            return;
+        }
+        if self.bytes + self.cost(group) > self.max_bytes && self.bytes > CHUNK_FRAME {
+            self.done.push(std::mem::take(&mut self.current));
+            self.positions.fill(None);
+            self.bytes = CHUNK_FRAME;
+        }
+        self.bytes += self.cost(group);
+        let position = *self.positions[group.template].get_or_insert_with(|| {
+            self.current.t.push(self.templates[group.template].clone());
+            self.current.t.len() as u32 - 1
+        });
+        self.current.r.push((position, group.tasks, 1));
+    }
+
+    /// Most bytes by which a group enlarges the current chunk.
+    fn cost(&self, group: &Group) -> usize {
+        match self.positions[group.template] {
+            Some(_) => RUN_BYTES,
+            None => RUN_BYTES + self.template_bytes[group.template],
+        }
     }
 }
--- a/crates/cherryyard-condor/src/commands.rs
+++ b/crates/cherryyard-condor/src/commands.rs
@@ -3,6 +3,9 @@
 use std::collections::HashMap;
 use std::sync::LazyLock;
 
+/// Least similarity, by Jaro and Winkler, of a name that may be a misspelled command's.
+const MIN_SIMILARITY: f64 = 0.92;
+
 /// What is done with a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handling {
@@ -16,183 +19,202 @@
     Refused(&'static str),
 }
 
-use Handling::{Described, Honoured, NoEffect, Refused};
+/// A command of the submit language.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Command {
+    /// Its names in lower case, the usual one first.
+    pub names: &'static [&'static str],
+    /// What is done with it.
+    pub handling: Handling,
+}
+
+impl Command {
+    /// The command with this name, in lower case.
+    pub(crate) fn find(name: &str) -> Option<&'static Self> {
+        BY_NAME.get(name).copied()
+    }
+
+    /// Its usual name.
+    pub(crate) fn name(&self) -> &'static str {
+        self.names[0]
+    }
+
+    /// Whether jobs use its value.
+    pub(crate) fn is_used(&self) -> bool {
+        match self.handling {
+            Handling::Honoured | Handling::Described => true,
+            Handling::NoEffect(_) | Handling::Refused(_) => false,
+        }
+    }
+}
+
+const fn honoured(names: &'static [&'static str]) -> Command {
+    Command {
+        names,
+        handling: Handling::Honoured,
+    }
+}
+
+const fn described(names: &'static [&'static str]) -> Command {
+    Command {
+        names,
+        handling: Handling::Described,
+    }
+}
+
+const fn no_effect(names: &'static [&'static str], reason: &'static str) -> Command {
+    Command {
+        names,
+        handling: Handling::NoEffect(reason),
+    }
+}
+
+const fn refused(names: &'static [&'static str], reason: &'static str) -> Command {
+    Command {
+        names,
+        handling: Handling::Refused(reason),
+    }
+}
 
 const RETRIES: &str = "failing tasks are tried again by themselves, ever further apart";
 const POLICY: &str = "jobs are neither held nor removed by expressions";
-const HOME: &str = "the scheduler runs nothing at the submitting side";
-
-/// Every command, by its names.
-pub const COMMANDS: &[(&[&str], Handling)] = &[
-    (&["universe"], Honoured),
-    (&["executable", "cmd"], Honoured),
-    (&["arguments", "args", "arguments2"], Described),
-    (&["environment", "env", "environment2"], Described),
-    (&["getenv"], Described),
-    (&["input", "stdin"], Described),
-    (&["output", "stdout"], Described),
-    (&["error", "stderr"], Described),
-    (&["initialdir", "initial_dir", "iwd"], Described),
-    (&["transfer_input_files", "transferinputfiles"], Described),
-    (&["transfer_output_files", "transferoutputfiles"], Described),
-    (
-        &["transfer_output_remaps", "transferoutputremaps"],
-        Described,
-    ),
-    (&["transfer_executable", "transferexecutable"], Described),
-    (&["should_transfer_files", "shouldtransferfiles"], Described),
-    (
-        &["when_to_transfer_output", "whentotransferoutput"],
-        Described,
-    ),
-    (&["stream_input"], Described),
-    (&["stream_output"], Described),
-    (&["stream_error"], Described),
-    (&["kill_sig", "killsig"], Described),
-    (&["encrypt_input_files"], Described),
-    (&["preserve_relative_paths"], Described),
-    (&["request_cpus", "requestcpus", "request_cpu"], Honoured),
-    (&["request_memory", "requestmemory"], Honoured),
-    (&["request_disk", "requestdisk"], Honoured),
-    (&["request_gpus", "requestgpus", "request_gpu"], Honoured),
-    (&["requirements"], Honoured),
-    (&["rank", "preferences"], Honoured),
-    (&["priority", "prio"], Honoured),
-    (&["nice_user", "niceuser"], Honoured),
-    (&["accounting_group", "acctgroup"], Honoured),
-    (&["accounting_group_user", "acctgroupuser"], Honoured),
-    (&["container_image"], Honoured),
-    (&["docker_image"], Honoured),
-    (&["batch_name", "jobbatchname", "batchname"], Honoured),
-    (
+const SUBMITTER: &str = "the scheduler runs nothing at the submitting side";
+
+/// Every command.
+pub const COMMANDS: &[Command] = &[
+    honoured(&["universe"]),
+    honoured(&["executable", "cmd"]),
+    described(&["arguments", "args", "arguments2"]),
+    described(&["environment", "env", "environment2"]),
+    described(&["getenv"]),
+    described(&["input", "stdin"]),
+    described(&["output", "stdout"]),
+    described(&["error", "stderr"]),
+    described(&["initialdir", "initial_dir", "iwd"]),
+    described(&["transfer_input_files", "transferinputfiles"]),
+    described(&["transfer_output_files", "transferoutputfiles"]),
+    described(&["transfer_output_remaps", "transferoutputremaps"]),
+    described(&["transfer_executable", "transferexecutable"]),
+    described(&["should_transfer_files", "shouldtransferfiles"]),
+    described(&["when_to_transfer_output", "whentotransferoutput"]),
+    described(&["stream_input"]),
+    described(&["stream_output"]),
+    described(&["stream_error"]),
+    described(&["kill_sig", "killsig"]),
+    described(&["encrypt_input_files"]),
+    described(&["preserve_relative_paths"]),
+    honoured(&["request_cpus", "requestcpus", "request_cpu"]),
+    honoured(&["request_memory", "requestmemory"]),
+    honoured(&["request_disk", "requestdisk"]),
+    honoured(&["request_gpus", "requestgpus", "request_gpu"]),
+    honoured(&["requirements"]),
+    honoured(&["rank", "preferences"]),
+    honoured(&["priority", "prio"]),
+    honoured(&["nice_user", "niceuser"]),
+    honoured(&["accounting_group", "acctgroup"]),
+    honoured(&["accounting_group_user", "acctgroupuser"]),
+    honoured(&["container_image"]),
+    honoured(&["docker_image"]),
+    honoured(&["batch_name", "jobbatchname", "batchname"]),
+    no_effect(
         &["log"],
-        NoEffect("no event log is written; ask `cherryyard condor q`"),
-    ),
-    (&["log_xml"], NoEffect("no event log is written")),
-    (&["notification"], NoEffect("no mail is sent")),
-    (&["notify_user", "notifyuser"], NoEffect("no mail is sent")),
-    (&["email_attributes"], NoEffect("no mail is sent")),
-    (&["max_retries", "maxretries"], NoEffect(RETRIES)),
-    (&["retry_until", "retryuntil"], NoEffect(RETRIES)),
-    (&["success_exit_code", "successexitcode"], NoEffect(RETRIES)),
-    (&["on_exit_remove", "onexitremove"], NoEffect(POLICY)),
-    (&["on_exit_hold", "onexithold"], NoEffect(POLICY)),
-    (&["on_exit_hold_reason"], NoEffect(POLICY)),
-    (&["on_exit_hold_subcode"], NoEffect(POLICY)),
-    (&["periodic_hold", "periodichold"], NoEffect(POLICY)),
-    (&["periodic_hold_reason"], NoEffect(POLICY)),
-    (&["periodic_hold_subcode"], NoEffect(POLICY)),
-    (&["periodic_release", "periodicrelease"], NoEffect(POLICY)),
-    (&["periodic_remove", "periodicremove"], NoEffect(POLICY)),
-    (
-        &["leave_in_queue", "leaveinqueue"],
-        NoEffect("ends are kept anyway"),
-    ),
-    (
+        "no event log is written; ask `cherryyard condor q`",
+    ),
+    no_effect(&["log_xml"], "no event log is written"),
+    no_effect(&["notification"], "no mail is sent"),
+    no_effect(&["notify_user", "notifyuser"], "no mail is sent"),
+    no_effect(&["email_attributes"], "no mail is sent"),
+    no_effect(&["max_retries", "maxretries"], RETRIES),
+    no_effect(&["retry_until", "retryuntil"], RETRIES),
+    no_effect(&["success_exit_code", "successexitcode"], RETRIES),
+    no_effect(&["on_exit_remove", "onexitremove"], POLICY),
+    no_effect(&["on_exit_hold", "onexithold"], POLICY),
+    no_effect(&["on_exit_hold_reason"], POLICY),
+    no_effect(&["on_exit_hold_subcode"], POLICY),
+    no_effect(&["periodic_hold", "periodichold"], POLICY),
+    no_effect(&["periodic_hold_reason"], POLICY),
+    no_effect(&["periodic_hold_subcode"], POLICY),
+    no_effect(&["periodic_release", "periodicrelease"], POLICY),
+    no_effect(&["periodic_remove", "periodicremove"], POLICY),
+    no_effect(&["leave_in_queue", "leaveinqueue"], "ends are kept anyway"),
+    no_effect(
         &["job_lease_duration"],
-        NoEffect("workers' leases are the platform's"),
-    ),
-    (
-        &["job_max_vacate_time"],
-        NoEffect("the image's time to save counts"),
-    ),
-    (
-        &["keep_claim_idle"],
-        NoEffect("machines are not claimed by users"),
-    ),
-    (&["image_size", "imagesize"], NoEffect("say request_memory")),
-    (&["copy_to_spool"], NoEffect(HOME)),
-    (&["dagman_log"], NoEffect(HOME)),
-    (&["submit_event_notes"], NoEffect("no event log is written")),
-    (&["description"], Described),
-    (
+        "workers' leases are the platform's",
+    ),
+    no_effect(&["job_max_vacate_time"], "the image's time to save counts"),
+    no_effect(&["keep_claim_idle"], "machines are not claimed by users"),
+    no_effect(&["image_size", "imagesize"], "say request_memory"),
+    no_effect(&["copy_to_spool"], SUBMITTER),
+    no_effect(&["dagman_log"], SUBMITTER),
+    no_effect(&["submit_event_notes"], "no event log is written"),
+    described(&["description"]),
+    no_effect(
         &["want_graceful_removal"],
-        NoEffect("tasks that save are given time for it"),
+        "tasks that save are given time for it",
     ),
-    (&["hold"], Refused("a job cannot be queued on hold")),
-    (
+    refused(&["hold"], "a job cannot be queued on hold"),
+    refused(
         &["concurrency_limits", "concurrencylimits"],
-        Refused("there are limits of teams only"),
+        "there are limits of teams only",
     ),
-    (
+    refused(
         &["concurrency_limits_expr"],
-        Refused("there are limits of teams only"),
+        "there are limits of teams only",
     ),
-    (
+    refused(
         &["deferral_time", "deferraltime"],
-        Refused("a start cannot be put off to a time"),
-    ),
-    (
-        &["deferral_window"],
-        Refused("a start cannot be put off to a time"),
+        "a start cannot be put off to a time",
     ),
-    (
+    refused(&["deferral_window"], "a start cannot be put off to a time"),
+    refused(
         &["deferral_prep_time"],
-        Refused("a start cannot be put off to a time"),
-    ),
-    (&["cron_minute"], Refused("there are no recurring jobs")),
-    (&["cron_hour"], Refused("there are no recurring jobs")),
-    (
-        &["cron_day_of_month"],
-        Refused("there are no recurring jobs"),
-    ),
-    (&["cron_month"], Refused("there are no recurring jobs")),
-    (
-        &["cron_day_of_week"],
-        Refused("there are no recurring jobs"),
-    ),
-    (
-        &["machine_count", "node_count"],
-        Refused("there are no gangs"),
-    ),
-    (
-        &["next_job_start_delay"],
-        Refused("starts are not spaced out"),
-    ),
-    (
+        "a start cannot be put off to a time",
+    ),
+    refused(&["cron_minute"], "there are no recurring jobs"),
+    refused(&["cron_hour"], "there are no recurring jobs"),
+    refused(&["cron_day_of_month"], "there are no recurring jobs"),
+    refused(&["cron_month"], "there are no recurring jobs"),
+    refused(&["cron_day_of_week"], "there are no recurring jobs"),
+    refused(&["machine_count", "node_count"], "there are no gangs"),
+    refused(&["next_job_start_delay"], "starts are not spaced out"),
+    refused(
         &["max_materialize"],
-        Refused("say how many with `queue`; limits are teams'"),
+        "say how many with `queue`; limits are teams'",
     ),
-    (
+    refused(
         &["max_idle"],
-        Refused("say how many with `queue`; limits are teams'"),
-    ),
-    (&["grid_resource"], Refused("there is no grid universe")),
-    (&["vm_type"], Refused("there is no vm universe")),
-    (&["x509userproxy"], Refused("no credentials are handed on")),
-    (
-        &["use_oauth_services"],
-        Refused("no credentials are handed on"),
-    ),
-    (
-        &["run_as_owner"],
-        Refused("workers run tasks as their own user"),
-    ),
-    (
-        &["allowed_execute_duration"],
-        Refused("tasks have no limit of time"),
-    ),
-    (
-        &["allowed_job_duration"],
-        Refused("jobs have no limit of time"),
-    ),
+        "say how many with `queue`; limits are teams'",
+    ),
+    refused(&["grid_resource"], "there is no grid universe"),
+    refused(&["vm_type"], "there is no vm universe"),
+    refused(&["x509userproxy"], "no credentials are handed on"),
+    refused(&["use_oauth_services"], "no credentials are handed on"),
+    refused(&["run_as_owner"], "workers run tasks as their own user"),
+    refused(&["allowed_execute_duration"], "tasks have no limit of time"),
+    refused(&["allowed_job_duration"], "jobs have no limit of time"),
 ];
 
-static BY_NAME: LazyLock<HashMap<&'static str, (&'static str, Handling)>> = LazyLock::new(|| {
-    let all = COMMANDS.iter();
-    all.flat_map(|(names, h)| names.iter().map(move |n| (*n, (names[0], *h))))
+static BY_NAME: LazyLock<HashMap<&'static str, &'static Command>> = LazyLock::new(|| {
+    COMMANDS
+        .iter()
+        .flat_map(|command| command.names.iter().map(move |name| (*name, command)))
         .collect()
 });
 
-/// A command's first name and handling, by any of its names in lower case.
-pub(crate) fn command(name: &str) -> Option<(&'static str, Handling)> {
-    BY_NAME.get(name).copied()
+/// Whether a command or attribute decides where or how a job runs, rather than what it
+/// runs; attributes begin with `+`.
+pub(crate) fn decides_placement(name: &str) -> bool {
+    name.starts_with('+')
+        || Command::find(name).is_some_and(|command| command.handling == Handling::Honoured)
 }
 
-/// A command whose name is much like this one.
-pub(crate) fn alike(name: &str) -> Option<&'static str> {
-    let near = BY_NAME.keys().map(|k| (strsim::jaro_winkler(k, name), *k));
-    let near = near.filter(|n| n.0 > 0.92);
-    near.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(a.1)))
-        .map(|n| n.1)
+/// The name of a command that is most like this one, if it is like it at all; of two
+/// equally similar ones the first in alphabetical order.
+pub(crate) fn similar_name(name: &str) -> Option<&'static str> {
+    BY_NAME
+        .keys()
+        .map(|known| (strsim::jaro_winkler(known, name), *known))
+        .filter(|(similarity, _)| *similarity > MIN_SIMILARITY)
+        .max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(a.1)))
+        .map(|(_, known)| known)
 }
--- a/crates/cherryyard-condor/src/lib.rs
+++ b/crates/cherryyard-condor/src/lib.rs
@@ -1,30 +1,37 @@
 //! HTCondor submit files: read, expanded, and translated into jobs of this scheduler.
 //!
-//! [`read`] turns a file into a [`Cluster`]: templates of jobs, groups of procs that
-//! use them, and warnings. What a file reads (included files, item lists, the
-//! environment) comes from a [`Source`], so nothing here does I/O. `docs/condor.md`
-//! says which commands are honoured.
+//! [`read`] turns a file into a [`Cluster`]: templates of jobs, groups of procs that use
+//! them, and warnings. What a file refers to (included files, lists of items, the
+//! environment) comes from a [`Source`], so nothing here does I/O. `docs/condor.md` says
+//! which commands are honoured.
+//!
+//! `logical_lines`, `reader` and `conditions` take a file apart into statements; `macros`
+//! and `queue` expand them; `translate` collects them and makes jobs of each `queue`, with
+//! `job` for the template of a job and `cluster` for the result.
 
 mod cluster;
 mod commands;
+mod conditions;
 mod error;
-mod items;
+mod expanded;
+mod grammar;
 mod job;
-mod lines;
+mod limits;
+mod location;
+mod logical_lines;
 mod macros;
+mod options;
+mod placeholders;
+mod queue;
+mod reader;
+mod source;
 mod translate;
 
 pub use cluster::{Cluster, Group};
-pub use commands::{COMMANDS, Handling};
-pub use error::{SubmitError, Warning};
-pub use translate::{Options, read};
-
-/// Where a submit file's text, and what it names, comes from.
-pub trait Source {
-    /// A file's text.
-    fn file(&mut self, path: &str) -> Result<String, String>;
-    /// Names of files, or of directories, that match a pattern, in order.
-    fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, String>;
-    /// A variable of the environment.
-    fn variable(&mut self, name: &str) -> Option<String>;
-}
+pub use commands::{COMMANDS, Command, Handling};
+pub use error::{CommandError, SubmitError, SubmitErrorKind, Warning};
+pub use macros::MacroError;
+pub use options::Options;
+pub use queue::QueueError;
+pub use source::{Source, SourceError};
+pub use translate::read;
--- a/crates/cherryyard-condor/src/translate.rs
+++ b/crates/cherryyard-condor/src/translate.rs
@@ -1,55 +1,43 @@
-//! From commands to jobs.
+//! From statements to jobs.
 
-use crate::Source;
 use crate::cluster::Cluster;
-use crate::commands::{Handling, alike, command};
-use crate::error::{File, Place, SubmitError};
-use crate::items::Queue;
-use crate::job::Job;
-use crate::lines::{Reader, Statement, Taker};
-use crate::macros::{Expander, PROCESS, STEP, Scope, Text};
+use crate::commands::{Command, Handling, decides_placement, similar_name};
+use crate::error::{SubmitErrorKind, SubmitResult, Warning};
+use crate::expanded::{ExpandedCommand, ExpandedCommands};
+use crate::job;
+use crate::limits::{MAX_PROCS, MAX_TEMPLATES};
+use crate::location::{File, Location};
+use crate::macros::{Bindings, Definitions, Expander, MacroText, Variables};
+use crate::options::Options;
+use crate::placeholders::{PROCESS, STEP};
+use crate::queue::Queue;
+use crate::reader::{Reader, Statement, StatementHandler};
+use crate::source::Source;
 use cherryyard_wire::condor::MAX_JOBS;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Most procs of a file.
-const MAX_PROCS: u64 = 1_000_000;
-/// Most sets of commands that decide where jobs run: each is worked out.
-const MAX_TEMPLATES: usize = 2000;
-
-/// What else than the file decides.
-#[derive(Clone, Debug, Default)]
-pub struct Options {
-    /// The team, where the file names none.
-    pub team: Option<String>,
-    /// Statements that come before the file's.
-    pub before: Vec<String>,
-    /// For `$RANDOM_CHOICE` and `$RANDOM_INTEGER`.
-    pub seed: u64,
-}
+/// The name under which errors show the statements that come before the file's.
+const COMMAND_LINE: &str = "command line";
+/// What helps against a file that queues too much.
+const SPLIT_FILE: &str = "split the file";
 
 /// Reads a submit file.
+///
+/// # Errors
+///
+/// What is wrong with the file, or one that it includes, and where.
 pub fn read(
     name: &str,
     text: &str,
     options: &Options,
     source: &mut dyn Source,
-) -> Result<Cluster, Box<SubmitError>> {
-    let mut translator = Translator {
-        options,
-        table: HashMap::new(),
-        places: HashMap::new(),
-        attributes: BTreeMap::new(),
-        cluster: Cluster::default(),
-        templates: HashMap::new(),
-        alike: HashMap::new(),
-        procs: 0,
-        queued: false,
-    };
+) -> SubmitResult<Cluster> {
+    let mut translator = Translator::new(options);
     let mut reader = Reader::new(Expander::new(source, options.seed), &mut translator);
     if !options.before.is_empty() {
         reader.file(&File {
-            name: "command line".into(),
+            name: COMMAND_LINE.into(),
             text: options.before.join("\n").into(),
         })?;
     }
@@ -58,15 +46,9 @@
         text: text.into(),
     };
     reader.file(&file)?;
-    if !translator.queued {
-        let end = Place {
-            at: file.text.trim_end().len(),
-            file,
-            len: 0,
-        };
-        return Err(end
-            .error("nothing is queued")
-            .with_help("end the file with `queue`"));
+    if !translator.has_queued {
+        let error = Location::end_of(&file).error(SubmitErrorKind::NothingQueued);
+        return Err(error.with_help("end the file with `queue`"));
     }
     let mut cluster = translator.cluster;
     cluster.warnings.sort();
@@ -74,234 +56,309 @@
     Ok(cluster)
 }
 
-/// Expanded commands of some procs: where each stands, and what it says.
-pub(crate) type Commands = BTreeMap<String, (Place, String)>;
+/// An attribute of the job's ad, `+name = value`.
+struct Attribute {
+    /// Its name, as it is spelled.
+    name: String,
+    text: Arc<MacroText>,
+    location: Location,
+}
 
+/// Translates statements into jobs.
 struct Translator<'a> {
     options: &'a Options,
-    table: HashMap<String, Arc<Text>>,
-    /// Where commands stand, by their first names; macros have no place of their own.
-    places: HashMap<String, Place>,
-    /// `+name`, as it is spelled, by its name in lower case.
-    attributes: BTreeMap<String, (String, Arc<Text>, Place)>,
+    definitions: Definitions,
+    /// The statements that set commands, by the commands' usual names.
+    command_locations: HashMap<String, Location>,
+    /// By name in lower case.
+    attributes: BTreeMap<String, Attribute>,
     cluster: Cluster,
-    /// Templates by what decides them, and by what they come to.
-    templates: HashMap<Vec<(String, String)>, usize>,
-    alike: HashMap<String, usize>,
+    /// Indices of templates by the commands that decide them.
+    templates_by_commands: HashMap<Vec<(String, String)>, usize>,
+    /// Indices of templates by their JSON: different commands may come to the same.
+    templates_by_json: HashMap<String, usize>,
+    /// Procs so far.
     procs: u64,
-    queued: bool,
+    /// Whether there has been a `queue` statement.
+    has_queued: bool,
 }
 
-impl Taker for Translator<'_> {
-    fn table(&self) -> &HashMap<String, Arc<Text>> {
-        &self.table
+impl StatementHandler for Translator<'_> {
+    fn definitions(&self) -> &Definitions {
+        &self.definitions
     }
 
-    fn take(
+    fn handle(
         &mut self,
         statement: Statement,
-        place: &Place,
+        location: &Location,
         expander: &mut Expander<'_>,
-    ) -> Result<(), Box<SubmitError>> {
+    ) -> SubmitResult<()> {
         match statement {
-            Statement::Set(name, value) => self.set(&name, &value, place),
-            Statement::Attribute(name, value) => {
-                let text = Text::compile(value.trim()).map_err(|e| place.error(e))?;
-                let entry = (name.clone(), Arc::new(text), place.clone());
-                self.attributes.insert(name.to_ascii_lowercase(), entry);
-                Ok(())
-            }
-            Statement::Queue(args, inline) => {
-                self.queued = true;
-                self.queue(&args, inline.as_deref(), place, expander)
+            Statement::Set { name, value } => self.set(&name, &value, location),
+            Statement::SetAttribute { name, value } => self.set_attribute(name, &value, location),
+            Statement::Queue {
+                arguments,
+                inline_list,
+            } => {
+                self.has_queued = true;
+                self.queue(&arguments, inline_list.as_deref(), location, expander)
             }
         }
     }
 }
 
-impl Translator<'_> {
-    fn set(&mut self, name: &str, value: &str, place: &Place) -> Result<(), Box<SubmitError>> {
-        let lower = name.to_ascii_lowercase();
-        let mut text = Text::compile(value.trim_end()).map_err(|e| place.error(e))?;
-        let known = command(&lower);
-        match known {
-            Some((_, Handling::Refused(why))) => {
-                return Err(place.error(format!("{lower} is not supported: {why}")));
-            }
-            Some((first, Handling::NoEffect(why))) => {
-                let text = format!("{first} has no effect: {why}");
-                self.cluster.warnings.push(place.warning(text));
-            }
-            Some(_) => {}
-            None => {
-                if let Some(other) = alike(&lower) {
-                    let text = format!("{name} is taken as a macro; was {other} meant?");
-                    self.cluster.warnings.push(place.warning(text));
-                }
-            }
+impl<'a> Translator<'a> {
+    fn new(options: &'a Options) -> Self {
+        Self {
+            options,
+            definitions: Definitions::new(),
+            command_locations: HashMap::new(),
+            attributes: BTreeMap::new(),
+            cluster: Cluster::default(),
+            templates_by_commands: HashMap::new(),
+            templates_by_json: HashMap::new(),
+            procs: 0,
+            has_queued: false,
         }
-        let key = known.map_or(lower, |k| k.0.to_string());
-        if text.names(&key) {
-            // Itself, as it was before.
-            let before = self.table.get(&key).cloned().unwrap_or_default();
-            text = text.with_own(&key, &before);
+    }
+
+    /// Sets a command or macro.
+    fn set(&mut self, name: &str, value: &str, location: &Location) -> SubmitResult<()> {
+        let lower = name.to_ascii_lowercase();
+        let mut text =
+            MacroText::compile(value.trim_end()).map_err(|error| location.error(error))?;
+        let command = Command::find(&lower);
+        self.check_command(name, command, location)?;
+        let key = command.map_or(lower, |command| command.name().to_string());
+        if text.refers_to(&key) {
+            // Within its own definition a macro means its definition before.
+            let before = self.definitions.get(&key).cloned().unwrap_or_default();
+            text = text.with_definition(&key, &before);
         }
-        if known.is_some() {
-            self.places.insert(key.clone(), place.clone());
+        if command.is_some() {
+            self.command_locations.insert(key.clone(), location.clone());
         }
-        self.table.insert(key, Arc::new(text));
+        self.definitions.insert(key, Arc::new(text));
+        Ok(())
+    }
+
+    /// Refuses a command that does not exist here, and warns of one without effect and of
+    /// a macro that may be a misspelled command.
+    fn check_command(
+        &mut self,
+        name: &str,
+        command: Option<&Command>,
+        location: &Location,
+    ) -> SubmitResult<()> {
+        let warning = match command.map(|command| (command, command.handling)) {
+            Some((_, Handling::Refused(reason))) => {
+                return Err(location.error(SubmitErrorKind::UnsupportedCommand {
+                    command: name.to_ascii_lowercase(),
+                    reason,
+                }));
+            }
+            Some((command, Handling::NoEffect(reason))) => {
+                Some(format!("{} has no effect: {reason}", command.name()))
+            }
+            Some((_, Handling::Honoured | Handling::Described)) => None,
+            None => similar_name(&name.to_ascii_lowercase())
+                .map(|similar| format!("{name} is taken as a macro; was {similar} meant?")),
+        };
+        let warnings: &mut Vec<Warning> = &mut self.cluster.warnings;
+        warnings.extend(warning.map(|message| location.warning(message)));
+        Ok(())
+    }
+
+    fn set_attribute(
+        &mut self,
+        name: String,
+        value: &str,
+        location: &Location,
+    ) -> SubmitResult<()> {
+        let text = MacroText::compile(value.trim()).map_err(|error| location.error(error))?;
+        let key = name.to_ascii_lowercase();
+        let attribute = Attribute {
+            name,
+            text: Arc::new(text),
+            location: location.clone(),
+        };
+        self.attributes.insert(key, attribute);
         Ok(())
     }
 
     fn queue(
         &mut self,
-        args: &str,
-        inline: Option<&str>,
-        place: &Place,
+        arguments: &str,
+        inline_list: Option<&str>,
+        location: &Location,
         expander: &mut Expander<'_>,
-    ) -> Result<(), Box<SubmitError>> {
-        let none = HashMap::new();
-        let compiled = Text::compile(args).map_err(|e| place.error(e))?;
-        let scope = Scope {
-            table: &self.table,
-            vars: &none,
+    ) -> SubmitResult<()> {
+        let compiled = MacroText::compile(arguments).map_err(|error| location.error(error))?;
+        let bindings = Bindings {
+            definitions: &self.definitions,
+            variables: &Variables::new(),
         };
-        let args = expander
-            .expand(&compiled, &scope)
-            .map_err(|e| place.error(e))?;
-        let queue = Queue::read(&args, inline, expander.source).map_err(|e| place.error(e))?;
+        let arguments = expander
+            .expand(&compiled, bindings)
+            .map_err(|error| location.error(error))?;
+        let queue = Queue::parse(&arguments, inline_list, expander.source)
+            .map_err(|error| location.error(error))?;
         if queue.items.is_empty() {
-            self.cluster
-                .warnings
-                .push(place.warning("its list of items is empty"));
+            let warning = location.warning("its list of items is empty");
+            self.cluster.warnings.push(warning);
         }
-        let all = queue.items.len() as u64 * u64::from(queue.count);
-        if self.procs + all > MAX_PROCS {
-            return Err(place.error(format!("more than {MAX_PROCS} procs")));
+        let added = queue.items.len() as u64 * u64::from(queue.count);
+        if self.procs + added > MAX_PROCS {
+            return Err(location.error(SubmitErrorKind::TooManyProcs));
         }
-        let mut vars = HashMap::new();
-        for (row, item) in queue.items.iter().enumerate() {
-            vars.clear();
-            if queue.listed {
-                for (name, value) in queue.values(item) {
-                    vars.insert(name.to_string(), value.to_string());
-                }
-                for name in ["itemindex", "row"] {
-                    vars.insert(name.to_string(), row.to_string());
-                }
-            }
-            self.procs_of(&mut vars, queue.count, place, expander)?;
+        for (index, item) in queue.items.iter().enumerate() {
+            let mut variables = item_variables(&queue, index, item);
+            self.queue_item(&mut variables, queue.count, location, expander)?;
             if self.cluster.groups.len() as u64 > MAX_JOBS {
-                let error = place.error(format!("more than {MAX_JOBS} different jobs"));
-                return Err(error.with_help("split the file"));
+                let error = location.error(SubmitErrorKind::TooManyJobs);
+                return Err(error.with_help(SPLIT_FILE));
             }
         }
         Ok(())
     }
 
-    /// The procs of one item: one array, unless what decides where they run differs.
-    fn procs_of(
+    /// Adds the procs of one item: as one array, unless commands that decide where they
+    /// run differ between them.
+    fn queue_item(
         &mut self,
-        vars: &mut HashMap<String, String>,
+        variables: &mut Variables,
         count: u32,
-        place: &Place,
+        location: &Location,
         expander: &mut Expander<'_>,
-    ) -> Result<(), Box<SubmitError>> {
+    ) -> SubmitResult<()> {
         if count == 0 {
             return Ok(());
         }
-        number(vars, PROCESS, STEP);
-        let as_one = self.expand_all(vars, expander)?;
-        let own = |c: &Commands| {
-            let mut deciding = c.iter().filter(|(name, _)| decides(name));
-            deciding.any(|(_, (_, text))| text.contains(PROCESS) || text.contains(STEP))
-        };
-        if !own(&as_one) {
-            self.add(&as_one, count, place)?;
+        set_proc_variables(variables, PROCESS, STEP);
+        let commands = self.expand_commands(variables, expander)?;
+        if !placement_depends_on_proc(&commands) {
+            self.add(&commands, count, location)?;
             self.procs += u64::from(count);
             return Ok(());
         }
         for step in 0..count {
-            number(vars, &self.procs.to_string(), &step.to_string());
-            let one = self.expand_all(vars, expander)?;
-            self.add(&one, 1, place)?;
+            set_proc_variables(variables, &self.procs.to_string(), &step.to_string());
+            let commands = self.expand_commands(variables, expander)?;
+            self.add(&commands, 1, location)?;
             self.procs += 1;
         }
         Ok(())
     }
 
-    fn expand_all(
+    fn expand_commands(
         &self,
-        vars: &HashMap<String, String>,
+        variables: &Variables,
         expander: &mut Expander<'_>,
-    ) -> Result<Commands, Box<SubmitError>> {
-        let mut all = Commands::new();
-        let scope = Scope {
-            table: &self.table,
-            vars,
+    ) -> SubmitResult<ExpandedCommands> {
+        let bindings = Bindings {
+            definitions: &self.definitions,
+            variables,
+        };
+        let mut expand = |name: &str, text: &MacroText, location: &Location| {
+            let expanded = expander.expand(text, bindings);
+            let text = expanded.map_err(|error| {
+                location.error(SubmitErrorKind::CommandMacro {
+                    command: name.to_string(),
+                    error,
+                })
+            })?;
+            let location = location.clone();
+            SubmitResult::Ok(ExpandedCommand { location, text })
         };
-        for (name, place) in &self.places {
-            let useful = command(name)
-                .is_some_and(|c| matches!(c.1, Handling::Honoured | Handling::Described));
-            if let Some(text) = self.table.get(name).filter(|_| useful) {
-                let text = expander
-                    .expand(text, &scope)
-                    .map_err(|e| place.error(format!("{name}: {e}")))?;
-                all.insert(name.clone(), (place.clone(), text));
+        let mut commands = ExpandedCommands::new();
+        for (name, location) in &self.command_locations {
+            if let Some(text) = self.definitions.get(name)
+                && Command::find(name).is_some_and(Command::is_used)
+            {
+                commands.insert(name.clone(), expand(name, text, location)?);
             }
         }
-        for (name, text, place) in self.attributes.values() {
-            let text = expander
-                .expand(text, &scope)
-                .map_err(|e| place.error(format!("+{name}: {e}")))?;
-            all.insert(format!("+{name}"), (place.clone(), text));
+        for attribute in self.attributes.values() {
+            let name = format!("+{}", attribute.name);
+            let command = expand(&name, &attribute.text, &attribute.location)?;
+            commands.insert(name, command);
         }
-        Ok(all)
+        Ok(commands)
     }
 
-    fn add(&mut self, commands: &Commands, n: u32, place: &Place) -> Result<(), Box<SubmitError>> {
-        let deciding = commands.iter().filter(|(name, _)| decides(name));
-        let key: Vec<(String, String)> = deciding.map(|(k, v)| (k.clone(), v.1.clone())).collect();
-        let template = match self.templates.get(&key) {
-            Some(&template) => template,
-            None => {
-                let job = Job {
-                    commands,
-                    place,
-                    options: self.options,
-                };
-                if self.templates.len() >= MAX_TEMPLATES {
-                    let what = format!("more than {MAX_TEMPLATES} different ways to run");
-                    return Err(place.error(what).with_help("split the file"));
-                }
-                let template = job.template(&mut self.cluster.warnings)?;
-                let text = serde_json::to_string(&template).unwrap_or_default();
-                let next = self.cluster.templates.len();
-                let at = *self.alike.entry(text).or_insert(next);
-                if at == next {
-                    self.cluster.templates.push(template);
-                }
-                self.templates.insert(key, at);
-                at
-            }
-        };
-        let described = commands
+    /// Adds procs that run with the same commands.
+    fn add(
+        &mut self,
+        commands: &ExpandedCommands,
+        count: u32,
+        location: &Location,
+    ) -> SubmitResult<()> {
+        let template = self.template_index(commands, location)?;
+        let description = commands
             .iter()
-            .map(|(k, v)| (k.clone(), v.1.clone()))
+            .map(|(name, command)| (name.clone(), command.text.clone()))
             .collect();
-        self.cluster.add(template, &Arc::new(described), n);
+        self.cluster.add(template, &Arc::new(description), count);
         Ok(())
     }
+
+    /// The index of the template that these commands come to, which may be a new one.
+    fn template_index(
+        &mut self,
+        commands: &ExpandedCommands,
+        location: &Location,
+    ) -> SubmitResult<usize> {
+        let deciding: Vec<(String, String)> = commands
+            .iter()
+            .filter(|(name, _)| decides_placement(name))
+            .map(|(name, command)| (name.clone(), command.text.clone()))
+            .collect();
+        if let Some(&index) = self.templates_by_commands.get(&deciding) {
+            return Ok(index);
+        }
+        if self.templates_by_commands.len() >= MAX_TEMPLATES {
+            let error = location.error(SubmitErrorKind::TooManyTemplates);
+            return Err(error.with_help(SPLIT_FILE));
+        }
+        let warnings = &mut self.cluster.warnings;
+        let template = job::template(commands, location, self.options, warnings)?;
+        let json = serde_json::to_string(&template).unwrap_or_default();
+        let next = self.cluster.templates.len();
+        let index = *self.templates_by_json.entry(json).or_insert(next);
+        if index == next {
+            self.cluster.templates.push(template);
+        }
+        self.templates_by_commands.insert(deciding, index);
+        Ok(index)
+    }
+}
+
+/// The variables that an item sets.
+fn item_variables(queue: &Queue, index: usize, item: &str) -> Variables {
+    let mut variables = Variables::new();
+    if queue.has_list {
+        for (name, value) in queue.values(item) {
+            variables.insert(name.to_string(), value.to_string());
+        }
+        for name in ["itemindex", "row"] {
+            variables.insert(name.to_string(), index.to_string());
+        }
+    }
+    variables
 }
 
 /// Sets a proc's numbers among its variables.
-fn number(vars: &mut HashMap<String, String>, process: &str, step: &str) {
+fn set_proc_variables(variables: &mut Variables, process: &str, step: &str) {
     for (name, value) in [("process", process), ("procid", process), ("step", step)] {
-        vars.insert(name.into(), value.into());
+        variables.insert(name.into(), value.into());
     }
 }
 
-/// Whether a command decides where a job runs, beside what it runs.
-pub(crate) fn decides(name: &str) -> bool {
-    name.starts_with('+') || command(name).is_some_and(|c| c.1 == Handling::Honoured)
+/// Whether commands that decide where a job runs have a proc's numbers in them.
+fn placement_depends_on_proc(commands: &ExpandedCommands) -> bool {
+    commands
+        .iter()
+        .filter(|(name, _)| decides_placement(name))
+        .any(|(_, command)| command.text.contains(PROCESS) || command.text.contains(STEP))
 }
--- a/crates/cherryyard-condor/tests/submit.rs
+++ b/crates/cherryyard-condor/tests/submit.rs
@@ -1,6 +1,6 @@
 //! Submit files: what they come to, what they are refused for, and hostile ones.
 
-use cherryyard_condor::{Cluster, Options, Source, SubmitError, read};
+use cherryyard_condor::{Cluster, Options, Source, SourceError, SubmitError, read};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 struct Memory(BTreeMap<&'static str, String>);
 
 impl Source for Memory {
-    fn file(&mut self, path: &str) -> Result<String, String> {
+    fn file(&mut self, path: &str) -> Result<String, SourceError> {
         let found = self.0.get(path).cloned();
-        found.ok_or_else(|| format!("{path}: no such file"))
+        found.ok_or_else(|| SourceError::new(path, "no such file"))
     }
 
-    fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, String> {
+    fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, SourceError> {
         let (before, after) = pattern.split_once('*').unwrap_or((pattern, ""));
         let names = self.0.keys().filter(|_| !directories);
         let names = names.filter(|n| n.starts_with(before) && n.ends_with(after));
@@ -53,7 +53,7 @@
 }
 
 fn good(text: &str) -> Cluster {
-    submit(text).unwrap_or_else(|e| panic!("{text}\n{}:{}: {}", e.line, e.column, e.what))
+    submit(text).unwrap_or_else(|e| panic!("{text}\n{}:{}: {}", e.line, e.column, e.kind))
 }
 
 /// `executable`, and this.
@@ -114,7 +114,11 @@
         match submit(&text) {
             Ok(c) => assert_eq!(c.templates[0].spec.ram_gb, gb, "{memory}"),
             // Its own attributes are not known before it is.
-            Err(e) => assert!(gb == 0.0 && e.what.contains("request_memory"), "{}", e.what),
+            Err(e) => assert!(
+                gb == 0.0 && e.to_string().contains("request_memory"),
+                "{}",
+                e.kind
+            ),
         }
     }
 }
@@ -326,11 +330,11 @@
     for (text, line, what) in table {
         let e = submit(text).expect_err(text);
         assert!(
-            e.line == line && e.what.contains(what),
+            e.line == line && e.to_string().contains(what),
             "{text}\n{}:{}: {}",
             e.line,
             e.column,
-            e.what
+            e.kind
         );
     }
     let column = submit("executable = x\nrequirements = Cpus >= && 2\nqueue")
@@ -339,24 +343,27 @@
     assert_eq!(column, 24);
     let options = Options::default();
     let e = read("x", "executable = x\nqueue", &options, &mut memory()).unwrap_err();
-    assert!(e.what.contains("accounting_group"), "{}", e.what);
+    assert!(e.to_string().contains("accounting_group"), "{}", e.kind);
     let c =
         with("log = x.log\nperiodic_remove = true\nrequirments = Cpus > 3\nmax_retries = 3\nqueue");
-    let said: Vec<String> = c
+    let warnings: Vec<String> = c
         .warnings
         .iter()
-        .map(|w| format!("{}: {}", w.line, w.what))
+        .map(|w| format!("{}: {}", w.line, w.message))
         .collect();
-    assert!(said[0].starts_with("2: log has no effect"), "{said:?}");
     assert!(
-        said[1].starts_with("3: periodic_remove has no effect"),
-        "{said:?}"
+        warnings[0].starts_with("2: log has no effect"),
+        "{warnings:?}"
+    );
+    assert!(
+        warnings[1].starts_with("3: periodic_remove has no effect"),
+        "{warnings:?}"
     );
     assert_eq!(
-        said[2],
+        warnings[2],
         "4: requirments is taken as a macro; was requirements meant?"
     );
-    assert_eq!(said.len(), 4);
+    assert_eq!(warnings.len(), 4);
 }
 
 /// Hostile files end in an error, in bounded time and room.
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-rehearsal/tests/both_ways.rs
@@ -1,7 +1,7 @@
 //! The same workload as a submit file and as native jobs: the same machines run the
 //! same tasks, under the same limit, and the same account comes out.
 
-use cherryyard_condor::{Options, Source, read};
+use cherryyard_condor::{Options, Source, SourceError, read};
 use cherryyard_core::account::Went;
 use cherryyard_rehearsal::{Setup, World};
 use cherryyard_wire::condor::Phase;
@@ -13,11 +13,11 @@
 struct Nothing;
 
 impl Source for Nothing {
-    fn file(&mut self, path: &str) -> Result<String, String> {
-        Err(format!("{path}: no such file"))
+    fn file(&mut self, path: &str) -> Result<String, SourceError> {
+        Err(SourceError::new(path, "no such file"))
     }
 
-    fn matching(&mut self, _: &str, _: bool) -> Result<Vec<String>, String> {
+    fn matching(&mut self, _: &str, _: bool) -> Result<Vec<String>, SourceError> {
         Ok(Vec::new())
     }
 
@@ -124,7 +124,7 @@
 #[test]
 fn the_same_workload_both_ways() {
     let cluster_of = read("ledger.sub", FILE, &Options::default(), &mut Nothing);
-    let cluster_of = cluster_of.unwrap_or_else(|e| panic!("{}: {}", e.line, e.what));
+    let cluster_of = cluster_of.unwrap_or_else(|e| panic!("{}: {}", e.line, e.kind));
     let chunks = cluster_of.chunks(4000);
     assert_eq!((cluster_of.groups.len(), chunks.len()), (23, 1));
 
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -1,7 +1,7 @@
 //! `cherryyard condor`: submit files from the command line.
 
 use crate::cli::ask_status;
-use cherryyard_condor::{Cluster, Options, Source, SubmitError, read};
+use cherryyard_condor::{Cluster, Options, Source, SourceError, SubmitError, read};
 use cherryyard_core::cells::Explanation;
 use cherryyard_wire::condor::{Chunk, ChunkPost, SubmissionList, SubmissionView, check_name};
 use cherryyard_wire::job::job_number;
@@ -72,14 +72,16 @@
 struct Local(PathBuf);
 
 impl Source for Local {
-    fn file(&mut self, path: &str) -> Result<String, String> {
+    fn file(&mut self, path: &str) -> Result<String, SourceError> {
         let path = self.0.join(path);
-        std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
+        std::fs::read_to_string(&path)
+            .map_err(|error| SourceError::new(path.display().to_string(), error))
     }
 
-    fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, String> {
+    fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, SourceError> {
         let whole = self.0.join(pattern);
-        let found = glob::glob(&whole.to_string_lossy()).map_err(|e| format!("{pattern}: {e}"))?;
+        let found = glob::glob(&whole.to_string_lossy())
+            .map_err(|error| SourceError::new(pattern, error))?;
         let found = found
             .filter_map(Result::ok)
             .filter(|p| p.is_dir() == directories);
@@ -121,7 +123,7 @@
     let name = file.display().to_string();
     let cluster = read(&name, &text, &options, &mut Local(beside)).map_err(|e| report(&e))?;
     for w in &cluster.warnings {
-        eprintln!("WARNING: {}:{}: {}", w.file, w.line, w.what);
+        eprintln!("WARNING: {}:{}: {}", w.file, w.line, w.message);
     }
     Ok(cluster)
 }
