--- a/crates/cherryyard-io/src/cloud.rs
+++ b/crates/cherryyard-clients/src/cloud.rs
@@ -1,7 +1,9 @@
 //! Client of the cloud's interface.
 
 use crate::http::Http;
-use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostKinds, HostPage, Hosts};
+use cherryyard_wire::cloud::{
+    Instance, InstancePage, MachineNames, MachineType, MachineTypeList, ProvisionRequest,
+};
 use cherryyard_wire::parse_object;
 use hyper::Method;
 use std::time::Duration;
@@ -65,28 +67,28 @@
     }
 
     /// The machine types.
-    pub async fn kinds(&self) -> Result<Vec<HostKind>, CloudError> {
-        let kinds: HostKinds = self.call(Method::GET, "/machine_types", None).await?;
-        let good = |k: &HostKind| {
+    pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
+        let machine_types: MachineTypeList = self.call(Method::GET, "/machine_types", None).await?;
+        let good = |k: &MachineType| {
             k.cores > 0.0 && k.ram_gb >= 0.0 && k.accelerators >= 0.0 && !k.sku.is_empty()
         };
-        let (good, bad): (Vec<_>, Vec<_>) = kinds.kinds_of_host.into_iter().partition(good);
-        for kind in bad {
-            tracing::warn!(kind = %kind.sku, "ignored a machine type of no size");
+        let (good, bad): (Vec<_>, Vec<_>) = machine_types.machine_types.into_iter().partition(good);
+        for machine_type in bad {
+            tracing::warn!(machine_type = %machine_type.sku, "ignored a machine type of no size");
         }
         Ok(good)
     }
 
     /// All machines.
-    pub async fn list(&self) -> Result<Vec<HostEntry>, CloudError> {
-        let mut all: Vec<HostEntry> = Vec::new();
+    pub async fn list(&self) -> Result<Vec<Instance>, CloudError> {
+        let mut all: Vec<Instance> = Vec::new();
         loop {
             let since = all
                 .last()
                 .map(|h| format!("since={}&", h.id))
                 .unwrap_or_default();
             let path = format!("/machines?{since}page=500");
-            let page: HostPage = self.call(Method::GET, &path, None).await?;
+            let page: InstancePage = self.call(Method::GET, &path, None).await?;
             let empty = page.hosts.is_empty();
             all.extend(page.hosts);
             if !page.truncated || empty || all.len() >= 20_000 {
@@ -97,9 +99,9 @@
     }
 
     /// Rents machines.
-    pub async fn hire(&self, request: &HireRequest) -> Result<Vec<String>, CloudError> {
+    pub async fn provision(&self, request: &ProvisionRequest) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(request).map_err(|_| CloudError::Malformed)?;
-        let hosts: Hosts = self.call(Method::POST, "/machines", Some(body)).await?;
+        let hosts: MachineNames = self.call(Method::POST, "/machines", Some(body)).await?;
         Ok(hosts.hosts)
     }
 
--- a/crates/cherryyard-io/src/peer.rs
+++ b/crates/cherryyard-clients/src/peer.rs
@@ -159,7 +159,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use cherryyard_wire::peer::Told;
+    use cherryyard_wire::peer::ForwardResponse;
 
     /// A connection whose other end says nothing and closes nothing is made anew when
     /// that is asked for, once for each time. On each the other end is spoken to as one
@@ -173,7 +173,7 @@
         runtime.block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let addr = listener.local_addr().expect("its address");
-            let message = Message::Told(Told {
+            let message = Message::ForwardResponse(ForwardResponse {
                 ticket: 7,
                 status: 200,
                 retry_after: 0,
--- a/crates/cherryyard-io/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -5,7 +5,7 @@
 use cherryyard_wire::history::{LeafRecord, Level, leaf_of_key, since_key};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Commit, Epoch, Hold, News, Page, Pair};
+use cherryyard_wire::state::{Commit, LeaseGrant, Page, Pair, StoreRevision, WatchResponse};
 use hyper::Method;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     NoLease,
 }
 
-/// A leaf's last possible id, its stamp, and its record.
+/// A leaf's last possible id, its revision, and its record.
 pub type LeafAt = (u64, u64, LeafRecord);
 
 /// The state service.
@@ -120,7 +120,7 @@
 
     /// Reads the first leaf of a run of the history whose last possible id is `job`
     /// or later: the revision that this describes, and the leaf's last possible id,
-    /// stamp and record, if there is one.
+    /// revision and record, if there is one.
     pub async fn read_leaf(
         &self,
         level: Level,
@@ -135,14 +135,14 @@
         }
         let page: Page = Self::read(&body)?;
         let Some(pair) = page.pairs.first() else {
-            return Ok((page.epoch, None));
+            return Ok((page.store_revision, None));
         };
         let last = leaf_of_key(level, &pair.key).ok_or(StateError::Bad)?;
         let record = pair.v.read().map_err(|e| {
             tracing::error!("a bad leaf of the history: {}: {e}", pair.key);
             StateError::Bad
         })?;
-        Ok((page.epoch, Some((last, pair.stamp, record))))
+        Ok((page.store_revision, Some((last, pair.revision, record))))
     }
 
     /// Reads a chunk of a submission, if it is there.
@@ -164,7 +164,7 @@
     }
 
     /// Waits up to `wait_ms` for changes after `since`.
-    pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<News, StateError> {
+    pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<WatchResponse, StateError> {
         let path = format!("/follow?starts={PREFIX}&since={since}&wait_ms={wait_ms}");
         let url = format!("{}{path}", self.base);
         let timeout = Duration::from_millis(wait_ms + 1500);
@@ -188,8 +188,12 @@
         let body = serde_json::to_vec(commit).map_err(|_| StateError::Bad)?;
         let (status, body) = self.call(Method::POST, "/commit", Some(body), 2000).await?;
         match status {
-            200 => Ok(Committed::Applied(Self::read::<Epoch>(&body)?.epoch)),
-            409 => Ok(Committed::Conflict(Self::read::<Epoch>(&body)?.epoch)),
+            200 => Ok(Committed::Applied(
+                Self::read::<StoreRevision>(&body)?.store_revision,
+            )),
+            409 => Ok(Committed::Conflict(
+                Self::read::<StoreRevision>(&body)?.store_revision,
+            )),
             400 => {
                 let text = String::from_utf8_lossy(&body);
                 if text.contains("no such lease") || text.contains("hold") {
@@ -203,7 +207,7 @@
     }
 
     /// Gets a lease.
-    pub async fn hold(&self, ttl_ms: u64) -> Result<u64, StateError> {
+    pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64, StateError> {
         let body = serde_json::json!({ "ttl_ms": ttl_ms })
             .to_string()
             .into_bytes();
@@ -211,12 +215,12 @@
         if status != 200 {
             return Err(failed(status));
         }
-        Ok(Self::read::<Hold>(&body)?.hold)
+        Ok(Self::read::<LeaseGrant>(&body)?.lease_id)
     }
 
     /// Renews a lease.
-    pub async fn touch(&self, hold: u64) -> Result<(), StateError> {
-        let path = format!("/holds/{hold}/touch");
+    pub async fn renew_lease(&self, lease_id: u64) -> Result<(), StateError> {
+        let path = format!("/holds/{lease_id}/touch");
         let (status, _) = self
             .call(Method::POST, &path, Some(b"{}".to_vec()), 1500)
             .await?;
--- a/crates/cherryyard-io/src/worker.rs
+++ b/crates/cherryyard-clients/src/worker.rs
@@ -2,19 +2,19 @@
 
 use crate::http::{Failure, Http};
 use cherryyard_wire::parse_object;
-use cherryyard_wire::worker::{DoRequest, Report};
+use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use hyper::Method;
 use std::time::Duration;
 
 /// Largest report that is read.
-const MAX_REPORT: usize = 1024 * 1024;
+const MAX_HEARTBEAT: usize = 1024 * 1024;
 
 /// Asks a worker for its report.
-pub async fn ask(http: &Http, addr: &str) -> Result<Report, Failure> {
+pub async fn query(http: &Http, addr: &str) -> Result<WorkerHeartbeat, Failure> {
     let url = format!("http://{addr}/status");
     let patience = Duration::from_millis(2500);
     let (status, body) = http
-        .call(Method::GET, &url, None, patience, MAX_REPORT)
+        .call(Method::GET, &url, None, patience, MAX_HEARTBEAT)
         .await?;
     match status {
         200 => parse_object(&body).map_err(|e| {
@@ -29,7 +29,11 @@
 }
 
 /// Sends direct commands; 200 and 409 both carry the worker's report.
-pub async fn send(http: &Http, addr: &str, request: &DoRequest) -> Result<Report, Failure> {
+pub async fn send(
+    http: &Http,
+    addr: &str,
+    request: &CommandBatch,
+) -> Result<WorkerHeartbeat, Failure> {
     let body = serde_json::to_vec(request).map_err(|_| Failure::Unsent)?;
     let url = format!("http://{addr}/do");
     let (status, body) = http
@@ -38,7 +42,7 @@
             &url,
             Some(body),
             Duration::from_millis(2500),
-            MAX_REPORT,
+            MAX_HEARTBEAT,
         )
         .await?;
     match status {
--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -3,7 +3,7 @@
 use crate::error::Warning;
 use crate::placeholders::{CLUSTER, PROCESS, STEP};
 use cherryyard_wire::condor::{Chunk, Template};
-use cherryyard_wire::job::{MAX_PIECES, job_id};
+use cherryyard_wire::job::{MAX_TASKS, job_id};
 use std::sync::Arc;
 
 /// Bytes of JSON that a chunk takes beside its templates and runs.
@@ -60,13 +60,13 @@
             && !has_steps
             && *last.described == **described
         {
-            let added = count.min(MAX_PIECES - last.tasks);
+            let added = count.min(MAX_TASKS - last.tasks);
             last.tasks += added;
             first += u64::from(added);
             count -= added;
         }
         while count > 0 {
-            let tasks = count.min(MAX_PIECES);
+            let tasks = count.min(MAX_TASKS);
             self.groups.push(Group {
                 template,
                 first,
--- a/crates/cherryyard-condor/src/job/mod.rs
+++ b/crates/cherryyard-condor/src/job/mod.rs
@@ -39,7 +39,7 @@
     let spec = spec(&mut commands, &resources, &accounting.team, priority)?;
     set_attributes(&mut commands, &resources, &accounting, priority);
     let rules = Rules {
-        cells: Vec::new(),
+        pools: Vec::new(),
         requirements: rule(&mut commands, "requirements")?,
         rank: rule(&mut commands, "rank")?,
     };
@@ -113,25 +113,25 @@
         .map(|(_, text)| text.trim_matches('"').to_string());
     let spec = JobSpec {
         id: NO_ID.into(),
-        jobclass: job_class.unwrap_or_else(|| DEFAULT_JOB_CLASS.into()),
-        owner: team.to_string(),
-        shape: Shape::Sweep,
+        job_class: job_class.unwrap_or_else(|| DEFAULT_JOB_CLASS.into()),
+        team: team.to_string(),
+        shape: Shape::Array,
         rank: if priority < 0.0 || is_nice {
             Rank::BestEffort
         } else {
             Rank::Standard
         },
-        pieces: 1,
+        task_count: 1,
         cores: resources.cores,
         accelerators: resources.gpus,
         ram_gb: resources.memory_gb(),
-        bundle: bundle.trim_matches('"').to_string(),
+        image: bundle.trim_matches('"').to_string(),
         image_gb: commands.amount("ImageGB")?.unwrap_or(0.0),
-        kinds_of_host: None,
-        yard: None,
+        machine_types: None,
+        zone: None,
         together: commands.flag("Together")?,
         apart: commands.flag("Apart")?,
-        borrowed: commands.flag("WantSpot")?,
+        spot: commands.flag("WantSpot")?,
         expected_s: commands.amount("ExpectedSeconds")?.unwrap_or(0.0),
         snapshot_every_s: commands.amount("CheckpointSeconds")?.unwrap_or(0.0),
         snapshot_cost_s: commands.amount("CheckpointCostSeconds")?.unwrap_or(0.0),
--- a/crates/cherryyard-condor/tests/submit.rs
+++ b/crates/cherryyard-condor/tests/submit.rs
@@ -90,11 +90,11 @@
         (4.0, 1.0, 2.0, 2.5)
     );
     assert_eq!(
-        (&*s.owner, &*s.jobclass, &*s.bundle),
+        (&*s.team, &*s.job_class, &*s.image),
         ("posting", "posting", "img-07")
     );
     assert_eq!(
-        (s.rank, s.borrowed, s.expected_s),
+        (s.rank, s.spot, s.expected_s),
         (cherryyard_wire::job::Rank::BestEffort, true, 60.0)
     );
     let rules = t.rules.as_ref().unwrap();
--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -1,17 +1,17 @@
-//! An account of a part's core-seconds: what its machines' cores did, and why
+//! An account of a shard's core-seconds: what its machines' cores did, and why
 //! those that did nothing were idle while something waited.
 //!
-//! It is sampled: each sample counts every core of the part once, for the time
+//! It is sampled: each sample counts every core of the shard once, for the time
 //! since the sample before. Nothing depends on it.
 
-use crate::machine::{HostState, Machine, Task};
+use crate::controller::Controller;
+use crate::machine::{Machine, MachineState, Task};
 use crate::mirror::OpenJob;
-use crate::node::Node;
 use crate::{Millis, Mirror};
-use cherryyard_wire::cloud::HostStatus;
+use cherryyard_wire::cloud::InstanceStatus;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::record::End;
-use cherryyard_wire::worker::PieceStatus;
+use cherryyard_wire::worker::TaskStatus;
 use std::collections::HashMap;
 use std::str::FromStr;
 use strum::{EnumCount, IntoEnumIterator};
@@ -39,7 +39,7 @@
     strum::IntoStaticStr,
 )]
 #[strum(serialize_all = "snake_case")]
-pub enum Went {
+pub enum CoreUse {
     /// Services' tasks that ran.
     Replicas,
     /// Arrays' tasks that ran to completion, or still run.
@@ -55,14 +55,14 @@
     Ending,
     /// Tasks without an assignment.
     Strays,
-    /// Machines rented and not yet up.
+    /// Machines provisioned and not yet up.
     Booting,
     /// Free cores of machines that are silent, recalled, unconfirmed, being
     /// returned, or left alone after failures.
     Unusable,
     /// Free while nothing waited anywhere.
     Spare,
-    /// Free while tasks waited in other parts only.
+    /// Free while tasks waited in other shards only.
     Elsewhere,
     /// Free while jobs waited to be divided.
     Undivided,
@@ -82,22 +82,22 @@
 
 /// Core-seconds by what they went to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CoreSeconds([f64; Went::COUNT]);
+pub struct CoreSeconds([f64; CoreUse::COUNT]);
 
 impl CoreSeconds {
     /// What went to one thing.
-    pub fn get(&self, went: Went) -> f64 {
-        self.0[went as usize]
+    pub fn get(&self, core_use: CoreUse) -> f64 {
+        self.0[core_use as usize]
     }
 
     /// Counts core-seconds.
-    pub fn count(&mut self, went: Went, s: f64) {
-        self.0[went as usize] += s;
+    pub fn count(&mut self, core_use: CoreUse, s: f64) {
+        self.0[core_use as usize] += s;
     }
 
     /// Each figure by name, in the order of the account.
     pub fn figures(&self) -> impl Iterator<Item = (&'static str, f64)> + '_ {
-        Went::iter().map(|went| (went.into(), self.get(went)))
+        CoreUse::iter().map(|core_use| (core_use.into(), self.get(core_use)))
     }
 
     /// All core-seconds together.
@@ -127,14 +127,15 @@
         let map: HashMap<String, f64> = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let mut sum = Self::default();
         for (name, s) in map {
-            let went = Went::from_str(&name).map_err(|_| format!("{name}: no such figure"))?;
-            sum.count(went, s);
+            let core_use =
+                CoreUse::from_str(&name).map_err(|_| format!("{name}: no such figure"))?;
+            sum.count(core_use, s);
         }
         Ok(sum)
     }
 }
 
-/// A part's account in the making.
+/// A shard's account in the making.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     sum: CoreSeconds,
@@ -149,18 +150,18 @@
         std::mem::take(&mut self.sum)
     }
 
-    /// Starts anew: the part has another owner.
+    /// Starts anew: the shard has another owner.
     pub(crate) fn clear(&mut self) {
         self.ran.clear();
         self.sampled_at = None;
     }
 
     /// Attempts without an assignment any more were either of use or lost.
-    fn settle(&mut self, p: usize, mirror: &Mirror) {
+    fn settle(&mut self, shard_id: usize, mirror: &Mirror) {
         let sum = &mut self.sum;
         self.ran.retain(|&(task, attempt), &mut (s, cores)| {
             let (job, number) = task;
-            let assignments = mirror.assignments.get(&(p, job));
+            let assignments = mirror.assignments.get(&(shard_id, job));
             let assigned = assignments.and_then(|m| m.assignments.get(&number));
             if assigned.is_some_and(|(m, _)| m.attempt == attempt) {
                 return true;
@@ -173,91 +174,95 @@
                 .is_some_and(|o| o.spec.shape == Shape::Service);
             // A replica was of use while it ran; so is what its user ended.
             if !done && !service && mirror.end(job).is_none() {
-                sum.count(Went::Lost, s * cores);
-                sum.count(Went::Arrays, -s * cores);
+                sum.count(CoreUse::Lost, s * cores);
+                sum.count(CoreUse::Arrays, -s * cores);
             }
             false
         });
     }
 }
 
-impl Node {
-    /// Takes a sample of part `p`, if it is ours and one is due.
-    pub(crate) fn sample(&mut self, p: usize, now: Millis) {
-        if self.owned(p).is_none() {
+impl Controller {
+    /// Takes a sample of shard `shard_id`, if it is ours and one is due.
+    pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
+        if self.owned(shard_id).is_none() {
             return;
         }
-        let since = self.parts[p].account.sampled_at;
+        let since = self.shards[shard_id].account.sampled_at;
         let passed = since.map_or(0.0, |at| now - at);
         if since.is_some() && passed < SAMPLE_MS {
             return;
         }
-        let mut account = std::mem::take(&mut self.parts[p].account);
+        let mut account = std::mem::take(&mut self.shards[shard_id].account);
         account.sampled_at = Some(now);
         if passed > 0.0 && passed <= GAP_MS {
-            self.count(p, now, passed / 1000.0, &mut account);
+            self.count(shard_id, now, passed / 1000.0, &mut account);
         }
-        account.settle(p, &self.mirror);
-        self.parts[p].account = account;
+        account.settle(shard_id, &self.mirror);
+        self.shards[shard_id].account = account;
     }
 
-    fn count(&self, p: usize, now: Millis, s: f64, account: &mut Account) {
+    fn count(&self, shard_id: usize, now: Millis, s: f64, account: &mut Account) {
         let silence = self.silence_ms();
-        let waiting: Vec<(u64, &OpenJob)> = self.mirror.waiting[p]
+        let waiting: Vec<(u64, &OpenJob)> = self.mirror.waiting[shard_id]
             .keys()
             .filter_map(|job| Some((*job, self.mirror.open.get(job)?)))
             .take(JOBS)
             .collect();
         let undivided = !self.mirror.undivided.is_empty();
         // Room is idle while something waits only as far as that could fill it.
-        let mut wanted = self.wanted(p);
-        let others = (0..self.parts.len()).filter(|&q| q != p);
-        let mut elsewhere = others.map(|q| self.wanted(q)).sum::<f64>() / self.parts.len() as f64;
-        let used = self.mirror.usage(p);
-        for m in self.machines.values().filter(|m| m.part == p) {
-            if m.state == HostState::Gone {
+        let mut wanted = self.wanted(shard_id);
+        let others = (0..self.shards.len()).filter(|&q| q != shard_id);
+        let mut elsewhere = others.map(|q| self.wanted(q)).sum::<f64>() / self.shards.len() as f64;
+        let used = self.mirror.usage(shard_id);
+        for m in self.machines.values().filter(|m| m.shard == shard_id) {
+            if m.state == MachineState::Gone {
                 continue;
             }
             self.count_tasks(m, s, account);
             let free = self.free_on(m, None).map_or(0.0, |f| f.cores.max(0.0));
             if !m.usable(now, silence) {
-                account.sum.count(Went::Unusable, free * s);
+                account.sum.count(CoreUse::Unusable, free * s);
                 continue;
             }
-            if self.parts[p].reserved.contains_key(&m.host) {
-                account.sum.count(Went::Kept, free * s);
+            if self.shards[shard_id].reserved.contains_key(&m.host) {
+                account.sum.count(CoreUse::Kept, free * s);
                 continue;
             }
             let here = free.min(wanted);
             if here > 0.0 {
-                let why = self.why_idle(p, m, &waiting, &used, now);
+                let why = self.why_idle(shard_id, m, &waiting, &used, now);
                 account.sum.count(why, here * s);
                 wanted -= here;
             }
             let there = (free - here).min(elsewhere);
             elsewhere -= there;
-            account.sum.count(Went::Elsewhere, there * s);
+            account.sum.count(CoreUse::Elsewhere, there * s);
             let rest = if undivided {
-                Went::Undivided
+                CoreUse::Undivided
             } else {
-                Went::Spare
+                CoreUse::Spare
             };
             account.sum.count(rest, (free - here - there) * s);
         }
         for (name, entry) in &self.listed {
-            if entry.status == HostStatus::Starting
-                && self.config.parting.part(&entry.yard, name) == p
+            if entry.status == InstanceStatus::Starting
+                && self.config.shard_map.shard(&entry.zone, name) == shard_id
             {
-                let kind = self.mirror.kinds.iter().find(|k| k.sku == entry.host_kind);
-                let cores = kind.map_or(0.0, |k| k.cores);
-                account.sum.count(Went::Booting, cores * s);
+                let machine_type = self
+                    .mirror
+                    .machine_types
+                    .iter()
+                    .find(|k| k.sku == entry.machine_type);
+                let cores = machine_type.map_or(0.0, |k| k.cores);
+                account.sum.count(CoreUse::Booting, cores * s);
             }
         }
     }
 
-    /// Cores that the waiting tasks of a part take.
-    fn wanted(&self, p: usize) -> f64 {
-        let waiting = self.mirror.waiting[p].iter();
+    /// Cores that the waiting tasks of a shard take.
+    fn wanted(&self, shard_id: usize) -> f64 {
+        let waiting = self.mirror.waiting[shard_id].iter();
         let cores = waiting.filter_map(|(job, set)| {
             let open = self.mirror.open.get(job)?;
             Some(f64::from(set.len()) * open.spec.cores)
@@ -271,29 +276,29 @@
                 continue;
             };
             let cores = needs.cores * s;
-            let seen = m
-                .seen
+            let reported = m
+                .reported
                 .get(&task)
                 .filter(|t| t.attempt == assignment.attempt);
             let open = self.mirror.open.get(&task.0);
             let service = open.is_some_and(|o| o.spec.shape == Shape::Service);
-            let went = match seen.map(|t| t.status) {
-                None => Went::Starting,
-                Some(PieceStatus::Fetching) => Went::Fetching,
-                Some(PieceStatus::Ended) => Went::Ending,
-                Some(_) if service => Went::Replicas,
+            let core_use = match reported.map(|t| t.status) {
+                None => CoreUse::Starting,
+                Some(TaskStatus::Fetching) => CoreUse::Fetching,
+                Some(TaskStatus::Ended) => CoreUse::Ending,
+                Some(_) if service => CoreUse::Replicas,
                 Some(_) => {
                     let key = (task, assignment.attempt);
                     account.ran.entry(key).or_insert((0.0, needs.cores)).0 += s;
-                    Went::Arrays
+                    CoreUse::Arrays
                 }
             };
-            account.sum.count(went, cores);
+            account.sum.count(core_use, cores);
         }
-        for (task, seen) in &m.seen {
-            if !seen.ended() && self.mirror.assignment_on(m.host, *task).is_none() {
+        for (task, reported) in &m.reported {
+            if !reported.ended() && self.mirror.assignment_on(m.host, *task).is_none() {
                 let cores = self.mirror.uses(task.0).map_or(0.0, |u| u.1.cores);
-                account.sum.count(Went::Strays, cores * s);
+                account.sum.count(CoreUse::Strays, cores * s);
             }
         }
     }
@@ -301,35 +306,35 @@
     /// The reason that comes nearest to letting one of them run there.
     fn why_idle(
         &self,
-        p: usize,
+        shard_id: usize,
         m: &Machine,
         waiting: &[(u64, &OpenJob)],
         used: &[crate::needs::Needs],
         now: Millis,
-    ) -> Went {
+    ) -> CoreUse {
         let free = self.free_on(m, None).unwrap_or_default();
         let why = |&(job, open): &(u64, &OpenJob)| {
             let needs = open.needs();
-            let at_limit = self.beyond_grant(p, open.team, used, &needs);
-            let trouble = self.parts[p].trouble.get(&job);
+            let at_limit = self.beyond_grant(shard_id, open.team, used, &needs);
+            let job_failures = self.shards[shard_id].job_failures.get(&job);
             if !self.allowed(open, m) {
-                Went::Excluded
+                CoreUse::Excluded
             } else if !needs.fits(&free) {
-                Went::Fragments
-            } else if trouble.is_some_and(|t| t.held_off(now)) {
-                Went::Troubled
+                CoreUse::Fragments
+            } else if job_failures.is_some_and(|t| t.held_off(now)) {
+                CoreUse::Troubled
             } else if at_limit {
-                Went::Limits
+                CoreUse::Limits
             } else {
-                Went::Round
+                CoreUse::Round
             }
         };
-        waiting.iter().map(why).max().unwrap_or(Went::Excluded)
+        waiting.iter().map(why).max().unwrap_or(CoreUse::Excluded)
     }
 
     /// What each part of ours has counted since the last call.
     pub fn accounts(&mut self) -> Vec<(usize, CoreSeconds)> {
-        let taken = self.parts.iter_mut().map(|part| part.account.take());
+        let taken = self.shards.iter_mut().map(|shard| shard.account.take());
         let all = taken.enumerate();
         all.filter(|(_, sum)| sum.total() > 0.0).collect()
     }
--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -1,8 +1,8 @@
 //! What has become of submissions, by flow: at every controller, and over all.
 
 use super::flows::Flow;
-use crate::node::Node;
-use cherryyard_wire::peer::DemandTold;
+use crate::controller::Controller;
+use cherryyard_wire::peer::DemandReport;
 use lru::LruCache;
 use std::collections::{BTreeMap, HashMap};
 use std::num::NonZeroUsize;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What has become of submissions at all controllers since the last call, by class
     /// and team: offered, taken, refused. What is counted is totals, so a heartbeat that is
     /// lost or comes twice changes nothing, and a controller that starts anew begins at
@@ -56,7 +56,8 @@
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
         let ours = self.demand_out();
         let peers = self.peers.iter().enumerate();
-        let theirs = peers.filter_map(|(i, p)| Some((i, p.as_ref()?.heartbeat.demand.as_slice())));
+        let theirs =
+            peers.filter_map(|(i, peer)| Some((i, peer.as_ref()?.heartbeat.demand.as_slice())));
         let mut sums: BTreeMap<(u32, &str), [u64; 3]> = BTreeMap::new();
         let mut reported = HashMap::new();
         for (i, told) in theirs.chain([(self.config.me, ours.as_slice())]) {
@@ -82,10 +83,10 @@
     }
 
     /// What has become of submissions here.
-    pub(crate) fn demand_out(&self) -> Vec<DemandTold> {
+    pub(crate) fn demand_out(&self) -> Vec<DemandReport> {
         let flows = &self.mirror.flows;
         let all = self.demand.counts.iter();
-        all.map(|(&flow, &[offered, taken, refused])| DemandTold {
+        all.map(|(&flow, &[offered, taken, refused])| DemandReport {
             class: flows.class(flow).into(),
             team: flows.team(flow),
             offered,
--- a/crates/cherryyard-core/src/admission/fair.rs
+++ b/crates/cherryyard-core/src/admission/fair_queue.rs
@@ -9,12 +9,12 @@
 
 /// The flows' tags.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct FairQueue {
     tags: Vec<f64>,
     now: f64,
 }
 
-impl Turns {
+impl FairQueue {
     /// A flow that had nothing waiting has something.
     pub fn join(&mut self, flow: Flow) {
         let at = flow as usize;
@@ -41,13 +41,13 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Turns;
+    use super::FairQueue;
 
     /// Each gets its weight's part of what is served while both wait, all of it while
     /// the other does not, and nothing for the time that it was silent.
     #[test]
     fn turns_follow_weights() {
-        let mut turns = Turns::default();
+        let mut turns = FairQueue::default();
         let weights = [1.0, 3.0];
         let mut serve = |n: usize, waiting: &[u16]| {
             let mut counts = [0; 2];
--- a/crates/cherryyard-core/src/admission/standing.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_status.rs
@@ -8,7 +8,7 @@
 
 /// Where a flow stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum FairShareStatus {
     /// It has its floor, or asks for nothing.
     Served,
     /// It has had less since this time.
@@ -46,7 +46,7 @@
     }
 }
 
-impl Standing {
+impl FairShareStatus {
     /// The one place where a flow's standing changes: by what it has now.
     pub fn after(self, has: Has, window_ms: f64, now: Millis) -> Self {
         let over = |since: Millis| now - since >= window_ms;
@@ -86,7 +86,7 @@
     /// for as long.
     #[test]
     fn who_has_long_had_too_little_goes_ahead() {
-        let mut standing = Standing::Served;
+        let mut status = FairShareStatus::Served;
         let mut story = Vec::new();
         for s in 0..300 {
             let running = match s {
@@ -95,11 +95,11 @@
                 ..220 => 97.0,
                 _ => 130.0,
             };
-            let before = standing.name();
+            let before = status.name();
             let now = f64::from(s) * 1000.0;
-            standing = standing.after(Has::of(running, 500.0, 100.0), 30_000.0, now);
-            if standing.name() != before {
-                story.push(format!("{s} {}", standing.name()));
+            status = status.after(Has::of(running, 500.0, 100.0), 30_000.0, now);
+            if status.name() != before {
+                story.push(format!("{s} {}", status.name()));
             }
         }
         let expected = [
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -6,11 +6,11 @@
 //! and not from the number of writes, one flow's flood lengthens its own queue only,
 //! and when it is calm nobody waits for company.
 
-use super::fair::Turns;
+use super::fair_queue::FairQueue;
 use super::flows::Flow;
+use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::mirror::{MOST_ROWS, OpenJob};
-use crate::node::Node;
 use crate::{Config, Millis};
 use cherryyard_wire::record::{BUCKETS, Key};
 use cherryyard_wire::state::Commit;
@@ -36,7 +36,7 @@
     /// The job is known already: what it has come to tells more.
     Known,
     /// The history has moved since it was looked for there.
-    LookAgain,
+    Retry,
     /// Refused: come back after so many seconds.
     Busy(u32),
     /// The state service did not take it, or nobody knows.
@@ -52,7 +52,7 @@
     pub job: u64,
     /// The job.
     pub open: OpenJob,
-    /// As of which stamp of the history's record it was not found there; 0: there is
+    /// As of which revision of the history's record it was not found there; 0: there is
     /// no history.
     pub moved: u64,
 }
@@ -62,7 +62,7 @@
     offer: Offer,
     since: Millis,
     tries: u32,
-    /// The leader's claim under which it was divided.
+    /// The leader's lease under which it was divided.
     divided: Option<u64>,
 }
 
@@ -96,7 +96,9 @@
         match (self, event) {
             (Self::Idle, Event::Sent) => Self::Writing,
             (Self::Writing, Event::Answered) => Self::Idle,
-            (Self::Writing, Event::Delayed(until, epoch)) => Self::Resting(until, epoch),
+            (Self::Writing, Event::Delayed(until, store_revision)) => {
+                Self::Resting(until, store_revision)
+            }
             (Self::Resting(..), Event::Rested) => Self::Idle,
             (same, _) => same,
         }
@@ -109,7 +111,7 @@
     phase: Phase,
     queues: BTreeMap<Flow, VecDeque<Waiting>>,
     waiting: usize,
-    turns: Turns,
+    turns: FairQueue,
     /// Those of the transaction under way, and when it was sent.
     sent: Vec<Waiting>,
     sent_at: Millis,
@@ -124,17 +126,17 @@
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
         let a_second = config.user_writes_per_s * MOST_ROWS as f64 / 2.0;
         // Each takes about a kibibyte: of the memory a sixty-fourth.
-        let room = config.recent_ends.get() / 16;
+        let capacity = config.recent_ends.get() / 16;
         Self {
             phase: Phase::Idle,
             queues: BTreeMap::new(),
             waiting: 0,
-            turns: Turns::default(),
+            turns: FairQueue::default(),
             sent: Vec::new(),
             sent_at: now,
             owed: BTreeMap::new(),
             owed_at: now,
-            most: ((a_second * QUEUE_S) as usize).clamp(16, room.max(16)),
+            most: ((a_second * QUEUE_S) as usize).clamp(16, capacity.max(16)),
         }
     }
 
@@ -190,7 +192,7 @@
 
     /// Who has to go for a newcomer to have room: the newest of the longest queue,
     /// if that is longer than the newcomer's own.
-    fn make_room(&mut self, flow: Flow) -> Option<Waiting> {
+    fn preempt_for(&mut self, flow: Flow) -> Option<Waiting> {
         let own = self.queues.get(&flow).map_or(0, VecDeque::len);
         let longest = self.queues.values_mut().max_by_key(|q| q.len())?;
         if longest.len() <= own + 1 {
@@ -220,7 +222,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The flows' weights, by index.
     pub(crate) fn flow_weights(&self) -> Vec<f64> {
         let flows = &self.mirror.flows;
@@ -246,7 +248,7 @@
             divided: None,
         };
         if self.intake.waiting >= self.intake.most {
-            match self.intake.make_room(flow) {
+            match self.intake.preempt_for(flow) {
                 Some(other) => self.send_away(&other, now),
                 None => {
                     self.send_away(&waiting, now);
@@ -276,9 +278,9 @@
 
     /// Sends what waits, if it is time.
     pub(crate) fn take_in(&mut self, now: Millis) {
-        if let Phase::Resting(until, epoch) = self.intake.phase
+        if let Phase::Resting(until, store_revision) = self.intake.phase
             && now >= until
-            && self.mirror.epoch >= epoch
+            && self.mirror.store_revision >= store_revision
         {
             self.intake.change(Event::Rested);
         }
@@ -287,13 +289,13 @@
             return;
         }
         self.set_user_rate(now);
-        if self.user_pace.left(now) < 1.0 {
+        if self.user_write_budget.left(now) < 1.0 {
             return;
         }
         let commit = if self.mirror.takes_pages() {
             // The leader writes pages all the time; the others, to whom few come while
             // there is one, would only get into its way and each other's.
-            let few = self.intake.waiting <= FEW && self.lead_stamp().is_none();
+            let few = self.intake.waiting <= FEW && self.leadership_token().is_none();
             if few && self.mirror.format < BUCKETS {
                 self.records_of_new(now)
             } else {
@@ -309,10 +311,10 @@
         if self.intake.sent.is_empty() {
             return;
         }
-        self.user_pace.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.apply.len() as f64);
         self.intake.change(Event::Sent);
         self.intake.sent_at = now;
-        self.effects.push(Effect::Commit(Ticket::Intake, commit));
+        self.effects.push(Effect::Commit(Ticket::Admission, commit));
     }
 
     fn give_up_old(&mut self, now: Millis) {
@@ -349,8 +351,8 @@
             } = waiting.offer;
             if self.mirror.view(job).is_some() {
                 self.answer(ticket, Verdict::Known);
-            } else if self.mirror.packed_stamp != moved && self.mirror.packed.any() {
-                self.answer(ticket, Verdict::LookAgain);
+            } else if self.mirror.packed_revision != moved && self.mirror.packed.any() {
+                self.answer(ticket, Verdict::Retry);
             } else if jobs.insert(job) {
                 next.push(waiting);
             } else {
@@ -396,7 +398,7 @@
 
     fn divide_offers(&mut self, next: &mut [Waiting], commit: &mut Commit) {
         let now = self.clock;
-        let Some(stamp) = self.lead_stamp().filter(|_| self.state_fresh(now)) else {
+        let Some(revision) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in next {
                 waiting.offer.open.div = Vec::new();
                 waiting.divided = None;
@@ -406,19 +408,22 @@
         let waits_for_none = |w: &&mut Waiting| w.offer.open.after.is_none();
         for waiting in next.iter_mut().filter(waits_for_none) {
             // Not again for another try: it would be counted twice against the room.
-            if waiting.divided != Some(stamp) {
+            if waiting.divided != Some(revision) {
                 waiting.offer.open.div = Vec::new();
                 self.fill_division(&mut waiting.offer.open, now);
-                waiting.divided = Some(stamp);
+                waiting.divided = Some(revision);
             }
         }
-        self.mirror.require(commit, Key::Lead);
+        self.mirror.require(commit, Key::Leader);
     }
 
     /// Records of their own for the next submissions: before there are pages, and where
     /// few come to who does not lead.
     fn records_of_new(&mut self, now: Millis) -> Commit {
-        let most = self.config.txn_ops.min(self.user_pace.left(now) as usize);
+        let most = self
+            .config
+            .txn_ops
+            .min(self.user_write_budget.left(now) as usize);
         let mut next = self.next_offers(most.max(1));
         let mut commit = Commit::default();
         if next.is_empty() {
@@ -468,7 +473,9 @@
         let event = match outcome {
             Outcome::Applied(_) => Event::Answered,
             // Somebody else has added jobs, or one of these: wait until that is seen.
-            Outcome::Conflict(epoch) => Event::Delayed(now + self.jitter(5.0, 40.0), epoch),
+            Outcome::Conflict(store_revision) => {
+                Event::Delayed(now + self.jitter(5.0, 40.0), store_revision)
+            }
             _ => Event::Delayed(now + self.jitter(60.0, 180.0), 0),
         };
         self.intake.change(event);
@@ -478,8 +485,8 @@
                     self.demand.taken(waiting.offer.open.flow);
                     self.answer(waiting.offer.ticket, Verdict::Taken);
                 }
-                for part in &mut self.parts {
-                    part.dirty = true;
+                for shard in &mut self.shards {
+                    shard.dirty = true;
                 }
                 self.leader.dirty = true;
             }
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -1,8 +1,8 @@
-//! What waits in a part: a queue for each flow, in order, changed by what changed.
+//! What waits in a shard: a queue for each flow, in order, changed by what changed.
 //!
-//! The order over all is that of the places; a round takes from it until nothing more
+//! The order over all is that of the places; a scheduling cycle takes from it until nothing more
 //! finds room. Of a flow that finds none, a bounded number of jobs is looked at, and
-//! of the rest a few others each time: so a round's cost doesn't grow with what waits.
+//! of the rest a few others each time: so a scheduling cycle's cost doesn't grow with what waits.
 
 use super::flows::Flow;
 use crate::Millis;
@@ -24,7 +24,7 @@
     /// By rank, the most important first.
     pub rank: Rank,
     /// Services before arrays.
-    pub sweep: bool,
+    pub is_array: bool,
     /// Which of its deadline's multiples it can still make.
     pub hope: usize,
     /// What is left of it, in core-seconds.
@@ -39,7 +39,7 @@
 
 impl Ord for Place {
     fn cmp(&self, other: &Self) -> Ordering {
-        let key = |p: &Self| (Reverse(p.rank), p.sweep, p.hope);
+        let key = |place: &Self| (Reverse(place.rank), place.is_array, place.hope);
         key(self)
             .cmp(&key(other))
             .then(self.work.total_cmp(&other.work))
@@ -72,7 +72,7 @@
     since: Millis,
 }
 
-/// A part's queues.
+/// A shard's queues.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
     flows: Vec<BTreeSet<Place>>,
@@ -124,7 +124,7 @@
         let since = match before {
             Some(before) => before.since,
             None => {
-                if !place.sweep {
+                if !place.is_array {
                     self.unseen.insert(place.job);
                 }
                 now
@@ -197,7 +197,7 @@
 
     /// Late jobs whose turn has come, given what each takes here: they are to be set
     /// anew.
-    pub fn turns_of_late(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
+    pub fn late_share_due(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
         let mut all = Vec::new();
         for late in &mut self.late {
             while let Some(&(at, job)) = late.jobs.first() {
@@ -223,7 +223,7 @@
 
     /// Gives each flow's turn to its oldest job, if it is old enough, that has not
     /// `begun`; says which jobs are to be set anew.
-    pub fn give_turns(
+    pub fn reserve_for_oldest(
         &mut self,
         old: impl Fn(u64) -> bool,
         begun: impl Fn(u64) -> bool,
@@ -271,8 +271,8 @@
         !self.unseen.is_empty()
     }
 
-    /// A round has looked at what waits.
-    pub fn seen(&mut self) {
+    /// A scheduling cycle has looked at what waits.
+    pub fn mark_seen(&mut self) {
         self.unseen.clear();
     }
 
@@ -287,21 +287,23 @@
     }
 
     /// The jobs in the order of service.
-    pub fn line(&self) -> Line<'_> {
+    pub fn service_order(&self) -> ServiceOrder<'_> {
         let runs = self.flows.iter().map(|set| Run::Whole(set.iter()));
-        let mut line = Line {
+        let mut service_order = ServiceOrder {
             queues: self,
             heads: Vec::new(),
             runs: runs.collect(),
             first: vec![false; self.flows.len()],
         };
-        line.heads = (0..line.runs.len()).map(|f| line.runs[f].next()).collect();
-        line
+        service_order.heads = (0..service_order.runs.len())
+            .map(|f| service_order.runs[f].next())
+            .collect();
+        service_order
     }
 
     /// Notes how many of a flow's others have been looked at, and the last of them;
     /// after the end of the queue it begins anew.
-    pub fn looked_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
+    pub fn inspected_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
         if let Some(cursor) = self.cursors.get_mut(flow as usize) {
             *cursor = last.filter(|_| others >= OTHERS);
         }
@@ -327,9 +329,9 @@
     }
 }
 
-/// What waits, as one line: the flows' queues merged.
+/// What waits, as one service_order: the flows' queues merged.
 #[derive(Debug)]
-pub struct Line<'a> {
+pub struct ServiceOrder<'a> {
     queues: &'a Queues,
     heads: Vec<Option<&'a Place>>,
     runs: Vec<Run<'a>>,
@@ -337,7 +339,7 @@
     first: Vec<bool>,
 }
 
-impl Line<'_> {
+impl ServiceOrder<'_> {
     /// From here on a flow goes ahead of those that do not, whatever its rank; or not
     /// any more.
     pub fn ahead(&mut self, flow: Flow, ahead: bool) {
@@ -402,7 +404,7 @@
     fn place(job: u64, rank: Rank, work: f64) -> Place {
         Place {
             rank,
-            sweep: true,
+            is_array: true,
             hope: 0,
             work,
             due: 0.0,
@@ -411,8 +413,8 @@
         }
     }
 
-    fn order(line: &mut Line<'_>) -> Vec<u64> {
-        std::iter::from_fn(|| line.step())
+    fn order(service_order: &mut ServiceOrder<'_>) -> Vec<u64> {
+        std::iter::from_fn(|| service_order.step())
             .map(|s| s.1.job)
             .collect()
     }
@@ -432,18 +434,18 @@
             q.set(0, late, f64::INFINITY, 0.0);
         }
         let mut turns = Vec::new();
-        for round in 0..30 {
-            let fresh = 100 + round;
+        for cycle in 0..30 {
+            let fresh = 100 + cycle;
             q.set(0, place(fresh, Rank::High, 5.0), f64::INFINITY, 0.0);
-            for job in q.turns_of_late(|_| 8.0) {
-                turns.push((round, job));
+            for job in q.late_share_due(|_| 8.0) {
+                turns.push((cycle, job));
                 let at = Place {
                     hope: 2,
                     at: 10,
                     ..place(job, Rank::High, 1.0)
                 };
                 q.set(0, at, f64::INFINITY, 0.0);
-                assert_eq!(q.line().step().unwrap().1.job, job);
+                assert_eq!(q.service_order().step().unwrap().1.job, job);
                 q.remove(job);
             }
             q.remove(fresh);
@@ -466,24 +468,27 @@
             q.set(0, place, f64::INFINITY, 0.0);
         };
         (1..6).for_each(|job| set(&mut q, job));
-        assert_eq!(order(&mut q.line()), [3, 4, 5, 1, 2]);
+        assert_eq!(order(&mut q.service_order()), [3, 4, 5, 1, 2]);
         assert!(
-            q.give_turns(|at| at < 10, |_| false).is_empty(),
+            q.reserve_for_oldest(|at| at < 10, |_| false).is_empty(),
             "too young"
         );
-        assert_eq!(q.give_turns(|at| at <= 20, |_| false), [1]);
+        assert_eq!(q.reserve_for_oldest(|at| at <= 20, |_| false), [1]);
         set(&mut q, 1);
-        assert_eq!(order(&mut q.line()), [1, 3, 4, 5, 2]);
-        let changed = q.give_turns(|at| at <= 20, |job| job == 1);
+        assert_eq!(order(&mut q.service_order()), [1, 3, 4, 5, 2]);
+        let changed = q.reserve_for_oldest(|at| at <= 20, |job| job == 1);
         assert_eq!(changed, [1, 2]);
         changed.into_iter().for_each(|job| set(&mut q, job));
-        assert_eq!(order(&mut q.line()), [2, 3, 4, 5, 1]);
+        assert_eq!(order(&mut q.service_order()), [2, 3, 4, 5, 1]);
         q.remove(2);
         assert_eq!(q.turn(0), None);
-        assert!(q.give_turns(|at| at <= 20, |job| job == 1).is_empty());
+        assert!(
+            q.reserve_for_oldest(|at| at <= 20, |job| job == 1)
+                .is_empty()
+        );
     }
 
-    /// Flows come as one line, by their jobs' places; one that is ahead comes first.
+    /// Flows come as one service_order, by their jobs' places; one that is ahead comes first.
     #[test]
     fn flows_are_merged() {
         let mut q = Queues::default();
@@ -491,20 +496,20 @@
         q.set(0, place(2, Rank::High, 1.0), f64::INFINITY, 0.0);
         q.set(1, place(3, Rank::Standard, 9.0), f64::INFINITY, 0.0);
         q.set(1, place(4, Rank::High, 3.0), 500.0, 7.0);
-        assert_eq!(order(&mut q.line()), [2, 4, 1, 3]);
-        let mut line = q.line();
-        line.ahead(1, true);
-        assert_eq!(order(&mut line), [4, 3, 2, 1]);
+        assert_eq!(order(&mut q.service_order()), [2, 4, 1, 3]);
+        let mut service_order = q.service_order();
+        service_order.ahead(1, true);
+        assert_eq!(order(&mut service_order), [4, 3, 2, 1]);
         assert_eq!((q.turned(500.0), q.turned(501.0)), (vec![], vec![4]));
         q.set(1, place(4, Rank::Standard, 3.0), f64::INFINITY, 90.0);
         assert_eq!(q.since(4), Some(7.0), "moved, not come anew");
-        assert_eq!(order(&mut q.line()), [2, 1, 4, 3]);
+        assert_eq!(order(&mut q.service_order()), [2, 1, 4, 3]);
         q.remove(1);
         assert_eq!((q.len(), q.since(1)), (3, None));
     }
 
     /// Of a flow that finds no room a bounded number is looked at, and over some
-    /// rounds every job of it.
+    /// scheduling cycles every job of it.
     #[test]
     fn all_of_a_long_queue_get_their_turn() {
         let mut q = Queues::default();
@@ -513,19 +518,19 @@
         }
         let mut seen = BTreeSet::new();
         for _ in 0..70 {
-            let mut line = q.line();
-            let (mut looked, mut others, mut last) = (0, 0, None);
-            while let Some((flow, at)) = line.step() {
+            let mut service_order = q.service_order();
+            let (mut inspected_machines, mut others, mut last) = (0, 0, None);
+            while let Some((flow, at)) = service_order.step() {
                 seen.insert(at.job);
-                looked += 1;
-                if looked > WINDOW {
+                inspected_machines += 1;
+                if inspected_machines > WINDOW {
                     (others, last) = (others + 1, Some(at));
-                } else if looked == WINDOW {
-                    line.close(flow);
+                } else if inspected_machines == WINDOW {
+                    service_order.close(flow);
                 }
             }
-            assert!(looked <= WINDOW + OTHERS as u32);
-            q.looked_at(0, others, last);
+            assert!(inspected_machines <= WINDOW + OTHERS as u32);
+            q.inspected_at(0, others, last);
         }
         assert_eq!(seen.len(), 1000);
     }
--- a/crates/cherryyard-core/src/admission/shares.rs
+++ b/crates/cherryyard-core/src/admission/shares.rs
@@ -9,7 +9,7 @@
 
 /// What one flow asks for, in cores.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Asks {
+pub struct FlowDemand {
     /// What runs and what waits.
     pub demand: f64,
     /// Its team, by index.
@@ -23,12 +23,12 @@
 }
 
 /// The flows' floors, given their teams' guarantees and all cores that there are.
-pub fn floors(asks: &[Asks], guarantees: &[f64], cores: f64) -> Vec<f64> {
+pub fn floors(queries: &[FlowDemand], guarantees: &[f64], cores: f64) -> Vec<f64> {
     let of_team = |team: u32| {
-        let same = asks.iter().filter(move |a| a.team == team);
+        let same = queries.iter().filter(move |a| a.team == team);
         same.map(|a| a.demand).sum::<f64>()
     };
-    let claims: Vec<f64> = asks
+    let claims: Vec<f64> = queries
         .iter()
         .map(|a| {
             let (all, guarantee) = (of_team(a.team), guarantees.get(a.team as usize));
@@ -42,7 +42,7 @@
             least.max(guaranteed)
         })
         .collect();
-    let weights: Vec<f64> = asks.iter().map(|a| a.weight).collect();
+    let weights: Vec<f64> = queries.iter().map(|a| a.weight).collect();
     fill(&claims, &weights, cores)
 }
 
@@ -66,8 +66,8 @@
 mod tests {
     use super::*;
 
-    fn ask(team: u32, demand: f64) -> Asks {
-        Asks {
+    fn query(team: u32, demand: f64) -> FlowDemand {
+        FlowDemand {
             demand,
             team,
             weight: 1.0,
@@ -80,11 +80,11 @@
     /// not the worse for another's flood; a guarantee counts whole.
     #[test]
     fn floors_by_demand_and_guarantee() {
-        let two = [ask(0, 1900.0), ask(0, 8600.0)];
+        let two = [query(0, 1900.0), query(0, 8600.0)];
         assert_eq!(floors(&two, &[0.0], 6000.0), [950.0, 4300.0]);
         assert_eq!(floors(&two, &[0.0], 3000.0), [950.0, 2050.0]);
         assert_eq!(floors(&two, &[0.0], 1000.0), [500.0, 500.0]);
-        let teams = [ask(0, 1500.0), ask(1, 20_000.0)];
+        let teams = [query(0, 1500.0), query(1, 20_000.0)];
         assert_eq!(
             floors(&teams, &[1800.0, 3000.0], 12_000.0),
             [1500.0, 10_000.0]
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -1,7 +1,7 @@
 //! Whether a job can ever run here.
 
 use crate::{Config, Mirror};
-use cherryyard_wire::cloud::HostKind;
+use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::job::{JobSpec, Shape};
 use cherryyard_wire::rules::Rules;
 use std::collections::BTreeSet;
@@ -18,16 +18,16 @@
 }
 
 /// Whether a task of the job fits an empty machine of this type.
-pub fn fits_kind(spec: &JobSpec, kind: &HostKind) -> bool {
-    spec.cores <= kind.cores + 1e-9
-        && spec.accelerators <= kind.accelerators + 1e-9
-        && spec.ram_gb <= kind.ram_gb + 1e-9
-        && allows_kind(spec, &kind.sku)
+pub fn fits_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.cores <= machine_type.cores + 1e-9
+        && spec.accelerators <= machine_type.accelerators + 1e-9
+        && spec.ram_gb <= machine_type.ram_gb + 1e-9
+        && allows_machine_type(spec, &machine_type.sku)
 }
 
 /// Whether the job allows this type.
-pub fn allows_kind(spec: &JobSpec, sku: &str) -> bool {
-    spec.kinds_of_host
+pub fn allows_machine_type(spec: &JobSpec, sku: &str) -> bool {
+    spec.machine_types
         .as_ref()
         .is_none_or(|k| k.iter().any(|name| name == sku))
 }
@@ -40,54 +40,61 @@
     mirror: &Mirror,
     config: &Config,
 ) -> Result<(), Reject> {
-    if mirror.kinds.is_empty() {
+    if mirror.machine_types.is_empty() {
         return Err(Reject::NotYet("the machine types are not known yet"));
     }
     let never = |text: String| Err(Reject::Never(text));
-    let Some(team) = config.team_names.get(&spec.owner) else {
-        return never(format!("owner: unknown team `{}`", spec.owner));
+    let Some(team) = config.team_names.get(&spec.team) else {
+        return never(format!("owner: unknown team `{}`", spec.team));
     };
-    if let Some(zone) = &spec.yard
+    if let Some(zone) = &spec.zone
         && config.zones.get(zone).is_none()
     {
         return never(format!("yard: unknown zone `{zone}`"));
     }
-    if let Some(kinds) = &mut spec.kinds_of_host {
+    if let Some(machine_types) = &mut spec.machine_types {
         // Unknown types can run nothing, and a record has a limited size.
-        kinds.retain(|name| mirror.kinds.iter().any(|k| k.sku == *name));
-        kinds.sort();
-        kinds.dedup();
+        machine_types.retain(|name| mirror.machine_types.iter().any(|k| k.sku == *name));
+        machine_types.sort();
+        machine_types.dedup();
     }
     let mut zones: BTreeSet<&str> = mirror
-        .kinds
+        .machine_types
         .iter()
-        .filter(|k| fits_kind(spec, k))
-        .flat_map(|k| k.yards.iter().map(String::as_str))
-        .filter(|z| spec.yard.as_deref().is_none_or(|y| y == *z))
+        .filter(|k| fits_machine_type(spec, k))
+        .flat_map(|k| k.zones.iter().map(String::as_str))
+        .filter(|z| spec.zone.as_deref().is_none_or(|y| y == *z))
         .collect();
     if zones.is_empty() {
         return never("kinds_of_host: a task fits no allowed machine type".into());
     }
     if let Some(rules) = rules {
-        let cells = mirror.matcher.evaluate(rules, at);
-        let cells = cells.map_err(Reject::Malformed)?;
-        let runs = |kind: &HostKind, zone: &str| {
-            let tier = |spot| cells.tier(&kind.sku, zone, spot);
-            fits_kind(spec, kind)
-                && (tier(false).is_some() || spec.borrowed && tier(true).is_some())
+        let pools = mirror.matcher.evaluate(rules, at);
+        let pools = pools.map_err(Reject::Malformed)?;
+        let runs = |machine_type: &MachineType, zone: &str| {
+            let tier = |spot| pools.tier(&machine_type.sku, zone, spot);
+            fits_machine_type(spec, machine_type)
+                && (tier(false).is_some() || spec.spot && tier(true).is_some())
         };
-        zones.retain(|zone| mirror.kinds.iter().any(|kind| runs(kind, zone)));
+        zones.retain(|zone| {
+            mirror
+                .machine_types
+                .iter()
+                .any(|machine_type| runs(machine_type, zone))
+        });
         if zones.is_empty() {
-            let why = mirror.matcher.explain(spec, rules, &mirror.kinds, at);
+            let why = mirror
+                .matcher
+                .explain(spec, rules, &mirror.machine_types, at);
             return never(why.map_or_else(|e| e, |w| w.told()));
         }
     }
-    if spec.apart && spec.pieces > 1 && (spec.together || zones.len() < 2) {
+    if spec.apart && spec.task_count > 1 && (spec.together || zones.len() < 2) {
         return never("apart: the tasks would have to be in one zone".into());
     }
     let team = &config.teams[team as usize];
     let count = if spec.shape == Shape::Service {
-        f64::from(spec.pieces)
+        f64::from(spec.task_count)
     } else {
         1.0
     };
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -8,26 +8,26 @@
 //! has been told without a gap.
 
 use crate::Millis;
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::peers::PeerState;
 use cherryyard_wire::peer::Heartbeat;
-use cherryyard_wire::worker::{PieceReport, Report, piece_numbers};
+use cherryyard_wire::worker::{TaskReport, WorkerHeartbeat, parse_task_name};
 use std::collections::{BTreeMap, VecDeque};
 
-/// For how long a cancellation is told: longer than a controller stands still.
+/// For how long a cancellation is announced: longer than a controller stands still.
 const TELL_MS: f64 = 60_000.0;
 /// Cancellations that a heartbeat names.
 const MOST: usize = 200;
 /// Time between the last heartbeat of a process that said it was cut off and the start of the
 /// one after it, in which it has told no user of a cancellation: see
-/// [`Node::may_tell_cancelled`].
+/// [`Controller::may_confirm_cancelled`].
 const RESTART_MS: f64 = 10_000.0;
 /// The same as the one who keeps it counts: clocks drift apart.
 const KEPT_MS: f64 = RESTART_MS * 1.01;
-/// Jobs that are kept as told.
-const MOST_TOLD: usize = 10_000;
+/// Jobs that are kept as announced.
+const MAX_ANNOUNCED: usize = 10_000;
 
-/// What is told, and what we were told.
+/// What is told, and what we were announced.
 #[derive(Clone, Debug)]
 pub(crate) struct Cancelled {
     /// When we learnt of each.
@@ -35,9 +35,9 @@
     /// Since when that list has no gap.
     since: Millis,
     /// Jobs that others know to be cancelled, and we have not read of, and when we were
-    /// first told. Whatever we know of them: a part that we have just adopted may run
+    /// first announced. Whatever we know of them: a shard that we have just adopted may run
     /// tasks of jobs that we have yet to read of.
-    told: BTreeMap<u64, Millis>,
+    announced: BTreeMap<u64, Millis>,
     /// When we last told that we were cut off; at first our start, as the process before
     /// may have said so just before.
     cut_at: Millis,
@@ -61,7 +61,7 @@
         Self {
             lately: VecDeque::new(),
             since: now,
-            told: BTreeMap::new(),
+            announced: BTreeMap::new(),
             cut_at: now,
         }
     }
@@ -73,7 +73,7 @@
             self.since = now;
         }
         for job in new {
-            if self.told.remove(&job).is_none() {
+            if self.announced.remove(&job).is_none() {
                 self.lately.push_back((now, job));
             }
         }
@@ -83,23 +83,26 @@
             self.lately.pop_front();
             self.since = self.since.max(at);
         }
-        let reach = (now - self.since).clamp(0.0, TELL_MS);
-        (self.lately.iter().map(|c| c.1).collect(), reach as u32)
+        let reachability = (now - self.since).clamp(0.0, TELL_MS);
+        (
+            self.lately.iter().map(|c| c.1).collect(),
+            reachability as u32,
+        )
     }
 
     /// Notes that we tell the others that we are cut off.
-    pub(crate) fn said_cut_off(&mut self, now: Millis) {
+    pub(crate) fn announced_cut_off(&mut self, now: Millis) {
         self.cut_at = now;
     }
 
-    /// When we learnt that a job is cancelled, if that is no longer ago than is told.
+    /// When we learnt that a job is cancelled, if that is no longer ago than is announced.
     pub(crate) fn learnt_at(&self, job: u64) -> Option<Millis> {
         self.lately.iter().find(|l| l.1 == job).map(|l| l.0)
     }
 
     /// Whether another has told that a job is cancelled.
-    pub(crate) fn is_told(&self, job: u64) -> bool {
-        self.told.contains_key(&job)
+    pub(crate) fn is_announced(&self, job: u64) -> bool {
+        self.announced.contains_key(&job)
     }
 
     /// Keeps what a heartbeat names, and tells it on: whoever told may end, and one that has
@@ -107,11 +110,11 @@
     fn keep(&mut self, jobs: impl Iterator<Item = u64>, now: Millis) -> bool {
         let mut all = true;
         for job in jobs {
-            if self.told.contains_key(&job) {
+            if self.announced.contains_key(&job) {
                 continue;
             }
-            if self.told.len() < MOST_TOLD {
-                self.told.insert(job, now);
+            if self.announced.len() < MAX_ANNOUNCED {
+                self.announced.insert(job, now);
                 if !self.lately.iter().any(|l| l.1 == job) {
                     self.lately.push_back((now, job));
                 }
@@ -123,11 +126,11 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Takes what a heartbeat tells of cancellations, one that was made at `made` or later:
     /// up to when we know of all that its sender has learnt, until when it may have
     /// taken some.
-    pub(crate) fn told_of_cancellations(
+    pub(crate) fn learn_cancellations(
         &mut self,
         peer: usize,
         heartbeat: &Heartbeat,
@@ -140,9 +143,9 @@
         let kept = self.cancelled.keep(unread, now);
         if mirror.loaded {
             // What a read since then does not show as open is over, or never was.
-            let seen = self.seen_at;
-            self.cancelled.told.retain(|job, at| {
-                mirror.end(*job).is_none() && (seen <= *at || mirror.open.contains_key(job))
+            let reported = self.state_read_at;
+            self.cancelled.announced.retain(|job, at| {
+                mirror.end(*job).is_none() && (reported <= *at || mirror.open.contains_key(job))
             });
         }
         let before = self.peers[peer].as_ref().map(|p| p.covered);
@@ -163,7 +166,7 @@
         let slack = if before.cut { RESTART_MS } else { 0.0 };
         // No gap between what we knew and where the list begins. A read sent in the same
         // moment may have come before.
-        if kept && (from <= before.to + slack || from < self.seen_at) {
+        if kept && (from <= before.to + slack || from < self.state_read_at) {
             Covered {
                 contact,
                 to: before.to.max(made),
@@ -191,7 +194,7 @@
     /// to have named a heartbeat of ours from after it was learnt, or one from after we were
     /// last cut off; or so much time has passed that they do not take the process after
     /// this one for one that has stayed cut off.
-    pub fn may_tell_cancelled(&self, job: u64, now: Millis) -> bool {
+    pub fn may_confirm_cancelled(&self, job: u64, now: Millis) -> bool {
         let c = &self.cancelled;
         let named_by_all = |at: Millis| {
             let others = (0..self.peers.len()).filter(|&i| i != self.config.me);
@@ -212,32 +215,32 @@
     /// Whether a worker's lease may go on under the token that it shows, while its
     /// owner's process has ended and the state service is out of everybody's reach.
     ///
-    /// Only for tokens of our own claims, of a process before this one: that is dead,
+    /// Only for tokens of our own leases, of a process before this one: that is dead,
     /// as there is one at a time, and this one has not read the state, so nobody alive
     /// is that token's owner and counts on the lease. Only by the word of a peer that
     /// lived through and knows of every cancellation, and for nothing that it tells to
     /// be cancelled. Cancellations before its list reaches back are older than a lease,
     /// and their tasks have gone.
-    pub(crate) fn may_extend_lease(&self, p: usize, report: &Report, now: Millis) -> bool {
+    pub(crate) fn may_extend_lease(&self, p: usize, report: &WorkerHeartbeat, now: Millis) -> bool {
         let me = &self.config.labels[self.config.me];
-        let reach = self.config.lease_ms + 10_000.0;
+        let reachability = self.config.lease_ms + 10_000.0;
         let knows = |peer: &PeerState| {
-            let claim = (p as u32, report.baton, me.clone());
+            let holder = (p as u32, report.fencing_token, me.clone());
             peer.heartbeat.complete
                 && now - peer.made_at <= self.config.relied_ms()
-                && f64::from(peer.heartbeat.reach_ms) >= reach
-                && peer.heartbeat.claims.contains(&claim)
+                && f64::from(peer.heartbeat.reach_ms) >= reachability
+                && peer.heartbeat.leases.contains(&holder)
         };
-        let cancelled = |piece: &PieceReport| {
-            let job = piece_numbers(&piece.piece).map(|t| t.0);
-            job.is_none_or(|job| self.cancelled.is_told(job))
+        let cancelled = |reported: &TaskReport| {
+            let job = parse_task_name(&reported.task_name).map(|t| t.0);
+            job.is_none_or(|job| self.cancelled.is_announced(job))
         };
         !self.mirror.loaded
-            && report.baton > 0
-            && self.cancelled.told.len() < MOST_TOLD
+            && report.fencing_token > 0
+            && self.cancelled.announced.len() < MAX_ANNOUNCED
             && self.all_cut_off(now)
             && self.peers.iter().flatten().any(knows)
-            && !report.pieces.iter().any(cancelled)
+            && !report.tasks.iter().any(cancelled)
     }
 
     /// Whether there can be no cancellation that we have neither read nor been told of.
@@ -246,7 +249,7 @@
         others.map(|i| self.peers[i].as_ref()).all(|peer| {
             peer.is_some_and(|p| {
                 let contact = p.covered.contact;
-                contact <= p.covered.to || contact < self.seen_at
+                contact <= p.covered.to || contact < self.state_read_at
             })
         })
     }
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -1,7 +1,7 @@
 //! What a controller knows from its settings, in the core's own terms.
 
 use crate::names::Names;
-use crate::parting::Parting;
+use crate::shard_map::ShardMap;
 use cherryyard_wire::record::NEWEST_FORMAT;
 use cherryyard_wire::rules::Attributes;
 use cherryyard_wire::settings::Settings;
@@ -12,21 +12,21 @@
 /// to all controllers.
 const MAX_PAGE: usize = 12 * 1024;
 
-/// Shares of the write budget: all owners' rounds together, users' writes, and the
+/// Shares of the write budget: all owners' scheduling cycles together, users' writes, and the
 /// history of jobs that are over. They may add up to more than 1, as seldom all are
 /// spent at once.
-const ROUNDS_SHARE: f64 = 0.7;
+const CYCLES_SHARE: f64 = 0.7;
 const USERS_SHARE: f64 = 0.35;
 const HISTORY_SHARE: f64 = 0.1;
 
 /// Operators' own settings, each with a default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// The proposal's AutoscaleMultiClusterDelay in seconds: how long a part
+    /// The proposal's AutoscaleMultiClusterDelay in seconds: how long a shard
     /// may keep tasks waiting before the leader moves them.
     pub autoscale_multi_cluster_delay_s: f64,
-    /// Seconds between two reports of free room to the leader.
-    pub room_report_s: f64,
+    /// Seconds between two reports of free capacity to the leader.
+    pub capacity_report_s: f64,
     /// Share of the fleet's cores that renting ahead keeps free.
     pub headroom_share: f64,
     /// Seconds without work after which a rented machine may be returned.
@@ -52,7 +52,7 @@
     fn default() -> Self {
         Self {
             autoscale_multi_cluster_delay_s: 10.0,
-            room_report_s: 5.0,
+            capacity_report_s: 5.0,
             headroom_share: 0.5,
             idle_return_s: 150.0,
             history: false,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A class's own part in it.
+/// What a class has of its own in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassShare {
     /// Its weight where not all floors can be met.
@@ -143,8 +143,8 @@
     pub me: usize,
     /// All controllers' names, in the agreed order.
     pub labels: Vec<String>,
-    /// Which part a machine belongs to.
-    pub parting: Parting,
+    /// Which shard a machine belongs to.
+    pub shard_map: ShardMap,
     /// Zone names.
     pub zones: Names,
     /// Team names.
@@ -165,9 +165,9 @@
     pub writes_per_s: f64,
     /// The same after an announced change of the state service's limits.
     pub next_writes_per_s: f64,
-    /// Changes a second that one part's rounds may write: the rest of the
-    /// budget is for users, claims and the leader.
-    pub round_writes_per_s: f64,
+    /// Changes a second that one shard's scheduling cycles may write: the rest of the
+    /// budget is for users, leases and the leader.
+    pub cycle_writes_per_s: f64,
     /// Users' writes a second, all controllers together.
     pub user_writes_per_s: f64,
     /// Writes a second that go into the history, at most.
@@ -211,7 +211,7 @@
                 .position(|(l, _)| *l == settings.label)
                 .unwrap_or(0),
             labels: controllers.iter().map(|(l, _)| l.clone()).collect(),
-            parting: Parting::new(&controllers),
+            shard_map: ShardMap::new(&controllers),
             zones: Names::of(c.zones.iter().map(String::as_str)),
             team_names: Names::of(c.teams.iter().map(|t| t.name.as_str())),
             teams: c
@@ -231,7 +231,7 @@
             txn_ops: c.state.safe_txn_ops(),
             writes_per_s: c.state.write_rps,
             next_writes_per_s: c.state.safe_write_rps(),
-            round_writes_per_s: 0.0,
+            cycle_writes_per_s: 0.0,
             user_writes_per_s: 0.0,
             history_writes_per_s: 0.0,
             history_reads_per_s: c.state.rps * 0.1,
@@ -258,13 +258,13 @@
     /// Sets the rate of puts and deletes, and divides it among those who write.
     pub(crate) fn set_writes_per_s(&mut self, rate: f64) {
         self.writes_per_s = rate;
-        self.round_writes_per_s = rate * ROUNDS_SHARE / self.parts() as f64;
+        self.cycle_writes_per_s = rate * CYCLES_SHARE / self.shards() as f64;
         self.user_writes_per_s = rate * USERS_SHARE;
         self.history_writes_per_s = rate * HISTORY_SHARE;
     }
 
-    /// How many parts there are.
-    pub fn parts(&self) -> usize {
+    /// How many shards there are.
+    pub fn shards(&self) -> usize {
         self.labels.len()
     }
 
@@ -274,7 +274,7 @@
         RELIED_MS.min(self.cut_off_bound_ms())
     }
 
-    /// After this long without news from the state service an owner stops
+    /// After this long without watch events from the state service an owner stops
     /// answering workers: their leases must have ended before a cancellation
     /// that it cannot see runs out.
     pub fn cut_off_bound_ms(&self) -> f64 {
--- a/crates/cherryyard-core/src/node.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -1,21 +1,21 @@
-//! One controller: claims, reports, heartbeats, and what ties the rest together.
+//! One controller: leases, reports, heartbeats, and what ties the rest together.
 
 use crate::admission::demand::Demand;
+use crate::admission::entitlements::Entitlements;
 use crate::admission::intake::Intake;
-use crate::admission::rights::Rights;
 use crate::cancelled::Cancelled;
 use crate::effects::{Effect, Outcome, Ticket};
-use crate::lateness::Lateness;
+use crate::event_loop_lag::EventLoopLag;
 use crate::leader::state::Leader;
-use crate::machine::{HostEvent, HostState, Machine};
-use crate::owner::state::Part;
-use crate::pace::Pace;
-use crate::peers::{PeerFormat, PeerState, Stray};
-use crate::tenancy::{Tenancy, TenancyEvent};
+use crate::machine::{Machine, MachineEvent, MachineState};
+use crate::owner::state::Shard;
+use crate::peers::{MisdirectedWorker, PeerFormat, PeerState};
+use crate::shard_lease::{ShardLease, ShardLeaseEvent};
+use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
-use cherryyard_wire::cloud::{HostEntry, HostKind};
+use cherryyard_wire::cloud::{Instance, MachineType};
 use cherryyard_wire::record::Key;
-use cherryyard_wire::state::{Commit, News};
+use cherryyard_wire::state::{Commit, WatchResponse};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -29,14 +29,14 @@
 
 /// One controller.
 #[derive(Debug)]
-pub struct Node {
+pub struct Controller {
     /// What it was configured with.
     pub config: Config,
     /// This process's number, among all that have run under its name.
     pub(crate) process: u64,
     /// What the state service holds.
     pub mirror: Mirror,
-    pub(crate) parts: Vec<Part>,
+    pub(crate) shards: Vec<Shard>,
     pub(crate) machines: BTreeMap<u32, Machine>,
     pub(crate) leader: Leader,
     pub(crate) peers: Vec<Option<PeerState>>,
@@ -45,41 +45,41 @@
     pub(crate) peer_formats: Vec<Option<PeerFormat>>,
     /// When the connection to each other controller was last to be made anew.
     pub(crate) reconnected_at: Vec<Millis>,
-    pub(crate) hold: Option<u64>,
+    pub(crate) lease_id: Option<u64>,
     pub(crate) effects: Vec<Effect>,
     pub(crate) rng: StdRng,
     /// When a request was sent that the state service has answered.
     pub(crate) state_ok_at: Millis,
     /// When an answer of the state service last came.
-    pub(crate) state_heard_at: Millis,
+    pub(crate) state_answered_at: Millis,
     /// When the newest read of the state was sent.
-    pub(crate) seen_at: Millis,
+    pub(crate) state_read_at: Millis,
     pub(crate) started_at: Millis,
     pub(crate) reported_at: Millis,
-    pub(crate) room_changed: bool,
-    pub(crate) types_from_cloud: Option<Vec<HostKind>>,
-    pub(crate) listed: HashMap<String, HostEntry>,
+    pub(crate) capacity_changed: bool,
+    pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
+    pub(crate) listed: HashMap<String, Instance>,
     pub(crate) listed_at: Millis,
     /// How far behind this controller is with what waits for it.
-    pub(crate) lateness: Lateness,
+    pub(crate) lag: EventLoopLag,
     /// The newest revision known, from the mirror or from our own transactions.
-    pub(crate) newest_epoch: u64,
+    pub(crate) newest_revision: u64,
     /// The time of the event at hand.
     pub(crate) clock: Millis,
     /// When this controller last started, or went on after it had stood still.
     pub(crate) woke_at: Millis,
-    /// Workers of others' parts that reported here, by part and machine.
-    pub(crate) strays: BTreeMap<(usize, u32), Stray>,
+    /// Workers of others' shards that reported here, by shard and machine.
+    pub(crate) misdirected: BTreeMap<(usize, u32), MisdirectedWorker>,
     /// Users' writes that this controller may make.
-    pub(crate) user_pace: Pace,
-    /// Machines whose assignments rounds have looked at so far: what rounds cost.
-    pub looked: u64,
-    /// Waiting jobs that rounds have looked at so far.
-    pub looked_jobs: u64,
+    pub(crate) user_write_budget: TokenBucket,
+    /// Machines whose assignments scheduling cycles have looked at so far: what scheduling cycles cost.
+    pub inspected_machines: u64,
+    /// Waiting jobs that scheduling cycles have looked at so far.
+    pub inspected_jobs: u64,
     /// Cancellations that are told and were told.
     pub(crate) cancelled: Cancelled,
     /// Floors, and rights by them.
-    pub(crate) rights: Rights,
+    pub(crate) entitlements: Entitlements,
     /// Submissions on their way into the state service.
     pub(crate) intake: Intake,
     /// What has become of submissions here.
@@ -90,46 +90,49 @@
     pub wall_offset: f64,
 }
 
-impl Node {
+impl Controller {
     /// A controller that has just started.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
         let mirror = Mirror::new(&config);
-        let parts = (0..config.parts())
-            .map(|_| Part::new(config.round_writes_per_s, now))
+        let shards = (0..config.shards())
+            .map(|_| Shard::new(config.cycle_writes_per_s, now))
             .collect();
-        let peers = vec![None; config.parts()];
+        let peers = vec![None; config.shards()];
         let number = StdRng::seed_from_u64(seed).random();
         let rng = StdRng::seed_from_u64(seed);
         Self {
             leader: Leader::new(&config, now),
             mirror,
-            parts,
+            shards,
             machines: BTreeMap::new(),
             reconnected_at: vec![now; peers.len()],
             peer_formats: vec![None; peers.len()],
             peers,
-            hold: None,
+            lease_id: None,
             effects: Vec::new(),
             rng,
             state_ok_at: f64::NEG_INFINITY,
-            state_heard_at: f64::NEG_INFINITY,
-            seen_at: f64::NEG_INFINITY,
+            state_answered_at: f64::NEG_INFINITY,
+            state_read_at: f64::NEG_INFINITY,
             started_at: now,
             reported_at: f64::NEG_INFINITY,
-            room_changed: false,
-            types_from_cloud: None,
+            capacity_changed: false,
+            machine_types_from_cloud: None,
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
-            lateness: Lateness::new(now),
-            newest_epoch: 0,
+            lag: EventLoopLag::new(now),
+            newest_revision: 0,
             clock: now,
             woke_at: now,
-            strays: BTreeMap::new(),
-            user_pace: Pace::new(config.user_writes_per_s / config.parts() as f64, now),
-            looked: 0,
-            looked_jobs: 0,
+            misdirected: BTreeMap::new(),
+            user_write_budget: TokenBucket::new(
+                config.user_writes_per_s / config.shards() as f64,
+                now,
+            ),
+            inspected_machines: 0,
+            inspected_jobs: 0,
             cancelled: Cancelled::new(now),
-            rights: Rights::new(number),
+            entitlements: Entitlements::new(number),
             process: number,
             intake: Intake::new(&config, now),
             demand: Demand::new(),
@@ -147,12 +150,12 @@
     /// Notes the time of an event. After a gap all timers are due at once and all
     /// that is known is old: nothing is decided before a read of the state that
     /// was sent since, or a controller that stood still for a minute took all its
-    /// machines for silent, and parts long lost for its own.
+    /// machines for silent, and shards long lost for its own.
     pub(crate) fn notice(&mut self, now: Millis) {
         if now - self.clock > STOOD_STILL_MS {
             tracing::info!(ms = now - self.clock, "stood still");
             self.woke_at = now;
-            self.lateness.stood_still(now);
+            self.lag.stood_still(now);
             self.effects.push(Effect::Refresh);
         }
         self.clock = self.clock.max(now);
@@ -160,25 +163,25 @@
 
     /// Whether the state has been read since this controller last stood still.
     pub(crate) fn caught_up(&self) -> bool {
-        self.seen_at >= self.woke_at
+        self.state_read_at >= self.woke_at
     }
 
     /// Ends a full read of the state whose first page was asked for at `sent_at`
-    /// and described revision `epoch`. Its pieces went to the mirror before: a
+    /// and described revision `store_revision`. Its pieces went to the mirror before: a
     /// long read must not keep reports waiting.
-    pub fn loaded(&mut self, epoch: u64, sent_at: Millis, now: Millis) {
+    pub fn loaded(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
         self.notice(now);
-        self.mirror.end_load(epoch);
+        self.mirror.end_load(store_revision);
         self.after_state(sent_at, now);
     }
 
     /// Takes what a watch or barrier told; its request was sent at `sent_at`.
-    pub fn news(&mut self, news: &News, sent_at: Millis, now: Millis) {
+    pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
         self.notice(now);
-        let changed = !news.news.is_empty();
-        self.mirror.news(news);
+        let changed = !events.events.is_empty();
+        self.mirror.events(events);
         self.state_answered(sent_at, now);
-        self.seen_at = self.seen_at.max(sent_at);
+        self.state_read_at = self.state_read_at.max(sent_at);
         if changed {
             self.after_state(sent_at, now);
         }
@@ -186,82 +189,83 @@
 
     fn after_state(&mut self, sent_at: Millis, now: Millis) {
         self.state_answered(sent_at, now);
-        self.seen_at = self.seen_at.max(sent_at);
+        self.state_read_at = self.state_read_at.max(sent_at);
         for text in self.mirror.complaints() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
-        self.check_claims();
-        for part in &mut self.parts {
-            part.dirty = true;
+        self.check_leases();
+        for shard in &mut self.shards {
+            shard.dirty = true;
         }
         self.leader.dirty = true;
         self.run(now);
     }
 
-    fn check_claims(&mut self) {
-        self.take_own_claims();
-        for p in 0..self.parts.len() {
-            if let Tenancy::Owned(stamp) | Tenancy::Deposed(stamp) = self.parts[p].tenancy
-                && self.mirror.stamp(Key::Part(p)) != stamp
+    fn check_leases(&mut self) {
+        self.adopt_own_leases();
+        for shard_id in 0..self.shards.len() {
+            if let ShardLease::Held(token) | ShardLease::Superseded(token) =
+                self.shards[shard_id].lease
+                && self.mirror.revision(Key::Shard(shard_id)) != token
             {
-                tracing::info!(part = p, stamp, "lost the claim on a part");
-                self.change_tenancy(p, TenancyEvent::ClaimGone);
+                tracing::info!(shard = shard_id, token, "lost the claim on a part");
+                self.change_shard_lease(shard_id, ShardLeaseEvent::Lost);
             }
         }
-        self.leader.check_claim(&self.mirror);
+        self.leader.check_leadership(&self.mirror);
     }
 
-    /// The one place through which a part's standing changes.
-    pub(crate) fn change_tenancy(&mut self, p: usize, event: TenancyEvent) {
-        let before = self.parts[p].tenancy;
+    /// The one place through which a shard's standing changes.
+    pub(crate) fn change_shard_lease(&mut self, shard_id: usize, event: ShardLeaseEvent) {
+        let before = self.shards[shard_id].lease;
         let after = before.after(event);
         if before == after {
             return;
         }
-        self.parts[p].tenancy = after;
+        self.shards[shard_id].lease = after;
         match after {
-            Tenancy::Foreign => {
-                self.machines.retain(|_, m| m.part != p);
-                self.parts[p].clear();
+            ShardLease::NotHeld => {
+                self.machines.retain(|_, m| m.shard != shard_id);
+                self.shards[shard_id].clear();
             }
-            Tenancy::Owned(stamp) => {
-                tracing::info!(part = p, stamp, "own a part");
-                self.parts[p].dirty = true;
-                self.parts[p].owned_since = self.clock;
-                if !matches!(before, Tenancy::Owned(_)) {
-                    self.parts[p].held_since = self.clock;
+            ShardLease::Held(token) => {
+                tracing::info!(shard = shard_id, token, "own a part");
+                self.shards[shard_id].dirty = true;
+                self.shards[shard_id].owned_since = self.clock;
+                if !matches!(before, ShardLease::Held(_)) {
+                    self.shards[shard_id].held_since = self.clock;
                 }
-                self.queue_all(p, self.clock);
-                self.room_changed = true;
-                for m in self.machines.values_mut().filter(|m| m.part == p) {
-                    m.change(HostEvent::TokenChanged);
+                self.queue_all(shard_id, self.clock);
+                self.capacity_changed = true;
+                for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
+                    m.change(MachineEvent::TokenChanged);
                 }
                 self.effects.push(Effect::Heartbeat);
             }
-            Tenancy::Claiming | Tenancy::Deposed(_) => {}
+            ShardLease::Acquiring | ShardLease::Superseded(_) => {}
         }
     }
 
     /// Notes that the state service has answered a request sent at `sent_at`.
     pub fn state_answered(&mut self, sent_at: Millis, now: Millis) {
         self.state_ok_at = self.state_ok_at.max(sent_at);
-        self.state_heard_at = self.state_heard_at.max(now);
+        self.state_answered_at = self.state_answered_at.max(now);
     }
 
-    /// Takes the state lease under which claims are made, or its loss.
-    pub fn lease(&mut self, hold: Option<u64>, now: Millis) {
+    /// Takes the state lease under which leases are made, or its loss.
+    pub fn state_lease_changed(&mut self, lease_id: Option<u64>, now: Millis) {
         self.notice(now);
-        self.hold = hold;
+        self.lease_id = lease_id;
         self.run(now);
     }
 
     /// Takes machine types from the cloud.
-    pub fn kinds(&mut self, kinds: Vec<HostKind>, now: Millis) {
+    pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
         self.notice(now);
-        if self.mirror.kinds_stamp == 0 && !kinds.is_empty() {
-            self.mirror.set_kinds(kinds.clone());
+        if self.mirror.machine_types_revision == 0 && !machine_types.is_empty() {
+            self.mirror.set_machine_types(machine_types.clone());
         }
-        self.types_from_cloud = Some(kinds);
+        self.machine_types_from_cloud = Some(machine_types);
         self.leader.dirty = true;
         self.run(now);
     }
@@ -275,19 +279,20 @@
     /// either the state service answers it, or it answers nobody.
     pub fn ready(&self, now: Millis) -> bool {
         self.mirror.loaded
-            && !self.mirror.kinds.is_empty()
+            && !self.mirror.machine_types.is_empty()
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
-    /// The part's token, if this controller owns it beyond doubt.
-    pub(crate) fn owned(&self, p: usize) -> Option<u64> {
-        match self.parts[p].tenancy {
-            // Before the mirror has caught up with the claim, the last assignments of
+    /// The shard's token, if this controller owns it beyond doubt.
+    pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
+        match self.shards[shard_id].lease {
+            // Before the mirror has caught up with the lease, the last assignments of
             // the owner before may be missing from it.
-            Tenancy::Owned(stamp)
-                if self.mirror.stamp(Key::Part(p)) == stamp && self.mirror.epoch >= stamp =>
+            ShardLease::Held(token)
+                if self.mirror.revision(Key::Shard(shard_id)) == token
+                    && self.mirror.store_revision >= token =>
             {
-                Some(stamp)
+                Some(token)
             }
             _ => None,
         }
@@ -296,9 +301,9 @@
     /// Takes how a transaction came out.
     pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
         self.notice(now);
-        if let Outcome::Applied(epoch) = outcome {
-            self.newest_epoch = self.newest_epoch.max(epoch);
-            self.mirror.committed(commit, epoch);
+        if let Outcome::Applied(store_revision) = outcome {
+            self.newest_revision = self.newest_revision.max(store_revision);
+            self.mirror.committed(commit, store_revision);
         } else {
             if outcome == Outcome::Malformed {
                 self.commit_refused_as_malformed(commit);
@@ -307,39 +312,42 @@
             self.effects.push(Effect::Refresh);
         }
         match ticket {
-            Ticket::Claim(p) => {
-                self.parts[p].claiming = false;
+            Ticket::AcquireShard(shard_id) => {
+                self.shards[shard_id].acquiring = false;
                 match outcome {
-                    Outcome::Applied(epoch) => {
-                        self.change_tenancy(p, TenancyEvent::ClaimApplied(epoch));
+                    Outcome::Applied(store_revision) => {
+                        self.change_shard_lease(
+                            shard_id,
+                            ShardLeaseEvent::Acquired(store_revision),
+                        );
                     }
                     _ => {
-                        self.parts[p].claim_after = now + self.jitter(200.0, 500.0);
-                        self.change_tenancy(p, TenancyEvent::ClaimFailed);
+                        self.shards[shard_id].acquire_after = now + self.jitter(200.0, 500.0);
+                        self.change_shard_lease(shard_id, ShardLeaseEvent::AcquireFailed);
                     }
                 }
             }
-            Ticket::Owner(p) => self.owner_committed(p, outcome, now),
-            Ticket::Yield(p) => {
-                self.parts[p].claiming = false;
-                if now < self.parts[p].away_until {
-                    self.parts[p].retry_after = now + self.jitter(200.0, 500.0);
+            Ticket::OwnerCycle(shard_id) => self.owner_committed(shard_id, outcome, now),
+            Ticket::ReleaseShard(shard_id) => {
+                self.shards[shard_id].acquiring = false;
+                if now < self.shards[shard_id].away_until {
+                    self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
                 } else if let Outcome::Applied(_) = outcome {
-                    let part = &mut self.parts[p];
-                    part.yields += 1;
-                    part.claim_after = now + 20_000.0 * f64::from(1u32 << part.yields.min(3));
-                    part.away_until = part.claim_after;
-                    self.change_tenancy(p, TenancyEvent::ClaimGone);
+                    let shard = &mut self.shards[shard_id];
+                    shard.yields += 1;
+                    shard.acquire_after = now + 20_000.0 * f64::from(1u32 << shard.yields.min(3));
+                    shard.away_until = shard.acquire_after;
+                    self.change_shard_lease(shard_id, ShardLeaseEvent::Lost);
                 }
             }
-            Ticket::Lead => self.lead_committed(outcome, now),
-            Ticket::Leader => self.leader_committed(outcome, now),
-            Ticket::Packer => self.packer_committed(outcome, now),
-            Ticket::Creator => self.creator_committed(outcome, now),
-            Ticket::Intake => self.intake_committed(outcome, now),
+            Ticket::AcquireLeadership => self.leadership_committed(outcome, now),
+            Ticket::LeaderCycle => self.leader_committed(outcome, now),
+            Ticket::HistoryCompaction => self.compaction_committed(outcome, now),
+            Ticket::BulkCreation => self.bulk_creation_committed(outcome, now),
+            Ticket::Admission => self.intake_committed(outcome, now),
         }
         if outcome == Outcome::NoLease {
-            self.hold = None;
+            self.lease_id = None;
         }
         self.run(now);
     }
@@ -352,27 +360,27 @@
     /// all reports and requests that came before.
     pub fn queue_passed(&mut self, due: Millis, now: Millis) {
         self.notice(now);
-        self.lateness.passed(due, now);
+        self.lag.passed(due, now);
     }
 
     /// The state lease in use.
-    pub fn hold(&self) -> Option<u64> {
-        self.hold
+    pub fn lease_id(&self) -> Option<u64> {
+        self.lease_id
     }
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Millis) {
         self.notice(now);
-        self.lateness.ticked(now);
-        for part in &mut self.parts {
-            if now - part.planned_at >= 400.0 {
-                part.dirty = true;
+        self.lag.ticked(now);
+        for shard in &mut self.shards {
+            if now - shard.planned_at >= 400.0 {
+                shard.dirty = true;
             }
         }
         self.run(now);
         if self.accounting {
-            for p in 0..self.parts.len() {
-                self.sample(p, now);
+            for shard_id in 0..self.shards.len() {
+                self.sample(shard_id, now);
             }
         }
     }
@@ -381,18 +389,18 @@
         if !self.mirror.loaded {
             return;
         }
-        self.check_claims();
+        self.check_leases();
         self.requeue_changed(now);
-        self.claim_parts(now);
-        self.yield_parts(now);
-        self.claim_lead(now);
-        for p in 0..self.parts.len() {
-            if self.parts[p].dirty {
-                self.plan_part(p, now);
+        self.acquire_shards(now);
+        self.release_unreachable_shards(now);
+        self.acquire_leadership(now);
+        for shard_id in 0..self.shards.len() {
+            if self.shards[shard_id].dirty {
+                self.plan_shard(shard_id, now);
             }
         }
         if self.leader.dirty || now - self.leader.planned_at >= 500.0 {
-            self.plan_lead(now);
+            self.plan_leader(now);
         }
         self.take_in(now);
         self.pack(now);
@@ -400,9 +408,9 @@
     }
 
     /// Takes a reading of the cloud's machine list.
-    pub fn listed(&mut self, hosts: Vec<HostEntry>, now: Millis) {
+    pub fn listed(&mut self, hosts: Vec<Instance>, now: Millis) {
         self.notice(now);
-        self.learn_boots(&hosts);
+        self.learn_provisioning_times(&hosts);
         self.listed = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
         self.listed_at = now;
         // Machines long gone are forgotten, unless something still names them:
@@ -410,11 +418,11 @@
         // until it is gone). Of the latter a busy fleet has some hundreds a day.
         let (mirror, listed) = (&self.mirror, &self.listed);
         self.machines.retain(|&host, m| {
-            now - m.heard_at < FORGET_MS
+            now - m.last_heard_at < FORGET_MS
                 || mirror.on_host(host).next().is_some()
-                || (m.state != HostState::Gone && listed.contains_key(mirror.hosts.name(host)))
+                || (m.state != MachineState::Gone && listed.contains_key(mirror.hosts.name(host)))
         });
-        self.return_listed(now);
+        self.scale_in_listed(now);
     }
 
     /// Takes the answer to a release.
@@ -424,15 +432,15 @@
             let Some(host) = self.mirror.hosts.get(name) else {
                 continue;
             };
-            if let Some(part) = self.machines.get(&host).map(|m| m.part) {
-                self.parts[part].dirty = true;
-                self.parts[part].touched.insert(host);
+            if let Some(shard) = self.machines.get(&host).map(|m| m.shard) {
+                self.shards[shard].dirty = true;
+                self.shards[shard].touched.insert(host);
             }
             if let Some(m) = self.machines.get_mut(&host) {
                 m.change(if ok {
-                    HostEvent::Released
+                    MachineEvent::Released
                 } else {
-                    HostEvent::ReleaseFailed
+                    MachineEvent::ReleaseFailed
                 });
                 m.release_after = now + 2000.0;
             }
--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -1,6 +1,6 @@
 //! Dependencies of a submission: what has become of the jobs that it names.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use cherryyard_wire::dependencies::{Dependencies, dependency_numbers};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
 use cherryyard_wire::record::End;
@@ -26,7 +26,7 @@
     format!("waits_on: {} has never been accepted", job_id(job))
 }
 
-impl Node {
+impl Controller {
     /// What becomes of a submission for the jobs that it names, as this controller knows
     /// them, and by the ends that were found in the history.
     pub fn resolve_dependencies(&self, spec: &JobSpec, past: &PastEnds) -> Resolution {
--- a/crates/cherryyard-core/src/divide.rs
+++ b/crates/cherryyard-core/src/divide.rs
@@ -1,8 +1,8 @@
-//! DynamicWeighted division of a job's tasks among the parts.
+//! DynamicWeighted division of a job's tasks among the shards.
 
 /// Divides `n` tasks by `weights`; the shares add up to `n`.
 ///
-/// Shares are rounded down, and what is left goes to the parts that lost a
+/// Shares are rounded down, and what is left goes to the shards that lost a
 /// fraction, larger weights first, as in the paper's StaticWeighted example
 /// (10 by 1:2:3 is 1, 4, 5). Then a share below 1 becomes 1 where the weight
 /// is above 0, taken from the largest share, as long as that leaves it 1.
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -1,31 +1,31 @@
 //! What the core wants done, and how it came out.
 
 use crate::admission::intake::Verdict;
-use cherryyard_wire::cloud::HireRequest;
+use cherryyard_wire::cloud::ProvisionRequest;
 use cherryyard_wire::history::Level;
 use cherryyard_wire::state::Commit;
-use cherryyard_wire::worker::{DoRequest, Report, ReportAnswer};
+use cherryyard_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
 
 /// Which of this controller's transactions an outcome belongs to. There is at
 /// most one of each under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ticket {
-    /// A claim on a part, or its renewal under a new token.
-    Claim(usize),
+    /// A lease on a shard, or its renewal under a new token.
+    AcquireShard(usize),
     /// An owner's round.
-    Owner(usize),
-    /// An owner gives its part up.
-    Yield(usize),
-    /// A claim on the lead.
-    Lead,
+    OwnerCycle(usize),
+    /// An owner gives its shard up.
+    ReleaseShard(usize),
+    /// A lease on the lead.
+    AcquireLeadership,
     /// A leader's round.
-    Leader,
+    LeaderCycle,
     /// The history's packer.
-    Packer,
+    HistoryCompaction,
     /// The creator of submissions' jobs.
-    Creator,
+    BulkCreation,
     /// Users' submissions.
-    Intake,
+    Admission,
 }
 
 /// How a transaction came out.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub enum PushOutcome {
     /// The worker answered with its report.
-    Answered(Box<Report>),
+    Answered(Box<WorkerHeartbeat>),
     /// No connection was made, so the worker never gets it.
     Unsent,
     /// No answer: it may yet be executed.
@@ -71,10 +71,10 @@
         /// Its address.
         addr: String,
         /// The commands.
-        request: DoRequest,
+        request: CommandBatch,
     },
     /// Ask a machine directly for its report.
-    Ask {
+    QueryStatus {
         /// The machine.
         host: u32,
         /// Its address.
@@ -87,7 +87,7 @@
     /// Return machines.
     Release(Vec<String>),
     /// Rent machines.
-    Hire(HireRequest),
+    Provision(ProvisionRequest),
     /// Read the first leaf of a run whose last possible id is this one or later.
     ReadLeaf(Level, u64),
     /// Read a chunk of a submission.
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// 200.
-    Answer(ReportAnswer),
+    Answer(HeartbeatResponse),
     /// 421, naming the owner if one is known.
     Elsewhere(Option<String>),
     /// 503.
--- a/crates/cherryyard-core/src/lateness.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -12,7 +12,7 @@
 
 /// What is known of a controller's lateness.
 #[derive(Clone, Copy, Debug)]
-pub struct Lateness {
+pub struct EventLoopLag {
     /// How long the last task waited, and when the next becomes due.
     last: Millis,
     due: Millis,
@@ -20,7 +20,7 @@
     late_at: Millis,
 }
 
-impl Lateness {
+impl EventLoopLag {
     /// A controller that has just started.
     pub fn new(now: Millis) -> Self {
         Self {
@@ -77,7 +77,7 @@
     /// which the reports wait.
     #[test]
     fn a_queue_that_stands_is_late_before_it_moves() {
-        let mut l = Lateness::new(0.0);
+        let mut l = EventLoopLag::new(0.0);
         for i in 1..=100 {
             let now = f64::from(i) * 100.0;
             l.ticked(now);
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -1,31 +1,31 @@
 //! What controllers tell each other.
 
 use crate::Millis;
+use crate::controller::Controller;
 use crate::effects::Effect;
-use crate::node::Node;
 use crate::peers::{PeerFormat, PeerState};
-use crate::tenancy::{Tenancy, TenancyEvent};
-use cherryyard_wire::peer::{Heartbeat, PartReport, Sender};
+use crate::shard_lease::{ShardLease, ShardLeaseEvent};
+use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
 use std::collections::BTreeMap;
 
 /// How long nothing of what we send a controller may be named by it.
 const DEAF_MS: f64 = 3000.0;
 /// How long a report counts that came to one who does not own its machine: a worker that
 /// cannot reach its owner waits 4 s there, 1 s more, and is sent there again.
-const STRAY_MS: f64 = 6000.0;
+const MISDIRECTED_MS: f64 = 6000.0;
 /// How long after a newer heartbeat an older one is taken for one that was held back. One who
 /// began anew counts from anywhere, but names ours of since then.
 const OLD_CONNECTION_MS: f64 = 3000.0;
 
-impl Node {
+impl Controller {
     /// Whether every other controller says lately that the state service does
     /// not answer it either.
     pub(crate) fn all_cut_off(&self, now: Millis) -> bool {
         (0..self.peers.len())
             .filter(|&i| i != self.config.me)
             .all(|i| {
-                self.peers[i].as_ref().is_some_and(|p| {
-                    now - p.made_at <= self.config.relied_ms() && p.heartbeat.cut_off
+                self.peers[i].as_ref().is_some_and(|peer| {
+                    now - peer.made_at <= self.config.relied_ms() && peer.heartbeat.cut_off
                 })
             })
     }
@@ -77,107 +77,108 @@
             return;
         }
         let made_at = self.made_at(&heartbeat);
-        let older = |p: &PeerState| {
-            heartbeat.number < p.heartbeat.number
-                && made_at <= p.made_at
-                && now - p.heard_at < OLD_CONNECTION_MS
+        let older = |peer: &PeerState| {
+            heartbeat.number < peer.heartbeat.number
+                && made_at <= peer.made_at
+                && now - peer.last_heard_at < OLD_CONNECTION_MS
         };
         if self.peers[i].as_ref().is_some_and(older) {
             // Held back on a connection that has been given up since.
             return;
         }
-        for (part, stamp, label) in &heartbeat.claims {
-            let p = *part as usize;
-            if p < self.parts.len()
+        for (shard, token, label) in &heartbeat.leases {
+            let shard_id = *shard as usize;
+            if shard_id < self.shards.len()
                 && *label != self.config.labels[self.config.me]
-                && let Tenancy::Owned(mine) = self.parts[p].tenancy
-                && *stamp > mine
+                && let ShardLease::Held(mine) = self.shards[shard_id].lease
+                && *token > mine
             {
                 tracing::info!(
-                    part = p,
+                    shard = shard_id,
                     mine,
-                    newer = stamp,
+                    newer = token,
                     "a peer knows of a newer claim"
                 );
-                self.change_tenancy(p, TenancyEvent::NewerClaimTold);
+                self.change_shard_lease(shard_id, ShardLeaseEvent::NewerTokenSeen);
                 self.effects.push(Effect::Refresh);
             }
         }
-        if heartbeat.epoch > self.mirror.epoch + 20 {
+        if heartbeat.store_revision > self.mirror.store_revision + 20 {
             self.effects.push(Effect::Refresh);
         }
         self.leader.dirty |= !heartbeat.handing.is_empty();
-        for report in &heartbeat.parts {
+        for report in &heartbeat.shards {
             self.leader.hear(report.clone(), now);
         }
         let up_since = match &self.peers[i] {
-            Some(p) if now - p.heard_at < 3000.0 => p.up_since,
+            Some(peer) if now - peer.last_heard_at < 3000.0 => peer.up_since,
             _ => now,
         };
         if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
             self.lower_grants(&heartbeat.short, now);
         }
-        self.rights_in(i, &heartbeat, now);
-        let covered = self.told_of_cancellations(i, &heartbeat, made_at, now);
+        self.entitlements_in(i, &heartbeat, now);
+        let covered = self.learn_cancellations(i, &heartbeat, made_at, now);
         let before = self.peers[i].as_ref();
         self.peers[i] = Some(PeerState {
-            made_at: before.map_or(made_at, |p| p.made_at.max(made_at)),
+            made_at: before.map_or(made_at, |peer| peer.made_at.max(made_at)),
             heartbeat,
-            heard_at: now,
+            last_heard_at: now,
             up_since,
             covered,
         });
     }
 
-    /// How many workers of others' parts report here and hear, by part. Not all are
+    /// How many workers of others' shards report here and hear, by shard. Not all are
     /// asked, as they may come by the hundred at once: those that were stand for them.
-    fn strays_out(&mut self, now: Millis) -> Vec<(u32, u32)> {
-        self.strays.retain(|_, stray| now - stray.at < STRAY_MS);
+    fn misdirected_counts(&mut self, now: Millis) -> Vec<(u32, u32)> {
+        self.misdirected
+            .retain(|_, worker| now - worker.at < MISDIRECTED_MS);
         let mut counts: BTreeMap<usize, (u32, u32, u32)> = BTreeMap::new();
-        for (&(p, _), stray) in &self.strays {
-            let (all, asked, hear) = counts.entry(p).or_default();
+        for (&(shard_id, _), worker) in &self.misdirected {
+            let (all, queried, hear) = counts.entry(shard_id).or_default();
             *all += 1;
-            *asked += u32::from(stray.asked_at.is_finite() && !stray.asking);
-            *hear += u32::from(stray.hears);
+            *queried += u32::from(worker.asked_at.is_finite() && !worker.query_pending);
+            *hear += u32::from(worker.is_reachable);
         }
         let told = counts.into_iter().filter(|c| c.1.1 > 0);
-        told.map(|(p, (all, asked, hear))| (p as u32, all * hear / asked))
+        told.map(|(shard_id, (all, queried, hear))| (shard_id as u32, all * hear / queried))
             .collect()
     }
 
     /// What this controller tells the others now.
     pub fn heartbeat_out(&mut self, now: Millis) -> Heartbeat {
         self.notice(now);
-        let every = self.config.tuning.room_report_s * 1000.0;
+        let every = self.config.tuning.capacity_report_s * 1000.0;
         let due = now - self.reported_at;
-        let mut parts: Vec<PartReport> = Vec::new();
-        if due >= every || (self.room_changed && due >= 900.0) {
+        let mut shards: Vec<CapacityReport> = Vec::new();
+        if due >= every || (self.capacity_changed && due >= 900.0) {
             self.reported_at = now;
-            self.room_changed = false;
-            for p in 0..self.parts.len() {
-                if self.owned(p).is_some() {
-                    parts.push(self.part_report(p, now));
+            self.capacity_changed = false;
+            for shard_id in 0..self.shards.len() {
+                if self.owned(shard_id).is_some() {
+                    shards.push(self.capacity_report(shard_id, now));
                 }
             }
-            for report in &parts {
+            for report in &shards {
                 self.leader.hear(report.clone(), now);
             }
         }
-        let strays = self.strays_out(now);
+        let misdirected = self.misdirected_counts(now);
         let demand = self.demand_out();
         let mut short = Vec::new();
         if self.leader.leads(&self.mirror) {
             short = self.short_teams(now);
-            // The leader's own part gives back as the others do.
+            // The leader's own shard gives back as the others do.
             self.lower_grants(&short, now);
         }
         let gap = self.mirror.has_gap();
         let (cancelled, reach_ms) = self.cancelled.tell(self.mirror.new_cancels(), gap, now);
         let cut_off = now - self.state_ok_at > 2500.0;
         // What it took last may have been carried out until it answered.
-        let silent = now - self.state_heard_at;
+        let silent = now - self.state_answered_at;
         if cut_off {
-            self.cancelled.said_cut_off(now);
+            self.cancelled.announced_cut_off(now);
         }
         let mut heartbeat = Heartbeat {
             silent_ms: if silent.is_finite() {
@@ -188,26 +189,26 @@
             cancelled,
             reach_ms,
             complete: self.mirror.loaded && self.all_cut_off(now) && self.knows_cancellations(),
-            handing: (0..self.parts.len())
-                .flat_map(|p| {
-                    self.parts[p]
+            handing: (0..self.shards.len())
+                .flat_map(|shard_id| {
+                    self.shards[shard_id]
                         .handing
                         .iter()
-                        .map(move |&job| (p as u32, job))
+                        .map(move |&job| (shard_id as u32, job))
                 })
                 .take(200)
                 .collect(),
-            strays,
+            misdirected,
             label: self.config.labels[self.config.me].clone(),
             cut_off,
-            epoch: self.mirror.epoch,
-            claims: (0..self.parts.len())
-                .filter_map(|p| {
-                    let c = self.mirror.parts[p].as_ref()?;
-                    Some((p as u32, c.stamp, c.label.clone()))
+            store_revision: self.mirror.store_revision,
+            leases: (0..self.shards.len())
+                .filter_map(|shard_id| {
+                    let c = self.mirror.shards[shard_id].as_ref()?;
+                    Some((shard_id as u32, c.revision, c.label.clone()))
                 })
                 .collect(),
-            parts,
+            shards,
             short,
             number: 0,
             heard: Vec::new(),
@@ -215,7 +216,7 @@
             intake_ms: self.intake.wait_ms(now) as u32,
             demand,
         };
-        self.rights_out(&mut heartbeat, now);
+        self.entitlements_out(&mut heartbeat, now);
         heartbeat
     }
 }
--- a/crates/cherryyard-core/src/leader/arrivals.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -1,7 +1,7 @@
 //! Pages of new jobs: the leader begins them, divides what came undivided, tidies.
 
 use super::*;
-use cherryyard_wire::record::{ARRIVALS, FORMAT, FormatRecord};
+use cherryyard_wire::record::{ADMISSION_LOG, FORMAT, FormatRecord};
 use std::collections::BTreeMap;
 
 /// Least time between two looks for pages to compact.
@@ -11,28 +11,28 @@
 /// Pages that are left alone.
 const FEW: usize = 3;
 
-impl Node {
+impl Controller {
     /// Whether every controller runs a build that can work with a format. An earlier one
     /// would not see the jobs in it.
     pub(crate) fn all_able(&self, format: u32) -> bool {
         (0..self.config.labels.len()).all(|i| self.is_able(i, format))
     }
 
-    /// Whether a controller runs a build that can work with a format, by the claim on its
-    /// own part, or by what it has lately said in frames.
+    /// Whether a controller runs a build that can work with a format, by the lease on its
+    /// own shard, or by what it has lately said in frames.
     fn is_able(&self, i: usize, format: u32) -> bool {
         if i == self.config.me {
             return self.config.format >= format;
         }
-        let claim = self.mirror.parts[i].as_ref();
-        let claimed = claim.filter(|c| c.label == self.config.labels[i]);
+        let holder = self.mirror.shards[i].as_ref();
+        let acquired = holder.filter(|c| c.label == self.config.labels[i]);
         let said = self.peer_formats[i].filter(|said| self.clock - said.at <= SAID_MS);
-        claimed.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
+        acquired.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
     }
 
     /// New jobs come by pages from now on, once every controller can read them.
     pub(crate) fn begin_pages(&mut self) -> Option<Commit> {
-        if self.mirror.by_pages || !self.all_able(ARRIVALS) {
+        if self.mirror.by_pages || !self.all_able(ADMISSION_LOG) {
             return None;
         }
         tracing::info!("new jobs come by pages");
@@ -51,7 +51,7 @@
     /// depends on them.
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        let last = self.mirror.arrivals.last_key_value().map(|l| *l.0);
+        let last = self.mirror.admission_log.last_key_value().map(|l| *l.0);
         for &job in &self.mirror.undivided {
             if self.mirror.in_page(job)
                 && let Some(page) = self.mirror.page_of(job)
@@ -87,7 +87,7 @@
                     if self.mirror.write_jobs(&mut commit, some, &self.config) {
                         // On the page too: carried out late, after they have been divided
                         // there, it would find no records of them and divide them again.
-                        self.mirror.require(&mut commit, Key::Arrivals(page));
+                        self.mirror.require(&mut commit, Key::AdmissionPage(page));
                         break;
                     }
                 }
@@ -98,14 +98,16 @@
 
     /// Tidies pages now and then, where users leave room for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
-        let idle = self.intake.waiting() == 0 && self.user_pace.left(now) >= 2.0;
-        if self.mirror.arrivals.len() <= FEW || !idle || now - self.leader.compacted_at < COMPACT_MS
+        let idle = self.intake.waiting() == 0 && self.user_write_budget.left(now) >= 2.0;
+        if self.mirror.admission_log.len() <= FEW
+            || !idle
+            || now - self.leader.compacted_at < COMPACT_MS
         {
             return None;
         }
         self.leader.compacted_at = now;
         let commit = self.mirror.compact_pages(&self.config)?;
-        self.user_pace.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.apply.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -1,4 +1,4 @@
-//! Rooms of parts whose owners' reports do not arrive.
+//! Capacities of shards whose owners' reports do not arrive.
 
 use super::*;
 use std::cell::RefCell;
@@ -6,31 +6,31 @@
 /// Time without an owner's report after which its room is assumed.
 const ASSUME_AFTER_MS: f64 = 2500.0;
 
-impl Node {
+impl Controller {
     /// Where an owner's reports do not arrive (connections between controllers
     /// are refused), what the cloud lists and what is assigned stand for them:
-    /// else every job went to the leader's own part.
-    pub(crate) fn assume_rooms(&mut self, now: Millis) {
+    /// else every job went to the leader's own shard.
+    pub(crate) fn assume_capacities(&mut self, now: Millis) {
         if now - self.leader.since < ASSUME_AFTER_MS {
             return;
         }
-        for p in 0..self.parts.len() {
-            let stamp = self.mirror.stamp(Key::Part(p));
-            let fresh = self.leader.rooms[p].as_ref().is_some_and(|r| {
+        for shard_id in 0..self.shards.len() {
+            let revision = self.mirror.revision(Key::Shard(shard_id));
+            let fresh = self.leader.capacities[shard_id].as_ref().is_some_and(|r| {
                 let limit = if r.assumed {
                     1000.0
                 } else {
-                    self.config.tuning.room_report_s * 1000.0 + ASSUME_AFTER_MS
+                    self.config.tuning.capacity_report_s * 1000.0 + ASSUME_AFTER_MS
                 };
-                r.report.stamp == stamp && now - r.at < limit
+                r.report.revision == revision && now - r.at < limit
             });
-            if stamp != 0 && !fresh && self.owned(p).is_none() {
-                let report = self.assumed_report(p, stamp);
-                self.leader.rooms_heard += 1;
-                let debits = self.leader.rooms[p]
+            if revision != 0 && !fresh && self.owned(shard_id).is_none() {
+                let report = self.assumed_report(shard_id, revision);
+                self.leader.capacity_reports_received += 1;
+                let debits = self.leader.capacities[shard_id]
                     .take()
                     .map(|r| r.debits.into_iter().filter(|d| now - d.0 < 1500.0));
-                self.leader.rooms[p] = Some(Room {
+                self.leader.capacities[shard_id] = Some(ShardCapacity {
                     report,
                     at: now,
                     assumed: true,
@@ -41,30 +41,35 @@
         }
     }
 
-    fn assumed_report(&self, p: usize, stamp: u64) -> PartReport {
-        let stored = &self.mirror.images[p];
-        let mut report = PartReport {
-            part: p as u32,
-            stamp,
-            sorts: Vec::new(),
+    fn assumed_report(&self, shard_id: usize, revision: u64) -> CapacityReport {
+        let stored = &self.mirror.images[shard_id];
+        let mut report = CapacityReport {
+            shard: shard_id as u32,
+            revision,
+            pools: Vec::new(),
             images: stored.record.i.iter().map(|i| i.0.clone()).collect(),
             machines: Vec::new(),
             waiting: Vec::new(),
             wants: Vec::new(),
         };
         for (name, entry) in &self.listed {
-            if entry.status != HostStatus::Running
-                || self.config.parting.part(&entry.yard, name) != p
+            if entry.status != InstanceStatus::Running
+                || self.config.shard_map.shard(&entry.zone, name) != shard_id
             {
                 continue;
             }
-            let Some(kind) = self.mirror.kinds.iter().find(|k| k.sku == entry.host_kind) else {
+            let Some(machine_type) = self
+                .mirror
+                .machine_types
+                .iter()
+                .find(|k| k.sku == entry.machine_type)
+            else {
                 continue;
             };
             let mut free = Needs {
-                cores: kind.cores,
-                acc: kind.accelerators,
-                ram: kind.ram_gb,
+                cores: machine_type.cores,
+                acc: machine_type.accelerators,
+                ram: machine_type.ram_gb,
             };
             let mut yielding = free;
             let host = self.mirror.hosts.get(name);
@@ -78,18 +83,18 @@
                     yielding.take(&needs);
                 }
             }
-            let sort = MachineSort {
-                kind: entry.host_kind.clone(),
-                zone: entry.yard.clone(),
-                spot: entry.borrowed,
+            let pool = MachinePool {
+                machine_type: entry.machine_type.clone(),
+                zone: entry.zone.clone(),
+                spot: entry.spot,
             };
-            let place = report.sorts.iter().position(|s| *s == sort);
+            let place = report.pools.iter().position(|s| *s == pool);
             let place = place.unwrap_or_else(|| {
-                report.sorts.push(sort);
-                report.sorts.len() - 1
+                report.pools.push(pool);
+                report.pools.len() - 1
             });
-            report.machines.push(MachineRoom {
-                sort: place as u16,
+            report.machines.push(MachineCapacity {
+                pool: place as u16,
                 free: (free.cores as f32, free.acc as f32, free.ram as f32),
                 yielding: (
                     yielding.cores as f32,
--- a/crates/cherryyard-core/src/leader/creating.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation.rs
@@ -7,7 +7,7 @@
 //! stops creation at once, and another leader goes on where this one was.
 
 use super::*;
-use crate::pace::Pace;
+use crate::token_bucket::TokenBucket;
 use cherryyard_wire::condor::{
     Chunk, Phase, PhaseEvent, SubmissionRecord, SubmissionView, Template, chunk_key, submission_key,
 };
@@ -22,9 +22,9 @@
 /// little room, open jobs are not.
 const MOST_OPEN: usize = 20_000;
 /// Open jobs of a removed submission that are looked at for one step.
-const CANCEL_LOOK: usize = 5000;
+const CANCEL_BATCH: usize = 5000;
 /// Least time between two looks for something to do.
-const LOOK_MS: f64 = 100.0;
+const INSPECT_MS: f64 = 100.0;
 /// Time after which a submission whose chunks have stopped coming is given up.
 const RECEIVE_MS: f64 = 600_000.0;
 /// Time for which the names of submissions are kept once all their jobs are over.
@@ -73,9 +73,9 @@
     fn new(submission: u64, chunk: u32, first: u64, read: Chunk) -> Self {
         let mut jobs = Vec::new();
         let mut job = first;
-        for (template, pieces, count) in read.r {
+        for (template, task_count, count) in read.r {
             for _ in 0..count {
-                jobs.push((job, template, pieces));
+                jobs.push((job, template, task_count));
                 job += 1;
             }
         }
@@ -91,55 +91,56 @@
 
 /// The creator and its pace.
 #[derive(Debug)]
-pub(crate) struct Creating {
+pub(crate) struct BulkCreation {
     stage: Stage,
     work: Option<Work>,
-    pace: Pace,
+    write_budget: TokenBucket,
     retry_after: Millis,
-    looked_at: Millis,
+    inspected_at: Millis,
 }
 
-impl Creating {
+impl BulkCreation {
     pub(crate) fn new(config: &crate::Config, now: Millis) -> Self {
         Self {
             stage: Stage::Idle,
             work: None,
-            pace: Pace::new(config.user_writes_per_s * SHARE, now),
+            write_budget: TokenBucket::new(config.user_writes_per_s * SHARE, now),
             retry_after: now,
-            looked_at: f64::NEG_INFINITY,
+            inspected_at: f64::NEG_INFINITY,
         }
     }
 }
 
-impl Creating {
+impl BulkCreation {
     pub(crate) fn set_write_rate(&mut self, config: &crate::Config, now: Millis) {
-        self.pace.set_rate(config.user_writes_per_s * SHARE, now);
+        self.write_budget
+            .set_rate(config.user_writes_per_s * SHARE, now);
     }
 }
 
-impl Node {
+impl Controller {
     /// One step for the submissions: at most one read or transaction at once.
     pub(crate) fn create(&mut self, now: Millis) {
         if self.mirror.submissions.is_empty() {
             return;
         }
         if !self.leader.leads(&self.mirror) {
-            // What is under way dies with the lead's stamp, or was done by it.
-            self.leader.creating.work = None;
-            self.leader.creating.stage = Stage::Idle;
+            // What is under way dies with the lead's revision, or was done by it.
+            self.leader.bulk_creation.work = None;
+            self.leader.bulk_creation.stage = Stage::Idle;
             return;
         }
-        let creating = &mut self.leader.creating;
-        if creating.stage != Stage::Idle
-            || now < creating.retry_after
-            || now - creating.looked_at < LOOK_MS
+        let bulk_creation = &mut self.leader.bulk_creation;
+        if bulk_creation.stage != Stage::Idle
+            || now < bulk_creation.retry_after
+            || now - bulk_creation.inspected_at < INSPECT_MS
             || !self.state_fresh(now)
-            || self.lateness.now(now) > 300.0
+            || self.lag.now(now) > 300.0
         {
             return;
         }
         match self.next_need(now) {
-            None => self.leader.creating.looked_at = now,
+            None => self.leader.bulk_creation.inspected_at = now,
             Some((Need::Cancel, n)) => self.cancel_some(n, now),
             Some((Need::Create, n)) => self.create_some(n, now),
             Some((Need::GiveUp, n)) => self.change_submission(n, PhaseEvent::GivenUp),
@@ -166,22 +167,24 @@
                 _ => return None,
             })
         };
-        let seen = self.mirror.submissions.iter();
+        let reported = self.mirror.submissions.iter();
         // What came before its record has been seen too.
-        let seen = seen.filter(|(_, (_, stamp))| *stamp <= self.mirror.epoch);
-        let needs = seen.filter_map(|(&n, (r, _))| Some((need(r)?, r.at, n)));
+        let reported =
+            reported.filter(|(_, (_, revision))| *revision <= self.mirror.store_revision);
+        let needs = reported.filter_map(|(&n, (r, _))| Some((need(r)?, r.at, n)));
         needs.min().map(|(need, _, n)| (need, n))
     }
 
     /// Sends a step: a transaction that changes a submission's record.
     fn send_step(&mut self, number: u64, mut commit: Commit) {
-        self.mirror.require(&mut commit, Key::Lead);
+        self.mirror.require(&mut commit, Key::Leader);
         self.mirror.require(&mut commit, Key::Submission(number));
         let spent = commit.apply.len() as f64;
-        self.leader.creating.stage = Stage::Writing;
-        self.leader.creating.pace.spend(spent);
-        self.user_pace.spend(spent);
-        self.effects.push(Effect::Commit(Ticket::Creator, commit));
+        self.leader.bulk_creation.stage = Stage::Writing;
+        self.leader.bulk_creation.write_budget.spend(spent);
+        self.user_write_budget.spend(spent);
+        self.effects
+            .push(Effect::Commit(Ticket::BulkCreation, commit));
     }
 
     fn change_submission(&mut self, number: u64, event: PhaseEvent) {
@@ -197,8 +200,8 @@
     /// Whether creation may write now, beside users' other writes.
     fn may_create(&mut self, now: Millis) -> bool {
         self.set_user_rate(now);
-        let spare = self.user_pace.left(now) >= self.config.user_writes_per_s.max(1.5);
-        spare || self.leader.creating.pace.left(now) >= 1.0
+        let spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
+        spare || self.leader.bulk_creation.write_budget.left(now) >= 1.0
     }
 
     /// Of some jobs in a row, how many a transaction may change by the records that
@@ -244,16 +247,16 @@
     fn create_some(&mut self, number: u64, now: Millis) {
         let record = self.mirror.submissions[&number].0.clone();
         let chunk = record.chunk.0;
-        let work = self.leader.creating.work.take();
+        let work = self.leader.bulk_creation.work.take();
         let Some(work) = work.filter(|w| w.submission == number && w.chunk == chunk) else {
-            self.leader.creating.stage = Stage::Reading;
+            self.leader.bulk_creation.stage = Stage::Reading;
             self.effects.push(Effect::ReadChunk(number, chunk));
             return;
         };
         if self.may_create(now) && self.mirror.open.len() < MOST_OPEN {
             self.create_from(&work, &record, now);
         }
-        self.leader.creating.work = Some(work);
+        self.leader.bulk_creation.work = Some(work);
     }
 
     fn create_from(&mut self, work: &Work, record: &SubmissionRecord, now: Millis) {
@@ -262,11 +265,11 @@
         // None for what cannot be created: it is passed over, so that it does not hold
         // up all that come after it.
         let mut records = Vec::new();
-        for &(job, template, pieces) in &left[..n] {
+        for &(job, template, task_count) in &left[..n] {
             let template = work.templates.get(template as usize);
             let new = template.and_then(|t| {
                 let mut spec = t.spec.clone();
-                (spec.id, spec.pieces) = (job_id(job), pieces);
+                (spec.id, spec.task_count) = (job_id(job), task_count);
                 self.mirror
                     .new_job(spec, t.rules.clone().map(Box::new), record.at)
             });
@@ -297,7 +300,7 @@
             None => {
                 // The buckets have not been read, or a record is too large for one;
                 // the latter was refused when it came.
-                self.leader.creating.retry_after = now + 1000.0;
+                self.leader.bulk_creation.retry_after = now + 1000.0;
             }
         }
     }
@@ -306,13 +309,13 @@
     fn cancel_some(&mut self, number: u64, now: Millis) {
         let record = self.mirror.submissions[&number].0.clone();
         let open = self.mirror.open.range(record.block());
-        let mut open: Vec<u64> = open.map(|o| *o.0).take(CANCEL_LOOK).collect();
+        let mut open: Vec<u64> = open.map(|o| *o.0).take(CANCEL_BATCH).collect();
         if open.is_empty() {
             self.change_submission(number, PhaseEvent::NoneOpen);
             return;
         }
         // Like any cancellation it goes before what can wait, but it is many.
-        if self.user_pace.left(now) <= -self.user_pace.overdraft() {
+        if self.user_write_budget.left(now) <= -self.user_write_budget.overdraft() {
             return;
         }
         open.sort_by_cached_key(|&job| (self.mirror.assigned(job) == 0, job_hash(job)));
@@ -321,7 +324,7 @@
         let records: Vec<Option<(u64, JobRecord)>> = open[..n].iter().map(ended).collect();
         match self.fitting(number, &records, |_| record.clone()) {
             Some(commit) => self.send_step(number, commit),
-            None => self.leader.creating.retry_after = now + 1000.0,
+            None => self.leader.bulk_creation.retry_after = now + 1000.0,
         }
     }
 
@@ -360,34 +363,34 @@
         now: Millis,
     ) {
         self.notice(now);
-        if self.leader.creating.stage != Stage::Reading {
+        if self.leader.bulk_creation.stage != Stage::Reading {
             return;
         }
-        self.leader.creating.stage = Stage::Idle;
+        self.leader.bulk_creation.stage = Stage::Idle;
         match (answer, self.mirror.submissions.get(&number)) {
             (Ok(Some(read)), Some((record, _))) => {
                 let first = record.chunk.1;
-                self.leader.creating.work = Some(Work::new(number, chunk, first, read));
+                self.leader.bulk_creation.work = Some(Work::new(number, chunk, first, read));
             }
             (Ok(None), _) => {
                 tracing::error!(number, chunk, "a chunk of a submission is missing");
-                self.leader.creating.retry_after = now + 5000.0;
+                self.leader.bulk_creation.retry_after = now + 5000.0;
             }
-            _ => self.leader.creating.retry_after = now + 1000.0,
+            _ => self.leader.bulk_creation.retry_after = now + 1000.0,
         }
         self.create(now);
     }
 
-    pub(crate) fn creator_committed(&mut self, outcome: Outcome, now: Millis) {
-        self.leader.creating.stage = Stage::Idle;
+    pub(crate) fn bulk_creation_committed(&mut self, outcome: Outcome, now: Millis) {
+        self.leader.bulk_creation.stage = Stage::Idle;
         match outcome {
             Outcome::Applied(_) => {
                 self.leader.dirty = true;
-                for part in &mut self.parts {
-                    part.dirty = true;
+                for shard in &mut self.shards {
+                    shard.dirty = true;
                 }
             }
-            _ => self.leader.creating.retry_after = now + self.jitter(100.0, 400.0),
+            _ => self.leader.bulk_creation.retry_after = now + self.jitter(100.0, 400.0),
         }
     }
 
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -8,7 +8,7 @@
 /// leader says so: one that is being replaced by an earlier build is noticed by then.
 const ABLE_MS: f64 = 3000.0;
 
-impl Node {
+impl Controller {
     /// Whether submissions may name jobs that they wait for. All that came before that
     /// was decided has been read.
     pub fn accepts_dependencies(&self) -> bool {
@@ -45,7 +45,7 @@
     /// as fit, where users leave room for it. Every controller tells so already; with its
     /// end a job leaves the open ones.
     pub(super) fn end_dependents(&mut self, now: Millis) -> Option<Commit> {
-        if self.user_pace.left(now) < 1.0 {
+        if self.user_write_budget.left(now) < 1.0 {
             return None;
         }
         let mut commit = Commit::default();
@@ -69,7 +69,7 @@
         if commit.apply.is_empty() {
             return None;
         }
-        self.user_pace.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.apply.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -1,4 +1,4 @@
-//! Division of a job's numbers among the parts.
+//! Division of a job's numbers among the shards.
 
 use super::*;
 use cherryyard_wire::dependencies::Dependencies;
@@ -6,52 +6,53 @@
 /// Any tier of preference.
 pub(crate) const ANY: u16 = u16::MAX;
 
-impl Node {
+impl Controller {
     /// A report's machines that the job may use, up to a tier of its preference.
-    pub(crate) fn rooms_for<'a>(
+    pub(crate) fn capacities_for<'a>(
         open: &OpenJob,
-        report: &'a PartReport,
+        report: &'a CapacityReport,
         most: u16,
-    ) -> impl Iterator<Item = &'a MachineRoom> + use<'a> {
+    ) -> impl Iterator<Item = &'a MachineCapacity> + use<'a> {
         let allowed: Vec<bool> = report
-            .sorts
+            .pools
             .iter()
-            .map(|s| open.allows(&s.kind, &s.zone, s.spot))
+            .map(|s| open.allows(&s.machine_type, &s.zone, s.spot))
             .map(|tier| tier.is_some_and(|t| t <= most))
             .collect();
         report
             .machines
             .iter()
-            .filter(move |m| allowed[usize::from(m.sort)])
+            .filter(move |m| allowed[usize::from(m.pool)])
     }
 
-    pub(crate) fn current_room(&self, p: usize, now: Millis) -> Option<&Room> {
-        let room = self.leader.rooms[p].as_ref()?;
-        let fresh = now - room.at <= self.config.tuning.room_report_s * 2000.0 + 2000.0;
-        (fresh && self.mirror.stamp(Key::Part(p)) == room.report.stamp).then_some(room)
+    pub(crate) fn current_capacity(&self, shard_id: usize, now: Millis) -> Option<&ShardCapacity> {
+        let capacity = self.leader.capacities[shard_id].as_ref()?;
+        let fresh = now - capacity.at <= self.config.tuning.capacity_report_s * 2000.0 + 2000.0;
+        (fresh && self.mirror.revision(Key::Shard(shard_id)) == capacity.report.revision)
+            .then_some(capacity)
     }
 
-    /// How many of the job's tasks fit on machines of other parts that hold its
+    /// How many of the job's tasks fit on machines of other shards that hold its
     /// image, arrays making way if its rank allows.
-    pub(crate) fn held_elsewhere(&self, p: usize, open: &OpenJob, now: Millis) -> f64 {
+    pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob, now: Millis) -> f64 {
         let mut fits = if open.spec.rank > Rank::Standard {
             self.fits(open, now, true, ANY, true)
         } else {
             self.fits(open, now, true, ANY, false)
         };
-        fits[p] = 0.0;
+        fits[shard_id] = 0.0;
         fits.iter().sum()
     }
 
-    /// How many of the job's tasks fit into each part's free room.
+    /// How many of the job's tasks fit into each shard's free capacity.
     ///
     /// A service counts only machines that hold its image, while these have
     /// room for it, arrays making way if its rank allows: elsewhere a replica
-    /// would wait for the image, and inside its part the image decides too.
+    /// would wait for the image, and inside its shard the image decides too.
     ///
-    /// Where rules prefer some cells, those count alone while they have room for all.
+    /// Where rules prefer some pools, those count alone while they have room for all.
     pub(crate) fn weights(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
-        let all = |weights: &[f64]| weights.iter().sum::<f64>() >= f64::from(open.spec.pieces);
+        let all = |weights: &[f64]| weights.iter().sum::<f64>() >= f64::from(open.spec.task_count);
         let tiers = open.rules.as_ref().map_or(1, |r| r.1.tiers());
         for most in 0..tiers.saturating_sub(1) {
             let free = self.fits(open, now, false, most, false);
@@ -74,7 +75,7 @@
         self.fits(open, now, false, ANY, false)
     }
 
-    /// How many of the job's tasks fit into each part, on machines up to a tier of its
+    /// How many of the job's tasks fit into each shard, on machines up to a tier of its
     /// preference; `holding`: on those that hold its image; `yielding`: if arrays made
     /// way.
     ///
@@ -91,18 +92,18 @@
     ) -> Vec<f64> {
         let needs = open.needs();
         let key = (open.signature(), holding, most, yielding);
-        (0..self.parts.len())
-            .map(|p| {
-                let Some(room) = self.current_room(p, now) else {
+        (0..self.shards.len())
+            .map(|shard_id| {
+                let Some(capacity) = self.current_capacity(shard_id, now) else {
                     return 0.0;
                 };
-                let known = room.fits.borrow().get(&key).copied();
+                let known = capacity.fits.borrow().get(&key).copied();
                 let fits = known.unwrap_or_else(|| {
-                    let n = Self::fits_in(open, &room.report, holding, most, yielding);
-                    room.fits.borrow_mut().insert(key, n);
+                    let n = Self::fits_in(open, &capacity.report, holding, most, yielding);
+                    capacity.fits.borrow_mut().insert(key, n);
                     n
                 });
-                let given: f64 = room.debits.iter().map(|d| d.1.cores).sum();
+                let given: f64 = capacity.debits.iter().map(|d| d.1.cores).sum();
                 (f64::from(fits) - given / needs.cores).max(0.0).floor()
             })
             .collect()
@@ -110,18 +111,18 @@
 
     fn fits_in(
         open: &OpenJob,
-        report: &PartReport,
+        report: &CapacityReport,
         holding: bool,
         most: u16,
         yielding: bool,
     ) -> u32 {
-        let image = report.images.iter().position(|i| *i == open.spec.bundle);
+        let image = report.images.iter().position(|i| *i == open.spec.image);
         if holding && image.is_none() {
             return 0;
         }
-        let held = |m: &MachineRoom| m.images.iter().any(|&i| Some(i.into()) == image);
+        let held = |m: &MachineCapacity| m.images.iter().any(|&i| Some(i.into()) == image);
         let needs = open.needs();
-        Self::rooms_for(open, report, most)
+        Self::capacities_for(open, report, most)
             .filter(|m| !holding || held(m))
             .map(|m| {
                 let (cores, acc, ram) = if yielding { m.yielding } else { m.free };
@@ -134,18 +135,18 @@
             .sum()
     }
 
-    /// Machines that could run the job, for when there is no free room.
+    /// Machines that could run the job, for when there is no free capacity.
     pub(crate) fn counts(&self, open: &OpenJob, now: Millis) -> Vec<f64> {
-        (0..self.parts.len())
-            .map(|p| {
-                self.current_room(p, now).map_or(0.0, |r| {
-                    Self::rooms_for(open, &r.report, ANY).count() as f64
+        (0..self.shards.len())
+            .map(|shard_id| {
+                self.current_capacity(shard_id, now).map_or(0.0, |r| {
+                    Self::capacities_for(open, &r.report, ANY).count() as f64
                 })
             })
             .collect()
     }
 
-    /// The parts' shares of a job's numbers, if anything is known to go by.
+    /// The shards' shares of a job's numbers, if anything is known to go by.
     pub(crate) fn division(
         &self,
         open: &OpenJob,
@@ -156,9 +157,9 @@
             weights = self.counts(open, now);
         }
         if weights.iter().sum::<f64>() <= 0.0 {
-            weights = (0..self.parts.len())
-                .map(|p| {
-                    if self.mirror.parts[p].is_some() {
+            weights = (0..self.shards.len())
+                .map(|shard_id| {
+                    if self.mirror.shards[shard_id].is_some() {
                         1.0
                     } else {
                         0.0
@@ -169,13 +170,13 @@
                 return None;
             }
         }
-        let room: f64 = weights.iter().sum();
-        let within = open.spec.pieces.min(room as u32);
+        let capacity: f64 = weights.iter().sum();
+        let within = open.spec.task_count.min(capacity as u32);
         let mut shares = divide(within, &weights);
-        if within < open.spec.pieces {
-            // What has no free room follows machine counts, as a job does that
+        if within < open.spec.task_count {
+            // What has no free capacity follows machine counts, as a job does that
             // finds none at all: weights of a few free cores would heap a large
-            // job onto one part.
+            // job onto one shard.
             let counts = self.counts(open, now);
             let rest = if counts.iter().sum::<f64>() > 0.0 {
                 &counts
@@ -184,7 +185,7 @@
             };
             for (share, more) in shares
                 .iter_mut()
-                .zip(divide(open.spec.pieces - within, rest))
+                .zip(divide(open.spec.task_count - within, rest))
             {
                 *share += more;
             }
@@ -207,19 +208,19 @@
 
     /// The zone with the most room for a job whose tasks must be together.
     pub(crate) fn pin_zone(&self, open: &OpenJob, now: Millis) -> Option<String> {
-        if let Some(yard) = &open.spec.yard {
-            return Some(yard.clone());
+        if let Some(zone) = &open.spec.zone {
+            return Some(zone.clone());
         }
         let mut best: Option<(u32, usize, String)> = None;
         for z in 0..self.config.zones.len() as u32 {
             let zone = self.config.zones.name(z);
             let (mut fits, mut count) = (0, 0);
-            for p in 0..self.parts.len() {
-                let Some(room) = self.current_room(p, now) else {
+            for shard_id in 0..self.shards.len() {
+                let Some(capacity) = self.current_capacity(shard_id, now) else {
                     continue;
                 };
-                for m in Self::rooms_for(open, &room.report, ANY) {
-                    if room.report.sorts[usize::from(m.sort)].zone == zone {
+                for m in Self::capacities_for(open, &capacity.report, ANY) {
+                    if capacity.report.pools[usize::from(m.pool)].zone == zone {
                         let (cores, acc, ram) = m.free;
                         fits += open.needs().times_in(&Needs {
                             cores: cores.into(),
@@ -230,7 +231,7 @@
                     }
                 }
             }
-            let fits = fits.min(open.spec.pieces);
+            let fits = fits.min(open.spec.task_count);
             if count > 0 && best.as_ref().is_none_or(|b| (fits, count) > (b.0, b.1)) {
                 best = Some((fits, count, zone.to_string()));
             }
@@ -239,18 +240,18 @@
     }
 
     /// Per part and zone, how many tasks may be there, so that no zone ever
-    /// holds more than half: a zone's cap is split among the parts by machines.
+    /// holds more than half: a zone's cap is split among the shards by machines.
     pub(crate) fn zone_caps(&self, open: &OpenJob, now: Millis) -> Vec<Vec<u32>> {
-        let half = open.spec.pieces.div_ceil(2);
+        let half = open.spec.task_count.div_ceil(2);
         let zones = self.config.zones.len();
-        let mut caps = vec![vec![0; zones]; self.parts.len()];
+        let mut caps = vec![vec![0; zones]; self.shards.len()];
         for z in 0..zones {
             let zone = self.config.zones.name(z as u32);
-            let weights: Vec<f64> = (0..self.parts.len())
-                .map(|p| {
-                    self.current_room(p, now).map_or(0.0, |r| {
-                        let zones = &r.report.sorts;
-                        let here = |m: &&MachineRoom| zones[usize::from(m.sort)].zone == zone;
+            let weights: Vec<f64> = (0..self.shards.len())
+                .map(|shard_id| {
+                    self.current_capacity(shard_id, now).map_or(0.0, |r| {
+                        let zones = &r.report.pools;
+                        let here = |m: &&MachineCapacity| zones[usize::from(m.pool)].zone == zone;
                         r.report.machines.iter().filter(here).count() as f64
                     })
                 })
@@ -315,14 +316,14 @@
         let Some((mut sets, _)) = self.division(open, now) else {
             return false;
         };
-        if open.spec.apart && open.spec.pieces > 1 {
+        if open.spec.apart && open.spec.task_count > 1 {
             open.caps = self.zone_caps(open, now);
             let weights: Vec<f64> = open
                 .caps
                 .iter()
                 .map(|c| f64::from(c.iter().sum::<u32>()))
                 .collect();
-            let shares = divide(open.spec.pieces, &weights);
+            let shares = divide(open.spec.task_count, &weights);
             let mut next = 0;
             sets = shares
                 .iter()
--- a/crates/cherryyard-core/src/leader/packing.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -4,7 +4,7 @@
 //! batches that it is given, the format that it needs, and the pace.
 
 use super::*;
-use crate::pace::Pace;
+use crate::token_bucket::TokenBucket;
 use cherryyard_history::{
     Compactor, FinishedJob, Leaf, Limits, Precondition, ReadFailed, Step, StoredLeaf, Transaction,
 };
@@ -20,7 +20,7 @@
 /// Batches that may wait for one.
 const OVERDUE_BATCHES: usize = 2;
 /// Least time between two looks at all ends, while there is nothing to do.
-const LOOK_MS: f64 = 1000.0;
+const INSPECT_MS: f64 = 1000.0;
 const DAY_MS: f64 = 86_400_000.0;
 
 /// What the leader's packer has under way.
@@ -35,19 +35,19 @@
 
 /// The leader's packer and its pace.
 #[derive(Debug)]
-pub(crate) struct Packing {
+pub(crate) struct HistoryCompaction {
     packer: Compactor,
-    pace: Pace,
+    write_budget: TokenBucket,
     /// Reads of leaves: a fold that is done again finds what it would write there
     /// already, and would read leaf after leaf without a pause.
-    reads: Pace,
+    reads: TokenBucket,
     under: Under,
     retry_after: Millis,
     small_batch_at: Millis,
-    looked_at: Millis,
+    inspected_at: Millis,
 }
 
-impl Packing {
+impl HistoryCompaction {
     pub(crate) fn new(config: &crate::Config, now: Millis) -> Self {
         Self {
             packer: Compactor::new(Limits {
@@ -56,22 +56,22 @@
                 small_run: SPILL_BATCHES * config.tuning.history_batch as u64,
                 keep_days: config.tuning.history_keep_days,
             }),
-            pace: Pace::new(config.history_writes_per_s, now),
-            reads: Pace::new(config.history_reads_per_s, now),
+            write_budget: TokenBucket::new(config.history_writes_per_s, now),
+            reads: TokenBucket::new(config.history_reads_per_s, now),
             under: Under::Nothing,
             retry_after: now,
             small_batch_at: now,
-            looked_at: f64::NEG_INFINITY,
+            inspected_at: f64::NEG_INFINITY,
         }
     }
 
     pub(crate) fn set_write_rate(&mut self, config: &crate::Config, now: Millis) {
-        self.pace.set_rate(config.history_writes_per_s, now);
+        self.write_budget.set_rate(config.history_writes_per_s, now);
     }
 
     /// Whether the budgets have room for another read or transaction.
     fn may_step(&mut self, now: Millis) -> bool {
-        now >= self.retry_after && self.pace.left(now) >= 1.0 && self.reads.left(now) >= 1.0
+        now >= self.retry_after && self.write_budget.left(now) >= 1.0 && self.reads.left(now) >= 1.0
     }
 
     fn begin_read(&mut self) {
@@ -80,7 +80,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// One step of the history's leader: at most one read or transaction at once,
     /// within a share of the write budget that leaves the rest to all else.
     pub(crate) fn pack(&mut self, now: Millis) {
@@ -88,23 +88,23 @@
             return;
         }
         if !self.leader.leads(&self.mirror) {
-            self.leader.packing.packer.stop();
+            self.leader.history_compaction.packer.stop();
             return;
         }
-        let packing = &mut self.leader.packing;
-        if packing.under != Under::Nothing
-            || !packing.may_step(now)
+        let history_compaction = &mut self.leader.history_compaction;
+        if history_compaction.under != Under::Nothing
+            || !history_compaction.may_step(now)
             || !self.state_fresh(now)
-            || self.lateness.now(now) > 300.0
+            || self.lag.now(now) > 300.0
         {
             return;
         }
-        let idle = self.leader.packing.packer.is_idle();
-        if idle && now - self.leader.packing.looked_at < LOOK_MS {
+        let idle = self.leader.history_compaction.packer.is_idle();
+        if idle && now - self.leader.history_compaction.inspected_at < INSPECT_MS {
             return;
         }
         if !self.calm() {
-            self.leader.packing.retry_after = now + BUSY_MS;
+            self.leader.history_compaction.retry_after = now + BUSY_MS;
             return;
         }
         if self.mirror.format < BUCKETS {
@@ -117,26 +117,29 @@
         }
         let record = self.mirror.packed;
         let (leaf_bytes, txn_ops) = (self.config.page_bytes, self.config.txn_ops);
-        let packer = &mut self.leader.packing.packer;
+        let packer = &mut self.leader.history_compaction.packer;
         packer.set_limits(leaf_bytes, txn_ops);
         packer.resume(record);
-        if self.leader.packing.packer.is_idle() {
-            self.leader.packing.looked_at = now;
+        if self.leader.history_compaction.packer.is_idle() {
+            self.leader.history_compaction.inspected_at = now;
             self.next_batch(now);
         }
-        match self.leader.packing.packer.step() {
-            Step::Nothing if self.leader.packing.under == Under::Nothing => self.sweep(),
+        match self.leader.history_compaction.packer.step() {
+            Step::Nothing if self.leader.history_compaction.under == Under::Nothing => self.sweep(),
             Step::Nothing => {}
             Step::Read(level, job) => {
-                self.leader.packing.begin_read();
+                self.leader.history_compaction.begin_read();
                 self.effects.push(Effect::ReadLeaf(level, job));
             }
             Step::Write(write) => {
-                let commit = self.packer_commit(write);
-                self.leader.packing.under = Under::Packer;
-                let packing = &mut self.leader.packing;
-                packing.pace.spend(commit.apply.len() as f64);
-                self.effects.push(Effect::Commit(Ticket::Packer, commit));
+                let commit = self.compaction_commit(write);
+                self.leader.history_compaction.under = Under::Packer;
+                let history_compaction = &mut self.leader.history_compaction;
+                history_compaction
+                    .write_budget
+                    .spend(commit.apply.len() as f64);
+                self.effects
+                    .push(Effect::Commit(Ticket::HistoryCompaction, commit));
             }
         }
     }
@@ -158,12 +161,12 @@
         if let Some(done) = record.to_fold() {
             // Every end of a closed generation came before the record that closed
             // it, so it is seen once all up to that record is.
-            let own = self.mirror.packed_stamp;
-            if self.mirror.epoch >= own {
+            let own = self.mirror.packed_revision;
+            if self.mirror.store_revision >= own {
                 let day = ((now + self.wall_offset) / DAY_MS).max(0.0) as u32;
                 let ends = self.mirror.ended_jobs().filter(|(_, e)| {
-                    if e.stamp != 0 {
-                        e.stamp > record.own && e.stamp <= own
+                    if e.revision != 0 {
+                        e.revision > record.own && e.revision <= own
                     } else {
                         e.generation > record.gen_done && e.generation <= done
                     }
@@ -177,20 +180,23 @@
                     })
                     .collect();
                 tracing::info!(jobs = jobs.len(), done, "fold ends into the history");
-                self.leader.packing.packer.begin(done, own, jobs, day);
+                self.leader
+                    .history_compaction
+                    .packer
+                    .begin(done, own, jobs, day);
             }
             return;
         }
         let (mut fresh, mut own) = (0, false);
         for (_, e) in self.mirror.ended_jobs() {
-            let new_own = e.stamp > record.own;
-            fresh += usize::from(new_own || e.stamp == 0 && e.generation > record.gen_done);
+            let new_own = e.revision > record.own;
+            fresh += usize::from(new_own || e.revision == 0 && e.generation > record.gen_done);
             own |= new_own;
         }
-        let packing = &mut self.leader.packing;
-        let small = own && now - packing.small_batch_at >= SMALL_BATCH_MS;
+        let history_compaction = &mut self.leader.history_compaction;
+        let small = own && now - history_compaction.small_batch_at >= SMALL_BATCH_MS;
         if fresh >= self.config.tuning.history_batch || small {
-            packing.small_batch_at = now;
+            history_compaction.small_batch_at = now;
             let mut closed = record;
             closed.gen_now = record.generation() + 1;
             let mut commit = Commit::default();
@@ -201,16 +207,19 @@
     }
 
     fn commit_other(&mut self, mut commit: Commit) {
-        self.mirror.require(&mut commit, Key::Lead);
-        let packing = &mut self.leader.packing;
-        packing.under = Under::Other;
-        packing.pace.spend(commit.apply.len() as f64);
-        self.effects.push(Effect::Commit(Ticket::Packer, commit));
+        self.mirror.require(&mut commit, Key::Leader);
+        let history_compaction = &mut self.leader.history_compaction;
+        history_compaction.under = Under::Other;
+        history_compaction
+            .write_budget
+            .spend(commit.apply.len() as f64);
+        self.effects
+            .push(Effect::Commit(Ticket::HistoryCompaction, commit));
     }
 
-    fn packer_commit(&self, write: Transaction) -> Commit {
+    fn compaction_commit(&self, write: Transaction) -> Commit {
         let mut commit = Commit::default();
-        self.mirror.require(&mut commit, Key::Lead);
+        self.mirror.require(&mut commit, Key::Leader);
         for Precondition { key, revision } in write.preconditions {
             commit.require(key, revision);
         }
@@ -230,44 +239,44 @@
     /// what earlier builds left.
     fn sweep(&mut self) {
         let own = self.mirror.packed.own;
-        if self.mirror.epoch < self.mirror.packed_stamp {
+        if self.mirror.store_revision < self.mirror.packed_revision {
             // Jobs may have come that wait for one of them.
             return;
         }
         let gone: Vec<(u64, u64)> = self
             .mirror
             .own_ends()
-            .filter(|(job, e)| e.stamp <= own && !self.mirror.named_in_pages(*job))
+            .filter(|(job, e)| e.revision <= own && !self.mirror.named_in_pages(*job))
             .filter(|(job, _)| !self.mirror.has_dependents(*job))
-            .map(|(job, e)| (job, e.stamp))
+            .map(|(job, e)| (job, e.revision))
             .take(self.config.txn_ops)
             .collect();
         if gone.is_empty() {
             return;
         }
         // More may follow at once, as fast as the pace allows.
-        self.leader.packing.looked_at = f64::NEG_INFINITY;
+        self.leader.history_compaction.inspected_at = f64::NEG_INFINITY;
         let mut commit = Commit::default();
-        for (job, stamp) in gone {
-            commit.require(record::job_key(job), stamp);
+        for (job, revision) in gone {
+            commit.require(record::job_key(job), revision);
             commit.apply.push(Apply::delete(record::job_key(job)));
         }
         self.commit_other(commit);
     }
 
-    /// Takes the leaf that was asked for: its last possible id, stamp and record;
+    /// Takes the leaf that was asked for: its last possible id, revision and record;
     /// none if there is no such leaf.
     pub fn leaf_read(&mut self, answer: Result<Option<(u64, u64, LeafRecord)>, ()>, now: Millis) {
         self.notice(now);
-        if self.leader.packing.under != Under::Packer {
+        if self.leader.history_compaction.under != Under::Packer {
             return;
         }
-        self.leader.packing.under = Under::Nothing;
+        self.leader.history_compaction.under = Under::Nothing;
         let leaf = match answer {
-            Ok(Some((last, stamp, record))) => match Leaf::from_record(&record) {
+            Ok(Some((last, revision, record))) => match Leaf::from_record(&record) {
                 Ok(leaf) => Ok(Some(StoredLeaf {
                     last,
-                    revision: stamp,
+                    revision,
                     leaf,
                 })),
                 Err(e) => {
@@ -278,22 +287,22 @@
             Ok(None) => Ok(None),
             Err(()) => Err(ReadFailed),
         };
-        let packing = &mut self.leader.packing;
+        let history_compaction = &mut self.leader.history_compaction;
         if leaf.is_err() {
-            packing.retry_after = now + 1000.0;
+            history_compaction.retry_after = now + 1000.0;
         }
-        packing.packer.read(leaf);
+        history_compaction.packer.read(leaf);
         self.pack(now);
     }
 
-    pub(crate) fn packer_committed(&mut self, outcome: Outcome, now: Millis) {
+    pub(crate) fn compaction_committed(&mut self, outcome: Outcome, now: Millis) {
         let applied = matches!(outcome, Outcome::Applied(_));
-        let packing = &mut self.leader.packing;
-        if std::mem::replace(&mut packing.under, Under::Nothing) == Under::Packer {
-            packing.packer.written(applied);
+        let history_compaction = &mut self.leader.history_compaction;
+        if std::mem::replace(&mut history_compaction.under, Under::Nothing) == Under::Packer {
+            history_compaction.packer.written(applied);
         }
         if !applied {
-            packing.retry_after = now + 300.0;
+            history_compaction.retry_after = now + 300.0;
         }
     }
 
@@ -316,7 +325,7 @@
 
     /// Runs in which a level's leaves are looked for, in the order that finds every
     /// job: it is in the large run before it leaves the small one.
-    pub const LOOK_UP_ORDER: [Level; 2] = [Level::Small, Level::Large];
+    pub const LOOKUP_ORDER: [Level; 2] = [Level::Small, Level::Large];
 }
 
 /// What an operator sees of the history.
@@ -354,11 +363,11 @@
         let text = include_bytes!("../../../../examples/controller.json");
         let settings = cherryyard_wire::settings::Settings::parse(text).unwrap();
         let config = crate::Config::new(&settings, crate::Tuning::default());
-        let mut packing = Packing::new(&config, 0.0);
+        let mut history_compaction = HistoryCompaction::new(&config, 0.0);
         let mut reads = 0;
         for now in 0..60_000 {
-            if packing.may_step(f64::from(now)) {
-                packing.begin_read();
+            if history_compaction.may_step(f64::from(now)) {
+                history_compaction.begin_read();
                 reads += 1;
             }
         }
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -1,18 +1,18 @@
-//! Team limits, handed out to the parts.
+//! Team limits, handed out to the shards.
 
 use super::*;
 
-impl Node {
-    /// Teams whose limit is spread so that some part lacks room under it.
+impl Controller {
+    /// Teams whose limit is spread so that some shard lacks room under it.
     pub(crate) fn short_teams(&self, now: Millis) -> Vec<String> {
         let mut short = Vec::new();
         for (t, team) in self.config.teams.iter().enumerate() {
             if !team.limited() {
                 continue;
             }
-            let lacking = (0..self.parts.len()).any(|p| {
-                let grant = self.mirror.grants[t][p].0;
-                self.current_room(p, now).is_some_and(|r| {
+            let lacking = (0..self.shards.len()).any(|shard_id| {
+                let grant = self.mirror.grants[t][shard_id].0;
+                self.current_capacity(shard_id, now).is_some_and(|r| {
                     r.report.wants.get(t).is_some_and(|w| {
                         w.1 > grant.cores + 1e-6 && team.cores_max.is_finite()
                             || w.2 > grant.acc + 1e-6 && team.acc_max.is_finite()
@@ -26,15 +26,15 @@
         short
     }
 
-    /// Whether a part's grant with what is free of the team's limit lets one more of its
-    /// waiting tasks start. Less is kept until there is enough: parts give back what they
+    /// Whether a shard's grant with what is free of the team's limit lets one more of its
+    /// waiting tasks start. Less is kept until there is enough: shards give back what they
     /// cannot use.
-    fn is_enough(&self, t: usize, p: usize, grant: &Grant, free: &Grant) -> bool {
+    fn is_enough(&self, t: usize, shard_id: usize, grant: &Grant, free: &Grant) -> bool {
         let team = &self.config.teams[t];
-        let Some(least) = self.least_waiting(p, t) else {
+        let Some(least) = self.least_waiting(shard_id, t) else {
             return false;
         };
-        let used = self.mirror.usage(p)[t];
+        let used = self.mirror.usage(shard_id)[t];
         (team.cores_max.is_infinite()
             || used.cores + least.cores <= grant.cores + free.cores + 1e-6)
             && (team.acc_max.is_infinite() || used.acc + least.acc <= grant.acc + free.acc + 1e-6)
@@ -42,7 +42,7 @@
 
     /// Hands out what nobody holds of the teams' limits.
     pub(crate) fn hand_out_grants(&mut self, now: Millis) -> Option<Commit> {
-        let n = self.parts.len();
+        let n = self.shards.len();
         let mut commit = Commit::default();
         for t in 0..self.config.teams.len() {
             let team = &self.config.teams[t];
@@ -63,12 +63,12 @@
             let mut free_cores = most(team.cores_max) - held.cores;
             let mut free_acc = most(team.acc_max) - held.acc;
             let mut changes = Vec::new();
-            for (p, (grant, _)) in grants.iter().enumerate() {
+            for (shard_id, (grant, _)) in grants.iter().enumerate() {
                 let mut new = *grant;
                 if fresh {
                     new.cores += most(team.cores_max) / n as f64;
                     new.acc += most(team.acc_max) / n as f64;
-                } else if let Some(r) = self.current_room(p, now)
+                } else if let Some(r) = self.current_capacity(shard_id, now)
                     && let Some(w) = r.report.wants.get(t)
                 {
                     let wants = w.1 > new.cores + 1e-6 || w.2 > new.acc + 1e-6;
@@ -76,7 +76,7 @@
                         cores: free_cores,
                         acc: free_acc,
                     };
-                    if !wants || !self.is_enough(t, p, &new, &free) {
+                    if !wants || !self.is_enough(t, shard_id, &new, &free) {
                         continue;
                     }
                     let more = (w.1 - new.cores).min(free_cores).max(0.0);
@@ -87,25 +87,30 @@
                     free_acc -= more_acc;
                 }
                 if fresh || new.cores > grant.cores + 1e-6 || new.acc > grant.acc + 1e-6 {
-                    changes.push((p, new));
+                    changes.push((shard_id, new));
                 }
             }
-            // What has no room in this transaction goes with a later one: with more parts
+            // What has no room in this transaction goes with a later one: with more shards
             // than changes, a team with a limit once got nothing at all.
             changes.truncate(self.config.txn_ops.saturating_sub(commit.apply.len()));
             if changes.is_empty() {
                 continue;
             }
-            // Depends on every part's grant, so that the sum stays within the
+            // Depends on every shard's grant, so that the sum stays within the
             // limit whoever else writes.
-            for p in 0..n {
-                self.mirror
-                    .require(&mut commit, Key::Grant { team: t, part: p });
+            for shard_id in 0..n {
+                self.mirror.require(
+                    &mut commit,
+                    Key::Grant {
+                        team: t,
+                        shard: shard_id,
+                    },
+                );
             }
-            for (p, grant) in changes {
+            for (shard_id, grant) in changes {
                 commit
                     .apply
-                    .push(Apply::set(record::grant_key(t, p), &grant));
+                    .push(Apply::set(record::grant_key(t, shard_id), &grant));
             }
         }
         (!commit.apply.is_empty()).then_some(commit)
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -1,57 +1,59 @@
-//! The leader: divides jobs among the parts, moves what waits, hands out team
-//! limits, rents machines.
+//! The leader: divides jobs among the shards, moves what waits, hands out team
+//! limits, scales out machines.
 
-mod arrivals;
+mod admission_log;
 mod assumed;
-pub(crate) mod boots;
-mod creating;
+mod bulk_creation;
 mod dependents;
 mod division;
+pub(crate) mod history_compaction;
 mod limits;
-mod overflow;
-pub(crate) mod packing;
-mod rent;
+pub(crate) mod provisioning_times;
+mod rebalancing;
+mod scale_out;
 pub(crate) mod state;
 
-pub use packing::HistoryCounts;
+pub use history_compaction::HistoryCounts;
 
+use crate::controller::Controller;
 use crate::divide::divide;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::mirror::OpenJob;
 use crate::needs::Needs;
-use crate::node::Node;
 use crate::{Millis, admit};
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostStatus};
+use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
 use cherryyard_wire::job::{Rank, Shape};
-use cherryyard_wire::peer::{MachineRoom, MachineSort, PartReport};
-use cherryyard_wire::record::{self, Claim, End, Grant, Key};
+use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
+use cherryyard_wire::record::{self, End, Grant, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use state::{Hired, LeadEvent, LeadPhase, Room};
+use state::{LeadershipEvent, LeadershipPhase, ProvisionedBatch, ShardCapacity};
 use std::collections::HashSet;
 
-impl Node {
-    pub(crate) fn claim_lead(&mut self, now: Millis) {
-        let Some(hold) = self.hold else { return };
+impl Controller {
+    pub(crate) fn acquire_leadership(&mut self, now: Millis) {
+        let Some(lease_id) = self.lease_id else {
+            return;
+        };
         let me = self.config.me;
-        let n = self.parts.len();
-        if self.leader.phase == LeadPhase::Claiming || now < self.leader.claim_after {
+        let n = self.shards.len();
+        if self.leader.phase == LeadershipPhase::Acquiring || now < self.leader.acquire_after {
             return;
         }
         let label = &self.config.labels[me];
-        let wanted = match &self.mirror.lead {
+        let wanted = match &self.mirror.leader_lease {
             Some(c) if c.label == *label => {
-                !matches!(self.leader.phase, LeadPhase::Leading(s) if s == c.stamp)
+                !matches!(self.leader.phase, LeadershipPhase::Leading(s) if s == c.revision)
             }
             Some(c) => {
                 // A leader that has fallen silent is replaced before its lease
-                // is over. That is safe, as its writes carry its claim's stamp.
+                // is over. That is safe, as its writes carry its lease's token.
                 let silent = self
                     .config
                     .labels
                     .iter()
                     .position(|l| *l == c.label)
-                    .and_then(|i| self.peers[i].as_ref().map(|p| now - p.heard_at));
+                    .and_then(|i| self.peers[i].as_ref().map(|peer| now - peer.last_heard_at));
                 let rank = self.successor_rank(&c.label, now);
                 let limit = 1800.0 + 500.0 * rank as f64;
                 // Who hears nobody at all cannot tell a dead leader from a cut
@@ -61,7 +63,7 @@
                     .peers
                     .iter()
                     .flatten()
-                    .any(|p| now - p.heard_at < 1500.0);
+                    .any(|peer| now - peer.last_heard_at < 1500.0);
                 match silent.filter(|_| anyone) {
                     Some(ms) => ms > limit && now - self.started_at > 4000.0,
                     None => silent.is_none() && anyone && now - self.started_at > 4000.0 + limit,
@@ -69,28 +71,30 @@
             }
             None => {
                 let since = *self.leader.leaderless_since.get_or_insert(now);
-                now - since >= 150.0 * ((me + n - (self.mirror.epoch as usize % n)) % n) as f64
+                now - since
+                    >= 150.0 * ((me + n - (self.mirror.store_revision as usize % n)) % n) as f64
             }
         };
-        if self.mirror.lead.is_some() {
+        if self.mirror.leader_lease.is_some() {
             self.leader.leaderless_since = None;
         }
         if !wanted || !self.state_fresh(now) {
             return;
         }
         let mut commit = Commit::default();
-        self.mirror.require(&mut commit, Key::Lead);
-        let claim = Claim::of(&self.config.labels[me], self.process, self.config.format);
+        self.mirror.require(&mut commit, Key::Leader);
+        let holder = LeaseRecord::of(&self.config.labels[me], self.process, self.config.format);
         commit.apply.push(Apply::Set {
-            set: record::LEAD.into(),
-            v: Json::of(&claim),
-            hold: Some(hold),
+            set: record::LEADER_KEY.into(),
+            v: Json::of(&holder),
+            lease_id: Some(lease_id),
         });
-        if matches!(self.leader.phase, LeadPhase::Leading(_)) {
-            self.leader.phase = self.leader.phase.after(LeadEvent::Gone);
+        if matches!(self.leader.phase, LeadershipPhase::Leading(_)) {
+            self.leader.phase = self.leader.phase.after(LeadershipEvent::Gone);
         }
-        self.leader.phase = self.leader.phase.after(LeadEvent::Sent);
-        self.effects.push(Effect::Commit(Ticket::Lead, commit));
+        self.leader.phase = self.leader.phase.after(LeadershipEvent::Sent);
+        self.effects
+            .push(Effect::Commit(Ticket::AcquireLeadership, commit));
     }
 
     /// This controller's place among those that could follow `gone`.
@@ -108,35 +112,35 @@
             .filter(|&i| {
                 self.peers[i]
                     .as_ref()
-                    .is_some_and(|p| now - p.heard_at < 1500.0)
+                    .is_some_and(|peer| now - peer.last_heard_at < 1500.0)
             })
             .count()
     }
 
-    pub(crate) fn lead_committed(&mut self, outcome: Outcome, now: Millis) {
+    pub(crate) fn leadership_committed(&mut self, outcome: Outcome, now: Millis) {
         match outcome {
-            Outcome::Applied(stamp) => self.leads_by(stamp, now),
+            Outcome::Applied(token) => self.become_leader(token, now),
             _ => {
-                self.leader.phase = self.leader.phase.after(LeadEvent::Failed);
-                self.leader.claim_after = now + self.jitter(300.0, 900.0);
+                self.leader.phase = self.leader.phase.after(LeadershipEvent::Failed);
+                self.leader.acquire_after = now + self.jitter(300.0, 900.0);
             }
         }
         self.leader.dirty = true;
     }
 
-    /// We lead by this claim. Once only: names of rentals are counted from there.
-    pub(crate) fn leads_by(&mut self, stamp: u64, now: Millis) {
-        if self.leader.led_by == stamp {
+    /// We lead by this lease. Once only: names of provisioning requests are counted from there.
+    pub(crate) fn become_leader(&mut self, token: u64, now: Millis) {
+        if self.leader.leadership_token == token {
             return;
         }
-        tracing::info!(stamp, "lead");
-        self.leader.led_by = stamp;
-        self.leader.phase = self.leader.phase.after(LeadEvent::Applied(stamp));
+        tracing::info!(token, "lead");
+        self.leader.leadership_token = token;
+        self.leader.phase = self.leader.phase.after(LeadershipEvent::Applied(token));
         self.leader.since = now;
-        self.leader.hire_after = now + 5000.0;
-        self.leader.hiring = None;
-        self.leader.hire_counter = 0;
-        self.leader.claim_after = now + 8000.0;
+        self.leader.provision_after = now + 5000.0;
+        self.leader.provisioning = None;
+        self.leader.provision_counter = 0;
+        self.leader.acquire_after = now + 8000.0;
         self.effects.push(Effect::Heartbeat);
     }
 
@@ -149,47 +153,47 @@
         ) {
             // What it gave out was not given: the next try would find less room.
             let sent_at = self.leader.sent_at;
-            for room in self.leader.rooms.iter_mut().flatten() {
-                room.debits.retain(|d| d.0 != sent_at);
+            for capacity in self.leader.capacities.iter_mut().flatten() {
+                capacity.debits.retain(|d| d.0 != sent_at);
             }
         }
         match outcome {
             Outcome::Applied(_) => {
-                for part in &mut self.parts {
-                    part.dirty = true;
+                for shard in &mut self.shards {
+                    shard.dirty = true;
                 }
             }
-            Outcome::Conflict(epoch) => {
-                self.leader.wait_epoch = epoch;
+            Outcome::Conflict(store_revision) => {
+                self.leader.wait_revision = store_revision;
                 self.leader.retry_after = now + 30.0;
             }
             _ => self.leader.retry_after = now + self.jitter(150.0, 400.0),
         }
     }
 
-    /// One round of the leader.
-    pub(crate) fn plan_lead(&mut self, now: Millis) {
+    /// One scheduling cycle of the leader.
+    pub(crate) fn plan_leader(&mut self, now: Millis) {
         self.leader.planned_at = now;
         if !self.leader.leads(&self.mirror)
             || self.leader.pending
             || now < self.leader.retry_after
-            || self.mirror.epoch < self.leader.wait_epoch
+            || self.mirror.store_revision < self.leader.wait_revision
             || !self.state_fresh(now)
         {
             return;
         }
         self.leader.dirty = false;
-        for p in 0..self.parts.len() {
-            if self.current_room(p, now).is_some() {
-                self.leader.ownerless.remove(&p);
+        for shard_id in 0..self.shards.len() {
+            if self.current_capacity(shard_id, now).is_some() {
+                self.leader.ownerless.remove(&shard_id);
             } else {
-                self.leader.ownerless.entry(p).or_insert(now);
+                self.leader.ownerless.entry(shard_id).or_insert(now);
             }
         }
-        self.assume_rooms(now);
+        self.assume_capacities(now);
         self.review(now);
         let commit = self
-            .store_kinds()
+            .store_machine_types()
             .or_else(|| self.store_attributes())
             .or_else(|| self.begin_pages())
             .or_else(|| self.begin_dependencies(now))
@@ -199,22 +203,23 @@
             .or_else(|| self.end_dependents(now))
             .or_else(|| self.compact_pages(now));
         if let Some(mut commit) = commit {
-            self.mirror.require(&mut commit, Key::Lead);
+            self.mirror.require(&mut commit, Key::Leader);
             self.leader.pending = true;
             self.leader.sent_at = now;
-            self.effects.push(Effect::Commit(Ticket::Leader, commit));
+            self.effects
+                .push(Effect::Commit(Ticket::LeaderCycle, commit));
         }
-        self.rent(now);
+        self.scale_out(now);
     }
 
-    pub(crate) fn store_kinds(&mut self) -> Option<Commit> {
-        let kinds = self.types_from_cloud.take()?;
-        let mut named = kinds.clone();
-        for kind in &mut named {
+    pub(crate) fn store_machine_types(&mut self) -> Option<Commit> {
+        let machine_types = self.machine_types_from_cloud.take()?;
+        let mut named = machine_types.clone();
+        for machine_type in &mut named {
             // Prices move all the time, and nothing here depends on them.
-            (kind.price, kind.low_price) = (0.0, 0.0);
+            (machine_type.price, machine_type.low_price) = (0.0, 0.0);
         }
-        if self.mirror.kinds_stamp != 0 && self.mirror.kinds == named {
+        if self.mirror.machine_types_revision != 0 && self.mirror.machine_types == named {
             return None;
         }
         let value = Json::of(&named);
@@ -223,8 +228,10 @@
             return None;
         }
         let mut commit = Commit::default();
-        self.mirror.require(&mut commit, Key::Kinds);
-        commit.apply.push(Apply::put(record::KINDS, value));
+        self.mirror.require(&mut commit, Key::MachineTypes);
+        commit
+            .apply
+            .push(Apply::put(record::MACHINE_TYPES_KEY, value));
         Some(commit)
     }
 
@@ -250,10 +257,10 @@
         Some(commit)
     }
 
-    /// The claim's stamp that a division at submission depends on.
-    pub fn lead_stamp(&self) -> Option<u64> {
+    /// The lease's token that a division at submission depends on.
+    pub fn leadership_token(&self) -> Option<u64> {
         self.leader
             .leads(&self.mirror)
-            .then(|| self.mirror.stamp(Key::Lead))
+            .then(|| self.mirror.revision(Key::Leader))
     }
 }
--- a/crates/cherryyard-core/src/leader/boots.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -23,9 +23,9 @@
 const NEVER: f64 = 3.0;
 const NEVER_MORE_S: f64 = 30.0;
 
-/// Where a rented machine stands, on its way.
+/// Where a provisioned machine stands, on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Boot {
+pub(crate) enum ProvisioningProgress {
     /// It should be up at any time.
     Expected,
     /// It should have been up.
@@ -43,14 +43,14 @@
 
 /// What machines take to be up, as learned from the lists.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Boots {
+pub(crate) struct ProvisioningTimes {
     learned: HashMap<(String, String), Learned>,
 }
 
-impl Boots {
+impl ProvisioningTimes {
     /// A machine of this type and zone was up after so many seconds, at the latest.
-    pub(crate) fn up(&mut self, kind: &str, zone: &str, ready_s: f64, took_s: f64) {
-        let key = (kind.to_string(), zone.to_string());
+    pub(crate) fn up(&mut self, machine_type: &str, zone: &str, ready_s: f64, took_s: f64) {
+        let key = (machine_type.to_string(), zone.to_string());
         let l = self.learned.entry(key).or_insert(Learned {
             mean: ready_s,
             dev: ready_s / 4.0,
@@ -60,23 +60,29 @@
         l.mean += MEAN_GAIN * off;
     }
 
-    /// Until how many seconds after its rental a machine is expected to be up.
-    pub(crate) fn expected_s(&self, kind: &str, zone: &str, ready_s: f64) -> f64 {
-        let key = (kind.to_string(), zone.to_string());
+    /// Until how many seconds after its provisioning request a machine is expected to be up.
+    pub(crate) fn expected_s(&self, machine_type: &str, zone: &str, ready_s: f64) -> f64 {
+        let key = (machine_type.to_string(), zone.to_string());
         let learned = self.learned.get(&key);
         let by = learned.map_or(ready_s * 2.0, |l| l.mean + 4.0 * l.dev);
         by.clamp(ready_s * LEAST, ready_s * MOST)
     }
 
     /// Where a machine stands that has been on its way for so long.
-    pub(crate) fn stands(&self, kind: &str, zone: &str, ready_s: f64, held_s: f64) -> Boot {
-        let by = self.expected_s(kind, zone, ready_s);
+    pub(crate) fn stands(
+        &self,
+        machine_type: &str,
+        zone: &str,
+        ready_s: f64,
+        held_s: f64,
+    ) -> ProvisioningProgress {
+        let by = self.expected_s(machine_type, zone, ready_s);
         if held_s <= by {
-            Boot::Expected
+            ProvisioningProgress::Expected
         } else if held_s <= by * NEVER + NEVER_MORE_S {
-            Boot::Overdue
+            ProvisioningProgress::Overdue
         } else {
-            Boot::Never
+            ProvisioningProgress::Never
         }
     }
 }
@@ -88,72 +94,85 @@
     expected + (overdue - replaced).max(0.0)
 }
 
-impl Node {
+impl Controller {
     /// The published time of a type until a machine is up.
     pub(crate) fn ready_s(&self, sku: &str) -> f64 {
-        let kind = self.mirror.kinds.iter().find(|k| k.sku == sku);
-        kind.map_or(60.0, |k| k.ready_s).max(1.0)
+        let machine_type = self.mirror.machine_types.iter().find(|k| k.sku == sku);
+        machine_type.map_or(60.0, |k| k.ready_s).max(1.0)
     }
 
     /// Learns from the next list which machines have come up. `held_s` is as of the list,
     /// so it is at most one list too much.
-    pub(crate) fn learn_boots(&mut self, hosts: &[HostEntry]) {
-        for host in hosts.iter().filter(|h| h.status == HostStatus::Running) {
+    pub(crate) fn learn_provisioning_times(&mut self, hosts: &[Instance]) {
+        for host in hosts.iter().filter(|h| h.status == InstanceStatus::Running) {
             let before = self.listed.get(&host.id);
-            if before.is_some_and(|b| b.status == HostStatus::Starting) {
-                let ready_s = self.ready_s(&host.host_kind);
-                let (kind, zone) = (&host.host_kind, &host.yard);
-                self.leader.boots.up(kind, zone, ready_s, host.held_s);
+            if before.is_some_and(|b| b.status == InstanceStatus::Starting) {
+                let ready_s = self.ready_s(&host.machine_type);
+                let (machine_type, zone) = (&host.machine_type, &host.zone);
+                self.leader
+                    .provisioning_times
+                    .up(machine_type, zone, ready_s, host.held_s);
             }
         }
     }
 
     /// Where a listed machine stands that is not up yet.
-    pub(crate) fn boot(&self, host: &HostEntry) -> Boot {
-        let ready_s = self.ready_s(&host.host_kind);
-        let boots = &self.leader.boots;
-        boots.stands(&host.host_kind, &host.yard, ready_s, host.held_s)
+    pub(crate) fn provisioning_progress(&self, host: &Instance) -> ProvisioningProgress {
+        let ready_s = self.ready_s(&host.machine_type);
+        let provisioning_times = &self.leader.provisioning_times;
+        provisioning_times.stands(&host.machine_type, &host.zone, ready_s, host.held_s)
     }
 
-    /// Cores of rented machines that should be up at any time and that a job may use.
+    /// Cores of provisioned machines that should be up at any time and that a job may use.
     pub(crate) fn cores_coming_for(&self, open: &OpenJob) -> f64 {
-        let kinds = &self.mirror.kinds;
-        let cores_of = |sku: &str| kinds.iter().find(|k| k.sku == sku).map_or(0.0, |k| k.cores);
-        let starting = |h: &&HostEntry| {
-            h.status == HostStatus::Starting
-                && open.allows(&h.host_kind, &h.yard, h.borrowed).is_some()
-                && self.boot(h) == Boot::Expected
+        let machine_types = &self.mirror.machine_types;
+        let cores_of = |sku: &str| {
+            machine_types
+                .iter()
+                .find(|k| k.sku == sku)
+                .map_or(0.0, |k| k.cores)
+        };
+        let starting = |h: &&Instance| {
+            h.status == InstanceStatus::Starting
+                && open.allows(&h.machine_type, &h.zone, h.spot).is_some()
+                && self.provisioning_progress(h) == ProvisioningProgress::Expected
         };
         let listed = self.listed.values().filter(starting);
-        let listed: f64 = listed.map(|h| cores_of(&h.host_kind)).sum();
-        let hired = self.leader.hired.iter();
-        let hired = hired.filter(|h| open.allows(&h.kind, &h.zone, h.spot).is_some());
-        let unlisted = hired.map(|h| {
+        let listed: f64 = listed.map(|h| cores_of(&h.machine_type)).sum();
+        let provisioned = self.leader.provisioned.iter();
+        let provisioned =
+            provisioned.filter(|h| open.allows(&h.machine_type, &h.zone, h.spot).is_some());
+        let unlisted = provisioned.map(|h| {
             let unlisted = h.hosts.iter().filter(|n| !self.listed.contains_key(*n));
-            cores_of(&h.kind) * unlisted.count() as f64
+            cores_of(&h.machine_type) * unlisted.count() as f64
         });
         listed + unlisted.sum::<f64>()
     }
 
-    /// Cores of rented machines that will come up, as far as is known.
+    /// Cores of provisioned machines that will come up, as far as is known.
     pub(crate) fn cores_coming(&self, total: f64) -> f64 {
-        let kinds = &self.mirror.kinds;
-        let cores_of = |sku: &str| kinds.iter().find(|k| k.sku == sku).map_or(0.0, |k| k.cores);
+        let machine_types = &self.mirror.machine_types;
+        let cores_of = |sku: &str| {
+            machine_types
+                .iter()
+                .find(|k| k.sku == sku)
+                .map_or(0.0, |k| k.cores)
+        };
         let (mut expected, mut overdue, mut largest) = (0.0, 0.0, 0.0f64);
         for h in self.listed.values() {
-            if h.status == HostStatus::Starting {
-                let cores = cores_of(&h.host_kind);
+            if h.status == InstanceStatus::Starting {
+                let cores = cores_of(&h.machine_type);
                 largest = largest.max(cores);
-                match self.boot(h) {
-                    Boot::Expected => expected += cores,
-                    Boot::Overdue => overdue += cores,
-                    Boot::Never => {}
+                match self.provisioning_progress(h) {
+                    ProvisioningProgress::Expected => expected += cores,
+                    ProvisioningProgress::Overdue => overdue += cores,
+                    ProvisioningProgress::Never => {}
                 }
             }
         }
-        for h in &self.leader.hired {
+        for h in &self.leader.provisioned {
             let unlisted = h.hosts.iter().filter(|n| !self.listed.contains_key(*n));
-            expected += cores_of(&h.kind) * unlisted.count() as f64;
+            expected += cores_of(&h.machine_type) * unlisted.count() as f64;
         }
         coming(expected, overdue, total, largest)
     }
@@ -166,14 +185,17 @@
     /// What has come up sets when the next is expected, within bounds.
     #[test]
     fn expectations_are_learned() {
-        let mut b = Boots::default();
+        let mut b = ProvisioningTimes::default();
         assert_eq!(b.expected_s("m", "a", 25.0), 50.0);
         for _ in 0..50 {
             b.up("m", "a", 25.0, 22.0);
         }
         assert_eq!(b.expected_s("m", "a", 25.0), 40.0, "no less than the least");
-        assert_eq!(b.stands("m", "a", 25.0, 41.0), Boot::Overdue);
-        assert_eq!(b.stands("m", "a", 25.0, 151.0), Boot::Never);
+        assert_eq!(
+            b.stands("m", "a", 25.0, 41.0),
+            ProvisioningProgress::Overdue
+        );
+        assert_eq!(b.stands("m", "a", 25.0, 151.0), ProvisioningProgress::Never);
         for _ in 0..50 {
             b.up("m", "a", 25.0, 100.0);
         }
@@ -182,7 +204,7 @@
         assert_eq!(b.expected_s("m", "b", 25.0), 50.0, "another zone");
     }
 
-    /// Few that are overdue are replaced, of very many only a part.
+    /// Few that are overdue are replaced, of very many only a share.
     #[test]
     fn no_storm_of_replacements() {
         assert_eq!(coming(40.0, 8.0, 1000.0, 4.0), 40.0);
