--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -1,48 +1,48 @@
 //! What a leader remembers; every controller keeps it, so that taking over is quick.
 
-use super::boots::Boots;
-use super::creating::Creating;
-use super::packing::Packing;
+use super::bulk_creation::BulkCreation;
+use super::history_compaction::HistoryCompaction;
+use super::provisioning_times::ProvisioningTimes;
 use crate::needs::Needs;
 use crate::{Config, Millis, Mirror};
-use cherryyard_wire::cloud::HireRequest;
-use cherryyard_wire::peer::PartReport;
+use cherryyard_wire::cloud::ProvisionRequest;
+use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::Key;
 use std::cell::RefCell;
 use std::collections::HashMap;
 
 /// Whether this controller leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeadPhase {
+pub enum LeadershipPhase {
     /// Someone else leads, or nobody.
     Follower,
-    /// Our claim is under way.
-    Claiming,
-    /// We lead, with this stamp.
+    /// Our lease is under way.
+    Acquiring,
+    /// We lead, with this revision.
     Leading(u64),
 }
 
 /// What moves a controller from one phase to another.
 #[derive(Clone, Copy, Debug)]
-pub enum LeadEvent {
-    /// We have sent a claim.
+pub enum LeadershipEvent {
+    /// We have sent a lease.
     Sent,
     /// It was applied.
     Applied(u64),
     /// It was not.
     Failed,
-    /// The state service shows another claim, or none.
+    /// The state service shows another lease, or none.
     Gone,
 }
 
-impl LeadPhase {
+impl LeadershipPhase {
     /// The one place where the phase changes.
-    pub fn after(self, event: LeadEvent) -> Self {
+    pub fn after(self, event: LeadershipEvent) -> Self {
         match (self, event) {
-            (Self::Follower, LeadEvent::Sent) => Self::Claiming,
-            (_, LeadEvent::Applied(stamp)) => Self::Leading(stamp),
-            (Self::Claiming, LeadEvent::Failed) => Self::Follower,
-            (Self::Leading(_), LeadEvent::Gone) => Self::Follower,
+            (Self::Follower, LeadershipEvent::Sent) => Self::Acquiring,
+            (_, LeadershipEvent::Applied(revision)) => Self::Leading(revision),
+            (Self::Acquiring, LeadershipEvent::Failed) => Self::Follower,
+            (Self::Leading(_), LeadershipEvent::Gone) => Self::Follower,
             (same, _) => same,
         }
     }
@@ -53,10 +53,10 @@
 /// whether arrays make way.
 pub(crate) type FitsKey = (u64, bool, u16, bool);
 
-/// A part's last report, and what has been given to it since.
+/// A shard's last report, and what has been given to it since.
 #[derive(Clone, Debug)]
-pub(crate) struct Room {
-    pub(crate) report: PartReport,
+pub(crate) struct ShardCapacity {
+    pub(crate) report: CapacityReport,
     pub(crate) at: Millis,
     /// Not reported, but put together from what else is known.
     pub(crate) assumed: bool,
@@ -65,11 +65,11 @@
     pub(crate) debits: Vec<(Millis, Needs)>,
 }
 
-/// A rental under way or answered.
+/// A provisioning request under way or answered.
 #[derive(Clone, Debug)]
-pub(crate) struct Hired {
+pub(crate) struct ProvisionedBatch {
     pub(crate) at: Millis,
-    pub(crate) kind: String,
+    pub(crate) machine_type: String,
     pub(crate) zone: String,
     pub(crate) spot: bool,
     /// Machine names, once answered.
@@ -79,15 +79,15 @@
 /// The leader's state; every controller keeps one, so that taking over is quick.
 #[derive(Debug)]
 pub struct Leader {
-    pub(crate) phase: LeadPhase,
-    /// The last claim by which we have led.
-    pub(crate) led_by: u64,
-    pub(crate) claim_after: Millis,
+    pub(crate) phase: LeadershipPhase,
+    /// The last lease by which we have led.
+    pub(crate) leadership_token: u64,
+    pub(crate) acquire_after: Millis,
     pub(crate) leaderless_since: Option<Millis>,
-    pub(crate) rooms: Vec<Option<Room>>,
+    pub(crate) capacities: Vec<Option<ShardCapacity>>,
     /// How many reports have been heard, and how many had been when overflow last
     /// found nothing that could be moved, and when that was.
-    pub(crate) rooms_heard: u64,
+    pub(crate) capacity_reports_received: u64,
     pub(crate) overflowed: (u64, Millis),
     /// When pages of new jobs were last tidied.
     pub(crate) compacted_at: Millis,
@@ -95,91 +95,94 @@
     /// When the transaction under way was made.
     pub(crate) sent_at: Millis,
     pub(crate) retry_after: Millis,
-    pub(crate) wait_epoch: u64,
+    pub(crate) wait_revision: u64,
     pub(crate) dirty: bool,
     pub(crate) planned_at: Millis,
     pub(crate) since: Millis,
-    pub(crate) hire_counter: u64,
-    pub(crate) hiring: Option<HireRequest>,
-    pub(crate) hire_after: Millis,
+    pub(crate) provision_counter: u64,
+    pub(crate) provisioning: Option<ProvisionRequest>,
+    pub(crate) provision_after: Millis,
     pub(crate) refused: HashMap<(String, String, bool), Millis>,
-    pub(crate) hired: Vec<Hired>,
+    pub(crate) provisioned: Vec<ProvisionedBatch>,
     /// What machines take to be up.
-    pub(crate) boots: Boots,
+    pub(crate) provisioning_times: ProvisioningTimes,
     pub(crate) ownerless: HashMap<usize, Millis>,
     /// Services lately handed over: not again at once, or one went round among
-    /// parts whose reports are a moment old.
+    /// shards whose reports are a moment old.
     pub(crate) handed: HashMap<u64, Millis>,
     /// Whether it has been said that attributes cannot be kept.
     pub(crate) warned: bool,
     /// The history's packer.
-    pub(crate) packing: Packing,
+    pub(crate) history_compaction: HistoryCompaction,
     /// Since when every controller has been able to work with dependencies.
     pub(crate) able_since: Option<Millis>,
     /// The creator of submissions' jobs.
-    pub(crate) creating: Creating,
+    pub(crate) bulk_creation: BulkCreation,
 }
 
 impl Leader {
     /// Takes over the shares of the write budget from a changed configuration.
     pub(crate) fn set_write_rates(&mut self, config: &Config, now: Millis) {
-        self.packing.set_write_rate(config, now);
-        self.creating.set_write_rate(config, now);
+        self.history_compaction.set_write_rate(config, now);
+        self.bulk_creation.set_write_rate(config, now);
     }
 
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
         Self {
-            phase: LeadPhase::Follower,
-            led_by: 0,
-            claim_after: now,
+            phase: LeadershipPhase::Follower,
+            leadership_token: 0,
+            acquire_after: now,
             leaderless_since: None,
-            rooms: vec![None; config.parts()],
-            rooms_heard: 0,
+            capacities: vec![None; config.shards()],
+            capacity_reports_received: 0,
             overflowed: (0, f64::NEG_INFINITY),
             compacted_at: now,
             pending: false,
             sent_at: f64::NEG_INFINITY,
             retry_after: now,
-            wait_epoch: 0,
+            wait_revision: 0,
             dirty: true,
             planned_at: now,
             since: now,
-            hire_counter: 0,
-            hiring: None,
-            hire_after: now + 8000.0,
+            provision_counter: 0,
+            provisioning: None,
+            provision_after: now + 8000.0,
             refused: HashMap::new(),
-            hired: Vec::new(),
-            boots: Boots::default(),
+            provisioned: Vec::new(),
+            provisioning_times: ProvisioningTimes::default(),
             ownerless: HashMap::new(),
             handed: HashMap::new(),
             warned: false,
-            packing: Packing::new(config, now),
+            history_compaction: HistoryCompaction::new(config, now),
             able_since: None,
-            creating: Creating::new(config, now),
+            bulk_creation: BulkCreation::new(config, now),
         }
     }
 
     /// Whether we lead beyond doubt.
     pub(crate) fn leads(&self, mirror: &Mirror) -> bool {
-        matches!(self.phase, LeadPhase::Leading(s)
-            if mirror.stamp(Key::Lead) == s && mirror.epoch >= s)
+        matches!(self.phase, LeadershipPhase::Leading(s)
+            if mirror.revision(Key::Leader) == s && mirror.store_revision >= s)
     }
 
     pub(crate) fn is_label(&self, mirror: &Mirror, label: &str) -> bool {
-        mirror.lead.as_ref().is_some_and(|c| c.label == label)
+        mirror
+            .leader_lease
+            .as_ref()
+            .is_some_and(|c| c.label == label)
     }
 
-    pub(crate) fn check_claim(&mut self, mirror: &Mirror) {
-        if let LeadPhase::Leading(stamp) = self.phase
-            && mirror.stamp(Key::Lead) != stamp
+    pub(crate) fn check_leadership(&mut self, mirror: &Mirror) {
+        if let LeadershipPhase::Leading(revision) = self.phase
+            && mirror.revision(Key::Leader) != revision
         {
-            self.phase = self.phase.after(LeadEvent::Gone);
+            self.phase = self.phase.after(LeadershipEvent::Gone);
         }
     }
 
-    /// Takes a part's report, unless it is from an owner before.
-    pub(crate) fn hear(&mut self, report: PartReport, now: Millis) {
-        let Some(place) = self.rooms.get_mut(report.part as usize) else {
+    /// Takes a shard's report, unless it is from an owner before.
+    pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
+        let Some(place) = self.capacities.get_mut(report.shard as usize) else {
             return;
         };
         if !report.is_sound() {
@@ -187,7 +190,7 @@
         }
         if place
             .as_ref()
-            .is_some_and(|r| r.report.stamp > report.stamp)
+            .is_some_and(|r| r.report.revision > report.revision)
         {
             return;
         }
@@ -195,14 +198,14 @@
             .take()
             .map(|r| r.debits.into_iter().filter(|d| now - d.0 < 700.0).collect())
             .unwrap_or_default();
-        *place = Some(Room {
+        *place = Some(ShardCapacity {
             report,
             at: now,
             assumed: false,
             debits,
             fits: RefCell::default(),
         });
-        self.rooms_heard += 1;
+        self.capacity_reports_received += 1;
         self.dirty = true;
     }
 }
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -1,44 +1,44 @@
 //! The scheduling core of cherryyard.
 //!
-//! [`Node`] is one controller: it takes events (state changes, reports, heartbeats,
+//! [`Controller`] is one controller: it takes events (state changes, reports, heartbeats,
 //! answers, the time) and returns effects (transactions, direct commands,
-//! rentals). It does no I/O and reads no clock, so the same events always give
+//! provisioning requests). It does no I/O and reads no clock, so the same events always give
 //! the same effects, which is what the rehearsal crate builds on.
 
 pub mod account;
 pub mod admission;
 pub mod admit;
 mod cancelled;
-pub mod cells;
-mod claims;
 pub mod config;
+pub mod controller;
 pub mod dependencies;
 pub mod divide;
 pub mod effects;
+pub mod event_loop_lag;
 mod heartbeats;
-pub mod lateness;
 pub mod leader;
+mod lease_acquisition;
 pub mod machine;
 pub mod mirror;
 pub mod names;
 pub mod needs;
-pub mod node;
 pub mod owner;
-pub mod pace;
 pub mod pages;
-pub mod parting;
 mod peers;
-pub mod reach;
-mod reports;
+pub mod pools;
+pub mod reachability;
+pub mod shard_lease;
+pub mod shard_map;
 pub mod state_limits;
-pub mod tenancy;
+pub mod token_bucket;
 pub mod users;
+mod worker_heartbeats;
 
 pub use config::{Config, Tuning};
+pub use controller::Controller;
 pub use effects::{Effect, Outcome, PushOutcome, Reply, Ticket};
-pub use machine::{HostState, Machine, Task};
+pub use machine::{Machine, MachineState, Task};
 pub use mirror::Mirror;
-pub use node::Node;
 
 /// Milliseconds on this process's steady clock.
 pub type Millis = f64;
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -1,12 +1,14 @@
-//! One machine as its part's owner sees it.
+//! One machine as its shard's owner sees it.
 
 use crate::Millis;
-use crate::reach::{Reach, ReachEvent};
-use cherryyard_wire::cloud::HostEntry;
-use cherryyard_wire::worker::{Cause, PieceReport, PieceStatus, Report, piece_numbers};
+use crate::reachability::{Reachability, ReachabilityEvent};
+use cherryyard_wire::cloud::Instance;
+use cherryyard_wire::worker::{
+    ExitCause, TaskReport, TaskStatus, WorkerHeartbeat, parse_task_name,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after the time it was told a recalled machine counts as taken.
+/// How long after the time it was last_reported a recalled machine counts as taken.
 const TAKEN_MS: f64 = 1000.0;
 
 /// A task: its job's number and its own.
@@ -14,7 +16,7 @@
 
 /// Where a machine stands with its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostState {
+pub enum MachineState {
     /// Has not reported under our token: nothing is known of it that counts.
     Unconfirmed,
     /// Reports under our token.
@@ -29,7 +31,7 @@
 
 /// What moves a machine from one state to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostEvent {
+pub enum MachineEvent {
     /// A report that carries our token.
     Confirmed,
     /// Its lease has run out.
@@ -46,33 +48,33 @@
 
 /// A task as a worker last reported it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Seen {
+pub struct ReportedTask {
     /// The attempt.
     pub attempt: u64,
     /// Its state.
-    pub status: PieceStatus,
+    pub status: TaskStatus,
     /// Why it ended.
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
 }
 
-impl Seen {
-    fn of(piece: &PieceReport) -> Self {
+impl ReportedTask {
+    fn of(reported: &TaskReport) -> Self {
         Self {
-            attempt: piece.attempt,
-            status: piece.status,
-            cause: piece.cause,
+            attempt: reported.attempt,
+            status: reported.status,
+            cause: reported.cause,
         }
     }
 
     /// Whether the task is over.
     pub fn ended(&self) -> bool {
-        self.status == PieceStatus::Ended
+        self.status == TaskStatus::Ended
     }
 }
 
-/// What a message told.
+/// What a message last_reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Freshness {
     /// Nothing: a newer one came before it.
     Old,
     /// That all is as before.
@@ -88,9 +90,9 @@
     pub task: Task,
     /// The attempt.
     pub attempt: u64,
-    /// The session it was sent to, and under which token.
-    pub session: u64,
-    /// See `session`.
+    /// The incarnation it was sent to, and under which token.
+    pub incarnation: u64,
+    /// See `incarnation`.
     pub token: u64,
     /// Whether its answer was lost. It may arrive at any later time, also after the same
     /// start was sent again and answered.
@@ -116,15 +118,15 @@
     /// Where it takes direct commands.
     pub addr: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
     /// Its part.
-    pub part: usize,
+    pub shard: usize,
     /// Where it stands.
-    pub state: HostState,
+    pub state: MachineState,
     /// Session and sequence number of the newest message.
     pub newest: (u64, u64),
     /// The token in the newest message.
@@ -132,28 +134,28 @@
     /// The owner's token when the newest message came; 0 before any.
     pub confirmed_token: u64,
     /// Its tasks in the newest message.
-    pub seen: BTreeMap<Task, Seen>,
+    pub reported: BTreeMap<Task, ReportedTask>,
     /// The same as the message listed it, to compare the next with.
-    told: Vec<(Task, Seen)>,
+    last_reported: Vec<(Task, ReportedTask)>,
     /// Since when its tasks have been seen to run, by attempt.
     pub runs: BTreeMap<Task, (u64, Millis)>,
     /// Whether its lease has run out with nobody but us able to renew it.
     pub lease_over: bool,
     /// When it will be taken away, if it has said so.
-    pub recall_at: Option<Millis>,
+    pub reclaim_at: Option<Millis>,
     /// When a message last came.
-    pub heard_at: Millis,
+    pub last_heard_at: Millis,
     /// When a report of it was last answered 200.
     pub answered_at: Millis,
     /// Whether what we send it arrives.
-    pub reach: Reach,
-    /// When it became unreachable: its session, and the last attempt up to then. Whatever
+    pub reachability: Reachability,
+    /// When it became unreachable: its incarnation, and the last attempt up to then. Whatever
     /// was assigned here before and is not there is given up, also if it hears again.
     pub(crate) given_up: (u64, u64),
     /// When it was last asked directly, and what was the newest message then.
-    pub(crate) asked: (Millis, (u64, u64)),
+    pub(crate) queried: (Millis, (u64, u64)),
     /// Whether a question is under way.
-    pub(crate) asking: bool,
+    pub(crate) query_pending: bool,
     /// Reports in a row that were older than one before them.
     pub(crate) old_in_a_row: u32,
     /// Attempts up to this one are of a life before: the worker began anew.
@@ -188,29 +190,29 @@
 
 impl Machine {
     /// A machine of which nothing is known but what `report` says it is.
-    pub fn new(host: u32, part: usize, report: &Report, now: Millis) -> Self {
+    pub fn new(host: u32, shard: usize, report: &WorkerHeartbeat, now: Millis) -> Self {
         Self {
             host,
             addr: report.addr.clone(),
-            kind: report.host_kind.clone(),
-            zone: report.yard.clone(),
-            spot: report.borrowed,
-            part,
-            state: HostState::Unconfirmed,
+            machine_type: report.machine_type.clone(),
+            zone: report.zone.clone(),
+            spot: report.spot,
+            shard,
+            state: MachineState::Unconfirmed,
             newest: (0, 0),
             token: 0,
             confirmed_token: 0,
-            seen: BTreeMap::new(),
-            told: Vec::new(),
+            reported: BTreeMap::new(),
+            last_reported: Vec::new(),
             runs: BTreeMap::new(),
             lease_over: false,
-            recall_at: None,
-            heard_at: now,
+            reclaim_at: None,
+            last_heard_at: now,
             answered_at: now,
-            reach: Reach::Hears(0),
+            reachability: Reachability::Reachable(0),
             given_up: (0, 0),
-            asked: (f64::NEG_INFINITY, (0, 0)),
-            asking: false,
+            queried: (f64::NEG_INFINITY, (0, 0)),
+            query_pending: false,
             old_in_a_row: 0,
             born_after: 0,
             anew: false,
@@ -229,26 +231,26 @@
     }
 
     /// A machine that has not reported, as the cloud lists it.
-    pub fn unheard(host: u32, part: usize, entry: &HostEntry, now: Millis) -> Self {
-        let report = Report {
+    pub fn unheard(host: u32, shard: usize, entry: &Instance, now: Millis) -> Self {
+        let report = WorkerHeartbeat {
             host: entry.id.clone(),
             addr: entry.addr.clone(),
-            host_kind: entry.host_kind.clone(),
-            yard: entry.yard.clone(),
-            borrowed: entry.borrowed,
-            tenure: 0,
-            tick: 0,
-            baton: 0,
-            recall_s: None,
-            pieces: Vec::new(),
+            machine_type: entry.machine_type.clone(),
+            zone: entry.zone.clone(),
+            spot: entry.spot,
+            incarnation: 0,
+            sequence: 0,
+            fencing_token: 0,
+            reclaim_in_s: None,
+            tasks: Vec::new(),
         };
-        Self::new(host, part, &report, now)
+        Self::new(host, shard, &report, now)
     }
 
     /// The one place where a machine's state changes.
-    pub fn change(&mut self, event: HostEvent) {
-        use HostEvent::*;
-        use HostState::*;
+    pub fn change(&mut self, event: MachineEvent) {
+        use MachineEvent::*;
+        use MachineState::*;
         match event {
             LeaseOver => self.lease_over = self.token_ours(),
             Confirmed | TokenChanged => self.lease_over = false,
@@ -275,94 +277,94 @@
         };
     }
 
-    /// Takes a message if it is newer than what is known; says what it told.
+    /// Takes a message if it is newer than what is known; says what it last_reported.
     ///
     /// Most reports tell that all is as before: they are compared, and leave
     /// the list of tasks as it is (a fifth of all processor time, before).
-    pub fn hear(&mut self, report: &Report, own_token: u64, now: Millis) -> Heard {
-        let order = (report.tenure, report.tick);
+    pub fn hear(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) -> Freshness {
+        let order = (report.incarnation, report.sequence);
         if order <= self.newest {
             self.old_in_a_row += 1;
-            return Heard::Old;
+            return Freshness::Old;
         }
         self.old_in_a_row = 0;
-        if self.tells_the_same(report, own_token) {
+        if self.reports_the_same(report, own_token) {
             self.newest = order;
-            self.heard_at = now;
-            if !self.seen.is_empty() {
+            self.last_heard_at = now;
+            if !self.reported.is_empty() {
                 self.busy_at = now;
             }
-            return Heard::Same;
+            return Freshness::Same;
         }
-        if report.tenure > self.newest.0 || report.baton > self.token {
-            // Direct commands to an older session, or under a lower token than
+        if report.incarnation > self.newest.0 || report.fencing_token > self.token {
+            // Direct commands to an older incarnation, or under a lower token than
             // the worker has seen, can no longer take effect.
             // (One that began anew comes from token 0 to the one that they were sent under.)
-            let (session, token) = (report.tenure, report.baton);
+            let (incarnation, token) = (report.incarnation, report.fencing_token);
             self.pushed
-                .retain(|p| p.session >= session && p.token >= token);
+                .retain(|p| p.incarnation >= incarnation && p.token >= token);
         }
-        if report.baton == own_token && self.token < own_token {
-            self.reached(ReachEvent::Reflected, now);
-        } else if report.baton < own_token && self.confirmed_token == own_token {
+        if report.fencing_token == own_token && self.token < own_token {
+            self.reached(ReachabilityEvent::Reflected, now);
+        } else if report.fencing_token < own_token && self.confirmed_token == own_token {
             // The last one was answered with our token.
-            self.reached(ReachEvent::Missed, now);
-        } else if report.tenure > self.newest.0 && self.newest.0 > 0 {
-            self.reached(ReachEvent::NewSession, now);
+            self.reached(ReachabilityEvent::Missed, now);
+        } else if report.incarnation > self.newest.0 && self.newest.0 > 0 {
+            self.reached(ReachabilityEvent::NewSession, now);
         }
-        if report.tenure > self.newest.0 {
-            // A session has its whole lease from when it began, which was at the latest
-            // now: a direct answer told of it though no report was answered for long, and
+        if report.incarnation > self.newest.0 {
+            // A incarnation has its whole lease from when it began, which was at the latest
+            // now: a direct answer last_reported of it though no report was answered for long, and
             // what was then started there was taken for lost at once, by the lease before.
             self.answered_at = now;
         }
         self.newest = order;
         self.take(report, own_token, now);
-        Heard::New
+        Freshness::New
     }
 
     /// Takes over what a message tells.
-    pub(crate) fn take(&mut self, report: &Report, own_token: u64, now: Millis) {
-        self.token = report.baton;
+    pub(crate) fn take(&mut self, report: &WorkerHeartbeat, own_token: u64, now: Millis) {
+        self.token = report.fencing_token;
         self.confirmed_token = own_token;
-        self.heard_at = now;
+        self.last_heard_at = now;
         self.addr.clone_from(&report.addr);
         // Only ever nearer: an assignment that a late transaction takes back for it must not be
         // started again meanwhile.
-        let recall_at = report.recall_s.map(|s| now + s.max(0.0) * 1000.0);
-        self.recall_at = match (recall_at, self.recall_at) {
+        let reclaim_at = report.reclaim_in_s.map(|s| now + s.max(0.0) * 1000.0);
+        self.reclaim_at = match (reclaim_at, self.reclaim_at) {
             (Some(new), Some(old)) => Some(new.min(old)),
             (new, _) => new,
         };
-        self.seen.clear();
-        self.told.clear();
-        for piece in &report.pieces {
-            if let Some(task) = piece_numbers(&piece.piece) {
-                let seen = Seen::of(piece);
-                self.told.push((task, seen));
+        self.reported.clear();
+        self.last_reported.clear();
+        for reported in &report.tasks {
+            if let Some(task) = parse_task_name(&reported.task_name) {
+                let reported = ReportedTask::of(reported);
+                self.last_reported.push((task, reported));
                 // The same task twice: the one still there counts.
-                let place = self.seen.entry(task).or_insert(seen);
+                let place = self.reported.entry(task).or_insert(reported);
                 if place.ended() {
-                    *place = seen;
+                    *place = reported;
                 }
             }
         }
         self.note_runs(now);
-        if !self.seen.is_empty() {
+        if !self.reported.is_empty() {
             self.busy_at = now;
         }
-        if report.baton == own_token {
-            self.change(HostEvent::Confirmed);
+        if report.fencing_token == own_token {
+            self.change(MachineEvent::Confirmed);
         }
     }
 
     /// Keeps the times of tasks that go on running, or have just ended.
     fn note_runs(&mut self, now: Millis) {
-        let seen = &self.seen;
+        let reported = &self.reported;
         self.runs
-            .retain(|task, run| seen.get(task).is_some_and(|s| s.attempt == run.0));
-        for (&task, s) in seen {
-            if s.status == PieceStatus::Running {
+            .retain(|task, run| reported.get(task).is_some_and(|s| s.attempt == run.0));
+        for (&task, s) in reported {
+            if s.status == TaskStatus::Running {
                 self.runs.entry(task).or_insert((s.attempt, now));
             }
         }
@@ -377,27 +379,33 @@
     /// Whether the cloud has said it would take the machine by now, and nothing
     /// has been heard of it for longer than a report takes.
     pub fn taken(&self, now: Millis, silence_ms: f64) -> bool {
-        self.recall_at.is_some_and(|at| now > at + TAKEN_MS) && now - self.heard_at > silence_ms
+        self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS)
+            && now - self.last_heard_at > silence_ms
     }
 
     /// Whether a report differs in nothing that matters from the last one. It
     /// matters while a start may be on its way that it shows or does not show.
-    fn tells_the_same(&self, report: &Report, own_token: u64) -> bool {
-        self.state == HostState::Ready
+    fn reports_the_same(&self, report: &WorkerHeartbeat, own_token: u64) -> bool {
+        self.state == MachineState::Ready
             && !self.lease_over
-            && report.tenure == self.newest.0
-            && report.baton == self.token
+            && report.incarnation == self.newest.0
+            && report.fencing_token == self.token
             && own_token == self.token
             && own_token == self.confirmed_token
-            && report.recall_s.is_none()
-            && self.recall_at.is_none()
+            && report.reclaim_in_s.is_none()
+            && self.reclaim_at.is_none()
             && self.pushed.iter().all(|start| start.lost)
             && self.offered.is_empty()
             && report.addr == self.addr
-            && report.pieces.len() == self.told.len()
-            && report.pieces.iter().zip(&self.told).all(|(piece, told)| {
-                told.1 == Seen::of(piece) && piece_numbers(&piece.piece) == Some(told.0)
-            })
+            && report.tasks.len() == self.last_reported.len()
+            && report
+                .tasks
+                .iter()
+                .zip(&self.last_reported)
+                .all(|(reported, last_reported)| {
+                    last_reported.1 == ReportedTask::of(reported)
+                        && parse_task_name(&reported.task_name) == Some(last_reported.0)
+                })
     }
 
     /// Whether a start of this attempt may yet take effect.
@@ -410,30 +418,30 @@
 
     /// Whether a task with this assignment is proven not to be on the machine, nor
     /// able to come back there.
-    pub fn proven_gone(&self, task: Task, session: u64, attempt: u64) -> bool {
+    pub fn proven_gone(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
         // A machine that hung beyond its lease may carry out what was sent to it before it
-        // sees that its session is over: then only its release, or a newer session, is proof.
-        if self.lease_over && session <= self.newest.0 && !self.start_pending(task, attempt) {
+        // sees that its incarnation is over: then only its release, or a newer incarnation, is proof.
+        if self.lease_over && incarnation <= self.newest.0 && !self.start_pending(task, attempt) {
             return true;
         }
-        if self.born_after > 0 && self.of_life_before(task, session, attempt) {
+        if self.born_after > 0 && self.of_life_before(task, incarnation, attempt) {
             return true;
         }
         match self.state {
-            HostState::Gone => true,
-            HostState::Unconfirmed | HostState::Expired => false,
-            HostState::Ready | HostState::Returning => {
+            MachineState::Gone => true,
+            MachineState::Unconfirmed | MachineState::Expired => false,
+            MachineState::Ready | MachineState::Returning => {
                 // Returning may follow Unconfirmed; only a report that carries
                 // our token counts.
-                // An assignment older than our token in a session that has yet to come is of a
+                // An assignment older than our token in a incarnation that has yet to come is of a
                 // life before of the worker: it was there before it showed the token.
                 self.token_ours()
-                    && (session < self.newest.0
-                        || (session > self.newest.0 && attempt <= self.token)
-                        || (session == self.newest.0
+                    && (incarnation < self.newest.0
+                        || (incarnation > self.newest.0 && attempt <= self.token)
+                        || (incarnation == self.newest.0
                             && !self.start_pending(task, attempt)
                             && self
-                                .seen
+                                .reported
                                 .get(&task)
                                 .is_none_or(|s| s.attempt != attempt || s.ended())))
             }
@@ -476,10 +484,10 @@
 
     /// Whether new tasks may be placed here.
     pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
-        self.state == HostState::Ready
-            && self.reach.hears()
-            && self.recall_at.is_none()
-            && now - self.heard_at <= silence_ms
+        self.state == MachineState::Ready
+            && self.reachability.is_reachable()
+            && self.reclaim_at.is_none()
+            && now - self.last_heard_at <= silence_ms
             && now >= self.avoid_until
     }
 }
--- a/crates/cherryyard-core/src/mirror/arrivals.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -2,7 +2,7 @@
 //!
 //! A new job comes by the last page, or by a new one after it; or, where jobs have
 //! records of their own, by such a record. All these transactions depend on the last
-//! page's stamp and on there being none after it, and on the absence of a record of the
+//! page's revision and on there being none after it, and on the absence of a record of the
 //! job's own. So whoever adds a job has seen all that were added by pages before, and
 //! that it was not added otherwise: no job comes twice. One put can carry many, and
 //! records do not get into each other's way.
@@ -18,8 +18,8 @@
 
 use super::{Mirror, OpenJob};
 use crate::Config;
-use cherryyard_wire::arrivals::{Arrival, ArrivalsRecord, Rest};
-use cherryyard_wire::record::{BUCKETS, Key, arrivals_key};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, Arrival, Rest};
+use cherryyard_wire::record::{BUCKETS, Key, admission_log_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::BTreeSet;
 
@@ -35,9 +35,9 @@
 
 /// A page of new jobs as the mirror knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Arrivals {
-    /// Stamp of its key.
-    pub stamp: u64,
+pub struct AdmissionPage {
+    /// Revision of its key.
+    pub revision: u64,
     /// Its jobs.
     pub jobs: BTreeSet<u64>,
     /// Whether it names a team that is not in our settings: it is left as it is.
@@ -47,15 +47,15 @@
 /// A page in the making.
 #[derive(Debug, Default)]
 pub struct Draft {
-    record: ArrivalsRecord,
+    record: AdmissionPageRecord,
     bytes: usize,
 }
 
 impl Draft {
     /// Adds a job if there is room for it.
     fn push(&mut self, job: u64, open: &OpenJob, most: usize) -> bool {
-        let mut one = ArrivalsRecord::default();
-        let add = |record: &mut ArrivalsRecord| {
+        let mut one = AdmissionPageRecord::default();
+        let add = |record: &mut AdmissionPageRecord| {
             let rest = Rest {
                 zone: open.zone.clone(),
                 caps: open.caps.clone(),
@@ -81,7 +81,7 @@
     }
 
     fn apply(&self, page: u64) -> Apply {
-        Apply::put(arrivals_key(page), Json::of(&self.record))
+        Apply::put(admission_log_key(page), Json::of(&self.record))
     }
 }
 
@@ -93,19 +93,19 @@
     /// Whether new jobs come by pages, and all that came before is known: a job that
     /// was added otherwise just before the pages began must not be missed.
     pub fn takes_pages(&self) -> bool {
-        self.by_pages && self.epoch >= self.format_stamp
+        self.by_pages && self.store_revision >= self.format_revision
     }
 
     /// Whether jobs may wait for others, and all that came before that was decided is
     /// known.
     pub fn takes_dependencies(&self) -> bool {
-        self.dependencies && self.epoch >= self.format_stamp
+        self.dependencies && self.store_revision >= self.format_revision
     }
 
     /// Whether an open job is as its page says.
     pub fn in_page(&self, job: u64) -> bool {
         let open = self.open.get(&job);
-        open.is_some_and(|o| o.stamp == 0) && !self.bucket_of.contains_key(&job)
+        open.is_some_and(|o| o.revision == 0) && !self.bucket_of.contains_key(&job)
     }
 
     /// The page that names a job, if any does.
@@ -113,35 +113,35 @@
         self.arrived.get(&job).copied()
     }
 
-    pub(super) fn put_arrivals(
+    pub(super) fn put_admission_page(
         &mut self,
         page: u64,
-        record: ArrivalsRecord,
-        stamp: u64,
+        record: AdmissionPageRecord,
+        revision: u64,
     ) -> Result<(), String> {
-        let all = record.read(self.parts.len()).ok_or("bad rows")?;
-        let mut new = Arrivals {
-            stamp,
-            ..Arrivals::default()
+        let all = record.read(self.shards.len()).ok_or("bad rows")?;
+        let mut new = AdmissionPage {
+            revision,
+            ..AdmissionPage::default()
         };
         for arrival in all {
             let job = arrival.job;
             new.jobs.insert(job);
-            new.foreign |= self.teams.get(&arrival.spec.owner).is_none();
+            new.foreign |= self.teams.get(&arrival.spec.team).is_none();
             self.arrived.insert(job, page);
             // What has been stored of it since counts.
             if !self.ended.contains_key(&job)
                 && (!self.open.contains_key(&job) || self.in_page(job))
             {
-                self.put_arrival(arrival);
+                self.put_admission(arrival);
             }
         }
-        let old = self.arrivals.insert(page, new).unwrap_or_default();
-        self.drop_arrivals(page, old.jobs);
+        let old = self.admission_log.insert(page, new).unwrap_or_default();
+        self.drop_admission_page(page, old.jobs);
         Ok(())
     }
 
-    fn put_arrival(&mut self, arrival: Arrival) {
+    fn put_admission(&mut self, arrival: Arrival) {
         let job = arrival.job;
         if self.open.get(&job).is_some_and(|o| o.div == arrival.div) {
             return;
@@ -161,16 +161,17 @@
     }
 
     pub(super) fn drop_page(&mut self, page: u64) {
-        let old = self.arrivals.remove(&page).unwrap_or_default();
-        self.drop_arrivals(page, old.jobs);
+        let old = self.admission_log.remove(&page).unwrap_or_default();
+        self.drop_admission_page(page, old.jobs);
     }
 
     /// Of a page's jobs before, those that it does not name any more and that have not
     /// gone to another.
-    fn drop_arrivals(&mut self, page: u64, before: BTreeSet<u64>) {
+    fn drop_admission_page(&mut self, page: u64, before: BTreeSet<u64>) {
         for job in before {
-            let named = |a: &Arrivals| a.jobs.contains(&job);
-            if self.arrived.get(&job) == Some(&page) && !self.arrivals.get(&page).is_some_and(named)
+            let named = |a: &AdmissionPage| a.jobs.contains(&job);
+            if self.arrived.get(&job) == Some(&page)
+                && !self.admission_log.get(&page).is_some_and(named)
             {
                 self.arrived.remove(&job);
                 if self.in_page(job) {
@@ -182,7 +183,7 @@
 
     /// A page with what still depends on it; none if it is not ours to write anew.
     fn draft(&self, page: u64, most: usize) -> Option<Draft> {
-        let known = self.arrivals.get(&page).filter(|a| !a.foreign)?;
+        let known = self.admission_log.get(&page).filter(|a| !a.foreign)?;
         let mut draft = Draft::default();
         // What has a record of its own need not be named any longer.
         let mut here = known.jobs.iter().filter(|job| self.in_page(**job));
@@ -200,7 +201,7 @@
         config: &Config,
     ) -> usize {
         let most = page_bytes(config);
-        let last = self.arrivals.last_key_value().map(|(&page, _)| page);
+        let last = self.admission_log.last_key_value().map(|(&page, _)| page);
         let after = last.map_or(0, |page| page + 1);
         let drafted = last.and_then(|page| Some((page, self.draft(page, most)?)));
         let (mut page, mut draft) = drafted.unwrap_or((after, Draft::default()));
@@ -234,11 +235,11 @@
 
     /// Adds the conditions that no job has come by a page that is not known here.
     pub(crate) fn require_pages(&self, commit: &mut Commit) {
-        let last = self.arrivals.last_key_value().map(|(&page, _)| page);
+        let last = self.admission_log.last_key_value().map(|(&page, _)| page);
         if let Some(last) = last {
-            self.require(commit, Key::Arrivals(last));
+            self.require(commit, Key::AdmissionPage(last));
         }
-        self.require(commit, Key::Arrivals(last.map_or(0, |page| page + 1)));
+        self.require(commit, Key::AdmissionPage(last.map_or(0, |page| page + 1)));
     }
 
     /// Adds to a transaction what writes a page anew with these jobs changed; false if
@@ -251,7 +252,7 @@
         config: &Config,
     ) -> bool {
         let most = page_bytes(config);
-        let Some(known) = self.arrivals.get(&page).filter(|a| !a.foreign) else {
+        let Some(known) = self.admission_log.get(&page).filter(|a| !a.foreign) else {
             return false;
         };
         let mut draft = Draft::default();
@@ -264,7 +265,7 @@
                 return false;
             }
         }
-        self.require(commit, Key::Arrivals(page));
+        self.require(commit, Key::AdmissionPage(page));
         commit.apply.push(draft.apply(page));
         true
     }
@@ -273,20 +274,20 @@
     /// carried out late, depends on the page before: that is changed, if it is there.
     fn delete_page(&self, commit: &mut Commit, page: u64, config: &Config) -> bool {
         let changed = |at: u64| {
-            let key = arrivals_key(at);
+            let key = admission_log_key(at);
             commit.apply.iter().any(|a| a.key() == key)
         };
         let before = page.checked_sub(1);
-        let before = before.filter(|at| self.arrivals.contains_key(at) && !changed(*at));
+        let before = before.filter(|at| self.admission_log.contains_key(at) && !changed(*at));
         if let Some(before) = before {
             let Some(draft) = self.draft(before, page_bytes(config)) else {
                 return false;
             };
-            self.require(commit, Key::Arrivals(before));
+            self.require(commit, Key::AdmissionPage(before));
             commit.apply.push(draft.apply(before));
         }
-        self.require(commit, Key::Arrivals(page));
-        commit.apply.push(Apply::delete(arrivals_key(page)));
+        self.require(commit, Key::AdmissionPage(page));
+        commit.apply.push(Apply::delete(admission_log_key(page)));
         true
     }
 
@@ -295,17 +296,17 @@
     /// into one. Never the last: it shows what has been added. The first is emptied.
     pub(crate) fn compact_pages(&self, config: &Config) -> Option<Commit> {
         let mut commit = Commit::default();
-        let last = *self.arrivals.last_key_value()?.0;
+        let last = *self.admission_log.last_key_value()?.0;
         let mut left: Option<(u64, usize)> = None;
-        for (&page, known) in self.arrivals.range(..last).filter(|(_, a)| !a.foreign) {
-            let room = config.txn_ops.saturating_sub(commit.apply.len());
-            if room < DELETE_CHANGES {
+        for (&page, known) in self.admission_log.range(..last).filter(|(_, a)| !a.foreign) {
+            let capacity = config.txn_ops.saturating_sub(commit.apply.len());
+            if capacity < DELETE_CHANGES {
                 break;
             }
             let here = known.jobs.iter().filter(|job| self.in_page(**job)).count();
             if page == 0 {
                 if here == 0 && !known.jobs.is_empty() {
-                    self.require(&mut commit, Key::Arrivals(0));
+                    self.require(&mut commit, Key::AdmissionPage(0));
                     commit.apply.push(Draft::default().apply(0));
                 }
             } else if here == 0 {
@@ -316,7 +317,7 @@
                 // Into the later of the two: one who reads page by page meanwhile
                 // finds its jobs in one or the other.
                 match left.take() {
-                    Some((earlier, n)) if n + here <= MOST_ROWS / 2 && room >= JOIN_CHANGES => {
+                    Some((earlier, n)) if n + here <= MOST_ROWS / 2 && capacity >= JOIN_CHANGES => {
                         if self.join_pages(&mut commit, earlier, page, config) {
                             break;
                         }
@@ -333,14 +334,14 @@
         let Some(mut draft) = self.draft(into, most) else {
             return false;
         };
-        let moving = &self.arrivals[&from].jobs;
+        let moving = &self.admission_log[&from].jobs;
         let fits = moving.iter().filter(|job| self.in_page(**job)).all(|&job| {
             let open = self.open.get(&job);
             open.is_some_and(|open| draft.push(job, open, most))
         });
         // First what comes, then what goes: a reader of the changes loses no job.
         let mut joined = commit.clone();
-        self.require(&mut joined, Key::Arrivals(into));
+        self.require(&mut joined, Key::AdmissionPage(into));
         joined.apply.push(draft.apply(into));
         let fits = fits && self.delete_page(&mut joined, from, config);
         if fits {
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -10,8 +10,8 @@
 
 impl Mirror {
     /// Replaces a page; only jobs of which it says something else are looked at.
-    pub(super) fn set_page(&mut self, part: usize, page: u32, new: Option<Page>) {
-        let Some(pages) = self.pages.get_mut(part) else {
+    pub(super) fn set_page(&mut self, shard: usize, page: u32, new: Option<Page>) {
+        let Some(pages) = self.pages.get_mut(shard) else {
             return;
         };
         let old = pages.remove(&page).unwrap_or_default();
@@ -19,19 +19,19 @@
         let said_anew = |(job, said): &(&u64, &PageJob)| old.jobs.get(job) != Some(*said);
         let mut changed: Vec<u64> = new.jobs.iter().filter(said_anew).map(|j| *j.0).collect();
         changed.extend(old.jobs.keys().filter(|job| !new.jobs.contains_key(job)));
-        if new.stamp != 0 {
+        if new.revision != 0 {
             pages.insert(page, new);
         }
         for job in changed {
-            self.refresh_assignments(part, job);
+            self.refresh_assignments(shard, job);
         }
     }
 
-    /// Sums up what the part's pages say of a job.
-    fn refresh_assignments(&mut self, part: usize, job: u64) {
+    /// Sums up what the shard's pages say of a job.
+    fn refresh_assignments(&mut self, shard: usize, job: u64) {
         let mut sum = JobAssignments::default();
-        for (&page, p) in &self.pages[part] {
-            if let Some(j) = p.jobs.get(&job) {
+        for (&page, record) in &self.pages[shard] {
+            if let Some(j) = record.jobs.get(&job) {
                 sum.assignments.extend(
                     j.assignments
                         .iter()
@@ -40,7 +40,7 @@
                 sum.done = sum.done.union(&j.done);
             }
         }
-        let old = self.assignments.remove(&(part, job)).unwrap_or_default();
+        let old = self.assignments.remove(&(shard, job)).unwrap_or_default();
         for (&number, (assignment, _)) in &old.assignments {
             if sum
                 .assignments
@@ -65,9 +65,11 @@
             }
         }
         if sum.done.len() != old.done.len() {
-            // What is left of the job decides its place, in all parts.
-            let parts = (0..self.parts.len()).filter(|&p| self.waiting[p].contains_key(&job));
-            self.waiting_changes.extend(parts.map(|p| (p, job)));
+            // What is left of the job decides its place, in all shards.
+            let shards = (0..self.shards.len())
+                .filter(|&shard_id| self.waiting[shard_id].contains_key(&job));
+            self.waiting_changes
+                .extend(shards.map(|shard_id| (shard_id, job)));
         }
         let total = self.tasks_done.entry(job).or_default();
         *total = (*total + sum.done.len()).saturating_sub(old.done.len());
@@ -75,15 +77,15 @@
             self.tasks_done.remove(&job);
         }
         if !sum.assignments.is_empty() || !sum.done.is_empty() {
-            self.assignments.insert((part, job), sum);
+            self.assignments.insert((shard, job), sum);
         }
-        self.refresh_waiting(part, job);
+        self.refresh_waiting(shard, job);
         self.refresh_complete(job);
     }
 
-    pub(super) fn refresh_waiting(&mut self, part: usize, job: u64) {
-        let share = self.open.get(&job).and_then(|o| o.div.get(part));
-        let left = match (share, self.assignments.get(&(part, job))) {
+    pub(super) fn refresh_waiting(&mut self, shard: usize, job: u64) {
+        let share = self.open.get(&job).and_then(|o| o.div.get(shard));
+        let left = match (share, self.assignments.get(&(shard, job))) {
             (None, _) => RangeSet::new(),
             (Some(share), None) => share.clone(),
             (Some(share), Some(m)) => share
@@ -91,13 +93,13 @@
                 .minus(&m.assignments.keys().copied().collect()),
         };
         let before = if left.is_empty() {
-            self.waiting[part].remove(&job).is_some()
+            self.waiting[shard].remove(&job).is_some()
         } else {
-            self.waiting[part].insert(job, left);
+            self.waiting[shard].insert(job, left);
             true
         };
-        if before || self.waiting[part].contains_key(&job) {
-            self.waiting_changes.push((part, job));
+        if before || self.waiting[shard].contains_key(&job) {
+            self.waiting_changes.push((shard, job));
         }
     }
 
@@ -110,32 +112,32 @@
         }
     }
 
-    /// The part's last page, and the one after it: new assignments go nowhere else.
-    pub fn last_page(&self, part: usize) -> Option<u32> {
+    /// The shard's last page, and the one after it: new assignments go nowhere else.
+    pub fn last_page(&self, shard: usize) -> Option<u32> {
         self.pages
-            .get(part)
-            .and_then(|p| p.last_key_value())
+            .get(shard)
+            .and_then(|pages| pages.last_key_value())
             .map(|(&n, _)| n)
     }
 
-    /// Adds the conditions that the part has got no assignment that is not known here.
+    /// Adds the conditions that the shard has got no assignment that is not known here.
     ///
     /// Page 0 is never deleted once it is there, and a new page is made by a transaction
     /// that writes the last one anew: so that "absent" never holds again for one that is
     /// carried out late.
-    pub(crate) fn require_last_page(&self, commit: &mut Commit, part: usize) {
-        let last = self.last_page(part);
+    pub(crate) fn require_last_page(&self, commit: &mut Commit, shard: usize) {
+        let last = self.last_page(shard);
         for page in last.into_iter().chain([last.map_or(0, |n| n + 1)]) {
-            self.require(commit, Key::Assignment { part, page });
+            self.require(commit, Key::Assignment { shard, page });
         }
     }
 
-    /// The part that an assignment on a machine belongs to.
-    pub fn part_of_assignment(&self, host: u32) -> Option<usize> {
+    /// The shard that an assignment on a machine belongs to.
+    pub fn shard_of_assignment(&self, host: u32) -> Option<usize> {
         let (job, number) = *self.on_host.get(host as usize)?.keys().next()?;
-        (0..self.parts.len()).find(|&p| {
+        (0..self.shards.len()).find(|&shard_id| {
             self.assignments
-                .get(&(p, job))
+                .get(&(shard_id, job))
                 .and_then(|m| m.assignments.get(&number))
                 .is_some_and(|(assignment, _)| assignment.host == host)
         })
@@ -163,9 +165,9 @@
             .map(|(host, _)| host as u32)
     }
 
-    /// A part's numbers of a job that are neither done nor assigned, if there are any.
-    pub fn waiting(&self, part: usize, job: u64) -> Option<&RangeSet> {
-        self.waiting.get(part)?.get(&job)
+    /// A shard's numbers of a job that are neither done nor assigned, if there are any.
+    pub fn waiting(&self, shard: usize, job: u64) -> Option<&RangeSet> {
+        self.waiting.get(shard)?.get(&job)
     }
 
     /// Parts and jobs of which what waits has changed since the last call.
@@ -173,18 +175,18 @@
         std::mem::take(&mut self.waiting_changes)
     }
 
-    /// How many tasks of a job are assigned, in all parts.
+    /// How many tasks of a job are assigned, in all shards.
     pub fn assigned(&self, job: u64) -> u32 {
-        (0..self.parts.len())
-            .filter_map(|p| self.assignments.get(&(p, job)))
+        (0..self.shards.len())
+            .filter_map(|shard_id| self.assignments.get(&(shard_id, job)))
             .map(|m| m.assignments.len() as u32)
             .sum()
     }
 
-    /// What each team uses in `part`: from assignment to proven gone.
-    pub fn usage(&self, part: usize) -> Vec<Needs> {
+    /// What each team uses in `shard`: from assignment to proven gone.
+    pub fn usage(&self, shard: usize) -> Vec<Needs> {
         let mut used = vec![Needs::default(); self.teams.len()];
-        for (&(_, job), m) in self.assignments.range((part, 0)..=(part, u64::MAX)) {
+        for (&(_, job), m) in self.assignments.range((shard, 0)..=(shard, u64::MAX)) {
             let count = m.assignments.len();
             if count == 0 {
                 continue;
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -4,7 +4,7 @@
 //! ever. In a bucket its end takes the place of its record, and goes with a later
 //! write of the bucket once it is in the history. Buckets divide all hashes of ids
 //! among them, each from its own key's up to the next one's; a transaction that
-//! adds a job depends on its bucket's stamp, so no job comes twice, and a bucket
+//! adds a job depends on its bucket's revision, so no job comes twice, and a bucket
 //! that has been divided or joined meanwhile takes nothing.
 
 use super::{EndedJob, Mirror};
@@ -21,8 +21,8 @@
 /// A bucket as the mirror knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
-    /// Stamp of its key.
-    pub stamp: u64,
+    /// Revision of its key.
+    pub revision: u64,
     /// Its jobs, open and over.
     pub jobs: BTreeSet<u64>,
 }
@@ -65,7 +65,8 @@
 
     fn has_own_record(&self, job: u64) -> bool {
         !self.bucket_of.contains_key(&job)
-            && (self.open.get(&job).is_some_and(|o| o.stamp != 0) || self.ended.contains_key(&job))
+            && (self.open.get(&job).is_some_and(|o| o.revision != 0)
+                || self.ended.contains_key(&job))
     }
 
     fn covering(&self, job: u64) -> Option<u64> {
@@ -78,13 +79,13 @@
         self.buckets.len()
     }
 
-    pub(super) fn put_bucket(&mut self, from: u64, record: BucketRecord, stamp: u64) {
+    pub(super) fn put_bucket(&mut self, from: u64, record: BucketRecord, revision: u64) {
         let mut jobs = BTreeSet::new();
         let mut uses: BTreeMap<u64, Use> = record.u.into_iter().collect();
         for (job, open) in record.o {
             jobs.insert(job);
             self.bucket_of.insert(job, from);
-            if let Err(e) = self.put_job(job, open, stamp) {
+            if let Err(e) = self.put_job(job, open, revision) {
                 let key = bucket_key(from);
                 self.complaints.push(format!("{key}: job {job}: {e}"));
             }
@@ -97,12 +98,12 @@
                 end,
                 n,
                 generation,
-                stamp: 0,
+                revision: 0,
                 cancelled_by: None,
             };
             self.put_end(job, ended, uses);
         }
-        let new = Bucket { stamp, jobs };
+        let new = Bucket { revision, jobs };
         let old = self.buckets.insert(from, new).unwrap_or_default();
         self.drop_gone(from, old.jobs);
     }
@@ -132,7 +133,7 @@
     /// Jobs that wait depend on the history's record as it was when its end was not in
     /// there, so they are known once all up to that record has been read.
     fn may_leave(&self, job: u64) -> bool {
-        if self.epoch < self.packed_stamp || self.has_dependents(job) {
+        if self.store_revision < self.packed_revision || self.has_dependents(job) {
             return false;
         }
         self.ended
@@ -166,7 +167,7 @@
     /// Adds to a transaction what adds a new job, with the condition that it is
     /// absent. False, and nothing added, if this mirror knows it already: to write it
     /// anew, as one that is known, would divide again what may run (so it once did),
-    /// or if it cannot be written. So jobs came before there were pages of arrivals:
+    /// or if it cannot be written. So jobs came before there were pages of admissions:
     /// it depends on their not having begun.
     pub fn add_job(
         &self,
@@ -249,7 +250,7 @@
             self.require(commit, Key::Job(job));
             // A job that is added by its own key must not come after the others
             // have begun to add jobs to buckets.
-            if self.stamp(Key::Job(job)) == 0 {
+            if self.revision(Key::Job(job)) == 0 {
                 self.require(commit, Key::Format);
             }
         }
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -249,8 +249,10 @@
                 }
                 open.urgency = urgency;
             }
-            let parts = (0..self.parts.len()).filter(|&p| self.waiting[p].contains_key(&job));
-            self.waiting_changes.extend(parts.map(|p| (p, job)));
+            let shards = (0..self.shards.len())
+                .filter(|&shard_id| self.waiting[shard_id].contains_key(&job));
+            self.waiting_changes
+                .extend(shards.map(|shard_id| (shard_id, job)));
             pending.extend(needs);
         }
     }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -2,9 +2,9 @@
 
 use super::{Mirror, Urgency};
 use crate::admission::flows::Flow;
-use crate::admit::allows_kind;
-use crate::cells::CellSet;
+use crate::admit::allows_machine_type;
 use crate::needs::Needs;
+use crate::pools::PoolSet;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::{Dependencies, dependency_ids};
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Rank, Shape, job_id};
@@ -17,8 +17,8 @@
 /// A job that is not over.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// Stamp of its record; 0 while it is as its page of arrivals says.
-    pub stamp: u64,
+    /// Revision of its record; 0 while it is as its page of admissions says.
+    pub revision: u64,
     /// What was submitted.
     pub spec: JobSpec,
     /// Its team.
@@ -27,15 +27,15 @@
     pub flow: Flow,
     /// Time of day at its submission, in milliseconds.
     pub at: u64,
-    /// Each part's task numbers; empty before the division.
+    /// Each shard's task numbers; empty before the division.
     pub div: Vec<RangeSet>,
     /// The zone of all its tasks, if that was asked for.
     pub zone: Option<String>,
-    /// Most tasks per part and zone, if tasks are to be apart.
+    /// Most tasks per shard and zone, if tasks are to be apart.
     pub caps: Vec<Vec<u32>>,
-    /// Where it may run, beyond what the submission's fields say, and the cells that
+    /// Where it may run, beyond what the submission's fields say, and the pools that
     /// this comes to now.
-    pub rules: Option<(Box<Rules>, Arc<CellSet>)>,
+    pub rules: Option<(Box<Rules>, Arc<PoolSet>)>,
     /// Jobs that it waits for.
     pub after: Dependencies,
     /// Its priority and deadline, with what it inherits from jobs that need it.
@@ -50,19 +50,21 @@
 
     /// Whether all that the job asks for allows a machine of this type, zone and sort;
     /// how much it prefers it then, 0 the most.
-    pub fn allows(&self, kind: &str, zone: &str, spot: bool) -> Option<u16> {
-        let allowed = (self.spec.borrowed || !spot)
-            && allows_kind(&self.spec, kind)
-            && self.spec.yard.as_deref().is_none_or(|y| y == zone)
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
+        let allowed = (self.spec.spot || !spot)
+            && allows_machine_type(&self.spec, machine_type)
+            && self.spec.zone.as_deref().is_none_or(|y| y == zone)
             && self.zone.as_deref().is_none_or(|z| z == zone);
-        allowed.then(|| self.tier(kind, zone, spot)).flatten()
+        allowed
+            .then(|| self.tier(machine_type, zone, spot))
+            .flatten()
     }
 
-    /// How much its rules prefer a cell, 0 the most; none if they exclude it.
-    pub fn tier(&self, kind: &str, zone: &str, spot: bool) -> Option<u16> {
+    /// How much its rules prefer a pool, 0 the most; none if they exclude it.
+    pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         match &self.rules {
             None => Some(0),
-            Some((_, cells)) => cells.tier(kind, zone, spot),
+            Some((_, pools)) => pools.tier(machine_type, zone, spot),
         }
     }
 
@@ -110,9 +112,9 @@
         let s = &self.spec;
         let sizes = [s.cores, s.accelerators, s.ram_gb].map(f64::to_bits);
         sizes.hash(&mut hash);
-        (&s.bundle, &s.kinds_of_host, &s.yard, &self.zone, s.borrowed).hash(&mut hash);
-        if let Some((_, cells)) = &self.rules {
-            cells.hash(&mut hash);
+        (&s.image, &s.machine_types, &s.zone, &self.zone, s.spot).hash(&mut hash);
+        if let Some((_, pools)) = &self.rules {
+            pools.hash(&mut hash);
         }
         hash.finish()
     }
@@ -120,7 +122,7 @@
     /// Whether its tasks make way for more important work: an array of
     /// ordinary rank or below.
     pub fn makes_way(&self) -> bool {
-        self.spec.shape == Shape::Sweep && self.spec.rank <= Rank::Standard
+        self.spec.shape == Shape::Array && self.spec.rank <= Rank::Standard
     }
 
     /// The record, to write it anew.
@@ -140,9 +142,9 @@
     pub fn ended(&self, end: End) -> JobRecord {
         JobRecord::Ended {
             end,
-            n: self.spec.pieces,
+            n: self.spec.task_count,
             r#use: Use {
-                team: self.spec.owner.clone(),
+                team: self.spec.team.clone(),
                 cores: self.spec.cores,
                 acc: self.spec.accelerators,
                 ram: self.spec.ram_gb,
@@ -162,8 +164,8 @@
     pub n: u32,
     /// Its generation in the history.
     pub generation: u64,
-    /// Stamp of its own record, if it has one.
-    pub stamp: u64,
+    /// Revision of its own record, if it has one.
+    pub revision: u64,
     /// The cancelled job that it needed, if it is cancelled for that.
     pub cancelled_by: Option<u64>,
 }
@@ -190,7 +192,7 @@
         &mut self,
         job: u64,
         record: JobRecord,
-        stamp: u64,
+        revision: u64,
     ) -> Result<(), String> {
         match record {
             JobRecord::Ended {
@@ -205,7 +207,7 @@
                     end,
                     n,
                     generation: g,
-                    stamp,
+                    revision,
                     cancelled_by: by,
                 };
                 self.put_end(job, ended, Some(uses));
@@ -224,15 +226,15 @@
                 if self.ended.contains_key(&job) {
                     return Ok(());
                 }
-                let parts = self.parts.len();
-                if !(div.is_empty() || div.len() == parts)
+                let shards = self.shards.len();
+                if !(div.is_empty() || div.len() == shards)
                     || !div.iter().all(RangeSet::is_canonical)
                 {
                     return Err("bad division".into());
                 }
                 let new = self.new_job(*spec, rules, at).ok_or("unknown team")?;
                 let open = OpenJob {
-                    stamp,
+                    revision,
                     div,
                     zone,
                     caps,
@@ -270,15 +272,15 @@
         rules: Option<Box<Rules>>,
         at: u64,
     ) -> Option<OpenJob> {
-        let team = self.teams.get(&spec.owner)?;
+        let team = self.teams.get(&spec.team)?;
         let rank = spec.rank;
         let mut open = OpenJob {
-            stamp: 0,
+            revision: 0,
             team,
-            flow: self.flows.intern(team, &spec.jobclass),
+            flow: self.flows.intern(team, &spec.job_class),
             rules: rules.map(|rules| {
-                let cells = self.matcher.cells(&rules, at);
-                (rules, cells)
+                let pools = self.matcher.pools(&rules, at);
+                (rules, pools)
             }),
             spec,
             at,
@@ -306,8 +308,8 @@
         let known = self.ended.insert(job, ended).is_some() || self.recent.contains(&job);
         self.refresh_dependents(job);
         // Also one that a full read shows and that came and went since the one before.
-        let news = was_open || (self.loaded && !known);
-        if ended.end == End::Cancelled && news && !never_ran {
+        let events = was_open || (self.loaded && !known);
+        if ended.end == End::Cancelled && events && !never_ran {
             self.new_cancels.push(job);
         }
         match uses {
@@ -353,12 +355,13 @@
             || self.recent.iter().any(|(job, _)| jobs.contains(job))
     }
 
-    /// Whether any page names the job, of assignments or of arrivals: while one of assignments
-    /// does, its tasks may be on machines, and while one of arrivals does, it would be
+    /// Whether any page names the job, of assignments or of admissions: while one of assignments
+    /// does, its tasks may be on machines, and while one of admissions does, it would be
     /// open again if nothing said that it is over.
     pub fn named_in_pages(&self, job: u64) -> bool {
         self.page_of(job).is_some()
-            || (0..self.parts.len()).any(|p| self.assignments.contains_key(&(p, job)))
+            || (0..self.shards.len())
+                .any(|shard_id| self.assignments.contains_key(&(shard_id, job)))
     }
 
     /// Jobs that are over and stand in watched records.
@@ -368,7 +371,7 @@
 
     /// Jobs that are over and have records of their own, as earlier builds keep them.
     pub fn own_ends(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
-        self.ended_jobs().filter(|(_, ended)| ended.stamp != 0)
+        self.ended_jobs().filter(|(_, ended)| ended.revision != 0)
     }
 
     /// After a change of the job's own record.
@@ -379,8 +382,8 @@
         } else {
             self.undivided.remove(&job);
         }
-        for part in 0..self.parts.len() {
-            self.refresh_waiting(part, job);
+        for shard in 0..self.shards.len() {
+            self.refresh_waiting(shard, job);
         }
         self.refresh_complete(job);
     }
@@ -390,7 +393,7 @@
         let complete = self
             .open
             .get(&job)
-            .is_some_and(|o| o.spec.shape == Shape::Sweep && done >= o.spec.pieces);
+            .is_some_and(|o| o.spec.shape == Shape::Array && done >= o.spec.task_count);
         if complete {
             self.complete.insert(job);
         } else {
--- a/crates/cherryyard-core/src/owner/room.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -1,14 +1,14 @@
-//! Free room of a part's machines, and what the leader is told of it.
+//! Free capacity of a shard's machines, and what the leader is told of it.
 
 use super::*;
 use crate::admission::queue::Place;
 
 /// Waiting jobs that the leader is told of, in the order of service.
-const TOLD_JOBS: usize = 500;
-/// For how long a part keeps the rest of a grant that none of its waiting tasks can use.
+const MAX_REPORTED_JOBS: usize = 500;
+/// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
 const STUCK_GRANT_MS: f64 = 2000.0;
 
-impl Node {
+impl Controller {
     /// Silence after which a machine gets nothing new.
     pub(crate) fn silence_ms(&self) -> f64 {
         self.config.report_ms * 1.25 + 700.0
@@ -16,39 +16,45 @@
 
     /// A machine's whole size, by its type.
     pub(crate) fn whole(&self, m: &Machine) -> Option<Needs> {
-        let kind = self.mirror.kinds.iter().find(|k| k.sku == m.kind)?;
+        let machine_type = self
+            .mirror
+            .machine_types
+            .iter()
+            .find(|k| k.sku == m.machine_type)?;
         Some(Needs {
-            cores: kind.cores,
-            acc: kind.accelerators,
-            ram: kind.ram_gb,
+            cores: machine_type.cores,
+            acc: machine_type.accelerators,
+            ram: machine_type.ram_gb,
         })
     }
 
-    /// What is left on a machine, after assignments (as the round leaves them) and
+    /// What is left on a machine, after assignments (as the scheduling cycle leaves them) and
     /// strangers.
-    pub(crate) fn free_on(&self, m: &Machine, round: Option<&Round>) -> Option<Needs> {
+    pub(crate) fn free_on(&self, m: &Machine, cycle: Option<&Cycle>) -> Option<Needs> {
         let mut free = self.whole(m)?;
-        let gone = |task: &Task| round.is_some_and(|r| r.gone.contains(task));
+        let gone = |task: &Task| cycle.is_some_and(|r| r.gone.contains(task));
         for (task, _) in self.mirror.on_host(m.host) {
             if !gone(&task) {
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
-        for (task, seen) in &m.seen {
-            if !seen.ended() && (gone(task) || self.mirror.assignment_on(m.host, *task).is_none()) {
+        for (task, reported) in &m.reported {
+            if !reported.ended()
+                && (gone(task) || self.mirror.assignment_on(m.host, *task).is_none())
+            {
                 // Not ours, or not any more: it takes room until it is gone.
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
-        for task in round.and_then(|r| r.put.get(&m.host)).into_iter().flatten() {
-            if m.seen.get(task).is_none_or(|s| s.ended()) {
+        for task in cycle.and_then(|r| r.put.get(&m.host)).into_iter().flatten() {
+            if m.reported.get(task).is_none_or(|s| s.ended()) {
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
         Some(free)
     }
 
-    /// Free room if arrays of ordinary rank or below made way.
+    /// Free capacity if arrays of ordinary rank or below made way.
     pub(crate) fn yielding(&self, m: &Machine, mut free: Needs) -> (f32, f32, f32) {
         for ((job, _), _) in self.mirror.on_host(m.host) {
             if let Some(o) = self.mirror.open.get(&job).filter(|o| o.makes_way()) {
@@ -58,23 +64,26 @@
         (free.cores as f32, free.acc as f32, free.ram as f32)
     }
 
-    /// Free room and waiting tasks, for the leader.
-    pub(crate) fn part_report(&self, p: usize, now: Millis) -> PartReport {
+    /// Free capacity and waiting tasks, for the leader.
+    pub(crate) fn capacity_report(&self, shard_id: usize, now: Millis) -> CapacityReport {
         let silence = self.silence_ms();
         let mut machines: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.part == p && m.usable(now, silence))
+            .filter(|m| m.shard == shard_id && m.usable(now, silence))
             .collect();
         machines.sort_by_key(|m| m.host);
-        let used = self.mirror.usage(p);
+        let used = self.mirror.usage(shard_id);
         let mut wants = used.clone();
         let mut waiting = Vec::new();
-        let mut line = self.parts[p].queues.line();
-        let first = std::iter::from_fn(|| line.step()).take(TOLD_JOBS);
+        let mut service_order = self.shards[shard_id].queues.service_order();
+        let first = std::iter::from_fn(|| service_order.step()).take(MAX_REPORTED_JOBS);
         for (_, Place { job, .. }) in first {
-            let count = self.mirror.waiting(p, job).map_or(0, |set| set.len());
-            let since = self.parts[p].queues.since(job).unwrap_or(now);
+            let count = self
+                .mirror
+                .waiting(shard_id, job)
+                .map_or(0, |set| set.len());
+            let since = self.shards[shard_id].queues.since(job).unwrap_or(now);
             waiting.push((job, count, ((now - since) / 1000.0) as f32));
             if let Some((team, needs)) = self.mirror.uses(job)
                 && let Some(w) = wants.get_mut(team as usize)
@@ -84,8 +93,8 @@
                 w.acc += needs.acc * n;
             }
         }
-        // A part cannot use more of a limit than its machines have; what it
-        // holds beyond that is another part's to use.
+        // A shard cannot use more of a limit than its machines have; what it
+        // holds beyond that is another shard's to use.
         let mut whole = Needs::default();
         for m in &machines {
             whole.give(&self.whole(m).unwrap_or_default());
@@ -94,24 +103,25 @@
             want.cores = want.cores.min(whole.cores).max(used.cores);
             want.acc = want.acc.min(whole.acc).max(used.acc);
         }
-        let (mut sorts, mut images) = (Vec::new(), Names::default());
-        let rooms = machines
+        let (mut pools, mut images) = (Vec::new(), Names::default());
+        let capacities = machines
             .into_iter()
             .filter_map(|m| {
                 let free = self.free_on(m, None)?;
-                let same =
-                    |s: &MachineSort| s.kind == m.kind && s.zone == m.zone && s.spot == m.spot;
-                let sort = sorts.iter().position(same).unwrap_or_else(|| {
-                    sorts.push(MachineSort {
-                        kind: m.kind.clone(),
+                let same = |s: &MachinePool| {
+                    s.machine_type == m.machine_type && s.zone == m.zone && s.spot == m.spot
+                };
+                let pool = pools.iter().position(same).unwrap_or_else(|| {
+                    pools.push(MachinePool {
+                        machine_type: m.machine_type.clone(),
                         zone: m.zone.clone(),
                         spot: m.spot,
                     });
-                    sorts.len() - 1
+                    pools.len() - 1
                 });
                 let held = m.images.iter().filter(|i| i.whole);
-                Some(MachineRoom {
-                    sort: sort.try_into().ok()?,
+                Some(MachineCapacity {
+                    pool: pool.try_into().ok()?,
                     free: (free.cores as f32, free.acc as f32, free.ram as f32),
                     yielding: self.yielding(m, free),
                     images: held
@@ -120,11 +130,11 @@
                 })
             })
             .collect();
-        PartReport {
-            part: p as u32,
-            stamp: self.mirror.stamp(Key::Part(p)),
-            machines: rooms,
-            sorts,
+        CapacityReport {
+            shard: shard_id as u32,
+            revision: self.mirror.revision(Key::Shard(shard_id)),
+            machines: capacities,
+            pools,
             images: (0..images.len() as u32)
                 .map(|i| images.name(i).to_string())
                 .collect(),
@@ -143,9 +153,9 @@
         }
     }
 
-    /// What one more of a team's waiting tasks takes in a part, at least.
-    pub(crate) fn least_waiting(&self, p: usize, team: usize) -> Option<Needs> {
-        let waiting = self.mirror.waiting[p].keys();
+    /// What one more of a team's waiting tasks takes in a shard, at least.
+    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
+        let waiting = self.mirror.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
         let needs = open.filter(|o| o.team as usize == team).map(OpenJob::needs);
         needs.reduce(|a, b| Needs {
@@ -155,12 +165,13 @@
         })
     }
 
-    /// Whether tasks of a team wait in the part, and what is left of its grant has for some
-    /// time been too little for any of them: parts' rests are of use only together.
-    fn rest_is_stuck(&mut self, p: usize, team: usize, used: &[Needs], now: Millis) -> bool {
-        let least = self.least_waiting(p, team);
-        let stuck = least.is_some_and(|least| self.beyond_grant(p, team as u32, used, &least));
-        let since = &mut self.parts[p].stuck_grants;
+    /// Whether tasks of a team wait in the shard, and what is left of its grant has for some
+    /// time been too little for any of them: shards' rests are of use only together.
+    fn rest_is_stuck(&mut self, shard_id: usize, team: usize, used: &[Needs], now: Millis) -> bool {
+        let least = self.least_waiting(shard_id, team);
+        let stuck =
+            least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
+        let since = &mut self.shards[shard_id].stuck_grants;
         if !stuck {
             since.remove(&team);
             return false;
@@ -168,17 +179,19 @@
         now - *since.entry(team).or_insert(now) >= STUCK_GRANT_MS
     }
 
-    /// Gives back what the part does not need of teams that are short.
+    /// Gives back what the shard does not need of teams that are short.
     pub(crate) fn lower_grants(&mut self, short: &[String], now: Millis) {
-        for p in 0..self.parts.len() {
-            let Some(token) = self.owned(p) else { continue };
-            if self.parts[p].pending.is_some() || !self.state_fresh(now) {
+        for shard_id in 0..self.shards.len() {
+            let Some(token) = self.owned(shard_id) else {
+                continue;
+            };
+            if self.shards[shard_id].pending.is_some() || !self.state_fresh(now) {
                 continue;
             }
-            let report = self.part_report(p, now);
-            let used = self.mirror.usage(p);
+            let report = self.capacity_report(shard_id, now);
+            let used = self.mirror.usage(shard_id);
             let mut commit = Commit::default();
-            commit.require(record::part_key(p), token);
+            commit.require(record::shard_key(shard_id), token);
             for name in short {
                 // The grant, and the last page and the one after it.
                 if commit.apply.len() >= self.config.txn_ops
@@ -189,10 +202,10 @@
                 let Some(t) = self.config.team_names.get(name).map(|t| t as usize) else {
                     continue;
                 };
-                let (grant, stamp) = self.mirror.grants[t][p];
+                let (grant, revision) = self.mirror.grants[t][shard_id];
                 let wants = report.wants.get(t).map_or((0.0, 0.0), |w| (w.1, w.2));
                 // Never below what is assigned: wants include it.
-                // Half of the rest is kept, so that the part's next job need not
+                // Half of the rest is kept, so that the shard's next job need not
                 // wait for the leader.
                 let half = |have: f64, want: f64| {
                     let rest = (have - want) / 2.0;
@@ -202,7 +215,7 @@
                         want + rest
                     }
                 };
-                let keep = if self.rest_is_stuck(p, t, &used, now) {
+                let keep = if self.rest_is_stuck(shard_id, t, &used, now) {
                     Grant {
                         cores: used[t].cores.min(grant.cores),
                         acc: used[t].acc.min(grant.acc),
@@ -213,21 +226,23 @@
                         acc: half(grant.acc, wants.1),
                     }
                 };
-                if stamp != 0 && (keep.cores < grant.cores - 1e-6 || keep.acc < grant.acc - 1e-6) {
-                    commit.require(record::grant_key(t, p), stamp);
+                if revision != 0 && (keep.cores < grant.cores - 1e-6 || keep.acc < grant.acc - 1e-6)
+                {
+                    commit.require(record::grant_key(t, shard_id), revision);
                     commit
                         .apply
-                        .push(Apply::set(record::grant_key(t, p), &keep));
+                        .push(Apply::set(record::grant_key(t, shard_id), &keep));
                 }
             }
             if !commit.apply.is_empty() {
                 // On no assignment having been made since, as the leader's moves are: where the
-                // answer is lost this may be carried out after later rounds, which count
+                // answer is lost this may be carried out after later scheduling cycles, which count
                 // on the grant as it was and do not change it.
-                self.mirror.require_last_page(&mut commit, p);
+                self.mirror.require_last_page(&mut commit, shard_id);
                 // In the owner's turn, so that no assignment is under way meanwhile.
-                self.parts[p].pending = Some(Pending::default());
-                self.effects.push(Effect::Commit(Ticket::Owner(p), commit));
+                self.shards[shard_id].pending = Some(Pending::default());
+                self.effects
+                    .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/round.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -1,6 +1,6 @@
-//! What a round proves of assigned tasks, and the transaction it writes.
+//! What a scheduling cycle proves of assigned tasks, and the transaction it writes.
 //!
-//! A part's assignments stand in pages, each with assignments of many jobs, so that one
+//! A shard's assignments stand in pages, each with assignments of many jobs, so that one
 //! round costs a write or two however many jobs it touches. New assignments go into
 //! the last page, or a new one after it: the leader's moves depend on these two
 //! alone. What is done stays in its page until its job is over.
@@ -9,15 +9,15 @@
 use crate::pages::PageFormat;
 use crate::{Config, Mirror};
 
-/// Time after which a round looks at all of a part's machines, in case that
+/// Time after which a scheduling cycle looks at all of a shard's machines, in case that
 /// something has changed without a message.
-const LOOK_MS: f64 = 5000.0;
+const INSPECT_MS: f64 = 5000.0;
 /// Least time between two looks for pages that can go.
 const COMPACT_MS: f64 = 1000.0;
 
-/// A round in the making.
-pub(crate) struct Round {
-    part: usize,
+/// A scheduling cycle in the making.
+pub(crate) struct Cycle {
+    shard: usize,
     max_ops: usize,
     max_conditions: usize,
     page_bytes: usize,
@@ -44,16 +44,16 @@
     Gone { failed: bool },
 }
 
-impl Round {
-    pub fn new(config: &Config, mirror: &Mirror, part: usize) -> Self {
+impl Cycle {
+    pub fn new(config: &Config, mirror: &Mirror, shard: usize) -> Self {
         Self {
-            part,
+            shard,
             max_ops: config.txn_ops,
             max_conditions: config.max_conditions(),
             page_bytes: config.page_bytes,
             format: mirror.page_format(),
             edits: BTreeMap::new(),
-            last: mirror.last_page(part),
+            last: mirror.last_page(shard),
             jobs: BTreeSet::new(),
             teams: BTreeSet::new(),
             ruled: false,
@@ -75,7 +75,7 @@
 
     fn fits(&self, ops: usize, conditions: usize) -> bool {
         self.edits.len() + self.ends.len() + ops <= self.max_ops
-            // The claim, and the history's record for what is over.
+            // The lease, and the history's record for what is over.
             && 2 + self.edits.len()
                 + self.jobs.union(&self.ends).count()
                 + self.teams.len()
@@ -90,7 +90,7 @@
             if !self.fits(1, 1) || self.bytes() + self.page_bytes > TXN_BYTES {
                 return None;
             }
-            let mut page = mirror.pages[self.part]
+            let mut page = mirror.pages[self.shard]
                 .get(&number)
                 .cloned()
                 .unwrap_or_default();
@@ -193,7 +193,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What reports prove of a assigned task.
     pub(crate) fn task_outcome(
         &self,
@@ -208,28 +208,31 @@
         let open = self.mirror.open.contains_key(&job);
         let task = (job, number);
         if m.token_ours()
-            && m.newest.0 == assignment.session
-            && let Some(seen) = m.seen.get(&task)
-            && seen.attempt == assignment.attempt
-            && seen.ended()
+            && m.newest.0 == assignment.incarnation
+            && let Some(reported) = m.reported.get(&task)
+            && reported.attempt == assignment.attempt
+            && reported.ended()
         {
-            return match seen.cause {
-                Some(Cause::Done) => TaskOutcome::Done,
+            return match reported.cause {
+                Some(ExitCause::Done) => TaskOutcome::Done,
                 cause => TaskOutcome::Gone {
-                    failed: !matches!(cause, Some(Cause::Halted | Cause::Busy | Cause::NoRoom)),
+                    failed: !matches!(
+                        cause,
+                        Some(ExitCause::Halted | ExitCause::Busy | ExitCause::NoCapacity)
+                    ),
                 },
             };
         }
-        if !m.proven_gone(task, assignment.session, assignment.attempt) {
+        if !m.proven_gone(task, assignment.incarnation, assignment.attempt) {
             return TaskOutcome::Keep;
         }
-        // Absent in the same session means that the start has not arrived. It
+        // Absent in the same incarnation means that the start has not arrived. It
         // is sent again, as the same attempt, unless nothing should start.
-        let may_start = m.state == HostState::Ready
-            && m.newest.0 == assignment.session
+        let may_start = m.state == MachineState::Ready
+            && m.newest.0 == assignment.incarnation
             && !m.lease_over
-            && !m.gave_up(assignment.session, assignment.attempt)
-            && m.recall_at.is_none_or(|at| at - now > 60_000.0);
+            && !m.gave_up(assignment.incarnation, assignment.attempt)
+            && m.reclaim_at.is_none_or(|at| at - now > 60_000.0);
         if open && may_start {
             TaskOutcome::Keep
         } else {
@@ -237,31 +240,31 @@
         }
     }
 
-    /// Takes what reports prove into the round.
+    /// Takes what reports prove into the scheduling cycle.
     pub(crate) fn collect(
         &mut self,
-        p: usize,
+        shard_id: usize,
         now: Millis,
-        round: &mut Round,
+        cycle: &mut Cycle,
         pending: &mut Pending,
     ) {
-        let mut hosts = std::mem::take(&mut self.parts[p].touched);
-        if now - self.parts[p].looked_at >= LOOK_MS {
-            self.parts[p].looked_at = now;
+        let mut hosts = std::mem::take(&mut self.shards[shard_id].touched);
+        if now - self.shards[shard_id].inspected_at >= INSPECT_MS {
+            self.shards[shard_id].inspected_at = now;
             hosts = self
                 .machines
                 .values()
-                .filter(|m| m.part == p)
+                .filter(|m| m.shard == shard_id)
                 .map(|m| m.host)
                 .collect();
         }
         let mut blocked = false;
         let mut left = BTreeSet::new();
-        self.looked += hosts.len() as u64;
+        self.inspected_machines += hosts.len() as u64;
         for host in hosts {
             for (task, assignment) in self.mirror.on_host(host) {
                 let (job, number) = task;
-                let place = self.mirror.assignments.get(&(p, job));
+                let place = self.mirror.assignments.get(&(shard_id, job));
                 let Some(&(_, page)) = place.and_then(|m| m.assignments.get(&number)) else {
                     continue;
                 };
@@ -274,25 +277,25 @@
                     continue;
                 }
                 let done = matches!(task_outcome, TaskOutcome::Done);
-                if !round.unassign(&self.mirror, task, page, done) {
+                if !cycle.unassign(&self.mirror, task, page, done) {
                     left.insert(host);
                     continue;
                 }
                 if !done && self.mirror.open.contains_key(&job) {
-                    let seen = self.machines.get(&host).and_then(|m| m.seen.get(&task));
-                    let cause = seen.and_then(|s| s.cause);
+                    let reported = self.machines.get(&host).and_then(|m| m.reported.get(&task));
+                    let cause = reported.and_then(|s| s.cause);
                     let machine = self.mirror.hosts.name(host);
                     let m = self.machines.get(&host);
                     let newest = m.map_or((0, 0), |m| m.newest);
                     let over = m.is_some_and(|m| m.lease_over);
                     let state = m.map(|m| m.state);
-                    let (attempt, session) = (assignment.attempt, assignment.session);
+                    let (attempt, incarnation) = (assignment.attempt, assignment.incarnation);
                     tracing::debug!(
                         job,
                         number,
                         machine,
                         attempt,
-                        session,
+                        incarnation,
                         ?newest,
                         over,
                         ?state,
@@ -303,7 +306,7 @@
                 if done {
                     let m = self.machines.get(&host);
                     if let Some(ran) = m.and_then(|m| m.ran_ms(task, assignment.attempt, now)) {
-                        let sum = self.parts[p].ran.entry(job).or_default();
+                        let sum = self.shards[shard_id].ran.entry(job).or_default();
                         *sum = (sum.0 + 1, sum.1 + ran);
                     }
                     pending.done.push((job, host));
@@ -314,15 +317,17 @@
             }
         }
         let open = &self.mirror.open;
-        self.parts[p].ran.retain(|job, _| open.contains_key(job));
+        self.shards[shard_id]
+            .ran
+            .retain(|job, _| open.contains_key(job));
         if !left.is_empty() {
-            self.parts[p].dirty = true;
-            self.parts[p].touched.extend(left);
+            self.shards[shard_id].dirty = true;
+            self.shards[shard_id].touched.extend(left);
         }
         if blocked {
             // A start of a job that is over may still be on its way, and only
             // a higher token stops it.
-            self.parts[p].bump = true;
+            self.shards[shard_id].bump = true;
         }
     }
 
@@ -344,50 +349,52 @@
     }
 
     /// Ends the jobs whose last tasks this round proves done, and those whose
-    /// tasks are all done but which are not over: two parts that wrote their
+    /// tasks are all done but which are not over: two shards that wrote their
     /// last done numbers at once did not see each other's. The first part with
     /// assignments writes that end.
-    pub(crate) fn finish(&self, p: usize, round: &mut Round) {
-        for (job, gained) in std::mem::take(&mut round.gained) {
-            // All parts' done numbers only ever grow while the job is open, so
+    pub(crate) fn finish(&self, shard_id: usize, cycle: &mut Cycle) {
+        for (job, gained) in std::mem::take(&mut cycle.gained) {
+            // All shards' done numbers only ever grow while the job is open, so
             // an old view of the others is enough.
             let done = self.mirror.done(job) + gained;
             if let Some(open) = self.mirror.open.get(&job)
-                && open.spec.shape == Shape::Sweep
-                && done >= open.spec.pieces
+                && open.spec.shape == Shape::Array
+                && done >= open.spec.task_count
             {
-                round.end(job);
+                cycle.end(job);
             }
         }
         for &job in &self.mirror.complete {
-            let first = (0..self.parts.len()).find(|&q| {
-                self.mirror.parts[q].is_some() && self.mirror.assignments.contains_key(&(q, job))
+            let first = (0..self.shards.len()).find(|&q| {
+                self.mirror.shards[q].is_some() && self.mirror.assignments.contains_key(&(q, job))
             });
-            if first == Some(p) {
-                round.end(job);
+            if first == Some(shard_id) {
+                cycle.end(job);
             }
         }
     }
 
     /// When there is nothing else to write: drops a page of which nothing is
     /// needed any more, or moves what is left of one into the last.
-    pub(crate) fn compact(&mut self, p: usize, now: Millis, round: &mut Round) {
-        if self.parts[p].budget.left(now) < 2.0 || now - self.parts[p].compacted_at < COMPACT_MS {
+    pub(crate) fn compact(&mut self, shard_id: usize, now: Millis, cycle: &mut Cycle) {
+        if self.shards[shard_id].budget.left(now) < 2.0
+            || now - self.shards[shard_id].compacted_at < COMPACT_MS
+        {
             return;
         }
-        self.parts[p].compacted_at = now;
-        let most = round.page_bytes;
-        let Some(last) = self.mirror.last_page(p) else {
+        self.shards[shard_id].compacted_at = now;
+        let most = cycle.page_bytes;
+        let Some(last) = self.mirror.last_page(shard_id) else {
             return;
         };
-        for &number in self.mirror.pages[p].keys() {
-            let Some((page, bytes)) = round.edit(&self.mirror, number) else {
+        for &number in self.mirror.pages[shard_id].keys() {
+            let Some((page, bytes)) = cycle.edit(&self.mirror, number) else {
                 return;
             };
-            let stored = self.mirror.pages[p].get(&number);
+            let stored = self.mirror.pages[shard_id].get(&number);
             if number == 0 && stored.is_some_and(|page| page.jobs.is_empty()) {
                 // The first page stays, empty.
-                round.edits.clear();
+                cycle.edits.clear();
                 continue;
             }
             if page.jobs.is_empty() {
@@ -396,7 +403,7 @@
             let (jobs, bytes) = (page.jobs.clone(), *bytes);
             if number != last
                 && bytes * 4 < most
-                && let Some((into, held)) = round.edit(&self.mirror, last)
+                && let Some((into, held)) = cycle.edit(&self.mirror, last)
                 && *held + bytes <= most
             {
                 for (job, j) in jobs {
@@ -405,18 +412,18 @@
                     there.done = there.done.union(&j.done);
                 }
                 *held += bytes;
-                if let Some((page, _)) = round.edits.get_mut(&number) {
+                if let Some((page, _)) = cycle.edits.get_mut(&number) {
                     page.jobs.clear();
                 }
                 return;
             }
-            round.edits.clear();
+            cycle.edits.clear();
         }
     }
 
-    /// Says how long the jobs took that a round ends.
-    pub(crate) fn tell_ends(&self, round: &Round, now: Millis) {
-        for job in &round.ends {
+    /// Says how long the jobs took that a scheduling cycle ends.
+    pub(crate) fn announce_ends(&self, cycle: &Cycle, now: Millis) {
+        for job in &cycle.ends {
             if let Some(open) = self.mirror.open.get(job) {
                 let age_s = (now + self.wall_offset - open.ready_at() as f64) / 1000.0;
                 let late_s = (now + self.wall_offset - open.due_ms()) / 1000.0;
@@ -424,45 +431,55 @@
                     job,
                     age_s,
                     late_s,
-                    tasks = open.spec.pieces,
+                    tasks = open.spec.task_count,
                     "a job is done"
                 );
             }
         }
     }
 
-    pub(crate) fn round_commit(&self, p: usize, token: u64, round: &Round) -> Commit {
+    pub(crate) fn cycle_commit(&self, shard_id: usize, token: u64, cycle: &Cycle) -> Commit {
         let mut commit = Commit::default();
-        commit.require(record::part_key(p), token);
-        for (&page, (new, _)) in &round.edits {
-            self.mirror
-                .require(&mut commit, Key::Assignment { part: p, page });
-            let key = record::assignments_key(p, page);
+        commit.require(record::shard_key(shard_id), token);
+        for (&page, (new, _)) in &cycle.edits {
+            self.mirror.require(
+                &mut commit,
+                Key::Assignment {
+                    shard: shard_id,
+                    page,
+                },
+            );
+            let key = record::assignments_key(shard_id, page);
             if !new.jobs.is_empty() || page == 0 {
-                let stored = new.stored(&self.mirror.hosts, round.format);
+                let stored = new.stored(&self.mirror.hosts, cycle.format);
                 commit.apply.push(Apply::set(key, &stored));
-            } else if self.mirror.pages[p].contains_key(&page) {
+            } else if self.mirror.pages[shard_id].contains_key(&page) {
                 commit.apply.push(Apply::delete(key));
             }
         }
         // New assignments depend on the division and on the job's being open. What is
         // proven done or gone is so whatever has become of the job.
-        for &job in &round.jobs {
+        for &job in &cycle.jobs {
             self.mirror.require(&mut commit, Key::Job(job));
         }
-        if round.ruled {
+        if cycle.ruled {
             // Placed by attributes as they were: if an operator has changed them
             // meanwhile, it is decided anew.
             self.mirror.require(&mut commit, Key::Attributes);
         }
-        for &team in &round.teams {
+        for &team in &cycle.teams {
             // A lowering of the grant whose answer was lost may have been
             // applied; assignments made by the old grant must then die.
             let team = team as usize;
-            self.mirror
-                .require(&mut commit, Key::Grant { team, part: p });
+            self.mirror.require(
+                &mut commit,
+                Key::Grant {
+                    team,
+                    shard: shard_id,
+                },
+            );
         }
-        let ends = round.ends.iter().filter_map(|&job| {
+        let ends = cycle.ends.iter().filter_map(|&job| {
             let open = self.mirror.open.get(&job)?;
             Some((job, open.ended(End::Done)))
         });
--- a/crates/cherryyard-core/src/owner/blame.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -20,13 +20,13 @@
 /// How long a machine is left alone after its first failure.
 const AVOID_MS: f64 = 5000.0;
 
-/// Where a job that has failed stands in a part.
+/// Where a job that has failed stands in a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Blame {
+pub(crate) enum FailureAttribution {
     /// It has failed, on too few machines to tell.
     Open,
     /// It fails wherever it runs: one of its tasks at a time is tried.
-    Blamed {
+    Quarantined {
         /// How often it was held off in a row.
         strikes: u32,
         /// When it is tried again.
@@ -34,11 +34,11 @@
     },
 }
 
-/// A job's failures in a part.
+/// A job's failures in a shard.
 #[derive(Clone, Debug)]
-pub(crate) struct Trouble {
+pub(crate) struct JobFailures {
     /// Whose fault they are.
-    pub(crate) blame: Blame,
+    pub(crate) attribution: FailureAttribution,
     /// Machines on which it has failed, as far as they are needed.
     pub(crate) hosts: BTreeSet<u32>,
     /// When it last failed.
@@ -56,10 +56,10 @@
     JobNow,
 }
 
-impl Trouble {
+impl JobFailures {
     pub(crate) fn new(now: Millis) -> Self {
         Self {
-            blame: Blame::Open,
+            attribution: FailureAttribution::Open,
             hosts: BTreeSet::new(),
             at: now,
         }
@@ -73,23 +73,23 @@
             let ms = (1000.0 * f64::from(1u32 << strikes.min(5))).min(LONGEST_MS);
             now + ms * (0.75 + 0.5 * jitter)
         };
-        match self.blame {
-            Blame::Open => {
+        match self.attribution {
+            FailureAttribution::Open => {
                 self.hosts.insert(host);
                 if self.hosts.len() < MACHINES {
                     return Verdict::Machine;
                 }
-                self.blame = Blame::Blamed {
+                self.attribution = FailureAttribution::Quarantined {
                     strikes: 0,
                     until: wait(0),
                 };
                 Verdict::JobNow
             }
-            Blame::Blamed { strikes, until } => {
+            FailureAttribution::Quarantined { strikes, until } => {
                 // What was started before counts as one with the last strike: a large
                 // array fails by the hundred.
                 if now >= until {
-                    self.blame = Blame::Blamed {
+                    self.attribution = FailureAttribution::Quarantined {
                         strikes: strikes + 1,
                         until: wait(strikes + 1),
                     };
@@ -100,13 +100,13 @@
     }
 
     /// Whether the job fails wherever it runs.
-    pub(crate) fn blamed(&self) -> bool {
-        matches!(self.blame, Blame::Blamed { .. })
+    pub(crate) fn is_quarantined(&self) -> bool {
+        matches!(self.attribution, FailureAttribution::Quarantined { .. })
     }
 
     /// Whether none of its tasks is tried for now.
     pub(crate) fn held_off(&self, now: Millis) -> bool {
-        matches!(self.blame, Blame::Blamed { until, .. } if now < until)
+        matches!(self.attribution, FailureAttribution::Quarantined { until, .. } if now < until)
     }
 
     /// Whether it is long past.
@@ -140,13 +140,17 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// A task of a job has completed on a machine: neither is at fault.
-    pub(crate) fn note_done(&mut self, p: usize, job: u64, host: u32) {
-        if let Some(t) = self.parts[p].trouble.remove(&job)
-            && t.blamed()
+    pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
+        if let Some(t) = self.shards[shard_id].job_failures.remove(&job)
+            && t.is_quarantined()
         {
-            tracing::info!(job, part = p, "a job that failed everywhere completes");
+            tracing::info!(
+                job,
+                shard = shard_id,
+                "a job that failed everywhere completes"
+            );
         }
         if let Some(m) = self.machines.get_mut(&host) {
             m.failures = 0;
@@ -155,12 +159,14 @@
     }
 
     /// A task of a job has failed on a machine.
-    pub(crate) fn note_failed(&mut self, p: usize, job: u64, host: u32, now: Millis) {
+    pub(crate) fn note_failed(&mut self, shard_id: usize, job: u64, host: u32, now: Millis) {
         let proven = self.mirror.done(job) > 0;
         let jitter = self.rng.random_range(0.0..1.0);
-        let trouble = &mut self.parts[p].trouble;
-        let t = trouble.entry(job).or_insert_with(|| Trouble::new(now));
-        let verdict = if proven && !t.blamed() {
+        let job_failures = &mut self.shards[shard_id].job_failures;
+        let t = job_failures
+            .entry(job)
+            .or_insert_with(|| JobFailures::new(now));
+        let verdict = if proven && !t.is_quarantined() {
             // Others of it have completed: the machine, unless it fails on many.
             t.hosts.insert(host);
             t.at = now;
@@ -176,7 +182,11 @@
             }
             Verdict::JobNow => {
                 let hosts = std::mem::take(&mut t.hosts);
-                tracing::info!(job, part = p, "a job fails on every machine: hold it off");
+                tracing::info!(
+                    job,
+                    shard = shard_id,
+                    "a job fails on every machine: hold it off"
+                );
                 for host in hosts {
                     if let Some(m) = self.machines.get_mut(&host) {
                         m.cleared_of(job, now);
@@ -188,10 +198,10 @@
     }
 
     /// Forgets failures long past.
-    pub(crate) fn forget_troubles(&mut self, p: usize, now: Millis) {
+    pub(crate) fn forget_job_failures(&mut self, shard_id: usize, now: Millis) {
         let open = &self.mirror.open;
-        self.parts[p]
-            .trouble
+        self.shards[shard_id]
+            .job_failures
             .retain(|job, t| open.contains_key(job) && !t.past(now));
     }
 }
@@ -204,7 +214,7 @@
     /// and is known after three machines; waits are bounded and jittered.
     #[test]
     fn a_job_is_blamed_after_three_machines() {
-        let mut t = Trouble::new(0.0);
+        let mut t = JobFailures::new(0.0);
         let verdicts: Vec<Verdict> = (0..100)
             .map(|i| t.failed(i % 4, 0.5, f64::from(i)))
             .collect();
@@ -216,7 +226,7 @@
         let mut waits = Vec::new();
         for jitter in [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.0, 0.999] {
             t.failed(9, jitter, now);
-            let Blame::Blamed { until, .. } = t.blame else {
+            let FailureAttribution::Quarantined { until, .. } = t.attribution else {
                 panic!("not blamed")
             };
             waits.push(((until - now) / 1000.0).round());
@@ -228,10 +238,10 @@
     /// The same machine again and again says nothing of the job.
     #[test]
     fn one_machine_blames_no_job() {
-        let mut t = Trouble::new(0.0);
+        let mut t = JobFailures::new(0.0);
         for i in 0..50 {
             assert_eq!(t.failed(7, 0.5, f64::from(i)), Verdict::Machine);
         }
-        assert!(!t.blamed());
+        assert!(!t.is_quarantined());
     }
 }
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -1,38 +1,48 @@
-//! What is known of the images on a part's machines.
+//! What is known of the images on a shard's machines.
 
 use super::*;
 
-/// Least time between two records of a part's images.
+/// Least time between two records of a shard's images.
 const IMAGES_MS: f64 = 10_000.0;
 
-impl Node {
+impl Controller {
     pub(crate) fn note_images(&mut self, host: u32) {
         let tasks: Vec<Task> = self.mirror.on_host(host).map(|(task, _)| task).collect();
         let Some(m) = self.machines.get_mut(&host) else {
             return;
         };
-        let kind = self.mirror.kinds.iter().find(|k| k.sku == m.kind);
-        let cache = kind.map_or(0.0, |k| k.cache_gb);
+        let machine_type = self
+            .mirror
+            .machine_types
+            .iter()
+            .find(|k| k.sku == m.machine_type);
+        let cache = machine_type.map_or(0.0, |k| k.cache_gb);
         for task in tasks {
             if let Some(open) = self.mirror.open.get(&task.0) {
                 // A task runs, or has completed, only once its image is there.
-                let whole = m.seen.get(&task).is_some_and(|s| {
-                    matches!(s.status, PieceStatus::Running | PieceStatus::Saving)
-                        || s.cause == Some(Cause::Done)
+                let whole = m.reported.get(&task).is_some_and(|s| {
+                    matches!(s.status, TaskStatus::Running | TaskStatus::Saving)
+                        || s.cause == Some(ExitCause::Done)
                 });
-                m.use_image(&open.spec.bundle, open.spec.image_gb, whole, cache);
+                m.use_image(&open.spec.image, open.spec.image_gb, whole, cache);
             }
         }
     }
 
     /// Takes note of a machine that reports for the first time, with the images
     /// that its owner before knew it to hold.
-    pub(crate) fn meet(&mut self, host: u32, p: usize, report: &Report, now: Millis) {
+    pub(crate) fn meet(
+        &mut self,
+        host: u32,
+        shard_id: usize,
+        report: &WorkerHeartbeat,
+        now: Millis,
+    ) {
         if self.machines.contains_key(&host) {
             return;
         }
-        let mut m = Machine::new(host, p, report, now);
-        let stored = &self.mirror.images[p];
+        let mut m = Machine::new(host, shard_id, report, now);
+        let stored = &self.mirror.images[shard_id];
         if let Some(held) = stored.held.get(&report.host) {
             for (name, gb) in held.iter().filter_map(|&i| stored.record.i.get(i)) {
                 m.use_image(name, *gb, true, f64::INFINITY);
@@ -41,20 +51,20 @@
         self.machines.insert(host, m);
     }
 
-    /// The record of the part's images, if it is due and has changed. It costs
+    /// The record of the shard's images, if it is due and has changed. It costs
     /// a write that others may need more, so it is a rare one; but it goes with
-    /// a busy part's rounds too, or a restart there forgets every image.
-    pub(crate) fn images_change(&mut self, p: usize, now: Millis) -> Option<Apply> {
+    /// a busy shard's scheduling cycles too, or a restart there forgets every image.
+    pub(crate) fn images_change(&mut self, shard_id: usize, now: Millis) -> Option<Apply> {
         // A new owner first hears from all machines: a record of the few that
         // have reported would forget what the others hold.
-        let part = &self.parts[p];
-        if now - part.images_at < IMAGES_MS || now - part.owned_since < IMAGES_MS {
+        let shard = &self.shards[shard_id];
+        if now - shard.images_at < IMAGES_MS || now - shard.owned_since < IMAGES_MS {
             return None;
         }
-        self.parts[p].images_at = now;
+        self.shards[shard_id].images_at = now;
         let mut images: Vec<(String, f64)> = Vec::new();
         let mut all = Vec::new();
-        let ours = |m: &&Machine| m.part == p && m.token_ours();
+        let ours = |m: &&Machine| m.shard == shard_id && m.token_ours();
         for m in self.machines.values().filter(ours) {
             let mut held = Vec::new();
             for image in m.images.iter().filter(|i| i.whole) {
@@ -68,9 +78,11 @@
         }
         let record = ImagesRecord::pack(images, &all, self.config.value_bytes);
         let value = Json::of(&record);
-        if record == self.mirror.images[p].record || value.text().len() > self.config.value_bytes {
+        if record == self.mirror.images[shard_id].record
+            || value.text().len() > self.config.value_bytes
+        {
             return None;
         }
-        Some(Apply::put(record::images_key(p), value))
+        Some(Apply::put(record::images_key(shard_id), value))
     }
 }
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -1,49 +1,50 @@
-//! The owner of a part: rounds of assignments, placement, preemption, orders.
+//! The owner of a shard: scheduling cycles of assignments, placement, preemption, commands.
 //!
-//! What a machine should run follows from the durable assignments alone. A round
+//! What a machine should run follows from the durable assignments alone. A scheduling cycle
 //! collects what reports prove, places waiting numbers, and writes both in one
-//! transaction; orders are then the difference between assignments and reports.
+//! transaction; commands are then the difference between assignments and reports.
 
-mod blame;
+mod aging;
+mod capacity;
+mod cycle;
+mod failure_attribution;
 mod images;
-mod orders;
 mod oversize;
 mod place;
 mod preempt;
-mod recall;
-mod returns;
-mod room;
-mod round;
+mod reconciliation;
+mod scale_in;
 mod search;
+mod spot_reclaim;
 pub(crate) mod state;
-mod turns;
 
 use crate::Millis;
+use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
-use crate::machine::{HostEvent, HostState, Machine, PushedStart, Task};
+use crate::machine::{Machine, MachineEvent, MachineState, PushedStart, Task};
 use crate::mirror::OpenJob;
 use crate::names::Names;
 use crate::needs::Needs;
-use crate::node::Node;
 use crate::pages::{Assignment, Page};
-use crate::reach::Reach;
-use crate::tenancy::Tenancy;
-use cherryyard_wire::cloud::{HostEntry, HostStatus};
+use crate::reachability::Reachability;
+use crate::shard_lease::ShardLease;
+use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use cherryyard_wire::job::{Rank, Shape};
-use cherryyard_wire::peer::{MachineRoom, MachineSort, PartReport};
+use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::{self, End, Grant, ImagesRecord, Key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use cherryyard_wire::worker::{
-    Cause, DoRequest, Order, PieceStatus, Report, piece_name, piece_numbers,
+    CommandBatch, ExitCause, TaskStatus, WorkerCommand, WorkerHeartbeat, parse_task_name,
+    task_name_of,
 };
-pub(crate) use round::Round;
+pub(crate) use cycle::Cycle;
 use state::{Pending, Preempted};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// Bytes that a transaction's values may have together.
 const TXN_BYTES: usize = 48 * 1024;
-/// Least time between two rounds of a part, and between two looks at leases.
-const ROUND_MS: f64 = 100.0;
+/// Least time between two scheduling cycles of a shard, and between two looks at leases.
+const CYCLE_MS: f64 = 100.0;
 const QUIET_MS: f64 = 700.0;
 const KEEP_MS: f64 = 400.0;
 /// Least time between two looks at all assignments for machines not heard of.
@@ -51,24 +52,24 @@
 /// Time before placement is tried again where nothing found room and nothing
 /// has changed since.
 const STUCK_MS: f64 = 400.0;
-/// Longest that a service is kept back for another part, and the fetch that is
+/// Longest that a service is kept back for another shard, and the fetch that is
 /// worth it.
 const HAND_OVER_MS: f64 = 1500.0;
 const HAND_OVER_FETCH_S: f64 = 4.0;
-/// Orders in one message to a worker.
-const MAX_ORDERS: usize = 300;
+/// Commands in one message to a worker.
+const MAX_COMMANDS: usize = 300;
 
 /// What making room on a machine costs, whom it stops, and where.
 type Eviction = (f64, Vec<(Task, u64)>, u32);
 
 impl Machine {
     /// Settles the starts of a direct command. Of an answered or unsent one they are no
-    /// longer on their way; of one whose answer was lost they may be, until the session
+    /// longer on their way; of one whose answer was lost they may be, until the incarnation
     /// or the token has changed.
-    pub(crate) fn settle_push(&mut self, request: &DoRequest, lost: bool) {
-        for order in &request.orders {
-            if let Order::Start { piece, attempt } = order
-                && let Some(task) = piece_numbers(piece)
+    pub(crate) fn settle_push(&mut self, request: &CommandBatch, lost: bool) {
+        for command in &request.commands {
+            if let WorkerCommand::Start { task_name, attempt } = command
+                && let Some(task) = parse_task_name(task_name)
                 && let Some(i) = self
                     .pushed
                     .iter()
@@ -84,161 +85,170 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// What time alone brings about: leases that end, commands that are due.
-    fn keep_part(&mut self, p: usize, now: Millis) {
-        if now - self.parts[p].kept_at < KEEP_MS || !self.caught_up() {
+    fn keep_shard(&mut self, shard_id: usize, now: Millis) {
+        if now - self.shards[shard_id].kept_at < KEEP_MS || !self.caught_up() {
             return;
         }
-        self.parts[p].kept_at = now;
-        self.expire(p, now);
-        self.return_silent(p, now);
-        self.return_taken(p, now);
-        if now - self.parts[p].unheard_at >= UNHEARD_MS {
-            self.parts[p].unheard_at = now;
-            self.return_unheard(p, now);
-            self.return_cancelled(p, now);
+        self.shards[shard_id].kept_at = now;
+        self.expire(shard_id, now);
+        self.release_silent(shard_id, now);
+        self.release_reclaimed(shard_id, now);
+        if now - self.shards[shard_id].unheard_at >= UNHEARD_MS {
+            self.shards[shard_id].unheard_at = now;
+            self.release_unreachable(shard_id, now);
+            self.release_with_cancelled_tasks(shard_id, now);
         }
-        self.ask_machines(p, now);
-        self.push_due(p, now);
+        self.query_machines(shard_id, now);
+        self.push_due(shard_id, now);
     }
 
-    /// Whether a part's share of the write budget has room for a round. Many
-    /// reports are served by one round: a write for each, from every owner,
-    /// would leave none for users and claims.
-    fn round_due(&mut self, p: usize, now: Millis) -> bool {
-        let part = &mut self.parts[p];
-        let left = part.budget.left(now);
+    /// Whether a shard's share of the write budget has room for a scheduling cycle. Many
+    /// reports are served by one scheduling cycle: a write for each, from every owner,
+    /// would leave none for users and leases.
+    fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
+        let shard = &mut self.shards[shard_id];
+        let left = shard.budget.left(now);
         // Where nothing waits, completions can wait a moment for each other;
         // what that saves is there when something comes.
-        let spacing = if self.mirror.waiting[p].is_empty() {
+        let spacing = if self.mirror.waiting[shard_id].is_empty() {
             QUIET_MS
         } else {
-            ROUND_MS
+            CYCLE_MS
         };
-        if now - part.planned_at < spacing {
+        if now - shard.planned_at < spacing {
             return false;
         }
         // A service that no round has seen yet need not wait for the budget of
         // completions; what it takes is missing later.
-        left >= 1.0 || (left > -part.budget.overdraft() && part.queues.any_unseen())
+        left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
     }
 
-    /// One round of a part: collects, places, writes.
-    pub(crate) fn plan_part(&mut self, p: usize, now: Millis) {
-        let Some(token) = self.owned(p) else { return };
-        self.keep_part(p, now);
-        if self.parts[p].pending.is_some()
-            || self.parts[p].claiming
-            || now < self.parts[p].retry_after
-            || self.mirror.epoch < self.parts[p].wait_epoch
-            || !self.round_due(p, now)
+    /// One scheduling cycle of a shard: collects, places, writes.
+    pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
+        let Some(token) = self.owned(shard_id) else {
+            return;
+        };
+        self.keep_shard(shard_id, now);
+        if self.shards[shard_id].pending.is_some()
+            || self.shards[shard_id].acquiring
+            || now < self.shards[shard_id].retry_after
+            || self.mirror.store_revision < self.shards[shard_id].wait_revision
+            || !self.cycle_due(shard_id, now)
         {
             return;
         }
-        self.parts[p].dirty = false;
-        self.parts[p].planned_at = now;
+        self.shards[shard_id].dirty = false;
+        self.shards[shard_id].planned_at = now;
         if !self.state_fresh(now) {
             return;
         }
-        if let Some(commit) = self.divide_oversized_page(p, token) {
-            self.send_round(p, commit, Pending::default());
+        if let Some(commit) = self.divide_oversized_page(shard_id, token) {
+            self.send_cycle(shard_id, commit, Pending::default());
             return;
         }
-        let mut round = Round::new(&self.config, &self.mirror, p);
+        let mut cycle = Cycle::new(&self.config, &self.mirror, shard_id);
         let mut pending = Pending::default();
-        self.collect(p, now, &mut round, &mut pending);
-        self.finish(p, &mut round);
+        self.collect(shard_id, now, &mut cycle, &mut pending);
+        self.finish(shard_id, &mut cycle);
         // Whether anything new could be placed: a search over all waiting jobs
         // and machines for each report costs more than it finds.
-        let news = (self.mirror.epoch, self.newest_epoch);
-        if !round.gone.is_empty()
-            || self.parts[p].placed_as_of != news
-            || now - self.parts[p].placed_at >= STUCK_MS
+        let events = (self.mirror.store_revision, self.newest_revision);
+        if !cycle.gone.is_empty()
+            || self.shards[shard_id].placed_as_of != events
+            || now - self.shards[shard_id].placed_at >= STUCK_MS
         {
-            self.parts[p].placed_as_of = news;
-            self.parts[p].placed_at = now;
-            self.place(p, now, &mut round, &mut pending);
+            self.shards[shard_id].placed_as_of = events;
+            self.shards[shard_id].placed_at = now;
+            self.place(shard_id, now, &mut cycle, &mut pending);
         }
-        if round.is_empty() {
-            self.compact(p, now, &mut round);
+        if cycle.is_empty() {
+            self.compact(shard_id, now, &mut cycle);
         }
-        if round.is_empty() {
-            if let Some(images) = self.images_change(p, now) {
+        if cycle.is_empty() {
+            if let Some(images) = self.images_change(shard_id, now) {
                 let mut commit = Commit::default();
-                commit.require(record::part_key(p), token);
+                commit.require(record::shard_key(shard_id), token);
                 commit.apply.push(images);
-                self.send_round(p, commit, Pending::default());
+                self.send_cycle(shard_id, commit, Pending::default());
             }
             return;
         }
-        let mut commit = self.round_commit(p, token, &round);
+        let mut commit = self.cycle_commit(shard_id, token, &cycle);
         if commit.apply.len() < self.config.txn_ops
-            && round.bytes() + self.config.page_bytes < TXN_BYTES
+            && cycle.bytes() + self.config.page_bytes < TXN_BYTES
         {
-            commit.apply.extend(self.images_change(p, now));
+            commit.apply.extend(self.images_change(shard_id, now));
         }
-        tracing::debug!(part = p, writes = commit.apply.len(), "a round of marks");
-        self.tell_ends(&round, now);
-        self.send_round(p, commit, pending);
+        tracing::debug!(
+            shard = shard_id,
+            writes = commit.apply.len(),
+            "a round of marks"
+        );
+        self.announce_ends(&cycle, now);
+        self.send_cycle(shard_id, commit, pending);
     }
 
-    /// Sends a round's transaction; the part's next round waits for its outcome.
-    fn send_round(&mut self, p: usize, commit: Commit, pending: Pending) {
-        self.parts[p].budget.spend(commit.apply.len() as f64);
-        self.parts[p].pending = Some(pending);
-        self.effects.push(Effect::Commit(Ticket::Owner(p), commit));
+    /// Sends a scheduling cycle's transaction; the shard's next scheduling cycle waits for its outcome.
+    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
+        self.shards[shard_id]
+            .budget
+            .spend(commit.apply.len() as f64);
+        self.shards[shard_id].pending = Some(pending);
+        self.effects
+            .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
     }
 
     /// Lets leases run out.
-    pub(crate) fn expire(&mut self, p: usize, now: Millis) {
+    pub(crate) fn expire(&mut self, shard_id: usize, now: Millis) {
         // The worker counts from when it sent the report, on a clock that may
         // be slow while ours is fast.
         let lease = self.config.lease_ms * 1.001 + 50.0;
-        for m in self.machines.values_mut().filter(|m| m.part == p) {
+        for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
             if !m.lease_over && m.token_ours() && now - m.answered_at > lease {
-                m.change(HostEvent::LeaseOver);
-                self.parts[p].touched.insert(m.host);
+                m.change(MachineEvent::LeaseOver);
+                self.shards[shard_id].touched.insert(m.host);
             }
         }
     }
 
     /// Takes how an owner's round came out.
-    pub(crate) fn owner_committed(&mut self, p: usize, outcome: Outcome, now: Millis) {
-        let Some(pending) = self.parts[p].pending.take() else {
+    pub(crate) fn owner_committed(&mut self, shard_id: usize, outcome: Outcome, now: Millis) {
+        let Some(pending) = self.shards[shard_id].pending.take() else {
             return;
         };
-        self.parts[p].dirty = true;
+        self.shards[shard_id].dirty = true;
         if !matches!(outcome, Outcome::Applied(_)) {
-            self.parts[p].touched.extend(&pending.hosts);
+            self.shards[shard_id].touched.extend(&pending.hosts);
         }
         match outcome {
             Outcome::Applied(_) => {
-                self.room_changed = true;
+                self.capacity_changed = true;
                 for (job, host) in pending.done {
-                    self.note_done(p, job, host);
+                    self.note_done(shard_id, job, host);
                 }
                 for (job, host) in pending.failed {
-                    self.note_failed(p, job, host, now);
+                    self.note_failed(shard_id, job, host, now);
                 }
-                self.forget_troubles(p, now);
+                self.forget_job_failures(shard_id, now);
                 for host in pending.hosts {
                     self.note_images(host);
                     self.push(host, now);
                 }
             }
-            Outcome::Conflict(epoch) => {
+            Outcome::Conflict(store_revision) => {
                 // Each failed condition costs write budget too, so the next
                 // try waits for the change that made it fail.
-                self.parts[p].wait_epoch = epoch;
-                self.parts[p].retry_after = now + 30.0;
+                self.shards[shard_id].wait_revision = store_revision;
+                self.shards[shard_id].retry_after = now + 30.0;
             }
-            Outcome::NoLease => self.parts[p].retry_after = now + 100.0,
+            Outcome::NoLease => self.shards[shard_id].retry_after = now + 100.0,
             Outcome::Refused | Outcome::Malformed => {
-                self.parts[p].retry_after = now + self.jitter(150.0, 400.0);
+                self.shards[shard_id].retry_after = now + self.jitter(150.0, 400.0);
             }
             Outcome::Unknown => {
-                self.parts[p].retry_after = now + self.jitter(100.0, 300.0);
+                self.shards[shard_id].retry_after = now + self.jitter(100.0, 300.0);
             }
         }
     }
@@ -248,12 +258,12 @@
         let Some(m) = self.machines.get(&host) else {
             return;
         };
-        let p = m.part;
-        self.parts[p].dirty = true;
-        self.parts[p].touched.insert(host);
-        if !m.seen.is_empty() {
+        let shard_id = m.shard;
+        self.shards[shard_id].dirty = true;
+        self.shards[shard_id].touched.insert(host);
+        if !m.reported.is_empty() {
             self.note_images(host);
         }
-        self.plan_part(p, now);
+        self.plan_shard(shard_id, now);
     }
 }
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -5,68 +5,74 @@
 //! divided in steps: first what it holds is copied into new pages, as many at a time as
 //! a transaction may write, and when all of it has a copy the page is deleted.
 //!
-//! While the page is there nothing of the part is assigned or given up, so a copy is as
-//! good as the original whoever owns the part next. Every step depends on the page's
-//! stamp, so none is carried out late, after the page has gone.
+//! While the page is there nothing of the shard is assigned or given up, so a copy is as
+//! good as the original whoever owns the shard next. Every step depends on the page's
+//! revision, so none is carried out late, after the page has gone.
 
 use super::*;
 use crate::pages::PageFormat;
 use cherryyard_wire::RangeSet;
 
-impl Node {
-    /// The transaction that brings the division of a part's first page that is too large
+impl Controller {
+    /// The transaction that brings the division of a shard's first page that is too large
     /// one step further; none if no page is.
-    pub(super) fn divide_oversized_page(&self, p: usize, token: u64) -> Option<Commit> {
-        let (number, page) = self.oversized_page(p)?;
+    pub(super) fn divide_oversized_page(&self, shard_id: usize, token: u64) -> Option<Commit> {
+        let (number, page) = self.oversized_page(shard_id)?;
         let mut commit = Commit::default();
-        commit.require(record::part_key(p), token);
+        commit.require(record::shard_key(shard_id), token);
         let source = Key::Assignment {
-            part: p,
+            shard: shard_id,
             page: number,
         };
         self.mirror.require(&mut commit, source);
-        let copies = self.copies(p, &self.without_copies(p, number, page));
+        let copies = self.copies(shard_id, &self.without_copies(shard_id, number, page));
         if copies.is_empty() {
-            commit.apply.push(delete_page(p, number));
-            tracing::info!(part = p, page = number, "divided a page that was too large");
+            commit.apply.push(delete_page(shard_id, number));
+            tracing::info!(
+                shard = shard_id,
+                page = number,
+                "divided a page that was too large"
+            );
             return Some(commit);
         }
         let format = self.mirror.page_format();
-        let first = self.mirror.last_page(p).map_or(0, |last| last + 1);
+        let first = self.mirror.last_page(shard_id).map_or(0, |last| last + 1);
         for (copy, number) in copies.iter().zip(first..) {
             let key = Key::Assignment {
-                part: p,
+                shard: shard_id,
                 page: number,
             };
             self.mirror.require(&mut commit, key);
             let stored = copy.stored(&self.mirror.hosts, format);
-            let key = record::assignments_key(p, number);
+            let key = record::assignments_key(shard_id, number);
             commit.apply.push(Apply::set(key, &stored));
         }
         Some(commit)
     }
 
-    /// The part's first page that has too many bytes to be written anew, less what is
+    /// The shard's first page that has too many bytes to be written anew, less what is
     /// over.
-    fn oversized_page(&self, p: usize) -> Option<(u32, Page)> {
+    fn oversized_page(&self, shard_id: usize) -> Option<(u32, Page)> {
         let most = self.config.page_bytes;
         let format = self.mirror.page_format();
-        self.mirror.pages[p].iter().find_map(|(&number, page)| {
-            // Most pages are small enough with all that they hold.
-            if page.bytes_at_most <= most || page.bytes(&self.mirror.hosts, format) <= most {
-                return None;
-            }
-            let mut page = page.clone();
-            page.jobs
-                .retain(|&job, j| self.mirror.end(job).is_none() || !j.assignments.is_empty());
-            (page.bytes(&self.mirror.hosts, format) > most).then_some((number, page))
-        })
+        self.mirror.pages[shard_id]
+            .iter()
+            .find_map(|(&number, page)| {
+                // Most pages are small enough with all that they hold.
+                if page.bytes_at_most <= most || page.bytes(&self.mirror.hosts, format) <= most {
+                    return None;
+                }
+                let mut page = page.clone();
+                page.jobs
+                    .retain(|&job, j| self.mirror.end(job).is_none() || !j.assignments.is_empty());
+                (page.bytes(&self.mirror.hosts, format) > most).then_some((number, page))
+            })
     }
 
-    /// What a page holds that none of the part's other pages does.
-    fn without_copies(&self, p: usize, number: u32, mut page: Page) -> Page {
+    /// What a page holds that none of the shard's other pages does.
+    fn without_copies(&self, shard_id: usize, number: u32, mut page: Page) -> Page {
         let others = || {
-            let all = self.mirror.pages[p].iter();
+            let all = self.mirror.pages[shard_id].iter();
             all.filter(|other| *other.0 != number).map(|other| other.1)
         };
         for (job, mine) in &mut page.jobs {
@@ -82,9 +88,9 @@
     }
 
     /// As many pages with a part of this as one transaction may write.
-    fn copies(&self, p: usize, page: &Page) -> Vec<Page> {
+    fn copies(&self, shard_id: usize, page: &Page) -> Vec<Page> {
         let most_pages = self.config.txn_ops.min(TXN_BYTES / self.config.page_bytes);
-        let mut packing = Packing {
+        let mut plan = HistoryCompaction {
             hosts: &self.mirror.hosts,
             format: self.mirror.page_format(),
             most_bytes: self.config.page_bytes,
@@ -94,24 +100,24 @@
         };
         for (&job, j) in &page.jobs {
             for range in j.done.ranges() {
-                if !packing.push_done(job, *range) {
-                    return packing.pages;
+                if !plan.push_done(job, *range) {
+                    return plan.pages;
                 }
             }
             for (&number, &assignment) in &j.assignments {
-                if !packing.push_assignment(job, number, assignment) {
-                    return packing.pages;
+                if !plan.push_assignment(job, number, assignment) {
+                    return plan.pages;
                 }
             }
         }
-        tracing::debug!(part = p, copies = packing.pages.len(), "copy a page");
-        packing.pages
+        tracing::debug!(shard = shard_id, copies = plan.pages.len(), "copy a page");
+        plan.pages
     }
 }
 
 /// Deletes a page; the first one stays, empty.
-fn delete_page(p: usize, number: u32) -> Apply {
-    let key = record::assignments_key(p, number);
+fn delete_page(shard_id: usize, number: u32) -> Apply {
+    let key = record::assignments_key(shard_id, number);
     if number == 0 {
         let empty = Page::default().stored(&Names::default(), PageFormat::Plain);
         return Apply::set(key, &empty);
@@ -120,7 +126,7 @@
 }
 
 /// Pages that are being filled one after the other.
-struct Packing<'a> {
+struct HistoryCompaction<'a> {
     hosts: &'a Names,
     format: PageFormat,
     most_bytes: usize,
@@ -130,14 +136,14 @@
     bytes: usize,
 }
 
-impl Packing<'_> {
+impl HistoryCompaction<'_> {
     /// Bytes of a page that holds nothing.
     const EMPTY_BYTES: usize = 20;
     /// Most bytes that a range of completed numbers adds: its job and both ends.
     const RANGE_BYTES: usize = 60;
 
     fn push_done(&mut self, job: u64, range: (u32, u32)) -> bool {
-        let Some(page) = self.room_for(Self::RANGE_BYTES) else {
+        let Some(page) = self.capacity_for(Self::RANGE_BYTES) else {
             return false;
         };
         let here = page.jobs.entry(job).or_default();
@@ -147,7 +153,7 @@
 
     fn push_assignment(&mut self, job: u64, number: u32, assignment: Assignment) -> bool {
         let bytes = Page::assignment_bytes(job, number, &assignment, self.hosts, self.format);
-        let Some(page) = self.room_for(bytes) else {
+        let Some(page) = self.capacity_for(bytes) else {
             return false;
         };
         let here = page.jobs.entry(job).or_default();
@@ -156,7 +162,7 @@
     }
 
     /// The page that has room for so many bytes more; none if all are full.
-    fn room_for(&mut self, bytes: usize) -> Option<&mut Page> {
+    fn capacity_for(&mut self, bytes: usize) -> Option<&mut Page> {
         if self.pages.is_empty() || self.bytes + bytes > self.most_bytes {
             let exact = self
                 .pages
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -4,22 +4,26 @@
 use super::*;
 use crate::admission::flows::Flow;
 
-/// Whose work in a part could make way at all.
+/// Whose work in a shard could make way at all.
 pub(crate) struct Preemptible {
     lowest: Option<Rank>,
     /// Teams with work there that use more than their guarantee.
     beyond: BTreeSet<u32>,
 }
 
-impl Node {
-    /// Looked at once a round: where nothing could make way, no machine need be
+impl Controller {
+    /// Looked at once a scheduling cycle: where nothing could make way, no machine need be
     /// searched for each job that waits.
-    pub(crate) fn preemptible(&self, p: usize, totals: &[Needs]) -> Preemptible {
+    pub(crate) fn preemptible(&self, shard_id: usize, totals: &[Needs]) -> Preemptible {
         let mut found = Preemptible {
             lowest: None,
             beyond: BTreeSet::new(),
         };
-        for (&(_, job), m) in self.mirror.assignments.range((p, 0)..=(p, u64::MAX)) {
+        for (&(_, job), m) in self
+            .mirror
+            .assignments
+            .range((shard_id, 0)..=(shard_id, u64::MAX))
+        {
             let Some(open) = self
                 .mirror
                 .open
@@ -50,10 +54,10 @@
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn preempt(
         &mut self,
-        p: usize,
+        shard_id: usize,
         job: u64,
         numbers: &[u32],
-        round: &Round,
+        cycle: &Cycle,
         now: Millis,
         holding: bool,
         totals: &[Needs],
@@ -66,17 +70,17 @@
         }
         let needs = open.needs();
         let team = open.team as usize;
-        let covered: HashSet<Task> = self.parts[p]
+        let covered: HashSet<Task> = self.shards[shard_id]
             .preempted
             .values()
             .map(|x| x.for_task)
             .collect();
         let silence = self.silence_ms();
-        let zones = self.zone_counts(p, job, round);
+        let zones = self.zone_counts(shard_id, job, cycle);
         let mut chosen: Vec<(Task, Preempted, u32)> = Vec::new();
         for &number in numbers.iter().take(4) {
             if covered.contains(&(job, number))
-                || self.parts[p]
+                || self.shards[shard_id]
                     .reserved
                     .values()
                     .any(|r| r.0 == (job, number))
@@ -88,23 +92,23 @@
             for m in self
                 .machines
                 .values()
-                .filter(|m| m.part == p && m.usable(now, silence))
+                .filter(|m| m.shard == shard_id && m.usable(now, silence))
             {
                 if !self.allowed(open, m)
-                    || (holding && m.image(&open.spec.bundle) < 2)
-                    || m.seen.contains_key(&(job, number))
+                    || (holding && m.image(&open.spec.image) < 2)
+                    || m.reported.contains_key(&(job, number))
                     || chosen.iter().any(|c| c.2 == m.host)
-                    || self.parts[p].reserved.contains_key(&m.host)
-                    || self.kept_from(p, m.host, open)
-                    || !self.zone_open(p, open, &m.zone, &zones)
+                    || self.shards[shard_id].reserved.contains_key(&m.host)
+                    || self.kept_from(shard_id, m.host, open)
+                    || !self.zone_open(shard_id, open, &m.zone, &zones)
                     || self
                         .mirror
                         .on_host(m.host)
-                        .any(|(t, _)| self.parts[p].preempted.contains_key(&t))
+                        .any(|(t, _)| self.shards[shard_id].preempted.contains_key(&t))
                 {
                     continue;
                 }
-                let Some(mut free) = self.free_on(m, Some(round)) else {
+                let Some(mut free) = self.free_on(m, Some(cycle)) else {
                     continue;
                 };
                 let mut victims: Vec<(Rank, f64, Task, u64, Needs, Flow)> = self
@@ -150,7 +154,7 @@
                 if !needs.fits(&free) || list.is_empty() {
                     continue;
                 }
-                let image = if m.image(&open.spec.bundle) == 2 {
+                let image = if m.image(&open.spec.image) == 2 {
                     0.0
                 } else {
                     1.5e6
@@ -183,8 +187,10 @@
         let mut hosts = BTreeSet::new();
         for (task, x, host) in chosen {
             tracing::debug!(job, victim = task.0, "stop a task to make room");
-            self.parts[p].preempted.insert(task, x);
-            self.parts[p].reserved.insert(host, (x.for_task, x.until));
+            self.shards[shard_id].preempted.insert(task, x);
+            self.shards[shard_id]
+                .reserved
+                .insert(host, (x.for_task, x.until));
             hosts.insert(host);
         }
         let kept = !hosts.is_empty();
@@ -197,8 +203,8 @@
     /// What each team uses everywhere.
     pub(crate) fn team_totals(&self) -> Vec<Needs> {
         let mut all = vec![Needs::default(); self.config.teams.len()];
-        for p in 0..self.parts.len() {
-            for (t, u) in self.mirror.usage(p).iter().enumerate() {
+        for shard_id in 0..self.shards.len() {
+            for (t, u) in self.mirror.usage(shard_id).iter().enumerate() {
                 all[t].give(u);
             }
         }
--- a/crates/cherryyard-core/src/owner/orders.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -1,71 +1,72 @@
-//! Orders: what brings a machine to what its assignments say.
+//! Commands: what brings a machine to what its assignments say.
 
 use super::*;
 
-impl Node {
+impl Controller {
     /// The commands that bring a machine to what its assignments say.
-    pub(crate) fn orders(&self, host: u32, now: Millis, in_answer: bool) -> Vec<Order> {
-        let mut orders = Vec::new();
+    pub(crate) fn reconcile(&self, host: u32, now: Millis, in_answer: bool) -> Vec<WorkerCommand> {
+        let mut commands = Vec::new();
         let Some(m) = self.machines.get(&host) else {
-            return orders;
+            return commands;
         };
         // A machine that is being returned is answered for as long as the cloud does not
         // release it: what is cancelled there must be stopped all the same.
-        if !m.token_ours() || !matches!(m.state, HostState::Ready | HostState::Returning) {
-            return orders;
+        if !m.token_ours() || !matches!(m.state, MachineState::Ready | MachineState::Returning) {
+            return commands;
         }
-        let p = m.part;
+        let shard_id = m.shard;
         let fresh = self.state_fresh(now);
-        let owned = self.owned(p).is_some();
-        for (&(job, number), seen) in &m.seen {
+        let owned = self.owned(shard_id).is_some();
+        for (&(job, number), reported) in &m.reported {
             let task = (job, number);
             let assignment = self
                 .mirror
                 .assignment_on(host, task)
-                .filter(|k| k.session == m.newest.0 && k.attempt == seen.attempt);
-            let piece = || piece_name(job, number);
-            if seen.ended() {
+                .filter(|k| k.incarnation == m.newest.0 && k.attempt == reported.attempt);
+            let task_name = || task_name_of(job, number);
+            if reported.ended() {
                 // Cleared only once its end is durable, and only when no start
                 // of it is on its way: it would start a second time.
                 if in_answer
                     && assignment.is_none()
-                    && !m.start_pending(task, seen.attempt)
+                    && !m.start_pending(task, reported.attempt)
                     && fresh
                     && owned
                 {
-                    orders.push(Order::Clear {
-                        piece: piece(),
-                        attempt: seen.attempt,
+                    commands.push(WorkerCommand::Clear {
+                        task_name: task_name(),
+                        attempt: reported.attempt,
                     });
                 }
                 continue;
             }
             // Others may know that it is cancelled before the state service tells us.
-            let told = self.cancelled.is_told(job);
+            let told = self.cancelled.is_announced(job);
             let open = self.mirror.open.get(&job).filter(|_| !told);
             match (assignment, open) {
                 (Some(_), Some(open)) => {
-                    let preempted = self.parts[p]
+                    let preempted = self.shards[shard_id]
                         .preempted
                         .get(&task)
-                        .is_some_and(|x| x.attempt == seen.attempt && x.until > now);
-                    let recalled = m.recall_at.is_some_and(|at| {
+                        .is_some_and(|x| x.attempt == reported.attempt && x.until > now);
+                    let recalled = m.reclaim_at.is_some_and(|at| {
                         open.spec.snapshot_every_s > 0.0
                             && at - now
                                 < open.spec.snapshot_cost_s * 1000.0 + self.config.report_ms * 2.5
                     });
-                    let doomed = fresh && owned && self.doomed(m, task, seen.attempt, open, now);
-                    if (preempted || recalled || doomed) && seen.status != PieceStatus::Saving {
+                    let doomed =
+                        fresh && owned && self.doomed(m, task, reported.attempt, open, now);
+                    if (preempted || recalled || doomed) && reported.status != TaskStatus::Saving {
                         let saves = open.spec.snapshot_every_s > 0.0;
-                        let wind_down_s = if saves {
+                        let grace_period_s = if saves {
                             open.spec.snapshot_cost_s + 1.0
                         } else {
                             0.0
                         };
-                        orders.push(Order::Kill {
-                            piece: piece(),
-                            attempt: seen.attempt,
-                            wind_down_s,
+                        commands.push(WorkerCommand::Kill {
+                            task_name: task_name(),
+                            attempt: reported.attempt,
+                            grace_period_s,
                         });
                     }
                 }
@@ -73,34 +74,34 @@
                 // cut off, a missing assignment may only mean an old mirror.
                 (_, None) | (None, _) => {
                     if (fresh && owned) || told || self.mirror.end(job).is_some() {
-                        orders.push(Order::Kill {
-                            piece: piece(),
-                            attempt: seen.attempt,
-                            wind_down_s: 0.0,
+                        commands.push(WorkerCommand::Kill {
+                            task_name: task_name(),
+                            attempt: reported.attempt,
+                            grace_period_s: 0.0,
                         });
                     }
                 }
             }
         }
-        let ready = m.state == HostState::Ready;
-        if ready && fresh && owned && m.recall_at.is_none_or(|at| at - now > 60_000.0) {
+        let ready = m.state == MachineState::Ready;
+        if ready && fresh && owned && m.reclaim_at.is_none_or(|at| at - now > 60_000.0) {
             for (task, assignment) in self.mirror.on_host(host) {
                 // Of what was given up no start is sent: only then a report without the
                 // task proves that it is not there.
-                if assignment.session == m.newest.0
-                    && !m.gave_up(assignment.session, assignment.attempt)
-                    && !m.seen.contains_key(&task)
+                if assignment.incarnation == m.newest.0
+                    && !m.gave_up(assignment.incarnation, assignment.attempt)
+                    && !m.reported.contains_key(&task)
                     && self.mirror.open.contains_key(&task.0)
                 {
-                    orders.push(Order::Start {
-                        piece: piece_name(task.0, task.1),
+                    commands.push(WorkerCommand::Start {
+                        task_name: task_name_of(task.0, task.1),
                         attempt: assignment.attempt,
                     });
                 }
             }
         }
-        orders.truncate(MAX_ORDERS);
-        orders
+        commands.truncate(MAX_COMMANDS);
+        commands
     }
 
     /// Sends a machine its due commands directly, if there are any.
@@ -108,18 +109,18 @@
         let Some(m) = self.machines.get(&host) else {
             return;
         };
-        let Tenancy::Owned(token) = self.parts[m.part].tenancy else {
+        let ShardLease::Held(token) = self.shards[m.shard].lease else {
             return;
         };
         if m.pushing
             || now < m.push_after
-            || now - m.heard_at > self.silence_ms()
-            || matches!(m.reach, Reach::Unreachable(_))
+            || now - m.last_heard_at > self.silence_ms()
+            || matches!(m.reachability, Reachability::Unreachable(_))
         {
             return;
         }
-        let orders = self.orders(host, now, false);
-        if orders.is_empty() {
+        let commands = self.reconcile(host, now, false);
+        if commands.is_empty() {
             return;
         }
         let Some(m) = self.machines.get_mut(&host) else {
@@ -127,25 +128,25 @@
         };
         m.pushing = true;
         m.push_after = now + 50.0;
-        let session = m.newest.0;
-        for order in &orders {
-            if let Order::Start { piece, attempt } = order
-                && let Some(task) = piece_numbers(piece)
+        let incarnation = m.newest.0;
+        for command in &commands {
+            if let WorkerCommand::Start { task_name, attempt } = command
+                && let Some(task) = parse_task_name(task_name)
             {
                 m.pushed.push(PushedStart {
                     task,
                     attempt: *attempt,
-                    session,
+                    incarnation,
                     token,
                     lost: false,
                 });
             }
         }
-        tracing::debug!(machine = %m.addr, ?orders, "direct commands");
-        let request = DoRequest {
-            baton: token,
-            tenure: session,
-            orders,
+        tracing::debug!(machine = %m.addr, ?commands, "direct commands");
+        let request = CommandBatch {
+            fencing_token: token,
+            incarnation,
+            commands,
         };
         self.effects.push(Effect::Push {
             host,
@@ -154,12 +155,12 @@
         });
     }
 
-    /// Pushes to every machine of the part that has due commands.
-    pub(crate) fn push_due(&mut self, p: usize, now: Millis) {
+    /// Pushes to every machine of the shard that has due commands.
+    pub(crate) fn push_due(&mut self, shard_id: usize, now: Millis) {
         let mut hosts: Vec<u32> = self
             .machines
             .values()
-            .filter(|m| m.part == p && !m.pushing && now >= m.push_after)
+            .filter(|m| m.shard == shard_id && !m.pushing && now >= m.push_after)
             .map(|m| m.host)
             .collect();
         hosts.sort_unstable();
--- a/crates/cherryyard-core/src/owner/returns.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -1,19 +1,19 @@
 //! Machines to return: dead, never up, silent, or of no use.
 
 use super::*;
-use crate::leader::boots::Boot;
+use crate::leader::provisioning_times::ProvisioningProgress;
 
 /// How much longer than its lease a machine may fail to hear us before it is returned.
 const UNREACHABLE_MS: f64 = 30_000.0;
 /// Which part of the time that a cancelled job's tasks have may pass before a machine is
-/// returned that may have one and is silent, and from which part on a new owner waits no
+/// returned that may have one and is silent, and from which shard on a new owner waits no
 /// longer for it than for one that it has heard.
-const CANCELLED_PART: f64 = 0.7;
+const CANCELLED_SHARE: f64 = 0.7;
 const CANCELLED_LATE: f64 = 0.8;
 
-impl Node {
+impl Controller {
     /// Machines to return: dead, never up, silent, or of no use.
-    pub(crate) fn return_listed(&mut self, now: Millis) {
+    pub(crate) fn scale_in_listed(&mut self, now: Millis) {
         // What is owned may be an old belief.
         if !self.caught_up() {
             return;
@@ -24,7 +24,7 @@
             if let (Some(whole), Some(free)) = (self.whole(m), self.free_on(m, None))
                 && m.usable(now, self.silence_ms())
             {
-                let s = spare.entry(m.part).or_default();
+                let s = spare.entry(m.shard).or_default();
                 s.0 += free.cores;
                 s.1 += whole.cores;
             }
@@ -32,8 +32,8 @@
         // Where many do not hear us, the fault is between us and them.
         let mut unreachable: HashMap<usize, (usize, usize)> = HashMap::new();
         for m in self.machines.values() {
-            let n = unreachable.entry(m.part).or_default();
-            n.0 += usize::from(matches!(m.reach, Reach::Unreachable(_)));
+            let n = unreachable.entry(m.shard).or_default();
+            n.0 += usize::from(matches!(m.reachability, Reachability::Unreachable(_)));
             n.1 += 1;
         }
         let lease = self.config.lease_ms;
@@ -41,47 +41,50 @@
         names.sort();
         for name in names {
             let entry = &self.listed[name];
-            let p = self.config.parting.part(&entry.yard, name);
-            if self.owned(p).is_none() || release.len() >= 90 {
+            let shard_id = self.config.shard_map.shard(&entry.zone, name);
+            if self.owned(shard_id).is_none() || release.len() >= 90 {
                 continue;
             }
-            let owned_for = now - self.parts[p].owned_since;
+            let owned_for = now - self.shards[shard_id].owned_since;
             let host = self.mirror.hosts.get(name);
             let machine = host.and_then(|h| self.machines.get(&h));
-            let ready_ms = self.ready_s(&entry.host_kind) * 1000.0;
+            let ready_ms = self.ready_s(&entry.machine_type) * 1000.0;
             let why = match machine {
-                Some(m) if m.state == HostState::Gone => None,
+                Some(m) if m.state == MachineState::Gone => None,
                 Some(m) if now < m.release_after => None,
-                Some(m) if m.state == HostState::Returning => Some("asked before"),
-                _ if entry.status == HostStatus::Failed => Some("failed"),
+                Some(m) if m.state == MachineState::Returning => Some("asked before"),
+                _ if entry.status == InstanceStatus::Failed => Some("failed"),
                 Some(m)
-                    if now - m.heard_at > lease + 15_000.0
-                        && self.lateness.punctual_for(now) > lease + 15_000.0 =>
+                    if now - m.last_heard_at > lease + 15_000.0
+                        && self.lag.punctual_for(now) > lease + 15_000.0 =>
                 {
                     Some("silent")
                 }
-                Some(m) if m.failures() >= blame::FAULTY => Some("failing"),
+                Some(m) if m.failures() >= failure_attribution::FAULTY => Some("failing"),
                 Some(m)
                     if self.long_unreachable(m, now)
-                        && unreachable.get(&p).is_some_and(|n| n.0 <= (n.1 / 5).max(1)) =>
+                        && unreachable
+                            .get(&shard_id)
+                            .is_some_and(|n| n.0 <= (n.1 / 5).max(1)) =>
                 {
                     Some("does not hear us")
                 }
                 Some(m) => {
-                    let (free, whole) = spare.get(&p).copied().unwrap_or_default();
+                    let (free, whole) = spare.get(&shard_id).copied().unwrap_or_default();
                     let cores = self.whole(m).map_or(0.0, |w| w.cores);
                     let idle = now - m.busy_at > self.config.tuning.idle_return_s * 1000.0
-                        && m.seen.is_empty()
+                        && m.reported.is_empty()
                         && host.is_some_and(|h| self.mirror.on_host(h).next().is_none());
                     if idle && free - cores > 0.6 * whole {
-                        spare.entry(p).and_modify(|s| s.0 -= cores);
+                        spare.entry(shard_id).and_modify(|s| s.0 -= cores);
                         Some("idle")
                     } else {
                         None
                     }
                 }
-                None if entry.status == HostStatus::Starting => {
-                    (self.boot(entry) == Boot::Never).then_some("never up")
+                None if entry.status == InstanceStatus::Starting => {
+                    (self.provisioning_progress(entry) == ProvisioningProgress::Never)
+                        .then_some("never up")
                 }
                 None => (owned_for > lease * 2.0 + 20_000.0
                     && entry.held_s * 1000.0 > ready_ms + lease * 2.0 + 20_000.0)
@@ -96,24 +99,24 @@
             // So that assignments of a machine that never reported can be resolved
             // by the answer to its release.
             let entry = &self.listed[name];
-            let p = self.config.parting.part(&entry.yard, name);
+            let shard_id = self.config.shard_map.shard(&entry.zone, name);
             let host = self.mirror.hosts.intern(name);
             let m = self
                 .machines
                 .entry(host)
-                .or_insert_with(|| Machine::unheard(host, p, entry, now));
-            m.change(HostEvent::ReleaseAsked);
+                .or_insert_with(|| Machine::unheard(host, shard_id, entry, now));
+            m.change(MachineEvent::ReleaseAsked);
             m.release_after = now + 10_000.0;
         }
         if !release.is_empty() {
             self.effects.push(Effect::Release(release));
         }
-        self.return_unlisted(now);
+        self.release_unlisted(now);
     }
 
     /// Whether a machine has not heard us for so long that it is of no use.
     fn long_unreachable(&self, m: &Machine, now: Millis) -> bool {
-        matches!(m.reach, Reach::Unreachable(since) if now - since > self.config.lease_ms + UNREACHABLE_MS)
+        matches!(m.reachability, Reachability::Unreachable(since) if now - since > self.config.lease_ms + UNREACHABLE_MS)
     }
 
     /// A machine that has fallen silent with replicas on it is released at
@@ -121,7 +124,7 @@
     /// machine is dead. Arrays wait for the lease, as their machine may come
     /// back with its work. When many are silent, the fault is between us and
     /// them, and nothing is released.
-    pub(crate) fn return_silent(&mut self, p: usize, now: Millis) {
+    pub(crate) fn release_silent(&mut self, shard_id: usize, now: Millis) {
         let limit = self.config.report_ms * 1.25 + 2000.0;
         // A machine that merely hangs loses what is left of its lease by this:
         // worth it only where the lease would be waited for much longer, or
@@ -130,21 +133,21 @@
         // Reports that wait because this controller is late are no silence.
         if gain < 2.0
             || !self.state_fresh(now)
-            || now - self.parts[p].owned_since < 2.0 * limit
-            || self.lateness.punctual_for(now) < limit
+            || now - self.shards[shard_id].owned_since < 2.0 * limit
+            || self.lag.punctual_for(now) < limit
         {
             return;
         }
-        let known = |m: &&Machine| m.part == p && m.token_ours();
+        let known = |m: &&Machine| m.shard == shard_id && m.token_ours();
         let all = self.machines.values().filter(known).count();
         let silent: Vec<u32> = self
             .machines
             .values()
             .filter(known)
             .filter(|m| {
-                now - m.heard_at > limit
+                now - m.last_heard_at > limit
                     && !m.lease_over
-                    && matches!(m.state, HostState::Ready | HostState::Returning)
+                    && matches!(m.state, MachineState::Ready | MachineState::Returning)
             })
             .map(|m| m.host)
             .collect();
@@ -158,8 +161,8 @@
         let lately = self.config.report_ms * if all > 8 { 0.5 } else { 0.9 };
         let (mut missing, mut heard) = (0, 0);
         for m in self.machines.values().filter(known) {
-            missing += usize::from(now - m.heard_at > overdue && !m.lease_over);
-            heard += usize::from(now - m.heard_at < lately);
+            missing += usize::from(now - m.last_heard_at > overdue && !m.lease_over);
+            heard += usize::from(now - m.last_heard_at < lately);
         }
         let others = all.saturating_sub(missing);
         if silent.is_empty() || missing > (all / 5).max(1) || heard * 4 < others {
@@ -182,7 +185,7 @@
             if serves && now >= m.release_after && release.len() < 90 {
                 let name = self.mirror.hosts.name(host).to_string();
                 tracing::info!(machine = %name, "return a silent machine with replicas");
-                m.change(HostEvent::ReleaseAsked);
+                m.change(MachineEvent::ReleaseAsked);
                 m.release_after = now + 3000.0;
                 release.push(name);
             }
@@ -205,33 +208,33 @@
             return None;
         }
         // Where that is no longer known it is long ago, or nobody knows.
-        let part = self
+        let shard = self
             .cancelled
             .learnt_at(job)
             .map(|at| (now - at) / self.config.cancel_ms);
-        match part {
-            Some(part) if part <= CANCELLED_PART => None,
-            Some(part) if part > CANCELLED_LATE => Some(self.silence_ms()),
+        match shard {
+            Some(shard) if shard <= CANCELLED_SHARE => None,
+            Some(shard) if shard > CANCELLED_LATE => Some(self.silence_ms()),
             _ => Some(self.finding_ms()),
         }
     }
 
     /// A machine that hangs may carry out, when it goes on and before it sees that its
-    /// session is over, a start that was sent to it before, by an owner before us too. If
+    /// incarnation is over, a start that was sent to it before, by an owner before us too. If
     /// its job has been cancelled meanwhile only the machine's release stops that, as no
     /// token of ours gets there. So a silent machine whose assignment of a cancelled job is not
     /// proven gone is returned before that job's time is over. (Where the owner stays the
     /// same the end of the lease proves it, but for such a start.)
-    pub(crate) fn return_cancelled(&mut self, p: usize, now: Millis) {
+    pub(crate) fn release_with_cancelled_tasks(&mut self, shard_id: usize, now: Millis) {
         if !self.state_fresh(now) {
             return;
         }
-        let held_since = self.parts[p].held_since;
-        let punctual_since = now - self.lateness.punctual_for(now);
+        let held_since = self.shards[shard_id].held_since;
+        let punctual_since = now - self.lag.punctual_for(now);
         // Since when nothing has been heard of a machine that should have been.
         let silent_since = |host: u32| match self.machines.get(&host) {
-            Some(m) if m.state == HostState::Gone || now < m.release_after => now,
-            Some(m) => m.heard_at.max(held_since).max(punctual_since),
+            Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
+            Some(m) => m.last_heard_at.max(held_since).max(punctual_since),
             None => held_since.max(punctual_since),
         };
         let due = |host: u32| {
@@ -241,14 +244,14 @@
             silent > 0.0 && waits.any(|wait| silent > wait)
         };
         let hosts = self.mirror.assigned_hosts().filter(|&host| due(host));
-        let hosts = hosts.filter(|&host| self.mirror.part_of_assignment(host) == Some(p));
+        let hosts = hosts.filter(|&host| self.mirror.shard_of_assignment(host) == Some(shard_id));
         let hosts: Vec<u32> = hosts.take(90).collect();
         if hosts.is_empty() {
             return;
         }
         let release: Vec<String> = hosts
             .into_iter()
-            .map(|host| self.ask_release(host, p, now))
+            .map(|host| self.request_release(host, shard_id, now))
             .collect();
         tracing::info!(
             ?release,
@@ -257,17 +260,17 @@
         self.effects.push(Effect::Release(release));
     }
 
-    /// A machine that was lost while its part had no owner, or just before, has
+    /// A machine that was lost while its shard had no owner, or just before, has
     /// never shown the new owner its token: no lease of it can be waited for.
     /// Once all others have found the new owner, the few that have not are
     /// released, as only that proves what was on them gone. While many have not
     /// come, they are with the old owner, or the network is at fault.
-    pub(crate) fn return_unheard(&mut self, p: usize, now: Millis) {
+    pub(crate) fn release_unreachable(&mut self, shard_id: usize, now: Millis) {
         let limit = self.finding_ms();
-        let owned_for = now - self.parts[p].owned_since;
+        let owned_for = now - self.shards[shard_id].owned_since;
         if owned_for < limit
             || owned_for > limit + 60_000.0
-            || self.lateness.punctual_for(now) < limit
+            || self.lag.punctual_for(now) < limit
             || !self.state_fresh(now)
         {
             return;
@@ -276,16 +279,17 @@
         let mut unheard = Vec::new();
         for host in self.mirror.assigned_hosts() {
             match self.machines.get(&host) {
-                Some(m) if m.part != p => {}
-                Some(m) if m.token_ours() || m.state == HostState::Gone => all += 1,
+                Some(m) if m.shard != shard_id => {}
+                Some(m) if m.token_ours() || m.state == MachineState::Gone => all += 1,
                 Some(m) if now < m.release_after => all += 1,
                 // It reports, but does not hear us: it will never show our token.
                 Some(m)
-                    if now - m.heard_at < limit && !matches!(m.reach, Reach::Unreachable(_)) =>
+                    if now - m.last_heard_at < limit
+                        && !matches!(m.reachability, Reachability::Unreachable(_)) =>
                 {
                     all += 1;
                 }
-                _ if self.mirror.part_of_assignment(host) == Some(p) => {
+                _ if self.mirror.shard_of_assignment(host) == Some(shard_id) => {
                     all += 1;
                     unheard.push(host);
                 }
@@ -298,28 +302,28 @@
         let release: Vec<String> = unheard
             .into_iter()
             .take(90)
-            .map(|host| self.ask_release(host, p, now))
+            .map(|host| self.request_release(host, shard_id, now))
             .collect();
         tracing::info!(?release, "return marked machines that have not found us");
         self.effects.push(Effect::Release(release));
     }
 
     /// Notes that a machine, known or not, is being released; says its name.
-    pub(crate) fn ask_release(&mut self, host: u32, p: usize, now: Millis) -> String {
+    pub(crate) fn request_release(&mut self, host: u32, shard_id: usize, now: Millis) -> String {
         let name = self.mirror.hosts.name(host).to_string();
         let m = self.machines.entry(host).or_insert_with(|| {
-            let entry = HostEntry {
+            let entry = Instance {
                 id: name.clone(),
                 addr: String::new(),
-                host_kind: String::new(),
-                yard: String::new(),
-                borrowed: false,
-                status: HostStatus::Other,
+                machine_type: String::new(),
+                zone: String::new(),
+                spot: false,
+                status: InstanceStatus::Other,
                 held_s: 0.0,
             };
-            Machine::unheard(host, p, &entry, now)
+            Machine::unheard(host, shard_id, &entry, now)
         });
-        m.change(HostEvent::ReleaseAsked);
+        m.change(MachineEvent::ReleaseAsked);
         m.release_after = now + 10_000.0;
         name
     }
@@ -327,7 +331,7 @@
     /// Assignments may name machines that neither report nor are listed (they were
     /// taken, or died and were dropped from the list); only a release proves
     /// that nothing of them is left.
-    pub(crate) fn return_unlisted(&mut self, now: Millis) {
+    pub(crate) fn release_unlisted(&mut self, now: Millis) {
         let mut release: Vec<String> = Vec::new();
         for host in self.mirror.assigned_hosts().collect::<Vec<_>>() {
             if release.len() >= 90 {
@@ -337,24 +341,24 @@
             let known = self.machines.get(&host);
             if self.listed.contains_key(&name)
                 || known.is_some_and(|m| {
-                    m.state == HostState::Gone
+                    m.state == MachineState::Gone
                         || now < m.release_after
-                        || now - m.heard_at < self.config.lease_ms
+                        || now - m.last_heard_at < self.config.lease_ms
                 })
             {
                 continue;
             }
-            let Some(p) = self.mirror.part_of_assignment(host) else {
+            let Some(shard_id) = self.mirror.shard_of_assignment(host) else {
                 continue;
             };
             // The list is late; a machine that is merely new is not in it yet.
-            if self.owned(p).is_none()
-                || now - self.parts[p].owned_since
+            if self.owned(shard_id).is_none()
+                || now - self.shards[shard_id].owned_since
                     < 3.0 * self.config.list_lag_ms + self.config.lease_ms
             {
                 continue;
             }
-            release.push(self.ask_release(host, p, now));
+            release.push(self.request_release(host, shard_id, now));
         }
         if !release.is_empty() {
             tracing::info!(?release, "return machines that are marked but not listed");
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -1,10 +1,10 @@
-//! What one round has looked for in vain.
+//! What one scheduling cycle has looked for in vain.
 
 use super::*;
 use crate::admission::flows::Flow;
 use crate::admission::queue::{Place, WINDOW};
 
-/// What a round has searched for in vain: what is alike is not searched for again.
+/// What a scheduling cycle has searched for in vain: what is alike is not searched for again.
 #[derive(Debug, Default)]
 pub(crate) struct Search {
     /// Amounts for which no machine has room.
@@ -44,14 +44,14 @@
     }
 }
 
-/// How many of each flow's jobs a round has looked at in vain.
+/// How many of each flow's jobs a scheduling cycle has looked at in vain.
 #[derive(Debug, Default)]
-pub(crate) struct Looks {
+pub(crate) struct SearchBudget {
     stuck: HashMap<Flow, u32>,
     others: HashMap<Flow, (usize, Place)>,
 }
 
-impl Looks {
+impl SearchBudget {
     /// Whether enough of a flow has been stuck for it to be closed.
     pub(crate) fn look(&mut self, flow: Flow, at: Place) -> bool {
         if let Some((n, last)) = self.others.get_mut(&flow) {
--- a/crates/cherryyard-core/src/owner/recall.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -5,12 +5,12 @@
 /// Least tasks of a job that must have completed for their run time to count.
 const KNOWN_RUNS: u32 = 3;
 
-impl Node {
+impl Controller {
     /// How long a task of the job takes: as its completed tasks did, or as its
     /// owner estimates, whichever is longer (those that complete first are short).
-    fn run_ms(&self, p: usize, job: u64, open: &OpenJob) -> Millis {
+    fn run_ms(&self, shard_id: usize, job: u64, open: &OpenJob) -> Millis {
         let estimate = open.spec.expected_s * 1000.0;
-        match self.parts[p].ran.get(&job) {
+        match self.shards[shard_id].ran.get(&job) {
             Some(&(n, sum)) if n >= KNOWN_RUNS => (sum / f64::from(n)).max(estimate * 0.5),
             _ => estimate,
         }
@@ -27,30 +27,30 @@
         open: &OpenJob,
         now: Millis,
     ) -> bool {
-        let Some(at) = m.recall_at else { return false };
-        if open.spec.shape != Shape::Sweep
+        let Some(at) = m.reclaim_at else { return false };
+        if open.spec.shape != Shape::Array
             || open.spec.snapshot_every_s > 0.0
-            || !self.mirror.waiting[m.part].is_empty()
+            || !self.mirror.waiting[m.shard].is_empty()
         {
             return false;
         }
         let ran = m.ran_ms(task, attempt, now).unwrap_or(0.0);
         // Almost there by the estimate may as well be over at any moment.
-        let left = (self.run_ms(m.part, task.0, open) - ran).max(ran * 0.2);
+        let left = (self.run_ms(m.shard, task.0, open) - ran).max(ran * 0.2);
         if left <= at - now {
             return false;
         }
         let all = self.mirror.on_host(m.host).count() as u32;
         let silence = self.silence_ms();
-        let mut room = 0;
-        for other in self.machines.values().filter(|o| o.part == m.part) {
+        let mut capacity = 0;
+        for other in self.machines.values().filter(|o| o.shard == m.shard) {
             if other.usable(now, silence)
                 && self.allowed(open, other)
-                && !self.parts[m.part].reserved.contains_key(&other.host)
+                && !self.shards[m.shard].reserved.contains_key(&other.host)
                 && let Some(free) = self.free_on(other, None)
             {
-                room += open.needs().times_in(&free);
-                if room >= all {
+                capacity += open.needs().times_in(&free);
+                if capacity >= all {
                     return true;
                 }
             }
@@ -61,14 +61,14 @@
     /// Recalled machines that have fallen silent when they were to be taken are
     /// released: the answer proves gone what was on them, three quarters of a
     /// lease before it ends.
-    pub(crate) fn return_taken(&mut self, p: usize, now: Millis) {
+    pub(crate) fn release_reclaimed(&mut self, shard_id: usize, now: Millis) {
         let silence = self.silence_ms();
         let taken: Vec<u32> = self
             .machines
             .values()
             .filter(|m| {
-                m.part == p
-                    && matches!(m.state, HostState::Ready | HostState::Expired)
+                m.shard == shard_id
+                    && matches!(m.state, MachineState::Ready | MachineState::Expired)
                     && now >= m.release_after
                     && m.taken(now, silence)
             })
@@ -80,7 +80,7 @@
         }
         let release: Vec<String> = taken
             .into_iter()
-            .map(|host| self.ask_release(host, p, now))
+            .map(|host| self.request_release(host, shard_id, now))
             .collect();
         tracing::info!(
             ?release,
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,14 +1,14 @@
-//! What an owner remembers of a part.
+//! What an owner remembers of a shard.
 
-use super::blame::Trouble;
-use super::turns::KeptRests;
+use super::aging::KeptRests;
+use super::failure_attribution::JobFailures;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
 use crate::admission::queue::Queues;
 use crate::machine::Task;
-use crate::pace::Pace;
-use crate::tenancy::Tenancy;
+use crate::shard_lease::ShardLease;
+use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A task that is being stopped to make room for another.
@@ -19,7 +19,7 @@
     pub(crate) until: Millis,
 }
 
-/// What a round will do once its transaction is durable.
+/// What a scheduling cycle will do once its transaction is durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pending {
     pub(crate) hosts: BTreeSet<u32>,
@@ -27,30 +27,30 @@
     pub(crate) done: Vec<(u64, u32)>,
 }
 
-/// One part, as this controller sees it.
+/// One shard, as this controller sees it.
 #[derive(Debug)]
-pub(crate) struct Part {
-    pub(crate) tenancy: Tenancy,
-    pub(crate) claiming: bool,
-    pub(crate) claim_after: Millis,
+pub(crate) struct Shard {
+    pub(crate) lease: ShardLease,
+    pub(crate) acquiring: bool,
+    pub(crate) acquire_after: Millis,
     pub(crate) ownerless_since: Option<Millis>,
     /// Ask for a new token, so that direct starts under this one die.
     pub(crate) bump: bool,
     pub(crate) dirty: bool,
-    /// Machines that the next round looks at.
+    /// Machines that the next scheduling cycle looks at.
     pub(crate) touched: BTreeSet<u32>,
-    /// When a round last looked at all of them.
-    pub(crate) looked_at: Millis,
+    /// When a scheduling cycle last looked at all of them.
+    pub(crate) inspected_at: Millis,
     pub(crate) compacted_at: Millis,
-    /// When the last round was planned, and when the last look at leases was.
+    /// When the last scheduling cycle was planned, and when the last look at leases was.
     pub(crate) planned_at: Millis,
     pub(crate) kept_at: Millis,
     pub(crate) unheard_at: Millis,
     /// When placement was last tried, and what was known of the state then.
     pub(crate) placed_at: Millis,
     pub(crate) placed_as_of: (u64, u64),
-    /// Changes that the part's rounds may write.
-    pub(crate) budget: Pace,
+    /// Changes that the shard's scheduling cycles may write.
+    pub(crate) budget: TokenBucket,
     pub(crate) pending: Option<Pending>,
     pub(crate) retry_after: Millis,
     pub(crate) preempted: HashMap<Task, Preempted>,
@@ -58,7 +58,7 @@
     pub(crate) reserved: BTreeMap<u32, (Task, Millis)>,
     /// Machines kept for the oldest jobs that have not begun, by flow.
     pub(crate) kept: BTreeMap<Flow, (Task, u32)>,
-    pub(crate) trouble: HashMap<u64, Trouble>,
+    pub(crate) job_failures: HashMap<u64, JobFailures>,
     /// Services kept back for a moment, for the leader to move.
     pub(crate) handing: BTreeSet<u64>,
     /// What waits, in the order of service.
@@ -73,39 +73,39 @@
     pub(crate) held_since: Millis,
     pub(crate) images_at: Millis,
     pub(crate) yields: u32,
-    /// Until when the part is left to others after it was given up.
+    /// Until when the shard is left to others after it was given up.
     pub(crate) away_until: Millis,
-    pub(crate) wait_epoch: u64,
+    pub(crate) wait_revision: u64,
     /// How many tasks of a job completed here, and how long they ran together.
     pub(crate) ran: HashMap<u64, (u32, Millis)>,
-    /// What the part's cores did.
+    /// What the shard's cores did.
     pub(crate) account: Account,
 }
 
-impl Part {
+impl Shard {
     pub(crate) fn new(writes_per_s: f64, now: Millis) -> Self {
         Self {
-            tenancy: Tenancy::Foreign,
-            claiming: false,
-            claim_after: now,
+            lease: ShardLease::NotHeld,
+            acquiring: false,
+            acquire_after: now,
             ownerless_since: None,
             bump: false,
             dirty: true,
             touched: BTreeSet::new(),
-            looked_at: f64::NEG_INFINITY,
+            inspected_at: f64::NEG_INFINITY,
             compacted_at: now,
             planned_at: f64::NEG_INFINITY,
             kept_at: f64::NEG_INFINITY,
             unheard_at: f64::NEG_INFINITY,
             placed_at: f64::NEG_INFINITY,
             placed_as_of: (0, 0),
-            budget: Pace::new(writes_per_s, now),
+            budget: TokenBucket::new(writes_per_s, now),
             pending: None,
             retry_after: now,
             preempted: HashMap::new(),
             reserved: BTreeMap::new(),
             kept: BTreeMap::new(),
-            trouble: HashMap::new(),
+            job_failures: HashMap::new(),
             handing: BTreeSet::new(),
             queues: Queues::default(),
             stuck_grants: HashMap::new(),
@@ -115,7 +115,7 @@
             images_at: now,
             yields: 0,
             away_until: f64::NEG_INFINITY,
-            wait_epoch: 0,
+            wait_revision: 0,
             ran: HashMap::new(),
             account: Account::default(),
         }
@@ -124,12 +124,12 @@
     pub(crate) fn clear(&mut self) {
         self.preempted.clear();
         self.touched.clear();
-        self.looked_at = f64::NEG_INFINITY;
+        self.inspected_at = f64::NEG_INFINITY;
         self.reserved.clear();
         self.queues.clear();
         self.handing.clear();
         self.kept.clear();
-        self.trouble.clear();
+        self.job_failures.clear();
         self.stuck_grants.clear();
         self.kept_rests = KeptRests::default();
         self.bump = false;
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -1,17 +1,17 @@
-//! Pages of assignments: what a part's owner has started, of many jobs in one record.
+//! Pages of assignments: what a shard's owner has started, of many jobs in one record.
 
 use crate::names::Names;
 use cherryyard_wire::record::{AssignmentGroup, PageRecord, StoredPage};
 use cherryyard_wire::{RangeSet, page};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A number assigned started: where, in which session, which attempt.
+/// A number assigned started: where, in which incarnation, which attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// The machine.
     pub host: u32,
-    /// The worker's session.
-    pub session: u64,
+    /// The worker's incarnation.
+    pub incarnation: u64,
     /// The attempt.
     pub attempt: u64,
 }
@@ -25,11 +25,11 @@
     pub done: RangeSet,
 }
 
-/// One page of a part's assignments.
+/// One page of a shard's assignments.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Stamp of its key.
-    pub stamp: u64,
+    /// Revision of its key.
+    pub revision: u64,
     /// Bytes that it takes as it is stored, also when its tasks end.
     pub bytes_at_most: usize,
     /// What it says, by job.
@@ -50,7 +50,7 @@
 }
 
 /// Most bytes that a new assignment adds to a packed page: its job and how many entries that
-/// has, its attempt and session, its machine, and its entry, as varints.
+/// has, its attempt and incarnation, its machine, and its entry, as varints.
 const PACKED_MARK_BYTES: usize = (10 + 2) + (10 + 5) + 3 + (3 + 3 + 2);
 
 impl Page {
@@ -74,7 +74,7 @@
             let name = hosts.name(assignment.host).len();
             return (PACKED_MARK_BYTES + name).div_ceil(3) * 4;
         }
-        let group = 4 + digits(assignment.session) + digits(assignment.attempt);
+        let group = 4 + digits(assignment.incarnation) + digits(assignment.attempt);
         let name = hosts.name(assignment.host).len() + 3;
         10 + digits(job) + group + name + Self::entry_bytes(number)
     }
@@ -101,8 +101,8 @@
                 if named.insert(assignment.host) {
                     bytes += hosts.name(assignment.host).len() + 3;
                 }
-                if groups.insert((assignment.attempt, assignment.session)) {
-                    bytes += 4 + digits(assignment.session) + digits(assignment.attempt);
+                if groups.insert((assignment.attempt, assignment.incarnation)) {
+                    bytes += 4 + digits(assignment.incarnation) + digits(assignment.attempt);
                 }
                 bytes += Self::entry_bytes(number);
             }
@@ -138,8 +138,8 @@
                     record.h.len() as u64 - 1
                 });
                 groups
-                    .entry((assignment.attempt, assignment.session))
-                    .or_insert_with(|| vec![assignment.attempt, assignment.session])
+                    .entry((assignment.attempt, assignment.incarnation))
+                    .or_insert_with(|| vec![assignment.attempt, assignment.incarnation])
                     .extend([place, number.into()]);
             }
             record
@@ -150,21 +150,21 @@
     }
 
     /// What a stored page says; none if it makes no sense.
-    pub(crate) fn of_stored(stored: StoredPage, stamp: u64, hosts: &mut Names) -> Option<Self> {
+    pub(crate) fn of_stored(stored: StoredPage, revision: u64, hosts: &mut Names) -> Option<Self> {
         let packed = match &stored {
             StoredPage::Packed { b } => Some(b.len() + StoredPage::FRAME),
             StoredPage::Plain(_) => None,
         };
-        let mut page = Self::of_record(stored.read()?, stamp, hosts)?;
+        let mut page = Self::of_record(stored.read()?, revision, hosts)?;
         page.bytes_at_most = packed.unwrap_or_else(|| page.plain_bytes(hosts));
         Some(page)
     }
 
     /// What a record says; none if it makes no sense.
-    fn of_record(record: PageRecord, stamp: u64, hosts: &mut Names) -> Option<Self> {
+    fn of_record(record: PageRecord, revision: u64, hosts: &mut Names) -> Option<Self> {
         let hosts: Vec<u32> = record.h.iter().map(|h| hosts.intern(h)).collect();
         let mut page = Self {
-            stamp,
+            revision,
             ..Self::default()
         };
         for (job, groups, done) in record.j {
@@ -173,7 +173,7 @@
             }
             let mut assignments = BTreeMap::new();
             for group in groups {
-                let (&[attempt, session], list) = group.split_first_chunk()?;
+                let (&[attempt, incarnation], list) = group.split_first_chunk()?;
                 let pairs = list.chunks_exact(2);
                 if !pairs.remainder().is_empty() {
                     return None;
@@ -182,7 +182,7 @@
                     let host = *hosts.get(usize::try_from(pair[0]).ok()?)?;
                     let assignment = Assignment {
                         host,
-                        session,
+                        incarnation,
                         attempt,
                     };
                     assignments.insert(u32::try_from(pair[1]).ok()?, assignment);
@@ -194,7 +194,7 @@
     }
 }
 
-/// All assignments of one job in one part, over its pages.
+/// All assignments of one job in one shard, over its pages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobAssignments {
     /// Assignments by number, and the page that each is in.
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PeerState {
     pub heartbeat: Heartbeat,
-    pub heard_at: Millis,
+    pub last_heard_at: Millis,
     pub up_since: Millis,
     /// When its newest heartbeat was made at the earliest: when ours went that it names. A
     /// heartbeat may have been held back on its way for any time.
@@ -28,13 +28,13 @@
 
 /// A worker of another's part that reported here.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stray {
+pub(crate) struct MisdirectedWorker {
     /// When it last did.
     pub(crate) at: Millis,
     /// When it was asked whether it hears.
     pub(crate) asked_at: Millis,
     /// Whether the question is under way.
-    pub(crate) asking: bool,
+    pub(crate) query_pending: bool,
     /// Whether it has answered.
-    pub(crate) hears: bool,
+    pub(crate) is_reachable: bool,
 }
