--- a/crates/cherryyard-core/src/cells.rs
+++ b/crates/cherryyard-core/src/pools.rs
@@ -1,13 +1,13 @@
-//! Cells: machine types by zone, ordinary or spot, and which of them a job's rules
+//! Pools: machine types by zone, ordinary or spot, and which of them a job's rules
 //! allow and prefer.
 //!
 //! Rules are evaluated against what all controllers know alike: the machine types and
 //! operators' attributes as the state service holds them. Nothing of it is kept in a
 //! job's record, so a change of an attribute costs one write, and what waits follows it.
 
-use crate::admit::{allows_kind, fits_kind};
+use crate::admit::{allows_machine_type, fits_machine_type};
 use cherryyard_classad::{Ad, Expr, Names, Scope, Value};
-use cherryyard_wire::cloud::HostKind;
+use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::rules::{Attributes, Rules};
 use serde::{Deserialize, Serialize};
@@ -16,23 +16,23 @@
 
 /// Most tiers of preference; what is liked less is all alike.
 const MAX_TIERS: usize = 16;
-/// Rules whose cells are kept: a flood of jobs from one file has a few.
+/// Rules whose pools are kept: a flood of jobs from one file has a few.
 const MAX_KNOWN: usize = 512;
-/// Cells that an explanation calls near.
+/// Pools that an explanation calls near.
 const MAX_NEAR: usize = 5;
 
-/// The cells that a job's rules allow, each with its tier.
+/// The pools that a job's rules allow, each with its tier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct CellSet {
+pub struct PoolSet {
     /// By type and zone: of ordinary machines, and of spot ones.
     tiers: BTreeMap<String, BTreeMap<String, [Option<u16>; 2]>>,
     count: u16,
 }
 
-impl CellSet {
-    /// How much a cell is preferred, 0 the most; none if it is excluded.
-    pub fn tier(&self, kind: &str, zone: &str, spot: bool) -> Option<u16> {
-        self.tiers.get(kind)?.get(zone)?[usize::from(spot)]
+impl PoolSet {
+    /// How much a pool is preferred, 0 the most; none if it is excluded.
+    pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
+        self.tiers.get(machine_type)?.get(zone)?[usize::from(spot)]
     }
 
     /// How many tiers there are.
@@ -40,26 +40,26 @@
         self.count
     }
 
-    fn add(&mut self, cell: &Cell, tier: u16) {
-        let zones = self.tiers.entry(cell.kind.clone()).or_default();
-        zones.entry(cell.zone.clone()).or_default()[usize::from(cell.spot)] = Some(tier);
+    fn add(&mut self, pool: &MachinePool, tier: u16) {
+        let zones = self.tiers.entry(pool.machine_type.clone()).or_default();
+        zones.entry(pool.zone.clone()).or_default()[usize::from(pool.spot)] = Some(tier);
         self.count = self.count.max(tier + 1);
     }
 }
 
-/// One cell and its attributes.
+/// One pool and its attributes.
 #[derive(Clone, Debug)]
-struct Cell {
-    kind: String,
+struct MachinePool {
+    machine_type: String,
     zone: String,
     spot: bool,
     ad: Ad,
 }
 
-impl Cell {
+impl MachinePool {
     fn name(&self) -> String {
-        let sort = if self.spot { "spot" } else { "ordinary" };
-        format!("{} in {} ({sort})", self.kind, self.zone)
+        let pool = if self.spot { "spot" } else { "ordinary" };
+        format!("{} in {} ({pool})", self.machine_type, self.zone)
     }
 }
 
@@ -67,8 +67,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Matcher {
     names: Names,
-    cells: Vec<Cell>,
-    known: HashMap<Rules, Arc<CellSet>>,
+    pools: Vec<MachinePool>,
+    known: HashMap<Rules, Arc<PoolSet>>,
 }
 
 /// Rules whose expressions have been read.
@@ -78,10 +78,10 @@
     rank: Option<Expr>,
 }
 
-/// Which cells a job may run in, and why not in others.
+/// Which pools a job may run in, and why not in others.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Cells in which it may run and fits, the most preferred first.
+    /// Pools in which it may run and fits, the most preferred first.
     pub matching: Vec<String>,
     /// Attributes that its expressions name and no machine has.
     pub unknown: Vec<String>,
@@ -96,8 +96,8 @@
         if !self.unknown.is_empty() {
             text += &format!("; no machine advertises {}", self.unknown.join(", "));
         }
-        if let Some((cell, lacks)) = self.near.first() {
-            text += &format!("; nearest: {cell}, but {}", lacks.join(", and "));
+        if let Some((pool, lacks)) = self.near.first() {
+            text += &format!("; nearest: {pool}, but {}", lacks.join(", and "));
         }
         text
     }
@@ -127,39 +127,39 @@
 
 impl Matcher {
     /// One for these types and attributes.
-    pub fn new(kinds: &[HostKind], attributes: &Attributes) -> Self {
+    pub fn new(machine_types: &[MachineType], attributes: &Attributes) -> Self {
         let mut names = Names::default();
-        let mut cells = Vec::new();
-        for kind in kinds {
-            for zone in &kind.yards {
+        let mut pools = Vec::new();
+        for machine_type in machine_types {
+            for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let mut ad = Ad::default();
                     let mut set = |name: &str, value| ad.set_value(names.intern(name), value);
                     let groups = [
                         Some(&attributes.all),
-                        attributes.kinds.get(&kind.sku),
+                        attributes.machine_types.get(&machine_type.sku),
                         attributes.zones.get(zone),
                     ];
                     for (name, value) in groups.into_iter().flatten().flatten() {
                         set(name, value_of(value));
                     }
                     set("MyType", Value::text("Machine"));
-                    set("MachineType", Value::text(&kind.sku));
+                    set("MachineType", Value::text(&machine_type.sku));
                     set("Zone", Value::text(zone));
                     set("Spot", Value::Bool(spot));
                     for name in ["Cpus", "TotalCpus"] {
-                        set(name, number(kind.cores));
+                        set(name, number(machine_type.cores));
                     }
                     for name in ["Memory", "TotalMemory"] {
-                        set(name, number(kind.ram_gb * 1024.0));
+                        set(name, number(machine_type.ram_gb * 1024.0));
                     }
                     for name in ["GPUs", "TotalGPUs"] {
-                        set(name, number(kind.accelerators));
+                        set(name, number(machine_type.accelerators));
                     }
-                    set("FetchRate", number(kind.fetch_gb_per_s));
-                    set("ImageCache", number(kind.cache_gb));
-                    cells.push(Cell {
-                        kind: kind.sku.clone(),
+                    set("FetchRate", number(machine_type.fetch_gb_per_s));
+                    set("ImageCache", number(machine_type.cache_gb));
+                    pools.push(MachinePool {
+                        machine_type: machine_type.sku.clone(),
                         zone: zone.clone(),
                         spot,
                         ad,
@@ -169,7 +169,7 @@
         }
         Self {
             names,
-            cells,
+            pools,
             known: HashMap::new(),
         }
     }
@@ -190,38 +190,38 @@
         })
     }
 
-    /// The tier of the first block that holds a cell.
-    fn block_tier(rules: &Rules, cell: &Cell) -> Option<u32> {
-        if rules.cells.is_empty() {
+    /// The tier of the first block that holds a pool.
+    fn block_tier(rules: &Rules, pool: &MachinePool) -> Option<u32> {
+        if rules.pools.is_empty() {
             return Some(0);
         }
         let within = |all: &Option<Vec<String>>, one: &String| {
             all.as_ref().is_none_or(|all| all.contains(one))
         };
-        let holds = rules.cells.iter().filter(|b| {
-            within(&b.kinds, &cell.kind)
-                && within(&b.yards, &cell.zone)
-                && b.borrowed.is_none_or(|spot| spot == cell.spot)
+        let holds = rules.pools.iter().filter(|b| {
+            within(&b.machine_types, &pool.machine_type)
+                && within(&b.zones, &pool.zone)
+                && b.spot.is_none_or(|spot| spot == pool.spot)
         });
         holds.map(|b| b.tier).min()
     }
 
     /// What a job's rules come to, for a job submitted at `at` (milliseconds of the
     /// day's clock, which is what `time()` says in them); the error names the field.
-    pub fn evaluate(&self, rules: &Rules, at: u64) -> Result<CellSet, String> {
-        Ok(self.cells_of(rules, &self.read(rules)?, at))
+    pub fn evaluate(&self, rules: &Rules, at: u64) -> Result<PoolSet, String> {
+        Ok(self.pools_of(rules, &self.read(rules)?, at))
     }
 
-    fn cells_of(&self, rules: &Rules, read: &Read, at: u64) -> CellSet {
+    fn pools_of(&self, rules: &Rules, read: &Read, at: u64) -> PoolSet {
         let my = Ad::default();
-        let mut liked: Vec<(&Cell, u32, f64)> = Vec::new();
-        for cell in &self.cells {
+        let mut liked: Vec<(&MachinePool, u32, f64)> = Vec::new();
+        for pool in &self.pools {
             let scope = Scope {
                 my: &my,
-                target: Some(&cell.ad),
+                target: Some(&pool.ad),
                 now: (at / 1000) as i64,
             };
-            let Some(tier) = Self::block_tier(rules, cell) else {
+            let Some(tier) = Self::block_tier(rules, pool) else {
                 continue;
             };
             if read.requirements.as_ref().is_some_and(|e| !scope.holds(e)) {
@@ -230,10 +230,10 @@
             // What is no number counts as 0, as published.
             let rank = read.rank.as_ref().and_then(|e| scope.evaluate(e).real());
             let rank = rank.filter(|r| r.is_finite()).unwrap_or(0.0);
-            liked.push((cell, tier, rank));
+            liked.push((pool, tier, rank));
         }
         liked.sort_by(|a, b| b.2.total_cmp(&a.2).then(a.1.cmp(&b.1)));
-        let mut set = CellSet::default();
+        let mut set = PoolSet::default();
         let mut tier = 0;
         for (i, one) in liked.iter().enumerate() {
             let less = i > 0 && (liked[i - 1].1, liked[i - 1].2) != (one.1, one.2);
@@ -247,37 +247,37 @@
 
     /// The same, kept for other jobs with the same rules. Rules that cannot be read
     /// allow nothing: they were read when the job was admitted, by another build.
-    pub fn cells(&mut self, rules: &Rules, at: u64) -> Arc<CellSet> {
+    pub fn pools(&mut self, rules: &Rules, at: u64) -> Arc<PoolSet> {
         if let Some(known) = self.known.get(rules) {
             return known.clone();
         }
-        let cells = self.evaluate(rules, at).unwrap_or_else(|e| {
+        let pools = self.evaluate(rules, at).unwrap_or_else(|e| {
             tracing::warn!("a job's rules cannot be read, and it runs nowhere: {e}");
-            CellSet::default()
+            PoolSet::default()
         });
-        let cells = Arc::new(cells);
+        let pools = Arc::new(pools);
         let texts = [&rules.requirements, &rules.rank];
         let timely = |t: &String| t.to_ascii_lowercase().contains("time");
         if !texts.into_iter().flatten().any(timely) {
             if self.known.len() >= MAX_KNOWN {
                 self.known.clear();
             }
-            self.known.insert(rules.clone(), cells.clone());
+            self.known.insert(rules.clone(), pools.clone());
         }
-        cells
+        pools
     }
 
-    /// Which cells a job may run in, which attributes it names in vain, and what
+    /// Which pools a job may run in, which attributes it names in vain, and what
     /// the nearest of the others lack.
     pub fn explain(
         &self,
         spec: &JobSpec,
         rules: &Rules,
-        kinds: &[HostKind],
+        machine_types: &[MachineType],
         at: u64,
     ) -> Result<Explanation, String> {
         let read = self.read(rules)?;
-        let set = self.cells_of(rules, &read, at);
+        let set = self.pools_of(rules, &read, at);
         let clauses: Vec<Expr> = read
             .requirements
             .as_ref()
@@ -286,7 +286,7 @@
         for expr in read.requirements.iter().chain(&read.rank) {
             for name in expr.attributes() {
                 let text = read.names.name(name).to_string();
-                if !unknown.contains(&text) && self.cells.iter().all(|c| c.ad.get(name).is_none()) {
+                if !unknown.contains(&text) && self.pools.iter().all(|c| c.ad.get(name).is_none()) {
                     unknown.push(text);
                 }
             }
@@ -294,28 +294,28 @@
         let my = Ad::default();
         let mut matching: Vec<(u16, String)> = Vec::new();
         let mut near: Vec<(String, Vec<String>)> = Vec::new();
-        for cell in &self.cells {
+        for pool in &self.pools {
             let mut lacks = Vec::new();
-            let kind = kinds.iter().find(|k| k.sku == cell.kind);
-            if !kind.is_some_and(|k| fits_kind(spec, k)) {
-                lacks.push(if allows_kind(spec, &cell.kind) {
+            let machine_type = machine_types.iter().find(|k| k.sku == pool.machine_type);
+            if !machine_type.is_some_and(|k| fits_machine_type(spec, k)) {
+                lacks.push(if allows_machine_type(spec, &pool.machine_type) {
                     "a task does not fit".to_string()
                 } else {
                     "kinds_of_host excludes it".to_string()
                 });
             }
-            if spec.yard.as_ref().is_some_and(|y| *y != cell.zone) {
+            if spec.zone.as_ref().is_some_and(|y| *y != pool.zone) {
                 lacks.push("yard excludes it".into());
             }
-            if cell.spot && !spec.borrowed {
+            if pool.spot && !spec.spot {
                 lacks.push("the job may not use spot machines".into());
             }
-            if Self::block_tier(rules, cell).is_none() {
+            if Self::block_tier(rules, pool).is_none() {
                 lacks.push("rules.cells exclude it".into());
             }
             let scope = Scope {
                 my: &my,
-                target: Some(&cell.ad),
+                target: Some(&pool.ad),
                 now: (at / 1000) as i64,
             };
             for clause in &clauses {
@@ -324,9 +324,9 @@
                     lacks.push(format!("`{}` is {value}", clause.print(&read.names)));
                 }
             }
-            match set.tier(&cell.kind, &cell.zone, cell.spot) {
-                Some(tier) if lacks.is_empty() => matching.push((tier, cell.name())),
-                _ => near.push((cell.name(), lacks)),
+            match set.tier(&pool.machine_type, &pool.zone, pool.spot) {
+                Some(tier) if lacks.is_empty() => matching.push((tier, pool.name())),
+                _ => near.push((pool.name(), lacks)),
             }
         }
         matching.sort();
@@ -344,21 +344,21 @@
 mod tests {
     use super::*;
 
-    fn kind(sku: &str, cores: f64, yards: &[&str]) -> HostKind {
+    fn kind(sku: &str, cores: f64, zones: &[&str]) -> MachineType {
         let text = serde_json::json!({ "sku": sku, "cores": cores, "ram_gb": 4.0 * cores,
-            "fetch_gb_per_s": 0.5, "yards": yards });
+            "fetch_gb_per_s": 0.5, "yards": zones });
         serde_json::from_value(text).unwrap()
     }
 
-    fn matcher() -> (Matcher, Vec<HostKind>) {
-        let kinds = vec![kind("m4", 4.0, &["a", "b"]), kind("m8", 8.0, &["b", "c"])];
+    fn matcher() -> (Matcher, Vec<MachineType>) {
+        let machine_types = vec![kind("m4", 4.0, &["a", "b"]), kind("m8", 8.0, &["b", "c"])];
         let attributes = serde_json::json!({
             "all": { "OpSys": "LINUX" },
             "kinds": { "m8": { "Department": "posting" } },
             "zones": { "c": { "Department": "ledger", "Racks": [3, 4] } } });
         let attributes: Attributes = serde_json::from_value(attributes).unwrap();
         attributes.check().unwrap();
-        (Matcher::new(&kinds, &attributes), kinds)
+        (Matcher::new(&machine_types, &attributes), machine_types)
     }
 
     fn rules(requirements: &str, rank: &str) -> Rules {
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Cells that are no product of types and zones, attributes by type and zone, and
+    /// Pools that are no product of types and zones, attributes by type and zone, and
     /// what an unknown attribute gives.
     #[test]
     fn requirements_choose_cells() {
@@ -378,10 +378,10 @@
         let all = |r: &Rules| {
             let set = m.evaluate(r, 0).unwrap();
             let mut text = String::new();
-            for cell in &m.cells {
-                if let Some(t) = set.tier(&cell.kind, &cell.zone, cell.spot) {
-                    let spot = if cell.spot { "*" } else { "" };
-                    text += &format!("{}/{}{spot}:{t} ", cell.kind, cell.zone);
+            for pool in &m.pools {
+                if let Some(t) = set.tier(&pool.machine_type, &pool.zone, pool.spot) {
+                    let spot = if pool.spot { "*" } else { "" };
+                    text += &format!("{}/{}{spot}:{t} ", pool.machine_type, pool.zone);
                 }
             }
             text.trim_end().to_string()
@@ -408,8 +408,8 @@
             ),
             ("!Spot && time() == 7", "", ""),
         ];
-        for (requirements, rank, cells) in table {
-            assert_eq!(all(&rules(requirements, rank)), cells, "{requirements}");
+        for (requirements, rank, pools) in table {
+            assert_eq!(all(&rules(requirements, rank)), pools, "{requirements}");
         }
         assert_eq!(
             m.evaluate(&rules("time() == 7", ""), 7_900)
@@ -429,14 +429,17 @@
     /// A user is told which attribute no machine has, and what the nearest lack.
     #[test]
     fn what_matches_nothing_is_explained() {
-        let (m, kinds) = matcher();
+        let (m, machine_types) = matcher();
         let spec = serde_json::json!({ "id": "j-000001", "jobclass": "c", "owner": "t",
             "shape": "sweep", "rank": "standard", "pieces": 1, "cores": 6.0,
             "accelerators": 0.0, "ram_gb": 1.0, "bundle": "b", "image_gb": 0.0,
             "together": false, "apart": false, "borrowed": false, "expected_s": 1.0,
             "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0 });
         let spec: JobSpec = serde_json::from_value(spec).unwrap();
-        let why = |text: &str| m.explain(&spec, &rules(text, ""), &kinds, 0).unwrap();
+        let why = |text: &str| {
+            m.explain(&spec, &rules(text, ""), &machine_types, 0)
+                .unwrap()
+        };
         let none = why("HasGluster && Department == \"posting\" && OpSys == \"LINUX\"");
         assert_eq!(none.matching, Vec::<String>::new());
         assert_eq!(
--- a/crates/cherryyard-core/src/parting.rs
+++ b/crates/cherryyard-core/src/shard_map.rs
@@ -1,16 +1,16 @@
-//! Which part a machine belongs to: a pure function of its zone and number.
+//! Which shard a machine belongs to: a pure function of its zone and number.
 
 use std::collections::HashMap;
 
 /// The parting of the machines among the controllers.
 #[derive(Clone, Debug)]
-pub struct Parting {
+pub struct ShardMap {
     by_zone: HashMap<String, Vec<usize>>,
     count: usize,
 }
 
-impl Parting {
-    /// One part per controller, in the order that all controllers agree on.
+impl ShardMap {
+    /// One shard per controller, in the order that all controllers agree on.
     pub fn new(controllers: &[(String, String)]) -> Self {
         let mut by_zone: HashMap<String, Vec<usize>> = HashMap::new();
         for (i, (_, zone)) in controllers.iter().enumerate() {
@@ -22,14 +22,14 @@
         }
     }
 
-    /// How many parts there are.
+    /// How many shards there are.
     pub fn count(&self) -> usize {
         self.count
     }
 
     /// The part of machine `host` in `zone`: the controller in its zone; with
     /// none or several there, the machines are spread by number.
-    pub fn part(&self, zone: &str, host: &str) -> usize {
+    pub fn shard(&self, zone: &str, host: &str) -> usize {
         let digits = host
             .rfind(|c: char| !c.is_ascii_digit())
             .map_or(host, |i| &host[i + 1..]);
@@ -41,7 +41,7 @@
                 .fold(0usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into())),
         };
         match self.by_zone.get(zone) {
-            Some(parts) => parts[number % parts.len()],
+            Some(shards) => shards[number % shards.len()],
             None => number % self.count,
         }
     }
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -7,7 +7,7 @@
 //! so whoever wrote it plans a smaller one: it is divided, waits, or is refused, and is
 //! never sent again unchanged.
 
-use crate::node::Node;
+use crate::controller::Controller;
 use crate::{Config, Millis};
 use cherryyard_wire::state::{Apply, Commit};
 
@@ -21,7 +21,7 @@
 
 /// In what a transaction exceeds the limits.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Excess {
+pub enum RateExcess {
     /// A value is too large.
     #[error("{key}: a value of {bytes} bytes, and {most} are allowed")]
     Value {
@@ -74,25 +74,25 @@
 
 impl Config {
     /// Whether a transaction keeps within the limits.
-    pub fn check_commit(&self, commit: &Commit) -> Result<(), Excess> {
+    pub fn check_commit(&self, commit: &Commit) -> Result<(), RateExcess> {
         if let Some((bytes, key)) = largest_value(commit)
             && bytes > self.value_bytes
         {
             let key = key.to_string();
             let most = self.value_bytes;
-            return Err(Excess::Value { key, bytes, most });
+            return Err(RateExcess::Value { key, bytes, most });
         }
         let (count, most) = (commit.apply.len(), self.txn_ops);
         if count > most {
-            return Err(Excess::Changes { count, most });
+            return Err(RateExcess::Changes { count, most });
         }
         let (count, most) = (commit.when.len(), self.max_conditions());
         if count > most {
-            return Err(Excess::Conditions { count, most });
+            return Err(RateExcess::Conditions { count, most });
         }
         let bytes = whole_bytes(commit);
         if bytes > MAX_TRANSACTION {
-            return Err(Excess::Whole { bytes });
+            return Err(RateExcess::Whole { bytes });
         }
         Ok(())
     }
@@ -117,7 +117,7 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// The state service has called a transaction malformed: what is written from now
     /// on is smaller.
     pub fn commit_refused_as_malformed(&mut self, refused: &Commit) {
@@ -142,8 +142,8 @@
             "the announced rate of writes is kept to"
         );
         self.config.set_writes_per_s(next);
-        for part in &mut self.parts {
-            part.budget.set_rate(self.config.round_writes_per_s, now);
+        for shard in &mut self.shards {
+            shard.budget.set_rate(self.config.cycle_writes_per_s, now);
         }
         self.leader.set_write_rates(&self.config, now);
         self.set_user_rate(now);
--- a/crates/cherryyard-core/src/pace.rs
+++ b/crates/cherryyard-core/src/token_bucket.rs
@@ -4,7 +4,7 @@
 
 /// What may still be spent, and who has been sent away to come back.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct TokenBucket {
     rate: f64,
     most: f64,
     left: f64,
@@ -12,7 +12,7 @@
     at: Millis,
 }
 
-impl Pace {
+impl TokenBucket {
     /// A share of `rate` a second, of which two seconds' worth may be saved up.
     pub fn new(rate: f64, now: Millis) -> Self {
         let most = (rate * 2.0).max(3.0);
@@ -72,19 +72,21 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Pace;
+    use super::TokenBucket;
 
     /// A flood is let through at the rate, and the rest is spread over the
     /// time that it will take.
     #[test]
     fn a_flood_is_spread() {
-        let mut pace = Pace::new(4.0, 0.0);
-        pace.left(2000.0);
-        let answers: Vec<_> = (0..40).map(|_| pace.take(2000.0)).collect();
+        let mut write_budget = TokenBucket::new(4.0, 0.0);
+        write_budget.left(2000.0);
+        let answers: Vec<_> = (0..40).map(|_| write_budget.take(2000.0)).collect();
         assert_eq!(answers.iter().filter(|a| a.is_ok()).count(), 8);
         let last = |n: u32| answers.iter().filter(|a| **a == Err(n)).count();
         assert_eq!((last(1), last(4), last(8), last(9)), (4, 4, 4, 0));
-        let later = (0..40).filter(|_| pace.take(4000.0).is_ok()).count();
+        let later = (0..40)
+            .filter(|_| write_budget.take(4000.0).is_ok())
+            .count();
         assert_eq!(later, 8);
     }
 }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -1,16 +1,16 @@
 //! Users' writes and polls: who takes them, when they are refused, and what is told.
 
 use crate::Millis;
-use crate::node::Node;
+use crate::controller::Controller;
 use cherryyard_wire::job::{JobStatus, JobView};
 use cherryyard_wire::record::End;
 use cherryyard_wire::state::Commit;
 
 /// Part of its users' writes that a controller lends to the leader.
-const LENT_PART: f64 = 0.6;
+const LENT_SHARE: f64 = 0.6;
 /// How long a leader goes by what a controller has last named.
 const LENT_MS: f64 = 2000.0;
-/// How long a leader goes by what it last saw of its claim.
+/// How long a leader goes by what it last saw of its lease.
 const LEADS_MS: f64 = 3000.0;
 
 /// Lateness above which polls are refused at once: with the wait for a barrier
@@ -21,7 +21,7 @@
 
 /// What a user can be told of a job.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Tell {
+pub enum UserAnswer {
     /// This.
     View(JobView),
     /// Nothing yet: first all has to be read that was durable when the user asked.
@@ -32,23 +32,23 @@
     Unknown,
 }
 
-impl Node {
+impl Controller {
     /// What a user can be told of a job: a final state at once, any other only if all
     /// that was durable when the user asked has been read (`caught_up`).
-    pub fn tell(&self, job: u64, caught_up: bool, now: Millis) -> Tell {
+    pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
             // Other controllers may count on our having told nobody.
             // One that never had a task is in nobody's way.
             Some((JobStatus::Cancelled, view))
-                if view.cancelled_by.is_none() && !self.may_tell_cancelled(job, now) =>
+                if view.cancelled_by.is_none() && !self.may_confirm_cancelled(job, now) =>
             {
-                Tell::NotYet
+                UserAnswer::NotYet
             }
-            Some((JobStatus::Done | JobStatus::Cancelled, view)) => Tell::View(view),
-            _ if !caught_up => Tell::Barrier,
-            Some((_, view)) => Tell::View(view),
-            None => Tell::Unknown,
+            Some((JobStatus::Done | JobStatus::Cancelled, view)) => UserAnswer::View(view),
+            _ if !caught_up => UserAnswer::Barrier,
+            Some((_, view)) => UserAnswer::View(view),
+            None => UserAnswer::Unknown,
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Sets the rate at which this controller may make users' writes, which leave room
-    /// for claims and assignments. Each has an even part of the budget, and lends most of it to
+    /// for leases and assignments. Each has an even part of the budget, and lends most of it to
     /// the leader, to whom submissions are passed on, while the two hear each other.
     ///
     /// No part is used twice. A leader uses what a controller lends for a time after it
@@ -70,51 +70,55 @@
     /// time after it heard that message. And a leader uses anything lent only for a time
     /// after it last saw itself lead, its successor not before that time has passed.
     pub(crate) fn set_user_rate(&mut self, now: Millis) {
-        let even = self.config.user_writes_per_s / self.parts.len() as f64;
+        let even = self.config.user_writes_per_s / self.shards.len() as f64;
         let me = self.config.me;
         let rate = if self.leader.leads(&self.mirror) {
-            let seen = now - self.seen_at <= LEADS_MS && self.caught_up();
+            let reported = now - self.state_read_at <= LEADS_MS && self.caught_up();
             let waited = now - self.leader.since >= LEADS_MS * 1.01;
             let lends = |i: &usize| self.named_at(*i).is_some_and(|at| now - at <= LENT_MS);
-            let lenders = (0..self.parts.len()).filter(|&i| i != me).filter(lends);
-            let lenders = if seen && waited { lenders.count() } else { 0 };
-            even * (1.0 + LENT_PART * lenders as f64)
+            let lenders = (0..self.shards.len()).filter(|&i| i != me).filter(lends);
+            let lenders = if reported && waited {
+                lenders.count()
+            } else {
+                0
+            };
+            even * (1.0 + LENT_SHARE * lenders as f64)
         } else {
-            let label = self.mirror.lead.as_ref().map(|c| &c.label);
+            let label = self.mirror.leader_lease.as_ref().map(|c| &c.label);
             let leader = self.config.labels.iter().position(|l| Some(l) == label);
             let heard = leader.and_then(|i| self.peers[i].as_ref());
-            let lent = heard.is_some_and(|p| now - p.heard_at <= LENT_MS * 1.25);
-            even * if lent { 1.0 - LENT_PART } else { 1.0 }
+            let lent = heard.is_some_and(|peer| now - peer.last_heard_at <= LENT_MS * 1.25);
+            even * if lent { 1.0 - LENT_SHARE } else { 1.0 }
         };
-        self.user_pace.set_rate(rate, now);
+        self.user_write_budget.set_rate(rate, now);
     }
 
     /// Whether a chunk of a submission may go to the state service now; if not, after
     /// how many seconds to come back.
     pub fn take_user_write(&mut self, now: Millis) -> Result<(), u32> {
         self.set_user_rate(now);
-        self.user_pace.take(now)
+        self.user_write_budget.take(now)
     }
 
     /// Notes a user's write that cannot wait.
     pub fn spend_user_write(&mut self, now: Millis) {
-        if self.user_pace.left(now) > -self.user_pace.overdraft() {
-            self.user_pace.spend(1.0);
+        if self.user_write_budget.left(now) > -self.user_write_budget.overdraft() {
+            self.user_write_budget.spend(1.0);
         }
     }
 
     /// Who should write a submission instead of this controller: the leader,
     /// as it divides the job in the same write; or, if the state service does
     /// not answer here, anyone whom it answers.
-    pub fn whom_to_ask(&self, now: Millis) -> Option<&str> {
+    pub fn forwarding_target(&self, now: Millis) -> Option<&str> {
         if self.leader.leads(&self.mirror) && self.state_fresh(now) {
             return None;
         }
         let able = |i: &usize| {
             *i != self.config.me
-                && self.peers[*i]
-                    .as_ref()
-                    .is_some_and(|p| now - p.heard_at < 1200.0 && !p.heartbeat.cut_off)
+                && self.peers[*i].as_ref().is_some_and(|peer| {
+                    now - peer.last_heard_at < 1200.0 && !peer.heartbeat.cut_off
+                })
         };
         let all = 0..self.config.labels.len();
         let leader = all
@@ -137,12 +141,12 @@
     }
 
     /// Takes a user's transaction (a cancellation, or a chunk of a submission).
-    pub fn user_committed(&mut self, commit: &Commit, epoch: u64, now: Millis) {
+    pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
         self.notice(now);
-        self.newest_epoch = self.newest_epoch.max(epoch);
-        self.mirror.committed(commit, epoch);
-        for part in &mut self.parts {
-            part.dirty = true;
+        self.newest_revision = self.newest_revision.max(store_revision);
+        self.mirror.committed(commit, store_revision);
+        for shard in &mut self.shards {
+            shard.dirty = true;
         }
         self.leader.dirty = true;
         self.run(now);
@@ -150,11 +154,11 @@
 
     /// Whether users' polls are refused for now.
     pub fn refuses_polls(&self, now: Millis) -> bool {
-        self.lateness.now(now) > POLLS_MS
+        self.lag.now(now) > POLLS_MS
     }
 
     /// Whether submissions are refused for now.
     pub fn refuses_submissions(&self, now: Millis) -> bool {
-        self.lateness.now(now) > SUBMISSIONS_MS
+        self.lag.now(now) > SUBMISSIONS_MS
     }
 }
--- a/crates/cherryyard-core/tests/hang_model.rs
+++ b/crates/cherryyard-core/tests/hang_model.rs
@@ -3,7 +3,7 @@
 //! later than `CANCEL` after its user was told. (That it never runs twice is the concern of
 //! the lease's model; the state service serves everybody here.)
 //!
-//! The rule is that of `Node::return_cancelled`; each mutant leaves a part of it out and
+//! The rule is that of `Controller::release_with_cancelled_tasks`; each mutant leaves a part of it out and
 //! must be caught.
 
 use pathfinding::directed::bfs::bfs_reach;
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct State {
     t: u8,
-    /// The owner's token, and since when it owns the part.
+    /// The owner's token, and since when it owns the shard.
     token: u8,
     since: u8,
     /// Since when it has heard nothing of the machine.
@@ -117,7 +117,7 @@
     add(s.t < END, &|n| {
         n.t += 1;
         if !n.hangs && n.t > n.lease {
-            // Its session is over, and what was sent to it.
+            // Its incarnation is over, and what was sent to it.
             (n.there, n.start, n.lease) = (false, None, n.t + LEASE);
         }
         // What is too old to matter is all alike.
@@ -139,7 +139,7 @@
         (n.hangs, n.left.1) = (true, n.left.1 - 1);
     });
     add(s.hangs, &|n| {
-        // What was sent comes first, or the end of its session does.
+        // What was sent comes first, or the end of its incarnation does.
         n.hangs = false;
         carry_out(n);
     });
@@ -166,7 +166,7 @@
     (count, bad)
 }
 
-/// The rule holds with up to five changes of owner, and each of its parts is needed.
+/// The rule holds with up to five changes of owner, and each of its shards is needed.
 #[test]
 fn a_machine_hangs_with_a_start_on_its_way() {
     let rules = Mutant::default();
--- a/crates/cherryyard-core/tests/lease_model.rs
+++ b/crates/cherryyard-core/tests/lease_model.rs
@@ -5,7 +5,7 @@
 //! checked: the task is never given to another machine while it is there, and is gone
 //! `CANCEL` after its job's user was told.
 //!
-//! The rules are those of `Node::answering`, `may_extend_lease`, `told_of_cancellations`,
+//! The rules are those of `Controller::answering`, `may_extend_lease`, `told_of_cancellations`,
 //! `may_tell_cancelled` and `expire`; each mutant leaves one out and must be caught.
 
 use pathfinding::directed::bfs::bfs_reach;
@@ -91,7 +91,7 @@
     /// When its user was told.
     told_at: Option<u8>,
     /// The worker's highest token, the end of its lease, and whether the task is there.
-    baton: u8,
+    fencing_token: u8,
     lease: u8,
     there: bool,
     c: [Controller; 2],
@@ -151,7 +151,7 @@
         claim: (1, 0),
         cancelled: None,
         told_at: None,
-        baton: 1,
+        fencing_token: 1,
         lease: LEASE,
         there: true,
         c: [c(1), c(0)],
@@ -278,14 +278,14 @@
 
 /// The worker reports to a controller, which answers or does not.
 fn report(s: &mut State, i: usize, mutant: Mutant) -> bool {
-    let (t, baton) = (s.t, s.baton);
+    let (t, fencing_token) = (s.t, s.fencing_token);
     let c = &mut s.c[i];
     let knows = c.knows() || mutant.outage_is_enough;
     let outage = c.all_cut(t) && knows;
-    if c.read && c.token > 0 && c.token >= baton && (t - c.seen <= BOUND || outage) {
-        c.shown |= baton == c.token;
+    if c.read && c.token > 0 && c.token >= fencing_token && (t - c.seen <= BOUND || outage) {
+        c.shown |= fencing_token == c.token;
         c.answered = t;
-        s.baton = c.token;
+        s.fencing_token = c.token;
         s.lease = t + LEASE;
         if c.learnt.is_some() || c.told {
             s.there = false;
@@ -293,7 +293,7 @@
         return true;
     }
     let word = c.heard.is_some_and(|h| {
-        let own = h.claim == (baton, i);
+        let own = h.claim == (fencing_token, i);
         t - h.at <= RELIED && (h.complete || mutant.without_word) && (own || mutant.any_token)
     });
     let reaches = t - s.c[1 - i].since > LEASE || mutant.without_word;
@@ -492,7 +492,7 @@
     })
 }
 
-/// The rules hold whatever comes, and each of their parts is needed: with one change
+/// The rules hold whatever comes, and each of their shards is needed: with one change
 /// of the service and an end, or a freeze.
 #[test]
 fn leases_in_an_outage() {
--- a/crates/cherryyard-core/tests/share_model.rs
+++ b/crates/cherryyard-core/tests/share_model.rs
@@ -22,7 +22,7 @@
 }
 
 const FLOOR: u64 = 2;
-const PART: u64 = 9;
+const SHARD: u64 = 9;
 /// The first leader has led for long; the second may begin to lead at any time.
 const START: u8 = 4;
 const END: u8 = 9;
@@ -42,7 +42,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Leader {
     /// Its claim, and whether it believes that it leads.
-    stamp: u64,
+    revision: u64,
     leads: bool,
     since: T,
     seen: T,
@@ -83,9 +83,9 @@
 }
 
 fn start(left: (u8, u8, u8)) -> State {
-    let leader = |stamp| Leader {
-        stamp,
-        leads: stamp == 1,
+    let leader = |revision| Leader {
+        revision,
+        leads: revision == 1,
         since: T(0),
         seen: T(START),
         accounts: Default::default(),
@@ -114,7 +114,7 @@
         let levels = self
             .owners
             .iter()
-            .filter_map(|o| o.level?.now(PART, self.t));
+            .filter_map(|o| o.level?.now(SHARD, self.t));
         levels.sum()
     }
 
@@ -126,8 +126,8 @@
         let seen = if m.no_seen { t } else { l.seen };
         for p in 0..2 {
             l.accounts[p].meet(Under {
-                lead: l.stamp,
-                part: PART,
+                leader_token: l.revision,
+                shard: SHARD,
             });
             if is_over(l.heard[p].1, t) && !m.never_over {
                 l.accounts[p].lapse();
@@ -159,7 +159,14 @@
     fn tell(&mut self, i: usize, p: usize) -> Message {
         let l = &mut self.leaders[i];
         l.number += 1;
-        Message::Told(i, p, l.number, l.stamp, l.accounts[p].level(), l.heard[p].0)
+        Message::Told(
+            i,
+            p,
+            l.number,
+            l.revision,
+            l.accounts[p].level(),
+            l.heard[p].0,
+        )
     }
 
     fn name(&mut self, p: usize, i: usize) -> Message {
@@ -182,7 +189,10 @@
                 } else {
                     o.sent[heard as usize % 4]
                 };
-                let under = Under { lead, part: PART };
+                let under = Under {
+                    leader_token: lead,
+                    shard: SHARD,
+                };
                 let new = Level {
                     under,
                     number,
@@ -226,7 +236,7 @@
             if self.leaders[i].leads {
                 add(&|s| {
                     let t = s.t;
-                    if s.lead == s.leaders[i].stamp {
+                    if s.lead == s.leaders[i].revision {
                         s.leaders[i].seen = t;
                     } else {
                         s.leaders[i].leads = false;
--- a/crates/cherryyard-rehearsal/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -2,7 +2,7 @@
 //! it costs, on a simulated clock: by the budgets of a state service, with the leader
 //! ending midway and without.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use clap::Parser;
 
@@ -65,8 +65,11 @@
             && created as f64 >= share * f64::from(args.jobs)
         {
             ended = true;
-            let leads = |n: &cherryyard_core::Node| n.lead_stamp().is_some();
-            let at = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+            let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+            let at = w
+                .controllers
+                .iter()
+                .position(|n| n.as_ref().is_some_and(leads));
             let at = at.expect("a leader");
             w.kill(at);
             w.start(at);
--- a/crates/cherryyard-rehearsal/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -2,18 +2,18 @@
 //! state service with jobs that are over, starts the real program on it over
 //! loopback, and prints a line.
 
+use cherryyard_clients::http::Http;
 use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
-use cherryyard_io::http::Http;
-use cherryyard_rehearsal::http::{Budgets, HttpState};
-use cherryyard_rehearsal::process::{self, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_kind};
+use cherryyard_simulation::http::{Budgets, HttpState};
+use cherryyard_simulation::process::{self, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::history::{LAST, PackedRecord};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, KINDS, PACKED, PageRecord, Use,
-    assignments_key, bucket_key, job_hash, job_key,
+    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, MACHINE_TYPES_KEY, PACKED,
+    PageRecord, Use, assignments_key, bucket_key, job_hash, job_key,
 };
 use clap::Parser;
 use rand::rngs::StdRng;
@@ -128,8 +128,8 @@
 }
 
 fn fill(state: &mut StateStandIn, args: &Args, ids: &[u64]) {
-    let kind = small_kind(vec!["a".into()]);
-    state.seed(KINDS, &[kind]);
+    let machine_type = small_machine_type(vec!["a".into()]);
+    state.seed(MACHINE_TYPES_KEY, &[machine_type]);
     fill_open(state, args);
     if args.format < BUCKETS {
         for &id in ids {
@@ -171,9 +171,9 @@
     let mut rest = ids.chunks(350).peekable();
     while let Some(chunk) = rest.next() {
         let jobs: Vec<FinishedJob> = chunk.iter().map(|&id| past(id)).collect();
-        let pieces = Leaf::default().merged_with(&jobs, 0, 4032);
-        let count = pieces.len();
-        for (i, leaf) in pieces.into_iter().enumerate() {
+        let task_count = Leaf::default().merged_with(&jobs, 0, 4032);
+        let count = task_count.len();
+        for (i, leaf) in task_count.into_iter().enumerate() {
             let last = leaf.jobs().last().map_or(LAST, |p| p.job);
             let open = rest.peek().is_none() && i + 1 == count;
             let last = if open { LAST } else { last };
@@ -244,9 +244,9 @@
             } else {
                 rng.random_range(0..LAST)
             };
-            let asked = Instant::now();
+            let queried = Instant::now();
             let status = get(format!("/v2/runs/{}", job_id(id))).await;
-            worst = worst.max(asked.elapsed());
+            worst = worst.max(queried.elapsed());
             let expected = if old && !ids.is_empty() { 200 } else { 404 };
             good += u64::from(status == Ok(expected));
         }
--- a/crates/cherryyard-rehearsal/src/trouble.rs
+++ b/crates/cherryyard-simulation/src/fault.rs
@@ -1,11 +1,11 @@
 //! Troubles by name, each of which begins and ends: what random days draw from.
 
 use crate::World;
-use cherryyard_core::Node;
+use cherryyard_core::Controller;
 
 /// A trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// The leader is down.
     LeaderDown,
     /// All controllers are.
@@ -45,12 +45,12 @@
     /// A zone's machines cannot be reached.
     ZoneSilent,
     /// A third of the machines reach no controller, while direct commands reach them.
-    Mute,
+    OneWaySilence,
     /// Copies of reports are kept for the next leader, and come to all controllers.
     CopiesForNext,
     /// Transactions are carried out at once and get no answer.
     LostAnswers,
-    /// Rented machines are up within two seconds, and rentals' answers are lost.
+    /// Rented machines are up within two seconds, and provisioning requests' answers are lost.
     FastBoots,
     /// Users call off jobs that run, and their machines hang.
     CancelNow,
@@ -67,8 +67,8 @@
 }
 
 /// Those of the pairs of before, in the order in which their seeds know them.
-pub const OLDER: [Trouble; 19] = {
-    use Trouble::*;
+pub const OLDER: [Fault; 19] = {
+    use Fault::*;
     [
         LeaderDown,
         AllDown,
@@ -93,10 +93,10 @@
 };
 
 /// The further ones.
-pub const NEWER: [Trouble; 10] = {
-    use Trouble::*;
+pub const NEWER: [Fault; 10] = {
+    use Fault::*;
     [
-        Mute,
+        OneWaySilence,
         CopiesForNext,
         LostAnswers,
         FastBoots,
@@ -111,35 +111,38 @@
 
 /// Who leads, or the first controller.
 pub fn leader(w: &World) -> usize {
-    let leads = |n: &Node| n.lead_stamp().is_some();
-    let at = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+    let leads = |n: &Controller| n.leadership_token().is_some();
+    let at = w
+        .controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads));
     at.unwrap_or(0)
 }
 
-impl Trouble {
+impl Fault {
     /// Begins it.
     pub fn begin(self, w: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
         let mut some =
             |of: u64| -> Vec<String> { hosts.iter().filter(|_| draw(of) == 0).cloned().collect() };
-        let lead = leader(w);
-        let all = w.nodes.len();
+        let leader_index = leader(w);
+        let all = w.controllers.len();
         let n = all as u64;
         match self {
-            Self::LeaderDown => w.kill(lead),
+            Self::LeaderDown => w.kill(leader_index),
             Self::AllDown => (0..all).for_each(|i| w.kill(i)),
             Self::LeaderAlone => {
-                w.refused.insert(lead);
-                w.alone.insert(lead);
+                w.refused.insert(leader_index);
+                w.alone.insert(leader_index);
             }
             Self::Unreachable => w.unreachable.extend(some(3)),
             Self::OneWay => w.one_way.extend(some(3)),
-            Self::LeaderRefused => drop(w.refused.insert(lead)),
+            Self::LeaderRefused => drop(w.refused.insert(leader_index)),
             Self::Outage => w.refused.extend(0..all),
             Self::SlowCommands => w.slow_direct.extend(some(2)),
             Self::LateWrites => w.late_writes = 10 + draw(40),
             Self::Copies => w.copies_ms = Some(500.0 + draw(40_000) as f64),
-            Self::Frozen => drop(w.frozen.insert(lead)),
+            Self::Frozen => drop(w.frozen.insert(leader_index)),
             Self::Deaf => drop(w.deaf.insert(draw(n) as usize)),
             Self::Reborn => {
                 let all = some(5);
@@ -150,7 +153,7 @@
                 w.late.insert(draw(n) as usize, 800.0 + draw(2000) as f64);
             }
             Self::SlowState => w.slow_ms = 200.0 + draw(4000) as f64,
-            Self::SuccessorDown => w.kill((lead + 1) % all),
+            Self::SuccessorDown => w.kill((leader_index + 1) % all),
             Self::CloudDown => {
                 // Without a release nothing can be done about a machine that hangs beyond
                 // the time of a cancellation with a start on its way (docs/restart.md).
@@ -158,20 +161,20 @@
                 w.cloud_down = true;
             }
             Self::ZoneSilent => {
-                let zone = w.workers.values().filter(|x| x.yard == "b");
+                let zone = w.workers.values().filter(|x| x.zone == "b");
                 let zone: Vec<String> = zone.map(|x| x.host.clone()).collect();
                 w.unreachable.extend(zone);
             }
-            Self::Mute => w.mute.extend(some(3)),
+            Self::OneWaySilence => w.one_way_silent.extend(some(3)),
             Self::CopiesForNext => w.copies_for_next = true,
             Self::LostAnswers => w.lost_answers = 10 + draw(40),
             Self::FastBoots => {
-                w.boot_ms = Some(draw(2000) as f64);
-                w.hires_unanswered = draw(2) == 0;
+                w.provisioning_ms = Some(draw(2000) as f64);
+                w.provisions_unanswered = draw(2) == 0;
             }
             Self::CancelNow => {
                 let running = w.workers.values().flat_map(|x| {
-                    let here = x.pieces.iter().filter(|p| p.1.2.is_none());
+                    let here = x.tasks.iter().filter(|p| p.1.2.is_none());
                     here.map(|p| (p.0.split('/').next().unwrap_or_default(), &x.host))
                 });
                 let running: Vec<(String, String)> =
@@ -205,8 +208,8 @@
     pub fn finish(self, w: &mut World) {
         match self {
             Self::LeaderDown | Self::AllDown | Self::SuccessorDown => {
-                for i in 0..w.nodes.len() {
-                    if w.nodes[i].is_none() {
+                for i in 0..w.controllers.len() {
+                    if w.controllers[i].is_none() {
                         w.start(i);
                     }
                 }
@@ -231,12 +234,12 @@
             Self::Behind => w.late.clear(),
             Self::SlowState => w.slow_ms = 0.0,
             Self::CloudDown => w.cloud_down = false,
-            Self::Mute => w.mute.clear(),
+            Self::OneWaySilence => w.one_way_silent.clear(),
             Self::CopiesForNext => w.copies_for_next = false,
             Self::LostAnswers => w.lost_answers = 0,
             Self::FastBoots => {
-                w.boot_ms = Some(5000.0);
-                w.hires_unanswered = false;
+                w.provisioning_ms = Some(5000.0);
+                w.provisions_unanswered = false;
             }
             Self::CancelNow => {
                 w.deliver_direct();
@@ -255,8 +258,8 @@
 
     /// Ends all that may be going on: nothing fails any more.
     pub fn finish_all(w: &mut World) {
-        for trouble in OLDER.into_iter().chain(NEWER) {
-            trouble.finish(w);
+        for fault in OLDER.into_iter().chain(NEWER) {
+            fault.finish(w);
         }
     }
 }
--- a/crates/cherryyard-rehearsal/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -63,7 +63,8 @@
     delete: Option<String>,
     #[serde(default)]
     v: Json,
-    hold: Option<u64>,
+    #[serde(rename = "hold")]
+    lease_id: Option<u64>,
 }
 
 impl HttpState {
@@ -150,19 +151,19 @@
                 service.reads += 1;
                 let prefix = query("starts").unwrap_or_default();
                 let (pairs, truncated) = service.state.page(&prefix, since.as_deref(), most);
-                let epoch = service.state.epoch();
+                let store_revision = service.state.store_revision();
                 let pairs = json!(pairs);
                 (
                     200,
-                    json!({ "pairs": pairs, "truncated": truncated, "epoch": epoch }),
+                    json!({ "pairs": pairs, "truncated": truncated, "epoch": store_revision }),
                 )
             }
             ("GET", ["store", ..]) => {
                 let key = &path["/store/".len()..];
                 let service = self.lock();
                 match service.state.get(key) {
-                    Some((v, stamp)) => (200, json!({ "key": key, "v": v, "stamp": stamp })),
-                    None => (404, json!({ "epoch": service.state.epoch() })),
+                    Some((v, revision)) => (200, json!({ "key": key, "v": v, "stamp": revision })),
+                    None => (404, json!({ "epoch": service.state.store_revision() })),
                 }
             }
             ("GET", ["follow"]) => {
@@ -175,9 +176,9 @@
                         if !service.state.remembers(since) {
                             return (410, json!({}));
                         }
-                        let news = service.state.news(since);
-                        if !news.news.is_empty() || Instant::now() >= until {
-                            return (200, json!(news));
+                        let events = service.state.events(since);
+                        if !events.events.is_empty() || Instant::now() >= until {
+                            return (200, json!(events));
                         }
                     }
                     tokio::time::sleep(Duration::from_millis(5)).await;
@@ -185,18 +186,18 @@
             }
             ("POST", ["holds"]) => {
                 let until = self.now_ms() + 5000.0;
-                (200, json!({ "hold": self.lock().state.hold(until) }))
+                (200, json!({ "hold": self.lock().state.grant_lease(until) }))
             }
             ("POST", ["holds", id, "touch"]) => {
                 let until = self.now_ms() + 5000.0;
                 let known = id
                     .parse()
-                    .is_ok_and(|id| self.lock().state.touch(id, until));
+                    .is_ok_and(|id| self.lock().state.renew_lease(id, until));
                 (if known { 200 } else { 404 }, json!({}))
             }
             ("DELETE", ["holds", id]) => {
                 if let Ok(id) = id.parse() {
-                    self.lock().state.end_hold(id);
+                    self.lock().state.end_lease(id);
                 }
                 (200, json!({}))
             }
@@ -218,7 +219,7 @@
                     (Some(set), _) => Some(Apply::Set {
                         set,
                         v: a.v,
-                        hold: a.hold,
+                        lease_id: a.lease_id,
                     }),
                     (None, Some(delete)) => Some(Apply::Delete { delete }),
                     (None, None) => None,
@@ -229,8 +230,10 @@
             return (429, json!({}));
         }
         match self.lock().state.commit_within_limits(&commit) {
-            Outcome::Applied(epoch) => (200, json!({ "epoch": epoch })),
-            Outcome::Conflict(epoch) => (409, json!({ "failed": [], "epoch": epoch })),
+            Outcome::Applied(store_revision) => (200, json!({ "epoch": store_revision })),
+            Outcome::Conflict(store_revision) => {
+                (409, json!({ "failed": [], "epoch": store_revision }))
+            }
             Outcome::NoLease => (400, json!({ "error": "no such lease" })),
             Outcome::Malformed => (400, json!({ "error": "too large" })),
             Outcome::Refused | Outcome::Unknown => (503, json!({})),
--- a/crates/cherryyard-rehearsal/src/lib.rs
+++ b/crates/cherryyard-simulation/src/lib.rs
@@ -5,20 +5,20 @@
 //! This is also where a rehearsal kit for operators would grow: a [`world`] is
 //! made of stand-ins and a script, whatever format its jobs come in.
 
+pub mod fault;
 pub mod http;
 pub mod process;
 pub mod state;
-pub mod trouble;
 pub mod users;
 pub mod worker;
 pub mod world;
 
+pub use fault::Fault;
 pub use state::StateStandIn;
-pub use trouble::Trouble;
 pub use users::Users;
 pub use worker::WorkerStandIn;
 pub use world::pipelines::Pipelines;
-pub use world::{Question, Said, Setup, World, small_kind};
+pub use world::{Question, Response, Setup, World, small_machine_type};
 
 /// Plays days by seed, by hand: `FROM` names the first seed and `SEEDS` how many there
 /// are, else these.
--- a/crates/cherryyard-rehearsal/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::StateStandIn;
 use crate::http::{Budgets, HttpState};
-use cherryyard_io::http::Http;
+use cherryyard_clients::http::Http;
 use serde_json::{Value, json};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
--- a/crates/cherryyard-rehearsal/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -3,19 +3,19 @@
 use cherryyard_core::Outcome;
 use cherryyard_wire::history::{LeafRecord, Level, leaf_key, leaf_of_key};
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Apply, Change, Commit, Json, News, Pair};
+use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Keys, revisions and leases.
 #[derive(Debug, Default)]
 pub struct StateStandIn {
-    epoch: u64,
+    store_revision: u64,
     keys: BTreeMap<String, (Json, u64, Option<u64>)>,
-    holds: BTreeMap<u64, f64>,
-    next_hold: u64,
+    leases: BTreeMap<u64, f64>,
+    next_lease: u64,
     /// Changes up to this revision are not told any more.
     forgotten: u64,
-    changes: Vec<Change>,
+    changes: Vec<WatchEvent>,
     largest: BTreeMap<String, usize>,
     /// Puts and deletes of assignments so far.
     pub assignment_writes: usize,
@@ -55,13 +55,13 @@
 
 impl StateStandIn {
     /// The newest revision.
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+    pub fn store_revision(&self) -> u64 {
+        self.store_revision
     }
 
-    /// A key's value and stamp.
+    /// A key's value and revision.
     pub fn get(&self, key: &str) -> Option<(&Json, u64)> {
-        self.keys.get(key).map(|(v, stamp, _)| (v, *stamp))
+        self.keys.get(key).map(|(v, revision, _)| (v, *revision))
     }
 
     /// All keys.
@@ -69,10 +69,10 @@
         self.keys
             .iter()
             .filter(|(key, _)| key.starts_with(PREFIX))
-            .map(|(key, (v, stamp, _))| Pair {
+            .map(|(key, (v, revision, _))| Pair {
                 key: key.clone(),
                 v: v.clone(),
-                stamp: *stamp,
+                revision: *revision,
             })
             .collect()
     }
@@ -80,9 +80,9 @@
     /// The first leaf of a run whose last possible id is `job` or later.
     pub fn leaf(&self, level: Level, job: u64) -> Option<(u64, u64, LeafRecord)> {
         let from = leaf_key(level, job);
-        let (key, (value, stamp, _)) = self.keys.range(from..).next()?;
+        let (key, (value, revision, _)) = self.keys.range(from..).next()?;
         let record = value.read().expect("a leaf");
-        Some((leaf_of_key(level, key)?, *stamp, record))
+        Some((leaf_of_key(level, key)?, *revision, record))
     }
 
     /// A page of the keys with this prefix after `since`: at most `most` of them and
@@ -94,7 +94,7 @@
             .filter(|(key, _)| since != Some(key.as_str()))
             .take_while(|(key, _)| key.starts_with(prefix));
         let (mut pairs, mut bytes) = (Vec::new(), 0);
-        for (key, (v, stamp, _)) in &mut after {
+        for (key, (v, revision, _)) in &mut after {
             bytes += key.len() + v.text().len() + 40;
             if pairs.len() == most.min(1000) || bytes > 512 * 1024 {
                 return (pairs, true);
@@ -102,7 +102,7 @@
             pairs.push(Pair {
                 key: key.clone(),
                 v: v.clone(),
-                stamp: *stamp,
+                revision: *revision,
             });
         }
         (pairs, false)
@@ -110,14 +110,14 @@
 
     /// Puts a value that nobody is told of, before anybody runs.
     pub fn seed(&mut self, key: &str, value: &impl serde::Serialize) {
-        self.epoch += 1;
-        let value = (Json::of(value), self.epoch, None);
+        self.store_revision += 1;
+        let value = (Json::of(value), self.store_revision, None);
         self.keys.insert(key.to_string(), value);
     }
 
     /// Ends a lease at once.
-    pub fn end_hold(&mut self, hold: u64) {
-        if let Some(until) = self.holds.get_mut(&hold) {
+    pub fn end_lease(&mut self, lease_id: u64) {
+        if let Some(until) = self.leases.get_mut(&lease_id) {
             *until = f64::NEG_INFINITY;
         }
         self.expire(0.0);
@@ -129,20 +129,20 @@
     }
 
     /// What has changed after `since`.
-    pub fn news(&self, since: u64) -> News {
-        let news = self
+    pub fn events(&self, since: u64) -> WatchResponse {
+        let events = self
             .changes
             .iter()
-            .filter(|c| c.stamp > since)
+            .filter(|c| c.revision > since)
             .filter(|c| {
                 let key = c.set.as_ref().or(c.delete.as_ref());
                 key.is_some_and(|k| k.starts_with(PREFIX))
             })
             .cloned()
             .collect();
-        News {
-            epoch: self.epoch,
-            news,
+        WatchResponse {
+            store_revision: self.store_revision,
+            events,
         }
     }
 
@@ -157,45 +157,45 @@
     }
 
     /// A new lease that lasts until `until`.
-    pub fn hold(&mut self, until: f64) -> u64 {
-        self.next_hold += 1;
-        self.holds.insert(self.next_hold, until);
-        self.next_hold
+    pub fn grant_lease(&mut self, until: f64) -> u64 {
+        self.next_lease += 1;
+        self.leases.insert(self.next_lease, until);
+        self.next_lease
     }
 
     /// Renews a lease; false if it is over.
-    pub fn touch(&mut self, hold: u64, until: f64) -> bool {
-        self.holds.get_mut(&hold).map(|u| *u = until).is_some()
+    pub fn renew_lease(&mut self, lease_id: u64, until: f64) -> bool {
+        self.leases.get_mut(&lease_id).map(|u| *u = until).is_some()
     }
 
     /// Lets leases run out.
     pub fn expire(&mut self, now: f64) {
         let over: BTreeSet<u64> = self
-            .holds
+            .leases
             .iter()
             .filter(|(_, u)| **u < now)
             .map(|(h, _)| *h)
             .collect();
-        self.holds.retain(|h, _| !over.contains(h));
+        self.leases.retain(|h, _| !over.contains(h));
         let gone: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, hold))| hold.is_some_and(|h| over.contains(&h)))
+            .filter(|(_, (_, _, lease_id))| lease_id.is_some_and(|h| over.contains(&h)))
             .map(|(k, _)| k.clone())
             .collect();
         for key in gone {
-            self.epoch += 1;
+            self.store_revision += 1;
             self.drop_key(&key);
         }
     }
 
     fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.changes.push(Change {
+            self.changes.push(WatchEvent {
                 set: None,
                 delete: Some(key.to_string()),
                 v: Json::default(),
-                stamp: self.epoch,
+                revision: self.store_revision,
             });
         }
     }
@@ -217,36 +217,39 @@
         self.assignment_writes += commit.apply.iter().filter(assignment).count();
         self.most_ops = self.most_ops.max(commit.apply.len());
         self.most_conditions = self.most_conditions.max(commit.when.len());
-        let holds = |key: &str, stamp: u64| self.keys.get(key).map_or(0, |k| k.1) == stamp;
-        if !commit.when.iter().all(|w| holds(&w.key, w.stamp)) {
-            return Outcome::Conflict(self.epoch);
+        let unchanged =
+            |key: &str, revision: u64| self.keys.get(key).map_or(0, |k| k.1) == revision;
+        if !commit.when.iter().all(|w| unchanged(&w.key, w.revision)) {
+            return Outcome::Conflict(self.store_revision);
         }
         for change in &commit.apply {
-            if let Apply::Set { hold: Some(h), .. } = change
-                && !self.holds.contains_key(h)
+            if let Apply::Set {
+                lease_id: Some(h), ..
+            } = change
+                && !self.leases.contains_key(h)
             {
                 return Outcome::NoLease;
             }
         }
-        self.epoch += 1;
+        self.store_revision += 1;
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, hold } => {
+                Apply::Set { set, v, lease_id } => {
                     let size = v.text().len();
                     let largest = self.largest.entry(set.clone()).or_default();
                     *largest = (*largest).max(size);
                     self.keys
-                        .insert(set.clone(), (v.clone(), self.epoch, *hold));
-                    self.changes.push(Change {
+                        .insert(set.clone(), (v.clone(), self.store_revision, *lease_id));
+                    self.changes.push(WatchEvent {
                         set: Some(set.clone()),
                         delete: None,
                         v: v.clone(),
-                        stamp: self.epoch,
+                        revision: self.store_revision,
                     });
                 }
                 Apply::Delete { delete } => self.drop_key(delete),
             }
         }
-        Outcome::Applied(self.epoch)
+        Outcome::Applied(self.store_revision)
     }
 }
--- a/crates/cherryyard-rehearsal/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -1,6 +1,6 @@
 //! Users, as they see a day: they submit, poll what was accepted, and judge at its end.
 
-use crate::{Trouble, World};
+use crate::{Fault, World};
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
     class: String,
     team: String,
     cores: f64,
-    pieces: u32,
+    task_count: u32,
     service: bool,
     came: f64,
     polled: f64,
@@ -34,7 +34,7 @@
     /// Its tasks that have been seen on a machine or completed; since when no other has
     /// followed though there was room; such times that were too long, from and until when.
     started: BTreeSet<String>,
-    room_since: Option<f64>,
+    capacity_since: Option<f64>,
     waited: Vec<(f64, f64)>,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct Asking {
     spec: JobSpec,
-    node: usize,
+    controller: usize,
     ticket: u64,
     again: f64,
 }
@@ -75,7 +75,7 @@
         let ticket = w.offer(i, spec, None);
         self.asking.push(Asking {
             spec: spec.clone(),
-            node: i,
+            controller: i,
             ticket,
             again: w.now + 5000.0,
         });
@@ -88,7 +88,7 @@
                 Some(Verdict::Taken | Verdict::Known) => self.accepted(w, &asking.spec),
                 None if w.now < asking.again => self.asking.push(asking),
                 _ => {
-                    let next = (asking.node + 1) % w.nodes.len();
+                    let next = (asking.controller + 1) % w.controllers.len();
                     self.ask(w, next, &asking.spec);
                 }
             }
@@ -97,10 +97,10 @@
 
     fn accepted(&mut self, w: &World, spec: &JobSpec) {
         let job = Job {
-            class: spec.jobclass.clone(),
-            team: spec.owner.clone(),
-            cores: spec.cores * f64::from(spec.pieces),
-            pieces: spec.pieces,
+            class: spec.job_class.clone(),
+            team: spec.team.clone(),
+            cores: spec.cores * f64::from(spec.task_count),
+            task_count: spec.task_count,
             service: spec.shape == cherryyard_wire::job::Shape::Service,
             came: w.now,
             polled: w.now,
@@ -109,7 +109,7 @@
             done: false,
             cancelled: self.cancelled.contains(&spec.id),
             started: BTreeSet::new(),
-            room_since: None,
+            capacity_since: None,
             waited: Vec::new(),
         };
         self.jobs.entry(spec.id.clone()).or_insert(job);
@@ -153,66 +153,66 @@
             self.ask_again(w);
             self.take_note(w);
             self.look(w);
-            self.look_for_room(w);
+            self.look_for_capacity(w);
         }
     }
 
     /// Notes for how long tasks wait while a machine that fits has room.
-    fn look_for_room(&mut self, w: &World) {
+    fn look_for_capacity(&mut self, w: &World) {
         let now = w.now;
         let used = w.cores_by_team();
         let on = |id: &str, n: u32| {
-            let piece = format!("{id}/{n}");
-            w.completed.contains(&piece) || w.workers.values().any(|x| x.runs(&piece))
+            let task_name = format!("{id}/{n}");
+            w.completed.contains(&task_name) || w.workers.values().any(|x| x.runs(&task_name))
         };
         let mut free: Vec<(&str, &str, f64, f64)> = Vec::new();
         for x in w.workers.values().filter(|x| w.in_order(&x.host)) {
-            let (mut cores, mut ram) = w.whole(&x.kind);
-            for piece in x.pieces.iter().filter(|p| p.1.2.is_none()).map(|p| p.0) {
-                let id = piece.split('/').next().unwrap_or_default();
+            let (mut cores, mut ram) = w.whole(&x.machine_type);
+            for task_name in x.tasks.iter().filter(|p| p.1.2.is_none()).map(|p| p.0) {
+                let id = task_name.split('/').next().unwrap_or_default();
                 if let Some(spec) = w.submitted(id) {
                     (cores, ram) = (cores - spec.cores, ram - spec.ram_gb);
                 }
             }
-            free.push((&x.yard, &x.kind, cores, ram));
+            free.push((&x.zone, &x.machine_type, cores, ram));
         }
         for (id, job) in self.jobs.iter_mut().filter(|j| !j.1.cancelled && !j.1.done) {
             let Some(spec) = w.submitted(id) else {
                 continue;
             };
-            let limit = w.limit_of(&spec.owner);
-            let uses = used.get(&spec.owner).copied().unwrap_or(0.0);
+            let limit = w.limit_of(&spec.team);
+            let uses = used.get(&spec.team).copied().unwrap_or(0.0);
             let under = limit == 0.0 || uses + spec.cores <= limit + 1e-6;
             let fits = |m: &(&str, &str, f64, f64)| {
-                spec.yard.as_deref().is_none_or(|y| y == m.0)
+                spec.zone.as_deref().is_none_or(|y| y == m.0)
                     && spec
-                        .kinds_of_host
+                        .machine_types
                         .as_ref()
                         .is_none_or(|k| k.iter().any(|x| x == m.1))
                     && spec.cores <= m.2 + 1e-6
                     && spec.ram_gb <= m.3 + 1e-6
             };
-            let room = under
+            let capacity = under
                 && w.needs_are_complete(id)
                 && !spec.together
                 && !spec.apart
                 && free.iter().any(fits);
             let before = job.started.len();
-            for n in 0..job.pieces {
-                let piece = format!("{id}/{n}");
-                if !job.started.contains(&piece) && on(id, n) {
-                    job.started.insert(piece);
+            for n in 0..job.task_count {
+                let task_name = format!("{id}/{n}");
+                if !job.started.contains(&task_name) && on(id, n) {
+                    job.started.insert(task_name);
                 }
             }
-            let waits = room && job.started.len() < job.pieces as usize;
+            let waits = capacity && job.started.len() < job.task_count as usize;
             if waits && job.started.len() == before {
-                let since = *job.room_since.get_or_insert(now);
+                let since = *job.capacity_since.get_or_insert(now);
                 if now - since > WAIT_MS {
                     job.waited.retain(|x| x.0 != since);
                     job.waited.push((since, now));
                 }
             } else {
-                job.room_since = waits.then_some(now);
+                job.capacity_since = waits.then_some(now);
             }
         }
     }
@@ -221,8 +221,8 @@
         let on: BTreeSet<String> = w
             .workers
             .values()
-            .flat_map(|x| x.pieces.keys())
-            .filter_map(|piece| Some(piece.split('/').next()?.to_string()))
+            .flat_map(|x| x.tasks.keys())
+            .filter_map(|task_name| Some(task_name.split('/').next()?.to_string()))
             .collect();
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -246,7 +246,8 @@
                     self.longest = self.longest.max(w.now - job.answered);
                     job.answered = w.now;
                     let done = view.status == JobStatus::Done;
-                    let all = (0..job.pieces).all(|n| w.completed.contains(&format!("{id}/{n}")));
+                    let all =
+                        (0..job.task_count).all(|n| w.completed.contains(&format!("{id}/{n}")));
                     if done && !all {
                         self.broken
                             .push(format!("{id} is called done before it is"));
@@ -276,7 +277,7 @@
     /// Ends all troubles, lets what is left of the day pass, and says what is wrong: rules
     /// broken, jobs forgotten, groups left out.
     pub fn see_out(&mut self, w: &mut World) -> Vec<String> {
-        Trouble::finish_all(w);
+        Fault::finish_all(w);
         let over = w.now;
         for _ in 0..40 {
             self.run(w, 5.0);
@@ -338,15 +339,17 @@
 fn poll(w: &mut World, k: usize, id: &str) -> Option<Option<JobView>> {
     let now = w.now;
     let able = |w: &World, i: usize| {
-        let node = w.nodes[i].as_ref().filter(|_| !w.frozen.contains(&i));
-        node.is_some_and(|n| n.ready(now) && !n.refuses_polls(now))
+        let controller = w.controllers[i].as_ref().filter(|_| !w.frozen.contains(&i));
+        controller.is_some_and(|n| n.ready(now) && !n.refuses_polls(now))
     };
-    let able: Vec<usize> = (0..w.nodes.len()).filter(|&i| able(w, i)).collect();
+    let able: Vec<usize> = (0..w.controllers.len()).filter(|&i| able(w, i)).collect();
     let i = *able.get(k % able.len().max(1))?;
     if w.refused.contains(&i) {
         // Only a final state needs no barrier.
-        let node = w.nodes[i].as_ref()?;
-        let view = node.mirror.view(cherryyard_wire::job::job_number(id)?)?;
+        let controller = w.controllers[i].as_ref()?;
+        let view = controller
+            .mirror
+            .view(cherryyard_wire::job::job_number(id)?)?;
         let over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
         return over.then_some(Some(view));
     }
--- a/crates/cherryyard-rehearsal/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -1,7 +1,8 @@
 //! Stand-in of a worker.
 
 use cherryyard_wire::worker::{
-    Cause, DoRequest, Order, PieceReport, PieceStatus, Report, ReportAnswer,
+    CommandBatch, ExitCause, HeartbeatResponse, TaskReport, TaskStatus, WorkerCommand,
+    WorkerHeartbeat,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,22 +15,22 @@
     /// Its name.
     pub host: String,
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
-    pub yard: String,
-    /// Its session.
-    pub tenure: u64,
-    tick: u64,
+    pub zone: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+    sequence: u64,
     /// The highest token it has seen.
-    pub baton: u64,
+    pub fencing_token: u64,
     /// Its tasks: attempt, since when, and why it ended.
-    pub pieces: BTreeMap<String, (u64, f64, Option<Cause>)>,
-    /// When its machine was rented, about.
-    pub rented_at: f64,
-    /// When the last answered report was sent, or the session began.
+    pub tasks: BTreeMap<String, (u64, f64, Option<ExitCause>)>,
+    /// When its machine was provisioned, about.
+    pub provisioned_at: f64,
+    /// When the last answered report was sent, or the incarnation began.
     renewed_at: f64,
     /// The controller it reports to.
-    pub node: usize,
+    pub controller: usize,
     /// When it reports next.
     pub report_at: f64,
     /// How long its tasks run; infinite for replicas.
@@ -39,7 +40,7 @@
     /// Jobs that were submitted with a mistake: their tasks fail here, as everywhere.
     pub bad_jobs: BTreeSet<String>,
     /// When the cloud takes the machine, if it has said so.
-    pub recall_at: Option<f64>,
+    pub reclaim_at: Option<f64>,
     /// How long an answered report keeps its tasks; infinite stands for an old
     /// owner that nobody else sees and that goes on answering.
     pub lease_ms: f64,
@@ -47,23 +48,23 @@
 
 impl WorkerStandIn {
     /// A worker that has just started.
-    pub fn new(host: &str, yard: &str, node: usize, lease_ms: f64, now: f64) -> Self {
+    pub fn new(host: &str, zone: &str, controller: usize, lease_ms: f64, now: f64) -> Self {
         Self {
             host: host.into(),
-            kind: "m4".into(),
-            yard: yard.into(),
-            tenure: 1,
-            tick: 0,
-            baton: 0,
-            pieces: BTreeMap::new(),
-            rented_at: now - 10_000.0,
+            machine_type: "m4".into(),
+            zone: zone.into(),
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
+            tasks: BTreeMap::new(),
+            provisioned_at: now - 10_000.0,
             renewed_at: now,
-            node,
+            controller,
             report_at: now,
             run_ms: f64::INFINITY,
             faulty: false,
             bad_jobs: BTreeSet::new(),
-            recall_at: None,
+            reclaim_at: None,
             lease_ms,
         }
     }
@@ -74,7 +75,7 @@
         let mut log = Vec::new();
         if now - self.renewed_at > self.lease_ms {
             let lost: Vec<&String> = self
-                .pieces
+                .tasks
                 .iter()
                 .filter(|p| p.1.2.is_none())
                 .map(|p| p.0)
@@ -82,12 +83,12 @@
             if !lost.is_empty() {
                 log.push(format!("{} loses its lease and {lost:?}", self.host));
             }
-            self.pieces.clear();
-            self.tenure += 1;
-            self.tick = 0;
+            self.tasks.clear();
+            self.incarnation += 1;
+            self.sequence = 0;
             self.renewed_at = now;
         }
-        for (name, piece) in &mut self.pieces {
+        for (name, task) in &mut self.tasks {
             let job = name.split('/').next().unwrap_or_default();
             let bad = self.bad_jobs.contains(job);
             let run_ms = match (bad, services.contains(job)) {
@@ -95,13 +96,13 @@
                 (_, true) if !self.faulty => f64::INFINITY,
                 _ => self.run_ms,
             };
-            if piece.2.is_none() && now - piece.1 >= run_ms {
-                piece.2 = Some(if self.faulty || bad {
-                    Cause::Error
+            if task.2.is_none() && now - task.1 >= run_ms {
+                task.2 = Some(if self.faulty || bad {
+                    ExitCause::Error
                 } else {
-                    Cause::Done
+                    ExitCause::Done
                 });
-                log.push(format!("{} ends {name} try {}", self.host, piece.0));
+                log.push(format!("{} ends {name} try {}", self.host, task.0));
                 self.report_at = now;
             }
         }
@@ -110,115 +111,117 @@
 
     /// Its machine hangs: its tasks are gone once its lease is over, since that is the
     /// first thing that it sees when it goes on. But what was sent to it directly it
-    /// carries out before, in the session that is over.
+    /// carries out before, in the incarnation that is over.
     pub fn hang(&mut self, now: f64) {
         if now - self.renewed_at > self.lease_ms {
-            self.pieces.clear();
+            self.tasks.clear();
         }
     }
 
     /// Its process ends and another begins: nothing is left of what it knew.
     pub fn begin_anew(&mut self, now: f64) {
-        self.pieces.clear();
-        (self.tenure, self.tick, self.baton) = (1, 0, 0);
+        self.tasks.clear();
+        (self.incarnation, self.sequence, self.fencing_token) = (1, 0, 0);
         self.renewed_at = now;
         self.report_at = now;
     }
 
     /// A task completes, if it is here.
-    pub fn finish(&mut self, piece: &str) {
-        if let Some(p) = self.pieces.get_mut(piece).filter(|p| p.2.is_none()) {
-            p.2 = Some(Cause::Done);
+    pub fn finish(&mut self, task_name: &str) {
+        if let Some(p) = self.tasks.get_mut(task_name).filter(|p| p.2.is_none()) {
+            p.2 = Some(ExitCause::Done);
             self.report_at = 0.0;
         }
     }
 
     /// Whether it runs this task.
-    pub fn runs(&self, piece: &str) -> bool {
-        self.pieces.get(piece).is_some_and(|p| p.2.is_none())
+    pub fn runs(&self, task_name: &str) -> bool {
+        self.tasks.get(task_name).is_some_and(|p| p.2.is_none())
     }
 
     /// Its report.
-    pub fn report(&mut self, now: f64) -> Report {
-        self.tick += 1;
-        Report {
+    pub fn report(&mut self, now: f64) -> WorkerHeartbeat {
+        self.sequence += 1;
+        WorkerHeartbeat {
             host: self.host.clone(),
             addr: format!("{}:9000", self.host),
-            host_kind: self.kind.clone(),
-            yard: self.yard.clone(),
-            borrowed: false,
-            tenure: self.tenure,
-            tick: self.tick,
-            baton: self.baton,
-            recall_s: self.recall_at.map(|at| (at - now) / 1000.0),
-            pieces: self
-                .pieces
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: false,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            reclaim_in_s: self.reclaim_at.map(|at| (at - now) / 1000.0),
+            tasks: self
+                .tasks
                 .iter()
-                .map(|(name, (attempt, _, cause))| PieceReport {
-                    piece: name.clone(),
+                .map(|(name, (attempt, _, cause))| TaskReport {
+                    task_name: name.clone(),
                     attempt: *attempt,
                     status: if cause.is_some() {
-                        PieceStatus::Ended
+                        TaskStatus::Ended
                     } else {
-                        PieceStatus::Running
+                        TaskStatus::Running
                     },
                     cause: *cause,
-                    kept: false,
+                    checkpointed: false,
                 })
                 .collect(),
         }
     }
 
     /// Takes the answer to a report that was sent at `sent_at`.
-    pub fn answered(&mut self, answer: &ReportAnswer, sent_at: f64, now: f64) -> Vec<String> {
-        if answer.baton < self.baton {
+    pub fn answered(&mut self, answer: &HeartbeatResponse, sent_at: f64, now: f64) -> Vec<String> {
+        if answer.fencing_token < self.fencing_token {
             return Vec::new();
         }
-        if answer.baton > self.baton {
+        if answer.fencing_token > self.fencing_token {
             self.report_at = now + 500.0;
         }
-        self.baton = answer.baton;
+        self.fencing_token = answer.fencing_token;
         self.renewed_at = self.renewed_at.max(sent_at);
-        self.execute(&answer.orders, now)
+        self.execute(&answer.commands, now)
     }
 
     /// Takes direct commands; the flag tells whether they were executed.
-    pub fn direct(&mut self, request: &DoRequest, now: f64) -> (bool, Vec<String>) {
-        if request.baton < self.baton || request.tenure != self.tenure {
+    pub fn direct(&mut self, request: &CommandBatch, now: f64) -> (bool, Vec<String>) {
+        if request.fencing_token < self.fencing_token || request.incarnation != self.incarnation {
             return (false, Vec::new());
         }
-        self.baton = request.baton;
-        (true, self.execute(&request.orders, now))
+        self.fencing_token = request.fencing_token;
+        (true, self.execute(&request.commands, now))
     }
 
-    fn execute(&mut self, orders: &[Order], now: f64) -> Vec<String> {
+    fn execute(&mut self, commands: &[WorkerCommand], now: f64) -> Vec<String> {
         let mut log = Vec::new();
-        for order in orders {
-            match order {
-                Order::Start { piece, attempt } => {
-                    let known = self.pieces.get(piece);
+        for command in commands {
+            match command {
+                WorkerCommand::Start { task_name, attempt } => {
+                    let known = self.tasks.get(task_name);
                     if known.is_none_or(|p| p.0 != *attempt && p.2.is_some()) {
-                        self.pieces.insert(piece.clone(), (*attempt, now, None));
-                        log.push(format!("{} starts {piece} try {attempt}", self.host));
+                        self.tasks.insert(task_name.clone(), (*attempt, now, None));
+                        log.push(format!("{} starts {task_name} try {attempt}", self.host));
                     }
                 }
-                Order::Kill { piece, attempt, .. } => {
-                    if let Some(p) = self.pieces.get_mut(piece)
+                WorkerCommand::Kill {
+                    task_name, attempt, ..
+                } => {
+                    if let Some(p) = self.tasks.get_mut(task_name)
                         && p.0 == *attempt
                         && p.2.is_none()
                     {
-                        p.2 = Some(Cause::Halted);
-                        log.push(format!("{} stops {piece} try {attempt}", self.host));
+                        p.2 = Some(ExitCause::Halted);
+                        log.push(format!("{} stops {task_name} try {attempt}", self.host));
                         self.report_at = now;
                     }
                 }
-                Order::Clear { piece, attempt } => {
+                WorkerCommand::Clear { task_name, attempt } => {
                     if self
-                        .pieces
-                        .get(piece)
+                        .tasks
+                        .get(task_name)
                         .is_some_and(|p| p.0 == *attempt && p.2.is_some())
                     {
-                        self.pieces.remove(piece);
+                        self.tasks.remove(task_name);
                     }
                 }
             }
--- a/crates/cherryyard-rehearsal/src/world.rs
+++ b/crates/cherryyard-simulation/src/world.rs
@@ -5,21 +5,21 @@
 use cherryyard_core::account::CoreSeconds;
 use cherryyard_core::admission::intake::{Offer, Verdict};
 use cherryyard_core::mirror::over;
-use cherryyard_core::{Config, Effect, Node, Outcome, PushOutcome, Reply, Ticket, Tuning};
+use cherryyard_core::{Config, Controller, Effect, Outcome, PushOutcome, Reply, Ticket, Tuning};
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::cloud::{HireRequest, HostEntry, HostKind, HostStatus};
+use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
 use cherryyard_wire::condor::{
     Chunk, FIRST_ID, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key, submission_key,
     submission_number,
 };
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobView, Shape, job_number};
-use cherryyard_wire::record::{ARRIVALS, IDS, JobRecord, job_key};
+use cherryyard_wire::record::{ADMISSION_LOG, IDS, JobRecord, job_key};
 use cherryyard_wire::rules::Rules;
 use cherryyard_wire::settings::Settings;
-use cherryyard_wire::state::{Apply, Commit, News};
-use cherryyard_wire::worker::{DoRequest, Report};
+use cherryyard_wire::state::{Apply, Commit, WatchResponse};
+use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
 use check::Checker;
 use late::slow;
 use requests::Requests;
-pub use requests::{Question, Said};
+pub use requests::{Question, Response};
 
 /// Milliseconds between two steps of the clock.
 const STEP: f64 = 50.0;
@@ -76,8 +76,8 @@
 }
 
 /// The type of all the stand-ins' machines: 4 cores, 16 GB.
-pub fn small_kind(yards: Vec<String>) -> HostKind {
-    HostKind {
+pub fn small_machine_type(zones: Vec<String>) -> MachineType {
+    MachineType {
         sku: "m4".into(),
         cores: 4.0,
         accelerators: 0.0,
@@ -87,7 +87,7 @@
         price: 0.0,
         low_price: 0.0,
         ready_s: 30.0,
-        yards,
+        zones,
     }
 }
 
@@ -116,7 +116,7 @@
     /// The state service.
     pub state: StateStandIn,
     /// Controllers; `None` while one is down.
-    pub nodes: Vec<Option<Node>>,
+    pub controllers: Vec<Option<Controller>>,
     /// Workers by name.
     pub workers: BTreeMap<String, WorkerStandIn>,
     /// Controllers that the state service refuses.
@@ -131,7 +131,7 @@
     /// what is urgent goes on.
     pub late: BTreeMap<usize, f64>,
     /// Reports that wait: when their turn is, when they were sent, and where.
-    inbox: Vec<(f64, f64, usize, Report)>,
+    inbox: Vec<(f64, f64, usize, WorkerHeartbeat)>,
     /// Workers that wait for an answer, and since when.
     waiting: BTreeMap<String, f64>,
     /// Machines that nobody reaches.
@@ -141,7 +141,7 @@
     /// Machines whose reports arrive, but neither answers nor commands reach them.
     pub one_way: BTreeSet<String>,
     /// Machines whose reports reach no controller, while direct commands reach them.
-    pub mute: BTreeSet<String>,
+    pub one_way_silent: BTreeSet<String>,
     /// Zones whose machines and controllers reach none of another zone.
     pub zones_cut: BTreeSet<String>,
     /// A copy of each machine's next report is kept for the next leader: it comes to
@@ -150,7 +150,7 @@
     /// Or so much later, when the new leader has acted.
     pub copies_wait_ms: f64,
     copies_due: Option<f64>,
-    kept_copies: BTreeMap<String, Report>,
+    kept_copies: BTreeMap<String, WorkerHeartbeat>,
     /// Who led when this was last looked at.
     led: Option<u64>,
     /// The leader ends this often, and is back half a second later.
@@ -161,13 +161,13 @@
     /// Copies of all reports come once more, this late, to the same controller and the
     /// one after it.
     pub copies_ms: Option<f64>,
-    copies: Vec<(f64, usize, Report)>,
+    copies: Vec<(f64, usize, WorkerHeartbeat)>,
     /// Direct questions to machines so far.
     pub questions: usize,
     /// Machines to which direct commands are held back.
     pub slow_direct: BTreeSet<String>,
     /// Direct commands held back.
-    pub held_direct: Vec<(String, DoRequest)>,
+    pub held_direct: Vec<(String, CommandBatch)>,
     /// Owners' transactions get no answer and are held back.
     pub hold_commits: BTreeSet<usize>,
     /// The leader's transactions get no answer and are held back.
@@ -182,8 +182,8 @@
     /// How often controllers read the cloud's list of machines by themselves.
     pub lists_ms: Option<f64>,
     listed_at: f64,
-    /// Rentals are carried out, and their answers are lost.
-    pub hires_unanswered: bool,
+    /// provisioning requests are carried out, and their answers are lost.
+    pub provisions_unanswered: bool,
     late_draw: Box<dyn FnMut(u64) -> u64>,
     /// Transactions on their way, and when each is carried out.
     on_the_way: Vec<(f64, Commit)>,
@@ -191,7 +191,7 @@
     /// between half of it and all.
     pub slow_ms: f64,
     /// Reads under way: by controller, when answered, when sent, what they tell.
-    reads: BTreeMap<usize, (f64, f64, News)>,
+    reads: BTreeMap<usize, (f64, f64, WatchResponse)>,
     /// Answers to transactions under way: when, for which start of which controller.
     answers: Vec<(f64, usize, u64, Ticket, Commit, Outcome)>,
     /// Which start of each controller runs.
@@ -222,16 +222,16 @@
     pub cloud_down: bool,
     /// See `cloud_down`.
     pub releases_failed: usize,
-    /// Machines that were to be rented.
-    pub hires: Vec<HireRequest>,
-    hired: BTreeMap<String, Vec<String>>,
-    hires_lost: Vec<(f64, usize, u64, HireRequest)>,
-    /// What a rented machine takes to be up, in milliseconds; none: there are none to
+    /// Machines that were to be provisioned.
+    pub provision_requests: Vec<ProvisionRequest>,
+    provisioned: BTreeMap<String, Vec<String>>,
+    provisions_lost: Vec<(f64, usize, u64, ProvisionRequest)>,
+    /// What a provisioned machine takes to be up, in milliseconds; none: there are none to
     /// rent.
-    pub boot_ms: Option<f64>,
-    /// How long tasks run on rented machines.
-    pub rented_run_ms: f64,
-    /// Machines on their way: when up, when rented.
+    pub provisioning_ms: Option<f64>,
+    /// How long tasks run on provisioned machines.
+    pub provisioned_run_ms: f64,
+    /// Machines on their way: when up, when provisioned.
     pub booting: BTreeMap<String, (f64, f64, String)>,
     /// The time.
     pub now: f64,
@@ -256,7 +256,7 @@
     pub fn new(setup: Setup) -> Self {
         let mut world = Self {
             state: StateStandIn::default(),
-            nodes: Vec::new(),
+            controllers: Vec::new(),
             workers: BTreeMap::new(),
             refused: BTreeSet::new(),
             alone: BTreeSet::new(),
@@ -268,7 +268,7 @@
             unreachable: BTreeSet::new(),
             hung: BTreeSet::new(),
             one_way: BTreeSet::new(),
-            mute: BTreeSet::new(),
+            one_way_silent: BTreeSet::new(),
             zones_cut: BTreeSet::new(),
             copies_for_next: false,
             copies_wait_ms: 0.0,
@@ -290,7 +290,7 @@
             lost_answers: 0,
             lists_ms: None,
             listed_at: 0.0,
-            hires_unanswered: false,
+            provisions_unanswered: false,
             late_draw: Box::new(draws(1)),
             on_the_way: Vec::new(),
             slow_ms: 0.0,
@@ -310,11 +310,11 @@
             tickets: 0,
             cloud_down: false,
             releases_failed: 0,
-            hires: Vec::new(),
-            hired: BTreeMap::new(),
-            hires_lost: Vec::new(),
-            boot_ms: None,
-            rented_run_ms: f64::INFINITY,
+            provision_requests: Vec::new(),
+            provisioned: BTreeMap::new(),
+            provisions_lost: Vec::new(),
+            provisioning_ms: None,
+            provisioned_run_ms: f64::INFINITY,
             booting: BTreeMap::new(),
             now: 0.0,
             trace: Vec::new(),
@@ -327,19 +327,19 @@
             starts: 0,
         };
         for i in 0..setup.zones.len() {
-            let node = world.new_node(i);
-            world.nodes.push(Some(node));
+            let controller = world.new_node(i);
+            world.controllers.push(Some(controller));
             world.lives.push(world.starts);
         }
         world.enforce_limits(setup.value_kb, setup.txn_ops);
         let mut number = 0;
         let small = setup.machines.iter().map(|m| ("m4", m));
-        for (kind, (zone, count)) in small.chain(setup.large.iter().map(|m| ("m8", m))) {
+        for (machine_type, (zone, count)) in small.chain(setup.large.iter().map(|m| ("m8", m))) {
             for _ in 0..*count {
                 let name = format!("host-{number:06}");
-                let node = number % setup.zones.len();
-                let mut worker = WorkerStandIn::new(&name, zone, node, 10_000.0, 0.0);
-                worker.kind = kind.into();
+                let controller = number % setup.zones.len();
+                let mut worker = WorkerStandIn::new(&name, zone, controller, 10_000.0, 0.0);
+                worker.machine_type = machine_type.into();
                 world.workers.insert(name, worker);
                 number += 1;
             }
@@ -411,7 +411,7 @@
         Settings::parse(text.as_bytes()).expect("the rehearsal's settings are good")
     }
 
-    fn new_node(&mut self, i: usize) -> Node {
+    fn new_node(&mut self, i: usize) -> Controller {
         self.starts += 1;
         let mut tuning = self.setup.tuning.clone();
         if let Some(batch) = self.setup.history {
@@ -419,46 +419,46 @@
         }
         let mut config = Config::new(&self.settings(i), tuning);
         if self.setup.earlier.contains(&i) {
-            config.format = ARRIVALS;
+            config.format = ADMISSION_LOG;
         }
-        let mut node = Node::new(config, self.starts, self.now);
-        node.accounting = true;
+        let mut controller = Controller::new(config, self.starts, self.now);
+        controller.accounting = true;
         let zones: Vec<String> = self
             .setup
             .machines
             .iter()
             .map(|m| m.0.to_string())
             .collect();
-        let mut kinds = vec![small_kind(zones)];
+        let mut machine_types = vec![small_machine_type(zones)];
         if !self.setup.large.is_empty() {
             let zones = self.setup.large.iter().map(|m| m.0.to_string());
-            let mut large = small_kind(zones.collect());
+            let mut large = small_machine_type(zones.collect());
             large.sku = "m8".into();
             (large.cores, large.ram_gb) = (8.0, 32.0);
-            kinds.push(large);
+            machine_types.push(large);
         }
-        node.kinds(kinds, self.now);
-        node
+        controller.machine_types(machine_types, self.now);
+        controller
     }
 
     /// A controller ends.
     pub fn kill(&mut self, i: usize) {
         self.say(format!("node-{i} ends"));
-        self.nodes[i] = None;
+        self.controllers[i] = None;
     }
 
     /// A controller starts again.
     pub fn start(&mut self, i: usize) {
         self.say(format!("node-{i} starts"));
-        let node = self.new_node(i);
-        self.nodes[i] = Some(node);
+        let controller = self.new_node(i);
+        self.controllers[i] = Some(controller);
         self.lives[i] = self.starts;
         self.reads.remove(&i);
     }
 
     /// All controllers end and start again.
     pub fn restart_all(&mut self) {
-        for i in 0..self.nodes.len() {
+        for i in 0..self.controllers.len() {
             self.kill(i);
             self.start(i);
         }
@@ -504,33 +504,42 @@
         self.carry_out();
         self.answer_late();
         self.boot();
-        self.give_hires_up();
+        self.give_up_provisions();
         self.change_leaders();
         self.deliver_copies();
-        for i in 0..self.nodes.len() {
-            let Some(node) = self.nodes[i].as_mut().filter(|_| !self.frozen.contains(&i)) else {
+        for i in 0..self.controllers.len() {
+            let Some(controller) = self.controllers[i]
+                .as_mut()
+                .filter(|_| !self.frozen.contains(&i))
+            else {
                 continue;
             };
             if !self.refused.contains(&i) {
-                if !node.mirror.loaded {
-                    node.mirror.begin_load();
-                    node.mirror.load_some(&self.state.pairs());
-                    node.loaded(self.state.epoch(), now, now);
+                if !controller.mirror.loaded {
+                    controller.mirror.begin_load();
+                    controller.mirror.load_some(&self.state.pairs());
+                    controller.loaded(self.state.store_revision(), now, now);
                 } else if self.slow_ms == 0.0 {
-                    node.news(&self.state.news(node.mirror.epoch), now, now);
+                    controller.events(
+                        &self.state.events(controller.mirror.store_revision),
+                        now,
+                        now,
+                    );
                 } else if !self.reads.contains_key(&i) {
                     let takes = slow(self.slow_ms, &mut self.late_draw);
-                    let read = self.state.news(node.mirror.epoch);
+                    let read = self.state.events(controller.mirror.store_revision);
                     self.reads.insert(i, (now + takes, now, read));
                 }
-                match node.hold() {
-                    Some(h) if self.state.touch(h, now + TTL) => {}
-                    _ => node.lease(Some(self.state.hold(now + TTL)), now),
+                match controller.lease_id() {
+                    Some(h) if self.state.renew_lease(h, now + TTL) => {}
+                    _ => {
+                        controller.state_lease_changed(Some(self.state.grant_lease(now + TTL)), now)
+                    }
                 }
             }
-            node.tick(now);
+            controller.tick(now);
             let late = self.late.get(&i).copied().unwrap_or(0.0);
-            node.queue_passed(now - late, now);
+            controller.queue_passed(now - late, now);
             self.effects(i);
         }
         if ((now / STEP) as u64).is_multiple_of(10) {
@@ -566,7 +575,7 @@
         self.check();
         for id in std::mem::take(&mut self.checker.ended) {
             if self.cancel_at_end > 0 && (self.late_draw)(100) < self.cancel_at_end {
-                let i = (self.late_draw)(self.nodes.len() as u64) as usize;
+                let i = (self.late_draw)(self.controllers.len() as u64) as usize;
                 self.insist(i, &id, Question::Cancel);
             }
         }
@@ -598,10 +607,10 @@
         let Some(every) = self.leaders_end_ms else {
             return;
         };
-        let leads = |n: &Node| n.lead_stamp().is_some();
+        let leads = |n: &Controller| n.leadership_token().is_some();
         if self.now >= self.leader_ends_at
-            && let Some(i) =
-                (0..self.nodes.len()).find(|&i| self.nodes[i].as_ref().is_some_and(leads))
+            && let Some(i) = (0..self.controllers.len())
+                .find(|&i| self.controllers[i].as_ref().is_some_and(leads))
         {
             self.leader_ends_at = self.now + every;
             self.kill(i);
@@ -613,7 +622,7 @@
             .extract_if(.., |b| b.0 <= now)
             .collect::<Vec<_>>()
         {
-            if self.nodes[i].is_none() {
+            if self.controllers[i].is_none() {
                 self.start(i);
             }
         }
@@ -632,7 +641,7 @@
         self.copies_due = None;
         for (name, report) in std::mem::take(&mut self.kept_copies) {
             self.say(format!("an old report of {name} comes to all"));
-            for i in 0..self.nodes.len() {
+            for i in 0..self.controllers.len() {
                 self.reported(i, &report, f64::NAN);
             }
         }
@@ -640,14 +649,17 @@
 
     fn heartbeats(&mut self) {
         let now = self.now;
-        for i in 0..self.nodes.len() {
-            let Some(node) = self.nodes[i].as_mut().filter(|_| !self.frozen.contains(&i)) else {
+        for i in 0..self.controllers.len() {
+            let Some(controller) = self.controllers[i]
+                .as_mut()
+                .filter(|_| !self.frozen.contains(&i))
+            else {
                 continue;
             };
-            let heartbeat = node.heartbeat_out(now);
-            for k in 0..self.nodes.len() {
+            let heartbeat = controller.heartbeat_out(now);
+            for k in 0..self.controllers.len() {
                 if k != i && self.hear_each_other(i, k) {
-                    if let Some(other) = &mut self.nodes[k] {
+                    if let Some(other) = &mut self.controllers[k] {
                         other.heartbeat_in(heartbeat.clone(), now);
                     }
                     self.effects(k);
@@ -659,10 +671,10 @@
     fn effects(&mut self, i: usize) {
         let now = self.now;
         for _ in 0..100 {
-            let Some(node) = &mut self.nodes[i] else {
+            let Some(controller) = &mut self.controllers[i] else {
                 return;
             };
-            let effects = node.effects();
+            let effects = controller.effects();
             if effects.is_empty() {
                 return;
             }
@@ -674,10 +686,10 @@
                         addr,
                         request,
                     } => self.push(i, host, &addr, request),
-                    Effect::Ask { host, addr } => self.ask(i, host, &addr),
+                    Effect::QueryStatus { host, addr } => self.ask(i, host, &addr),
                     Effect::Release(hosts) if self.cloud_down => {
                         self.releases_failed += 1;
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.released(&hosts, false, now);
                         }
                     }
@@ -687,17 +699,17 @@
                             self.workers.remove(name);
                             self.booting.remove(name);
                         }
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.released(&hosts, true, now);
                         }
                     }
-                    Effect::Hire(request) => {
-                        let hosts = self.hire(&request).ok_or(true);
-                        if self.hires_unanswered {
+                    Effect::Provision(request) => {
+                        let hosts = self.provision(&request).ok_or(true);
+                        if self.provisions_unanswered {
                             let life = self.lives[i];
-                            self.hires_lost.push((now + 2500.0, i, life, request));
-                        } else if let Some(n) = &mut self.nodes[i] {
-                            n.hired(&request, hosts, now);
+                            self.provisions_lost.push((now + 2500.0, i, life, request));
+                        } else if let Some(n) = &mut self.controllers[i] {
+                            n.provisioned(&request, hosts, now);
                         }
                     }
                     Effect::ReadLeaf(level, job) => {
@@ -706,7 +718,7 @@
                         } else {
                             Ok(self.state.leaf(level, job))
                         };
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.leaf_read(leaf, now);
                         }
                     }
@@ -720,7 +732,7 @@
                                 .get(&key)
                                 .map(|(v, _)| v.read().expect("a chunk")))
                         };
-                        if let Some(n) = &mut self.nodes[i] {
+                        if let Some(n) = &mut self.controllers[i] {
                             n.chunk_read(number, chunk, read, now);
                         }
                     }
@@ -736,11 +748,11 @@
     fn commit(&mut self, i: usize, ticket: Ticket, commit: &Commit) {
         let now = self.now;
         let cut = match ticket {
-            Ticket::Packer => {
+            Ticket::HistoryCompaction => {
                 self.packer_commits += 1;
                 self.cut_packer.filter(|c| c.0 == self.packer_commits)
             }
-            Ticket::Creator => {
+            Ticket::BulkCreation => {
                 self.creator_commits += 1;
                 self.cut_creator.filter(|c| c.0 == self.creator_commits)
             }
@@ -759,23 +771,23 @@
         }
         let outcome = if self.refused.contains(&i) {
             Outcome::Refused
-        } else if (self.hold_commits.contains(&i) && matches!(ticket, Ticket::Owner(_)))
-            || (self.hold_lead && ticket == Ticket::Leader)
-            || (self.hold_intake.contains(&i) && ticket == Ticket::Intake)
+        } else if (self.hold_commits.contains(&i) && matches!(ticket, Ticket::OwnerCycle(_)))
+            || (self.hold_lead && ticket == Ticket::LeaderCycle)
+            || (self.hold_intake.contains(&i) && ticket == Ticket::Admission)
         {
             self.held_commits.push(commit.clone());
             Outcome::Unknown
         } else {
             self.late_commit(commit)
         };
-        if matches!(ticket, Ticket::Claim(_)) {
+        if matches!(ticket, Ticket::AcquireShard(_)) {
             let keys: Vec<&str> = commit.apply.iter().map(|a| a.key()).collect();
             self.say(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
         }
         if self.slow_ms > 0.0 && outcome != Outcome::Refused {
             self.slow_answer(i, ticket, commit, outcome);
-        } else if let Some(node) = &mut self.nodes[i] {
-            node.committed(ticket, commit, outcome, now);
+        } else if let Some(controller) = &mut self.controllers[i] {
+            controller.committed(ticket, commit, outcome, now);
         }
     }
 
--- a/crates/cherryyard-rehearsal/src/world/check.rs
+++ b/crates/cherryyard-simulation/src/world/check.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use cherryyard_wire::job::JobSpec;
-use cherryyard_wire::worker::Cause;
+use cherryyard_wire::worker::ExitCause;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time within which a cancelled job's tasks must be gone.
@@ -21,8 +21,8 @@
     pub(super) started_cancelled: usize,
 }
 
-fn job_of(piece: &str) -> &str {
-    piece.split('/').next().unwrap_or_default()
+fn job_of(task_name: &str) -> &str {
+    task_name.split('/').next().unwrap_or_default()
 }
 
 impl World {
@@ -51,9 +51,9 @@
     pub fn cores_by_team(&self) -> BTreeMap<String, f64> {
         let mut cores: BTreeMap<String, f64> = BTreeMap::new();
         for worker in self.workers.values() {
-            for (piece, _) in worker.pieces.iter().filter(|p| p.1.2.is_none()) {
-                if let Some(spec) = self.submitted(job_of(piece)) {
-                    *cores.entry(spec.owner.clone()).or_default() += spec.cores;
+            for (task_name, _) in worker.tasks.iter().filter(|p| p.1.2.is_none()) {
+                if let Some(spec) = self.submitted(job_of(task_name)) {
+                    *cores.entry(spec.team.clone()).or_default() += spec.cores;
                 }
             }
         }
@@ -64,11 +64,11 @@
         let (mut on, mut twice, mut late) = (BTreeSet::new(), Vec::new(), Vec::new());
         let (mut new, mut completed) = (Vec::new(), Vec::new());
         for worker in self.workers.values() {
-            for (name, piece) in &worker.pieces {
-                if piece.2 == Some(Cause::Done) && !self.completed.contains(name) {
+            for (name, task_name) in &worker.tasks {
+                if task_name.2 == Some(ExitCause::Done) && !self.completed.contains(name) {
                     completed.push(name.clone());
                 }
-                if piece.2.is_some() {
+                if task_name.2.is_some() {
                     continue;
                 }
                 if !on.insert(name.clone()) {
@@ -78,7 +78,7 @@
                 if told_at.is_some_and(|at| self.now - at > CANCEL_MS) {
                     late.push(format!("{name} runs though cancelled"));
                 }
-                let start = (name.clone(), piece.0, worker.host.clone());
+                let start = (name.clone(), task_name.0, worker.host.clone());
                 if !self.checker.seen.contains(&start) {
                     new.push(start);
                 }
@@ -113,33 +113,33 @@
 
     /// Whether a task that has just started may be where it is, given the job's other
     /// tasks now. All stand-ins are ordinary machines.
-    fn check_start(&mut self, piece: &str, host: &str) {
-        let id = job_of(piece);
+    fn check_start(&mut self, task_name: &str, host: &str) {
+        let id = job_of(task_name);
         if self.cancelled_at.contains_key(id) {
             self.checker.started_cancelled += 1;
         }
-        self.check_needs(id, piece);
+        self.check_needs(id, task_name);
         let (Some(spec), Some(worker)) = (self.submitted(id), self.workers.get(host)) else {
             return;
         };
         let zones = self.workers.values().flat_map(|w| {
-            let here = w.pieces.iter().filter(|p| p.1.2.is_none());
-            here.filter(|p| job_of(p.0) == id).map(|_| w.yard.as_str())
+            let here = w.tasks.iter().filter(|p| p.1.2.is_none());
+            here.filter(|p| job_of(p.0) == id).map(|_| w.zone.as_str())
         });
         let zones: Vec<&str> = zones.collect();
-        let here = zones.iter().filter(|z| **z == worker.yard).count();
-        let kinds = spec.kinds_of_host.as_ref();
-        let wrong = if spec.yard.as_ref().is_some_and(|y| *y != worker.yard) {
+        let here = zones.iter().filter(|z| **z == worker.zone).count();
+        let machine_types = spec.machine_types.as_ref();
+        let wrong = if spec.zone.as_ref().is_some_and(|y| *y != worker.zone) {
             "zone"
-        } else if kinds.is_some_and(|k| !k.contains(&worker.kind)) {
+        } else if machine_types.is_some_and(|k| !k.contains(&worker.machine_type)) {
             "type"
         } else if spec.together && here < zones.len() {
             "zone, as its others are elsewhere"
-        } else if spec.apart && here > spec.pieces.div_ceil(2) as usize {
+        } else if spec.apart && here > spec.task_count.div_ceil(2) as usize {
             "zone, as half of its others are there"
         } else {
             return;
         };
-        self.breaks(format!("{piece} starts on {host}: wrong {wrong}"));
+        self.breaks(format!("{task_name} starts on {host}: wrong {wrong}"));
     }
 }
--- a/crates/cherryyard-rehearsal/src/world/late.rs
+++ b/crates/cherryyard-simulation/src/world/late.rs
@@ -71,8 +71,11 @@
             .extract_if(.., |a| a.0 <= now && !frozen.contains(&a.1))
             .collect();
         for (_, i, life, ticket, commit, outcome) in due {
-            if let Some(node) = self.nodes[i].as_mut().filter(|_| self.lives[i] == life) {
-                node.committed(ticket, &commit, outcome, now);
+            if let Some(controller) = self.controllers[i]
+                .as_mut()
+                .filter(|_| self.lives[i] == life)
+            {
+                controller.committed(ticket, &commit, outcome, now);
                 self.effects(i);
             }
         }
@@ -81,8 +84,8 @@
             .extract_if(.., |i, r| r.0 <= now && !frozen.contains(i))
             .collect();
         for (i, (_, sent_at, read)) in due {
-            if let Some(node) = &mut self.nodes[i] {
-                node.news(&read, sent_at, now);
+            if let Some(controller) = &mut self.controllers[i] {
+                controller.events(&read, sent_at, now);
                 self.effects(i);
             }
         }
@@ -108,7 +111,7 @@
                     self.cancelled_at.insert(id, now);
                 }
             } else {
-                let next = (i + 1) % self.nodes.len();
+                let next = (i + 1) % self.controllers.len();
                 self.asking.push((next, now + 1000.0, id));
             }
         }
@@ -121,19 +124,21 @@
         if self.frozen.contains(&i) {
             return None;
         }
-        let node = self.nodes[i].as_mut().filter(|n| n.mirror.loaded)?;
+        let controller = self.controllers[i].as_mut().filter(|n| n.mirror.loaded)?;
         if !self.refused.contains(&i) {
-            let news = self.state.news(node.mirror.epoch);
-            node.news(&news, now, now);
-            if let Some(commit) = node.cancellation(job)
+            let events = self.state.events(controller.mirror.store_revision);
+            controller.events(&events, now, now);
+            if let Some(commit) = controller.cancellation(job)
                 && let Outcome::Applied(e) = self.late_commit(&commit)
             {
-                self.nodes[i].as_mut()?.user_committed(&commit, e, now);
+                self.controllers[i]
+                    .as_mut()?
+                    .user_committed(&commit, e, now);
             }
         }
-        let node = self.nodes[i].as_mut()?;
-        let how = match node.mirror.view(job)?.status {
-            JobStatus::Cancelled if node.may_tell_cancelled(job, now) => Some("cancelled"),
+        let controller = self.controllers[i].as_mut()?;
+        let how = match controller.mirror.view(job)?.status {
+            JobStatus::Cancelled if controller.may_confirm_cancelled(job, now) => Some("cancelled"),
             JobStatus::Done => Some("done"),
             _ => None,
         };
--- a/crates/cherryyard-rehearsal/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -13,7 +13,7 @@
             worker.hang(now);
             return;
         }
-        if worker.recall_at.is_some_and(|at| now >= at) {
+        if worker.reclaim_at.is_some_and(|at| now >= at) {
             self.workers.remove(name);
             self.say(format!("{name} is taken"));
             return;
@@ -22,28 +22,28 @@
         if let Some(&sent_at) = self.waiting.get(name) {
             if now - sent_at > ANSWER_MS {
                 self.waiting.remove(name);
-                worker.node = (worker.node + 1) % self.nodes.len();
+                worker.controller = (worker.controller + 1) % self.controllers.len();
                 worker.report_at = now + 1000.0;
             }
         } else if now >= worker.report_at
             && !self.unreachable.contains(name)
-            && !self.mute.contains(name)
+            && !self.one_way_silent.contains(name)
         {
             worker.report_at = now + 2000.0;
-            let (i, report) = (worker.node, worker.report(now));
-            let yard = worker.yard.clone();
+            let (i, report) = (worker.controller, worker.report(now));
+            let zone = worker.zone.clone();
             if self.copies_for_next {
                 let kept = self.kept_copies.entry(name.to_string());
                 kept.or_insert_with(|| report.clone());
             }
             if let Some(ms) = self.copies_ms {
-                for k in [i, (i + 1) % self.nodes.len()] {
+                for k in [i, (i + 1) % self.controllers.len()] {
                     self.copies.push((now + ms, k, report.clone()));
                 }
             }
             self.waiting.insert(name.to_string(), now);
             match self.late.get(&i) {
-                _ if !self.reaches(i, &yard) => {}
+                _ if !self.reaches(i, &zone) => {}
                 Some(late) => self.inbox.push((now + late, now, i, report)),
                 None => self.reported(i, &report, now),
             }
@@ -54,11 +54,11 @@
     }
 
     /// A controller takes a report that was sent at `sent_at`, and answers.
-    pub(super) fn reported(&mut self, i: usize, report: &Report, sent_at: f64) {
+    pub(super) fn reported(&mut self, i: usize, report: &WorkerHeartbeat, sent_at: f64) {
         let now = self.now;
-        let hears = !self.deaf.contains(&i) && !self.frozen.contains(&i);
-        let node = self.nodes[i].as_mut().filter(|_| hears);
-        let reply = node.map(|n| n.report(report, now));
+        let is_reachable = !self.deaf.contains(&i) && !self.frozen.contains(&i);
+        let controller = self.controllers[i].as_mut().filter(|_| is_reachable);
+        let reply = controller.map(|n| n.report(report, now));
         let name = &report.host;
         let mut log = Vec::new();
         // A worker that has given up drops the answer.
@@ -68,19 +68,19 @@
         {
             self.waiting.remove(name);
             match reply {
-                // The answer to a report of the session before.
-                Some(Reply::Answer(_)) if worker.tenure != report.tenure => {
+                // The answer to a report of the incarnation before.
+                Some(Reply::Answer(_)) if worker.incarnation != report.incarnation => {
                     worker.report_at = now;
                 }
                 Some(Reply::Answer(answer)) => {
                     log.extend(worker.answered(&answer, sent_at, now));
                 }
                 Some(Reply::Elsewhere(Some(label))) => {
-                    worker.node = label.trim_start_matches("node-").parse().expect("a label");
+                    worker.controller = label.trim_start_matches("node-").parse().expect("a label");
                     worker.report_at = now + 100.0;
                 }
                 _ => {
-                    worker.node = (i + 1) % self.nodes.len();
+                    worker.controller = (i + 1) % self.controllers.len();
                     worker.report_at = now + 1000.0;
                 }
             }
@@ -91,13 +91,13 @@
         }
     }
 
-    pub(super) fn push(&mut self, i: usize, host: u32, addr: &str, request: DoRequest) {
+    pub(super) fn push(&mut self, i: usize, host: u32, addr: &str, request: CommandBatch) {
         let now = self.now;
         let name = addr.trim_end_matches(":9000").to_string();
         let mut log = Vec::new();
         let cut = self.unreachable.contains(&name) || self.one_way.contains(&name);
-        let yard = self.workers.get(&name).map(|w| w.yard.clone());
-        let cut = cut || yard.is_some_and(|yard| !self.reaches(i, &yard));
+        let zone = self.workers.get(&name).map(|w| w.zone.clone());
+        let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
         let cut = cut || self.hung.contains(&name);
         let outcome = if self.slow_direct.contains(&name) || cut {
             self.held_direct.push((name, request.clone()));
@@ -111,8 +111,8 @@
         for line in log {
             self.say(line);
         }
-        if let Some(node) = &mut self.nodes[i] {
-            node.pushed(host, &request, outcome, now);
+        if let Some(controller) = &mut self.controllers[i] {
+            controller.pushed(host, &request, outcome, now);
         }
     }
 
@@ -123,12 +123,12 @@
         let name = addr.trim_end_matches(":9000");
         let cut = self.unreachable.contains(name) || self.one_way.contains(name);
         let cut = cut || self.deaf.contains(&i) || self.hung.contains(name);
-        let yard = self.workers.get(name).map(|w| w.yard.clone());
-        let cut = cut || yard.is_some_and(|yard| !self.reaches(i, &yard));
+        let zone = self.workers.get(name).map(|w| w.zone.clone());
+        let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
         let worker = self.workers.get_mut(name).filter(|_| !cut);
         let report = worker.map(|w| w.report(now));
-        if let Some(node) = &mut self.nodes[i] {
-            node.asked(host, report.as_ref(), now);
+        if let Some(controller) = &mut self.controllers[i] {
+            controller.queried(host, report.as_ref(), now);
         }
     }
 
@@ -164,20 +164,25 @@
 
     /// Whether nothing keeps a machine from taking tasks.
     pub fn in_order(&self, host: &str) -> bool {
-        let bad = [&self.unreachable, &self.hung, &self.one_way, &self.mute];
+        let bad = [
+            &self.unreachable,
+            &self.hung,
+            &self.one_way,
+            &self.one_way_silent,
+        ];
         !bad.iter().any(|set| set.contains(host))
     }
 
     /// How many machines run this task.
-    pub fn copies(&self, piece: &str) -> usize {
-        self.workers.values().filter(|w| w.runs(piece)).count()
+    pub fn copies(&self, task_name: &str) -> usize {
+        self.workers.values().filter(|w| w.runs(task_name)).count()
     }
 
     /// How many tasks run.
     pub fn running(&self) -> usize {
         self.workers
             .values()
-            .map(|w| w.pieces.values().filter(|p| p.2.is_none()).count())
+            .map(|w| w.tasks.values().filter(|p| p.2.is_none()).count())
             .sum()
     }
 }
--- a/crates/cherryyard-rehearsal/src/world/pipelines.rs
+++ b/crates/cherryyard-simulation/src/world/pipelines.rs
@@ -25,8 +25,8 @@
 
     /// Whether all tasks of a job have completed.
     pub fn is_complete(&self, id: &str) -> bool {
-        let pieces = self.submitted(id).map_or(u32::MAX, |spec| spec.pieces);
-        (0..pieces).all(|n| self.completed.contains(&format!("{id}/{n}")))
+        let task_count = self.submitted(id).map_or(u32::MAX, |spec| spec.task_count);
+        (0..task_count).all(|n| self.completed.contains(&format!("{id}/{n}")))
     }
 
     /// Whether all that a job needs has completed.
@@ -50,17 +50,19 @@
         if !matches!(status, JobStatus::Queued | JobStatus::Running) {
             return false;
         }
-        let told = |need: &String| {
+        let answered = |need: &String| {
             let at = self.cancelled_at.get(need);
             at.is_some_and(|at| sent_at - at > CANCEL_MS)
         };
-        self.ancestors(id).iter().any(told)
+        self.ancestors(id).iter().any(answered)
     }
 
     /// Notes a start of a task before all jobs that its job needs are done.
-    pub(super) fn check_needs(&mut self, id: &str, piece: &str) {
+    pub(super) fn check_needs(&mut self, id: &str, task_name: &str) {
         if !self.needs_are_complete(id) {
-            self.breaks(format!("{piece} starts before all that it needs is done"));
+            self.breaks(format!(
+                "{task_name} starts before all that it needs is done"
+            ));
         }
     }
 
@@ -106,7 +108,7 @@
         self.pending = later;
         for (spec, _) in due {
             self.next += 1;
-            w.submit_at(self.next % w.nodes.len(), &spec);
+            w.submit_at(self.next % w.controllers.len(), &spec);
         }
     }
 }
--- a/crates/cherryyard-rehearsal/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -10,13 +10,13 @@
 use cherryyard_core::admission::intake::{Offer, Verdict};
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::dependencies::{PastEnds, Resolution};
-use cherryyard_core::users::Tell;
-use cherryyard_core::{Node, Outcome};
+use cherryyard_core::users::UserAnswer;
+use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, job_number};
 use cherryyard_wire::record::End;
-use cherryyard_wire::state::{Commit, News};
+use cherryyard_wire::state::{Commit, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a user waits for an answer.
@@ -43,7 +43,7 @@
 
 /// What a user is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum Response {
     /// 201.
     Taken,
     /// 200.
@@ -66,7 +66,7 @@
     /// Waits for the next read of the state, and whether a view must follow.
     Barrier(f64),
     /// That read is under way: when it comes, when it was sent, what it tells.
-    Reading(f64, f64, News),
+    Reading(f64, f64, WatchResponse),
     /// Everything up to the request has been read.
     CaughtUp,
     /// Passed on to another controller by this request, until then.
@@ -76,7 +76,7 @@
     /// Its transaction is under way.
     Committing(f64, Commit, Outcome),
     /// The answer is on its way to the user.
-    Answered(f64, Said),
+    Answered(f64, Response),
 }
 
 #[derive(Clone, Debug)]
@@ -87,7 +87,7 @@
     first: f64,
     sent_at: f64,
     /// Its controller, and which start of it.
-    node: usize,
+    controller: usize,
     life: Option<u64>,
     id: String,
     question: Question,
@@ -112,7 +112,7 @@
     moment: u64,
     draw: Box<dyn FnMut(u64) -> u64>,
     /// What each job's user has been told, and when.
-    told: BTreeMap<String, Vec<(u64, Said)>>,
+    answered: BTreeMap<String, Vec<(u64, Response)>>,
     /// Whether users ask at all controllers at once, and repeat the submission, as soon
     /// as they are told that a job is accepted, done or cancelled; some cancel.
     pub close_looks: bool,
@@ -133,14 +133,14 @@
     /// How many answers have been judged.
     pub judged: usize,
     /// Answers to requests that nobody insists on, by number.
-    pub answers: BTreeMap<u64, Said>,
+    pub answers: BTreeMap<u64, Response>,
 }
 
 impl std::fmt::Debug for Requests {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Requests")
             .field("open", &self.open)
-            .field("told", &self.told)
+            .field("told", &self.answered)
             .finish_non_exhaustive()
     }
 }
@@ -152,7 +152,7 @@
             next: 0,
             moment: 0,
             draw: Box::new(draws(1)),
-            told: BTreeMap::new(),
+            answered: BTreeMap::new(),
             close_looks: false,
             without_barrier: false,
             without_admission: false,
@@ -175,8 +175,8 @@
 
     /// Whether a job's user has been told that it is accepted.
     pub fn knows_accepted(&self, id: &str) -> bool {
-        let told = self.told.get(id);
-        told.is_some_and(|all| all.iter().any(|k| age(&k.1) > Some(0)))
+        let answered = self.answered.get(id);
+        answered.is_some_and(|all| all.iter().any(|k| age(&k.1) > Some(0)))
     }
 
     /// How many are under way.
@@ -191,15 +191,15 @@
 }
 
 /// How late in its job's life an answer is; none if it tells nothing of that.
-fn age(said: &Said) -> Option<u8> {
-    match said {
-        Said::Unknown => Some(0),
-        Said::Taken => Some(1),
-        Said::View(view) => match view.status {
+fn age(response: &Response) -> Option<u8> {
+    match response {
+        Response::Unknown => Some(0),
+        Response::Taken => Some(1),
+        Response::View(view) => match view.status {
             JobStatus::Queued | JobStatus::Running => Some(1),
             JobStatus::Done | JobStatus::Cancelled => Some(2),
         },
-        Said::Malformed | Said::Never | Said::Later => None,
+        Response::Malformed | Response::Never | Response::Later => None,
     }
 }
 
@@ -237,7 +237,7 @@
             moment: self.requests.moment,
             first: self.now,
             sent_at: self.now,
-            node: i,
+            controller: i,
             life: None,
             id: id.into(),
             question,
@@ -266,8 +266,8 @@
                 let over = matches!(request.stage, Stage::Answered(at, _) if at <= self.now);
                 if !over {
                     self.requests.open.insert(number, request);
-                } else if let Stage::Answered(_, said) = request.stage.clone() {
-                    self.receive(number, request, said);
+                } else if let Stage::Answered(_, response) = request.stage.clone() {
+                    self.receive(number, request, response);
                     break;
                 }
                 if !moved {
@@ -284,31 +284,31 @@
             return false;
         }
         if now - r.sent_at > PATIENCE_MS {
-            r.stage = Stage::Answered(now, Said::Later);
+            r.stage = Stage::Answered(now, Response::Later);
             return true;
         }
-        let i = r.node;
+        let i = r.controller;
         if self.frozen.contains(&i) {
             return false;
         }
         // Its connection ends with the process.
-        let up = self.nodes[i].is_some() && r.life.is_none_or(|life| life == self.lives[i]);
+        let up = self.controllers[i].is_some() && r.life.is_none_or(|life| life == self.lives[i]);
         if !up {
-            r.stage = Stage::Answered(now, Said::Later);
+            r.stage = Stage::Answered(now, Response::Later);
             return true;
         }
         match r.stage.clone() {
             Stage::Sent(at) if at <= now => {
                 r.life = Some(self.lives[i]);
-                let said = self.arrives(r);
-                self.go_on(r, said)
+                let response = self.arrives(r);
+                self.go_on(r, response)
             }
             Stage::Barrier(at) if at <= now => {
-                if self.refused.contains(&i) || !self.node(i).mirror.loaded {
-                    let said = Some(Said::Later);
-                    return self.go_on(r, said);
+                if self.refused.contains(&i) || !self.controller(i).mirror.loaded {
+                    let response = Some(Response::Later);
+                    return self.go_on(r, response);
                 }
-                let read = self.state.news(self.node(i).mirror.epoch);
+                let read = self.state.events(self.controller(i).mirror.store_revision);
                 let takes = if self.slow_ms > 0.0 {
                     slow(self.slow_ms, &mut self.late_draw)
                 } else {
@@ -318,101 +318,101 @@
                 true
             }
             Stage::Reading(at, sent_at, read) if at <= now => {
-                let node = self.nodes[i].as_mut().expect("it is up");
-                node.news(&read, sent_at, now);
+                let controller = self.controllers[i].as_mut().expect("it is up");
+                controller.events(&read, sent_at, now);
                 self.effects(i);
                 r.stage = Stage::CaughtUp;
                 true
             }
             Stage::CaughtUp if std::mem::take(&mut r.resolving) => {
                 r.resolved = true;
-                let said = self.offered_here(r);
-                self.go_on(r, said)
+                let response = self.offered_here(r);
+                self.go_on(r, response)
             }
             Stage::CaughtUp => {
-                let said = self.looked_up(r, true);
-                self.go_on(r, said)
+                let response = self.looked_up(r, true);
+                self.go_on(r, response)
             }
             Stage::Passed(other, until) => {
-                if let Some(said) = self.requests.answers.remove(&other) {
-                    return self.go_on(r, Some(said));
+                if let Some(response) = self.requests.answers.remove(&other) {
+                    return self.go_on(r, Some(response));
                 }
                 if until > now {
                     return false;
                 }
                 // Written here after all; the other may write it too.
-                let said = self.offered_here(r);
-                self.go_on(r, said)
+                let response = self.offered_here(r);
+                self.go_on(r, response)
             }
             Stage::Offered(ticket, until) => {
                 let verdict = self.verdicts.remove(&ticket);
-                let said = match verdict {
+                let response = match verdict {
                     None if until > now => return false,
-                    Some(Verdict::Taken) => Some(Said::Taken),
+                    Some(Verdict::Taken) => Some(Response::Taken),
                     Some(Verdict::Known) => self.looked_up(r, false),
-                    Some(Verdict::LookAgain) if r.tries < TRIES => self.offered_here(r),
-                    _ => Some(Said::Later),
+                    Some(Verdict::Retry) if r.tries < TRIES => self.offered_here(r),
+                    _ => Some(Response::Later),
                 };
-                self.go_on(r, said)
+                self.go_on(r, response)
             }
             Stage::Committing(at, commit, outcome) if at <= now => {
                 if let Outcome::Applied(e) = outcome {
-                    let node = self.nodes[i].as_mut().expect("it is up");
-                    node.user_committed(&commit, e, now);
+                    let controller = self.controllers[i].as_mut().expect("it is up");
+                    controller.user_committed(&commit, e, now);
                     self.effects(i);
                 }
-                let said = match outcome {
-                    Outcome::NoLease | Outcome::Unknown => Some(Said::Later),
+                let response = match outcome {
+                    Outcome::NoLease | Outcome::Unknown => Some(Response::Later),
                     _ => self.looked_up(r, false),
                 };
-                self.go_on(r, said)
+                self.go_on(r, response)
             }
             _ => false,
         }
     }
 
     /// Sends the answer, if there is one.
-    fn go_on(&mut self, r: &mut Request, said: Option<Said>) -> bool {
-        if let Some(said) = said {
-            r.stage = Stage::Answered(self.now + self.requests.hop(), said);
+    fn go_on(&mut self, r: &mut Request, response: Option<Response>) -> bool {
+        if let Some(response) = response {
+            r.stage = Stage::Answered(self.now + self.requests.hop(), response);
         }
         true
     }
 
-    fn node(&self, i: usize) -> &Node {
-        self.nodes[i].as_ref().expect("it is up")
+    fn controller(&self, i: usize) -> &Controller {
+        self.controllers[i].as_ref().expect("it is up")
     }
 
     /// A request arrives: its answer, or none yet.
-    fn arrives(&mut self, r: &mut Request) -> Option<Said> {
+    fn arrives(&mut self, r: &mut Request) -> Option<Response> {
         let now = self.now;
-        let node = self.node(r.node);
-        if !node.mirror.loaded || node.mirror.kinds.is_empty() {
-            return Some(Said::Later);
+        let controller = self.controller(r.controller);
+        if !controller.mirror.loaded || controller.mirror.machine_types.is_empty() {
+            return Some(Response::Later);
         }
         let Question::Submit(body) = &r.question else {
             return self.looked_up(r, false);
         };
-        if !r.passed && node.refuses_submissions(now) {
-            return Some(Said::Later);
+        if !r.passed && controller.refuses_submissions(now) {
+            return Some(Response::Later);
         }
         let Ok(spec) = JobSpec::parse(body) else {
-            return Some(Said::Malformed);
+            return Some(Response::Malformed);
         };
         let job = job_number(&spec.id)?;
-        if node.mirror.view(job).is_some() {
+        if controller.mirror.view(job).is_some() {
             return self.looked_up(r, false);
         }
-        if !spec.waits_on.is_empty() && !node.accepts_dependencies() {
-            return Some(Said::Later);
+        if !spec.waits_on.is_empty() && !controller.accepts_dependencies() {
+            return Some(Response::Later);
         }
-        let whom = node.whom_to_ask(now).filter(|_| !r.passed);
+        let whom = controller.forwarding_target(now).filter(|_| !r.passed);
         let whom = whom.and_then(|l| l.trim_start_matches("node-").parse::<usize>().ok());
-        let reached = whom.filter(|&k| self.hear_each_other(r.node, k));
-        if let Some(k) = reached.filter(|&k| self.nodes[k].is_some()) {
+        let reached = whom.filter(|&k| self.hear_each_other(r.controller, k));
+        if let Some(k) = reached.filter(|&k| self.controllers[k].is_some()) {
             let (id, question) = (r.id.clone(), r.question.clone());
             let other = self.request(k, &id, question, false);
-            let patience = if self.refused.contains(&r.node) {
+            let patience = if self.refused.contains(&r.controller) {
                 PASSED_MS * 6.0
             } else {
                 PASSED_MS
@@ -428,24 +428,30 @@
     }
 
     /// Hands a submission to the core of the controller that it came to.
-    fn offered_here(&mut self, r: &mut Request) -> Option<Said> {
+    fn offered_here(&mut self, r: &mut Request) -> Option<Response> {
         let now = self.now;
         let Question::Submit(body) = &r.question else {
-            return Some(Said::Later);
+            return Some(Response::Later);
         };
         let mut spec = JobSpec::parse(body).ok()?;
         let job = job_number(&spec.id)?;
         r.tries += 1;
-        let node = self.node(r.node);
-        let verdict = admit(&mut spec, None, now as u64, &node.mirror, &node.config);
-        if !node.state_fresh(now) {
-            return Some(Said::Later);
+        let controller = self.controller(r.controller);
+        let verdict = admit(
+            &mut spec,
+            None,
+            now as u64,
+            &controller.mirror,
+            &controller.config,
+        );
+        if !controller.state_fresh(now) {
+            return Some(Response::Later);
         }
         match verdict {
             _ if self.requests.without_admission => {}
             Ok(()) => {}
-            Err(Reject::NotYet(_)) => return Some(Said::Later),
-            Err(Reject::Malformed(_)) => return Some(Said::Malformed),
+            Err(Reject::NotYet(_)) => return Some(Response::Later),
+            Err(Reject::Malformed(_)) => return Some(Response::Malformed),
             Err(Reject::Never(_)) => {
                 r.refusing = true;
                 return self.looked_up(r, false);
@@ -453,12 +459,12 @@
         }
         let after = match self.resolve_dependencies(r, &spec) {
             Ok(after) => after,
-            Err(said) => return said,
+            Err(response) => return response,
         };
         spec.waits_on.clear();
-        let node = self.nodes[r.node].as_mut().expect("it is up");
-        let Some(mut open) = node.mirror.new_job(spec, None, now as u64) else {
-            return Some(Said::Never);
+        let controller = self.controllers[r.controller].as_mut().expect("it is up");
+        let Some(mut open) = controller.mirror.new_job(spec, None, now as u64) else {
+            return Some(Response::Never);
         };
         if !self.requests.without_dependencies {
             open.after = after;
@@ -468,11 +474,11 @@
             ticket: self.tickets,
             job,
             open,
-            moved: node.mirror.packed_stamp,
+            moved: controller.mirror.packed_revision,
         };
         r.stage = Stage::Offered(offer.ticket, now + 4000.0);
-        node.offer(offer, now);
-        self.effects(r.node);
+        controller.offer(offer, now);
+        self.effects(r.controller);
         None
     }
 
@@ -482,10 +488,13 @@
         &mut self,
         r: &mut Request,
         spec: &JobSpec,
-    ) -> Result<Dependencies, Option<Said>> {
+    ) -> Result<Dependencies, Option<Response>> {
         let mut past = PastEnds::new();
         loop {
-            let unknown = match self.node(r.node).resolve_dependencies(spec, &past) {
+            let unknown = match self
+                .controller(r.controller)
+                .resolve_dependencies(spec, &past)
+            {
                 Resolution::Accepted(after) => return Ok(after),
                 Resolution::Unknown(_) if !r.resolved => {
                     r.resolving = true;
@@ -506,7 +515,7 @@
 
     /// How a job ended that is only in the history.
     fn past_end(&self, job: u64) -> Option<End> {
-        Node::LOOK_UP_ORDER.iter().find_map(|&level| {
+        Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::from_record(&record).ok()?;
             leaf.find(job).map(|past| past.end)
@@ -514,39 +523,42 @@
     }
 
     /// What its user can be told of the job now; none if first something must come.
-    fn looked_up(&mut self, r: &mut Request, caught_up: bool) -> Option<Said> {
+    fn looked_up(&mut self, r: &mut Request, caught_up: bool) -> Option<Response> {
         let now = self.now;
         let Some(job) = job_number(&r.id) else {
-            return Some(Said::Unknown);
+            return Some(Response::Unknown);
         };
-        let node = self.node(r.node);
-        if r.question == Question::Poll && node.refuses_polls(now) {
-            return Some(Said::Later);
+        let controller = self.controller(r.controller);
+        if r.question == Question::Poll && controller.refuses_polls(now) {
+            return Some(Response::Later);
         }
-        let view = match node.tell(job, caught_up || self.requests.without_barrier, now) {
-            Tell::Barrier => {
+        let view = match controller.answer_for(job, caught_up || self.requests.without_barrier, now)
+        {
+            UserAnswer::Barrier => {
                 let at = now + (self.requests.draw)(PACE_MS) as f64;
                 r.stage = Stage::Barrier(at);
                 return None;
             }
-            Tell::NotYet => return Some(Said::Later),
-            Tell::Unknown if r.refusing => return Some(Said::Never),
-            Tell::Unknown if matches!(r.question, Question::Submit(_)) => return Some(Said::Later),
-            Tell::Unknown => return Some(Said::Unknown),
-            Tell::View(view) => view,
+            UserAnswer::NotYet => return Some(Response::Later),
+            UserAnswer::Unknown if r.refusing => return Some(Response::Never),
+            UserAnswer::Unknown if matches!(r.question, Question::Submit(_)) => {
+                return Some(Response::Later);
+            }
+            UserAnswer::Unknown => return Some(Response::Unknown),
+            UserAnswer::View(view) => view,
         };
         let over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
         if r.question != Question::Cancel || over {
-            return Some(Said::View(view));
+            return Some(Response::View(view));
         }
         if r.tries >= TRIES {
-            return Some(Said::Later);
+            return Some(Response::Later);
         }
         r.tries += 1;
-        let Some(commit) = self.node(r.node).cancellation(job) else {
+        let Some(commit) = self.controller(r.controller).cancellation(job) else {
             return self.looked_up(r, false);
         };
-        let outcome = if self.refused.contains(&r.node) {
+        let outcome = if self.refused.contains(&r.controller) {
             Outcome::Refused
         } else {
             self.late_commit(&commit)
@@ -561,14 +573,14 @@
     }
 
     /// A user is told.
-    fn receive(&mut self, number: u64, r: Request, said: Said) {
+    fn receive(&mut self, number: u64, r: Request, response: Response) {
         if r.passed {
-            self.requests.answers.insert(number, said);
+            self.requests.answers.insert(number, response);
             return;
         }
-        self.judge(&r, &said);
-        if said == Said::Later && r.insists && self.now - r.first < INSIST_MS {
-            let next = (r.node + 1) % self.nodes.len();
+        self.judge(&r, &response);
+        if response == Response::Later && r.insists && self.now - r.first < INSIST_MS {
+            let next = (r.controller + 1) % self.controllers.len();
             let again = self.request(next, &r.id, r.question.clone(), true);
             if let Some(again) = self.requests.open.get_mut(&again) {
                 again.first = r.first;
@@ -578,31 +590,36 @@
             return;
         }
         if !r.insists {
-            self.requests.answers.insert(number, said);
+            self.requests.answers.insert(number, response);
         }
     }
 
     /// Judges an answer by what its user knew when it was asked for.
-    fn judge(&mut self, r: &Request, said: &Said) {
-        let (id, node) = (r.id.clone(), r.node);
+    fn judge(&mut self, r: &Request, response: &Response) {
+        let (id, controller) = (r.id.clone(), r.controller);
         self.requests.moment += 1;
         self.requests.judged += 1;
         let moment = self.requests.moment;
-        let known = self.requests.told.entry(id.clone()).or_default().clone();
+        let known = self
+            .requests
+            .answered
+            .entry(id.clone())
+            .or_default()
+            .clone();
         let newest = |before: u64| {
-            let told = known.iter().filter(|k| k.0 < before);
-            told.filter_map(|k| age(&k.1)).max()
+            let answered = known.iter().filter(|k| k.0 < before);
+            answered.filter_map(|k| age(&k.1)).max()
         };
         let (then, ever) = (newest(r.moment), newest(u64::MAX));
-        let status = |said: &Said| match said {
-            Said::View(view) => Some(view.status),
+        let status = |response: &Response| match response {
+            Response::View(view) => Some(view.status),
             _ => None,
         };
         let mut wrong = Vec::new();
-        if let Some(age) = age(said) {
+        if let Some(age) = age(response) {
             if then.is_some_and(|then| age < then) {
                 wrong.push(format!(
-                    "node-{node} answers {said:?} after something newer"
+                    "node-{controller} answers {response:?} after something newer"
                 ));
             }
             if age > 0 && self.requests.impossible.contains(&id) {
@@ -612,10 +629,14 @@
                 wrong.push("nobody submitted it".into());
             }
         }
-        if matches!(said, Said::Malformed | Said::Never) && then.is_some_and(|then| then > 0) {
-            wrong.push(format!("accepted, and node-{node} answers {said:?}"));
+        if matches!(response, Response::Malformed | Response::Never)
+            && then.is_some_and(|then| then > 0)
+        {
+            wrong.push(format!(
+                "accepted, and node-{controller} answers {response:?}"
+            ));
         }
-        match status(said) {
+        match status(response) {
             Some(JobStatus::Cancelled) if !self.may_be_cancelled(&id) => {
                 wrong.push("it is called cancelled, and nobody asked for that".into());
             }
@@ -627,7 +648,11 @@
             }
             _ => {}
         }
-        let finals = known.iter().map(|k| &k.1).chain([said]).filter_map(status);
+        let finals = known
+            .iter()
+            .map(|k| &k.1)
+            .chain([response])
+            .filter_map(status);
         let finals: BTreeSet<String> = finals
             .filter(|s| matches!(s, JobStatus::Done | JobStatus::Cancelled))
             .map(|s| format!("{s:?}"))
@@ -638,19 +663,20 @@
         for text in wrong {
             self.breaks(format!("{id}: {text}"));
         }
-        if age(said).is_none() {
+        if age(response).is_none() {
             return;
         }
-        let first = age(said) > ever && *said != Said::Unknown;
-        if status(said) == Some(JobStatus::Cancelled) {
+        let first = age(response) > ever && *response != Response::Unknown;
+        if status(response) == Some(JobStatus::Cancelled) {
             let now = self.now;
             self.cancelled_at.entry(id.clone()).or_insert(now);
         }
         // The first of each says as much as all.
-        let same = |k: &(u64, Said)| age(&k.1) == age(said) && status(&k.1) == status(said);
+        let same =
+            |k: &(u64, Response)| age(&k.1) == age(response) && status(&k.1) == status(response);
         if !known.iter().any(same) {
-            let list = self.requests.told.entry(id.clone()).or_default();
-            list.push((moment, said.clone()));
+            let list = self.requests.answered.entry(id.clone()).or_default();
+            list.push((moment, response.clone()));
         }
         if ever.unwrap_or(0) == 0
             && first
@@ -667,7 +693,7 @@
     /// in four cancels.
     fn look_closely(&mut self, id: &str) {
         let body = self.submitted(id).map(serde_json::to_vec);
-        for i in 0..self.nodes.len() {
+        for i in 0..self.controllers.len() {
             self.ask_once(i, id, Question::Poll);
             self.ask_once(i, id, Question::Poll);
             if let Some(Ok(body)) = &body {
@@ -675,7 +701,7 @@
             }
         }
         if (self.requests.draw)(4) == 0 {
-            let i = (self.requests.draw)(self.nodes.len() as u64) as usize;
+            let i = (self.requests.draw)(self.controllers.len() as u64) as usize;
             self.insist(i, id, Question::Cancel);
         }
     }
@@ -687,11 +713,11 @@
             return;
         }
         // Only of what is taken: before, another submission of the job would be its first.
-        let taken = |told: &Vec<(u64, Said)>| told.iter().any(|k| age(&k.1) > Some(0));
-        let known = self.requests.told.iter().filter(|t| taken(t.1));
+        let taken = |answered: &Vec<(u64, Response)>| answered.iter().any(|k| age(&k.1) > Some(0));
+        let known = self.requests.answered.iter().filter(|t| taken(t.1));
         let known: Vec<String> = known.map(|t| t.0.clone()).collect();
-        let i = (self.requests.draw)(self.nodes.len() as u64) as usize;
-        let kind = (self.requests.draw)(8);
+        let i = (self.requests.draw)(self.controllers.len() as u64) as usize;
+        let machine_type = (self.requests.draw)(8);
         let at = (self.requests.draw)(known.len().max(1) as u64) as usize;
         let Some(id) = known
             .get(at)
@@ -703,11 +729,11 @@
             return;
         };
         let body = |spec: &JobSpec| serde_json::to_vec(spec).expect("a job");
-        match kind {
+        match machine_type {
             0 | 1 => drop(self.ask_once(i, id, Question::Submit(body(&spec)))),
             2 => {
                 let mut other = spec;
-                (other.pieces, other.cores) = (other.pieces + 3, 0.5);
+                (other.task_count, other.cores) = (other.task_count + 3, 0.5);
                 self.ask_once(i, id, Question::Submit(body(&other)));
             }
             3 if self.asked_to_cancel(id) => drop(self.ask_once(i, id, Question::Cancel)),
@@ -717,9 +743,9 @@
                 never.id = format!("j-{:06}", 980_000 + self.requests.next);
                 match (self.requests.draw)(4) {
                     0 => never.cores = 64.0,
-                    1 => never.owner = "nobody".into(),
-                    2 => never.kinds_of_host = Some(vec!["m99".into()]),
-                    _ => never.yard = Some("nowhere".into()),
+                    1 => never.team = "nobody".into(),
+                    2 => never.machine_types = Some(vec!["m99".into()]),
+                    _ => never.zone = Some("nowhere".into()),
                 }
                 self.requests.impossible.insert(never.id.clone());
                 self.insist(i, &never.id.clone(), Question::Submit(body(&never)));
--- a/crates/cherryyard-rehearsal/src/world/submitting.rs
+++ b/crates/cherryyard-simulation/src/world/submitting.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl World {
-    /// A job of `pieces` tasks of 2 cores.
-    pub fn spec(id: &str, shape: &str, pieces: u32) -> JobSpec {
+    /// A job of `task_count` tasks of 2 cores.
+    pub fn spec(id: &str, shape: &str, task_count: u32) -> JobSpec {
         let text = json!({
             "id": id, "jobclass": "class", "owner": "team", "shape": shape, "rank": "standard",
-            "pieces": pieces, "cores": 2.0, "accelerators": 0.0, "ram_gb": 1.0, "bundle": "img",
+            "pieces": task_count, "cores": 2.0, "accelerators": 0.0, "ram_gb": 1.0, "bundle": "img",
             "image_gb": 1.0, "kinds_of_host": null, "yard": null, "together": false,
             "apart": false, "borrowed": false, "expected_s": 20.0, "snapshot_every_s": 0.0,
             "snapshot_cost_s": 0.0, "due_s": null
@@ -23,8 +23,8 @@
     /// A user's submission with rules of its own takes effect.
     pub fn submit_with(&mut self, spec: &JobSpec, rules: Option<Rules>) {
         self.note(spec);
-        let able =
-            (0..self.nodes.len()).find(|i| self.nodes[*i].is_some() && !self.refused.contains(i));
+        let able = (0..self.controllers.len())
+            .find(|i| self.controllers[*i].is_some() && !self.refused.contains(i));
         let job = job_number(&spec.id).expect("a good id");
         let now = self.now;
         let mut commit = Commit::default();
@@ -37,17 +37,22 @@
             rules: rules.clone().map(Box::new),
             after: Dependencies::default(),
         };
-        let node = able.and_then(|i| self.nodes[i].as_mut());
-        if let Some(node) = node.filter(|n| n.mirror.loaded) {
-            node.news(&self.state.news(node.mirror.epoch), now, now);
-            let config = node.config.clone();
-            let fits = if node.mirror.takes_pages() {
+        let controller = able.and_then(|i| self.controllers[i].as_mut());
+        if let Some(controller) = controller.filter(|n| n.mirror.loaded) {
+            controller.events(
+                &self.state.events(controller.mirror.store_revision),
+                now,
+                now,
+            );
+            let config = controller.config.clone();
+            let fits = if controller.mirror.takes_pages() {
                 let rules = rules.map(Box::new);
-                let open = node.mirror.new_job(spec.clone(), rules, now as u64);
+                let open = controller.mirror.new_job(spec.clone(), rules, now as u64);
                 let jobs = open.iter().map(|open| (job, open));
-                node.mirror.add_jobs(&mut commit, jobs, &config) == 1
+                controller.mirror.add_jobs(&mut commit, jobs, &config) == 1
             } else {
-                node.mirror
+                controller
+                    .mirror
                     .write_jobs(&mut commit, vec![(job, record)], &config)
             };
             assert!(fits, "{} cannot be written", spec.id);
@@ -66,24 +71,28 @@
         let job = job_number(&spec.id).expect("a good id");
         self.tickets += 1;
         let ticket = self.tickets;
-        if let Some(node) = &mut self.nodes[i] {
+        if let Some(controller) = &mut self.controllers[i] {
             if !self.refused.contains(&i) {
-                if !node.mirror.loaded {
-                    node.mirror.begin_load();
-                    node.mirror.load_some(&self.state.pairs());
-                    node.loaded(self.state.epoch(), now, now);
+                if !controller.mirror.loaded {
+                    controller.mirror.begin_load();
+                    controller.mirror.load_some(&self.state.pairs());
+                    controller.loaded(self.state.store_revision(), now, now);
                 }
-                node.news(&self.state.news(node.mirror.epoch), now, now);
+                controller.events(
+                    &self.state.events(controller.mirror.store_revision),
+                    now,
+                    now,
+                );
             }
             let rules = rules.map(Box::new);
-            let new = node.mirror.new_job(spec.clone(), rules, now as u64);
+            let new = controller.mirror.new_job(spec.clone(), rules, now as u64);
             let offer = Offer {
                 ticket,
                 job,
                 open: new.expect("a known team"),
-                moved: node.mirror.packed_stamp,
+                moved: controller.mirror.packed_revision,
             };
-            node.offer(offer, now);
+            controller.offer(offer, now);
         }
         self.effects(i);
         ticket
@@ -136,8 +145,8 @@
         record.phase = record.phase.after(PhaseEvent::Removed);
         let mut commit = Commit::default();
         let key = submission_key(number);
-        let stamp = self.state.get(&key).map_or(0, |(_, stamp)| stamp);
-        commit.require(key.clone(), stamp);
+        let revision = self.state.get(&key).map_or(0, |(_, revision)| revision);
+        commit.require(key.clone(), revision);
         commit.apply.push(Apply::set(key, &record));
         let outcome = self.state.commit(&commit);
         self.say(format!("{} removed: {outcome:?}", record.name));
@@ -148,21 +157,21 @@
     pub fn cancel(&mut self, i: usize, id: &str) {
         let job = job_number(id).expect("a good id");
         let now = self.now;
-        let epoch = self.state.epoch();
-        let node = self.nodes[i].as_mut().expect("a running controller");
-        let news = self.state.news(node.mirror.epoch);
-        node.news(&news, now, now);
-        let commit = node.cancellation(job).expect("an open job");
+        let store_revision = self.state.store_revision();
+        let controller = self.controllers[i].as_mut().expect("a running controller");
+        let events = self.state.events(controller.mirror.store_revision);
+        controller.events(&events, now, now);
+        let commit = controller.cancellation(job).expect("an open job");
         let outcome = self.state.commit(&commit);
         self.requests.cancelling.insert(id.into());
         if let Outcome::Applied(e) = outcome {
-            node.user_committed(&commit, e, now);
+            controller.user_committed(&commit, e, now);
         }
         assert!(
-            matches!(outcome, Outcome::Applied(e) if e > epoch),
+            matches!(outcome, Outcome::Applied(e) if e > store_revision),
             "{outcome:?}"
         );
-        if node.may_tell_cancelled(job, now) {
+        if controller.may_confirm_cancelled(job, now) {
             self.cancelled_at.insert(id.to_string(), now);
         } else {
             self.asking.push((i, now + 1000.0, id.to_string()));
@@ -172,20 +181,20 @@
 
     /// A job's division, as the controllers know it.
     pub fn division(&self, job: u64) -> Vec<RangeSet> {
-        let node = self.nodes.iter().flatten().find(|n| n.mirror.loaded);
-        let open = node.and_then(|n| n.mirror.open.get(&job));
+        let controller = self.controllers.iter().flatten().find(|n| n.mirror.loaded);
+        let open = controller.and_then(|n| n.mirror.open.get(&job));
         open.expect("an open job").div.clone()
     }
 
     /// What controller `i` would tell a user, after a barrier if it can.
     pub fn view(&mut self, i: usize, id: &str) -> Option<JobView> {
         let now = self.now;
-        let node = self.nodes[i].as_mut()?;
+        let controller = self.controllers[i].as_mut()?;
         if !self.refused.contains(&i) {
-            let news = self.state.news(node.mirror.epoch);
-            node.news(&news, now, now);
+            let events = self.state.events(controller.mirror.store_revision);
+            controller.events(&events, now, now);
         }
-        node.mirror.view(job_number(id)?)
+        controller.mirror.view(job_number(id)?)
     }
 
     /// What controller `i` would tell a user, with a look into the history.
@@ -194,7 +203,7 @@
             return Some(view);
         }
         let job = job_number(id)?;
-        Node::LOOK_UP_ORDER.iter().find_map(|&level| {
+        Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::from_record(&record).expect("a good leaf");
             leaf.find(job).map(|p| over(job, p.end, p.done))
--- a/crates/cherryyard-rehearsal/tests/account.rs
+++ b/crates/cherryyard-simulation/tests/account.rs
@@ -1,7 +1,7 @@
 //! The account of core-seconds: every core is counted once, whatever fails.
 
-use cherryyard_core::account::Went;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_core::account::CoreUse;
+use cherryyard_simulation::{Setup, World};
 
 /// Twelve machines of 4 cores under one controller; tasks run for 20 s. Idle cores
 /// count as idle only as far as waiting tasks could fill them, and what a dead
@@ -24,17 +24,17 @@
     let half = w.account();
     let cores = 15.0 * 48.0;
     assert!((half.total() - cores).abs() < 0.1 * cores, "{half:?}");
-    let arrays = half.get(Went::Arrays) + half.get(Went::Starting) + half.get(Went::Round);
+    let arrays = half.get(CoreUse::Arrays) + half.get(CoreUse::Starting) + half.get(CoreUse::Round);
     assert!((arrays - cores / 2.0).abs() < 0.1 * cores, "{half:?}");
-    assert_eq!(half.get(Went::Lost), 0.0);
+    assert_eq!(half.get(CoreUse::Lost), 0.0);
 
     // A machine dies with its task; 17 s of 2 cores are lost.
-    let dead = w.workers.values().find(|x| !x.pieces.is_empty()).unwrap();
-    let (dead, tasks) = (dead.host.clone(), dead.pieces.len() as f64);
+    let dead = w.workers.values().find(|x| !x.tasks.is_empty()).unwrap();
+    let (dead, tasks) = (dead.host.clone(), dead.tasks.len() as f64);
     w.workers.remove(&dead);
     w.run(60.0);
-    let lost = w.account().get(Went::Lost);
+    let lost = w.account().get(CoreUse::Lost);
     let least = 15.0 * 2.0 * tasks;
     assert!(lost > least - 5.0 && lost < 2.0 * least, "{lost}");
-    assert_eq!(w.nodes[0].as_ref().unwrap().mirror.open.len(), 0);
+    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.open.len(), 0);
 }
--- a/crates/cherryyard-rehearsal/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Admission under overload: nobody starves, whatever fails meanwhile.
 
 use cherryyard_core::admission::intake::Verdict;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, Rank};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,9 +10,9 @@
 const URGENT: u64 = 1_000_000;
 const CORES: f64 = 2.0;
 
-fn spec(job: u64, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
-    (spec.jobclass, spec.rank) = if job >= URGENT {
+fn spec(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
+    (spec.job_class, spec.rank) = if job >= URGENT {
         ("urgent".into(), Rank::High)
     } else {
         ("steady".into(), Rank::Standard)
@@ -41,9 +41,9 @@
 /// Cores that each class's tasks take now.
 fn running(w: &World) -> (f64, f64) {
     let (mut steady, mut urgent) = (0.0, 0.0);
-    for (name, piece) in w.workers.values().flat_map(|x| &x.pieces) {
+    for (name, task_name) in w.workers.values().flat_map(|x| &x.tasks) {
         let job = name[2..].split('/').next().unwrap().parse::<u64>().unwrap();
-        if piece.2.is_none() {
+        if task_name.2.is_none() {
             *(if job >= URGENT {
                 &mut urgent
             } else {
@@ -59,16 +59,16 @@
     next: [u64; 2],
     due: [f64; 2],
     every_s: [f64; 2],
-    pieces: [u32; 2],
+    task_count: [u32; 2],
 }
 
 impl Arrivals {
-    fn new(every_s: [f64; 2], pieces: [u32; 2]) -> Self {
+    fn new(every_s: [f64; 2], task_count: [u32; 2]) -> Self {
         Self {
             next: [1, URGENT],
             due: [0.0; 2],
             every_s,
-            pieces,
+            task_count,
         }
     }
 
@@ -78,14 +78,14 @@
             self.due[class] += 1.0 / self.every_s[class];
             while self.due[class] >= 1.0 {
                 self.due[class] -= 1.0;
-                let able = (0..w.nodes.len()).find(|i| {
-                    let fresh = |n: &cherryyard_core::Node| n.state_fresh(w.now);
-                    w.nodes[*i].as_ref().is_some_and(fresh)
+                let able = (0..w.controllers.len()).find(|i| {
+                    let fresh = |n: &cherryyard_core::Controller| n.state_fresh(w.now);
+                    w.controllers[*i].as_ref().is_some_and(fresh)
                         && !w.refused.contains(i)
                         && !w.frozen.contains(i)
                 });
                 if able.is_some() {
-                    w.submit(&spec(self.next[class], self.pieces[class]));
+                    w.submit(&spec(self.next[class], self.task_count[class]));
                     self.next[class] += 1;
                 }
             }
@@ -106,10 +106,10 @@
 
 fn leader(w: &World) -> Option<usize> {
     let leads = |i: &usize| {
-        let node = w.nodes[*i].as_ref();
-        node.is_some_and(|n| n.lead_stamp().is_some()) && !w.frozen.contains(i)
+        let controller = w.controllers[*i].as_ref();
+        controller.is_some_and(|n| n.leadership_token().is_some()) && !w.frozen.contains(i)
     };
-    (0..w.nodes.len()).find(leads)
+    (0..w.controllers.len()).find(leads)
 }
 
 /// The higher rank asks for several times all there is, for minutes. The other class
@@ -128,16 +128,16 @@
     steady_over(&mut w, &mut arrivals, 25);
     let with = steady_over(&mut w, &mut arrivals, 20);
     assert!(with > 30.0, "{with}");
-    let lead = leader(&w).unwrap();
-    w.kill(lead);
+    let leader_index = leader(&w).unwrap();
+    w.kill(leader_index);
     let leaderless = steady_over(&mut w, &mut arrivals, 12);
     assert!(leaderless > 15.0, "{leaderless}");
-    w.start(lead);
-    let other = (lead + 1) % 3;
+    w.start(leader_index);
+    let other = (leader_index + 1) % 3;
     w.frozen.insert(other);
     steady_over(&mut w, &mut arrivals, 20);
     w.frozen.remove(&other);
-    w.alone.insert((lead + 2) % 3);
+    w.alone.insert((leader_index + 2) % 3);
     steady_over(&mut w, &mut arrivals, 15);
     let cut = steady_over(&mut w, &mut arrivals, 20);
     assert!(cut > 20.0, "{cut}");
@@ -182,8 +182,8 @@
         ..fleet(3, 0)
     });
     w.run(10.0);
-    let lead = leader(&w).unwrap();
-    w.frozen.insert(lead);
+    let leader_index = leader(&w).unwrap();
+    w.frozen.insert(leader_index);
     let mut arrivals = Arrivals::new([0.5, 0.1], [6, 10]);
     steady_over(&mut w, &mut arrivals, 8);
     w.frozen.clear();
@@ -194,7 +194,7 @@
     let zone: Vec<String> = w
         .workers
         .values()
-        .filter(|x| x.yard == "b")
+        .filter(|x| x.zone == "b")
         .map(|x| x.host.clone())
         .collect();
     for host in zone {
@@ -204,9 +204,9 @@
     let mut had = 0.0;
     for _ in 0..20 {
         arrivals.second(&mut w);
-        let left = |x: &&cherryyard_rehearsal::WorkerStandIn| x.yard == "a";
-        let pieces = w.workers.values().filter(left).flat_map(|x| &x.pieces);
-        let steady = pieces.filter(|(name, p)| p.2.is_none() && name.len() < 12);
+        let left = |x: &&cherryyard_simulation::WorkerStandIn| x.zone == "a";
+        let task_count = w.workers.values().filter(left).flat_map(|x| &x.tasks);
+        let steady = task_count.filter(|(name, p)| p.2.is_none() && name.len() < 12);
         had += steady.count() as f64 * CORES / 20.0;
     }
     // 120 cores are left, so the floor is 30.
@@ -225,17 +225,17 @@
     });
     w.workers.values_mut().for_each(|x| x.run_ms = 100.0);
     w.run(5.0);
-    let lead = leader(&w).unwrap();
+    let leader_index = leader(&w).unwrap();
     let (mut flood, mut few) = (Vec::new(), Vec::new());
     for i in 0..3000 {
-        flood.push(w.offer(lead, &spec(URGENT + i, 1), None));
+        flood.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
         if i % 300 == 299 {
-            few.push(w.offer(lead, &spec(1 + i, 1), None));
+            few.push(w.offer(leader_index, &spec(1 + i, 1), None));
         }
     }
     // Thousands come again, as if nobody had answered.
     for i in 0..3000 {
-        flood.push(w.offer(lead, &spec(URGENT + i, 1), None));
+        flood.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
     let verdict = |w: &World, ticket: &u64| w.verdicts.get(ticket).copied();
@@ -281,11 +281,11 @@
 fn many_submissions_with_one_put() {
     let mut w = cluster(fleet(3, 9));
     w.run(10.0);
-    let lead = leader(&w).unwrap();
+    let leader_index = leader(&w).unwrap();
     let writes = w.state.writes;
     let mut tickets = Vec::new();
     for i in 0..400 {
-        tickets.push(w.offer(lead, &spec(URGENT + i, 1), None));
+        tickets.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
     let taken = |t: &&u64| w.verdicts.get(*t) == Some(&Verdict::Taken);
@@ -294,17 +294,17 @@
     assert!(writes < 60, "{writes} writes, marks and all");
     let long = "x".repeat(3000);
     let mut odd = spec(URGENT + 500, 1);
-    odd.bundle = long.clone() + &long;
-    let odd = w.offer(lead, &odd, None);
-    let next = w.offer(lead, &spec(URGENT + 501, 1), None);
+    odd.image = long.clone() + &long;
+    let odd = w.offer(leader_index, &odd, None);
+    let next = w.offer(leader_index, &spec(URGENT + 501, 1), None);
     w.run(2.0);
     assert_eq!(w.verdicts.get(&next), Some(&Verdict::Taken));
     assert!(!matches!(w.verdicts.get(&odd), None | Some(Verdict::Taken)));
     // The same job through two controllers at once: one takes it, the other knows it.
-    let other = (lead + 1) % 3;
-    let node = w.nodes[other].as_ref().unwrap().mirror.epoch;
-    let one = w.offer(lead, &spec(URGENT + 502, 1), None);
-    assert!(w.nodes[other].as_ref().unwrap().mirror.epoch >= node);
+    let other = (leader_index + 1) % 3;
+    let controller = w.controllers[other].as_ref().unwrap().mirror.store_revision;
+    let one = w.offer(leader_index, &spec(URGENT + 502, 1), None);
+    assert!(w.controllers[other].as_ref().unwrap().mirror.store_revision >= controller);
     let two = w.offer(other, &spec(URGENT + 502, 1), None);
     w.run(2.0);
     assert_eq!(w.verdicts.get(&one), Some(&Verdict::Taken));
@@ -367,25 +367,35 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// What a round looks at does not grow with what waits.
+/// What a scheduling cycle looks at does not grow with what waits.
 #[test]
 fn a_rounds_cost_does_not_grow_with_what_waits() {
-    let looked = |jobs: u64, pieces: u32| {
+    let inspected_machines = |jobs: u64, task_count: u32| {
         let mut w = cluster(fleet(3, 6));
         w.workers
             .values_mut()
             .for_each(|x| x.run_ms = f64::INFINITY);
         for i in 0..jobs {
-            w.submit(&spec(URGENT + i, pieces));
+            w.submit(&spec(URGENT + i, task_count));
         }
         w.run(5.0);
-        let sum = |w: &World| w.nodes.iter().flatten().map(|n| n.looked_jobs).sum::<u64>();
+        let sum = |w: &World| {
+            w.controllers
+                .iter()
+                .flatten()
+                .map(|n| n.inspected_jobs)
+                .sum::<u64>()
+        };
         let before = sum(&w);
         w.run(10.0);
         (sum(&w) - before) as f64
     };
-    let (few, many, large) = (looked(100, 1), looked(3000, 1), looked(1000, 100));
-    // In each of three parts 48 jobs of the only flow and 16 others, at most every 0.4 s.
+    let (few, many, large) = (
+        inspected_machines(100, 1),
+        inspected_machines(3000, 1),
+        inspected_machines(1000, 100),
+    );
+    // In each of three shards 48 jobs of the only flow and 16 others, at most every 0.4 s.
     let most = 3.0 * 64.0 * 26.0;
     assert!(few > 0.0 && few < most, "{few}");
     assert!(many < most && large < most, "{few} {many} {large}");
@@ -436,8 +446,8 @@
     w.frozen.clear();
     w.alone.clear();
     w.refused.clear();
-    for i in 0..w.nodes.len() {
-        if w.nodes[i].is_none() {
+    for i in 0..w.controllers.len() {
+        if w.controllers[i].is_none() {
             w.start(i);
         }
     }
@@ -452,7 +462,7 @@
     for _ in 0..70 {
         let i = rng.random_range(0..n);
         match rng.random_range(0..30) {
-            0 if w.nodes[i].is_some() => w.kill(i),
+            0 if w.controllers[i].is_some() => w.kill(i),
             1 => drop(w.frozen.insert(i)),
             2 => drop(w.alone.insert(i)),
             3 => drop(w.refused.insert(i)),
@@ -461,7 +471,7 @@
             _ => {}
         }
         arrivals.second(&mut w);
-        if w.nodes.iter().all(Option::is_none) {
+        if w.controllers.iter().all(Option::is_none) {
             w.start(i);
         }
     }
@@ -473,7 +483,7 @@
         let now = running(&w);
         (steady, urgent) = (steady + now.0 / 20.0, urgent + now.1 / 20.0);
     }
-    // 144 cores in all; a floor of a quarter, which each part rounds to whole tasks.
+    // 144 cores in all; a floor of a quarter, which each shard scheduling cycles to whole tasks.
     let asks = |class: usize| f64::from([5, 8][class]) * 2.0 * 12.0 / every[class];
     let floor = |class: usize| (asks(class) * 0.6).min(144.0 * 0.25);
     assert!(
--- a/crates/cherryyard-rehearsal/tests/both_ways.rs
+++ b/crates/cherryyard-simulation/tests/asymmetric_partition.rs
@@ -2,12 +2,12 @@
 //! same tasks, under the same limit, and the same account comes out.
 
 use cherryyard_condor::{Options, Source, SourceError, read};
-use cherryyard_core::account::Went;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_core::account::CoreUse;
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::condor::Phase;
 use cherryyard_wire::job::{JobSpec, Rank, job_id};
 use cherryyard_wire::record::job_hash;
-use cherryyard_wire::rules::{CellBlock, Rules};
+use cherryyard_wire::rules::{PoolBlock, Rules};
 use std::collections::BTreeMap;
 
 struct Nothing;
@@ -66,27 +66,27 @@
     };
     let mut all = vec![(job(150), None)];
     let mut product = job(40);
-    product.kinds_of_host = Some(vec!["m4".into()]);
-    product.yard = Some("a".into());
+    product.machine_types = Some(vec!["m4".into()]);
+    product.zone = Some("a".into());
     all.push((product, None));
-    let block = |kind: &str, zone: &str, tier| CellBlock {
-        kinds: Some(vec![kind.into()]),
-        yards: Some(vec![zone.into()]),
-        borrowed: None,
+    let block = |machine_type: &str, zone: &str, tier| PoolBlock {
+        machine_types: Some(vec![machine_type.into()]),
+        zones: Some(vec![zone.into()]),
+        spot: None,
         tier,
     };
-    let cells = Rules {
-        cells: vec![block("m8", "b", 0), block("m4", "c", 1)],
+    let pools = Rules {
+        pools: vec![block("m8", "b", 0), block("m4", "c", 1)],
         ..Rules::default()
     };
-    all.push((job(60), Some(cells)));
+    all.push((job(60), Some(pools)));
     let mut small = job(1);
     small.rank = Rank::BestEffort;
     all.extend(std::iter::repeat_n((small, None), 20));
     all
 }
 
-/// Three parts, 200 machines of two types, and a team's limit.
+/// Three shards, 200 machines of two types, and a team's limit.
 fn cluster() -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 60), ("b", 60), ("c", 60)],
@@ -104,9 +104,9 @@
 fn places(w: &World) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
     for worker in w.workers.values() {
-        for (piece, state) in &worker.pieces {
+        for (task_name, state) in &worker.tasks {
             if state.2.is_none() {
-                all.insert(piece.clone(), worker.host.clone());
+                all.insert(task_name.clone(), worker.host.clone());
             }
         }
     }
@@ -114,7 +114,7 @@
 }
 
 fn open_jobs(w: &World) -> usize {
-    w.nodes
+    w.controllers
         .iter()
         .flatten()
         .next()
@@ -124,7 +124,7 @@
 #[test]
 fn the_same_workload_both_ways() {
     let cluster_of = read("ledger.sub", FILE, &Options::default(), &mut Nothing);
-    let cluster_of = cluster_of.unwrap_or_else(|e| panic!("{}: {}", e.line, e.kind));
+    let cluster_of = cluster_of.unwrap_or_else(|e| panic!("{}: {}", e.line, e.machine_type));
     let chunks = cluster_of.chunks(4000);
     assert_eq!((cluster_of.groups.len(), chunks.len()), (23, 1));
 
@@ -175,7 +175,7 @@
         assert!(w.most_cores <= 400.0, "{}", w.most_cores);
         let done = w.trace.iter().filter(|l| l.contains(" ends j-")).count();
         let account = w.account();
-        ends.push((done, w.most_cores, account.get(Went::Arrays)));
+        ends.push((done, w.most_cores, account.get(CoreUse::Arrays)));
     }
     // All tasks, and some that were done again; the account within the samples' step.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
--- a/crates/cherryyard-rehearsal/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -1,8 +1,8 @@
 //! The checker itself: each rule that it judges is broken once on purpose, and seen.
 
-use cherryyard_rehearsal::{Question, Setup, Users, World};
+use cherryyard_simulation::{Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
-use cherryyard_wire::worker::{DoRequest, Order};
+use cherryyard_wire::worker::{CommandBatch, WorkerCommand};
 
 fn cluster(limit: f64) -> World {
     let mut w = World::new(Setup {
@@ -17,16 +17,16 @@
 }
 
 /// A build that starts a task where and when it likes.
-fn start_anyway(w: &mut World, host: &str, piece: &str) {
+fn start_anyway(w: &mut World, host: &str, task_name: &str) {
     let worker = w.workers.get_mut(host).expect("it is up");
-    let start = Order::Start {
-        piece: piece.into(),
+    let start = WorkerCommand::Start {
+        task_name: task_name.into(),
         attempt: 9999,
     };
-    let request = DoRequest {
-        baton: worker.baton,
-        tenure: worker.tenure,
-        orders: vec![start],
+    let request = CommandBatch {
+        fencing_token: worker.fencing_token,
+        incarnation: worker.incarnation,
+        commands: vec![start],
     };
     assert!(worker.direct(&request, w.now).0, "it took the command");
     w.deliver_direct();
@@ -45,7 +45,7 @@
     let mut free = w
         .workers
         .values()
-        .filter(|x| x.yard == zone && x.pieces.is_empty());
+        .filter(|x| x.zone == zone && x.tasks.is_empty());
     free.next().expect("a free machine").host.clone()
 }
 
@@ -54,7 +54,7 @@
 fn a_team_over_its_limit() {
     let mut w = cluster(8.0);
     w.submit(&World::spec("j-000001", "service", 6));
-    // The limit is spread over the parts at first.
+    // The limit is spread over the shards at first.
     w.run_until(60.0, |w| w.running() == 4);
     let on = w.workers.values().find(|x| x.runs("j-000001/0"));
     let hung = on.expect("it runs").host.clone();
@@ -62,9 +62,9 @@
     w.run(1.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     let waits = (0..6).find(|n| w.copies(&format!("j-000001/{n}")) == 0);
-    let piece = format!("j-000001/{}", waits.expect("one waits"));
+    let task_name = format!("j-000001/{}", waits.expect("one waits"));
     let host = free_host(&w, "b");
-    start_anyway(&mut w, &host, &piece);
+    start_anyway(&mut w, &host, &task_name);
     sees(&w, "team uses 10 of 8 cores");
 }
 
@@ -73,8 +73,8 @@
 fn wrong_places() {
     type Place = (&'static str, fn(&mut JobSpec));
     let places: [Place; 4] = [
-        ("wrong zone", |s| s.yard = Some("b".into())),
-        ("wrong type", |s| s.kinds_of_host = Some(vec!["m8".into()])),
+        ("wrong zone", |s| s.zone = Some("b".into())),
+        ("wrong type", |s| s.machine_types = Some(vec!["m8".into()])),
         ("as its others are elsewhere", |s| s.together = true),
         ("as half of its others are there", |s| s.apart = true),
     ];
@@ -91,7 +91,7 @@
                 .for_each(|x| x.run_ms = f64::INFINITY);
             w.run(6.0);
             let one = w.workers.values().find(|x| x.runs("j-000001/1"));
-            let zone = one.expect("it runs").yard.clone();
+            let zone = one.expect("it runs").zone.clone();
             let wrong = ["a", "b", "c"]
                 .into_iter()
                 .find(|z| (*z == zone) == spec.apart);
@@ -165,8 +165,8 @@
     w.submit_at(1, &World::spec("j-000002", "sweep", 2));
     w.run(5.0);
     for job in 1..=2 {
-        let node = w.nodes[0].as_ref().expect("it runs");
-        let mut commit = node.cancellation(job).expect("it is open");
+        let controller = w.controllers[0].as_ref().expect("it runs");
+        let mut commit = controller.cancellation(job).expect("it is open");
         if job == 1
             && let cherryyard_wire::state::Apply::Set { v, .. } = &mut commit.apply[0]
         {
@@ -197,7 +197,7 @@
     let mut spec = World::spec("j-000002", "service", 2);
     users.run(&mut w, 1.0);
     w.frozen.clear();
-    spec.yard = Some("b".into());
+    spec.zone = Some("b".into());
     users.submit(&mut w, &spec);
     w.frozen.extend([0, 1, 2]);
     users.run(&mut w, 95.0);
@@ -262,8 +262,8 @@
     // Another one's cancellation says nothing of it.
     w.insist(0, "j-000003", Question::Cancel);
     w.run(3.0);
-    let node = w.nodes[0].as_ref().expect("it is up");
-    let commit = node.cancellation(2).expect("an open job");
+    let controller = w.controllers[0].as_ref().expect("it is up");
+    let commit = controller.cancellation(2).expect("an open job");
     w.state.commit(&commit);
     w.ask_once(2, "j-000002", Question::Poll);
     w.run(3.0);
--- a/crates/cherryyard-rehearsal/tests/two_troubles.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -2,8 +2,8 @@
 //! pair of troubles within each other's span. `docs/restart.md` has the table of
 //! meetings and tests; the gap and late transactions have files of their own.
 
-use cherryyard_rehearsal::trouble::{NEWER, OLDER, leader};
-use cherryyard_rehearsal::{Question, Setup, Trouble, Users, World, draws, play_seeds};
+use cherryyard_simulation::fault::{NEWER, OLDER, leader};
+use cherryyard_simulation::{Fault, Question, Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::{JobSpec, JobStatus, Shape};
 use std::collections::BTreeSet;
 
@@ -31,14 +31,14 @@
     w
 }
 
-fn sweep(job: u64, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn sweep(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     spec.expected_s = 10.0;
     spec
 }
 
-fn starts(w: &World, piece: &str) -> usize {
-    let needle = format!("starts {piece} ");
+fn starts(w: &World, task_name: &str) -> usize {
+    let needle = format!("starts {task_name} ");
     w.trace.iter().filter(|l| l.contains(&needle)).count()
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Controllers hand over and back, all end, and one returns, within 0, 50, 500 and 1000
-/// ms, at every other step of a home's asking for its part.
+/// ms, at every other step of a home's asking for its shard.
 #[test]
 fn hand_over_and_back_then_all_end_and_one_returns() {
     for back_ms in [0.0, 50.0, 500.0, 1000.0] {
@@ -117,11 +117,11 @@
                 assert_eq!(w.running(), 5, "{state}");
                 w.late_writes = late;
                 // The first task of each ends, then a leader and an owner, then the rest.
-                for (n, piece) in ["/0", "/1", "/2"].into_iter().enumerate() {
+                for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
                     for job in ["j-000001", "j-000002"] {
-                        let piece = format!("{job}{piece}");
+                        let task_name = format!("{job}{task_name}");
                         for worker in w.workers.values_mut() {
-                            worker.finish(&piece);
+                            worker.finish(&task_name);
                         }
                     }
                     users.run(&mut w, apart_s / 2.0);
@@ -135,14 +135,14 @@
                 users.run(&mut w, 16.0);
                 w.late_writes = 0;
                 users.run(&mut w, 16.0);
-                for (job, pieces) in [("j-000001", 2), ("j-000002", 3)] {
+                for (job, task_count) in [("j-000001", 2), ("j-000002", 3)] {
                     for i in 0..3 {
                         let view = w.view(i, job).expect("it is known");
                         assert_eq!(view.status, JobStatus::Done, "{state}: {job}");
                     }
-                    for n in 0..pieces {
-                        let piece = format!("{job}/{n}");
-                        assert_eq!(starts(&w, &piece), 1, "{state}: {piece}");
+                    for n in 0..task_count {
+                        let task_name = format!("{job}/{n}");
+                        assert_eq!(starts(&w, &task_name), 1, "{state}: {task_name}");
                     }
                 }
                 end(&mut w, &mut users, &state);
@@ -175,7 +175,7 @@
         let away: BTreeSet<String> = w
             .workers
             .values()
-            .filter(|x| x.yard == zone)
+            .filter(|x| x.zone == zone)
             .map(|x| x.host.clone())
             .collect();
         if deaf {
@@ -242,7 +242,7 @@
 }
 
 /// A command or its answer is held up for seconds and the machine goes on after; in
-/// between its job is cancelled, it is started again elsewhere, or its part changes
+/// between its job is cancelled, it is started again elsewhere, or its shard changes
 /// hands.
 #[test]
 fn a_command_held_up() {
@@ -302,7 +302,7 @@
 }
 
 /// Machines hang with a start on its way to them, for longer than a lease, and carry it
-/// out before they see that their session is over. It must not run elsewhere by then.
+/// out before they see that their incarnation is over. It must not run elsewhere by then.
 /// (Found by a hunted day, rahbar-lahore-hunt hunt-bc60-5.)
 #[test]
 fn a_start_to_a_machine_that_hangs_beyond_its_lease() {
@@ -326,7 +326,7 @@
     }
 }
 
-/// Reports come again after newer ones, from earlier sessions and attempts, at the owner,
+/// Reports come again after newer ones, from earlier incarnations and attempts, at the owner,
 /// at the controller after it and at a new owner, at every delay around a lease.
 #[test]
 fn old_reports_from_earlier_sessions_and_attempts() {
@@ -357,16 +357,16 @@
 
 /// A pair of troubles that begin and end within each other's span, one after the other,
 /// while users submit, cancel, repeat and poll at every controller.
-fn day(seed: u64, troubles: &[Trouble], at_once: usize) {
-    day_of(seed, troubles, at_once, vec!["a", "b", "c"]);
+fn day(seed: u64, faults: &[Fault], at_once: usize) {
+    day_of(seed, faults, at_once, vec!["a", "b", "c"]);
 }
 
-fn day_of(seed: u64, troubles: &[Trouble], at_once: usize, zones: Vec<&'static str>) {
+fn day_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
     let mut draw = draws(seed);
     let seconds = 4.0 + draw(12) as f64;
     // With the newer troubles users' requests come as in the program, and a guest team is
     // at its limit.
-    let newer = troubles.len() > OLDER.len();
+    let newer = faults.len() > OLDER.len();
     let mut w = match newer {
         false => cluster(seconds),
         true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
@@ -374,7 +374,7 @@
     w.requests.seed(seed);
     w.lists_ms = newer.then_some(5000.0);
     w.seed_late(seed);
-    (w.boot_ms, w.rented_run_ms) = (Some(5000.0), 8000.0);
+    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 8000.0);
     let mut users = Users::default();
     let mut job = 100;
     let mut open: Vec<String> = Vec::new();
@@ -386,10 +386,10 @@
                 spec = World::spec(&spec.id, "service", 2);
             }
             spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
-            spec.jobclass = ["portal", "posting"][draw(2) as usize].into();
+            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
             let at = draw(3) as usize;
-            if newer && spec.shape == Shape::Sweep && draw(4) == 0 {
-                spec.owner = "guests".into();
+            if newer && spec.shape == Shape::Array && draw(4) == 0 {
+                spec.team = "guests".into();
             }
             if newer && draw(2) == 0 {
                 w.submit_at(at, &spec);
@@ -415,16 +415,16 @@
     };
     for _ in 0..3 {
         // The pairs come in turn, so that so many seeds have them all.
-        let (pair, all) = (seed * 3 + draw(3), troubles.len() as u64);
-        let trouble = |n: u64| troubles[(n % all) as usize];
-        let (first, second) = (trouble(pair), trouble(pair / all));
+        let (pair, all) = (seed * 3 + draw(3), faults.len() as u64);
+        let fault = |n: u64| faults[(n % all) as usize];
+        let (first, second) = (fault(pair), fault(pair / all));
         some(&mut w, &mut users, &mut draw);
         users.run(&mut w, 3.0);
         w.say(format!("begin {first:?}"));
         first.begin(&mut w, &mut draw);
         w.run(draw(80) as f64 / 20.0);
         some(&mut w, &mut users, &mut draw);
-        let third = (at_once > 2).then(|| trouble(draw(all)));
+        let third = (at_once > 2).then(|| fault(draw(all)));
         for next in [Some(second), third].into_iter().flatten() {
             w.say(format!("begin {next:?}"));
             next.begin(&mut w, &mut draw);
@@ -456,7 +456,7 @@
 }
 
 /// All troubles, the newer ones first.
-fn every() -> Vec<Trouble> {
+fn every() -> Vec<Fault> {
     NEWER.into_iter().chain(OLDER).collect()
 }
 
--- a/crates/cherryyard-rehearsal/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -1,7 +1,7 @@
 //! What is checked at the end of a day: nothing forgotten, nobody left out, and the new
-//! troubles alone, overlapping, and at every step of a claim.
+//! troubles alone, overlapping, and at every step of a lease.
 
-use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
 
 fn cluster(tuning: impl Fn(&mut Setup)) -> World {
@@ -19,8 +19,8 @@
     w
 }
 
-fn spec(job: usize, pieces: u32, cores: f64) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn spec(job: usize, task_count: u32, cores: f64) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     (spec.cores, spec.expected_s) = (cores, 4.0);
     spec
 }
@@ -157,8 +157,8 @@
 }
 
 /// A controller, the leader or its successor too, ends at every step of the first three
-/// seconds of a takeover and is back after 0, 50 and 500 ms. Nobody holds two claims on
-/// a part, all parts are owned again within seconds, and what runs goes on.
+/// seconds of a takeover and is back after 0, 50 and 500 ms. Nobody holds two leases on
+/// a shard, all shards are owned again within seconds, and what runs goes on.
 #[test]
 fn ends_at_every_step_of_a_claim() {
     for back in [0.0, 0.05, 0.5] {
@@ -170,8 +170,11 @@
             w.run(5.0);
             w.submit(&World::spec("j-000001", "service", 6));
             w.run(4.0);
-            let leads = |n: &cherryyard_core::Node| n.lead_stamp().is_some();
-            let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+            let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+            let leader = w
+                .controllers
+                .iter()
+                .position(|n| n.as_ref().is_some_and(leads));
             let leader = leader.expect("a leader");
             w.kill(leader);
             w.run(back);
@@ -187,7 +190,7 @@
             let state = format!("back after {back} s, step {step}");
             assert_eq!(w.running(), 6, "{state}: {}", w.trace.join("\n"));
             assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
-            let leaders = w.nodes.iter().flatten().filter(|n| leads(n)).count();
+            let leaders = w.controllers.iter().flatten().filter(|n| leads(n)).count();
             assert_eq!(leaders, 1, "{state}");
         }
     }
@@ -198,15 +201,15 @@
 fn day(seed: u64) {
     let mut draw = draws(seed);
     let mut w = cluster(|_| {});
-    (w.boot_ms, w.rented_run_ms) = (Some(5000.0), 4000.0);
+    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut job = 100;
     for _ in 0..25 {
         for _ in 0..draw(5) {
             job += 1;
-            let pieces = [1, 4, 12, 60][draw(4) as usize];
-            let mut spec = spec(job, pieces, [0.5, 2.0, 4.0][draw(3) as usize]);
-            spec.jobclass = ["portal", "posting"][draw(2) as usize].into();
+            let task_count = [1, 4, 12, 60][draw(4) as usize];
+            let mut spec = spec(job, task_count, [0.5, 2.0, 4.0][draw(3) as usize]);
+            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
             users.submit(&mut w, &spec);
         }
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
--- a/crates/cherryyard-rehearsal/tests/late.rs
+++ b/crates/cherryyard-simulation/tests/event_loop_lag.rs
@@ -1,8 +1,8 @@
-//! Controllers that are behind, and what rounds cost.
+//! Controllers that are behind, and what scheduling cycles cost.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
-/// A running cluster whose parts are owned and whose machines have reported.
+/// A running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
@@ -10,7 +10,7 @@
 }
 
 /// A controller that is behind takes its own lateness for nobody's silence: no
-/// machine is released, no lease taken for over, no claim lost, nothing runs
+/// machine is released, no lease taken for over, no lease lost, nothing runs
 /// twice; what is late is only late.
 #[test]
 fn trace_of_a_late_controller() {
@@ -55,11 +55,11 @@
 }
 
 /// Work follows what changed: reports that tell nothing new have no round look
-/// at their machines' assignments, and one completion costs as much in a part ten
+/// at their machines' assignments, and one completion costs as much in a shard ten
 /// times as large. All machines are looked at every 5 s, in case.
 #[test]
 fn rounds_look_at_what_changed() {
-    let looked = |machines: usize, change: bool| {
+    let inspected_machines = |machines: usize, change: bool| {
         let mut w = settled(Setup {
             zones: vec!["a"],
             machines: vec![("a", machines)],
@@ -68,27 +68,27 @@
         w.submit(&World::spec("j-000001", "service", machines as u32));
         w.run_until(10.0, |w| w.running() == machines);
         w.run(20.0);
-        let before = w.nodes[0].as_ref().unwrap().looked;
+        let before = w.controllers[0].as_ref().unwrap().inspected_machines;
         if change {
             w.workers.values_mut().next().unwrap().run_ms = 0.0;
             w.workers.values_mut().next().unwrap().faulty = true;
         }
         w.run(20.0);
-        w.nodes[0].as_ref().unwrap().looked - before
+        w.controllers[0].as_ref().unwrap().inspected_machines - before
     };
     for machines in [6, 60] {
-        let all = looked(machines, false);
+        let all = inspected_machines(machines, false);
         // 4 looks at all; each report had one before, 40 in all.
         assert!(all <= 5 * machines as u64, "{all} for {machines}");
     }
-    let cost = |n: usize| looked(n, true).saturating_sub(looked(n, false));
+    let cost = |n: usize| inspected_machines(n, true).saturating_sub(inspected_machines(n, false));
     let (small, large) = (cost(6), cost(60));
     assert!(small > 0 && large <= small + 70, "{small} {large}");
 }
 
 /// An owner that loses its workers, all of them, hears of fewer and fewer: the first
 /// few that are overdue are not released as dead, one after the other, with what runs
-/// on them; it gives the part up, and all goes on under another owner. One machine
+/// on them; it gives the shard up, and all goes on under another owner. One machine
 /// that falls silent alone is released.
 #[test]
 fn workers_lost_one_by_one_are_not_released() {
