--- a/crates/cherryyard-rehearsal/tests/blame.rs
+++ b/crates/cherryyard-simulation/tests/failure_attribution.rs
@@ -1,6 +1,6 @@
 //! Jobs submitted with a mistake, and machines that are faulty.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use std::collections::BTreeSet;
 
 /// A cluster of twelve machines on which tasks run for `run_ms`.
@@ -53,7 +53,7 @@
     }
     for job in 1..=3 {
         let tries = starts(&w, 0, &format!("j-00000{job}")).len();
-        // A first batch on each part, then one at a time, some seconds apart.
+        // A first batch on each shard, then one at a time, some seconds apart.
         assert!((9..=100).contains(&tries), "{tries}");
     }
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -97,7 +97,7 @@
 }
 
 /// A job that fails a few times everywhere and then runs is served, within the longest
-/// wait; also if its part's owner ends meanwhile and another begins to count anew.
+/// wait; also if its shard's owner ends meanwhile and another begins to count anew.
 #[test]
 fn a_job_that_fails_for_a_while_is_served() {
     for ends in [false, true] {
--- a/crates/cherryyard-rehearsal/tests/meetings.rs
+++ b/crates/cherryyard-simulation/tests/fault_combinations.rs
@@ -1,8 +1,8 @@
 //! Meetings of two troubles, each by itself: the operators' further ones. `docs/restart.md`
 //! has the table of all meetings and their tests.
 
-use cherryyard_rehearsal::trouble::leader;
-use cherryyard_rehearsal::{Question, Setup, Trouble, Users, World};
+use cherryyard_simulation::fault::leader;
+use cherryyard_simulation::{Fault, Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
@@ -17,14 +17,14 @@
     for worker in w.workers.values_mut() {
         worker.run_ms = run_s * 1000.0;
     }
-    w.rented_run_ms = run_s * 1000.0;
+    w.provisioned_run_ms = run_s * 1000.0;
     w.lists_ms = Some(5000.0);
     w.run(6.0);
     w
 }
 
-fn job(number: u64, shape: &str, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{number:06}"), shape, pieces);
+fn job(number: u64, shape: &str, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{number:06}"), shape, task_count);
     spec.expected_s = 4.0;
     spec
 }
@@ -39,8 +39,8 @@
 
 /// Machines with a task of one of these jobs.
 fn hosts_of(w: &World, ids: &[String]) -> BTreeSet<String> {
-    let on = |x: &&cherryyard_rehearsal::WorkerStandIn| {
-        let here = x.pieces.iter().filter(|p| p.1.2.is_none());
+    let on = |x: &&cherryyard_simulation::WorkerStandIn| {
+        let here = x.tasks.iter().filter(|p| p.1.2.is_none());
         here.map(|p| p.0)
             .any(|p| ids.iter().any(|id| p.starts_with(id.as_str())))
     };
@@ -127,9 +127,9 @@
 }
 
 /// The answers of all transactions are lost for half a minute, claims' too, just as an
-/// owner ends, or the leader: another sees its own claim in the state and serves the part
+/// owner ends, or the leader: another sees its own claim in the state and serves the shard
 /// at once. (It claimed anew, again and again, as for a claim of a process before, and the
-/// part's leases ran out. Found by seed 5092 of three troubles.)
+/// shard's leases ran out. Found by seed 5092 of three troubles.)
 #[test]
 fn a_claim_whose_answer_is_lost() {
     for lost in [100, 60] {
@@ -163,18 +163,18 @@
     Hang,
     Cut,
     Deaf,
-    Mute,
+    OneWaySilence,
 }
 
 impl Away {
-    const ALL: [Self; 4] = [Self::Hang, Self::Cut, Self::Deaf, Self::Mute];
+    const ALL: [Self; 4] = [Self::Hang, Self::Cut, Self::Deaf, Self::OneWaySilence];
 
     fn begin(self, w: &mut World, hosts: &BTreeSet<String>) {
         let set = match self {
             Self::Hang => &mut w.hung,
             Self::Cut => &mut w.unreachable,
             Self::Deaf => &mut w.one_way,
-            Self::Mute => &mut w.mute,
+            Self::OneWaySilence => &mut w.one_way_silent,
         };
         set.extend(hosts.iter().cloned());
     }
@@ -184,7 +184,7 @@
         w.hung.clear();
         w.unreachable.clear();
         w.one_way.clear();
-        w.mute.clear();
+        w.one_way_silent.clear();
     }
 }
 
@@ -208,7 +208,7 @@
                 users.submit(&mut w, &job(n, "service", 3));
             }
             let mut guest = job(5, "service", 4);
-            guest.owner = "guests".into();
+            guest.team = "guests".into();
             users.submit(&mut w, &guest);
             users.run(&mut w, 8.0);
             assert_eq!(w.cores_by_team()["team"], 24.0, "{state}");
@@ -216,7 +216,7 @@
             for n in 6..=9 {
                 users.submit(&mut w, &job(n, "sweep", 4));
                 let mut guest = job(n + 10, "sweep", 2);
-                guest.owner = "guests".into();
+                guest.team = "guests".into();
                 users.submit(&mut w, &guest);
             }
             users.run(&mut w, 3.0);
@@ -249,7 +249,7 @@
 
 /// What makes a controller's work change hands.
 #[derive(Clone, Copy, Debug)]
-enum Change {
+enum WatchEvent {
     Ends,
     Deaf,
     Refused,
@@ -261,7 +261,12 @@
 /// of the one before on its way.
 #[test]
 fn cancelled_while_work_changes_hands() {
-    for change in [Change::Ends, Change::Deaf, Change::Refused, Change::Back] {
+    for change in [
+        WatchEvent::Ends,
+        WatchEvent::Deaf,
+        WatchEvent::Refused,
+        WatchEvent::Back,
+    ] {
         for step in (0..60).step_by(7) {
             for at in 0..3 {
                 let state = format!("{change:?}, step {step}, at {at}");
@@ -272,11 +277,11 @@
                 }
                 users.run(&mut w, 6.0);
                 let i = 1;
-                if matches!(change, Change::Back) {
+                if matches!(change, WatchEvent::Back) {
                     w.kill(i);
                     users.run(&mut w, 8.0);
                     w.start(i);
-                    // It asks for its part 12 s after its start.
+                    // It asks for its shard 12 s after its start.
                     users.run(&mut w, 11.0);
                 }
                 // Starts of the one before are on their way.
@@ -285,10 +290,10 @@
                 users.submit(&mut w, &job(4, "service", 8));
                 w.run(0.4);
                 match change {
-                    Change::Ends => w.kill(i),
-                    Change::Deaf => drop(w.deaf.insert(i)),
-                    Change::Refused => drop(w.refused.insert(i)),
-                    Change::Back => {}
+                    WatchEvent::Ends => w.kill(i),
+                    WatchEvent::Deaf => drop(w.deaf.insert(i)),
+                    WatchEvent::Refused => drop(w.refused.insert(i)),
+                    WatchEvent::Back => {}
                 }
                 w.run(f64::from(step) * 0.15);
                 w.insist(at, "j-000001", Question::Cancel);
@@ -297,7 +302,7 @@
                 w.slow_direct.clear();
                 w.deliver_direct();
                 users.run(&mut w, 6.0);
-                if w.nodes[i].is_none() {
+                if w.controllers[i].is_none() {
                     w.start(i);
                 }
                 whole(&mut w, &mut users, &state);
@@ -308,14 +313,17 @@
 }
 
 /// New machines are up within two seconds and get work at once while writes lag, are
-/// late, or are carried out without an answer, rentals too; the leader that rented them
+/// late, or are carried out without an answer, provisioning requests too; the leader that provisioned them
 /// ends at each step of it.
 #[test]
 fn machines_up_within_two_seconds() {
-    for (boot_ms, unanswered) in [(0.0, false), (400.0, true), (1900.0, false), (1900.0, true)] {
+    for (provisioning_ms, unanswered) in
+        [(0.0, false), (400.0, true), (1900.0, false), (1900.0, true)]
+    {
         for (late, lost, slow_ms) in [(0, 0, 1500.0), (40, 0, 0.0), (0, 40, 300.0)] {
             for step in (0..60).step_by(10) {
-                let state = format!("{boot_ms} ms, {unanswered}, {late} {lost} {slow_ms}, {step}");
+                let state =
+                    format!("{provisioning_ms} ms, {unanswered}, {late} {lost} {slow_ms}, {step}");
                 let mut w = World::new(Setup {
                     machines: vec![("a", 1), ("b", 1), ("c", 1)],
                     write_rps: 60.0,
@@ -324,13 +332,13 @@
                 w.lists_ms = Some(3000.0);
                 w.run(10.0);
                 let mut users = Users::default();
-                (w.boot_ms, w.hires_unanswered) = (Some(boot_ms), unanswered);
+                (w.provisioning_ms, w.provisions_unanswered) = (Some(provisioning_ms), unanswered);
                 w.seed_late(step);
                 (w.late_writes, w.lost_answers, w.slow_ms) = (late, lost, slow_ms);
                 for n in 1..=3 {
                     users.submit(&mut w, &job(n, "service", 8));
                 }
-                w.run_until(30.0, |w| !w.hires.is_empty());
+                w.run_until(30.0, |w| !w.provision_requests.is_empty());
                 w.run(step as f64 * 0.05);
                 let i = leader(&w);
                 w.kill(i);
@@ -339,14 +347,19 @@
                 users.run(&mut w, 12.0);
                 whole(&mut w, &mut users, &state);
                 assert_eq!(w.running(), 24, "{state}: {}", w.trace.join("\n"));
-                let names: BTreeSet<&String> = w.hires.iter().map(|h| &h.hire).collect();
-                assert_eq!(names.len(), w.hires.len(), "{state}: a name was used again");
+                let names: BTreeSet<&String> =
+                    w.provision_requests.iter().map(|h| &h.request_id).collect();
+                assert_eq!(
+                    names.len(),
+                    w.provision_requests.len(),
+                    "{state}: a name was used again"
+                );
             }
         }
     }
 }
 
-/// An old report of every machine, of an earlier session and attempt, reaches every
+/// An old report of every machine, of an earlier incarnation and attempt, reaches every
 /// controller just as a new leader begins, or is held back until it has acted.
 #[test]
 fn an_old_report_reaches_all_as_a_leader_begins() {
@@ -465,26 +478,26 @@
 #[test]
 fn a_hung_machine_goes_on_with_a_cancelled_task() {
     for hang_s in [1.0, 6.0, 9.5, 10.5, 20.0, 39.0, 45.0] {
-        for told in [-0.5, 0.0, 0.5, 0.95] {
+        for answered in [-0.5, 0.0, 0.5, 0.95] {
             let mut w = cluster(0.0, f64::INFINITY);
             let mut users = Users::default();
             users.submit(&mut w, &job(1, "service", 6));
             users.submit(&mut w, &job(2, "service", 6));
             users.run(&mut w, 5.0);
             let hosts = hosts_of(&w, &["j-000001".into()]);
-            if told < 0.0 {
+            if answered < 0.0 {
                 w.insist(2, "j-000001", Question::Cancel);
                 w.run(0.1);
             }
             Away::Hang.begin(&mut w, &hosts);
-            let first = hang_s * f64::max(told, 0.0);
+            let first = hang_s * f64::max(answered, 0.0);
             users.run(&mut w, first);
-            if told >= 0.0 {
+            if answered >= 0.0 {
                 w.insist(1, "j-000001", Question::Cancel);
             }
             users.run(&mut w, hang_s - first);
             Away::finish(&mut w);
-            let state = format!("hangs for {hang_s} s, told at {told}");
+            let state = format!("hangs for {hang_s} s, told at {answered}");
             whole(&mut w, &mut users, &state);
             assert_eq!(w.running(), 6, "{state}");
         }
@@ -493,7 +506,7 @@
 
 /// Machines hang with starts on their way, the job is cancelled, and the owner that sent
 /// them ends. Its successor knows nothing of the starts and has never heard the machines,
-/// too many for them to be taken for lost; what goes on after its session is over carries
+/// too many for them to be taken for lost; what goes on after its incarnation is over carries
 /// out first what was sent to it. (Found by seed 1029 of three troubles at once: such a
 /// start came long after the time that cancelled tasks have.)
 #[test]
@@ -549,9 +562,9 @@
                 }
                 users.run(&mut w, 5.0);
                 let hosts = w.workers.values().enumerate();
-                let some = hosts.filter(|(k, x)| if zone { x.yard == "b" } else { k % 4 == 0 });
+                let some = hosts.filter(|(k, x)| if zone { x.zone == "b" } else { k % 4 == 0 });
                 let some: BTreeSet<String> = some.map(|x| x.1.host.clone()).collect();
-                Away::Mute.begin(&mut w, &some);
+                Away::OneWaySilence.begin(&mut w, &some);
                 users.run(&mut w, 1.0);
                 w.insist(0, "j-000002", Question::Cancel);
                 if ends {
@@ -632,16 +645,16 @@
 }
 
 /// Leaders change ten times in two minutes, also inside an outage, with submissions,
-/// cancellations and rentals under way.
+/// cancellations and provisioning requests under way.
 #[test]
 fn leaders_change_ten_times() {
     for outage in [false, true] {
         for (late, lost) in [(0, 0), (25, 0), (0, 25)] {
             let state = format!("outage {outage}, {late}% late, {lost}% lost");
             let mut w = cluster(32.0, 6.0);
-            w.boot_ms = Some(3000.0);
+            w.provisioning_ms = Some(3000.0);
             let mut users = Users::default();
-            Trouble::LeadersEnd.begin(&mut w, &mut |_| 0);
+            Fault::LeadersEnd.begin(&mut w, &mut |_| 0);
             (w.late_writes, w.lost_answers) = (late, lost);
             for second in 0..120u64 {
                 if second % 2 == 0 {
@@ -673,8 +686,8 @@
 }
 
 /// Jobs bound to one zone, arrays too, lose machines there, while other zones are full, or
-/// empty: nothing of them starts elsewhere, and what waits is served by what is rented
-/// there. (Empty zones' room once counted for them, and nothing was rented.)
+/// empty: nothing of them starts elsewhere, and what waits is served by what is provisioned
+/// there. (Empty zones' room once counted for them, and nothing was provisioned.)
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     for (lost, rents, ends, full) in [
@@ -690,8 +703,8 @@
         for n in 1..=3u64 {
             let shape = if n == 2 { "service" } else { "sweep" };
             let mut spec = job(n, shape, if full { 4 } else { 1 });
-            spec.yard = Some("b".into());
-            spec.jobclass = "bound".into();
+            spec.zone = Some("b".into());
+            spec.job_class = "bound".into();
             users.submit(&mut w, &spec);
             let mut spec = job(n + 10, shape, 4);
             spec.together = n != 3;
@@ -701,13 +714,13 @@
             }
         }
         users.run(&mut w, 4.0);
-        let zone = w.workers.values().filter(|x| x.yard == "b");
+        let zone = w.workers.values().filter(|x| x.zone == "b");
         let gone: Vec<String> = zone.map(|x| x.host.clone()).collect();
         for host in gone.iter().take(lost) {
             w.workers.remove(host);
         }
         if rents {
-            w.boot_ms = Some(4000.0);
+            w.provisioning_ms = Some(4000.0);
         }
         if ends {
             let i = leader(&w);
@@ -735,12 +748,12 @@
             if behind {
                 w.late.insert(1, 1200.0);
             }
-            for round in 0..8u64 {
-                let mut low = job(round * 10 + 1, "sweep", 16);
+            for cycle in 0..8u64 {
+                let mut low = job(cycle * 10 + 1, "sweep", 16);
                 low.rank = cherryyard_wire::job::Rank::BestEffort;
-                let mut high = job(round * 10 + 2, "sweep", 6);
+                let mut high = job(cycle * 10 + 2, "sweep", 6);
                 high.rank = cherryyard_wire::job::Rank::High;
-                (low.jobclass, high.jobclass) = ("low".into(), "high".into());
+                (low.job_class, high.job_class) = ("low".into(), "high".into());
                 users.submit(&mut w, &low);
                 let hosts: Vec<String> = w.workers.keys().step_by(2).cloned().collect();
                 w.slow_direct.extend(hosts);
@@ -750,7 +763,7 @@
                 w.deliver_direct();
                 w.slow_direct.clear();
                 users.run(&mut w, 3.0);
-                if round % 3 == 2 {
+                if cycle % 3 == 2 {
                     users.ask_cancel(&mut w, 0, &low.id);
                 }
             }
@@ -794,10 +807,10 @@
     }
 }
 
-/// What is left of each part's grant is too small for any task that waits there, and is
-/// enough together: it comes together in one part. (Found by seed 5001 of late writes: a
+/// What is left of each shard's grant is too small for any task that waits there, and is
+/// enough together: it comes together in one shard. (Found by seed 5001 of late writes: a
 /// job waited for minutes beside free machines while its team was under its limit, as two
-/// parts had one core left each and all tasks took two.)
+/// shards had one core left each and all tasks took two.)
 #[test]
 fn what_is_left_of_grants_comes_together() {
     for (limit, cores, all) in [
@@ -821,10 +834,10 @@
             w.run(40.0);
             let state = format!("{limit} cores, tasks of {cores}, leader changes {changes}");
             assert_eq!(w.running(), all, "{state}: {}", w.trace.join("\n"));
-            let epoch = w.state.epoch();
+            let store_revision = w.state.store_revision();
             w.run(20.0);
-            let news = w.state.news(epoch).news;
-            let keys = news.iter().filter_map(|c| c.set.clone());
+            let events = w.state.events(store_revision).events;
+            let keys = events.iter().filter_map(|c| c.set.clone());
             let grants: Vec<String> = keys.filter(|k| k.starts_with("c/grant")).collect();
             assert!(grants.is_empty(), "{state}: {grants:?} go round");
             assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
--- a/crates/cherryyard-rehearsal/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -2,25 +2,25 @@
 //! and lists that disagree.
 
 use cherryyard_core::{Effect, Reply};
-use cherryyard_rehearsal::{Setup, World, draws};
-use cherryyard_wire::cloud::{HostEntry, HostStatus};
+use cherryyard_simulation::{Setup, World, draws};
+use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
-fn running(setup: Setup, pieces: u32) -> World {
+fn running(setup: Setup, task_count: u32) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", pieces));
-    w.run_until(10.0, |w| w.running() == pieces as usize);
+    w.submit(&World::spec("j-000001", "service", task_count));
+    w.run_until(10.0, |w| w.running() == task_count as usize);
     w.run(10.0);
     w
 }
 
-fn listed(w: &World, names: impl Iterator<Item = String>) -> Vec<HostEntry> {
-    let entry = |name: String| HostEntry {
+fn listed(w: &World, names: impl Iterator<Item = String>) -> Vec<Instance> {
+    let entry = |name: String| Instance {
         addr: format!("{name}:9000"),
-        host_kind: "m4".into(),
-        yard: w.workers[&name].yard.clone(),
-        borrowed: false,
-        status: HostStatus::Running,
+        machine_type: "m4".into(),
+        zone: w.workers[&name].zone.clone(),
+        spot: false,
+        status: InstanceStatus::Running,
         held_s: 500.0,
         id: name,
     };
@@ -49,30 +49,33 @@
         let now = w.now;
         let names: Vec<String> = w.workers.keys().cloned().collect();
         let list = listed(&w, names.into_iter());
-        let heartbeat = w.nodes[1].as_mut().unwrap().heartbeat_out(now);
-        let node = w.nodes[0].as_mut().unwrap();
-        node.effects();
+        let heartbeat = w.controllers[1].as_mut().unwrap().heartbeat_out(now);
+        let controller = w.controllers[0].as_mut().unwrap();
+        controller.effects();
         for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
             for event in order {
                 match event {
-                    0 => node.tick(now),
-                    1 => node.listed(list.clone(), now),
-                    2 => node.heartbeat_in(heartbeat.clone(), now),
+                    0 => controller.tick(now),
+                    1 => controller.listed(list.clone(), now),
+                    2 => controller.heartbeat_in(heartbeat.clone(), now),
                     _ => {
-                        if let Reply::Answer(a) = node.report(&old, now) {
-                            assert!(a.orders.is_empty(), "{frozen_s}: {:?}", a.orders);
+                        if let Reply::Answer(a) = controller.report(&old, now) {
+                            assert!(a.commands.is_empty(), "{frozen_s}: {:?}", a.commands);
                         }
                     }
                 }
                 // A question to a machine changes nothing.
                 let acts = |e: &Effect| {
-                    !matches!(e, Effect::Refresh | Effect::Heartbeat | Effect::Ask { .. })
+                    !matches!(
+                        e,
+                        Effect::Refresh | Effect::Heartbeat | Effect::QueryStatus { .. }
+                    )
                 };
-                let effects = node.effects();
+                let effects = controller.effects();
                 assert!(!effects.iter().any(acts), "{frozen_s}: {effects:?}");
             }
         }
-        assert!(!node.ready(now));
+        assert!(!controller.ready(now));
         w.frozen.clear();
         w.run(60.0);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -82,7 +85,7 @@
     }
 }
 
-/// A controller stands still for half a minute and another takes its part over;
+/// A controller stands still for half a minute and another takes its shard over;
 /// kept as a story.
 #[test]
 fn trace_of_a_freeze() {
@@ -100,7 +103,7 @@
 
 /// Reports held back for 51 s, of machines that were given up meanwhile and whose
 /// tasks run elsewhere, change nothing: no assignment, no order but to stop what their
-/// old sessions show, no placement on them.
+/// old incarnations show, no placement on them.
 #[test]
 fn reports_held_for_long_change_nothing() {
     let mut w = running(
@@ -133,8 +136,8 @@
     let before = assignments(&w);
     let now = w.now;
     for report in &held {
-        // What the answer orders reaches nobody: its worker gave up long ago.
-        w.nodes[0].as_mut().unwrap().report(report, now);
+        // What the answer commands reaches nobody: its worker gave up long ago.
+        w.controllers[0].as_mut().unwrap().report(report, now);
     }
     w.run(1.0);
     assert_eq!(assignments(&w), before);
@@ -164,7 +167,7 @@
         let seen = seen.filter(|(i, _)| i / 3 != missing).map(|n| n.1.clone());
         let list = listed(&w, seen);
         let now = w.now;
-        w.nodes[0].as_mut().unwrap().listed(list, now);
+        w.controllers[0].as_mut().unwrap().listed(list, now);
         w.run(3.0);
     }
     assert_eq!(w.workers.len(), 9, "{}", w.trace.join("\n"));
@@ -172,7 +175,7 @@
 }
 
 /// What a step of the clock costs does not grow with the fleet: with nothing new
-/// to tell, the machines whose assignments rounds look at are bounded by the machines
+/// to tell, the machines whose assignments scheduling cycles look at are bounded by the machines
 /// that all are looked at for every 5 s; one completion costs the same at 130 and
 /// at 1,300 machines.
 #[test]
@@ -187,14 +190,14 @@
         w.submit(&World::spec("j-000001", "sweep", machines as u32));
         w.run_until(30.0, |w| w.running() == machines);
         w.run(10.0);
-        let looked = |w: &World| w.nodes[0].as_ref().unwrap().looked;
+        let inspected_machines = |w: &World| w.controllers[0].as_ref().unwrap().inspected_machines;
         // Between two looks at all machines, which come every 5 s.
-        let before = looked(&w);
-        w.run_until(6.0, |w| looked(w) > before);
-        let quiet = looked(&w);
+        let before = inspected_machines(&w);
+        w.run_until(6.0, |w| inspected_machines(w) > before);
+        let quiet = inspected_machines(&w);
         w.workers.values_mut().next().unwrap().run_ms = 0.0;
         w.run(4.0);
-        looked(&w) - quiet
+        inspected_machines(&w) - quiet
     };
     let (small, large) = (cost(130), cost(1300));
     assert!(small > 0, "{small}");
@@ -274,10 +277,10 @@
                 }
                 4 => w.refused = [0, 1, 2].into(),
                 5 => w.refused.clear(),
-                6 if w.nodes[i].is_some() => w.kill(i),
+                6 if w.controllers[i].is_some() => w.kill(i),
                 6 => w.start(i),
                 _ => {
-                    let able = w.nodes[i].as_ref().is_some_and(|n| n.mirror.loaded);
+                    let able = w.controllers[i].as_ref().is_some_and(|n| n.mirror.loaded);
                     let able = able && !w.refused.contains(&i) && !w.frozen.contains(&i);
                     if able
                         && open.len() > 1
@@ -296,7 +299,7 @@
             w.frozen.clear();
             w.refused.clear();
             for k in 0..3 {
-                if w.nodes[k].is_none() {
+                if w.controllers[k].is_none() {
                     w.start(k);
                 }
             }
--- a/crates/cherryyard-rehearsal/tests/gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -2,7 +2,7 @@
 //! cancellations, then it refuses everybody for longer than a cancellation has. What an
 //! owner may take for known of the others' cancellations decides.
 
-use cherryyard_rehearsal::{Setup, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, World, draws, play_seeds};
 
 fn id(job: usize) -> String {
     format!("j-{job:06}")
@@ -26,8 +26,10 @@
 }
 
 fn leader(w: &World) -> Option<usize> {
-    let leads = |n: &cherryyard_core::Node| n.lead_stamp().is_some();
-    w.nodes.iter().position(|n| n.as_ref().is_some_and(leads))
+    let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+    w.controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads))
 }
 
 fn whole(w: &World, state: &str) {
@@ -56,15 +58,15 @@
     for before_ms in [1950.0, 1000.0, 450.0, 100.0, 50.0, 0.0] {
         for end in [None, Some((0.0, 0.0)), Some((0.0, 4.0)), Some((0.3, 0.5))] {
             let (mut w, _) = running(12);
-            for round in 0..2 {
-                let state = format!("{before_ms} ms before, end {end:?}, round {round}");
+            for cycle in 0..2 {
+                let state = format!("{before_ms} ms before, end {end:?}, round {cycle}");
                 let alone = leader(&w).unwrap_or(0);
                 w.say(format!("the state service refuses node-{alone}"));
                 w.refused.insert(alone);
                 w.run((2000.0 - before_ms) / 1000.0);
-                let at = (alone + 1 + round) % 3;
+                let at = (alone + 1 + cycle) % 3;
                 for job in 1..=5 {
-                    w.ask_cancel(at, &id(round * 6 + job));
+                    w.ask_cancel(at, &id(cycle * 6 + job));
                 }
                 if let Some((after, back)) = end.filter(|e| e.0 == 0.0) {
                     w.run(after);
@@ -79,11 +81,11 @@
                 w.refused = [0, 1, 2].into();
                 if let Some((after, back)) = end {
                     w.run(after);
-                    if w.nodes[at].is_some() && after > 0.0 {
+                    if w.controllers[at].is_some() && after > 0.0 {
                         w.kill(at);
                     }
                     w.run(back);
-                    if w.nodes[at].is_none() {
+                    if w.controllers[at].is_none() {
                         w.start(at);
                     }
                 }
@@ -219,19 +221,19 @@
     assert_eq!(w.running(), 10);
 }
 
-/// An owner has just adopted a part and is refused before it reads what runs there. It
+/// An owner has just adopted a shard and is refused before it reads what runs there. It
 /// is told of a cancellation of a job that it has never heard of.
 #[test]
 fn a_part_adopted_just_before() {
     for step in 0..40 {
         let (mut w, _) = running(6);
         w.kill(2);
-        // The others come to own its part within these seconds.
+        // The others come to own its shard within these seconds.
         w.run(4.5 + f64::from(step) * 0.05);
         let owner = (0..2).find(|&i| {
-            let node = w.nodes[i].as_ref();
-            node.is_some_and(|n| {
-                n.mirror.parts[2]
+            let controller = w.controllers[i].as_ref();
+            controller.is_some_and(|n| {
+                n.mirror.shards[2]
                     .as_ref()
                     .is_some_and(|c| c.label == format!("node-{i}"))
             })
@@ -260,12 +262,7 @@
     let names: Vec<String> = w.workers.keys().cloned().collect();
     let held: Vec<String> = names
         .into_iter()
-        .filter(|n| {
-            w.workers[n]
-                .pieces
-                .keys()
-                .any(|p| p.starts_with("j-000001"))
-        })
+        .filter(|n| w.workers[n].tasks.keys().any(|p| p.starts_with("j-000001")))
         .collect();
     // Silent for longer than a service waits, so that they are to be returned.
     w.unreachable.extend(held.iter().cloned());
@@ -281,7 +278,7 @@
 }
 
 /// A direct start of a task is on its way when its job is cancelled, just before an
-/// outage: nobody can get the token that would stop it, so the session has to end before
+/// outage: nobody can get the token that would stop it, so the incarnation has to end before
 /// it may arrive.
 #[test]
 fn a_start_on_its_way_in_an_outage() {
@@ -318,7 +315,10 @@
     w.refused = [0, 1, 2].into();
     w.run(3.0);
     let now = w.now;
-    let old = w.nodes[other].as_mut().expect("it runs").heartbeat_out(now);
+    let old = w.controllers[other]
+        .as_mut()
+        .expect("it runs")
+        .heartbeat_out(now);
     assert!(old.cut_off);
     w.refused.clear();
     w.run(14.0);
@@ -333,21 +333,24 @@
     for _ in 0..140 {
         w.run(0.5);
         let now = w.now;
-        let heartbeat = w.nodes[third].as_mut().expect("it runs").heartbeat_out(now);
+        let heartbeat = w.controllers[third]
+            .as_mut()
+            .expect("it runs")
+            .heartbeat_out(now);
         let heartbeat = cherryyard_wire::peer::Heartbeat {
             // The third one does not know of it either.
             cancelled: Vec::new(),
             ..heartbeat
         };
-        let node = w.nodes[leader].as_mut().expect("it runs");
-        node.heartbeat_in(old.clone(), now);
-        node.heartbeat_in(heartbeat, now);
+        let controller = w.controllers[leader].as_mut().expect("it runs");
+        controller.heartbeat_in(old.clone(), now);
+        controller.heartbeat_in(heartbeat, now);
     }
     whole(&w, "old heartbeats");
 }
 
 /// An owner is told of the cancellation of a job that it has never read of, as it adopted
-/// the part just before it was refused, and a machine there runs it.
+/// the shard just before it was refused, and a machine there runs it.
 #[test]
 fn told_of_a_job_that_it_never_read() {
     let (mut w, leader) = running(3);
@@ -358,10 +361,10 @@
     // It may run anywhere: nobody places it, as it is cancelled in the same moment.
     w.submit(&World::spec("j-000099", "service", 1));
     w.ask_cancel(other, "j-000099");
-    let worker = w.workers.values_mut().find(|x| x.yard == zone[leader]);
+    let worker = w.workers.values_mut().find(|x| x.zone == zone[leader]);
     let worker = worker.expect("a machine");
     let now = w.now;
-    worker.pieces.insert("j-000099/0".into(), (1, now, None));
+    worker.tasks.insert("j-000099/0".into(), (1, now, None));
     w.run(1.0);
     outage(&mut w, 70.0);
     whole(&w, "never read");
@@ -397,7 +400,7 @@
     whole(&w, "told on");
 }
 
-/// An owner is served again just when its leases are about to end: it claims its part,
+/// An owner is served again just when its leases are about to end: it leases its shard,
 /// answers machines that still show the token before, and ends. What it knows to be
 /// cancelled must not have a lease more by that. (Found by seed 286 of the gaps.)
 #[test]
@@ -430,7 +433,7 @@
     let mut draw = draws(seed);
     let (mut w, _) = running(12);
     w.seed_late(seed);
-    for round in 0..2 {
+    for cycle in 0..2 {
         let alone = if draw(4) > 0 {
             leader(&w).unwrap_or(0)
         } else {
@@ -462,7 +465,7 @@
         let at = (alone + 1 + draw(2) as usize) % 3;
         for job in 1..=(1 + draw(5) as usize) {
             let at = if draw(4) == 0 { draw(3) as usize } else { at };
-            w.ask_cancel(at, &id(round * 6 + job));
+            w.ask_cancel(at, &id(cycle * 6 + job));
         }
         if draw(3) == 0 {
             w.alone.insert([at, alone][draw(2) as usize]);
@@ -490,7 +493,7 @@
             let one = draw(3) as usize;
             w.refused.remove(&one);
             w.run(back);
-            w.ask_cancel(one, &id(round * 6 + 6));
+            w.ask_cancel(one, &id(cycle * 6 + 6));
             w.run(draw(10) as f64 / 20.0);
             if draw(2) == 0 {
                 w.kill(one);
@@ -509,7 +512,7 @@
         w.one_way.clear();
         (w.late_writes, w.slow_ms, w.copies_ms, w.cloud_down) = (0, 0.0, None, false);
         w.run(20.0);
-        whole(&w, &format!("seed {seed}, round {round}"));
+        whole(&w, &format!("seed {seed}, round {cycle}"));
     }
     w.run(50.0);
     whole(&w, &format!("seed {seed}"));
--- a/crates/cherryyard-rehearsal/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -1,9 +1,9 @@
 //! The history of jobs that are over: what must hold whatever fails on its way.
 
 use cherryyard_core::Outcome;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
-use cherryyard_wire::record::{Claim, job_key, part_key};
+use cherryyard_wire::record::{LeaseRecord, job_key, shard_key};
 use cherryyard_wire::state::{Apply, Commit};
 use serde_json::json;
 
@@ -27,7 +27,7 @@
         let id = job_id(n);
         w.submit(&World::spec(&id, "sweep", 1 + (n % 3) as u32));
         if n % 5 == 0 {
-            let up = (0..3).find(|&i| w.nodes[i].is_some()).unwrap();
+            let up = (0..3).find(|&i| w.controllers[i].is_some()).unwrap();
             w.cancel(up, &id);
             all.push((id, JobStatus::Cancelled));
         } else {
@@ -40,7 +40,7 @@
 
 fn check(w: &mut World, all: &[(String, JobStatus)], what: &str) {
     for i in 0..3 {
-        if w.nodes[i].is_none() {
+        if w.controllers[i].is_none() {
             continue;
         }
         for (id, status) in all {
@@ -54,7 +54,7 @@
 /// No job is neither open nor over, and none has ended otherwise than it should.
 fn check_known(w: &mut World, all: &[(String, JobStatus)], what: &str) {
     for i in 0..3 {
-        if w.nodes[i].is_none() {
+        if w.controllers[i].is_none() {
             continue;
         }
         for (id, status) in all {
@@ -78,7 +78,7 @@
 #[test]
 fn ends_go_into_the_history() {
     let mut w = cluster(20);
-    assert_eq!(w.nodes[0].as_ref().unwrap().mirror.format, 2);
+    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.format, 2);
     let mut all = jobs(&mut w, 1..=60);
     w.run(30.0);
     check(&mut w, &all, "after 60");
@@ -88,7 +88,7 @@
     check(&mut w, &all, "after 120");
     assert_eq!(watched(&w, "c/job/"), 0);
     assert!(watched(&w, "c/jobs/") < 40);
-    let counts = w.nodes[0].as_ref().unwrap().history_counts();
+    let counts = w.controllers[0].as_ref().unwrap().history_counts();
     assert!(counts.packed >= 100 && counts.recent < 40, "{counts:?}");
     // The same jobs without a history, in a cluster of its own.
     let mut plain = World::new(Setup {
@@ -135,18 +135,18 @@
             let all = jobs(&mut w, 1..=14);
             w.run(6.0);
             check_known(&mut w, &all, &what);
-            let ended = w.nodes.iter().position(Option::is_none);
+            let ended = w.controllers.iter().position(Option::is_none);
             let late = std::mem::take(&mut w.held_commits);
             w.run(8.0);
             for commit in late {
                 // Another leads now, or nothing is left to do.
-                let epoch = w.state.epoch();
+                let store_revision = w.state.store_revision();
                 let outcome = w.state.commit(&commit);
                 assert!(
                     matches!(outcome, Outcome::Conflict(_)),
                     "{what}: {outcome:?}"
                 );
-                assert_eq!(w.state.epoch(), epoch);
+                assert_eq!(w.state.store_revision(), store_revision);
             }
             check_known(&mut w, &all, &what);
             if let Some(i) = ended {
@@ -154,7 +154,7 @@
             }
             w.run(25.0);
             check(&mut w, &all, &what);
-            let leaders = w.nodes.iter().flatten();
+            let leaders = w.controllers.iter().flatten();
             let packed = leaders.map(|n| n.history_counts().packed).max();
             assert!(packed >= Some(10), "{what}: {packed:?}");
             assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
@@ -203,7 +203,7 @@
     check(&mut w, &all, "after a restart");
 }
 
-/// While a controller of an earlier build owns a part, nothing goes into buckets:
+/// While a controller of an earlier build owns a shard, nothing goes into buckets:
 /// it would not see the jobs there and take them for never submitted.
 #[test]
 fn no_buckets_beside_an_earlier_build() {
@@ -211,19 +211,19 @@
         history: Some(10),
         ..Setup::default()
     });
-    // Node 2 is of a build whose claims say nothing of formats.
+    // Node 2 is of a build whose leases say nothing of formats.
     w.kill(2);
-    let hold = w.state.hold(1e9);
+    let lease_id = w.state.grant_lease(1e9);
     let mut commit = Commit::default();
-    let claim = Claim {
+    let holder = LeaseRecord {
         label: "node-2".into(),
         f: None,
         n: None,
     };
     commit.apply.push(Apply::Set {
-        set: part_key(2),
-        v: cherryyard_wire::state::Json::of(&claim),
-        hold: Some(hold),
+        set: shard_key(2),
+        v: cherryyard_wire::state::Json::of(&holder),
+        lease_id: Some(lease_id),
     });
     w.state.commit(&commit);
     w.run(30.0);
@@ -232,19 +232,19 @@
     assert_eq!(watched(&w, "c/jobs/"), 0);
     assert!(w.state.get(&job_key(1)).is_some());
     // It is replaced.
-    w.state.touch(hold, 0.0);
+    w.state.renew_lease(lease_id, 0.0);
     w.start(2);
     w.run(30.0);
     assert!(watched(&w, "c/jobs/") > 0);
     assert!(w.find(1, "j-000001").is_some());
     // What another build would add by a job's own key depends on the first format.
-    let epoch = w.state.epoch();
+    let store_revision = w.state.store_revision();
     let mut old = Commit::default();
     old.require(job_key(2), 0);
     old.require("c/format", 0);
     old.apply.push(Apply::set(job_key(2), &json!({})));
     assert!(matches!(w.state.commit(&old), Outcome::Conflict(_)));
-    assert_eq!(w.state.epoch(), epoch);
+    assert_eq!(w.state.store_revision(), store_revision);
 }
 
 /// The smallest values and transactions: buckets divide, leaves too, and nothing
@@ -280,22 +280,28 @@
     plain.run(5.0);
     plain.submit(&World::spec("j-000077", "sweep", 3));
     plain.run(1.0);
-    let node = plain.nodes[1].as_ref().unwrap();
-    let record = node.mirror.open[&77].record();
+    let controller = plain.controllers[1].as_ref().unwrap();
+    let record = controller.mirror.open[&77].record();
     let mut commit = Commit::default();
-    assert!(!node.mirror.add_job(&mut commit, 77, record, &node.config));
+    assert!(
+        !controller
+            .mirror
+            .add_job(&mut commit, 77, record, &controller.config)
+    );
     let mut w = cluster(1000);
     let spec = World::spec("j-000077", "sweep", 1);
     let write = |w: &mut World, i: usize, spec: &JobSpec| {
-        let node = w.nodes[i].as_mut().unwrap();
+        let controller = w.controllers[i].as_mut().unwrap();
         let job = cherryyard_wire::job::job_number(&spec.id).unwrap();
-        if node.mirror.view(job).is_some() {
+        if controller.mirror.view(job).is_some() {
             return None;
         }
-        let open = node.mirror.new_job(spec.clone(), None, 1).unwrap();
+        let open = controller.mirror.new_job(spec.clone(), None, 1).unwrap();
         let mut commit = Commit::default();
         let jobs = std::iter::once((job, &open));
-        let added = node.mirror.add_jobs(&mut commit, jobs, &node.config);
+        let added = controller
+            .mirror
+            .add_jobs(&mut commit, jobs, &controller.config);
         (added == 1).then_some(commit)
     };
     let first = write(&mut w, 0, &spec).unwrap();
--- a/crates/cherryyard-rehearsal/tests/largest.rs
+++ b/crates/cherryyard-simulation/tests/largest.rs
@@ -1,6 +1,6 @@
 //! The largest jobs of a class begin, whatever else comes.
 
-use cherryyard_rehearsal::{Setup, Users, World};
+use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 
 fn cluster(controllers: usize, machines: usize) -> World {
@@ -21,8 +21,8 @@
     w
 }
 
-fn spec(job: usize, pieces: u32, cores: f64) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn spec(job: usize, task_count: u32, cores: f64) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     (spec.cores, spec.expected_s) = (cores, 4.0);
     spec
 }
@@ -108,7 +108,7 @@
     }
 }
 
-/// A guest's swarm of single tiny tasks: what rounds write and look at follows rounds,
+/// A guest's swarm of single tiny tasks: what scheduling cycles write and look at follows scheduling cycles,
 /// not tasks, and the job of a team with a guarantee begins at once in the middle of it.
 #[test]
 fn a_swarm_costs_rounds_not_tasks() {
@@ -123,18 +123,18 @@
     }
     w.run(5.0);
     let (mut job, mut waited) = (100, None);
-    let before = w.state.epoch();
+    let before = w.state.store_revision();
     for second in 0..60 {
         for _ in 0..40 {
             job += 1;
             let mut ping = spec(job, 1, 0.25);
-            ping.owner = "guest".into();
+            ping.team = "guest".into();
             ping.rank = cherryyard_wire::job::Rank::BestEffort;
             w.submit(&ping);
         }
         if second == 40 {
             let mut portal = spec(1, 4, 4.0);
-            portal.owner = "portal".into();
+            portal.team = "portal".into();
             portal.rank = cherryyard_wire::job::Rank::High;
             w.submit(&portal);
             waited = Some(w.now);
@@ -150,8 +150,8 @@
     assert_eq!(waited, None, "the portal began");
     w.run(30.0);
     let starts = w.trace.iter().filter(|l| l.contains(" starts ")).count();
-    let writes = w.state.epoch() - before - (job as u64 - 100);
-    // Three owners with at most ten rounds a second each, for 90 s.
+    let writes = w.state.store_revision() - before - (job as u64 - 100);
+    // Three owners with at most ten scheduling cycles a second each, for 90 s.
     assert!(starts > 1500, "{starts}");
     assert!(
         writes * 2 < starts as u64,
@@ -161,7 +161,7 @@
 }
 
 /// At its team's limit a large job of large tasks begins too, though small tasks come all
-/// the time and take each core that comes free: what is left of the limit in a part is kept
+/// the time and take each core that comes free: what is left of the limit in a shard is kept
 /// for the task whose turn it is, once that is all it needs. (Found by seed 330 of late
 /// writes: six of eight of the largest had not begun after four minutes.)
 #[test]
@@ -177,8 +177,8 @@
     }
     w.run(6.0);
     let mut users = Users::default();
-    let job = |n: usize, pieces: u32, cores: f64| {
-        let mut spec = World::spec(&format!("j-{n:06}"), "sweep", pieces);
+    let job = |n: usize, task_count: u32, cores: f64| {
+        let mut spec = World::spec(&format!("j-{n:06}"), "sweep", task_count);
         (spec.cores, spec.expected_s) = (cores, 6.0);
         spec
     };
@@ -227,7 +227,7 @@
             // What runs there goes on; what comes is short.
             let now = w.now;
             worker
-                .pieces
+                .tasks
                 .values_mut()
                 .for_each(|p| p.1 = now + 600_000.0);
             worker.run_ms = 4000.0;
--- a/crates/cherryyard-rehearsal/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -1,11 +1,11 @@
 //! Transactions without an answer that are carried out after newer ones of the same
-//! controller, under the same claim. `docs/protocol.md` has the table of all kinds; here
+//! controller, under the same lease. `docs/protocol.md` has the table of all kinds; here
 //! are those that did harm, and days on which any transaction may be so late.
 
-use cherryyard_core::{Node, Outcome};
-use cherryyard_rehearsal::{Setup, Users, World, draws, play_seeds};
+use cherryyard_core::{Controller, Outcome};
+use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
-use cherryyard_wire::record::{PageRecord, StoredPage, arrivals_key, assignments_key};
+use cherryyard_wire::record::{PageRecord, StoredPage, admission_log_key, assignments_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::BTreeSet;
 
@@ -15,15 +15,18 @@
     w
 }
 
-fn in_zone(id: &str, shape: &str, pieces: u32, zone: &str) -> JobSpec {
-    let mut spec = World::spec(id, shape, pieces);
-    spec.yard = Some(zone.into());
+fn in_zone(id: &str, shape: &str, task_count: u32, zone: &str) -> JobSpec {
+    let mut spec = World::spec(id, shape, task_count);
+    spec.zone = Some(zone.into());
     spec
 }
 
 fn leader(w: &World) -> usize {
-    let leads = |n: &Node| n.lead_stamp().is_some();
-    let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+    let leads = |n: &Controller| n.leadership_token().is_some();
+    let leader = w
+        .controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads));
     leader.expect("a leader")
 }
 
@@ -37,7 +40,7 @@
 
 /// An owner lowers its grant and gets no answer; then it assigns tasks by the grant as it
 /// was; then the lowering is carried out. What it gave back was in use, and went to
-/// another part: the team had more than its limit.
+/// another shard: the team had more than its limit.
 #[test]
 fn a_grant_lowered_late() {
     let mut w = settled(Setup {
@@ -46,7 +49,7 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    // Each part has 8 cores; one asks for more than its own, and others are to lower
+    // Each shard has 8 cores; one asks for more than its own, and others are to lower
     // theirs.
     let (low, more) = ((leader(&w) + 1) % 3, (leader(&w) + 2) % 3);
     let zone = |p: usize| ["a", "b", "c"][p];
@@ -101,7 +104,7 @@
     let host = assigned.expect("a page").h[0].clone();
     assert!(w.workers.contains_key(&host), "the mark's machine");
     let at = w.now + 900_000.0;
-    w.workers.get_mut(&host).expect("it is up").recall_at = Some(at);
+    w.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
     w.run(3.0);
     w.held_commits.truncate(first);
     w.hold_commits.clear();
@@ -151,8 +154,11 @@
         });
         let service = |job: u64| World::spec(&format!("j-{job:06}"), "service", 1);
         let page = |w: &World, job: u64| {
-            let node = w.nodes[leader(w)].as_ref().expect("it runs");
-            (node.mirror.page_of(job), node.mirror.in_page(job))
+            let controller = w.controllers[leader(w)].as_ref().expect("it runs");
+            (
+                controller.mirror.page_of(job),
+                controller.mirror.in_page(job),
+            )
         };
         // Pages 0 and 1, the second one full.
         let mut last = 0;
@@ -192,7 +198,7 @@
             w.run(0.2);
             w.hold_intake.clear();
             let commits = w.held_commits.split_off(before);
-            let begins = |c: &Commit| c.when.iter().any(|x| x.key == arrivals_key(4));
+            let begins = |c: &Commit| c.when.iter().any(|x| x.key == admission_log_key(4));
             assert!(commits.iter().all(begins), "{commits:?}");
             // The user asks the leader.
             w.submit(&service(next));
@@ -219,7 +225,7 @@
             }
         }
         w.run_until(40.0, |w| {
-            let gone = w.state.get(&arrivals_key(5));
+            let gone = w.state.get(&admission_log_key(5));
             gone.is_none()
         });
         assert_eq!(page(&w, job), (Some(6), true), "joined with the next page");
@@ -229,8 +235,8 @@
     }
 }
 
-/// An owner that its workers do not reach gives its part up; then a claim of its own from
-/// before is carried out. Nobody served the part for as long as it stayed away.
+/// An owner that its workers do not reach gives its shard up; then a lease of its own from
+/// before is carried out. Nobody served the shard for as long as it stayed away.
 #[test]
 fn a_claim_carried_out_after_its_part_was_given_up() {
     let mut w = settled(Setup {
@@ -243,17 +249,19 @@
     let value = value.clone();
     w.deaf.insert(0);
     w.run_until(20.0, |w| w.state.get("c/part/0").is_none());
-    let hold = w.nodes[0].as_ref().and_then(Node::hold);
+    let lease_id = w.controllers[0].as_ref().and_then(Controller::lease_id);
     let mut late = Commit::default();
     late.require("c/part/0", 0);
     late.apply.push(cherryyard_wire::state::Apply::Set {
         set: "c/part/0".into(),
         v: value,
-        hold,
+        lease_id,
     });
     assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
     w.run(6.0);
-    let owner = w.nodes[1].as_ref().and_then(|n| n.mirror.parts[0].clone());
+    let owner = w.controllers[1]
+        .as_ref()
+        .and_then(|n| n.mirror.shards[0].clone());
     assert_ne!(owner.expect("an owner").label, "node-0");
     w.run(15.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -286,8 +294,8 @@
         w.late_writes = if draw(4) == 0 { 0 } else { share };
         for _ in 0..draw(6) {
             job += 1;
-            let pieces = [1, 2, 3, 24][draw(4) as usize];
-            let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+            let task_count = [1, 2, 3, 24][draw(4) as usize];
+            let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
             (spec.cores, spec.expected_s) = ([1.0, 2.0, 4.0][draw(3) as usize], 4.0);
             users.ask(&mut w, draw(3) as usize, &spec);
             open.push(spec.id.clone());
@@ -359,7 +367,7 @@
 /// divides them by records of their own, and gets no answer. The page has room then, and
 /// they are divided in it, another way, and assigned; then the first division is carried out.
 /// It depended on the jobs' having no records alone, which still held: a running task was
-/// given to another part (found by seed 5091).
+/// given to another shard (found by seed 5091).
 #[test]
 fn a_division_by_records_carried_out_after_one_in_the_page() {
     let mut w = settled(Setup {
@@ -369,12 +377,12 @@
         ..Setup::default()
     });
     let ids: Vec<String> = (1..=14).map(|n| format!("j-{n:06}")).collect();
-    let lead = leader(&w);
+    let leader_index = leader(&w);
     // None is divided, and no answer comes to the leader's transactions.
     w.hold_lead = true;
     for id in &ids {
         let mut spec = World::spec(id, "service", 4);
-        spec.bundle = format!("img-{id}");
+        spec.image = format!("img-{id}");
         w.submit(&spec);
     }
     let by_records = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/job/"));
@@ -392,16 +400,16 @@
         .collect();
     // The page gets room: of those that were not among them some are cancelled.
     for id in ids.iter().filter(|id| !divided.contains(id)) {
-        w.ask_cancel(lead, id);
+        w.ask_cancel(leader_index, id);
     }
     w.hold_lead = false;
     w.held_commits.clear();
     w.run_until(20.0, |w| w.copies(&format!("{}/0", divided[0])) == 1);
     w.run(5.0);
     let in_page = |w: &World| {
-        let node = w.nodes[leader(w)].as_ref().expect("it runs");
+        let controller = w.controllers[leader(w)].as_ref().expect("it runs");
         let job = cherryyard_wire::job::job_number(&divided[0]).expect("a job");
-        node.mirror.in_page(job)
+        controller.mirror.in_page(job)
     };
     assert!(in_page(&w), "it was divided in its page");
     w.held_commits.push(held);
--- a/crates/cherryyard-rehearsal/tests/vouch.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -1,8 +1,8 @@
 //! Leases of workers whose owner ends in an outage of the state service.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
-/// Six replicas on three machines, one in each part.
+/// Six replicas on three machines, one in each shard.
 fn running() -> World {
     let mut w = World::new(Setup::default());
     w.run(5.0);
@@ -73,7 +73,7 @@
 }
 
 /// The state service refuses one controller only, which ends: the others can take
-/// cancellations, and its part has another owner; it answers no worker.
+/// cancellations, and its shard has another owner; it answers no worker.
 #[test]
 fn nobody_vouches_where_it_is_no_outage() {
     let mut w = running();
--- a/crates/cherryyard-rehearsal/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -1,14 +1,14 @@
 //! The state service lowers its limits: announced while controllers are upgraded one
 //! after the other, or without a word.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::JobSpec;
 
 /// Arrays that run while the limits fall.
 const JOBS: u64 = 19;
 
-fn sweep(job: u64, pieces: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", pieces);
+fn sweep(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     (spec.cores, spec.ram_gb) = (1.0, 0.5);
     spec
 }
@@ -85,7 +85,7 @@
 }
 
 /// The limits fall while the upgrade is not over: those of before are divided by new
-/// controllers, also of parts that they adopt, and by nobody twice.
+/// controllers, also of shards that they adopt, and by nobody twice.
 #[test]
 fn a_controller_ends_while_its_pages_are_divided() {
     for step in 0..6 {
--- a/crates/cherryyard-rehearsal/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -1,12 +1,12 @@
 //! Jobs that wait for others: order, cancellations, submissions that name them, and
 //! pipelines on days with troubles.
 
-use cherryyard_rehearsal::trouble::{NEWER, OLDER};
-use cherryyard_rehearsal::{
-    Pipelines, Question, Said, Setup, Trouble, Users, World, draws, play_seeds,
+use cherryyard_simulation::fault::{NEWER, OLDER};
+use cherryyard_simulation::{
+    Fault, Pipelines, Question, Response, Setup, Users, World, draws, play_seeds,
 };
 use cherryyard_wire::job::{JobSpec, JobStatus};
-use cherryyard_wire::record::{ARRIVALS, job_key};
+use cherryyard_wire::record::{ADMISSION_LOG, job_key};
 
 fn cluster(seconds: f64) -> World {
     cluster_of(
@@ -25,10 +25,10 @@
         worker.run_ms = seconds * 1000.0;
     }
     w.run_until(20.0, |w| {
-        let accepts = |n: &Option<cherryyard_core::Node>| {
+        let accepts = |n: &Option<cherryyard_core::Controller>| {
             n.as_ref().is_some_and(|n| n.accepts_dependencies())
         };
-        w.nodes.iter().all(accepts)
+        w.controllers.iter().all(accepts)
     });
     w
 }
@@ -37,15 +37,15 @@
     format!("j-{job:06}")
 }
 
-fn sweep(job: u64, pieces: u32, needs: &[u64]) -> JobSpec {
-    let mut spec = World::spec(&id(job), "sweep", pieces);
+fn sweep(job: u64, task_count: u32, needs: &[u64]) -> JobSpec {
+    let mut spec = World::spec(&id(job), "sweep", task_count);
     spec.waits_on = needs.iter().copied().map(id).collect();
     spec.expected_s = 5.0;
     spec
 }
 
 /// Submits a job at a controller and waits until it is answered.
-fn submit(w: &mut World, i: usize, spec: &JobSpec) -> Said {
+fn submit(w: &mut World, i: usize, spec: &JobSpec) -> Response {
     let body = serde_json::to_vec(spec).expect("a job");
     ask(w, i, &spec.id, Question::Submit(body))
 }
@@ -53,32 +53,36 @@
 /// Submits a job that must be accepted; a repetition, by a controller that passed it on
 /// and did not wait for the answer, may be told its state.
 fn accepted(w: &mut World, i: usize, spec: &JobSpec) {
-    let said = submit(w, i, spec);
-    let taken = said == Said::Taken || status(&said).is_some();
-    assert!(taken, "{}: {said:?}", spec.id);
+    let response = submit(w, i, spec);
+    let taken = response == Response::Taken || status(&response).is_some();
+    assert!(taken, "{}: {response:?}", spec.id);
 }
 
-fn ask(w: &mut World, i: usize, id: &str, question: Question) -> Said {
+fn ask(w: &mut World, i: usize, id: &str, question: Question) -> Response {
     let request = w.ask_once(i, id, question);
     w.run_until(6.0, |w| w.requests.answers.contains_key(&request));
     w.requests.answers[&request].clone()
 }
 
 fn cancel(w: &mut World, i: usize, id: &str) {
-    let said = ask(w, i, id, Question::Cancel);
-    assert_eq!(status(&said), Some(JobStatus::Cancelled), "{id}: {said:?}");
+    let response = ask(w, i, id, Question::Cancel);
+    assert_eq!(
+        status(&response),
+        Some(JobStatus::Cancelled),
+        "{id}: {response:?}"
+    );
 }
 
-fn status(said: &Said) -> Option<JobStatus> {
-    match said {
-        Said::View(view) => Some(view.status),
+fn status(response: &Response) -> Option<JobStatus> {
+    match response {
+        Response::View(view) => Some(view.status),
         _ => None,
     }
 }
 
 fn status_at(w: &mut World, i: usize, job: u64) -> Option<JobStatus> {
-    let said = ask(w, i, &id(job), Question::Poll);
-    status(&said)
+    let response = ask(w, i, &id(job), Question::Poll);
+    status(&response)
 }
 
 fn whole(w: &World) {
@@ -103,9 +107,9 @@
         sweep(4, 2, &[2, 3]),
         sweep(5, 1, &[4, 1]),
     ] {
-        assert_eq!(submit(&mut w, 1, &spec), Said::Taken);
+        assert_eq!(submit(&mut w, 1, &spec), Response::Taken);
     }
-    let Said::View(view) = ask(&mut w, 2, &id(4), Question::Poll) else {
+    let Response::View(view) = ask(&mut w, 2, &id(4), Question::Poll) else {
         panic!("no view");
     };
     assert_eq!(
@@ -135,7 +139,7 @@
         sweep(4, 1, &[]),
         sweep(5, 1, &[3, 4]),
     ] {
-        assert_eq!(submit(&mut w, 0, &spec), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &spec), Response::Taken);
     }
     cancel(&mut w, 1, &id(1));
     for i in 0..3 {
@@ -152,14 +156,14 @@
     w.kill(2);
     w.start(2);
     w.run(3.0);
-    let Said::View(view) = ask(&mut w, 2, &id(5), Question::Poll) else {
+    let Response::View(view) = ask(&mut w, 2, &id(5), Question::Poll) else {
         panic!("no view");
     };
     assert_eq!(view.cancelled_by, Some(id(3)));
     let again = submit(&mut w, 2, &sweep(5, 1, &[3, 4]));
     assert_eq!(status(&again), Some(JobStatus::Cancelled));
     // One that names a cancelled job is accepted, and cancelled.
-    assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[5])), Said::Taken);
+    assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[5])), Response::Taken);
     assert_eq!(status_at(&mut w, 0, 6), Some(JobStatus::Cancelled));
     w.run(60.0);
     assert_eq!(w.running(), 1);
@@ -170,12 +174,12 @@
 #[test]
 fn what_is_done_keeps_its_dependents() {
     let mut w = cluster(2.0);
-    assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Said::Taken);
-    assert_eq!(submit(&mut w, 0, &sweep(2, 1, &[1])), Said::Taken);
+    assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Response::Taken);
+    assert_eq!(submit(&mut w, 0, &sweep(2, 1, &[1])), Response::Taken);
     w.run_until(20.0, |w| w.is_complete(&id(1)));
     w.run(3.0);
-    let said = ask(&mut w, 1, &id(1), Question::Cancel);
-    assert_eq!(status(&said), Some(JobStatus::Done));
+    let response = ask(&mut w, 1, &id(1), Question::Cancel);
+    assert_eq!(status(&response), Some(JobStatus::Done));
     w.run_until(20.0, |w| w.is_complete(&id(2)));
     whole(&w);
 }
@@ -185,17 +189,17 @@
 #[test]
 fn what_was_never_accepted_is_refused() {
     let mut w = cluster(f64::INFINITY);
-    assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Said::Taken);
+    assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Response::Taken);
     w.submit(&World::spec(&id(2), "service", 1));
-    assert_eq!(submit(&mut w, 1, &sweep(3, 1, &[1, 77])), Said::Never);
-    assert_eq!(submit(&mut w, 1, &sweep(4, 1, &[4])), Said::Never);
-    assert_eq!(submit(&mut w, 1, &sweep(5, 1, &[2])), Said::Never);
+    assert_eq!(submit(&mut w, 1, &sweep(3, 1, &[1, 77])), Response::Never);
+    assert_eq!(submit(&mut w, 1, &sweep(4, 1, &[4])), Response::Never);
+    assert_eq!(submit(&mut w, 1, &sweep(5, 1, &[2])), Response::Never);
     w.refused.extend(0..3);
     w.run(4.0);
-    assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[78])), Said::Later);
+    assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[78])), Response::Later);
     w.refused.clear();
     w.run(3.0);
-    assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[1])), Said::Taken);
+    assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[1])), Response::Taken);
     // A repetition of an accepted job is never refused, whatever it names.
     let again = submit(&mut w, 2, &sweep(6, 1, &[79]));
     assert_eq!(status(&again), Some(JobStatus::Queued));
@@ -219,12 +223,12 @@
                     // Its user asks again, elsewhere.
                     let again = submit(&mut w, (i + 2) % 3, &sweep(1, 1, &[]));
                     assert!(
-                        again == Said::Taken || status(&again).is_some(),
+                        again == Response::Taken || status(&again).is_some(),
                         "{again:?}"
                     );
                 } else {
                     assert!(
-                        first == Said::Taken || status(&first).is_some(),
+                        first == Response::Taken || status(&first).is_some(),
                         "{first:?}"
                     );
                 }
@@ -242,8 +246,8 @@
 fn a_cancellation_just_before_an_outage() {
     for i in 0..3 {
         let mut w = cluster(f64::INFINITY);
-        assert_eq!(submit(&mut w, 0, &sweep(1, 2, &[])), Said::Taken);
-        assert_eq!(submit(&mut w, 0, &sweep(2, 2, &[1])), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(1, 2, &[])), Response::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(2, 2, &[1])), Response::Taken);
         w.run(2.0);
         let request = w.ask_once(i, &id(1), Question::Cancel);
         w.run_until(6.0, |w| w.requests.answers.contains_key(&request));
@@ -270,21 +274,21 @@
 fn the_leader_ends_between_an_end_and_the_division() {
     for step in 0..30 {
         let mut w = cluster(2.0);
-        assert_eq!(submit(&mut w, 0, &sweep(1, 2, &[])), Said::Taken);
-        assert_eq!(submit(&mut w, 0, &sweep(2, 3, &[1])), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(1, 2, &[])), Response::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(2, 3, &[1])), Response::Taken);
         w.run_until(20.0, |w| w.is_complete(&id(1)));
         w.run(f64::from(step) * 0.1);
-        let lead = cherryyard_rehearsal::trouble::leader(&w);
-        w.kill(lead);
+        let leader_index = cherryyard_simulation::fault::leader(&w);
+        w.kill(leader_index);
         w.run(1.0);
-        w.start(lead);
+        w.start(leader_index);
         w.run_until(60.0, |w| w.is_complete(&id(2)));
         whole(&w);
     }
 }
 
 /// Jobs that wait hold nothing of their team's limit, whose ever the jobs are that they
-/// wait for, and no machine is rented for them.
+/// wait for, and no machine is provisioned for them.
 #[test]
 fn waiting_jobs_hold_nothing() {
     let mut w = cluster_of(
@@ -298,21 +302,31 @@
         },
     );
     let mut first = sweep(1, 1, &[]);
-    first.owner = "others".into();
-    assert_eq!(submit(&mut w, 0, &first), Said::Taken);
+    first.team = "others".into();
+    assert_eq!(submit(&mut w, 0, &first), Response::Taken);
     for job in 2..8 {
-        assert_eq!(submit(&mut w, 0, &sweep(job, 40, &[1])), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(job, 40, &[1])), Response::Taken);
     }
     w.run(20.0);
-    w.hires.clear();
+    w.provision_requests.clear();
     assert_eq!(w.running(), 1, "only the first has a task");
-    let node = w.nodes[0].as_ref().expect("it is up");
-    assert!(node.mirror.undivided.is_empty());
-    assert!(node.mirror.waiting.iter().all(|part| part.is_empty()));
-    assert_eq!(submit(&mut w, 1, &sweep(9, 4, &[])), Said::Taken);
+    let controller = w.controllers[0].as_ref().expect("it is up");
+    assert!(controller.mirror.undivided.is_empty());
+    assert!(
+        controller
+            .mirror
+            .waiting
+            .iter()
+            .all(|shard| shard.is_empty())
+    );
+    assert_eq!(submit(&mut w, 1, &sweep(9, 4, &[])), Response::Taken);
     w.run(10.0);
     assert_eq!(w.running(), 5, "all of its team's limit is free for it");
-    assert!(w.hires.is_empty(), "{:?}", w.hires);
+    assert!(
+        w.provision_requests.is_empty(),
+        "{:?}",
+        w.provision_requests
+    );
     whole(&w);
 }
 
@@ -333,9 +347,9 @@
             w.start(i);
             w.run(16.0);
         }
-        assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Response::Taken);
         for i in (0..3).filter(|i| *i != last) {
-            assert_eq!(submit(&mut w, i, &sweep(2, 1, &[1])), Said::Later);
+            assert_eq!(submit(&mut w, i, &sweep(2, 1, &[1])), Response::Later);
         }
         let all = w.state.pairs();
         assert!(!all.iter().any(|p| p.v.text().contains("dependencies")));
@@ -347,16 +361,16 @@
         w.run(16.0);
         assert_eq!(
             submit(&mut w, (last + 1) % 3, &sweep(2, 1, &[1])),
-            Said::Later
+            Response::Later
         );
         w.upgrade(last);
         w.kill(last);
         w.run(1.0);
         w.start(last);
         w.run(20.0);
-        let format = w.nodes[last].as_ref().map(|n| n.config.format);
-        assert!(format.is_some_and(|f| f > ARRIVALS));
-        assert_eq!(submit(&mut w, last, &sweep(2, 1, &[1])), Said::Taken);
+        let format = w.controllers[last].as_ref().map(|n| n.config.format);
+        assert!(format.is_some_and(|f| f > ADMISSION_LOG));
+        assert_eq!(submit(&mut w, last, &sweep(2, 1, &[1])), Response::Taken);
         whole(&w);
     }
 }
@@ -372,7 +386,7 @@
             ..Setup::default()
         },
     );
-    assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Said::Taken);
+    assert_eq!(submit(&mut w, 0, &sweep(1, 1, &[])), Response::Taken);
     let mut pipelines = Pipelines::default();
     for job in 2..1002 {
         pipelines.add(sweep(job, 1, &[1]));
@@ -393,14 +407,14 @@
         assert_eq!(status_at(&mut w, 2, job), Some(JobStatus::Cancelled));
     }
     let before = w.state.writes;
-    let told = w.nodes[0]
+    let answered = w.controllers[0]
         .as_mut()
         .expect("up")
         .heartbeat_out(w.now)
         .cancelled;
-    assert_eq!(told, [1], "only what may have tasks is told");
+    assert_eq!(answered, [1], "only what may have tasks is told");
     w.run(60.0);
-    let open = w.nodes[0].as_ref().map(|n| n.mirror.open.len());
+    let open = w.controllers[0].as_ref().map(|n| n.mirror.open.len());
     assert_eq!(open, Some(0));
     let writes = w.state.writes - before;
     assert!(writes < 1500, "{writes} writes for 1100 ends");
@@ -421,22 +435,22 @@
         },
     );
     for job in 1..=6 {
-        assert_eq!(submit(&mut w, 0, &sweep(job, 1, &[])), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(job, 1, &[])), Response::Taken);
     }
     cancel(&mut w, 0, &id(6));
     w.run(30.0);
     for job in 10..20 {
-        assert_eq!(submit(&mut w, 0, &sweep(job, 1, &[])), Said::Taken);
+        assert_eq!(submit(&mut w, 0, &sweep(job, 1, &[])), Response::Taken);
     }
     w.run(30.0);
-    for node in w.nodes.iter_mut().flatten() {
-        assert!(node.mirror.packed.any(), "some are in the history");
+    for controller in w.controllers.iter_mut().flatten() {
+        assert!(controller.mirror.packed.any(), "some are in the history");
     }
     w.restart_all();
     w.run(10.0);
     accepted(&mut w, 1, &sweep(30, 2, &[1, 2]));
     accepted(&mut w, 2, &sweep(31, 1, &[6, 1]));
-    assert_eq!(submit(&mut w, 2, &sweep(32, 1, &[1, 99])), Said::Never);
+    assert_eq!(submit(&mut w, 2, &sweep(32, 1, &[1, 99])), Response::Never);
     w.run(15.0);
     assert!(w.is_complete(&id(30)));
     for i in 0..3 {
@@ -447,7 +461,7 @@
 }
 
 /// Days by seed: pipelines and troubles, two at once.
-fn day(seed: u64, troubles: &[Trouble]) {
+fn day(seed: u64, faults: &[Fault]) {
     let mut draw = draws(seed);
     let mut w = cluster_of(
         2.0 + draw(6) as f64,
@@ -462,14 +476,14 @@
     w.requests.seed(seed);
     w.seed_late(seed);
     w.lists_ms = Some(5000.0);
-    (w.boot_ms, w.rented_run_ms) = (Some(5000.0), 4000.0);
+    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut pipelines = Pipelines::default();
     let mut job = 100;
     for _ in 0..3 {
         let (first, second) = (
-            troubles[draw(troubles.len() as u64) as usize],
-            troubles[draw(troubles.len() as u64) as usize],
+            faults[draw(faults.len() as u64) as usize],
+            faults[draw(faults.len() as u64) as usize],
         );
         let mut made: Vec<u64> = Vec::new();
         for _ in 0..1 + draw(3) {
@@ -479,7 +493,7 @@
             for stage in 1..=2 {
                 let mut spec = sweep(base + stage, 1 + draw(6) as u32, &[base]);
                 if draw(4) == 0 {
-                    spec.owner = "guests".into();
+                    spec.team = "guests".into();
                 }
                 if draw(3) == 0 && !made.is_empty() {
                     spec.waits_on
@@ -531,7 +545,7 @@
     assert_eq!(w.state.malformed, 0, "seed {seed}");
 }
 
-fn every() -> Vec<Trouble> {
+fn every() -> Vec<Fault> {
     NEWER.into_iter().chain(OLDER).collect()
 }
 
@@ -557,11 +571,11 @@
         accepted(&mut w, 0, &spec);
     }
     w.run(2.0);
-    for node in w.nodes.iter().flatten() {
-        let due = |job: u64| node.mirror.open[&job].due_ms();
+    for controller in w.controllers.iter().flatten() {
+        let due = |job: u64| controller.mirror.open[&job].due_ms();
         assert!(due(1) < due(2) && due(2) < due(3));
         for job in 1..=3 {
-            let rank = node.mirror.open[&job].rank();
+            let rank = controller.mirror.open[&job].rank();
             assert_eq!(rank, cherryyard_wire::job::Rank::High, "job {job}");
         }
     }
--- a/crates/cherryyard-rehearsal/tests/cells.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Jobs with rules of their own: where they may run, whatever changes.
 
 use cherryyard_core::Tuning;
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::rules::{Attributes, Rules};
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -41,12 +41,12 @@
         .filter_map(host)
         .map(|h| {
             let worker = &w.workers[&h];
-            format!("{}/{}", worker.kind, worker.yard)
+            format!("{}/{}", worker.machine_type, worker.zone)
         })
         .collect()
 }
 
-/// Cells that are no product of types and zones: the division, the overflow of what
+/// Pools that are no product of types and zones: the division, the overflow of what
 /// finds no room, and placement keep to them, and what is too much waits.
 #[test]
 fn a_job_runs_in_its_cells_only() {
@@ -56,8 +56,8 @@
     w.run(40.0);
     // Six on the three machines of zone c, four on the large one.
     assert_eq!(w.running(), 10);
-    let cells: Vec<String> = started(&w, 0, "j-000001").into_iter().collect();
-    assert_eq!(cells, ["m4/c", "m8/b"]);
+    let pools: Vec<String> = started(&w, 0, "j-000001").into_iter().collect();
+    assert_eq!(pools, ["m4/c", "m8/b"]);
     // Others have the rest.
     w.submit(&World::spec("j-000002", "sweep", 40));
     w.run(30.0);
@@ -71,7 +71,7 @@
     let mut w = cluster(json!({}));
     // Zone a holds the image.
     let mut first = World::spec("j-000001", "service", 2);
-    first.yard = Some("a".into());
+    first.zone = Some("a".into());
     w.submit(&first);
     w.run(5.0);
     let rules = Some(Rules {
@@ -84,10 +84,10 @@
     w.submit_with(&World::spec("j-000003", "sweep", 9), rules);
     w.run(5.0);
     assert_eq!(w.running(), 2 + 3 + 9);
-    let cells = started(&w, 0, "j-000003");
+    let pools = started(&w, 0, "j-000003");
     assert!(
-        cells.contains("m4/c") && cells.contains("m8/b"),
-        "{cells:?}"
+        pools.contains("m4/c") && pools.contains("m8/b"),
+        "{pools:?}"
     );
 }
 
@@ -109,7 +109,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A round whose answer is lost and that arrives after an operator's change is not
+/// A scheduling cycle whose answer is lost and that arrives after an operator's change is not
 /// applied: its assignments were placed by attributes that are none any more.
 #[test]
 fn a_late_round_dies_with_the_attributes_it_was_placed_by() {
@@ -144,7 +144,7 @@
     assert_eq!(w.running(), 2);
 }
 
-/// Where jobs wait that no machine here is for, a sort that they allow is rented.
+/// Where jobs wait that no machine here is for, a sort that they allow is provisioned.
 #[test]
 fn renting_follows_the_rules() {
     let mut w = cluster(json!({}));
@@ -156,6 +156,10 @@
     w.run(12.0);
     w.list_machines();
     w.run(20.0);
-    let wanted: BTreeSet<_> = w.hires.iter().map(|h| (&*h.host_kind, &*h.yard)).collect();
+    let wanted: BTreeSet<_> = w
+        .provision_requests
+        .iter()
+        .map(|h| (&*h.machine_type, &*h.zone))
+        .collect();
     assert!(wanted.contains(&("m8", "b")), "{wanted:?}");
 }
--- a/crates/cherryyard-rehearsal/tests/reach.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -1,7 +1,7 @@
 //! Machines that report but do not hear, copies of reports that come late, and workers
 //! that begin anew.
 
-use cherryyard_rehearsal::{Setup, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, World, draws, play_seeds};
 
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
@@ -16,14 +16,14 @@
         .count()
 }
 
-fn host_of(w: &World, piece: &str) -> String {
-    let on = w.workers.values().find(|x| x.runs(piece));
+fn host_of(w: &World, task_name: &str) -> String {
+    let on = w.workers.values().find(|x| x.runs(task_name));
     on.expect("it runs").host.clone()
 }
 
 /// One machine hears nothing, for longer than its lease. What ran there runs elsewhere
-/// once its lease is over, by its next session; nothing is placed on it meanwhile,
-/// though each of its sessions looks like an empty machine; it is used again when it
+/// once its lease is over, by its next incarnation; nothing is placed on it meanwhile,
+/// though each of its incarnations looks like an empty machine; it is used again when it
 /// hears. Guards against a hole into which assignments fell for a lease each.
 #[test]
 fn a_machine_that_does_not_hear_gets_nothing_new() {
@@ -68,7 +68,7 @@
         let zone: Vec<String> = w
             .workers
             .values()
-            .filter(|x| x.yard == "a")
+            .filter(|x| x.zone == "a")
             .map(|x| x.host.clone())
             .collect();
         w.one_way.extend(zone);
@@ -104,7 +104,7 @@
         w.run(35.0);
         let host = host_of(&w, "j-000001/0");
         w.unreachable.insert(host.clone());
-        w.workers.get_mut(&host).unwrap().pieces.clear();
+        w.workers.get_mut(&host).unwrap().tasks.clear();
         let at = w.now;
         w.run_until(40.0, |w| w.running() == 1);
         waits.push((w.now - at) / 1000.0);
@@ -114,7 +114,7 @@
     assert!(waits.iter().all(|s| *s < without + 2.5), "{waits:?}");
 }
 
-/// Copies come to the owner after it ended and another took its part: what they show is
+/// Copies come to the owner after it ended and another took its shard: what they show is
 /// of a token that is not the new owner's, and nothing follows from it.
 #[test]
 fn copies_after_a_takeover() {
@@ -189,7 +189,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The same when its part has a new owner, who knows of no session: an assignment of a session
+/// The same when its shard has a new owner, who knows of no incarnation: an assignment of a incarnation
 /// that is yet to come is of the life before. Guards against a task that counted as
 /// running for ever (found by seed 1930 of the overlaps below).
 #[test]
@@ -199,7 +199,7 @@
         ..Setup::default()
     });
     let host = "host-000000".to_string();
-    // Its second session.
+    // Its second incarnation.
     w.unreachable.insert(host.clone());
     w.run(12.0);
     w.unreachable.clear();
@@ -261,7 +261,7 @@
             2 => w.copies_ms = Some(500.0 + draw(44_500) as f64),
             3 => w.reborn(&host),
             4 => {
-                if w.nodes[i].is_some() {
+                if w.controllers[i].is_some() {
                     w.kill(i);
                     w.run([0.0, 0.05, 0.5, 4.0][draw(4) as usize]);
                 }
@@ -305,11 +305,11 @@
     }
     assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
     for job in 1..=jobs - cancelled {
-        let piece = format!("j-00000{job}/0");
+        let task_name = format!("j-00000{job}/0");
         assert_eq!(
-            w.copies(&piece),
+            w.copies(&task_name),
             1,
-            "seed {seed}: {piece}\n{}",
+            "seed {seed}: {task_name}\n{}",
             w.trace.join("\n")
         );
     }
@@ -329,26 +329,30 @@
 
 /// Whoever names none of our messages for three seconds is connected to anew, and again
 /// after three more; whoever names them is not. Guards against a connection to one that
-/// was down and is back: it took a minute's heartbeats without a word, while the part's
+/// was down and is back: it took a minute's heartbeats without a word, while the shard's
 /// workers were told to go where nobody answered.
 #[test]
 fn who_names_nothing_is_connected_to_anew() {
     let mut w = settled(Setup::default());
     let deaf = |w: &mut World| -> Vec<String> {
         let now = w.now;
-        let node = w.nodes[0].as_mut().expect("running");
-        node.deaf_peers(now).into_iter().map(Into::into).collect()
+        let controller = w.controllers[0].as_mut().expect("running");
+        controller
+            .deaf_peers(now)
+            .into_iter()
+            .map(Into::into)
+            .collect()
     };
     assert!(deaf(&mut w).is_empty());
     w.kill(2);
     w.run(2.0);
     assert!(deaf(&mut w).is_empty());
-    let mut told = Vec::new();
+    let mut answered = Vec::new();
     for _ in 0..16 {
         w.run(0.5);
-        told.extend(deaf(&mut w));
+        answered.extend(deaf(&mut w));
     }
-    assert_eq!(told, ["node-2", "node-2"]);
+    assert_eq!(answered, ["node-2", "node-2"]);
     w.start(2);
     w.run(3.5);
     assert!(deaf(&mut w).is_empty());
--- a/crates/cherryyard-rehearsal/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -1,19 +1,19 @@
 //! The rules, rehearsed: each test is a failure that could break one.
 
 use cherryyard_core::{Mirror, Outcome, Tuning};
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobStatus, Rank};
-use cherryyard_wire::record::{arrivals_key, job_key};
-use cherryyard_wire::state::{Change, News};
+use cherryyard_wire::record::{admission_log_key, job_key};
+use cherryyard_wire::state::{WatchEvent, WatchResponse};
 
-/// A running cluster whose parts are owned and whose machines have reported.
+/// A running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
     w
 }
 
-/// Pages of assignments, but for a part's first one if it names no job and no machine: that
+/// Pages of assignments, but for a shard's first one if it names no job and no machine: that
 /// one stays, so that its absence is no ground for a transaction that comes late.
 fn assignments_left(w: &World) -> Vec<String> {
     let pairs = w.state.pairs().into_iter();
@@ -25,8 +25,8 @@
         .collect()
 }
 
-fn starts(w: &World, piece: &str) -> Vec<String> {
-    let needle = format!("starts {piece} ");
+fn starts(w: &World, task_name: &str) -> Vec<String> {
+    let needle = format!("starts {task_name} ");
     w.trace
         .iter()
         .filter(|l| l.contains(&needle))
@@ -58,8 +58,8 @@
     assert!(w.broken.is_empty());
     // The list no longer shows the machine; its release is the proof.
     let now = w.now;
-    for node in w.nodes.iter_mut().flatten() {
-        node.listed(Vec::new(), now);
+    for controller in w.controllers.iter_mut().flatten() {
+        controller.listed(Vec::new(), now);
     }
     w.run_until(40.0, |w| starts(w, "j-000001/0").len() == 2);
     assert!(!w.workers.contains_key(&host));
@@ -79,14 +79,14 @@
     w.kill(0);
     w.hold_commits.clear();
     w.run_until(30.0, |w| w.running() == 1);
-    let epoch = w.state.epoch();
+    let store_revision = w.state.store_revision();
     let outcomes = w.deliver_commits();
     assert!(!outcomes.is_empty());
     assert!(
         outcomes.iter().all(|o| matches!(o, Outcome::Conflict(_))),
         "{outcomes:?}"
     );
-    assert_eq!(w.state.epoch(), epoch);
+    assert_eq!(w.state.store_revision(), store_revision);
     w.run(20.0);
     assert_eq!(w.copies("j-000001/0"), 1);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -148,7 +148,7 @@
     // Its report gets through; the answer, and with it the token, is lost.
     let report = w.workers.get_mut(&host).unwrap().report(w.now);
     let now = w.now;
-    w.nodes[1].as_mut().unwrap().report(&report, now);
+    w.controllers[1].as_mut().unwrap().report(&report, now);
     w.run(60.0);
     assert_eq!(starts(&w, "j-000001/0").len(), 1, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -221,7 +221,7 @@
     assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
 }
 
-/// An owner that only the workers cannot reach gives its part up in time for
+/// An owner that only the workers cannot reach gives its shard up in time for
 /// another to keep their leases.
 #[test]
 fn owner_cut_off_from_workers_yields() {
@@ -295,7 +295,7 @@
     let mut w = settled(Setup::default());
     w.submit(&World::spec("j-000001", "service", 1));
     w.run(2.0);
-    let old = w.state.news(0);
+    let old = w.state.events(0);
     w.cancel(0, "j-000001");
     for i in [1, 2, 0] {
         let status = w.view(i, "j-000001").map(|v| v.status);
@@ -303,24 +303,24 @@
     }
     w.refused.insert(1);
     let now = w.now;
-    let node = w.nodes[1].as_mut().unwrap();
-    node.news(&old, now, now);
-    let late = Change {
-        set: Some(arrivals_key(0)),
+    let controller = w.controllers[1].as_mut().unwrap();
+    controller.events(&old, now, now);
+    let late = WatchEvent {
+        set: Some(admission_log_key(0)),
         delete: None,
         v: old
-            .news
+            .events
             .iter()
-            .find(|c| c.set == Some(arrivals_key(0)))
+            .find(|c| c.set == Some(admission_log_key(0)))
             .unwrap()
             .v
             .clone(),
-        stamp: node.mirror.epoch + 5,
+        revision: controller.mirror.store_revision + 5,
     };
-    node.news(
-        &News {
-            epoch: node.mirror.epoch + 5,
-            news: vec![late],
+    controller.events(
+        &WatchResponse {
+            store_revision: controller.mirror.store_revision + 5,
+            events: vec![late],
         },
         now,
         now,
@@ -329,11 +329,11 @@
         w.view(1, "j-000001").map(|v| v.status),
         Some(JobStatus::Cancelled)
     );
-    let open = &w.nodes[1].as_ref().unwrap().mirror.open;
+    let open = &w.controllers[1].as_ref().unwrap().mirror.open;
     assert!(!open.contains_key(&1), "nothing may start it again");
 }
 
-/// A team's limit holds over three parts, and all of it can be used by one.
+/// A team's limit holds over three shards, and all of it can be used by one.
 #[test]
 fn team_limit_over_three_parts() {
     let machines = vec![("a", 4), ("b", 4), ("c", 4)];
@@ -352,7 +352,7 @@
     assert_eq!(w.most_cores, 12.0);
     w.most_cores = 0.0;
     let mut spec = World::spec("j-000002", "sweep", 12);
-    spec.yard = Some("a".into());
+    spec.zone = Some("a".into());
     w.submit(&spec);
     w.run(60.0);
     assert_eq!(
@@ -363,7 +363,7 @@
     assert_eq!((view.status, view.done), (JobStatus::Done, 12));
 }
 
-/// After the delay a part loses waiting numbers to parts with room, and only
+/// After the delay a shard loses waiting numbers to shards with room, and only
 /// those that it has not assigned.
 #[test]
 fn overflow_moves_only_unmarked_numbers() {
@@ -375,14 +375,14 @@
     let before = record(&w);
     let assigned: Vec<Vec<u32>> = (0..3)
         .map(|p| {
-            let node = w.nodes[0].as_ref().unwrap();
-            let assignments = &node.mirror.assignments[&(p, 1)];
+            let controller = w.controllers[0].as_ref().unwrap();
+            let assignments = &controller.mirror.assignments[&(p, 1)];
             assignments.assignments.keys().copied().collect()
         })
         .collect();
     for n in 10..13 {
         let name = format!("host-{n:06}");
-        let worker = cherryyard_rehearsal::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
+        let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
         w.workers.insert(name, worker);
     }
     w.run(Tuning::default().autoscale_multi_cluster_delay_s / 2.0);
@@ -465,7 +465,7 @@
 }
 
 /// The trace of a rolling restart: what runs goes on, a restarted controller
-/// has its part back at once, and the job completes.
+/// has its shard back at once, and the job completes.
 #[test]
 fn trace_of_a_rolling_restart() {
     let mut w = settled(Setup::default());
@@ -491,8 +491,8 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// What exceeds all free room follows machine counts: by the weights of a few
-/// free cores, a large array was heaped onto one part.
+/// What exceeds all free capacity follows machine counts: by the weights of a few
+/// free cores, a large array was heaped onto one shard.
 #[test]
 fn excess_is_not_heaped_onto_one_part() {
     let mut w = settled(Setup::default());
@@ -537,7 +537,7 @@
     );
 }
 
-/// One round writes a page or two however many jobs it touches. A write for
+/// One scheduling cycle writes a page or two however many jobs it touches. A write for
 /// each job and part took the whole budget of a large deployment: most tasks
 /// waited for the state service, not for machines.
 #[test]
@@ -573,7 +573,7 @@
 }
 
 /// At the smallest budgets an array of 100,000 tasks is taken whole over seven
-/// parts, keeps every limit, costs nobody a claim, and is gone soon after it is
+/// shards, keeps every limit, costs nobody a claim, and is gone soon after it is
 /// cancelled.
 #[test]
 fn a_large_array_at_the_smallest_budgets() {
@@ -611,30 +611,34 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Connections between controllers are refused, and all else works: the lead
+/// Connections between controllers are refused, and all else works: the leader_index
 /// stays where it is (it went round among all, every few seconds), and a job is
-/// still divided over all parts by what the cloud lists and what is assigned (the
-/// leader's own part got everything).
+/// still divided over all shards by what the cloud lists and what is assigned (the
+/// leader's own shard got everything).
 #[test]
 fn a_cut_between_controllers_changes_little() {
     let mut w = settled(Setup::default());
     w.list_machines();
     w.run(5.0);
-    let lead = w.state.get("c/lead").unwrap().1;
+    let leader_index = w.state.get("c/lead").unwrap().1;
     w.alone.extend([0, 1, 2]);
     w.run(20.0);
     w.list_machines();
     w.run(3.0);
     w.submit(&World::spec("j-000001", "sweep", 6));
     w.run(3.0);
-    assert_eq!(w.state.get("c/lead").unwrap().1, lead, "the lead moved");
+    assert_eq!(
+        w.state.get("c/lead").unwrap().1,
+        leader_index,
+        "the leader_index moved"
+    );
     assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
 /// The trace of a replica whose machine is lost. The image is held in another
 /// part only: the replica goes there at once, neither fetching the image in its
-/// own part nor waiting for the delay.
+/// own shard nor waiting for the delay.
 #[test]
 fn trace_of_a_lost_replica() {
     let mut w = settled(Setup {
@@ -642,11 +646,11 @@
         machines: vec![("a", 2), ("b", 2)],
         ..Setup::default()
     });
-    let service = |id: &str, yard: Option<&str>| {
+    let service = |id: &str, zone: Option<&str>| {
         let mut spec = World::spec(id, "service", 1);
         spec.cores = 4.0;
         spec.image_gb = 12.0;
-        spec.yard = yard.map(str::to_string);
+        spec.zone = zone.map(str::to_string);
         spec
     };
     // One machine in each zone comes to hold the image.
@@ -681,7 +685,7 @@
 
 /// A move that reaches the state service late, after its owner has assigned
 /// numbers of the job, changes nothing: a page of assignments has changed. Applied,
-/// it would have given a running task to another part.
+/// it would have given a running task to another shard.
 #[test]
 fn a_move_by_an_old_view_dies() {
     let mut w = settled(Setup::default());
@@ -692,7 +696,7 @@
     w.run_until(5.0, |w| w.running() == 6);
     for n in 10..13 {
         let name = format!("host-{n:06}");
-        let worker = cherryyard_rehearsal::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
+        let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
         w.workers.insert(name, worker);
     }
     w.hold_lead = true;
@@ -756,44 +760,48 @@
     w.run(10.0);
     w.cancel(0, "j-000003");
     w.run(10.0);
-    let whole = &w.nodes[0].as_ref().unwrap().mirror;
-    let mut pieces = Mirror::new(&w.nodes[0].as_ref().unwrap().config);
-    let (pairs, epoch) = (w.state.pairs(), w.state.epoch());
-    pieces.begin_load();
+    let whole = &w.controllers[0].as_ref().unwrap().mirror;
+    let mut task_count = Mirror::new(&w.controllers[0].as_ref().unwrap().config);
+    let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
+    task_count.begin_load();
     for some in pairs.chunks(2) {
-        pieces.load_some(some);
-        assert!(!pieces.loaded && pieces.epoch == 0);
+        task_count.load_some(some);
+        assert!(!task_count.loaded && task_count.store_revision == 0);
     }
-    pieces.end_load(epoch);
-    assert!(pieces.loaded && pieces.epoch == epoch);
+    task_count.end_load(store_revision);
+    assert!(task_count.loaded && task_count.store_revision == store_revision);
     for job in 1..=9 {
-        assert_eq!(pieces.view(job), whole.view(job), "{job}");
+        assert_eq!(task_count.view(job), whole.view(job), "{job}");
     }
     // Read again after the page of jobs was deleted; then one in which it is newer.
     let newest = pairs
         .iter()
-        .find(|p| p.key == arrivals_key(0))
+        .find(|p| p.key == admission_log_key(0))
         .unwrap()
-        .stamp;
-    pieces.begin_load();
+        .revision;
+    task_count.begin_load();
     for some in pairs.chunks(2) {
         let left: Vec<_> = some
             .iter()
-            .filter(|p| p.key != arrivals_key(0))
+            .filter(|p| p.key != admission_log_key(0))
             .cloned()
             .collect();
-        pieces.load_some(&left);
+        task_count.load_some(&left);
     }
-    assert!(pieces.view(5).is_some());
-    pieces.end_load(epoch);
-    assert!(pieces.view(5).is_none() && pieces.view(8).is_none());
-    pieces.begin_load();
-    pieces.load_some(&pairs);
-    pieces.end_load(epoch);
-    pieces.begin_load();
-    let old: Vec<_> = pairs.iter().filter(|p| p.stamp < newest).cloned().collect();
-    pieces.load_some(&old);
-    pieces.epoch = newest - 1;
-    pieces.end_load(newest - 1);
-    assert!(pieces.view(8).is_some());
+    assert!(task_count.view(5).is_some());
+    task_count.end_load(store_revision);
+    assert!(task_count.view(5).is_none() && task_count.view(8).is_none());
+    task_count.begin_load();
+    task_count.load_some(&pairs);
+    task_count.end_load(store_revision);
+    task_count.begin_load();
+    let old: Vec<_> = pairs
+        .iter()
+        .filter(|p| p.revision < newest)
+        .cloned()
+        .collect();
+    task_count.load_some(&old);
+    task_count.store_revision = newest - 1;
+    task_count.end_load(newest - 1);
+    assert!(task_count.view(8).is_some());
 }
--- a/crates/cherryyard-rehearsal/tests/renting.rs
+++ b/crates/cherryyard-simulation/tests/scale_out.rs
@@ -1,15 +1,15 @@
 //! Rented machines that come late, never, or all at once.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 use std::collections::BTreeSet;
 
 /// Two machines, and work for twelve.
-fn short(boot_ms: f64) -> World {
+fn short(provisioning_ms: f64) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 1), ("b", 1)],
         ..Setup::default()
     });
-    w.boot_ms = Some(boot_ms);
+    w.provisioning_ms = Some(provisioning_ms);
     w.run(10.0);
     w.submit(&World::spec("j-000001", "service", 24));
     w
@@ -23,10 +23,10 @@
 }
 
 fn rented(w: &World) -> usize {
-    w.hires.iter().map(|h| h.number as usize).sum()
+    w.provision_requests.iter().map(|h| h.number as usize).sum()
 }
 
-/// Up within a second: used, and no more are rented than are needed.
+/// Up within a second: used, and no more are provisioned than are needed.
 #[test]
 fn up_at_once() {
     let mut w = short(500.0);
@@ -47,8 +47,12 @@
     assert_eq!(w.running(), 24, "{}", w.trace.join("\n"));
     listing(&mut w, 400);
     assert!(w.workers.len() <= 24, "{}", w.workers.len());
-    let names: BTreeSet<&String> = w.hires.iter().map(|h| &h.hire).collect();
-    assert_eq!(names.len(), w.hires.len(), "a name was used again");
+    let names: BTreeSet<&String> = w.provision_requests.iter().map(|h| &h.request_id).collect();
+    assert_eq!(
+        names.len(),
+        w.provision_requests.len(),
+        "a name was used again"
+    );
 }
 
 /// None of the first comes: they are replaced once they are overdue, and returned.
@@ -56,7 +60,7 @@
 fn some_never_come() {
     let mut w = short(1e12);
     listing(&mut w, 20);
-    w.boot_ms = Some(20_000.0);
+    w.provisioning_ms = Some(20_000.0);
     let lost: Vec<String> = w.booting.keys().cloned().collect();
     assert!(lost.len() >= 8);
     listing(&mut w, 100);
@@ -70,13 +74,16 @@
     );
 }
 
-/// The leader ends with rentals in flight: its successor counts what is listed.
+/// The leader ends with provisioning requests in flight: its successor counts what is listed.
 #[test]
 fn the_leader_ends_with_rentals_in_flight() {
     let mut w = short(30_000.0);
     listing(&mut w, 12);
-    let leads = |n: &cherryyard_core::Node| n.lead_stamp().is_some();
-    let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(leads));
+    let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
+    let leader = w
+        .controllers
+        .iter()
+        .position(|n| n.as_ref().is_some_and(leads));
     let leader = leader.expect("a leader");
     w.kill(leader);
     listing(&mut w, 6);
--- a/crates/cherryyard-rehearsal/tests/recall.rs
+++ b/crates/cherryyard-simulation/tests/spot_reclaim.rs
@@ -1,6 +1,6 @@
 //! Machines that the cloud takes back.
 
-use cherryyard_rehearsal::{Setup, World};
+use cherryyard_simulation::{Setup, World};
 
 /// Four machines under one controller with an array of two tasks that take 20 s,
 /// by their owner's estimate too.
@@ -22,8 +22,8 @@
     (w, host)
 }
 
-fn started_after(w: &World, from: usize, piece: &str) -> bool {
-    let needle = format!("starts {piece} ");
+fn started_after(w: &World, from: usize, task_name: &str) -> bool {
+    let needle = format!("starts {task_name} ");
     w.trace[from..].iter().any(|l| l.contains(&needle))
 }
 
@@ -34,12 +34,12 @@
     for (notice_s, moves) in [(8.0, true), (30.0, false)] {
         let (mut w, host) = running();
         let from = w.trace.len();
-        w.workers.get_mut(&host).unwrap().recall_at = Some(w.now + notice_s * 1000.0);
+        w.workers.get_mut(&host).unwrap().reclaim_at = Some(w.now + notice_s * 1000.0);
         w.run(5.0);
         assert_eq!(started_after(&w, from, "j-000001/0"), moves, "{notice_s}");
         w.run(25.0);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
-        assert!(w.nodes[0].as_ref().unwrap().mirror.open.is_empty());
+        assert!(w.controllers[0].as_ref().unwrap().mirror.open.is_empty());
     }
 }
 
@@ -53,17 +53,17 @@
     let now = w.now;
     for name in &others {
         // Recalled too, much later: nothing is placed there.
-        w.workers.get_mut(name).unwrap().recall_at = Some(now + 500_000.0);
+        w.workers.get_mut(name).unwrap().reclaim_at = Some(now + 500_000.0);
     }
     w.run(3.0);
     let from = w.trace.len();
-    w.workers.get_mut(&host).unwrap().recall_at = Some(w.now + 5000.0);
+    w.workers.get_mut(&host).unwrap().reclaim_at = Some(w.now + 5000.0);
     w.run(4.8);
     assert!(!started_after(&w, from, "j-000001/0"));
     w.run(0.3);
     assert!(!w.workers.contains_key(&host));
     for name in &others {
-        w.workers.get_mut(name).unwrap().recall_at = None;
+        w.workers.get_mut(name).unwrap().reclaim_at = None;
     }
     w.run_until(5.5, |w| w.running() == 2);
     assert!(started_after(&w, from, "j-000001/0"));
--- a/crates/cherryyard-rehearsal/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -1,6 +1,6 @@
 //! Submissions of many jobs: each of their jobs is created once, whatever fails.
 
-use cherryyard_rehearsal::{Setup, World, draws};
+use cherryyard_simulation::{Setup, World, draws};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::End;
@@ -36,11 +36,11 @@
     for line in &w.trace {
         let mut words = line.split_whitespace().skip(2);
         if words.next() == Some("starts")
-            && let Some(piece) = words.next()
-            && let Some((id, _)) = piece.split_once('/')
+            && let Some(task_name) = words.next()
+            && let Some((id, _)) = task_name.split_once('/')
             && (0..jobs).any(|k| job_id(first + k) == id)
         {
-            all.insert(piece.to_string());
+            all.insert(task_name.to_string());
             count += 1;
         }
     }
@@ -48,7 +48,7 @@
 }
 
 fn open_jobs(w: &World) -> usize {
-    let up = w.nodes.iter().flatten().next().unwrap();
+    let up = w.controllers.iter().flatten().next().unwrap();
     up.mirror.open.len()
 }
 
@@ -66,7 +66,7 @@
             w.submission(number).unwrap().phase == Phase::Created
         });
         let writes = w.state.writes - w.state.assignment_writes - before;
-        // A hundred jobs; with them the queue's own records and claims renewed.
+        // A hundred jobs; with them the queue's own records and leases renewed.
         assert!(writes < most_writes, "{history:?}: {writes} writes");
         assert_eq!(open_jobs(&w), 100);
         w.workers.values_mut().for_each(|x| x.run_ms = 400.0);
@@ -104,7 +104,7 @@
             let (number, first) = w.queue("june", &chunks);
             w.run(12.0);
             let ended = w
-                .nodes
+                .controllers
                 .iter()
                 .position(Option::is_none)
                 .expect("one has ended");
@@ -149,7 +149,7 @@
     w.workers.values_mut().for_each(|x| x.run_ms = 1e9);
     let (number, first) = w.queue("june", &[chunk(&[(300, 1)])]);
     w.cut_creator = Some((6, false));
-    w.run_until(30.0, |w| w.nodes.iter().any(Option::is_none));
+    w.run_until(30.0, |w| w.controllers.iter().any(Option::is_none));
     let late = std::mem::take(&mut w.held_commits);
     w.remove(number);
     let created = w.submission(number).unwrap().created();
@@ -158,7 +158,7 @@
         let outcome = w.state.commit(commit);
         assert!(!matches!(outcome, cherryyard_core::Outcome::Applied(_)));
     }
-    let ended = w.nodes.iter().position(Option::is_none).unwrap();
+    let ended = w.controllers.iter().position(Option::is_none).unwrap();
     w.start(ended);
     w.run_until(60.0, |w| {
         w.submission(number).unwrap().phase == Phase::Cancelled
@@ -168,9 +168,12 @@
     // Gone within `cancel_s`.
     w.run(40.0);
     assert_eq!(w.running(), 0);
-    let node = w.nodes.iter().flatten().next().unwrap();
+    let controller = w.controllers.iter().flatten().next().unwrap();
     let block = first..first + 300;
-    let ends = node.mirror.ended_jobs().filter(|(j, _)| block.contains(j));
+    let ends = controller
+        .mirror
+        .ended_jobs()
+        .filter(|(j, _)| block.contains(j));
     let ends: Vec<End> = ends.map(|(_, e)| e.end).collect();
     assert_eq!(ends.len() as u64, created);
     assert!(ends.iter().all(|e| *e == End::Cancelled));
@@ -215,7 +218,7 @@
             match next(5) {
                 0 => {
                     let i = next(3) as usize;
-                    if w.nodes.iter().flatten().count() > 1 && w.nodes[i].is_some() {
+                    if w.controllers.iter().flatten().count() > 1 && w.controllers[i].is_some() {
                         w.kill(i);
                     }
                 }
@@ -234,7 +237,7 @@
             w.run(next(60) as f64 / 10.0);
             w.refused.clear();
             for i in 0..3 {
-                if w.nodes[i].is_none() && next(2) == 0 {
+                if w.controllers[i].is_none() && next(2) == 0 {
                     w.start(i);
                 }
             }
@@ -242,7 +245,7 @@
         }
         w.cut_creator = None;
         for i in 0..3 {
-            if w.nodes[i].is_none() {
+            if w.controllers[i].is_none() {
                 w.start(i);
             }
         }
--- a/crates/cherryyard-wire/src/arrivals.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -51,7 +51,7 @@
     /// The zone of all tasks, where the user asked for one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Most tasks per part and zone, where the user asked for tasks apart.
+    /// Most tasks per shard and zone, where the user asked for tasks apart.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub caps: Vec<Vec<u32>>,
     /// Where it may run, beyond what the submission's fields say.
@@ -83,7 +83,7 @@
 
 /// A page of new jobs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ArrivalsRecord {
+pub struct AdmissionPageRecord {
     /// From when the rows' times count, in milliseconds of the day's clock.
     pub at: u64,
     /// What some of them have in common.
@@ -109,18 +109,18 @@
     pub rest: Rest,
 }
 
-impl ArrivalsRecord {
+impl AdmissionPageRecord {
     /// Adds a job.
     pub fn push(&mut self, job: u64, spec: &JobSpec, at: u64, div: &[RangeSet], rest: Rest) {
         let bit = |set: bool, n: u8| u8::from(set) << n;
         let common = Common {
-            c: spec.jobclass.clone(),
-            o: spec.owner.clone(),
+            c: spec.job_class.clone(),
+            o: spec.team.clone(),
             s: spec.shape,
             r: spec.rank,
-            k: spec.kinds_of_host.clone(),
-            y: spec.yard.clone(),
-            f: bit(spec.together, 0) | bit(spec.apart, 1) | bit(spec.borrowed, 2),
+            k: spec.machine_types.clone(),
+            y: spec.zone.clone(),
+            f: bit(spec.together, 0) | bit(spec.apart, 1) | bit(spec.spot, 2),
             a: spec.accelerators,
             p: (spec.snapshot_every_s, spec.snapshot_cost_s),
         };
@@ -146,10 +146,10 @@
             job,
             place as u32,
             at - self.at,
-            spec.pieces,
+            spec.task_count,
             spec.cores,
             spec.ram_gb,
-            spec.bundle.clone(),
+            spec.image.clone(),
             spec.image_gb,
             spec.expected_s,
             spec.due_s,
@@ -158,35 +158,36 @@
         ));
     }
 
-    /// The jobs, for so many parts; none if the page makes no sense.
-    pub fn read(self, parts: usize) -> Option<Vec<Arrival>> {
+    /// The jobs, for so many shards; none if the page makes no sense.
+    pub fn read(self, shards: usize) -> Option<Vec<Arrival>> {
         let (start, common) = (self.at, self.c);
         let arrival = |row: Row| {
-            let (job, place, after, pieces, cores, ram_gb, bundle, image_gb, expected_s, ..) = row;
+            let (job, place, after, task_count, cores, ram_gb, image, image_gb, expected_s, ..) =
+                row;
             let c = common.get(place as usize)?.clone();
             let mut div = Vec::new();
             for (p, first, last) in row.10 {
-                div.resize(parts, RangeSet::new());
+                div.resize(shards, RangeSet::new());
                 let set = div.get_mut(p as usize)?;
                 *set = set.union(&RangeSet::span(first, last));
             }
             let spec = JobSpec {
                 id: job_id(job),
-                jobclass: c.c,
-                owner: c.o,
+                job_class: c.c,
+                team: c.o,
                 shape: c.s,
                 rank: c.r,
-                pieces,
+                task_count,
                 cores,
                 accelerators: c.a,
                 ram_gb,
-                bundle,
+                image,
                 image_gb,
-                kinds_of_host: c.k,
-                yard: c.y,
+                machine_types: c.k,
+                zone: c.y,
                 together: c.f & 1 != 0,
                 apart: c.f & 2 != 0,
-                borrowed: c.f & 4 != 0,
+                spot: c.f & 4 != 0,
                 expected_s,
                 snapshot_every_s: c.p.0,
                 snapshot_cost_s: c.p.1,
@@ -218,7 +219,7 @@
             "together":false,"apart":true,"borrowed":true,"expected_s":0.0,
             "snapshot_every_s":0.0,"snapshot_cost_s":0.0,"due_s":null}"#;
         let spec = JobSpec::parse(text).unwrap();
-        let mut page = ArrivalsRecord::default();
+        let mut page = AdmissionPageRecord::default();
         let mut all = Vec::new();
         for n in 0..40 {
             let mut spec = spec.clone();
@@ -243,7 +244,7 @@
         }
         let text = serde_json::to_vec(&page).unwrap();
         assert!(text.len() < 4000, "{}", text.len());
-        let read: ArrivalsRecord = serde_json::from_slice(&text).unwrap();
+        let read: AdmissionPageRecord = serde_json::from_slice(&text).unwrap();
         assert_eq!(read.read(7), Some(all));
         let mut bad = page.clone();
         bad.j[0].1 = 9;
--- a/crates/cherryyard-wire/src/cloud.rs
+++ b/crates/cherryyard-wire/src/cloud.rs
@@ -5,7 +5,7 @@
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct HostKind {
+pub struct MachineType {
     pub sku: String,
     pub cores: f64,
     #[serde(default)]
@@ -21,43 +21,49 @@
     pub low_price: f64,
     #[serde(default)]
     pub ready_s: f64,
-    pub yards: Vec<String>,
+    #[serde(rename = "yards")]
+    pub zones: Vec<String>,
 }
 
 /// The answer to `GET /machine_types`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HostKinds {
+pub struct MachineTypeList {
     /// The types.
-    pub kinds_of_host: Vec<HostKind>,
+    #[serde(rename = "kinds_of_host")]
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A request to rent machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HireRequest {
+pub struct ProvisionRequest {
     /// The request's name, never used again.
-    pub hire: String,
+    #[serde(rename = "hire")]
+    pub request_id: String,
     /// Which type.
-    pub host_kind: String,
+    #[serde(rename = "host_kind")]
+    pub machine_type: String,
     /// Which zone.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Spot or ordinary.
-    pub borrowed: bool,
+    #[serde(rename = "borrowed")]
+    pub spot: bool,
     /// How many.
     pub number: u32,
 }
 
-/// Machine names, in a rental's answer and in a release.
+/// Machine names, in a provisioning request's answer and in a release.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Hosts {
+pub struct MachineNames {
     /// The names.
     pub hosts: Vec<String>,
 }
 
 /// One page of the machine list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct HostPage {
+pub struct InstancePage {
     /// Machines in order of their names.
-    pub hosts: Vec<HostEntry>,
+    pub hosts: Vec<Instance>,
     /// Whether more follow.
     #[serde(default)]
     pub truncated: bool,
@@ -66,15 +72,18 @@
 /// One listed machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct HostEntry {
+pub struct Instance {
     pub id: String,
     #[serde(default)]
     pub addr: String,
-    pub host_kind: String,
-    pub yard: String,
+    #[serde(rename = "host_kind")]
+    pub machine_type: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     #[serde(default)]
-    pub borrowed: bool,
-    pub status: HostStatus,
+    #[serde(rename = "borrowed")]
+    pub spot: bool,
+    pub status: InstanceStatus,
     #[serde(default)]
     pub held_s: f64,
 }
@@ -82,7 +91,7 @@
 /// A listed machine's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HostStatus {
+pub enum InstanceStatus {
     /// Boots, or the list is late.
     Starting,
     /// Up.
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -42,7 +42,7 @@
     format!("s/{number:016x}/{chunk:04}")
 }
 
-/// What a submission's jobs have in common; `pieces` and `id` are each job's own.
+/// What a submission's jobs have in common; `task_count` and `id` are each job's own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Template {
     /// The job.
@@ -81,8 +81,8 @@
             if r.0 as usize >= self.t.len() {
                 return Err(format!("r[{i}]: no such template"));
             }
-            if r.1 == 0 || r.1 > crate::job::MAX_PIECES {
-                let most = crate::job::MAX_PIECES;
+            if r.1 == 0 || r.1 > crate::job::MAX_TASKS {
+                let most = crate::job::MAX_TASKS;
                 return Err(format!("r[{i}]: tasks must be from 1 to {most}"));
             }
             if r.2 == 0 {
--- a/crates/cherryyard-wire/src/job.rs
+++ b/crates/cherryyard-wire/src/job.rs
@@ -4,14 +4,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Most tasks in a job.
-pub const MAX_PIECES: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
 /// What a job's tasks do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
     /// Independent tasks, each runs to completion.
-    Sweep,
+    #[serde(rename = "sweep")]
+    Array,
     /// Replicas that run until the job is cancelled.
     Service,
 }
@@ -35,23 +36,30 @@
 #[allow(missing_docs)] // the field names are the protocol's, described there
 pub struct JobSpec {
     pub id: String,
-    pub jobclass: String,
-    pub owner: String,
+    #[serde(rename = "jobclass")]
+    pub job_class: String,
+    #[serde(rename = "owner")]
+    pub team: String,
     pub shape: Shape,
     pub rank: Rank,
-    pub pieces: u32,
+    #[serde(rename = "pieces")]
+    pub task_count: u32,
     pub cores: f64,
     pub accelerators: f64,
     pub ram_gb: f64,
-    pub bundle: String,
+    #[serde(rename = "bundle")]
+    pub image: String,
     pub image_gb: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kinds_of_host: Option<Vec<String>>,
+    #[serde(rename = "kinds_of_host")]
+    pub machine_types: Option<Vec<String>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub yard: Option<String>,
+    #[serde(rename = "yard")]
+    pub zone: Option<String>,
     pub together: bool,
     pub apart: bool,
-    pub borrowed: bool,
+    #[serde(rename = "borrowed")]
+    pub spot: bool,
     pub expected_s: f64,
     pub snapshot_every_s: f64,
     pub snapshot_cost_s: f64,
@@ -95,16 +103,16 @@
             return Err("id: must be `j-` and digits, such as j-000412".into());
         }
         for (name, text) in [
-            ("jobclass", &self.jobclass),
-            ("owner", &self.owner),
-            ("bundle", &self.bundle),
+            ("jobclass", &self.job_class),
+            ("owner", &self.team),
+            ("bundle", &self.image),
         ] {
             if text.is_empty() || text.len() > 200 {
                 return Err(format!("{name}: must have 1 to 200 bytes"));
             }
         }
-        if self.pieces == 0 || self.pieces > MAX_PIECES {
-            return Err(format!("pieces: must be from 1 to {MAX_PIECES}"));
+        if self.task_count == 0 || self.task_count > MAX_TASKS {
+            return Err(format!("pieces: must be from 1 to {MAX_TASKS}"));
         }
         if !(self.cores.is_finite() && self.cores > 0.0) {
             return Err("cores: must be above 0".into());
--- a/crates/cherryyard-wire/src/lib.rs
+++ b/crates/cherryyard-wire/src/lib.rs
@@ -1,12 +1,12 @@
 //! Wire formats of cherryyard.
 //!
 //! Everything that crosses a process boundary is described here and nowhere
-//! else: the platform's settings, users' jobs, workers' reports and orders,
+//! else: the platform's settings, users' jobs, workers' reports and commands,
 //! the cloud's and the state service's messages, the records kept in the
 //! state service and the frames that controllers exchange. The crate does no
 //! I/O, so clients can use it too.
 
-pub mod arrivals;
+pub mod admission_log;
 pub mod cloud;
 pub mod condor;
 pub mod dependencies;
--- a/crates/cherryyard-wire/src/page.rs
+++ b/crates/cherryyard-wire/src/page.rs
@@ -1,7 +1,7 @@
 //! Pages of assignments in few bytes.
 //!
-//! A page holds assignments of hundreds of tasks, and every round writes one or two, so
-//! what a page can hold decides how many tasks a part can start with the writes that it
+//! A page holds assignments of hundreds of tasks, and every scheduling cycle writes one or two, so
+//! what a page can hold decides how many tasks a shard can start with the writes that it
 //! may make. [`pack`] brings a [`PageRecord`] into base64 of varints:
 //!
 //! ```text
@@ -9,7 +9,7 @@
 //! machines: mode, then of names that differ in their number alone the common start, how
 //!           many digits follow, how many there are, and the gaps between their numbers;
 //!           else how many there are, and each name
-//! attempts: how many, then each one's gap from the one before, and the session
+//! attempts: how many, then each one's gap from the one before, and the incarnation
 //! jobs:     how many, then each job's gap from the one before, how many entries, and of
 //!           each entry its gap from the end of the one before, and a word:
 //!           bits 0 and 1: completed, running, or both
@@ -167,8 +167,8 @@
 ) -> Option<Vec<Entry>> {
     let mut running: BTreeMap<u32, Place> = BTreeMap::new();
     for group in groups {
-        let (&[attempt, session], list) = group.split_first_chunk()?;
-        let at = attempts.binary_search(&(attempt, session)).ok()? as u64;
+        let (&[attempt, incarnation], list) = group.split_first_chunk()?;
+        let at = attempts.binary_search(&(attempt, incarnation)).ok()? as u64;
         for pair in list.chunks_exact(2) {
             let machine = *machines.get(usize::try_from(pair[0]).ok()?)?;
             running.insert(u32::try_from(pair[1]).ok()?, (at, machine));
@@ -222,7 +222,7 @@
     }
 }
 
-/// The attempts and sessions that a page names, in order.
+/// The attempts and incarnations that a page names, in order.
 fn attempts_of(record: &PageRecord) -> Vec<(u64, u64)> {
     let groups = record.j.iter().flat_map(|job| &job.1);
     let named = groups.filter_map(|group| Some((*group.first()?, *group.get(1)?)));
@@ -239,9 +239,9 @@
     let attempts = attempts_of(record);
     out.put(attempts.len() as u64);
     let mut before = 0;
-    for &(attempt, session) in &attempts {
+    for &(attempt, incarnation) in &attempts {
         out.put(attempt - before);
-        out.put(session);
+        out.put(incarnation);
         before = attempt;
     }
     let mut jobs: Vec<_> = record.j.iter().collect();
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -56,14 +56,14 @@
     /// What every controller tells every other.
     Heartbeat(Box<Heartbeat>),
     /// A submission for the receiver to write.
-    Ask(Ask),
+    ForwardedSubmission(ForwardedSubmission),
     /// The answer to one.
-    Told(Told),
+    ForwardResponse(ForwardResponse),
 }
 
 /// A submission that its receiver passes on.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Ask {
+pub struct ForwardedSubmission {
     /// The sender's name.
     pub label: String,
     /// The sender's number for it.
@@ -77,7 +77,7 @@
 
 /// What the user is to be answered.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Told {
+pub struct ForwardResponse {
     /// The number in the question.
     pub ticket: u64,
     /// The status.
@@ -107,18 +107,18 @@
     /// controller can have taken, while all are cut off.
     pub complete: bool,
     /// The state revision that the sender has seen.
-    pub epoch: u64,
-    /// Claims that the sender knows: part, stamp, and the owner's name.
-    pub claims: Vec<(u32, u64, String)>,
-    /// The parts that the sender owns.
-    pub parts: Vec<PartReport>,
+    pub store_revision: u64,
+    /// Leases that the sender knows: part, revision, and the owner's name.
+    pub leases: Vec<(u32, u64, String)>,
+    /// The shards that the sender owns.
+    pub shards: Vec<CapacityReport>,
     /// Teams that are short of their grants, told by the leader.
     pub short: Vec<String>,
-    /// Services that the sender would rather not start, as only other parts
+    /// Services that the sender would rather not start, as only other shards
     /// hold their images: part and job's number.
     pub handing: Vec<(u32, u64)>,
     /// Parts of others whose workers have lately reported here: part, how many.
-    pub strays: Vec<(u32, u32)>,
+    pub misdirected: Vec<(u32, u32)>,
     /// The sender's number for this heartbeat; they grow, from anywhere.
     pub number: u64,
     /// The last number heard of each other controller, by its place among all.
@@ -128,7 +128,7 @@
     /// How long submissions wait at the sender, in milliseconds.
     pub intake_ms: u32,
     /// What has become of submissions at the sender since its start.
-    pub demand: Vec<DemandTold>,
+    pub demand: Vec<DemandReport>,
 }
 
 /// A flow that has long had less than its floor.
@@ -140,17 +140,17 @@
     pub team: u32,
     /// Its floor in cores.
     pub floor: f32,
-    /// How it is divided among parts.
-    pub levels: Vec<LevelTold>,
+    /// How it is divided among shards.
+    pub levels: Vec<LevelGrant>,
 }
 
-/// A part's level of a flow: up to it its owner may start tasks ahead of rank, and down
+/// A shard's level of a flow: up to it its owner may start tasks ahead of rank, and down
 /// to it stop them for others.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct LevelTold {
-    /// The part.
-    pub part: u32,
-    /// Stamps of the leader's claim and the part's.
+pub struct LevelGrant {
+    /// The shard.
+    pub shard: u32,
+    /// Stamps of the leader's lease and the shard's.
     pub under: (u64, u64),
     /// The level, in thousandths of a core.
     pub level: u64,
@@ -158,7 +158,7 @@
 
 /// What has become of a flow's submissions at one controller since its start.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct DemandTold {
+pub struct DemandReport {
     /// The flow's class.
     pub class: String,
     /// Its team, by its place in the settings.
@@ -171,41 +171,41 @@
     pub refused: u64,
 }
 
-/// Free room and waiting tasks of a part.
+/// Free capacity and waiting tasks of a shard.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct PartReport {
-    /// The part.
-    pub part: u32,
-    /// Stamp of the claim that the report was made under.
-    pub stamp: u64,
-    /// Sorts of machine that the part has.
-    pub sorts: Vec<MachineSort>,
+pub struct CapacityReport {
+    /// The shard.
+    pub shard: u32,
+    /// Revision of the lease that the report was made under.
+    pub revision: u64,
+    /// Sorts of machine that the shard has.
+    pub pools: Vec<MachinePool>,
     /// Images that its machines hold.
     pub images: Vec<String>,
     /// Usable machines.
-    pub machines: Vec<MachineRoom>,
+    pub machines: Vec<MachineCapacity>,
     /// Waiting tasks by job: the job's number, how many, and for how long.
     pub waiting: Vec<(u64, u32, f32)>,
-    /// What the part uses and wants of each team's limit: team, cores and accelerators.
+    /// What the shard uses and wants of each team's limit: team, cores and accelerators.
     pub wants: Vec<(String, f64, f64)>,
 }
 
-/// A sort of machine.
+/// A pool of machines.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct MachineSort {
+pub struct MachinePool {
     /// Its type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
 }
 
-/// Free room of a machine.
+/// Free capacity of a machine.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct MachineRoom {
-    /// Its place among the report's sorts.
-    pub sort: u16,
+pub struct MachineCapacity {
+    /// Its place among the report's pools.
+    pub pool: u16,
     /// Free cores, accelerators and memory.
     pub free: (f32, f32, f32),
     /// The same if arrays of ordinary rank or below made way.
@@ -214,11 +214,11 @@
     pub images: Vec<u16>,
 }
 
-impl PartReport {
+impl CapacityReport {
     /// Whether the machines name only what the report lists.
     pub fn is_sound(&self) -> bool {
         self.machines.iter().all(|m| {
-            usize::from(m.sort) < self.sorts.len()
+            usize::from(m.pool) < self.pools.len()
                 && m.images.iter().all(|&i| usize::from(i) < self.images.len())
         })
     }
@@ -304,7 +304,7 @@
     /// Sections of a kind that is not known are passed over, and what is known is read.
     #[test]
     fn unknown_sections_are_passed_over() {
-        let told = Message::Told(Told {
+        let told = Message::ForwardResponse(ForwardResponse {
             ticket: 1,
             status: 200,
             retry_after: 0,
@@ -336,12 +336,12 @@
             cancelled: vec![412],
             reach_ms: 60_000,
             complete: false,
-            epoch: 7,
-            claims: vec![(0, 3, "a".into())],
-            parts: vec![],
+            store_revision: 7,
+            leases: vec![(0, 3, "a".into())],
+            shards: vec![],
             short: vec![],
             handing: vec![],
-            strays: vec![],
+            misdirected: vec![],
             number: 3,
             heard: vec![(1, 7)],
             shares: vec![],
--- a/crates/cherryyard-wire/src/record.rs
+++ b/crates/cherryyard-wire/src/record.rs
@@ -10,10 +10,10 @@
 
 /// Start of every key.
 pub const PREFIX: &str = "c/";
-/// The leader's claim.
-pub const LEAD: &str = "c/lead";
+/// The leader's lease.
+pub const LEADER_KEY: &str = "c/lead";
 /// The machine types, for a start while the cloud is down.
-pub const KINDS: &str = "c/kinds";
+pub const MACHINE_TYPES_KEY: &str = "c/kinds";
 
 /// Operators' own attributes of machines.
 pub const ATTRIBUTES: &str = "c/attributes";
@@ -26,15 +26,15 @@
 /// The format in which jobs stand in buckets, and their ends go into the history.
 pub const BUCKETS: u32 = 2;
 
-/// The format in which new jobs stand in pages of arrivals.
-pub const ARRIVALS: u32 = 3;
+/// The format in which new jobs stand in pages of admissions.
+pub const ADMISSION_LOG: u32 = 3;
 /// The format in which jobs may wait for others.
 pub const DEPENDENCIES: u32 = 4;
 /// The newest format of records that this build can work with.
 pub const NEWEST_FORMAT: u32 = DEPENDENCIES;
 
 /// Key of a page of new jobs. Their order is that of the keys.
-pub fn arrivals_key(page: u64) -> String {
+pub fn admission_log_key(page: u64) -> String {
     format!("c/new/{page:016x}")
 }
 
@@ -49,9 +49,9 @@
     xxhash_rust::xxh3::xxh3_64(&job.to_be_bytes())
 }
 
-/// Key of part `part`'s claim.
-pub fn part_key(part: usize) -> String {
-    format!("c/part/{part}")
+/// Key of shard `shard`'s lease.
+pub fn shard_key(shard: usize) -> String {
+    format!("c/part/{shard}")
 }
 
 /// Key of a job.
@@ -59,39 +59,39 @@
     format!("c/job/{}", crate::job::job_id(job))
 }
 
-/// Key of one page of a part's assignments.
-pub fn assignments_key(part: usize, page: u32) -> String {
-    format!("c/mark/{part}/{page}")
+/// Key of one page of a shard's assignments.
+pub fn assignments_key(shard: usize, page: u32) -> String {
+    format!("c/mark/{shard}/{page}")
 }
 
-/// Key of what part `part` may use of team `team`'s limit.
-pub fn grant_key(team: usize, part: usize) -> String {
-    format!("c/grant/{team}/{part}")
+/// Key of what part `shard` may use of team `team`'s limit.
+pub fn grant_key(team: usize, shard: usize) -> String {
+    format!("c/grant/{team}/{shard}")
 }
 
-/// Key of what is known of the images in part `part`.
-pub fn images_key(part: usize) -> String {
-    format!("c/images/{part}")
+/// Key of what is known of the images in shard `shard`.
+pub fn images_key(shard: usize) -> String {
+    format!("c/images/{shard}")
 }
 
 /// A parsed key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[allow(missing_docs)]
 pub enum Key {
-    Lead,
-    Kinds,
+    Leader,
+    MachineTypes,
     Attributes,
     Ids,
     Submission(u64),
-    Part(usize),
+    Shard(usize),
     Images(usize),
     Job(u64),
     Bucket(u64),
-    Arrivals(u64),
+    AdmissionPage(u64),
     Format,
     Packed,
-    Assignment { part: usize, page: u32 },
-    Grant { team: usize, part: usize },
+    Assignment { shard: usize, page: u32 },
+    Grant { team: usize, shard: usize },
 }
 
 fn hex(word: &str) -> Option<u64> {
@@ -102,11 +102,11 @@
 impl Key {
     /// Reads a key; `None` for one that this version does not know.
     pub fn parse(key: &str) -> Option<Self> {
-        if key == LEAD {
-            return Some(Self::Lead);
+        if key == LEADER_KEY {
+            return Some(Self::Leader);
         }
-        if key == KINDS {
-            return Some(Self::Kinds);
+        if key == MACHINE_TYPES_KEY {
+            return Some(Self::MachineTypes);
         }
         if key == ATTRIBUTES {
             return Some(Self::Attributes);
@@ -122,19 +122,19 @@
         }
         let mut words = key.strip_prefix(PREFIX)?.split('/');
         let parsed = match words.next()? {
-            "part" => Self::Part(words.next()?.parse().ok()?),
+            "part" => Self::Shard(words.next()?.parse().ok()?),
             "images" => Self::Images(words.next()?.parse().ok()?),
             "job" => Self::Job(crate::job::job_number(words.next()?)?),
             "jobs" => Self::Bucket(hex(words.next()?)?),
-            "new" => Self::Arrivals(hex(words.next()?)?),
+            "new" => Self::AdmissionPage(hex(words.next()?)?),
             "sub" => Self::Submission(hex(words.next()?)?),
             "mark" => Self::Assignment {
-                part: words.next()?.parse().ok()?,
+                shard: words.next()?.parse().ok()?,
                 page: words.next()?.parse().ok()?,
             },
             "grant" => Self::Grant {
                 team: words.next()?.parse().ok()?,
-                part: words.next()?.parse().ok()?,
+                shard: words.next()?.parse().ok()?,
             },
             _ => return None,
         };
@@ -142,9 +142,9 @@
     }
 }
 
-/// Who owns a part, or leads.
+/// Who owns a shard, or leads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct LeaseRecord {
     /// The controller's name.
     pub label: String,
     /// The newest format of records that it can work with; builds before there
@@ -157,8 +157,8 @@
     pub n: Option<u64>,
 }
 
-impl Claim {
-    /// A claim by the process with this number, which can work with this format.
+impl LeaseRecord {
+    /// A lease by the process with this number, which can work with this format.
     pub fn of(label: &str, process: u64, format: u32) -> Self {
         Self {
             label: label.into(),
@@ -173,7 +173,7 @@
 pub struct FormatRecord {
     /// How jobs are kept.
     pub jobs: u32,
-    /// Whether new jobs come by pages of arrivals, and by these alone.
+    /// Whether new jobs come by pages of admissions, and by these alone.
     #[serde(default, skip_serializing_if = "is_false")]
     pub new: bool,
     /// Whether jobs may wait for others.
@@ -222,13 +222,13 @@
         spec: Box<JobSpec>,
         /// Time of day at its submission, in milliseconds.
         at: u64,
-        /// The division: each part's task numbers. Empty: not yet divided.
+        /// The division: each shard's task numbers. Empty: not yet divided.
         #[serde(default)]
         div: Vec<RangeSet>,
         /// The zone of all its tasks, where the user asked for one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         zone: Option<String>,
-        /// Most tasks per part and zone, where the user asked for tasks apart.
+        /// Most tasks per shard and zone, where the user asked for tasks apart.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         caps: Vec<Vec<u32>>,
         /// Where it may run, beyond what the submission's fields say.
@@ -271,12 +271,12 @@
     pub ram: f64,
 }
 
-/// Assignments of one attempt and session: `[attempt, session, machine, number,
+/// Assignments of one attempt and incarnation: `[attempt, incarnation, machine, number,
 /// machine, number, ...]`, each machine by its place in the page's list. Tasks
 /// of a job mostly start together, so this is a few bytes for each.
 pub type AssignmentGroup = Vec<u64>;
 
-/// One page of a part's assignments: of all jobs that have some there.
+/// One page of a shard's assignments: of all jobs that have some there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageRecord {
     /// Machines that the assignments name.
@@ -286,7 +286,7 @@
     pub j: Vec<(u64, Vec<AssignmentGroup>, RangeSet)>,
 }
 
-/// A page of a part's assignments as it is stored: packed ([`crate::page`]), or plain as builds
+/// A page of a shard's assignments as it is stored: packed ([`crate::page`]), or plain as builds
 /// before [`DEPENDENCIES`] write it and an empty page always is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
@@ -313,7 +313,7 @@
     }
 }
 
-/// What a part may use of a team's limit.
+/// What a shard may use of a team's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
     /// Cores.
@@ -322,7 +322,7 @@
     pub acc: f64,
 }
 
-/// Images that a part's machines hold, so that a restarted owner knows them.
+/// Images that a shard's machines hold, so that a restarted owner knows them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
     /// Images and their sizes.
@@ -334,7 +334,7 @@
     /// How all machines' names begin.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub p: String,
-    /// The same in a few bytes for each machine, so that a large part's record
+    /// The same in a few bytes for each machine, so that a large shard's record
     /// stays below the value limit: `rest of the name:images`, each image a
     /// character of [`IMAGE_CHARS`] by its place in `i`, with blanks between.
     #[serde(default, skip_serializing_if = "String::is_empty")]
--- a/crates/cherryyard-wire/src/rules.rs
+++ b/crates/cherryyard-wire/src/rules.rs
@@ -1,33 +1,36 @@
 //! Where a job may run, beyond what the protocol's fields can say: an addition to a
 //! submission (`"rules": {...}`) and to a job's record, which other readers ignore.
 //!
-//! A *cell* is a machine type in a zone, ordinary or spot. Rules name cells outright,
-//! or by match expressions that are evaluated against each cell's attributes, or both:
-//! then a cell must satisfy both. `kinds_of_host`, `yard` and `borrowed` count as well.
+//! A *pool* is a machine type in a zone, ordinary or spot. Rules name pools outright,
+//! or by match expressions that are evaluated against each pool's attributes, or both:
+//! then a pool must satisfy both. `machine_types`, `zone` and `spot` count as well.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Longest expression in a job's rules.
 pub const MAX_EXPRESSION: usize = 2048;
-/// Most blocks of cells.
+/// Most blocks of pools.
 pub const MAX_BLOCKS: usize = 64;
 /// Most attributes in one group of operators' own.
 pub const MAX_ATTRIBUTES: usize = 64;
 
-/// Cells that a job may run in: all of these types in all of these zones.
+/// Pools that a job may run in: all of these types in all of these zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct CellBlock {
+pub struct PoolBlock {
     /// Machine types; absent: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kinds: Option<Vec<String>>,
+    #[serde(rename = "kinds")]
+    pub machine_types: Option<Vec<String>>,
     /// Zones; absent: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub yards: Option<Vec<String>>,
+    #[serde(rename = "yards")]
+    pub zones: Option<Vec<String>>,
     /// Spot machines only, or ordinary ones only; absent: both.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub borrowed: Option<bool>,
-    /// Lower ones are preferred; of a cell in several blocks the lowest counts.
+    #[serde(rename = "borrowed")]
+    pub spot: Option<bool>,
+    /// Lower ones are preferred; of a pool in several blocks the lowest counts.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tier: u32,
 }
@@ -39,13 +42,14 @@
 /// A job's rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rules {
-    /// Cells, of which each must be in one; empty: any.
+    /// Pools, of which each must be in one; empty: any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub cells: Vec<CellBlock>,
-    /// An expression over a cell's attributes that must be true.
+    #[serde(rename = "cells")]
+    pub pools: Vec<PoolBlock>,
+    /// An expression over a pool's attributes that must be true.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requirements: Option<String>,
-    /// An expression over a cell's attributes: the larger, the more preferred.
+    /// An expression over a pool's attributes: the larger, the more preferred.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rank: Option<String>,
 }
@@ -64,7 +68,7 @@
                 return Err(format!("rules.{name}: more than {MAX_EXPRESSION} bytes"));
             }
         }
-        if self.cells.len() > MAX_BLOCKS {
+        if self.pools.len() > MAX_BLOCKS {
             return Err(format!("rules.cells: more than {MAX_BLOCKS} blocks"));
         }
         Ok(())
@@ -92,7 +96,8 @@
     pub all: Group,
     /// Of a type's machines.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub kinds: BTreeMap<String, Group>,
+    #[serde(rename = "kinds")]
+    pub machine_types: BTreeMap<String, Group>,
     /// Of a zone's machines.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub zones: BTreeMap<String, Group>,
@@ -118,7 +123,7 @@
     /// Checks names, values and bounds; the error names the attribute.
     pub fn check(&self) -> Result<(), String> {
         let all = [("all", &self.all)].into_iter();
-        let named = self.kinds.iter().chain(&self.zones);
+        let named = self.machine_types.iter().chain(&self.zones);
         let groups = all.chain(named.map(|(name, group)| (name.as_str(), group)));
         for (of, group) in groups {
             if group.len() > MAX_ATTRIBUTES {
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -46,7 +46,8 @@
     /// Its value.
     pub v: Json,
     /// Revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// One page of a range read.
@@ -58,7 +59,8 @@
     #[serde(default)]
     pub truncated: bool,
     /// The revision that the page describes.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: u64,
 }
 
 /// A compared version; 0 means absent.
@@ -67,7 +69,8 @@
     /// The key.
     pub key: String,
     /// The version it must have.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// One change of a transaction.
@@ -82,7 +85,8 @@
         v: Json,
         /// The lease it hangs on.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        hold: Option<u64>,
+        #[serde(rename = "hold")]
+        lease_id: Option<u64>,
     },
     /// Deletes a key.
     Delete {
@@ -102,7 +106,7 @@
         Self::Set {
             set: key.into(),
             v,
-            hold: None,
+            lease_id: None,
         }
     }
 
@@ -140,41 +144,45 @@
     }
 
     /// Adds a condition unless the same key is conditioned already.
-    pub fn require(&mut self, key: impl Into<String>, stamp: u64) {
+    pub fn require(&mut self, key: impl Into<String>, revision: u64) {
         let key = key.into();
         if !self.when.iter().any(|w| w.key == key) {
-            self.when.push(When { key, stamp });
+            self.when.push(When { key, revision });
         }
     }
 }
 
 /// The answer to a transaction or to a read of an absent key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Epoch {
+pub struct StoreRevision {
     /// The revision.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: u64,
 }
 
 /// A state lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Hold {
+pub struct LeaseGrant {
     /// Its number.
-    pub hold: u64,
+    #[serde(rename = "hold")]
+    pub lease_id: u64,
 }
 
 /// What a watch returns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchResponse {
     /// The revision up to which the changes are told.
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub store_revision: u64,
     /// The changes, in order.
     #[serde(default)]
-    pub news: Vec<Change>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// One change that a watch tells.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Change {
+pub struct WatchEvent {
     /// The key put, or null.
     #[serde(default)]
     pub set: Option<String>,
@@ -185,5 +193,6 @@
     #[serde(default)]
     pub v: Json,
     /// The revision.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
--- a/crates/cherryyard-wire/src/worker.rs
+++ b/crates/cherryyard-wire/src/worker.rs
@@ -4,55 +4,63 @@
 
 /// A worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// The machine's name.
     pub host: String,
     /// Where it takes direct commands.
     pub addr: String,
     /// The machine's type.
-    pub host_kind: String,
+    #[serde(rename = "host_kind")]
+    pub machine_type: String,
     /// Its zone.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Whether it is a spot machine.
     #[serde(default)]
-    pub borrowed: bool,
-    /// The session; the protocol's word.
-    pub tenure: u64,
-    /// The report's place within the session; the protocol's word.
-    pub tick: u64,
+    #[serde(rename = "borrowed")]
+    pub spot: bool,
+    /// The incarnation; the protocol's word.
+    #[serde(rename = "tenure")]
+    pub incarnation: u64,
+    /// The report's place within the incarnation; the protocol's word.
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     /// The highest token that the worker has seen; the protocol's word.
     #[serde(default)]
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine away.
     #[serde(default)]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recall_s")]
+    pub reclaim_in_s: Option<f64>,
     /// All tasks on the machine.
-    #[serde(default)]
-    pub pieces: Vec<PieceReport>,
+    #[serde(default, rename = "pieces")]
+    pub tasks: Vec<TaskReport>,
 }
 
 /// One task on a machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PieceReport {
+pub struct TaskReport {
     /// Job id and number, such as `j-000412/3`.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task_name: String,
     /// The attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// Its state.
-    pub status: PieceStatus,
+    pub status: TaskStatus,
     /// Why it ended.
     #[serde(default)]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether its progress was saved.
-    #[serde(default)]
-    pub kept: bool,
+    #[serde(default, rename = "kept")]
+    pub checkpointed: bool,
 }
 
 /// A task's state on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PieceStatus {
+pub enum TaskStatus {
     /// Waits for its image.
     Fetching,
     /// Runs.
@@ -69,7 +77,7 @@
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -77,11 +85,13 @@
     /// Failed.
     Error,
     /// Refused: not enough free resources.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
     /// Refused: here already with another attempt.
     Busy,
     /// Refused: the worker knows no such job or task.
-    NoSuch,
+    #[serde(rename = "no_such")]
+    NoSuchTask,
     /// A cause this version does not know; counts as a failure.
     #[serde(other)]
     Other,
@@ -91,23 +101,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Order {
+pub enum WorkerCommand {
     /// Start this attempt.
     Start {
-        piece: String,
+        #[serde(rename = "piece")]
+        task_name: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop this attempt.
     Kill {
-        piece: String,
+        #[serde(rename = "piece")]
+        task_name: String,
         #[serde(rename = "try")]
         attempt: u64,
-        wind_down_s: f64,
+        #[serde(rename = "wind_down_s")]
+        grace_period_s: f64,
     },
     /// Leave this ended attempt out of the reports.
     Clear {
-        piece: String,
+        #[serde(rename = "piece")]
+        task_name: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -115,11 +129,13 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// The token.
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Commands, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// The body of a 421.
@@ -127,27 +143,31 @@
 pub struct Misdirected {
     /// Who takes this worker's reports.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub foreman: Option<String>,
+    #[serde(rename = "foreman")]
+    pub owner: Option<String>,
 }
 
 /// Direct commands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DoRequest {
+pub struct CommandBatch {
     /// The token.
-    pub baton: u64,
-    /// The session that the commands are meant for.
-    pub tenure: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
+    /// The incarnation that the commands are meant for.
+    #[serde(rename = "tenure")]
+    pub incarnation: u64,
     /// Commands, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Splits `j-000412/3` into the job's and the task's number.
-pub fn piece_numbers(piece: &str) -> Option<(u64, u32)> {
-    let (job, number) = piece.split_once('/')?;
+pub fn parse_task_name(task_name: &str) -> Option<(u64, u32)> {
+    let (job, number) = task_name.split_once('/')?;
     Some((crate::job::job_number(job)?, number.parse().ok()?))
 }
 
 /// The name of task `number` of job `job`.
-pub fn piece_name(job: u64, number: u32) -> String {
+pub fn task_name_of(job: u64, number: u32) -> String {
     format!("{}/{number}", crate::job::job_id(job))
 }
--- a/crates/cherryyard-wire/tests/page.rs
+++ b/crates/cherryyard-wire/tests/page.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// A page by what it means: tasks by job and number, each with machine, session and
+/// A page by what it means: tasks by job and number, each with machine, incarnation and
 /// attempt, and completed numbers.
 type Meaning = BTreeMap<u64, (BTreeMap<u32, (String, u64, u64)>, RangeSet)>;
 
@@ -30,16 +30,16 @@
     let mut record = PageRecord::default();
     for (job, (running, completed)) in meaning {
         let mut groups: BTreeMap<(u64, u64), Vec<u64>> = BTreeMap::new();
-        for (&number, (machine, session, attempt)) in running {
+        for (&number, (machine, incarnation, attempt)) in running {
             let place = record.h.iter().position(|h| h == machine);
             let place = place.unwrap_or_else(|| {
                 record.h.push(machine.clone());
                 record.h.len() - 1
             });
-            let key = (*attempt, *session);
+            let key = (*attempt, *incarnation);
             let group = groups
                 .entry(key)
-                .or_insert_with(|| vec![*attempt, *session]);
+                .or_insert_with(|| vec![*attempt, *incarnation]);
             group.extend([place as u64, number.into()]);
         }
         let groups = groups.into_values().collect();
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -3,15 +3,15 @@
 //! it is read, and written again to the byte while such a version may read it.
 
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::arrivals::{ArrivalsRecord, Rest};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, Rest};
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::peer::{
-    Ask, DemandTold, FlowShare, Heartbeat, LevelTold, MachineRoom, MachineSort, Message,
-    PartReport, Told, decode, encode_legacy,
+    CapacityReport, DemandReport, FlowShare, ForwardResponse, ForwardedSubmission, Heartbeat,
+    LevelGrant, MachineCapacity, MachinePool, Message, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
-    ARRIVALS, BucketRecord, Claim, End, FormatRecord, Grant, ImagesRecord, JobRecord, PageRecord,
-    StoredPage,
+    ADMISSION_LOG, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
+    PageRecord, StoredPage,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -86,19 +86,19 @@
         cancelled: vec![412, 398_405],
         reach_ms: 60_000,
         complete: true,
-        epoch: 70_123,
-        claims: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
-        parts: vec![PartReport {
-            part: 2,
-            stamp: 41,
-            sorts: vec![MachineSort {
-                kind: "qanat-4".into(),
+        store_revision: 70_123,
+        leases: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
+        shards: vec![CapacityReport {
+            shard: 2,
+            revision: 41,
+            pools: vec![MachinePool {
+                machine_type: "qanat-4".into(),
                 zone: "lahore-east".into(),
                 spot: true,
             }],
             images: vec!["img-02".into()],
-            machines: vec![MachineRoom {
-                sort: 0,
+            machines: vec![MachineCapacity {
+                pool: 0,
                 free: (1.5, 0.0, 8.25),
                 yielding: (4.0, 0.0, 16.0),
                 images: vec![0],
@@ -108,21 +108,21 @@
         }],
         short: vec!["servicing".into()],
         handing: vec![(1, 77)],
-        strays: vec![(0, 3)],
+        misdirected: vec![(0, 3)],
         number: 9,
         heard: vec![(0, 7), (2, 8)],
         shares: vec![FlowShare {
             class: "ledger-extract".into(),
             team: 1,
             floor: 12.5,
-            levels: vec![LevelTold {
-                part: 2,
+            levels: vec![LevelGrant {
+                shard: 2,
                 under: (40, 41),
                 level: 12_500,
             }],
         }],
         intake_ms: 12,
-        demand: vec![DemandTold {
+        demand: vec![DemandReport {
             class: "ledger-extract".into(),
             team: 1,
             offered: 5,
@@ -131,20 +131,20 @@
         }],
     };
     same_frame("beat", &Message::Heartbeat(Box::new(heartbeat)));
-    let ask = Ask {
+    let query = ForwardedSubmission {
         label: "orchard-1".into(),
         ticket: 99,
         at: 1_790_000_000_000,
         body: br#"{"id":"j-000412"}"#.to_vec(),
     };
-    same_frame("ask", &Message::Ask(ask));
-    let told = Told {
+    same_frame("ask", &Message::ForwardedSubmission(query));
+    let told = ForwardResponse {
         ticket: 99,
         status: 201,
         retry_after: 0,
         body: r#"{"id":"j-000412","status":"queued"}"#.into(),
     };
-    same_frame("told", &Message::Told(told));
+    same_frame("told", &Message::ForwardResponse(told));
 }
 
 #[test]
@@ -180,7 +180,7 @@
         u: vec![(398_405, r#use)],
     };
     same("bucket", &bucket);
-    let mut page = ArrivalsRecord::default();
+    let mut page = AdmissionPageRecord::default();
     let rest = Rest {
         zone: Some("lahore-east".into()),
         ..Rest::default()
@@ -193,8 +193,11 @@
 
 #[test]
 fn what_controllers_keep() {
-    // This build's own claims name a newer format; an earlier build reads it as a number.
-    same("claim", &Claim::of("orchard-1", 123_456_789, ARRIVALS));
+    // This build's own leases name a newer format; an earlier build reads it as a number.
+    same(
+        "claim",
+        &LeaseRecord::of("orchard-1", 123_456_789, ADMISSION_LOG),
+    );
     let format = FormatRecord {
         jobs: 1,
         new: true,
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -1,12 +1,12 @@
 //! Look-ups of jobs in the history, which is in the state service only.
 //!
 //! A look-up costs at most two reads. They go one after another, within a share of
-//! the request budget that leaves the rest to assignments, claims and barriers; whoever
+//! the request budget that leaves the rest to assignments, leases and barriers; whoever
 //! asks for a job that a leaf read for another covers is answered by it.
 
 use super::App;
-use super::line::Line;
-use cherryyard_core::Node;
+use super::lookup_queue::LookupQueue;
+use cherryyard_core::Controller;
 use cherryyard_history::{FinishedJob, Leaf, LeafCache, Lookup};
 use cherryyard_wire::history::{LAST, Level};
 use std::collections::VecDeque;
@@ -28,14 +28,14 @@
 
 /// For whom a look-up is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Look {
+pub(crate) enum LookupKind {
     /// A submission, which must not come after a flood of polls.
     Submission,
     /// A poll.
     Poll,
 }
 
-/// What a look-up found, and as of which stamp of the history's record.
+/// What a look-up found, and as of which revision of the history's record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Found {
     pub past: Option<FinishedJob>,
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct Queues {
     submissions: VecDeque<Waiting>,
-    polls: Line<oneshot::Sender<Option<Found>>>,
+    polls: LookupQueue<oneshot::Sender<Option<Found>>>,
     /// Submissions served since the last poll.
     in_a_row: u32,
 }
@@ -55,7 +55,7 @@
 /// How look-ups went since the last log line.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    asked: u64,
+    queried: u64,
     cached: u64,
     reads: u64,
     refused: u64,
@@ -63,7 +63,7 @@
 
 /// Look-ups under way, and leaves lately read.
 #[derive(Debug)]
-pub(crate) struct LookUps {
+pub(crate) struct HistoryLookups {
     queues: Mutex<Queues>,
     cache: Mutex<LeafCache>,
     counts: Mutex<Counts>,
@@ -75,7 +75,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl LookUps {
+impl HistoryLookups {
     /// Look-ups within a share of `rps` requests a second, with a cache of at most a
     /// sixty-fourth of the memory.
     pub(crate) fn new(rps: f64, memory_bytes: usize) -> Self {
@@ -89,39 +89,46 @@
     }
 }
 
-/// The stamp of the history's record, and whether jobs are moving between the runs.
-fn moved(node: &Node) -> (u64, bool) {
-    (node.mirror.packed_stamp, node.mirror.packed.spilling)
+/// The revision of the history's record, and whether jobs are moving between the runs.
+fn moved(controller: &Controller) -> (u64, bool) {
+    (
+        controller.mirror.packed_revision,
+        controller.mirror.packed.spilling,
+    )
 }
 
 impl App {
     /// Looks for a job that the mirror does not know, as of now; none if that
     /// cannot be told, or not in time.
-    pub(crate) async fn look_in_history(self: &Arc<Self>, job: u64, by: Look) -> Option<Found> {
+    pub(crate) async fn find_in_history(
+        self: &Arc<Self>,
+        job: u64,
+        by: LookupKind,
+    ) -> Option<Found> {
         if !self.with(|n, _| n.mirror.packed.any()) {
-            let moved = self.with(|n, _| n.mirror.packed_stamp);
+            let moved = self.with(|n, _| n.mirror.packed_revision);
             return Some(Found { past: None, moved });
         }
-        lock(&self.history.counts).asked += 1;
+        lock(&self.history.counts).queried += 1;
         if let Some(found) = self.cached(job) {
             lock(&self.history.counts).cached += 1;
             return Some(found);
         }
-        let (tell, told) = oneshot::channel();
+        let (reply_to, reply) = oneshot::channel();
         {
             let mut queues = lock(&self.history.queues);
             match by {
-                Look::Poll => queues.polls.ask(job, tell, self.now() as u64),
-                Look::Submission if queues.submissions.len() >= MAX_WAITING => {
+                LookupKind::Poll => queues.polls.query(job, reply_to, self.now() as u64),
+                LookupKind::Submission if queues.submissions.len() >= MAX_WAITING => {
                     lock(&self.history.counts).refused += 1;
                     return None;
                 }
-                Look::Submission => queues.submissions.push_back((job, tell)),
+                LookupKind::Submission => queues.submissions.push_back((job, reply_to)),
             }
         }
         self.history.wanted.notify_one();
-        let told = tokio::time::timeout(PATIENCE, told).await;
-        told.ok().and_then(Result::ok).flatten()
+        let reply = tokio::time::timeout(PATIENCE, reply).await;
+        reply.ok().and_then(Result::ok).flatten()
     }
 
     /// What leaves lately read tell, if that is enough.
@@ -129,8 +136,8 @@
         let (moved, spilling) = self.with(|n, _| moved(n));
         let mut cache = lock(&self.history.cache);
         let mut absent = 0;
-        for level in Node::LOOK_UP_ORDER {
-            match cache.look_up(level, job, moved) {
+        for level in Controller::LOOKUP_ORDER {
+            match cache.lookup(level, job, moved) {
                 Lookup::Finished(past) => {
                     let past = Some(past);
                     return Some(Found { past, moved });
@@ -148,8 +155,8 @@
     async fn look(self: &Arc<Self>, job: u64) -> Option<Found> {
         let (moved_at, spilling) = self.with(|n, _| moved(n));
         let mut small_epoch = 0;
-        for level in Node::LOOK_UP_ORDER {
-            let known = lock(&self.history.cache).look_up(level, job, moved_at);
+        for level in Controller::LOOKUP_ORDER {
+            let known = lock(&self.history.cache).lookup(level, job, moved_at);
             match known {
                 Lookup::Finished(past) => {
                     return Some(Found {
@@ -157,8 +164,8 @@
                         moved: moved_at,
                     });
                 }
-                Lookup::Absent(epoch) if level == Level::Small => {
-                    small_epoch = epoch;
+                Lookup::Absent(store_revision) if level == Level::Small => {
+                    small_epoch = store_revision;
                     continue;
                 }
                 // As good as read now only if nothing has moved up to the time at
@@ -166,7 +173,8 @@
                 Lookup::Absent(_)
                     if !spilling
                         && self.with(|n, _| {
-                            n.mirror.packed_stamp == moved_at && n.mirror.epoch >= small_epoch
+                            n.mirror.packed_revision == moved_at
+                                && n.mirror.store_revision >= small_epoch
                         }) =>
                 {
                     continue;
@@ -174,9 +182,9 @@
                 Lookup::Absent(_) | Lookup::Unknown => {}
             }
             lock(&self.history.counts).reads += 1;
-            let (epoch, leaf) = self.state.read_leaf(level, job).await.ok()?;
+            let (store_revision, leaf) = self.state.read_leaf(level, job).await.ok()?;
             if level == Level::Small {
-                small_epoch = epoch;
+                small_epoch = store_revision;
             }
             let (last, leaf) = match leaf {
                 Some((last, _, record)) => {
@@ -188,7 +196,7 @@
                 None => (LAST, Leaf::default()),
             };
             let past = leaf.find(job).copied();
-            lock(&self.history.cache).put(level, job, last, epoch, leaf);
+            lock(&self.history.cache).put(level, job, last, store_revision, leaf);
             if past.is_some() {
                 let moved = moved_at;
                 return Some(Found { past, moved });
@@ -201,27 +209,29 @@
     }
 
     /// Whose look-up is next: mostly a submission's, but polls are not starved.
-    fn next_look_up(&self) -> Option<(u64, Vec<oneshot::Sender<Option<Found>>>)> {
+    fn next_lookup(&self) -> Option<(u64, Vec<oneshot::Sender<Option<Found>>>)> {
         let mut queues = lock(&self.history.queues);
-        queues.submissions.retain(|(_, tell)| !tell.is_closed());
+        queues
+            .submissions
+            .retain(|(_, reply_to)| !reply_to.is_closed());
         if queues.in_a_row < IN_A_ROW
-            && let Some((job, tell)) = queues.submissions.pop_front()
+            && let Some((job, reply_to)) = queues.submissions.pop_front()
         {
             queues.in_a_row += 1;
-            return Some((job, vec![tell]));
+            return Some((job, vec![reply_to]));
         }
         queues.in_a_row = 0;
         let poll = queues.polls.next(self.now() as u64);
         poll.or_else(|| {
-            let (job, tell) = queues.submissions.pop_front()?;
-            Some((job, vec![tell]))
+            let (job, reply_to) = queues.submissions.pop_front()?;
+            Some((job, vec![reply_to]))
         })
     }
 
     /// Serves look-ups, one after the other.
-    pub(crate) async fn serve_look_ups(self: Arc<Self>) {
+    pub(crate) async fn serve_lookups(self: Arc<Self>) {
         loop {
-            let Some((job, waiting)) = self.next_look_up() else {
+            let Some((job, waiting)) = self.next_lookup() else {
                 self.history.wanted.notified().await;
                 continue;
             };
@@ -230,17 +240,17 @@
                 Some(found) => Some(found),
                 None => self.look(job).await,
             };
-            for tell in waiting {
+            for reply_to in waiting {
                 // The one who asked may have given up.
-                let _ = tell.send(found);
+                let _ = reply_to.send(found);
             }
             let reads = lock(&self.history.counts).reads - before;
             if reads > 0 {
                 let rate = self.with(|n, _| {
-                    if n.lead_stamp().is_some() {
+                    if n.leadership_token().is_some() {
                         LEADERS_SHARE
                     } else {
-                        OTHERS_SHARE / n.config.parts() as f64
+                        OTHERS_SHARE / n.config.shards() as f64
                     }
                 });
                 let pause = reads as f64 / (self.history.rps * rate).max(0.5);
@@ -250,11 +260,11 @@
     }
 
     /// Tells now and then how look-ups went.
-    pub(crate) fn tell_look_ups(&self) {
+    pub(crate) fn log_lookups(&self) {
         let counts = std::mem::take(&mut *lock(&self.history.counts));
-        if counts.asked > 0 {
+        if counts.queried > 0 {
             tracing::info!(
-                asked = counts.asked,
+                queried = counts.queried,
                 cached = counts.cached,
                 reads = counts.reads,
                 refused = counts.refused,
--- a/crates/cherryyard/src/app/line.rs
+++ b/crates/cherryyard/src/app/lookup_queue.rs
@@ -23,12 +23,12 @@
 
 /// Jobs that wait for a look-up, and who waits for each.
 #[derive(Debug)]
-pub(super) struct Line<T> {
+pub(super) struct LookupQueue<T> {
     jobs: HashMap<u64, Place<T>>,
     order: BTreeSet<(u64, u64)>,
 }
 
-impl<T> Default for Line<T> {
+impl<T> Default for LookupQueue<T> {
     fn default() -> Self {
         Self {
             jobs: HashMap::new(),
@@ -37,10 +37,10 @@
     }
 }
 
-impl<T> Line<T> {
+impl<T> LookupQueue<T> {
     /// A job is asked for. Where too many wait, the one that came last makes way; its
     /// waiting are dropped.
-    pub(super) fn ask(&mut self, job: u64, waiting: T, now: u64) {
+    pub(super) fn query(&mut self, job: u64, waiting: T, now: u64) {
         let place = self.jobs.entry(job).or_insert_with(|| Place {
             first: now,
             last: now,
@@ -79,16 +79,16 @@
     /// it, none later, though nobody waits for more than 1.5 s.
     #[test]
     fn a_job_asked_for_again_comes_nearer() {
-        let mut line = Line::default();
+        let mut lookup_queue = LookupQueue::default();
         let mut answered: HashMap<u64, u64> = HashMap::new();
         for now in (0..75_000u64).step_by(500) {
             for job in 0..100 + now / 600 {
                 let came = u64::saturating_sub(job, 99) * 600;
                 if !answered.contains_key(&job) && (now + job * 500) % 5000 == 0 && came <= now {
-                    line.ask(job, (), now);
+                    lookup_queue.query(job, (), now);
                 }
             }
-            if let Some((job, _)) = line.next(now) {
+            if let Some((job, _)) = lookup_queue.next(now) {
                 answered.insert(job, now);
             }
         }
@@ -100,12 +100,12 @@
     /// What is remembered is bounded, and whoever came first stays.
     #[test]
     fn a_flood_makes_way() {
-        let mut line = Line::default();
+        let mut lookup_queue = LookupQueue::default();
         for job in 0..5000 {
-            line.ask(job, (), job);
+            lookup_queue.query(job, (), job);
         }
-        assert_eq!(line.jobs.len(), MOST);
-        assert_eq!(line.next(5000).map(|n| n.0), Some(0));
-        assert_eq!(line.next(90_000), None, "nobody asks any more");
+        assert_eq!(lookup_queue.jobs.len(), MOST);
+        assert_eq!(lookup_queue.next(5000).map(|n| n.0), Some(0));
+        assert_eq!(lookup_queue.next(90_000), None, "nobody asks any more");
     }
 }
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -2,36 +2,36 @@
 
 use super::repeats::Repeats;
 use super::{App, jittered, wall_ms};
-use cherryyard_core::lateness::QUEUE_CHECK_MS;
-use cherryyard_io::peer::Outgoing;
-use cherryyard_io::state::StateError;
+use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::state::StateError;
+use cherryyard_core::event_loop_lag::QUEUE_CHECK_MS;
 use cherryyard_wire::peer::Message;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
 impl App {
-    /// Keeps the state lease under which claims are made.
+    /// Keeps the state lease under which leases are made.
     pub(crate) async fn lease(self: Arc<Self>) {
         let every = Duration::from_millis(self.ttl_ms / 4);
         loop {
             let sent_at = self.now();
-            match self.with(|n, _| n.hold()) {
-                None => match self.state.hold(self.ttl_ms).await {
-                    Ok(hold) => self.with(|n, now| {
+            match self.with(|n, _| n.lease_id()) {
+                None => match self.state.grant_lease(self.ttl_ms).await {
+                    Ok(lease_id) => self.with(|n, now| {
                         n.state_answered(sent_at, now);
-                        n.lease(Some(hold), now);
+                        n.state_lease_changed(Some(lease_id), now);
                     }),
                     Err(_) => tokio::time::sleep(jittered(400)).await,
                 },
-                Some(hold) => {
+                Some(lease_id) => {
                     tokio::time::sleep(every).await;
                     let sent_at = self.now();
-                    match self.state.touch(hold).await {
+                    match self.state.renew_lease(lease_id).await {
                         Ok(()) => self.with(|n, now| n.state_answered(sent_at, now)),
                         Err(StateError::Gone) => {
-                            tracing::info!(hold, "our lease in the state service is over");
-                            self.with(|n, now| n.lease(None, now));
+                            tracing::info!(lease_id, "our lease in the state service is over");
+                            self.with(|n, now| n.state_lease_changed(None, now));
                         }
                         // Tried again at once, but not faster than the budget.
                         Err(_) => {}
@@ -87,15 +87,15 @@
     }
 
     pub(crate) async fn watch_cloud(self: Arc<Self>) {
-        let mut kinds_at: Option<Instant> = None;
+        let mut machine_types_at: Option<Instant> = None;
         let mut failures = Repeats::default();
         loop {
-            if kinds_at.is_none_or(|at| at.elapsed() > Duration::from_secs(120)) {
-                match self.cloud.kinds().await {
-                    Ok(kinds) => {
-                        kinds_at = Some(Instant::now());
+            if machine_types_at.is_none_or(|at| at.elapsed() > Duration::from_secs(120)) {
+                match self.cloud.machine_types().await {
+                    Ok(machine_types) => {
+                        machine_types_at = Some(Instant::now());
                         failures.worked();
-                        self.with(|n, now| n.kinds(kinds, now));
+                        self.with(|n, now| n.machine_types(machine_types, now));
                     }
                     Err(e) => {
                         if let Some(times) = failures.failed(Instant::now()) {
@@ -107,7 +107,7 @@
             if let Ok(hosts) = self.cloud.list().await {
                 self.with(|n, now| n.listed(hosts, now));
             }
-            let unknown = kinds_at.is_none();
+            let unknown = machine_types_at.is_none();
             tokio::time::sleep(if unknown {
                 jittered(1500)
             } else {
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -1,25 +1,25 @@
 //! The running controller: tasks around the core.
 
-mod asks;
+mod forwarding;
 mod history;
-mod line;
+mod lookup_queue;
 mod loops;
 mod reads;
 mod refusals;
 mod repeats;
 mod tell;
 
+use cherryyard_clients::cloud::{Cloud, CloudError};
+use cherryyard_clients::http::{Failure, Http};
+use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::state::{Committed, State, StateError};
+use cherryyard_clients::worker;
 use cherryyard_core::admission::intake::Verdict;
-use cherryyard_core::{Effect, Node, Outcome, PushOutcome, Ticket};
-use cherryyard_io::cloud::{Cloud, CloudError};
-use cherryyard_io::http::{Failure, Http};
-use cherryyard_io::peer::Outgoing;
-use cherryyard_io::state::{Committed, State, StateError};
-use cherryyard_io::worker;
-use cherryyard_wire::peer::{Sender, Told};
+use cherryyard_core::{Controller, Effect, Outcome, PushOutcome, Ticket};
+use cherryyard_wire::peer::{ForwardResponse, Sender};
 use cherryyard_wire::state::Commit;
 use hdrhistogram::Histogram;
-pub(crate) use history::{Look, LookUps};
+pub(crate) use history::{HistoryLookups, LookupKind};
 use refusals::Refusals;
 use std::collections::HashMap;
 use std::sync::atomic::AtomicU64;
@@ -29,7 +29,7 @@
 
 /// What all tasks share.
 pub struct App {
-    pub(crate) node: Mutex<Node>,
+    pub(crate) controller: Mutex<Controller>,
     /// Client of the state service.
     pub state: State,
     pub(crate) cloud: Cloud,
@@ -47,18 +47,18 @@
     /// Tells that the connection to one of them is to be made anew.
     pub(crate) anew: HashMap<String, Arc<Notify>>,
     /// Submissions passed on that wait for an answer.
-    pub(crate) asked: Mutex<HashMap<u64, oneshot::Sender<Told>>>,
+    pub(crate) queried: Mutex<HashMap<u64, oneshot::Sender<ForwardResponse>>>,
     pub(crate) tickets: AtomicU64,
     /// Submissions that wait for their verdicts.
     pub(crate) offers: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
     /// Transactions that are not sent again.
     pub(crate) refusals: Mutex<Refusals>,
     /// Look-ups in the history of jobs that are over.
-    pub(crate) history: LookUps,
+    pub(crate) history: HistoryLookups,
     /// Bytes that all requests' bodies may take at once.
     pub bodies: Arc<Semaphore>,
     /// The least time between two reads of one kind, from the request budget.
-    pub(crate) pace: Duration,
+    pub(crate) read_interval: Duration,
     pub(crate) list_every: Duration,
     pub(crate) ttl_ms: u64,
     pub(crate) follow_ms: u64,
@@ -90,12 +90,15 @@
     }
 
     /// Works on the core, then does what it wants done.
-    pub fn with<T>(self: &Arc<Self>, work: impl FnOnce(&mut Node, f64) -> T) -> T {
+    pub fn with<T>(self: &Arc<Self>, work: impl FnOnce(&mut Controller, f64) -> T) -> T {
         let now = self.now();
         let (result, effects) = {
-            let mut node = self.node.lock().unwrap_or_else(PoisonError::into_inner);
-            let result = work(&mut node, now);
-            (result, node.effects())
+            let mut controller = self
+                .controller
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            let result = work(&mut controller, now);
+            (result, controller.effects())
         };
         for effect in effects {
             self.perform(effect);
@@ -108,12 +111,12 @@
         match effect {
             Effect::Refresh => self.barrier_wanted.notify_one(),
             Effect::Heartbeat => self.heartbeat_wanted.notify_one(),
-            Effect::Answer(ticket, verdict) => self.tell_verdict(ticket, verdict),
+            Effect::Answer(ticket, verdict) => self.reply_verdict(ticket, verdict),
             Effect::Commit(ticket, commit) => {
                 tokio::spawn(async move {
                     let outcome = app.commit(&commit).await;
                     app.with(|n, now| n.committed(ticket, &commit, outcome, now));
-                    if matches!(ticket, Ticket::Claim(_)) && outcome == Outcome::NoLease {
+                    if matches!(ticket, Ticket::AcquireShard(_)) && outcome == Outcome::NoLease {
                         tracing::info!("the lease of a claim was over");
                     }
                 });
@@ -132,14 +135,14 @@
                     app.with(|n, now| n.pushed(host, &request, outcome, now));
                 });
             }
-            Effect::Ask { host, addr } => {
+            Effect::QueryStatus { host, addr } => {
                 tokio::spawn(async move {
-                    let answer = worker::ask(&app.workers, &addr).await;
+                    let answer = worker::query(&app.workers, &addr).await;
                     if let Err(e) = &answer {
                         tracing::debug!(addr, "a machine does not answer a question: {e}");
                     }
                     let answer = answer.ok();
-                    app.with(|n, now| n.asked(host, answer.as_ref(), now));
+                    app.with(|n, now| n.queried(host, answer.as_ref(), now));
                 });
             }
             Effect::ReadLeaf(level, job) => {
@@ -161,9 +164,9 @@
                     app.with(|n, now| n.released(&hosts, ok, now));
                 });
             }
-            Effect::Hire(request) => {
+            Effect::Provision(request) => {
                 tokio::spawn(async move {
-                    let answer = match app.cloud.hire(&request).await {
+                    let answer = match app.cloud.provision(&request).await {
                         Ok(hosts) => Ok(hosts),
                         Err(CloudError::NoCapacity | CloudError::Malformed) => Err(true),
                         Err(CloudError::Unavailable) => {
@@ -171,7 +174,7 @@
                             Err(false)
                         }
                     };
-                    app.with(|n, now| n.hired(&request, answer, now));
+                    app.with(|n, now| n.provisioned(&request, answer, now));
                 });
             }
         }
@@ -186,8 +189,8 @@
         }
         let sent_at = self.now();
         let outcome = match self.state.commit(commit).await {
-            Ok(Committed::Applied(epoch)) => Outcome::Applied(epoch),
-            Ok(Committed::Conflict(epoch)) => Outcome::Conflict(epoch),
+            Ok(Committed::Applied(store_revision)) => Outcome::Applied(store_revision),
+            Ok(Committed::Conflict(store_revision)) => Outcome::Conflict(store_revision),
             Ok(Committed::NoLease) => Outcome::NoLease,
             Err(StateError::Unknown | StateError::Bad) => return Outcome::Unknown,
             Err(StateError::Malformed) => {
--- a/crates/cherryyard/src/app/reads.rs
+++ b/crates/cherryyard/src/app/reads.rs
@@ -2,7 +2,7 @@
 
 use super::repeats::Repeats;
 use super::{App, jittered};
-use cherryyard_io::state::StateError;
+use cherryyard_clients::state::StateError;
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -18,16 +18,16 @@
     /// Waits until the mirror holds everything that was durable when this was
     /// called. One read serves all who wait.
     pub async fn caught_up(self: &Arc<Self>) -> bool {
-        let (tell, told) = oneshot::channel();
+        let (reply_to, reply) = oneshot::channel();
         {
             let mut waiting = self.barrier.lock().unwrap_or_else(PoisonError::into_inner);
             if waiting.len() >= MAX_WAITING {
                 return false;
             }
-            waiting.push(tell);
+            waiting.push(reply_to);
         }
         self.barrier_wanted.notify_one();
-        matches!(tokio::time::timeout(PATIENCE, told).await, Ok(Ok(true)))
+        matches!(tokio::time::timeout(PATIENCE, reply).await, Ok(Ok(true)))
     }
 
     /// Reads the newest state whenever someone waits for it.
@@ -39,21 +39,25 @@
                 std::mem::take(&mut *all)
             };
             let sent_at = self.now();
-            let (loaded, since) = self.with(|n, _| (n.mirror.loaded, n.mirror.epoch));
+            let (loaded, since) = self.with(|n, _| (n.mirror.loaded, n.mirror.store_revision));
             let good = loaded
                 && match self.state.follow(since, 0).await {
-                    Ok(news) => {
-                        self.with(|n, now| n.news(&news, sent_at, now));
+                    Ok(events) => {
+                        self.with(|n, now| n.events(&events, sent_at, now));
                         true
                     }
                     Err(_) => false,
                 };
-            for tell in waiting {
+            for reply_to in waiting {
                 // The one who waits may have given up.
-                let _ = tell.send(good);
+                let _ = reply_to.send(good);
             }
-            let pace = if good { self.pace } else { self.pace * 2 };
-            tokio::time::sleep(pace).await;
+            let read_interval = if good {
+                self.read_interval
+            } else {
+                self.read_interval * 2
+            };
+            tokio::time::sleep(read_interval).await;
         }
     }
 
@@ -65,7 +69,7 @@
         self.with(|n, _| n.mirror.begin_load());
         loop {
             let page = self.state.read_page(last.as_deref()).await?;
-            let epoch = *first.get_or_insert(page.epoch);
+            let store_revision = *first.get_or_insert(page.store_revision);
             for some in page.pairs.chunks(LOAD_STEP) {
                 self.with(|n, _| n.mirror.load_some(some));
                 tokio::task::yield_now().await;
@@ -73,7 +77,7 @@
             keys += page.pairs.len();
             last = page.pairs.into_iter().last().map(|p| p.key);
             if !page.truncated || last.is_none() {
-                return Ok((keys, epoch));
+                return Ok((keys, store_revision));
             }
             // A long read spends requests that renewals need too.
             tokio::time::sleep(Duration::from_millis(60)).await;
@@ -88,9 +92,14 @@
             let sent_at = self.now();
             if reload {
                 match self.load().await {
-                    Ok((keys, epoch)) => {
-                        self.with(|n, now| n.loaded(epoch, sent_at, now));
-                        tracing::info!(keys, epoch, failed = failures.worked(), "read the state");
+                    Ok((keys, store_revision)) => {
+                        self.with(|n, now| n.loaded(store_revision, sent_at, now));
+                        tracing::info!(
+                            keys,
+                            store_revision,
+                            failed = failures.worked(),
+                            "read the state"
+                        );
                         reload = false;
                     }
                     Err(e) => {
@@ -102,11 +111,11 @@
                 }
                 continue;
             }
-            let since = self.with(|n, _| n.mirror.epoch);
+            let since = self.with(|n, _| n.mirror.store_revision);
             match self.state.follow(since, self.follow_ms).await {
-                Ok(news) => {
-                    self.with(|n, now| n.news(&news, sent_at, now));
-                    tokio::time::sleep(self.pace).await;
+                Ok(events) => {
+                    self.with(|n, now| n.events(&events, sent_at, now));
+                    tokio::time::sleep(self.read_interval).await;
                 }
                 Err(StateError::Gone) => {
                     tracing::info!(since, "the watch is too old, reading everything again");
--- a/crates/cherryyard/src/app/tell.rs
+++ b/crates/cherryyard/src/app/tell.rs
@@ -12,19 +12,19 @@
         latency.saturating_record(ms.max(1));
     }
 
-    /// Tells now and then what the cores of our parts did.
-    pub(crate) async fn tell_account(self: Arc<Self>) {
+    /// Tells now and then what the cores of our shards did.
+    pub(crate) async fn log_account(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_secs(10)).await;
-            for (part, cores) in self.with(|n, _| n.accounts()) {
-                tracing::info!(part, cores = %cores.to_json(), "account");
+            for (shard, cores) in self.with(|n, _| n.accounts()) {
+                tracing::info!(shard, cores = %cores.to_json(), "account");
             }
         }
     }
 
     /// Tells what has become of submissions; one who hears all controllers is enough.
-    fn tell_submissions(self: &Arc<Self>) {
-        let (leads, report) = self.with(|n, _| (n.lead_stamp().is_some(), n.demand_report()));
+    fn log_submissions(self: &Arc<Self>) {
+        let (leads, report) = self.with(|n, _| (n.leadership_token().is_some(), n.demand_report()));
         for (class, team, [offered, taken, refused]) in report {
             if leads {
                 tracing::info!(class, team, offered, taken, refused, "submissions");
@@ -33,11 +33,11 @@
     }
 
     /// Tells now and then how long users' requests take.
-    pub(crate) async fn tell_latency(self: Arc<Self>) {
+    pub(crate) async fn log_latency(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_secs(60)).await;
-            self.tell_look_ups();
-            self.tell_submissions();
+            self.log_lookups();
+            self.log_submissions();
             let mut latency = self.latency.lock().unwrap_or_else(PoisonError::into_inner);
             if !latency.is_empty() {
                 tracing::info!(
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -2,8 +2,8 @@
 
 use crate::condor::{self, Condor};
 use crate::{account, operator, run};
+use cherryyard_clients::http::Http;
 use cherryyard_core::{Config, Tuning};
-use cherryyard_io::http::Http;
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::settings::Settings;
 use clap::{Parser, Subcommand};
@@ -114,7 +114,7 @@
         .with_default(level.min(LevelFilter::WARN))
         .with_target("cherryyard", level)
         .with_target("cherryyard_core", level)
-        .with_target("cherryyard_io", level);
+        .with_target("cherryyard_clients", level);
     let format = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
@@ -134,7 +134,7 @@
 }
 
 /// A request's status and answer.
-pub async fn ask_status(
+pub async fn query_status(
     method: &str,
     server: &str,
     path: &str,
@@ -156,13 +156,13 @@
     Ok((status, String::from_utf8_lossy(&body).trim().to_string()))
 }
 
-async fn ask(
+async fn query(
     method: &str,
     server: &str,
     path: &str,
     body: Option<Vec<u8>>,
 ) -> Result<String, String> {
-    let (status, text) = ask_status(method, server, path, body).await?;
+    let (status, text) = query_status(method, server, path, body).await?;
     if status < 300 {
         Ok(text)
     } else {
@@ -180,9 +180,9 @@
         }
         Some(Command::Check { config, operator }) => {
             let (settings, tuning) = load(&config, operator.as_deref())?;
-            let parts = Config::new(&settings, tuning).parts();
+            let shards = Config::new(&settings, tuning).shards();
             println!(
-                "{}: good, controller {} of {parts}",
+                "{}: good, controller {} of {shards}",
                 config.display(),
                 settings.label
             );
@@ -194,13 +194,16 @@
             waits_on,
         }) => {
             let body = submission(&file, waits_on)?;
-            let answer = runtime()?.block_on(ask("POST", &server, "/v2/runs", Some(body)))?;
+            let answer = runtime()?.block_on(query("POST", &server, "/v2/runs", Some(body)))?;
             println!("{answer}");
             Ok(())
         }
         Some(Command::Status { server, id }) => {
             let path = format!("/v2/runs/{}", job(&id)?);
-            println!("{}", runtime()?.block_on(ask("GET", &server, &path, None))?);
+            println!(
+                "{}",
+                runtime()?.block_on(query("GET", &server, &path, None))?
+            );
             Ok(())
         }
         Some(Command::Cancel { server, id }) => {
@@ -208,14 +211,14 @@
             let body = Some(b"{}".to_vec());
             println!(
                 "{}",
-                runtime()?.block_on(ask("POST", &server, &path, body))?
+                runtime()?.block_on(query("POST", &server, &path, body))?
             );
             Ok(())
         }
         Some(Command::History { server }) => {
             println!(
                 "{}",
-                runtime()?.block_on(ask("GET", &server, "/v2/history", None))?
+                runtime()?.block_on(query("GET", &server, "/v2/history", None))?
             );
             Ok(())
         }
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -1,8 +1,8 @@
 //! `cherryyard condor`: submit files from the command line.
 
-use crate::cli::ask_status;
+use crate::cli::query_status;
 use cherryyard_condor::{Cluster, Options, Source, SourceError, SubmitError, read};
-use cherryyard_core::cells::Explanation;
+use cherryyard_core::pools::Explanation;
 use cherryyard_wire::condor::{Chunk, ChunkPost, SubmissionList, SubmissionView, check_name};
 use cherryyard_wire::job::job_number;
 use clap::Subcommand;
@@ -138,7 +138,7 @@
     let since = Instant::now();
     let mut pause = 1.0;
     loop {
-        let answer = ask_status(method, server, path, body.clone()).await;
+        let answer = query_status(method, server, path, body.clone()).await;
         let later = match &answer {
             Ok((status, _)) => matches!(status, 429 | 503 | 504),
             Err(_) => true,
@@ -210,10 +210,10 @@
         table.add_row([
             format!("{}", group.first),
             group.tasks.to_string(),
-            t.spec.owner.clone(),
+            t.spec.team.clone(),
             t.spec.cores.to_string(),
             format!("{:.3} GB", t.spec.ram_gb),
-            t.spec.bundle.clone(),
+            t.spec.image.clone(),
             rules.unwrap_or_else(|| "any".into()),
         ]);
     }
@@ -259,14 +259,14 @@
     let t = &cluster.templates[of];
     let rules = t.rules.as_ref().and_then(|r| r.requirements.as_deref());
     out += &format!("requirements: {}\n", rules.unwrap_or("any machine"));
-    for cell in &e.matching {
-        out += &format!("  matches {cell}\n");
+    for pool in &e.matching {
+        out += &format!("  matches {pool}\n");
     }
     if !e.unknown.is_empty() {
         out += &format!("  no machine advertises {}\n", e.unknown.join(", "));
     }
-    for (cell, lacks) in &e.near {
-        out += &format!("  not {cell}: {}\n", lacks.join("; "));
+    for (pool, lacks) in &e.near {
+        out += &format!("  not {pool}: {}\n", lacks.join("; "));
     }
     out
 }
--- a/crates/cherryyard/src/messages.rs
+++ b/crates/cherryyard/src/messages.rs
@@ -2,12 +2,12 @@
 
 use crate::app::{App, wall_ms};
 use crate::routes;
-use cherryyard_io::peer::Outgoing;
+use cherryyard_clients::peer::Outgoing;
 use cherryyard_wire::peer::{Frame, Message};
 use std::sync::Arc;
 
 /// Age at which a submission passed on is not carried out any more.
-const ASK_STALE_MS: f64 = 5000.0;
+const FORWARD_STALE_MS: f64 = 5000.0;
 
 impl App {
     /// Takes another controller's frame.
@@ -23,25 +23,26 @@
     fn take_message(self: &Arc<Self>, message: Message) {
         match message {
             Message::Heartbeat(heartbeat) => self.with(|n, now| n.heartbeat_in(*heartbeat, now)),
-            Message::Told(told) => {
-                if let Some(tell) = self.waiting_for_answers().remove(&told.ticket) {
+            Message::ForwardResponse(reply) => {
+                if let Some(reply_to) = self.waiting_for_answers().remove(&reply.ticket) {
                     // The one who asked may have given up.
-                    let _ = tell.send(told);
+                    let _ = reply_to.send(reply);
                 }
             }
-            Message::Ask(ask) => {
+            Message::ForwardedSubmission(query) => {
                 // Packets may be held back for minutes; the user has long asked
                 // again, or given up.
-                if (wall_ms() - ask.at as f64).abs() > ASK_STALE_MS {
+                if (wall_ms() - query.at as f64).abs() > FORWARD_STALE_MS {
                     return;
                 }
                 let app = self.clone();
                 tokio::spawn(async move {
-                    let told = routes::answer_ask(&app, &ask).await;
-                    if let Some(to) = app.peers.get(&ask.label) {
+                    let reply = routes::answer_forwarded(&app, &query).await;
+                    if let Some(to) = app.peers.get(&query.label) {
                         // Full: the other side writes it itself.
-                        let told = Outgoing::new(Message::Told(told), app.sender.clone());
-                        let _ = to.try_send(told);
+                        let reply =
+                            Outgoing::new(Message::ForwardResponse(reply), app.sender.clone());
+                        let _ = to.try_send(reply);
                     }
                 });
             }
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -12,7 +12,8 @@
 #[serde(deny_unknown_fields)]
 struct File {
     autoscale_multi_cluster_delay_s: Option<f64>,
-    room_report_s: Option<f64>,
+    #[serde(rename = "room_report_s")]
+    capacity_report_s: Option<f64>,
     headroom_share: Option<f64>,
     idle_return_s: Option<f64>,
     account: Option<bool>,
@@ -110,8 +111,8 @@
         ),
         (
             "room_report_s",
-            file.room_report_s,
-            &mut tuning.room_report_s,
+            file.capacity_report_s,
+            &mut tuning.capacity_report_s,
             0.5..=60.0,
         ),
         (
@@ -145,7 +146,7 @@
     tuning.admission = admission(file.admission)?;
     tuning.attributes = Attributes {
         all: file.machines,
-        kinds: file.machine_type,
+        machine_types: file.machine_type,
         zones: file.zone,
     };
     tuning.attributes.check()?;
@@ -170,7 +171,7 @@
         "#;
         let t = parse(text).unwrap();
         assert!(t.condor && t.attributes.all["OpSys"] == "LINUX");
-        assert_eq!(t.attributes.kinds["g8"]["Licensed"], true);
+        assert_eq!(t.attributes.machine_types["g8"]["Licensed"], true);
         assert_eq!(t.attributes.zones["lahore-east"]["Department"], "posting");
         let error = parse("machine_type \"g8\" { Cpus = 3 }").unwrap_err();
         assert!(error.contains("Cpus of g8"), "{error}");
@@ -209,7 +210,7 @@
     fn hcl_is_checked() {
         let t = parse("headroom_share = 0.5\nroom_report_s = 2\n").unwrap();
         assert_eq!(
-            (t.headroom_share, t.room_report_s, t.idle_return_s),
+            (t.headroom_share, t.capacity_report_s, t.idle_return_s),
             (0.5, 2.0, 150.0)
         );
         let errors: Vec<String> = [
--- a/crates/cherryyard/src/routes/answer.rs
+++ b/crates/cherryyard/src/routes/answer.rs
@@ -52,7 +52,7 @@
 /// A body, and the room it takes of what all bodies may take at once.
 pub(super) struct Held {
     pub text: Bytes,
-    _room: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
 /// Reads a body of at most [`MAX_BODY`] bytes. What is too large, or comes when
@@ -70,7 +70,7 @@
     }
     let mut held = Held {
         text: Bytes::new(),
-        _room: None,
+        _permit: None,
     };
     let mut rest = BytesMut::new();
     let mut body = req.take_body();
@@ -83,13 +83,13 @@
         if rest.len() + data.len() > MAX_BODY {
             return Err(too_large());
         }
-        let room = app.bodies.clone();
-        let Ok(room) = room.try_acquire_many_owned(data.len() as u32) else {
+        let capacity = app.bodies.clone();
+        let Ok(capacity) = capacity.try_acquire_many_owned(data.len() as u32) else {
             return Err(Answer::later("too many requests at once"));
         };
-        match &mut held._room {
-            Some(held) => held.merge(room),
-            none => *none = Some(room),
+        match &mut held._permit {
+            Some(held) => held.merge(capacity),
+            none => *none = Some(capacity),
         }
         // Most bodies come whole, and are not copied.
         if rest.is_empty() && length == Some(data.len()) {
