--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -4,7 +4,7 @@
 use super::answer::Answer;
 use crate::app::{App, wall_ms};
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::{Node, Outcome};
+use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::condor::{
     ChunkPost, END_ID, FIRST_ID, IdsRecord, MAX_JOBS, Phase, PhaseEvent, SubmissionList,
@@ -33,8 +33,8 @@
 }
 
 /// A submission's state, with this status.
-fn view(node: &Node, number: u64, status: StatusCode) -> Answer {
-    match node.submission_view(number) {
+fn view(controller: &Controller, number: u64, status: StatusCode) -> Answer {
+    match controller.submission_view(number) {
         Some(view) => Answer::of(status, &view),
         None => Answer::error(StatusCode::NOT_FOUND, "no such submission"),
     }
@@ -43,7 +43,7 @@
 /// What is to be done with a chunk.
 enum Next {
     /// Nothing: the answer.
-    Tell(Answer),
+    UserAnswer(Answer),
     /// This is to be written, and then answered with the state.
     Write(Commit, StatusCode),
     /// This is to be written; whatever becomes of it, this is the answer.
@@ -51,12 +51,12 @@
 }
 
 /// Checks that all of a chunk's jobs can run.
-fn admit_chunk(node: &Node, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
+fn admit_chunk(controller: &Controller, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
     for i in 0..post.jobs.t.len() {
         let uses = post.jobs.r.iter().filter(|r| r.0 as usize == i);
-        let pieces = uses.map(|r| r.1).max().unwrap_or(1);
+        let task_count = uses.map(|r| r.1).max().unwrap_or(1);
         let Template { spec, rules } = &mut post.jobs.t[i];
-        spec.pieces = pieces;
+        spec.task_count = task_count;
         if !spec.waits_on.is_empty() {
             let why = format!("t[{i}].waits_on: jobs of a submission cannot wait for others");
             return Err(Reject::Malformed(why));
@@ -67,40 +67,49 @@
             Reject::Never(e) => Reject::Never(format!("t[{i}].{e}")),
             not_yet => not_yet,
         };
-        admit(spec, rules, at, &node.mirror, &node.config).map_err(named)?;
+        admit(spec, rules, at, &controller.mirror, &controller.config).map_err(named)?;
     }
     Ok(())
 }
 
-fn decide(node: &Node, post: &mut ChunkPost, at: u64, free: Option<(u64, u64)>) -> Next {
+fn decide(
+    controller: &Controller,
+    post: &mut ChunkPost,
+    at: u64,
+    free: Option<(u64, u64)>,
+) -> Next {
     let number = submission_number(&post.name);
-    let known = node.mirror.submissions.get(&number).map(|s| s.0.clone());
-    let conflict = |why: String| Next::Tell(Answer::error(StatusCode::CONFLICT, why));
+    let known = controller
+        .mirror
+        .submissions
+        .get(&number)
+        .map(|s| s.0.clone());
+    let conflict = |why: String| Next::UserAnswer(Answer::error(StatusCode::CONFLICT, why));
     let mut record = match known {
         Some(r) if r.name != post.name => {
             return conflict("name: another one has the same number; choose one anew".into());
         }
         Some(r) if r.phase == Phase::Dropped => {
-            return Next::Tell(Answer::later(
+            return Next::UserAnswer(Answer::later(
                 "what was sent under this name is being dropped",
             ));
         }
         Some(r) if r.phase != Phase::Receiving => {
-            return Next::Tell(view(node, number, StatusCode::OK));
+            return Next::UserAnswer(view(controller, number, StatusCode::OK));
         }
         Some(r) if r.of != post.of => {
             return conflict(format!("of: the chunks before said {}", r.of));
         }
         Some(r) if post.chunk < r.chunks => {
-            return Next::Tell(view(node, number, StatusCode::ACCEPTED));
+            return Next::UserAnswer(view(controller, number, StatusCode::ACCEPTED));
         }
         Some(r) => r,
         None => {
-            let all = node.mirror.submissions.values();
+            let all = controller.mirror.submissions.values();
             let busy = |r: &SubmissionRecord| matches!(r.phase, Phase::Receiving | Phase::Creating);
             if all.filter(|s| busy(&s.0)).count() >= MOST_UNDER_WAY {
                 let why = "too many submissions are under way";
-                return Next::Tell(Answer::later_in(why, UNDER_WAY_RETRY_S));
+                return Next::UserAnswer(Answer::later_in(why, UNDER_WAY_RETRY_S));
             }
             SubmissionRecord {
                 name: post.name.clone(),
@@ -120,32 +129,36 @@
         return conflict(format!("chunk: {} is the next one", record.chunks));
     }
     let mut commit = Commit::default();
-    node.mirror.require(&mut commit, Key::Submission(number));
+    controller
+        .mirror
+        .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
     let before = record.clone();
     let refuse = |answer: Answer| {
         if before.chunks == 0 {
-            return Next::Tell(answer);
+            return Next::UserAnswer(answer);
         }
         // One of its jobs can never run: nothing of it is queued.
         let mut dropped = before.clone();
         dropped.phase = dropped.phase.after(PhaseEvent::GivenUp);
         let mut commit = Commit::default();
-        node.mirror.require(&mut commit, Key::Submission(number));
+        controller
+            .mirror
+            .require(&mut commit, Key::Submission(number));
         commit.apply.push(Apply::set(key.clone(), &dropped));
         Next::GiveUp(commit, answer)
     };
-    match admit_chunk(node, post, record.at) {
+    match admit_chunk(controller, post, record.at) {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return Next::Tell(Answer::later(why)),
+        Err(Reject::NotYet(why)) => return Next::UserAnswer(Answer::later(why)),
         Err(Reject::Malformed(why)) => return refuse(bad(why)),
         Err(Reject::Never(why)) => {
             return refuse(Answer::error(StatusCode::UNPROCESSABLE_ENTITY, why));
         }
     }
     let chunk = Json::of(&post.jobs);
-    if chunk.text().len() > node.config.value_bytes {
-        let why = format!("larger than {} bytes", node.config.value_bytes);
+    if chunk.text().len() > controller.config.value_bytes {
+        let why = format!("larger than {} bytes", controller.config.value_bytes);
         return refuse(Answer::error(StatusCode::PAYLOAD_TOO_LARGE, why));
     }
     record.jobs += post.jobs.jobs();
@@ -159,13 +172,13 @@
     let mut status = StatusCode::ACCEPTED;
     if record.chunks == record.of {
         let Some((first, moved)) = free else {
-            return Next::Tell(Answer::later("no block of ids could be found"));
+            return Next::UserAnswer(Answer::later("no block of ids could be found"));
         };
         status = StatusCode::CREATED;
         record.phase = record.phase.after(PhaseEvent::Accepted);
         record.first = first;
         record.chunk = (0, first);
-        node.mirror.require(&mut commit, Key::Ids);
+        controller.mirror.require(&mut commit, Key::Ids);
         let next = first + record.jobs;
         commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
         if moved > 0 {
@@ -177,12 +190,12 @@
     Next::Write(commit, status)
 }
 
-/// A block of ids that no job has, and as of which stamp of the history's record:
+/// A block of ids that no job has, and as of which revision of the history's record:
 /// before submissions were turned on, users could choose any id.
 async fn free_block(app: &Arc<App>, jobs: u64) -> Option<(u64, u64)> {
     let (mut first, moved, any) = app.with(|n, _| {
         let next = n.mirror.ids.next.max(FIRST_ID);
-        (next, n.mirror.packed_stamp, n.mirror.packed.any())
+        (next, n.mirror.packed_revision, n.mirror.packed.any())
     });
     let mut reads = 0;
     'block: while first + jobs < END_ID {
@@ -190,7 +203,7 @@
             first += jobs;
             continue;
         }
-        for level in Node::LOOK_UP_ORDER.into_iter().filter(|_| any) {
+        for level in Controller::LOOKUP_ORDER.into_iter().filter(|_| any) {
             let mut from = first;
             while from < first + jobs {
                 reads += 1;
@@ -235,12 +248,12 @@
             free = free_block(app, before + post.jobs.jobs()).await;
         }
         let (commit, status) = match app.with(|n, _| decide(n, &mut post, at, free)) {
-            Next::Tell(answer) => return answer,
+            Next::UserAnswer(answer) => return answer,
             Next::GiveUp(commit, answer) => {
                 // If this is lost, it is given up later for its silence.
                 let outcome = app.commit(&commit).await;
-                if let Outcome::Applied(epoch) = outcome {
-                    app.with(|n, now| n.user_committed(&commit, epoch, now));
+                if let Outcome::Applied(store_revision) = outcome {
+                    app.with(|n, now| n.user_committed(&commit, store_revision, now));
                 }
                 return answer;
             }
@@ -255,8 +268,8 @@
             paid = true;
         }
         match app.commit(&commit).await {
-            Outcome::Applied(epoch) => {
-                app.with(|n, now| n.user_committed(&commit, epoch, now));
+            Outcome::Applied(store_revision) => {
+                app.with(|n, now| n.user_committed(&commit, store_revision, now));
                 return app.with(|n, _| view(n, number, status));
             }
             Outcome::Conflict(_) => {}
@@ -291,7 +304,7 @@
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MOST_LISTED);
         let list = SubmissionList {
-            // Admission may lengthen a chunk: it sorts and spells out.
+            // Admission may lengthen a chunk: it pools and spells out.
             chunk_bytes: n.config.value_bytes.saturating_sub(64),
             submissions: views.filter_map(|(_, k)| n.submission_view(k)).collect(),
         };
@@ -330,11 +343,11 @@
             Ok(commit) => commit,
             Err(status) => return app.with(|n, _| view(n, number, status)),
         };
-        // Like any cancellation never refused for the pace.
+        // Like any cancellation never refused for the read_interval.
         app.with(|n, now| n.spend_user_write(now));
         match app.commit(&commit).await {
-            Outcome::Applied(epoch) => {
-                app.with(|n, now| n.user_committed(&commit, epoch, now));
+            Outcome::Applied(store_revision) => {
+                app.with(|n, now| n.user_committed(&commit, store_revision, now));
                 return app.with(|n, _| view(n, number, StatusCode::ACCEPTED));
             }
             Outcome::Conflict(_) => {}
@@ -359,10 +372,10 @@
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
     app.with(|n, _| {
-        if n.mirror.kinds.is_empty() {
+        if n.mirror.machine_types.is_empty() {
             return Answer::later("the machine types are not known yet");
         }
-        let all = &n.mirror.kinds;
+        let all = &n.mirror.machine_types;
         match n.mirror.matcher.explain(&template.spec, &rules, all, at) {
             Ok(explanation) => Answer::of(StatusCode::OK, &explanation),
             Err(e) => bad(e),
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -1,18 +1,18 @@
 //! Submissions, polls and cancellations.
 
 use super::answer::Answer;
-use crate::app::{App, Look, wall_ms};
+use crate::app::{App, LookupKind, wall_ms};
 use cherryyard_core::Outcome;
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::dependencies::{PastEnds, Resolution, never_accepted};
 use cherryyard_core::mirror::over;
-use cherryyard_core::users::Tell;
+use cherryyard_core::users::UserAnswer;
 use cherryyard_wire::condor::{FIRST_ID, is_reserved};
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, job_id, job_number};
 use cherryyard_wire::parse_object;
-use cherryyard_wire::peer::{Ask, Told};
+use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission};
 use cherryyard_wire::record::End;
 use cherryyard_wire::rules::{Additions, Rules};
 use salvo::http::StatusCode;
@@ -23,9 +23,9 @@
 const TRIES: u64 = 4;
 
 /// When a poll of an old or unknown job is to come back that is not looked up.
-const LOOK_RETRY_S: u32 = 3;
+const LOOKUP_RETRY_S: u32 = 3;
 
-/// When a poll is to come back that is refused because of lateness.
+/// When a poll is to come back that is refused because of event_loop_lag.
 const BEHIND_RETRY_S: u32 = 5;
 
 fn terminal(view: &JobView) -> bool {
@@ -36,24 +36,24 @@
 const UNTOLD_RETRY_S: u32 = 1;
 
 /// The job's view, as far as its user may be told.
-async fn look_up(app: &Arc<App>, job: u64) -> Result<Option<JobView>, Answer> {
-    let tell = |caught_up| app.with(|n, now| n.tell(job, caught_up, now));
+async fn lookup(app: &Arc<App>, job: u64) -> Result<Option<JobView>, Answer> {
+    let tell = |caught_up| app.with(|n, now| n.answer_for(job, caught_up, now));
     let told = match tell(false) {
-        Tell::Barrier if app.caught_up().await => tell(true),
+        UserAnswer::Barrier if app.caught_up().await => tell(true),
         told => told,
     };
     match told {
-        Tell::View(view) => return Ok(Some(view)),
-        Tell::Barrier => return Err(Answer::later("the state service cannot be reached")),
-        Tell::NotYet => return Err(not_yet()),
-        Tell::Unknown => {}
+        UserAnswer::View(view) => return Ok(Some(view)),
+        UserAnswer::Barrier => return Err(Answer::later("the state service cannot be reached")),
+        UserAnswer::NotYet => return Err(not_yet()),
+        UserAnswer::Unknown => {}
     }
-    let Some(found) = app.look_in_history(job, Look::Poll).await else {
+    let Some(found) = app.find_in_history(job, LookupKind::Poll).await else {
         let why = "old jobs cannot be looked up now";
-        return Err(Answer::later_in(why, LOOK_RETRY_S));
+        return Err(Answer::later_in(why, LOOKUP_RETRY_S));
     };
     let cancelled = found.past.is_some_and(|p| p.end == End::Cancelled);
-    if cancelled && !app.with(|n, now| n.may_tell_cancelled(job, now)) {
+    if cancelled && !app.with(|n, now| n.may_confirm_cancelled(job, now)) {
         return Err(not_yet());
     }
     Ok(found.past.map(|p| over(job, p.end, p.done)))
@@ -80,7 +80,7 @@
         return Err(Answer::error(StatusCode::BAD_REQUEST, "id: not a job id"));
     };
     if app.with(|n, _| n.mirror.view(job)).is_some() {
-        return Err(match look_up(app, job).await {
+        return Err(match lookup(app, job).await {
             Ok(Some(view)) => Answer::view(StatusCode::OK, &view),
             Ok(None) => Answer::later("the job's state is not known yet"),
             Err(answer) => answer,
@@ -116,9 +116,9 @@
             caught_up = true;
             continue;
         }
-        let Some(found) = app.look_in_history(unknown, Look::Submission).await else {
+        let Some(found) = app.find_in_history(unknown, LookupKind::Submission).await else {
             let why = "old jobs cannot be looked up now";
-            return Err(Answer::later_in(why, LOOK_RETRY_S));
+            return Err(Answer::later_in(why, LOOKUP_RETRY_S));
         };
         match found.past {
             Some(p) => past.insert(unknown, p.end),
@@ -130,7 +130,7 @@
 /// The answer to a submission that can never run: accepted elsewhere, it must not be
 /// refused here.
 async fn never(app: &Arc<App>, job: u64, why: String) -> Answer {
-    match look_up(app, job).await {
+    match lookup(app, job).await {
         Ok(Some(view)) => Answer::view(StatusCode::OK, &view),
         Ok(None) => Answer::error(StatusCode::UNPROCESSABLE_ENTITY, why),
         Err(answer) => answer,
@@ -146,7 +146,7 @@
         Err(answer) => return answer,
     };
     let at = wall_ms() as u64;
-    if let Some(told) = app.ask(body, at).await
+    if let Some(told) = app.query(body, at).await
         && let Ok(status) = StatusCode::from_u16(told.status)
     {
         return Answer(status, told.body.into(), told.retry_after);
@@ -155,13 +155,13 @@
 }
 
 /// Writes a submission that another controller has passed on.
-pub async fn answer_ask(app: &Arc<App>, ask: &Ask) -> Told {
-    let answer = match read_submission(app, &ask.body).await {
-        Ok(submission) => submit_here(app, submission, ask.at).await,
+pub async fn answer_forwarded(app: &Arc<App>, query: &ForwardedSubmission) -> ForwardResponse {
+    let answer = match read_submission(app, &query.body).await {
+        Ok(submission) => submit_here(app, submission, query.at).await,
         Err(answer) => answer,
     };
-    Told {
-        ticket: ask.ticket,
+    ForwardResponse {
+        ticket: query.ticket,
         status: answer.0.as_u16(),
         retry_after: answer.2,
         body: String::from_utf8_lossy(&answer.1).into_owned(),
@@ -192,7 +192,7 @@
     };
     for _ in 0..TRIES {
         // It may be over, and only the history may know it.
-        let Some(found) = app.look_in_history(job, Look::Submission).await else {
+        let Some(found) = app.find_in_history(job, LookupKind::Submission).await else {
             break;
         };
         if let Some(p) = found.past {
@@ -218,13 +218,13 @@
             }
             // Another controller may have taken it meanwhile.
             Verdict::Known => {
-                return match look_up(app, job).await {
+                return match lookup(app, job).await {
                     Ok(Some(view)) => Answer::view(StatusCode::OK, &view),
                     Ok(None) => break,
                     Err(answer) => answer,
                 };
             }
-            Verdict::LookAgain => {}
+            Verdict::Retry => {}
             Verdict::Busy(seconds) => {
                 return Answer::later_in("too many submissions at once", seconds);
             }
@@ -244,7 +244,7 @@
     if behind && !view.as_ref().is_some_and(terminal) {
         return Answer::later_in("this controller is behind", BEHIND_RETRY_S);
     }
-    match look_up(app, job).await {
+    match lookup(app, job).await {
         Ok(Some(view)) => Answer::view(StatusCode::OK, &view),
         Ok(None) => Answer::error(StatusCode::NOT_FOUND, "no such job"),
         Err(answer) => answer,
@@ -256,7 +256,7 @@
         return Answer::error(StatusCode::NOT_FOUND, "no such job");
     };
     for attempt in 0..TRIES {
-        match look_up(app, job).await {
+        match lookup(app, job).await {
             Err(answer) => return answer,
             Ok(None) => return Answer::error(StatusCode::NOT_FOUND, "no such job"),
             Ok(Some(view)) if terminal(&view) => return Answer::view(StatusCode::OK, &view),
@@ -265,11 +265,13 @@
         let Some(commit) = app.with(|n, _| n.cancellation(job)) else {
             continue;
         };
-        // Never refused for the pace: what runs for a cancelled job is in
+        // Never refused for the read_interval: what runs for a cancelled job is in
         // everybody's way.
         app.with(|n, now| n.spend_user_write(now));
         match app.commit(&commit).await {
-            Outcome::Applied(epoch) => app.with(|n, now| n.user_committed(&commit, epoch, now)),
+            Outcome::Applied(store_revision) => {
+                app.with(|n, now| n.user_committed(&commit, store_revision, now))
+            }
             // Malformed: it is divided as the limits now are.
             Outcome::Conflict(_) | Outcome::Malformed => {}
             Outcome::Refused => {
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -9,8 +9,8 @@
 use cherryyard_core::Reply;
 use cherryyard_wire::parse_object;
 use cherryyard_wire::settings::Limits;
-use cherryyard_wire::worker::{Misdirected, Report};
-pub use jobs::answer_ask;
+use cherryyard_wire::worker::{Misdirected, WorkerHeartbeat};
+pub use jobs::answer_forwarded;
 use jobs::{cancel, poll, submit};
 use salvo::conn::Acceptor;
 use salvo::fuse::FuseConfig;
@@ -139,12 +139,12 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let answer = match body(&self.0, req).await {
             Err(answer) => answer,
-            Ok(body) => match parse_object::<Report>(&body.text) {
+            Ok(body) => match parse_object::<WorkerHeartbeat>(&body.text) {
                 Err(e) => Answer::error(StatusCode::BAD_REQUEST, e),
                 Ok(report) => match self.0.with(|n, now| n.report(&report, now)) {
                     Reply::Answer(a) => Answer::of(StatusCode::OK, &a),
-                    Reply::Elsewhere(foreman) => {
-                        Answer::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { foreman })
+                    Reply::Elsewhere(owner) => {
+                        Answer::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
                     }
                     Reply::Unavailable => Answer::later("this part has no owner yet"),
                 },
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -1,12 +1,12 @@
 //! Puts a controller together and runs it.
 
-use crate::app::{App, LookUps};
+use crate::app::{App, HistoryLookups};
 use crate::routes;
-use cherryyard_core::{Config, Node, Tuning};
-use cherryyard_io::cloud::Cloud;
-use cherryyard_io::http::Http;
-use cherryyard_io::peer;
-use cherryyard_io::state::State;
+use cherryyard_clients::cloud::Cloud;
+use cherryyard_clients::http::Http;
+use cherryyard_clients::peer;
+use cherryyard_clients::state::State;
+use cherryyard_core::{Config, Controller, Tuning};
 use cherryyard_wire::MAX_BODY;
 use cherryyard_wire::peer::Sender;
 use cherryyard_wire::record::NEWEST_FORMAT;
@@ -23,7 +23,7 @@
 const PEER_QUEUE: usize = 64;
 
 /// A sixteenth of the memory, and at least a body of the largest size.
-fn body_room(limits: &Limits) -> usize {
+fn body_budget(limits: &Limits) -> usize {
     (limits.memory_bytes() / 16).max(MAX_BODY)
 }
 
@@ -34,7 +34,7 @@
     let connect = Duration::from_millis(1200);
     // A third of the requests each for watch and barrier, the rest for renewals
     // and transactions.
-    let pace = Duration::from_secs_f64((controllers * 3.0 / c.state.rps).clamp(0.02, 2.0));
+    let read_interval = Duration::from_secs_f64((controllers * 3.0 / c.state.rps).clamp(0.02, 2.0));
     let list_every = Duration::from_secs_f64((controllers * 4.0 / c.cloud.rps).clamp(3.0, 30.0));
     let seed = rand::random();
     let (out, heartbeats) = watch::channel(None);
@@ -54,7 +54,7 @@
         }
     }
     let app = Arc::new(App {
-        node: Mutex::new(Node::new(Config::new(&settings, tuning), seed, 0.0)),
+        controller: Mutex::new(Controller::new(Config::new(&settings, tuning), seed, 0.0)),
         state: State::new(Http::new(connect, 8), &settings.services.state),
         cloud: Cloud::new(Http::new(connect, 1), &settings.services.cloud),
         workers: Http::new(Duration::from_millis(1000), 1),
@@ -68,14 +68,14 @@
         sender: sender.clone(),
         peers,
         anew,
-        asked: Mutex::new(HashMap::new()),
+        queried: Mutex::new(HashMap::new()),
         // A late answer to a process before this one must find nobody waiting.
         tickets: AtomicU64::new(rand::random()),
         offers: Mutex::new(HashMap::new()),
         refusals: Mutex::default(),
-        history: LookUps::new(c.state.rps, c.limits.memory_bytes()),
-        bodies: Arc::new(Semaphore::new(body_room(&c.limits))),
-        pace,
+        history: HistoryLookups::new(c.state.rps, c.limits.memory_bytes()),
+        bodies: Arc::new(Semaphore::new(body_budget(&c.limits))),
+        read_interval,
         list_every,
         ttl_ms: ((c.workers.lease_s * 500.0) as u64).clamp(1000, 5000),
         follow_ms: ((c.workers.lease_s * 300.0) as u64).clamp(500, 4000),
@@ -98,10 +98,10 @@
     tokio::spawn(app.clone().clock());
     tokio::spawn(app.clone().serve_barriers());
     tokio::spawn(app.clone().watch_queue());
-    tokio::spawn(app.clone().serve_look_ups());
-    tokio::spawn(app.clone().tell_latency());
+    tokio::spawn(app.clone().serve_lookups());
+    tokio::spawn(app.clone().log_latency());
     if app.with(|n, _| n.accounting) {
-        tokio::spawn(app.clone().tell_account());
+        tokio::spawn(app.clone().log_account());
     }
     tokio::spawn(app.clone().watch_cloud());
 
--- a/crates/cherryyard/tests/condor.rs
+++ b/crates/cherryyard/tests/condor.rs
@@ -1,10 +1,10 @@
 //! The real program with submissions of many jobs turned on, over loopback.
 
-use cherryyard_rehearsal::http::HttpState;
-use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_kind};
+use cherryyard_simulation::http::HttpState;
+use cherryyard_simulation::process::{self, Client, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::condor::{NO_ID, Phase, SubmissionView};
-use cherryyard_wire::record::KINDS;
+use cherryyard_wire::record::MACHINE_TYPES_KEY;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 async fn start() -> (HttpState, Process, Client) {
     let mut state = StateStandIn::default();
-    state.seed(KINDS, &[small_kind(vec!["a".into()])]);
+    state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
     let program = Path::new(env!("CARGO_BIN_EXE_cherryyard"));
     Process::start_alone(program, state, OPERATOR).await
 }
@@ -38,9 +38,9 @@
 /// The submission once it has come to this phase, or as it is after some time.
 async fn reaches(client: &Client, name: &str, phase: Phase) -> SubmissionView {
     for _ in 0..200 {
-        let seen = view(client, name).await;
-        if seen.phase == phase {
-            return seen;
+        let reported = view(client, name).await;
+        if reported.phase == phase {
+            return reported;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/cherryyard/tests/flood.rs
+++ b/crates/cherryyard/tests/flood.rs
@@ -1,6 +1,6 @@
 //! The program under floods on loopback: what does not fit is refused at once.
 
-use cherryyard_rehearsal::process::{self, Process};
+use cherryyard_simulation::process::{self, Process};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -2,21 +2,21 @@
 //! unknown ones, and floods of polls for them.
 
 use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
-use cherryyard_rehearsal::http::{Budgets, HttpState};
-use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_kind};
+use cherryyard_simulation::http::{Budgets, HttpState};
+use cherryyard_simulation::process::{self, Client, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::history::{LAST, PackedRecord};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, KINDS, PACKED, bucket_key,
+    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, MACHINE_TYPES_KEY, PACKED, bucket_key,
 };
 use std::path::Path;
 
 /// Three old jobs, 10 to 30, in the large run.
 fn store() -> StateStandIn {
     let mut state = StateStandIn::default();
-    let kind = small_kind(vec!["a".into()]);
-    state.seed(KINDS, &[kind]);
+    let machine_type = small_machine_type(vec!["a".into()]);
+    state.seed(MACHINE_TYPES_KEY, &[machine_type]);
     state.seed(
         FORMAT,
         &FormatRecord {
@@ -103,7 +103,7 @@
     assert_eq!(status, 200);
     assert!(counts.contains("\"open\":1"), "{counts}");
     // What was asked of the state service stayed within what it allows.
-    let asked = service.requests();
-    assert!(asked.refused * 10 <= asked.all, "{asked:?}");
+    let queried = service.requests();
+    assert!(queried.refused * 10 <= queried.all, "{queried:?}");
     assert_eq!(poll(&client, 10).await, (200, Some(JobStatus::Done)));
 }
--- a/crates/cherryyard/tests/pipelines.rs
+++ b/crates/cherryyard/tests/pipelines.rs
@@ -1,15 +1,15 @@
 //! Jobs that wait for others, with the real program over loopback and its command line.
 
-use cherryyard_rehearsal::http::HttpState;
-use cherryyard_rehearsal::process::{self, Client, Process};
-use cherryyard_rehearsal::{StateStandIn, World, small_kind};
-use cherryyard_wire::record::KINDS;
+use cherryyard_simulation::http::HttpState;
+use cherryyard_simulation::process::{self, Client, Process};
+use cherryyard_simulation::{StateStandIn, World, small_machine_type};
+use cherryyard_wire::record::MACHINE_TYPES_KEY;
 use serde_json::{Value, json};
 use std::path::Path;
 
 async fn start() -> (HttpState, Process, Client) {
     let mut state = StateStandIn::default();
-    state.seed(KINDS, &[small_kind(vec!["a".into()])]);
+    state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
     let program = Path::new(env!("CARGO_BIN_EXE_cherryyard"));
     Process::start_alone(program, state, "").await
 }
