--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -5,7 +5,9 @@
 
 use super::*;
 use crate::token_bucket::TokenBucket;
-use cherryyard_history::{Limits, Packer, Past, Step, Write};
+use cherryyard_history::{
+    Compactor, FinishedJob, Leaf, Limits, Precondition, ReadFailed, Step, StoredLeaf, Transaction,
+};
 use cherryyard_wire::history::{LeafRecord, Level};
 use cherryyard_wire::record::BUCKETS;
 
@@ -34,7 +36,7 @@
 /// The leader's packer and its pace.
 #[derive(Debug)]
 pub(crate) struct HistoryCompaction {
-    packer: Packer,
+    packer: Compactor,
     write_budget: TokenBucket,
     /// Reads of leaves: a fold that is done again finds what it would write there
     /// already, and would read leaf after leaf without a pause.
@@ -48,7 +50,7 @@
 impl HistoryCompaction {
     pub(crate) fn new(config: &crate::Config, now: Millis) -> Self {
         Self {
-            packer: Packer::new(Limits {
+            packer: Compactor::new(Limits {
                 leaf_bytes: config.page_bytes,
                 txn_ops: config.txn_ops,
                 small_run: SPILL_BATCHES * config.tuning.history_batch as u64,
@@ -169,8 +171,8 @@
                         e.generation > record.gen_done && e.generation <= done
                     }
                 });
-                let jobs: Vec<Past> = ends
-                    .map(|(job, e)| Past {
+                let jobs: Vec<FinishedJob> = ends
+                    .map(|(job, e)| FinishedJob {
                         job,
                         end: e.end,
                         done: if e.end == End::Done { e.n } else { 0 },
@@ -215,10 +217,10 @@
             .push(Effect::Commit(Ticket::HistoryCompaction, commit));
     }
 
-    fn compaction_commit(&self, write: Write) -> Commit {
+    fn compaction_commit(&self, write: Transaction) -> Commit {
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Leader);
-        for (key, revision) in write.when {
+        for Precondition { key, revision } in write.preconditions {
             commit.require(key, revision);
         }
         for (key, leaf) in write.put {
@@ -271,17 +273,19 @@
         }
         self.leader.history_compaction.under = Under::Nothing;
         let leaf = match answer {
-            Ok(Some((last, revision, record))) => {
-                match cherryyard_history::Leaf::of_record(&record) {
-                    Ok(leaf) => Ok(Some((last, revision, leaf))),
-                    Err(e) => {
-                        tracing::error!(last, "a bad leaf of the history, left as it is: {e}");
-                        Err(())
-                    }
+            Ok(Some((last, revision, record))) => match Leaf::from_record(&record) {
+                Ok(leaf) => Ok(Some(StoredLeaf {
+                    last,
+                    revision,
+                    leaf,
+                })),
+                Err(e) => {
+                    tracing::error!(last, "a bad leaf of the history, left as it is: {e}");
+                    Err(ReadFailed)
                 }
-            }
+            },
             Ok(None) => Ok(None),
-            Err(()) => Err(()),
+            Err(()) => Err(ReadFailed),
         };
         let history_compaction = &mut self.leader.history_compaction;
         if leaf.is_err() {
