--- a/crates/cherryyard-simulation/src/world.rs
+++ b/crates/cherryyard-simulation/src/world.rs
@@ -23,18 +23,18 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-mod check;
+mod checker;
 mod cloud;
-mod late;
 mod machines;
 pub mod pipelines;
 pub mod requests;
-mod submitting;
+mod state_link;
+mod submissions;
 
-use check::Checker;
-use late::slow;
+use checker::Checker;
 use requests::Requests;
 pub use requests::{Question, Response};
+use state_link::slow;
 
 /// Milliseconds between two steps of the clock.
 const STEP: f64 = 50.0;
