--- a/crates/cherryyard-simulation/src/fault.rs
+++ b/crates/cherryyard-simulation/src/fault.rs
@@ -1,7 +1,7 @@
 //! Troubles by name, each of which begins and ends: what random days draw from.
 
 use crate::World;
-use cherryyard_core::Controller;
+use crate::worker::job_of;
 
 /// A trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,12 +111,7 @@
 
 /// Who leads, or the first controller.
 pub fn leader(w: &World) -> usize {
-    let leads = |n: &Controller| n.leadership_token().is_some();
-    let at = w
-        .controllers
-        .iter()
-        .position(|n| n.as_ref().is_some_and(leads));
-    at.unwrap_or(0)
+    w.leader().unwrap_or(0)
 }
 
 impl Fault {
@@ -132,57 +127,59 @@
             Self::LeaderDown => w.kill(leader_index),
             Self::AllDown => (0..all).for_each(|i| w.kill(i)),
             Self::LeaderAlone => {
-                w.refused.insert(leader_index);
-                w.alone.insert(leader_index);
+                w.state_link.refused.insert(leader_index);
+                w.network.isolated.insert(leader_index);
             }
-            Self::Unreachable => w.unreachable.extend(some(3)),
-            Self::OneWay => w.one_way.extend(some(3)),
-            Self::LeaderRefused => drop(w.refused.insert(leader_index)),
-            Self::Outage => w.refused.extend(0..all),
-            Self::SlowCommands => w.slow_direct.extend(some(2)),
-            Self::LateWrites => w.late_writes = 10 + draw(40),
-            Self::Copies => w.copies_ms = Some(500.0 + draw(40_000) as f64),
-            Self::Frozen => drop(w.frozen.insert(leader_index)),
-            Self::Deaf => drop(w.deaf.insert(draw(n) as usize)),
+            Self::Unreachable => w.network.unreachable.extend(some(3)),
+            Self::OneWay => w.network.inbound_lost.extend(some(3)),
+            Self::LeaderRefused => drop(w.state_link.refused.insert(leader_index)),
+            Self::Outage => w.state_link.refused.extend(0..all),
+            Self::SlowCommands => w.machines.slow_commands.extend(some(2)),
+            Self::LateWrites => w.state_link.delayed_percent = 10 + draw(40),
+            Self::Copies => w.duplicates.delay_ms = Some(500.0 + draw(40_000) as f64),
+            Self::Frozen => drop(w.processes.frozen.insert(leader_index)),
+            Self::Deaf => drop(w.network.cut_from_workers.insert(draw(n) as usize)),
             Self::Reborn => {
                 let all = some(5);
                 all.iter().for_each(|name| w.reborn(name));
             }
-            Self::Alone => drop(w.alone.insert(draw(n) as usize)),
+            Self::Alone => drop(w.network.isolated.insert(draw(n) as usize)),
             Self::Behind => {
-                w.late.insert(draw(n) as usize, 800.0 + draw(2000) as f64);
+                w.processes
+                    .lag_ms
+                    .insert(draw(n) as usize, 800.0 + draw(2000) as f64);
             }
-            Self::SlowState => w.slow_ms = 200.0 + draw(4000) as f64,
+            Self::SlowState => w.state_link.latency_ms = 200.0 + draw(4000) as f64,
             Self::SuccessorDown => w.kill((leader_index + 1) % all),
             Self::CloudDown => {
                 // Without a release nothing can be done about a machine that hangs beyond
                 // the time of a cancellation with a start on its way (docs/restart.md).
                 Self::CancelNow.finish(w);
-                w.cloud_down = true;
+                w.cloud.down = true;
             }
             Self::ZoneSilent => {
                 let zone = w.workers.values().filter(|x| x.zone == "b");
                 let zone: Vec<String> = zone.map(|x| x.host.clone()).collect();
-                w.unreachable.extend(zone);
+                w.network.unreachable.extend(zone);
             }
-            Self::OneWaySilence => w.one_way_silent.extend(some(3)),
-            Self::CopiesForNext => w.copies_for_next = true,
-            Self::LostAnswers => w.lost_answers = 10 + draw(40),
+            Self::OneWaySilence => w.network.outbound_lost.extend(some(3)),
+            Self::CopiesForNext => w.duplicates.for_next_leader = true,
+            Self::LostAnswers => w.state_link.lost_response_percent = 10 + draw(40),
             Self::FastBoots => {
-                w.provisioning_ms = Some(draw(2000) as f64);
-                w.provisions_unanswered = draw(2) == 0;
+                w.cloud.provisioning_ms = Some(draw(2000) as f64);
+                w.cloud.provisions_unanswered = draw(2) == 0;
             }
             Self::CancelNow => {
                 let running = w.workers.values().flat_map(|x| {
-                    let here = x.tasks.iter().filter(|p| p.1.2.is_none());
-                    here.map(|p| (p.0.split('/').next().unwrap_or_default(), &x.host))
+                    let here = x.running_tasks();
+                    here.map(|name| (job_of(name), &x.host))
                 });
                 let running: Vec<(String, String)> =
                     running.map(|r| (r.0.into(), r.1.clone())).collect();
                 for (id, host) in running {
                     if draw(3) == 0 {
-                        if w.hung.len() < 8 && !w.cloud_down {
-                            w.hung.insert(host);
+                        if w.machines.hung.len() < 8 && !w.cloud.down {
+                            w.machines.hung.insert(host);
                         }
                         if !w.asked_to_cancel(&id) {
                             w.insist(draw(n) as usize, &id, crate::world::Question::Cancel);
@@ -190,17 +187,17 @@
                     }
                 }
             }
-            Self::CancelAtEnd => w.cancel_at_end = 50,
+            Self::CancelAtEnd => w.submissions.cancel_at_end_percent = 50,
             Self::OddRequests => w.requests.odd = true,
             Self::CloseLooks => w.requests.close_looks = true,
             Self::ZoneCut => {
                 let zone = ["a", "b", "c"][draw(3) as usize];
-                w.zones_cut.insert(zone.into());
+                w.network.partitioned_zones.insert(zone.into());
                 let there = (0..all).filter(|&i| w.zone_of(i) == zone);
                 let there: Vec<usize> = there.collect();
-                w.refused.extend(there);
+                w.state_link.refused.extend(there);
             }
-            Self::LeadersEnd => w.leaders_end_ms = Some(12_000.0),
+            Self::LeadersEnd => w.processes.leader_ends_every_ms = Some(12_000.0),
         }
     }
 
@@ -215,44 +212,44 @@
                 }
             }
             Self::LeaderAlone => {
-                w.refused.clear();
-                w.alone.clear();
+                w.state_link.refused.clear();
+                w.network.isolated.clear();
             }
-            Self::Unreachable | Self::ZoneSilent => w.unreachable.clear(),
-            Self::OneWay => w.one_way.clear(),
-            Self::LeaderRefused | Self::Outage => w.refused.clear(),
+            Self::Unreachable | Self::ZoneSilent => w.network.unreachable.clear(),
+            Self::OneWay => w.network.inbound_lost.clear(),
+            Self::LeaderRefused | Self::Outage => w.state_link.refused.clear(),
             Self::SlowCommands => {
-                w.slow_direct.clear();
+                w.machines.slow_commands.clear();
                 w.deliver_direct();
             }
-            Self::LateWrites => w.late_writes = 0,
-            Self::Copies => w.copies_ms = None,
-            Self::Frozen => w.frozen.clear(),
-            Self::Deaf => w.deaf.clear(),
+            Self::LateWrites => w.state_link.delayed_percent = 0,
+            Self::Copies => w.duplicates.delay_ms = None,
+            Self::Frozen => w.processes.frozen.clear(),
+            Self::Deaf => w.network.cut_from_workers.clear(),
             Self::Reborn => {}
-            Self::Alone => w.alone.clear(),
-            Self::Behind => w.late.clear(),
-            Self::SlowState => w.slow_ms = 0.0,
-            Self::CloudDown => w.cloud_down = false,
-            Self::OneWaySilence => w.one_way_silent.clear(),
-            Self::CopiesForNext => w.copies_for_next = false,
-            Self::LostAnswers => w.lost_answers = 0,
+            Self::Alone => w.network.isolated.clear(),
+            Self::Behind => w.processes.lag_ms.clear(),
+            Self::SlowState => w.state_link.latency_ms = 0.0,
+            Self::CloudDown => w.cloud.down = false,
+            Self::OneWaySilence => w.network.outbound_lost.clear(),
+            Self::CopiesForNext => w.duplicates.for_next_leader = false,
+            Self::LostAnswers => w.state_link.lost_response_percent = 0,
             Self::FastBoots => {
-                w.provisioning_ms = Some(5000.0);
-                w.provisions_unanswered = false;
+                w.cloud.provisioning_ms = Some(5000.0);
+                w.cloud.provisions_unanswered = false;
             }
             Self::CancelNow => {
                 w.deliver_direct();
-                w.hung.clear();
+                w.machines.hung.clear();
             }
-            Self::CancelAtEnd => w.cancel_at_end = 0,
+            Self::CancelAtEnd => w.submissions.cancel_at_end_percent = 0,
             Self::OddRequests => w.requests.odd = false,
             Self::CloseLooks => w.requests.close_looks = false,
             Self::ZoneCut => {
-                w.zones_cut.clear();
-                w.refused.clear();
+                w.network.partitioned_zones.clear();
+                w.state_link.refused.clear();
             }
-            Self::LeadersEnd => w.leaders_end_ms = None,
+            Self::LeadersEnd => w.processes.leader_ends_every_ms = None,
         }
     }
 
--- a/crates/cherryyard-simulation/src/lib.rs
+++ b/crates/cherryyard-simulation/src/lib.rs
@@ -16,9 +16,9 @@
 pub use fault::Fault;
 pub use state::StateStandIn;
 pub use users::Users;
-pub use worker::WorkerStandIn;
+pub use worker::{Task, WorkerStandIn};
 pub use world::pipelines::Pipelines;
-pub use world::{Question, Response, Setup, World, small_machine_type};
+pub use world::{CrashPoint, Question, Response, Setup, World, small_machine_type};
 
 /// Plays days by seed, by hand: `FROM` names the first seed and `SEEDS` how many there
 /// are, else these.
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -1,5 +1,6 @@
 //! Users, as they see a day: they submit, poll what was accepted, and judge at its end.
 
+use crate::worker::job_of;
 use crate::{Fault, World};
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView};
@@ -83,7 +84,7 @@
 
     fn ask_again(&mut self, w: &mut World) {
         for asking in std::mem::take(&mut self.asking) {
-            let verdict = w.verdicts.get(&asking.ticket);
+            let verdict = w.submissions.verdicts.get(&asking.ticket);
             match verdict {
                 Some(Verdict::Taken | Verdict::Known) => self.accepted(w, &asking.spec),
                 None if w.now < asking.again => self.asking.push(asking),
@@ -163,14 +164,14 @@
         let used = w.cores_by_team();
         let on = |id: &str, n: u32| {
             let task_name = format!("{id}/{n}");
-            w.completed.contains(&task_name) || w.workers.values().any(|x| x.runs(&task_name))
+            w.checker.completed.contains(&task_name)
+                || w.workers.values().any(|x| x.runs(&task_name))
         };
         let mut free: Vec<(&str, &str, f64, f64)> = Vec::new();
         for x in w.workers.values().filter(|x| w.in_order(&x.host)) {
             let (mut cores, mut ram) = w.whole(&x.machine_type);
-            for task_name in x.tasks.iter().filter(|p| p.1.2.is_none()).map(|p| p.0) {
-                let id = task_name.split('/').next().unwrap_or_default();
-                if let Some(spec) = w.submitted(id) {
+            for task_name in x.running_tasks() {
+                if let Some(spec) = w.submitted(job_of(task_name)) {
                     (cores, ram) = (cores - spec.cores, ram - spec.ram_gb);
                 }
             }
@@ -222,7 +223,7 @@
             .workers
             .values()
             .flat_map(|x| x.tasks.keys())
-            .filter_map(|task_name| Some(task_name.split('/').next()?.to_string()))
+            .map(|task_name| job_of(task_name).to_string())
             .collect();
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -246,8 +247,8 @@
                     self.longest = self.longest.max(w.now - job.answered);
                     job.answered = w.now;
                     let done = view.status == JobStatus::Done;
-                    let all =
-                        (0..job.task_count).all(|n| w.completed.contains(&format!("{id}/{n}")));
+                    let all = (0..job.task_count)
+                        .all(|n| w.checker.completed.contains(&format!("{id}/{n}")));
                     if done && !all {
                         self.broken
                             .push(format!("{id} is called done before it is"));
@@ -339,12 +340,14 @@
 fn poll(w: &mut World, k: usize, id: &str) -> Option<Option<JobView>> {
     let now = w.now;
     let able = |w: &World, i: usize| {
-        let controller = w.controllers[i].as_ref().filter(|_| !w.frozen.contains(&i));
+        let controller = w.controllers[i]
+            .as_ref()
+            .filter(|_| !w.processes.frozen.contains(&i));
         controller.is_some_and(|n| n.ready(now) && !n.refuses_polls(now))
     };
     let able: Vec<usize> = (0..w.controllers.len()).filter(|&i| able(w, i)).collect();
     let i = *able.get(k % able.len().max(1))?;
-    if w.refused.contains(&i) {
+    if w.state_link.refused.contains(&i) {
         // Only a final state needs no barrier.
         let controller = w.controllers[i].as_ref()?;
         let view = controller
--- a/crates/cherryyard-simulation/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -9,6 +9,38 @@
 /// How long the tasks of a job that was submitted with a mistake run.
 const BAD_MS: f64 = 500.0;
 
+/// A task on a machine.
+#[derive(Clone, Debug)]
+pub struct Task {
+    /// Which attempt at it this is.
+    pub attempt: u64,
+    /// When it started.
+    pub started_at: f64,
+    /// Why it ended, if it has.
+    pub cause: Option<ExitCause>,
+}
+
+impl Task {
+    /// A task that starts now.
+    pub fn new(attempt: u64, started_at: f64) -> Self {
+        Self {
+            attempt,
+            started_at,
+            cause: None,
+        }
+    }
+
+    /// Whether it has not ended.
+    pub fn runs(&self) -> bool {
+        self.cause.is_none()
+    }
+}
+
+/// The job of a task.
+pub fn job_of(task_name: &str) -> &str {
+    task_name.split('/').next().unwrap_or_default()
+}
+
 /// One machine's worker.
 #[derive(Debug)]
 pub struct WorkerStandIn {
@@ -23,8 +55,8 @@
     sequence: u64,
     /// The highest token it has seen.
     pub fencing_token: u64,
-    /// Its tasks: attempt, since when, and why it ended.
-    pub tasks: BTreeMap<String, (u64, f64, Option<ExitCause>)>,
+    /// Its tasks by name.
+    pub tasks: BTreeMap<String, Task>,
     /// When its machine was provisioned, about.
     pub provisioned_at: f64,
     /// When the last answered report was sent, or the incarnation began.
@@ -77,8 +109,8 @@
             let lost: Vec<&String> = self
                 .tasks
                 .iter()
-                .filter(|p| p.1.2.is_none())
-                .map(|p| p.0)
+                .filter(|(_, task)| task.runs())
+                .map(|(name, _)| name)
                 .collect();
             if !lost.is_empty() {
                 log.push(format!("{} loses its lease and {lost:?}", self.host));
@@ -89,20 +121,20 @@
             self.renewed_at = now;
         }
         for (name, task) in &mut self.tasks {
-            let job = name.split('/').next().unwrap_or_default();
+            let job = job_of(name);
             let bad = self.bad_jobs.contains(job);
             let run_ms = match (bad, services.contains(job)) {
                 (true, _) => BAD_MS,
                 (_, true) if !self.faulty => f64::INFINITY,
                 _ => self.run_ms,
             };
-            if task.2.is_none() && now - task.1 >= run_ms {
-                task.2 = Some(if self.faulty || bad {
+            if task.runs() && now - task.started_at >= run_ms {
+                task.cause = Some(if self.faulty || bad {
                     ExitCause::Error
                 } else {
                     ExitCause::Done
                 });
-                log.push(format!("{} ends {name} try {}", self.host, task.0));
+                log.push(format!("{} ends {name} try {}", self.host, task.attempt));
                 self.report_at = now;
             }
         }
@@ -128,15 +160,21 @@
 
     /// A task completes, if it is here.
     pub fn finish(&mut self, task_name: &str) {
-        if let Some(p) = self.tasks.get_mut(task_name).filter(|p| p.2.is_none()) {
-            p.2 = Some(ExitCause::Done);
+        if let Some(task) = self.tasks.get_mut(task_name).filter(|task| task.runs()) {
+            task.cause = Some(ExitCause::Done);
             self.report_at = 0.0;
         }
     }
 
     /// Whether it runs this task.
     pub fn runs(&self, task_name: &str) -> bool {
-        self.tasks.get(task_name).is_some_and(|p| p.2.is_none())
+        self.tasks.get(task_name).is_some_and(Task::runs)
+    }
+
+    /// Names of the tasks that run.
+    pub fn running_tasks(&self) -> impl Iterator<Item = &String> {
+        let running = self.tasks.iter().filter(|(_, task)| task.runs());
+        running.map(|(name, _)| name)
     }
 
     /// Its report.
@@ -155,15 +193,15 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|(name, (attempt, _, cause))| TaskReport {
+                .map(|(name, task)| TaskReport {
                     task_name: name.clone(),
-                    attempt: *attempt,
-                    status: if cause.is_some() {
-                        TaskStatus::Ended
-                    } else {
+                    attempt: task.attempt,
+                    status: if task.runs() {
                         TaskStatus::Running
+                    } else {
+                        TaskStatus::Ended
                     },
-                    cause: *cause,
+                    cause: task.cause,
                     checkpointed: false,
                 })
                 .collect(),
@@ -198,29 +236,27 @@
             match command {
                 WorkerCommand::Start { task_name, attempt } => {
                     let known = self.tasks.get(task_name);
-                    if known.is_none_or(|p| p.0 != *attempt && p.2.is_some()) {
-                        self.tasks.insert(task_name.clone(), (*attempt, now, None));
+                    if known.is_none_or(|task| task.attempt != *attempt && !task.runs()) {
+                        let task = Task::new(*attempt, now);
+                        self.tasks.insert(task_name.clone(), task);
                         log.push(format!("{} starts {task_name} try {attempt}", self.host));
                     }
                 }
                 WorkerCommand::Kill {
                     task_name, attempt, ..
                 } => {
-                    if let Some(p) = self.tasks.get_mut(task_name)
-                        && p.0 == *attempt
-                        && p.2.is_none()
+                    if let Some(task) = self.tasks.get_mut(task_name)
+                        && task.attempt == *attempt
+                        && task.runs()
                     {
-                        p.2 = Some(ExitCause::Halted);
+                        task.cause = Some(ExitCause::Halted);
                         log.push(format!("{} stops {task_name} try {attempt}", self.host));
                         self.report_at = now;
                     }
                 }
                 WorkerCommand::Clear { task_name, attempt } => {
-                    if self
-                        .tasks
-                        .get(task_name)
-                        .is_some_and(|p| p.0 == *attempt && p.2.is_some())
-                    {
+                    let known = self.tasks.get(task_name);
+                    if known.is_some_and(|task| task.attempt == *attempt && !task.runs()) {
                         self.tasks.remove(task_name);
                     }
                 }
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -1,87 +1,199 @@
 //! The cloud: provisioning requests, machines that come up, the list of machines.
 
-use super::*;
+use super::World;
+use crate::WorkerStandIn;
+use cherryyard_core::account::CoreSeconds;
+use cherryyard_wire::cloud::{Instance, InstanceStatus, ProvisionRequest};
+use std::collections::BTreeMap;
+
+/// How long a controller waits for the response to a provisioning request.
+const PROVISION_TIMEOUT_MS: f64 = 2500.0;
+/// How long an answered heartbeat keeps the tasks of a provisioned machine.
+const WORKER_LEASE_MS: f64 = 10_000.0;
+
+/// The cloud.
+#[derive(Debug)]
+pub struct Cloud {
+    /// It answers no release.
+    pub down: bool,
+    /// Releases that it has not answered.
+    pub releases_failed: usize,
+    /// How often controllers read its list of machines by themselves.
+    pub list_every_ms: Option<f64>,
+    listed_at: f64,
+    /// Provisioning requests are carried out, and their responses are lost.
+    pub provisions_unanswered: bool,
+    /// Machines that were to be provisioned.
+    pub provision_requests: Vec<ProvisionRequest>,
+    /// Names of the machines provisioned by each request id.
+    provisioned: BTreeMap<String, Vec<String>>,
+    lost_responses: Vec<LostResponse>,
+    /// What a provisioned machine takes to be up; none: no machines are provisioned.
+    pub provisioning_ms: Option<f64>,
+    /// How long tasks run on provisioned machines.
+    pub provisioned_run_ms: f64,
+    /// Machines on their way.
+    pub booting: BTreeMap<String, Booting>,
+}
+
+/// A machine that has been provisioned and is not yet up.
+#[derive(Clone, Debug)]
+pub struct Booting {
+    up_at: f64,
+    provisioned_at: f64,
+    zone: String,
+}
+
+/// A provisioning request whose response never comes: when its controller gives up.
+#[derive(Debug)]
+struct LostResponse {
+    due: f64,
+    controller: usize,
+    incarnation: u64,
+    request: ProvisionRequest,
+}
+
+impl Default for Cloud {
+    fn default() -> Self {
+        Self {
+            down: false,
+            releases_failed: 0,
+            list_every_ms: None,
+            listed_at: 0.0,
+            provisions_unanswered: false,
+            provision_requests: Vec::new(),
+            provisioned: BTreeMap::new(),
+            lost_responses: Vec::new(),
+            provisioning_ms: None,
+            provisioned_run_ms: f64::INFINITY,
+            booting: BTreeMap::new(),
+        }
+    }
+}
+
+impl Cloud {
+    /// The response to a controller's provisioning request is lost.
+    pub(super) fn lose_response(
+        &mut self,
+        controller: usize,
+        incarnation: u64,
+        request: ProvisionRequest,
+        now: f64,
+    ) {
+        self.lost_responses.push(LostResponse {
+            due: now + PROVISION_TIMEOUT_MS,
+            controller,
+            incarnation,
+            request,
+        });
+    }
+
+    /// Machines that have been provisioned and are not yet up, as the list shows them.
+    fn starting_instances(&self, now: f64) -> Vec<Instance> {
+        let starting = self.booting.iter().map(|(name, booting)| {
+            let held_s = (now - booting.provisioned_at) / 1000.0;
+            instance(name, "m4", &booting.zone, InstanceStatus::Starting, held_s)
+        });
+        starting.collect()
+    }
+}
+
+fn instance(
+    name: &str,
+    machine_type: &str,
+    zone: &str,
+    status: InstanceStatus,
+    held_s: f64,
+) -> Instance {
+    Instance {
+        id: name.into(),
+        addr: format!("{name}:9000"),
+        machine_type: machine_type.into(),
+        zone: zone.into(),
+        spot: false,
+        status,
+        held_s,
+    }
+}
 
 impl World {
-    /// provisioning requests whose answers were lost: their controllers know that by now.
+    /// Provisioning requests whose responses were lost: their controllers give up.
     pub(super) fn give_up_provisions(&mut self) {
         let now = self.now;
-        let due = self.provisions_lost.extract_if(.., |h| h.0 <= now);
-        for (_, i, life, request) in due.collect::<Vec<_>>() {
-            if let Some(n) = self.controllers[i]
-                .as_mut()
-                .filter(|_| self.lives[i] == life)
-            {
-                n.provisioned(&request, Err(false), now);
-                self.effects(i);
+        let due = self.cloud.lost_responses.extract_if(.., |l| l.due <= now);
+        for lost in due.collect::<Vec<_>>() {
+            if let Some(controller) = self.same_controller(lost.controller, lost.incarnation) {
+                controller.provisioned(&lost.request, Err(false), now);
+                self.apply_effects(lost.controller);
             }
         }
     }
 
-    /// The cloud scales out machines, if it has any; under the same name the same ones.
+    /// The cloud provisions machines, if it has any; under the same request id the same
+    /// ones.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Option<Vec<String>> {
-        if let Some(names) = self.provisioned.get(&request.request_id) {
+        let cloud = &mut self.cloud;
+        if let Some(names) = cloud.provisioned.get(&request.request_id) {
             return Some(names.clone());
         }
-        self.provision_requests.push(request.clone());
-        let provisioning_ms = self.provisioning_ms?;
-        let first =
-            100_000 + self.booting.len() + self.workers.len() + self.provision_requests.len() * 100;
+        cloud.provision_requests.push(request.clone());
+        let up_at = self.now + cloud.provisioning_ms?;
+        let first = 100_000
+            + cloud.booting.len()
+            + self.workers.len()
+            + cloud.provision_requests.len() * 100;
         let names = (0..request.number as usize).map(|k| format!("host-{:06}", first + k));
         let names: Vec<String> = names.collect();
-        let on_the_way = (self.now + provisioning_ms, self.now, request.zone.clone());
+        let booting = Booting {
+            up_at,
+            provisioned_at: self.now,
+            zone: request.zone.clone(),
+        };
         for name in &names {
-            self.booting.insert(name.clone(), on_the_way.clone());
+            cloud.booting.insert(name.clone(), booting.clone());
         }
+        let request_id = request.request_id.clone();
+        cloud.provisioned.insert(request_id, names.clone());
         self.say(format!("{} rented", names.len()));
-        self.provisioned
-            .insert(request.request_id.clone(), names.clone());
         Some(names)
     }
 
-    /// Rented machines come up.
-    pub(super) fn boot(&mut self) {
+    /// Provisioned machines come up.
+    pub(super) fn boot_machines(&mut self) {
         let now = self.now;
-        let up = self.booting.extract_if(.., |_, b| b.0 <= now);
-        for (name, (_, _, zone)) in up.collect::<Vec<_>>() {
-            let mut worker = WorkerStandIn::new(&name, &zone, 0, 10_000.0, now);
-            worker.run_ms = self.provisioned_run_ms;
+        let up = self.cloud.booting.extract_if(.., |_, b| b.up_at <= now);
+        for (name, booting) in up.collect::<Vec<_>>() {
+            let mut worker = WorkerStandIn::new(&name, &booting.zone, 0, WORKER_LEASE_MS, now);
+            worker.run_ms = self.cloud.provisioned_run_ms;
             self.workers.insert(name, worker);
         }
     }
 
+    /// Controllers read the cloud's list of machines, if it is time.
+    pub(super) fn list_machines_when_due(&mut self) {
+        let last = self.cloud.listed_at;
+        let every_ms = self.cloud.list_every_ms;
+        if every_ms.is_some_and(|every_ms| self.now >= last + every_ms) {
+            self.cloud.listed_at = self.now;
+            self.list_machines();
+        }
+    }
+
     /// Every controller reads the cloud's list of machines.
     pub fn list_machines(&mut self) {
         let now = self.now;
-        let starting = self.booting.iter().map(|(name, b)| Instance {
-            id: name.clone(),
-            addr: format!("{name}:9000"),
-            machine_type: "m4".into(),
-            zone: b.2.clone(),
-            spot: false,
-            status: InstanceStatus::Starting,
-            held_s: (now - b.1) / 1000.0,
+        let running = self.workers.values().map(|w| {
+            let held_s = (now - w.provisioned_at) / 1000.0;
+            let status = InstanceStatus::Running;
+            instance(&w.host, &w.machine_type, &w.zone, status, held_s)
         });
-        let starting: Vec<Instance> = starting.collect();
-        let hosts: Vec<Instance> = self
-            .workers
-            .values()
-            .map(|w| Instance {
-                id: w.host.clone(),
-                addr: format!("{}:9000", w.host),
-                machine_type: w.machine_type.clone(),
-                zone: w.zone.clone(),
-                spot: false,
-                status: InstanceStatus::Running,
-                held_s: (now - w.provisioned_at) / 1000.0,
-            })
-            .chain(starting)
-            .collect();
+        let starting = self.cloud.starting_instances(now);
+        let instances: Vec<Instance> = running.chain(starting).collect();
         for i in 0..self.controllers.len() {
             if let Some(controller) = &mut self.controllers[i] {
-                controller.listed(hosts.clone(), now);
+                controller.listed(instances.clone(), now);
             }
-            self.effects(i);
+            self.apply_effects(i);
         }
     }
 
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -1,15 +1,62 @@
-//! Machines: their steps, reports, direct commands and questions.
+//! Machines: the steps of their workers, heartbeats, direct commands and status queries.
 
-use super::*;
+use super::World;
+use cherryyard_core::{PushOutcome, Reply};
+use cherryyard_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How long a worker waits for the response to a heartbeat.
+const RESPONSE_TIMEOUT_MS: f64 = 4000.0;
+/// Time between two heartbeats of a worker.
+const HEARTBEAT_INTERVAL_MS: f64 = 2000.0;
+/// After what time a worker turns to the controller that it was sent to.
+const REDIRECT_MS: f64 = 100.0;
+/// After what time a worker turns to another controller by itself.
+const RETRY_MS: f64 = 1000.0;
+
+/// The machines themselves, and commands on their way to them.
+#[derive(Debug, Default)]
+pub struct Machines {
+    /// Machines that stand still: what is sent to them directly waits.
+    pub hung: BTreeSet<String>,
+    /// Machines to which direct commands are held back.
+    pub slow_commands: BTreeSet<String>,
+    /// Direct commands held back.
+    pub held_commands: Vec<HeldCommand>,
+    /// Direct status queries to machines so far.
+    pub status_queries: usize,
+    /// Workers that wait for a response, and since when.
+    awaiting_response: BTreeMap<String, f64>,
+}
+
+/// Direct commands that are held back on their way to a machine.
+#[derive(Clone, Debug)]
+pub struct HeldCommand {
+    /// The machine's name.
+    pub machine: String,
+    /// The commands.
+    pub request: CommandBatch,
+}
+
+/// The machine's name in its address.
+fn machine_at(addr: &str) -> &str {
+    addr.trim_end_matches(":9000")
+}
 
 impl World {
-    pub(super) fn worker_step(&mut self, name: &str) {
+    pub(super) fn step_workers(&mut self) {
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        for name in names {
+            self.step_worker(&name);
+        }
+    }
+
+    fn step_worker(&mut self, name: &str) {
         let now = self.now;
-        let hung = self.hung.contains(name);
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if hung {
+        if self.machines.hung.contains(name) {
             worker.hang(now);
             return;
         }
@@ -18,117 +65,135 @@
             self.say(format!("{name} is taken"));
             return;
         }
-        let log = worker.advance(now, &self.services);
-        if let Some(&sent_at) = self.waiting.get(name) {
-            if now - sent_at > ANSWER_MS {
-                self.waiting.remove(name);
+        let log = worker.advance(now, &self.checker.services);
+        if let Some(&sent_at) = self.machines.awaiting_response.get(name) {
+            if now - sent_at > RESPONSE_TIMEOUT_MS {
+                self.machines.awaiting_response.remove(name);
                 worker.controller = (worker.controller + 1) % self.controllers.len();
-                worker.report_at = now + 1000.0;
-            }
-        } else if now >= worker.report_at
-            && !self.unreachable.contains(name)
-            && !self.one_way_silent.contains(name)
-        {
-            worker.report_at = now + 2000.0;
-            let (i, report) = (worker.controller, worker.report(now));
-            let zone = worker.zone.clone();
-            if self.copies_for_next {
-                let kept = self.kept_copies.entry(name.to_string());
-                kept.or_insert_with(|| report.clone());
-            }
-            if let Some(ms) = self.copies_ms {
-                for k in [i, (i + 1) % self.controllers.len()] {
-                    self.copies.push((now + ms, k, report.clone()));
-                }
-            }
-            self.waiting.insert(name.to_string(), now);
-            match self.late.get(&i) {
-                _ if !self.reaches(i, &zone) => {}
-                Some(late) => self.inbox.push((now + late, now, i, report)),
-                None => self.reported(i, &report, now),
+                worker.report_at = now + RETRY_MS;
             }
+        } else if now >= worker.report_at && self.network.carries_heartbeats_of(name) {
+            self.send_heartbeat(name);
         }
-        for line in log {
-            self.say(line);
+        self.say_all(log);
+    }
+
+    /// A worker sends a heartbeat, which may be lost or have to wait at its controller.
+    fn send_heartbeat(&mut self, name: &str) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
+        worker.report_at = now + HEARTBEAT_INTERVAL_MS;
+        let (controller, zone) = (worker.controller, worker.zone.clone());
+        let heartbeat = worker.report(now);
+        self.duplicates
+            .copy(&heartbeat, controller, self.controllers.len(), now);
+        self.machines.awaiting_response.insert(name.into(), now);
+        if !self.reaches(controller, &zone) {
+            return;
+        }
+        match self.processes.lag_ms.get(&controller).copied() {
+            Some(lag_ms) => self
+                .processes
+                .queue_heartbeat(controller, heartbeat, lag_ms, now),
+            None => self.deliver_heartbeat(controller, &heartbeat, now),
         }
     }
 
-    /// A controller takes a report that was sent at `sent_at`, and answers.
-    pub(super) fn reported(&mut self, i: usize, report: &WorkerHeartbeat, sent_at: f64) {
+    /// A controller takes a heartbeat that was sent at `sent_at`, and responds. A worker
+    /// that has given up waiting drops the response.
+    pub(super) fn deliver_heartbeat(
+        &mut self,
+        i: usize,
+        heartbeat: &WorkerHeartbeat,
+        sent_at: f64,
+    ) {
         let now = self.now;
-        let is_reachable = !self.deaf.contains(&i) && !self.frozen.contains(&i);
+        let is_reachable =
+            !self.network.cut_from_workers.contains(&i) && !self.processes.frozen.contains(&i);
         let controller = self.controllers[i].as_mut().filter(|_| is_reachable);
-        let reply = controller.map(|n| n.report(report, now));
-        let name = &report.host;
-        let mut log = Vec::new();
-        // A worker that has given up drops the answer.
-        if let Some(worker) = self.workers.get_mut(name)
-            && self.waiting.get(name) == Some(&sent_at)
-            && !self.one_way.contains(name)
-        {
-            self.waiting.remove(name);
-            match reply {
-                // The answer to a report of the incarnation before.
-                Some(Reply::Answer(_)) if worker.incarnation != report.incarnation => {
-                    worker.report_at = now;
-                }
-                Some(Reply::Answer(answer)) => {
-                    log.extend(worker.answered(&answer, sent_at, now));
-                }
-                Some(Reply::Elsewhere(Some(label))) => {
-                    worker.controller = label.trim_start_matches("node-").parse().expect("a label");
-                    worker.report_at = now + 100.0;
-                }
-                _ => {
-                    worker.controller = (i + 1) % self.controllers.len();
-                    worker.report_at = now + 1000.0;
-                }
+        let reply = controller.map(|controller| controller.report(heartbeat, now));
+        let name = &heartbeat.host;
+        let awaits = self.machines.awaiting_response.get(name) == Some(&sent_at);
+        let log = if awaits && !self.network.inbound_lost.contains(name) {
+            self.deliver_reply(i, heartbeat, sent_at, reply)
+        } else {
+            Vec::new()
+        };
+        self.apply_effects(i);
+        self.say_all(log);
+    }
+
+    /// The reply to a heartbeat, or that there was none, arrives at its worker.
+    fn deliver_reply(
+        &mut self,
+        i: usize,
+        heartbeat: &WorkerHeartbeat,
+        sent_at: f64,
+        reply: Option<Reply>,
+    ) -> Vec<String> {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(&heartbeat.host) else {
+            return Vec::new();
+        };
+        self.machines.awaiting_response.remove(&heartbeat.host);
+        match reply {
+            // The response to a heartbeat of the incarnation before.
+            Some(Reply::Answer(_)) if worker.incarnation != heartbeat.incarnation => {
+                worker.report_at = now;
+            }
+            Some(Reply::Answer(response)) => {
+                let response: HeartbeatResponse = response;
+                return worker.answered(&response, sent_at, now);
+            }
+            Some(Reply::Elsewhere(Some(label))) => {
+                worker.controller = controller_of_label(&label).expect("a label");
+                worker.report_at = now + REDIRECT_MS;
+            }
+            Some(Reply::Elsewhere(None) | Reply::Unavailable) | None => {
+                worker.controller = (i + 1) % self.controllers.len();
+                worker.report_at = now + RETRY_MS;
             }
         }
-        self.effects(i);
-        for line in log {
-            self.say(line);
-        }
+        Vec::new()
     }
 
+    /// A controller sends direct commands to a machine.
     pub(super) fn push(&mut self, i: usize, host: u32, addr: &str, request: CommandBatch) {
         let now = self.now;
-        let name = addr.trim_end_matches(":9000").to_string();
-        let mut log = Vec::new();
-        let cut = self.unreachable.contains(&name) || self.one_way.contains(&name);
-        let zone = self.workers.get(&name).map(|w| w.zone.clone());
-        let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
-        let cut = cut || self.hung.contains(&name);
-        let outcome = if self.slow_direct.contains(&name) || cut {
-            self.held_direct.push((name, request.clone()));
+        let name = machine_at(addr);
+        let is_held = self.machines.slow_commands.contains(name) || !self.reaches_machine(i, name);
+        let outcome = if is_held {
+            self.machines.held_commands.push(HeldCommand {
+                machine: name.into(),
+                request: request.clone(),
+            });
             PushOutcome::Unknown
-        } else if let Some(worker) = self.workers.get_mut(&name) {
-            log = worker.direct(&request, now).1;
-            PushOutcome::Answered(Box::new(worker.report(now)))
+        } else if let Some(worker) = self.workers.get_mut(name) {
+            let (_, log) = worker.direct(&request, now);
+            let status = worker.report(now);
+            self.say_all(log);
+            PushOutcome::Answered(Box::new(status))
         } else {
             PushOutcome::Unsent
         };
-        for line in log {
-            self.say(line);
-        }
         if let Some(controller) = &mut self.controllers[i] {
             controller.pushed(host, &request, outcome, now);
         }
     }
 
-    /// A controller asks a machine for its report.
-    pub(super) fn ask(&mut self, i: usize, host: u32, addr: &str) {
+    /// A controller asks a machine for its status.
+    pub(super) fn query_status(&mut self, i: usize, host: u32, addr: &str) {
         let now = self.now;
-        self.questions += 1;
-        let name = addr.trim_end_matches(":9000");
-        let cut = self.unreachable.contains(name) || self.one_way.contains(name);
-        let cut = cut || self.deaf.contains(&i) || self.hung.contains(name);
-        let zone = self.workers.get(name).map(|w| w.zone.clone());
-        let cut = cut || zone.is_some_and(|zone| !self.reaches(i, &zone));
-        let worker = self.workers.get_mut(name).filter(|_| !cut);
-        let report = worker.map(|w| w.report(now));
+        self.machines.status_queries += 1;
+        let name = machine_at(addr);
+        let is_reachable =
+            self.reaches_machine(i, name) && !self.network.cut_from_workers.contains(&i);
+        let worker = self.workers.get_mut(name).filter(|_| is_reachable);
+        let status = worker.map(|worker| worker.report(now));
         if let Some(controller) = &mut self.controllers[i] {
-            controller.queried(host, report.as_ref(), now);
+            controller.queried(host, status.as_ref(), now);
         }
     }
 
@@ -136,8 +201,10 @@
     /// was held back on connections to it is lost with them.
     pub fn reborn(&mut self, name: &str) {
         self.say(format!("{name} begins anew"));
-        self.waiting.remove(name);
-        self.held_direct.retain(|held| held.0 != name);
+        self.machines.awaiting_response.remove(name);
+        self.machines
+            .held_commands
+            .retain(|held| held.machine != name);
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(name) {
             worker.begin_anew(now);
@@ -149,10 +216,10 @@
     pub fn deliver_direct(&mut self) -> usize {
         let now = self.now;
         let mut executed = 0;
-        for (name, request) in std::mem::take(&mut self.held_direct) {
-            if let Some(worker) = self.workers.get_mut(&name) {
-                let (done, log) = worker.direct(&request, now);
-                executed += usize::from(done);
+        for held in std::mem::take(&mut self.machines.held_commands) {
+            if let Some(worker) = self.workers.get_mut(&held.machine) {
+                let (is_executed, log) = worker.direct(&held.request, now);
+                executed += usize::from(is_executed);
                 for line in log {
                     self.say(format!("late: {line}"));
                 }
@@ -162,17 +229,6 @@
         executed
     }
 
-    /// Whether nothing keeps a machine from taking tasks.
-    pub fn in_order(&self, host: &str) -> bool {
-        let bad = [
-            &self.unreachable,
-            &self.hung,
-            &self.one_way,
-            &self.one_way_silent,
-        ];
-        !bad.iter().any(|set| set.contains(host))
-    }
-
     /// How many machines run this task.
     pub fn copies(&self, task_name: &str) -> usize {
         self.workers.values().filter(|w| w.runs(task_name)).count()
@@ -182,7 +238,12 @@
     pub fn running(&self) -> usize {
         self.workers
             .values()
-            .map(|w| w.tasks.values().filter(|p| p.2.is_none()).count())
+            .map(|worker| worker.running_tasks().count())
             .sum()
     }
 }
+
+/// The index of a controller by its label.
+pub(super) fn controller_of_label(label: &str) -> Option<usize> {
+    label.trim_start_matches("node-").parse().ok()
+}
--- a/crates/cherryyard-simulation/src/world/pipelines.rs
+++ b/crates/cherryyard-simulation/src/world/pipelines.rs
@@ -26,7 +26,7 @@
     /// Whether all tasks of a job have completed.
     pub fn is_complete(&self, id: &str) -> bool {
         let task_count = self.submitted(id).map_or(u32::MAX, |spec| spec.task_count);
-        (0..task_count).all(|n| self.completed.contains(&format!("{id}/{n}")))
+        (0..task_count).all(|n| self.checker.completed.contains(&format!("{id}/{n}")))
     }
 
     /// Whether all that a job needs has completed.
@@ -51,7 +51,7 @@
             return false;
         }
         let answered = |need: &String| {
-            let at = self.cancelled_at.get(need);
+            let at = self.submissions.cancelled_at.get(need);
             at.is_some_and(|at| sent_at - at > CANCEL_MS)
         };
         self.ancestors(id).iter().any(answered)
--- /dev/null
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -0,0 +1,181 @@
+//! Submissions: how a controller forwards, checks and takes them.
+
+use super::super::World;
+use super::super::machines::controller_of_label;
+use super::{DependencyBarrier, Question, Request, Response, Sender, Stage};
+use cherryyard_core::Controller;
+use cherryyard_core::admission::intake::Offer;
+use cherryyard_core::admit::{Reject, admit};
+use cherryyard_core::dependencies::{PastEnds, Resolution};
+use cherryyard_history::Leaf;
+use cherryyard_wire::dependencies::Dependencies;
+use cherryyard_wire::job::{JobSpec, job_number};
+use cherryyard_wire::record::End;
+
+/// How long a controller waits for one that it has forwarded a submission to.
+const FORWARD_TIMEOUT_MS: f64 = 250.0;
+/// The same of a controller that the state service refuses.
+const REFUSED_FORWARD_TIMEOUT_MS: f64 = FORWARD_TIMEOUT_MS * 6.0;
+/// How long a controller waits for what its core says of a submission.
+const OFFER_TIMEOUT_MS: f64 = 4000.0;
+
+impl World {
+    /// A request arrives at its controller: its answer, or none yet.
+    pub(super) fn arrives(&mut self, request: &mut Request) -> Option<Response> {
+        let now = self.now;
+        let controller = self.controller(request.controller);
+        if !controller.mirror.loaded || controller.mirror.machine_types.is_empty() {
+            return Some(Response::Later);
+        }
+        let Question::Submit(body) = &request.question else {
+            return self.look_up(request, false);
+        };
+        let is_forwarded = request.sender == Sender::Controller;
+        if !is_forwarded && controller.refuses_submissions(now) {
+            return Some(Response::Later);
+        }
+        let Ok(spec) = JobSpec::parse(body) else {
+            return Some(Response::Malformed);
+        };
+        let job = job_number(&spec.id)?;
+        if controller.mirror.view(job).is_some() {
+            return self.look_up(request, false);
+        }
+        if !spec.waits_on.is_empty() && !controller.accepts_dependencies() {
+            return Some(Response::Later);
+        }
+        let target = controller.forwarding_target(now).filter(|_| !is_forwarded);
+        let target = target.and_then(controller_of_label);
+        let reached = target.filter(|&k| self.controllers_connected(request.controller, k));
+        if let Some(k) = reached.filter(|&k| self.controllers[k].is_some()) {
+            self.forward(request, k);
+            return None;
+        }
+        self.offer_here(request)
+    }
+
+    /// Forwards a submission to another controller.
+    fn forward(&mut self, request: &mut Request, target: usize) {
+        let question = request.question.clone();
+        let forwarded = self.send_request(target, &request.id, question, Sender::Controller);
+        if let Some(forwarded) = self.requests.open.get_mut(&forwarded) {
+            forwarded.moment = request.moment;
+        }
+        let timeout_ms = if self.state_link.refused.contains(&request.controller) {
+            REFUSED_FORWARD_TIMEOUT_MS
+        } else {
+            FORWARD_TIMEOUT_MS
+        };
+        request.stage = Stage::Forwarded {
+            request: forwarded,
+            until: self.now + timeout_ms,
+        };
+    }
+
+    /// Hands a submission to the core of the controller that it came to.
+    pub(super) fn offer_here(&mut self, request: &mut Request) -> Option<Response> {
+        let now = self.now;
+        let Question::Submit(body) = &request.question else {
+            return Some(Response::Later);
+        };
+        let mut spec = JobSpec::parse(body).ok()?;
+        let job = job_number(&spec.id)?;
+        request.tries += 1;
+        if let Err(response) = self.check_admission(request, &mut spec) {
+            return response;
+        }
+        let after = match self.resolve_dependencies(request, &spec) {
+            Ok(after) => after,
+            Err(response) => return response,
+        };
+        spec.waits_on.clear();
+        let controller = self.controllers[request.controller]
+            .as_mut()
+            .expect("it is up");
+        let Some(mut open) = controller.mirror.new_job(spec, None, now as u64) else {
+            return Some(Response::Never);
+        };
+        if !self.requests.without_dependencies {
+            open.after = after;
+        }
+        let offer = Offer {
+            ticket: self.submissions.next_ticket(),
+            job,
+            open,
+            moved: controller.mirror.packed_revision,
+        };
+        request.stage = Stage::Offered {
+            ticket: offer.ticket,
+            until: now + OFFER_TIMEOUT_MS,
+        };
+        controller.offer(offer, now);
+        self.apply_effects(request.controller);
+        None
+    }
+
+    /// Whether a submission passes admission; or what its user is told, if not first
+    /// something must come.
+    fn check_admission(
+        &mut self,
+        request: &mut Request,
+        spec: &mut JobSpec,
+    ) -> Result<(), Option<Response>> {
+        let now = self.now;
+        let controller = self.controller(request.controller);
+        let (mirror, config) = (&controller.mirror, &controller.config);
+        let admitted = admit(spec, None, now as u64, mirror, config);
+        if !controller.state_fresh(now) {
+            return Err(Some(Response::Later));
+        }
+        match admitted {
+            _ if self.requests.without_admission => Ok(()),
+            Ok(()) => Ok(()),
+            Err(Reject::NotYet(_)) => Err(Some(Response::Later)),
+            Err(Reject::Malformed(_)) => Err(Some(Response::Malformed)),
+            Err(Reject::Never(_)) => {
+                request.is_refused = true;
+                Err(self.look_up(request, false))
+            }
+        }
+    }
+
+    /// What a submission's dependencies come to; or what its user is told, if not first
+    /// something must come.
+    fn resolve_dependencies(
+        &mut self,
+        request: &mut Request,
+        spec: &JobSpec,
+    ) -> Result<Dependencies, Option<Response>> {
+        let mut past = PastEnds::new();
+        loop {
+            let controller = self.controller(request.controller);
+            let unknown = match controller.resolve_dependencies(spec, &past) {
+                Resolution::Accepted(after) => return Ok(after),
+                Resolution::Unknown(_)
+                    if request.dependency_barrier == DependencyBarrier::NotNeeded =>
+                {
+                    request.dependency_barrier = DependencyBarrier::Awaited;
+                    self.await_barrier(request);
+                    return Err(None);
+                }
+                Resolution::Unknown(need) => Some(need),
+                Resolution::Never(_) => None,
+            };
+            let found = unknown.and_then(|need| Some((need, self.past_end(need)?)));
+            let Some((need, end)) = found else {
+                request.is_refused = true;
+                return Err(self.look_up(request, false));
+            };
+            past.insert(need, end);
+        }
+    }
+
+    /// How a job ended that is only in the history.
+    fn past_end(&self, job: u64) -> Option<End> {
+        Controller::LOOKUP_ORDER.iter().find_map(|&level| {
+            let (_, _, record) = self.state.leaf(level, job)?;
+            let leaf = Leaf::of_record(&record).ok()?;
+            leaf.find(job).map(|past| past.end)
+        })
+    }
+}
--- /dev/null
+++ b/crates/cherryyard-simulation/src/world/requests/odd.rs
@@ -0,0 +1,92 @@
+//! Requests that make no sense: repeated submissions with other fields, cancellations of
+//! what is over, jobs that fit no machine or lack a field.
+
+use super::super::World;
+use super::{Answer, Question};
+use cherryyard_wire::job::JobSpec;
+
+/// One in so many steps sends an odd request.
+const ODD_ONE_IN: u64 = 10;
+/// Ids of jobs that cannot run begin here.
+const IMPOSSIBLE_IDS: u64 = 980_000;
+/// A job that nobody submits.
+const UNKNOWN_ID: &str = "j-990000";
+
+impl World {
+    /// Users repeat submissions of what is open or over, with other fields too, cancel
+    /// what is over, and send what fits no machine or lacks a field.
+    pub(in crate::world) fn send_odd_requests(&mut self) {
+        if !self.requests.odd || (self.requests.draw)(ODD_ONE_IN) != 0 {
+            return;
+        }
+        // Only of what is taken: before, another submission of the job would be its first.
+        let is_taken =
+            |answers: &Vec<Answer>| answers.iter().any(|answer| answer.response.is_accepted());
+        let known = self
+            .requests
+            .answered
+            .iter()
+            .filter(|(_, all)| is_taken(all));
+        let known: Vec<String> = known.map(|(id, _)| id.clone()).collect();
+        let i = self.requests.draw_index(self.controllers.len());
+        let sort = (self.requests.draw)(8);
+        let at = self.requests.draw_index(known.len().max(1));
+        let Some(id) = known
+            .get(at)
+            .filter(|id| !self.requests.impossible.contains(*id))
+        else {
+            return;
+        };
+        let Some(spec) = self.submitted(id).cloned() else {
+            return;
+        };
+        match sort {
+            0 | 1 => drop(self.ask_once(i, id, Question::Submit(body(&spec)))),
+            2 => self.submit_with_other_fields(i, spec),
+            3 if self.asked_to_cancel(id) => drop(self.ask_once(i, id, Question::Cancel)),
+            4 => drop(self.ask_once(i, UNKNOWN_ID, Question::Poll)),
+            5 | 6 => self.submit_impossible(i, spec),
+            7 => self.submit_incomplete(i, &spec),
+            _ => {}
+        }
+    }
+
+    fn submit_with_other_fields(&mut self, i: usize, mut spec: JobSpec) {
+        (spec.task_count, spec.cores) = (spec.task_count + 3, 0.5);
+        self.ask_once(i, &spec.id, Question::Submit(body(&spec)));
+    }
+
+    fn impossible_id(&self) -> String {
+        format!("j-{:06}", IMPOSSIBLE_IDS + self.requests.next)
+    }
+
+    /// A job that fits no machine, or of nobody.
+    fn submit_impossible(&mut self, i: usize, mut spec: JobSpec) {
+        spec.id = self.impossible_id();
+        match (self.requests.draw)(4) {
+            0 => spec.cores = 64.0,
+            1 => spec.team = "nobody".into(),
+            2 => spec.machine_types = Some(vec!["m99".into()]),
+            _ => spec.zone = Some("nowhere".into()),
+        }
+        self.requests.impossible.insert(spec.id.clone());
+        self.insist(i, &spec.id, Question::Submit(body(&spec)));
+    }
+
+    /// A job that lacks a field.
+    fn submit_incomplete(&mut self, i: usize, spec: &JobSpec) {
+        let mut value = serde_json::to_value(spec).expect("a job");
+        let id = self.impossible_id();
+        value["id"] = id.clone().into();
+        let fields = ["cores", "pieces", "rank", "owner", "together"];
+        let field = fields[self.requests.draw_index(fields.len())];
+        value.as_object_mut().expect("an object").remove(field);
+        self.requests.impossible.insert(id.clone());
+        let text = value.to_string().into_bytes();
+        self.insist(i, &id, Question::Submit(text));
+    }
+}
+
+fn body(spec: &JobSpec) -> Vec<u8> {
+    serde_json::to_vec(spec).expect("a job")
+}
--- /dev/null
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -0,0 +1,274 @@
+//! The steps that a request takes at its controller.
+
+use super::super::World;
+use super::super::state_link::COMMIT_TIMEOUT_MS;
+use super::{DependencyBarrier, Question, Request, Response, Stage};
+use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::users::UserAnswer;
+use cherryyard_core::{Controller, Outcome};
+use cherryyard_wire::job::{JobStatus, job_number};
+use cherryyard_wire::state::{Commit, WatchResponse};
+
+/// How long a user waits for an answer.
+const USER_TIMEOUT_MS: f64 = 5000.0;
+/// Most time between a request for a barrier and its read.
+const BARRIER_MS: u64 = 100;
+/// Tries of one user's write.
+const MOST_TRIES: u32 = 4;
+
+impl World {
+    /// Takes all requests as far as they go by now, in a drawn order.
+    pub(in crate::world) fn serve_requests(&mut self) {
+        for number in self.draw_order() {
+            self.serve_request(number);
+        }
+    }
+
+    fn draw_order(&mut self) -> Vec<u64> {
+        let mut order: Vec<u64> = self.requests.open.keys().copied().collect();
+        for k in (1..order.len()).rev() {
+            let other = self.requests.draw_index(k + 1);
+            order.swap(k, other);
+        }
+        order
+    }
+
+    fn serve_request(&mut self, number: u64) {
+        while let Some(mut request) = self.requests.open.remove(&number) {
+            let has_moved = self.advance(&mut request);
+            if let Stage::Answered { due, response } = &request.stage
+                && *due <= self.now
+            {
+                let response = response.clone();
+                self.receive(number, request, response);
+                return;
+            }
+            self.requests.open.insert(number, request);
+            if !has_moved {
+                return;
+            }
+        }
+    }
+
+    /// One step of a request; false if there is none by now.
+    fn advance(&mut self, request: &mut Request) -> bool {
+        let now = self.now;
+        if matches!(request.stage, Stage::Answered { .. }) {
+            return false;
+        }
+        if now - request.sent_at > USER_TIMEOUT_MS {
+            request.stage = no_answer(now);
+            return true;
+        }
+        if self.processes.frozen.contains(&request.controller) {
+            return false;
+        }
+        if !self.is_connected(request) {
+            request.stage = no_answer(now);
+            return true;
+        }
+        if request.stage.next_step_at().is_some_and(|at| at > now) {
+            return false;
+        }
+        match request.stage.clone() {
+            Stage::Sent { .. } => {
+                request.incarnation = Some(self.processes.incarnation(request.controller));
+                let response = self.arrives(request);
+                self.answer(request, response)
+            }
+            Stage::Barrier { .. } => self.begin_read(request),
+            Stage::Reading {
+                sent_at, response, ..
+            } => self.end_read(request, sent_at, &response),
+            Stage::CaughtUp => self.go_on_caught_up(request),
+            Stage::Forwarded {
+                request: other,
+                until,
+            } => self.await_forwarded(request, other, until),
+            Stage::Offered { ticket, until } => self.await_verdict(request, ticket, until),
+            Stage::Committing {
+                commit, outcome, ..
+            } => self.end_commit(request, &commit, outcome),
+            Stage::Answered { .. } => false,
+        }
+    }
+
+    /// Whether the process that a request came to still runs: its connection ends with it.
+    fn is_connected(&self, request: &Request) -> bool {
+        let current = self.processes.incarnation(request.controller);
+        self.controllers[request.controller].is_some()
+            && request.incarnation.is_none_or(|known| known == current)
+    }
+
+    /// Sends the answer, if there is one.
+    fn answer(&mut self, request: &mut Request, response: Option<Response>) -> bool {
+        if let Some(response) = response {
+            let due = self.now + self.requests.hop();
+            request.stage = Stage::Answered { due, response };
+        }
+        true
+    }
+
+    /// How long a read or a transaction of a user's request takes.
+    fn draw_state_ms(&mut self) -> f64 {
+        let latency = self.state_link.latency();
+        latency.unwrap_or_else(|| self.requests.hop())
+    }
+
+    pub(super) fn controller(&self, i: usize) -> &Controller {
+        self.controllers[i].as_ref().expect("it is up")
+    }
+
+    pub(super) fn controller_mut(&mut self, i: usize) -> &mut Controller {
+        self.controllers[i].as_mut().expect("it is up")
+    }
+
+    /// A request waits until its controller reads the state anew.
+    pub(super) fn await_barrier(&mut self, request: &mut Request) {
+        let reads_at = self.now + (self.requests.draw)(BARRIER_MS) as f64;
+        request.stage = Stage::Barrier { reads_at };
+    }
+
+    fn begin_read(&mut self, request: &mut Request) -> bool {
+        let i = request.controller;
+        if self.state_link.refused.contains(&i) || !self.controller(i).mirror.loaded {
+            return self.answer(request, Some(Response::Later));
+        }
+        let response = self.state.events(self.controller(i).mirror.store_revision);
+        request.stage = Stage::Reading {
+            due: self.now + self.draw_state_ms(),
+            sent_at: self.now,
+            response,
+        };
+        true
+    }
+
+    fn end_read(&mut self, request: &mut Request, sent_at: f64, read: &WatchResponse) -> bool {
+        let now = self.now;
+        self.controller_mut(request.controller)
+            .events(read, sent_at, now);
+        self.apply_effects(request.controller);
+        request.stage = Stage::CaughtUp;
+        true
+    }
+
+    fn go_on_caught_up(&mut self, request: &mut Request) -> bool {
+        let response = if request.dependency_barrier == DependencyBarrier::Awaited {
+            request.dependency_barrier = DependencyBarrier::Passed;
+            self.offer_here(request)
+        } else {
+            self.look_up(request, true)
+        };
+        self.answer(request, response)
+    }
+
+    /// Takes the answer of the controller that a submission was forwarded to. After a while
+    /// it is written here after all; the other may write it too.
+    fn await_forwarded(&mut self, request: &mut Request, other: u64, until: f64) -> bool {
+        if let Some(response) = self.requests.answers.remove(&other) {
+            return self.answer(request, Some(response));
+        }
+        if until > self.now {
+            return false;
+        }
+        let response = self.offer_here(request);
+        self.answer(request, response)
+    }
+
+    /// Takes what the core says of a submission.
+    fn await_verdict(&mut self, request: &mut Request, ticket: u64, until: f64) -> bool {
+        let verdict = self.submissions.verdicts.remove(&ticket);
+        let response = match verdict {
+            None if until > self.now => return false,
+            Some(Verdict::Taken) => Some(Response::Taken),
+            Some(Verdict::Known) => self.look_up(request, false),
+            Some(Verdict::Retry) if request.tries < MOST_TRIES => self.offer_here(request),
+            None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
+                Some(Response::Later)
+            }
+        };
+        self.answer(request, response)
+    }
+
+    /// The transaction of a cancellation comes out.
+    fn end_commit(&mut self, request: &mut Request, commit: &Commit, outcome: Outcome) -> bool {
+        let now = self.now;
+        if let Outcome::Applied(revision) = outcome {
+            self.controller_mut(request.controller)
+                .user_committed(commit, revision, now);
+            self.apply_effects(request.controller);
+        }
+        let response = match outcome {
+            Outcome::NoLease | Outcome::Unknown => Some(Response::Later),
+            Outcome::Applied(_) | Outcome::Conflict(_) | Outcome::Refused | Outcome::Malformed => {
+                self.look_up(request, false)
+            }
+        };
+        self.answer(request, response)
+    }
+
+    /// What its user can be told of the job now; none if first something must come.
+    pub(super) fn look_up(
+        &mut self,
+        request: &mut Request,
+        is_caught_up: bool,
+    ) -> Option<Response> {
+        let now = self.now;
+        let Some(job) = job_number(&request.id) else {
+            return Some(Response::Unknown);
+        };
+        let controller = self.controller(request.controller);
+        if request.question == Question::Poll && controller.refuses_polls(now) {
+            return Some(Response::Later);
+        }
+        let needs_no_barrier = is_caught_up || self.requests.without_barrier;
+        let view = match controller.answer_for(job, needs_no_barrier, now) {
+            UserAnswer::Barrier => {
+                self.await_barrier(request);
+                return None;
+            }
+            UserAnswer::NotYet => return Some(Response::Later),
+            UserAnswer::Unknown if request.is_refused => return Some(Response::Never),
+            UserAnswer::Unknown if matches!(request.question, Question::Submit(_)) => {
+                return Some(Response::Later);
+            }
+            UserAnswer::Unknown => return Some(Response::Unknown),
+            UserAnswer::View(view) => view,
+        };
+        let is_over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
+        if request.question != Question::Cancel || is_over {
+            return Some(Response::View(view));
+        }
+        self.commit_cancellation(request, job)
+    }
+
+    /// Sends the transaction that cancels a job.
+    fn commit_cancellation(&mut self, request: &mut Request, job: u64) -> Option<Response> {
+        if request.tries >= MOST_TRIES {
+            return Some(Response::Later);
+        }
+        request.tries += 1;
+        let Some(commit) = self.controller(request.controller).cancellation(job) else {
+            return self.look_up(request, false);
+        };
+        let outcome = if self.state_link.refused.contains(&request.controller) {
+            Outcome::Refused
+        } else {
+            self.commit_for_user(&commit)
+        };
+        request.stage = Stage::Committing {
+            due: self.now + self.draw_state_ms().min(COMMIT_TIMEOUT_MS),
+            commit,
+            outcome,
+        };
+        None
+    }
+}
+
+/// The user has given up, or the connection has ended.
+fn no_answer(now: f64) -> Stage {
+    Stage::Answered {
+        due: now,
+        response: Response::Later,
+    }
+}
--- /dev/null
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -0,0 +1,239 @@
+//! What a simulation starts with, and the settings that its controllers get.
+
+use super::World;
+use crate::state::ServiceLimits;
+use crate::{StateStandIn, WorkerStandIn};
+use cherryyard_core::{Config, Controller, Tuning};
+use cherryyard_wire::cloud::MachineType;
+use cherryyard_wire::record::ADMISSION_LOG;
+use cherryyard_wire::settings::Settings;
+use serde_json::{Value, json};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How long an answered heartbeat keeps a worker's tasks.
+const WORKER_LEASE_MS: f64 = 10_000.0;
+
+/// What a simulation starts with.
+#[derive(Clone, Debug)]
+pub struct Setup {
+    /// Zone of each controller.
+    pub zones: Vec<&'static str>,
+    /// Machines per zone, 4 cores each.
+    pub machines: Vec<(&'static str, usize)>,
+    /// The same for machines of 8 cores each.
+    pub large: Vec<(&'static str, usize)>,
+    /// Operators' settings.
+    pub tuning: Tuning,
+    /// The team's limit in cores; 0: none.
+    pub limit: f64,
+    /// Further teams: name, guarantee and limit in cores.
+    pub teams: Vec<(&'static str, f64, f64)>,
+    /// Largest value of the state service.
+    pub value_kb: f64,
+    /// Most changes in a transaction.
+    pub txn_ops: usize,
+    /// Announced limits of the state service: its largest value in KiB, and most changes
+    /// in a transaction; in force from [`World::lower_limits`] on.
+    pub next: Option<(f64, usize)>,
+    /// Requests a second that the state service allows, as the controllers know it.
+    pub rps: f64,
+    /// Puts and deletes a second that it allows.
+    pub write_rps: f64,
+    /// How many ended jobs go into the history at once; none: no history.
+    pub history: Option<usize>,
+    /// Controllers that start as an earlier build, which knows of no dependencies.
+    pub earlier: BTreeSet<usize>,
+}
+
+/// The type of small machines: 4 cores, 16 GB.
+pub fn small_machine_type(zones: Vec<String>) -> MachineType {
+    MachineType {
+        sku: "m4".into(),
+        cores: 4.0,
+        accelerators: 0.0,
+        ram_gb: 16.0,
+        cache_gb: 40.0,
+        fetch_gb_per_s: 1.0,
+        price: 0.0,
+        low_price: 0.0,
+        ready_s: 30.0,
+        zones,
+    }
+}
+
+impl Default for Setup {
+    fn default() -> Self {
+        Self {
+            zones: vec!["a", "b", "c"],
+            machines: vec![("a", 1), ("b", 1), ("c", 1)],
+            large: Vec::new(),
+            tuning: Tuning::default(),
+            limit: 0.0,
+            teams: Vec::new(),
+            value_kb: 4.0,
+            txn_ops: 8,
+            next: None,
+            rps: 80.0,
+            write_rps: 20.0,
+            history: None,
+            earlier: BTreeSet::new(),
+        }
+    }
+}
+
+impl Setup {
+    /// Settings of a controller, as JSON.
+    fn settings_of(&self, me: usize) -> Value {
+        let zones = self.zones.iter().copied();
+        let zones: BTreeSet<&str> = zones.chain(self.machines.iter().map(|m| m.0)).collect();
+        let others: Vec<Value> = (0..self.zones.len())
+            .filter(|&i| i != me)
+            .map(|i| {
+                json!({ "label": format!("node-{i}"), "domain": self.zones[i],
+                        "endpoint": format!("127.0.0.1:{}", 9000 + i) })
+            })
+            .collect();
+        let announced = self
+            .next
+            .map(|(kb, ops)| json!({ "value_kb": kb, "txn_ops": ops }));
+        json!({
+            "label": format!("node-{me}"), "domain": self.zones[me],
+            "public_addr": "127.0.0.1:1", "peer_listen": "127.0.0.1:2", "known": others,
+            "services": { "cloud": "127.0.0.1:3", "state": "127.0.0.1:4" },
+            "cluster": {
+                "zones": zones,
+                "teams": self.team_settings(),
+                "workers": { "report_s": 2.0, "lease_s": 10.0, "cancel_s": 40.0 },
+                "state": { "rps": self.rps, "write_rps": self.write_rps,
+                           "value_kb": self.value_kb, "txn_ops": self.txn_ops,
+                           "next": announced },
+                "cloud": { "rps": 4.0, "list_lag_s": 6.0 },
+                "limits": { "sockets": 1000 }
+            }
+        })
+    }
+
+    fn team_settings(&self) -> Vec<Value> {
+        let team = |name: &str, cores: f64, limit: f64| json!({ "name": name, "cpus": cores, "cpus_max": limit });
+        let mut teams = vec![team("team", 0.0, self.limit)];
+        let more = self.teams.iter();
+        teams.extend(more.map(|&(name, cores, limit)| team(name, cores, limit)));
+        teams
+    }
+
+    /// The machine types that the cloud offers.
+    fn machine_types(&self) -> Vec<MachineType> {
+        let zones_of = |machines: &[(&str, usize)]| -> Vec<String> {
+            machines.iter().map(|(zone, _)| zone.to_string()).collect()
+        };
+        let mut machine_types = vec![small_machine_type(zones_of(&self.machines))];
+        if !self.large.is_empty() {
+            let mut large = small_machine_type(zones_of(&self.large));
+            large.sku = "m8".into();
+            (large.cores, large.ram_gb) = (8.0, 32.0);
+            machine_types.push(large);
+        }
+        machine_types
+    }
+
+    /// The workers, each with the controller that it turns to first.
+    fn workers(&self) -> BTreeMap<String, WorkerStandIn> {
+        let of_type = |machine_type, machines: &[(&'static str, usize)]| {
+            let zones = machines.iter();
+            let zones = zones.flat_map(|&(zone, count)| std::iter::repeat_n(zone, count));
+            let all: Vec<_> = zones.map(|zone| (machine_type, zone)).collect();
+            all
+        };
+        let mut machines = of_type("m4", &self.machines);
+        machines.extend(of_type("m8", &self.large));
+        let mut workers = BTreeMap::new();
+        for (number, (machine_type, zone)) in machines.into_iter().enumerate() {
+            let name = format!("host-{number:06}");
+            let controller = number % self.zones.len();
+            let mut worker = WorkerStandIn::new(&name, zone, controller, WORKER_LEASE_MS, 0.0);
+            worker.machine_type = String::from(machine_type);
+            workers.insert(name, worker);
+        }
+        workers
+    }
+}
+
+impl World {
+    /// A cluster whose controllers have just started.
+    pub fn new(setup: Setup) -> Self {
+        let mut world = Self {
+            now: 0.0,
+            state: StateStandIn::default(),
+            controllers: Vec::new(),
+            workers: setup.workers(),
+            network: super::Network::default(),
+            processes: super::Processes::default(),
+            state_link: super::StateLink::default(),
+            duplicates: super::HeartbeatDuplicates::default(),
+            machines: super::Machines::default(),
+            cloud: super::Cloud::default(),
+            submissions: super::Submissions::default(),
+            requests: super::Requests::default(),
+            trace: Vec::new(),
+            broken: Vec::new(),
+            checker: super::Checker::default(),
+            setup,
+        };
+        for i in 0..world.setup.zones.len() {
+            let controller = world.new_controller(i);
+            world.controllers.push(Some(controller));
+        }
+        world.enforce_limits(world.setup.value_kb, world.setup.txn_ops);
+        world
+    }
+
+    /// A process of a controller that has just started.
+    pub(super) fn new_controller(&mut self, i: usize) -> Controller {
+        let incarnation = self.processes.begin_incarnation(i);
+        let mut tuning = self.setup.tuning.clone();
+        if let Some(batch) = self.setup.history {
+            (tuning.history, tuning.history_batch) = (true, batch);
+        }
+        let settings = self.setup.settings_of(i).to_string();
+        let settings = Settings::parse(settings.as_bytes());
+        let settings = settings.expect("the simulation's settings are good");
+        let mut config = Config::new(&settings, tuning);
+        if self.setup.earlier.contains(&i) {
+            config.format = ADMISSION_LOG;
+        }
+        let mut controller = Controller::new(config, incarnation, self.now);
+        controller.accounting = true;
+        controller.machine_types(self.setup.machine_types(), self.now);
+        controller
+    }
+
+    /// Operators' settings for controllers that start from now on.
+    pub fn tuning(&mut self) -> &mut Tuning {
+        &mut self.setup.tuning
+    }
+
+    fn enforce_limits(&mut self, value_kb: f64, txn_ops: usize) {
+        self.state.limits = Some(ServiceLimits {
+            value_bytes: (value_kb * 1024.0) as usize,
+            txn_ops,
+        });
+    }
+
+    /// A controller starts with a newer build from now on.
+    pub fn upgrade(&mut self, i: usize) {
+        self.setup.earlier.remove(&i);
+    }
+
+    /// Limits of the state service are announced to controllers that start from now on.
+    pub fn announce_limits(&mut self, value_kb: f64, txn_ops: usize) {
+        self.setup.next = Some((value_kb, txn_ops));
+    }
+
+    /// The announced limits of the state service come into force.
+    pub fn lower_limits(&mut self) {
+        if let Some((value_kb, txn_ops)) = self.setup.next {
+            self.say("the state service lowers its limits");
+            self.enforce_limits(value_kb, txn_ops);
+        }
+    }
+}
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -1,6 +1,46 @@
-//! Submissions, cancellations and polls that take effect at once.
+//! Submissions and polls that take effect at once.
 
-use super::*;
+use super::World;
+use super::cancellations::PendingCancellation;
+use super::state_link::{catch_up, load};
+use cherryyard_core::Controller;
+use cherryyard_core::admission::intake::{Offer, Verdict};
+use cherryyard_core::mirror::over;
+use cherryyard_history::Leaf;
+use cherryyard_wire::RangeSet;
+use cherryyard_wire::condor::{
+    Chunk, FIRST_ID, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key, submission_key,
+    submission_number,
+};
+use cherryyard_wire::dependencies::Dependencies;
+use cherryyard_wire::job::{JobSpec, JobView, job_number};
+use cherryyard_wire::record::{IDS, JobRecord, job_key};
+use cherryyard_wire::rules::Rules;
+use cherryyard_wire::state::{Apply, Commit};
+use serde_json::json;
+use std::collections::BTreeMap;
+
+/// Submissions and cancellations, and what has become of them.
+#[derive(Debug, Default)]
+pub struct Submissions {
+    /// What has become of submissions, by ticket.
+    pub verdicts: BTreeMap<u64, Verdict>,
+    /// When each job's user was told that it is cancelled.
+    pub cancelled_at: BTreeMap<String, f64>,
+    /// Of a hundred jobs that end, how many are cancelled at that moment.
+    pub cancel_at_end_percent: u64,
+    /// Users who ask for a cancellation until they are told.
+    pub(super) cancellations: Vec<PendingCancellation>,
+    tickets: u64,
+}
+
+impl Submissions {
+    /// A new ticket for a submission.
+    pub(super) fn next_ticket(&mut self) -> u64 {
+        self.tickets += 1;
+        self.tickets
+    }
+}
 
 impl World {
     /// A job of `task_count` tasks of 2 cores.
@@ -12,7 +52,7 @@
             "apart": false, "borrowed": false, "expected_s": 20.0, "snapshot_every_s": 0.0,
             "snapshot_cost_s": 0.0, "due_s": null
         });
-        JobSpec::parse(text.to_string().as_bytes()).expect("the rehearsal's job is good")
+        JobSpec::parse(text.to_string().as_bytes()).expect("the simulation's job is good")
     }
 
     /// A user's submission takes effect.
@@ -22,9 +62,9 @@
 
     /// A user's submission with rules of its own takes effect.
     pub fn submit_with(&mut self, spec: &JobSpec, rules: Option<Rules>) {
-        self.note(spec);
+        self.checker.note(spec);
         let able = (0..self.controllers.len())
-            .find(|i| self.controllers[*i].is_some() && !self.refused.contains(i));
+            .find(|i| self.controllers[*i].is_some() && !self.state_link.refused.contains(i));
         let job = job_number(&spec.id).expect("a good id");
         let now = self.now;
         let mut commit = Commit::default();
@@ -38,12 +78,8 @@
             after: Dependencies::default(),
         };
         let controller = able.and_then(|i| self.controllers[i].as_mut());
-        if let Some(controller) = controller.filter(|n| n.mirror.loaded) {
-            controller.events(
-                &self.state.events(controller.mirror.store_revision),
-                now,
-                now,
-            );
+        if let Some(controller) = controller.filter(|c| c.mirror.loaded) {
+            catch_up(controller, &self.state, now);
             let config = controller.config.clone();
             let fits = if controller.mirror.takes_pages() {
                 let rules = rules.map(Box::new);
@@ -66,23 +102,16 @@
 
     /// A submission comes to controller `i`, which may answer later; gives its ticket.
     pub fn offer(&mut self, i: usize, spec: &JobSpec, rules: Option<Rules>) -> u64 {
-        self.note(spec);
+        self.checker.note(spec);
         let now = self.now;
         let job = job_number(&spec.id).expect("a good id");
-        self.tickets += 1;
-        let ticket = self.tickets;
+        let ticket = self.submissions.next_ticket();
         if let Some(controller) = &mut self.controllers[i] {
-            if !self.refused.contains(&i) {
+            if !self.state_link.refused.contains(&i) {
                 if !controller.mirror.loaded {
-                    controller.mirror.begin_load();
-                    controller.mirror.load_some(&self.state.pairs());
-                    controller.loaded(self.state.store_revision(), now, now);
+                    load(controller, &self.state, now);
                 }
-                controller.events(
-                    &self.state.events(controller.mirror.store_revision),
-                    now,
-                    now,
-                );
+                catch_up(controller, &self.state, now);
             }
             let rules = rules.map(Box::new);
             let new = controller.mirror.new_job(spec.clone(), rules, now as u64);
@@ -94,7 +123,7 @@
             };
             controller.offer(offer, now);
         }
-        self.effects(i);
+        self.apply_effects(i);
         ticket
     }
 
@@ -152,37 +181,10 @@
         self.say(format!("{} removed: {outcome:?}", record.name));
     }
 
-    /// A user's cancellation through controller `i` takes effect. The user is told at
-    /// once, if that may be, or asks again.
-    pub fn cancel(&mut self, i: usize, id: &str) {
-        let job = job_number(id).expect("a good id");
-        let now = self.now;
-        let store_revision = self.state.store_revision();
-        let controller = self.controllers[i].as_mut().expect("a running controller");
-        let events = self.state.events(controller.mirror.store_revision);
-        controller.events(&events, now, now);
-        let commit = controller.cancellation(job).expect("an open job");
-        let outcome = self.state.commit(&commit);
-        self.requests.cancelling.insert(id.into());
-        if let Outcome::Applied(e) = outcome {
-            controller.user_committed(&commit, e, now);
-        }
-        assert!(
-            matches!(outcome, Outcome::Applied(e) if e > store_revision),
-            "{outcome:?}"
-        );
-        if controller.may_confirm_cancelled(job, now) {
-            self.cancelled_at.insert(id.to_string(), now);
-        } else {
-            self.asking.push((i, now + 1000.0, id.to_string()));
-        }
-        self.say(format!("{id} cancelled through node-{i}"));
-    }
-
     /// A job's division, as the controllers know it.
     pub fn division(&self, job: u64) -> Vec<RangeSet> {
-        let controller = self.controllers.iter().flatten().find(|n| n.mirror.loaded);
-        let open = controller.and_then(|n| n.mirror.open.get(&job));
+        let controller = self.controllers.iter().flatten().find(|c| c.mirror.loaded);
+        let open = controller.and_then(|c| c.mirror.open.get(&job));
         open.expect("an open job").div.clone()
     }
 
@@ -190,9 +192,8 @@
     pub fn view(&mut self, i: usize, id: &str) -> Option<JobView> {
         let now = self.now;
         let controller = self.controllers[i].as_mut()?;
-        if !self.refused.contains(&i) {
-            let events = self.state.events(controller.mirror.store_revision);
-            controller.events(&events, now, now);
+        if !self.state_link.refused.contains(&i) {
+            catch_up(controller, &self.state, now);
         }
         controller.mirror.view(job_number(id)?)
     }
@@ -209,19 +210,4 @@
             leaf.find(job).map(|p| over(job, p.end, p.done))
         })
     }
-
-    /// Notes what the checker has to know of a job: it is as it was first submitted.
-    pub(super) fn note(&mut self, spec: &JobSpec) {
-        if !self.checker.specs.contains_key(&spec.id) {
-            self.checker.specs.insert(spec.id.clone(), spec.clone());
-            if spec.shape == Shape::Service {
-                self.services.insert(spec.id.clone());
-            }
-        }
-    }
-
-    /// A job as it was submitted.
-    pub fn submitted(&self, id: &str) -> Option<&JobSpec> {
-        self.checker.specs.get(id)
-    }
 }
--- a/crates/cherryyard-simulation/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -41,15 +41,13 @@
 /// Cores that each class's tasks take now.
 fn running(w: &World) -> (f64, f64) {
     let (mut steady, mut urgent) = (0.0, 0.0);
-    for (name, task_name) in w.workers.values().flat_map(|x| &x.tasks) {
+    for name in w.workers.values().flat_map(|x| x.running_tasks()) {
         let job = name[2..].split('/').next().unwrap().parse::<u64>().unwrap();
-        if task_name.2.is_none() {
-            *(if job >= URGENT {
-                &mut urgent
-            } else {
-                &mut steady
-            }) += CORES;
-        }
+        *(if job >= URGENT {
+            &mut urgent
+        } else {
+            &mut steady
+        }) += CORES;
     }
     (steady, urgent)
 }
@@ -81,8 +79,8 @@
                 let able = (0..w.controllers.len()).find(|i| {
                     let fresh = |n: &cherryyard_core::Controller| n.state_fresh(w.now);
                     w.controllers[*i].as_ref().is_some_and(fresh)
-                        && !w.refused.contains(i)
-                        && !w.frozen.contains(i)
+                        && !w.state_link.refused.contains(i)
+                        && !w.processes.frozen.contains(i)
                 });
                 if able.is_some() {
                     w.submit(&spec(self.next[class], self.task_count[class]));
@@ -107,7 +105,8 @@
 fn leader(w: &World) -> Option<usize> {
     let leads = |i: &usize| {
         let controller = w.controllers[*i].as_ref();
-        controller.is_some_and(|n| n.leadership_token().is_some()) && !w.frozen.contains(i)
+        controller.is_some_and(|n| n.leadership_token().is_some())
+            && !w.processes.frozen.contains(i)
     };
     (0..w.controllers.len()).find(leads)
 }
@@ -134,14 +133,14 @@
     assert!(leaderless > 15.0, "{leaderless}");
     w.start(leader_index);
     let other = (leader_index + 1) % 3;
-    w.frozen.insert(other);
+    w.processes.frozen.insert(other);
     steady_over(&mut w, &mut arrivals, 20);
-    w.frozen.remove(&other);
-    w.alone.insert((leader_index + 2) % 3);
+    w.processes.frozen.remove(&other);
+    w.network.isolated.insert((leader_index + 2) % 3);
     steady_over(&mut w, &mut arrivals, 15);
     let cut = steady_over(&mut w, &mut arrivals, 20);
     assert!(cut > 20.0, "{cut}");
-    w.alone.clear();
+    w.network.isolated.clear();
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
@@ -183,14 +182,14 @@
     });
     w.run(10.0);
     let leader_index = leader(&w).unwrap();
-    w.frozen.insert(leader_index);
+    w.processes.frozen.insert(leader_index);
     let mut arrivals = Arrivals::new([0.5, 0.1], [6, 10]);
     steady_over(&mut w, &mut arrivals, 8);
-    w.frozen.clear();
+    w.processes.frozen.clear();
     steady_over(&mut w, &mut arrivals, 50);
-    w.refused.extend(0..3);
+    w.state_link.refused.extend(0..3);
     steady_over(&mut w, &mut arrivals, 12);
-    w.refused.clear();
+    w.state_link.refused.clear();
     let zone: Vec<String> = w
         .workers
         .values()
@@ -198,15 +197,16 @@
         .map(|x| x.host.clone())
         .collect();
     for host in zone {
-        w.unreachable.insert(host);
+        w.network.unreachable.insert(host);
     }
     steady_over(&mut w, &mut arrivals, 50);
     let mut had = 0.0;
     for _ in 0..20 {
         arrivals.second(&mut w);
         let left = |x: &&cherryyard_simulation::WorkerStandIn| x.zone == "a";
-        let task_count = w.workers.values().filter(left).flat_map(|x| &x.tasks);
-        let steady = task_count.filter(|(name, p)| p.2.is_none() && name.len() < 12);
+        let tasks = w.workers.values().filter(left);
+        let steady = tasks.flat_map(|x| x.running_tasks());
+        let steady = steady.filter(|name| name.len() < 12);
         had += steady.count() as f64 * CORES / 20.0;
     }
     // 120 cores are left, so the floor is 30.
@@ -238,7 +238,7 @@
         flood.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
-    let verdict = |w: &World, ticket: &u64| w.verdicts.get(ticket).copied();
+    let verdict = |w: &World, ticket: &u64| w.submissions.verdicts.get(ticket).copied();
     for ticket in &few {
         assert_eq!(verdict(&w, ticket), Some(Verdict::Taken));
     }
@@ -288,7 +288,7 @@
         tickets.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
-    let taken = |t: &&u64| w.verdicts.get(*t) == Some(&Verdict::Taken);
+    let taken = |t: &&u64| w.submissions.verdicts.get(*t) == Some(&Verdict::Taken);
     assert_eq!(tickets.iter().filter(taken).count(), 400);
     let writes = w.state.writes - writes;
     assert!(writes < 60, "{writes} writes, marks and all");
@@ -298,8 +298,11 @@
     let odd = w.offer(leader_index, &odd, None);
     let next = w.offer(leader_index, &spec(URGENT + 501, 1), None);
     w.run(2.0);
-    assert_eq!(w.verdicts.get(&next), Some(&Verdict::Taken));
-    assert!(!matches!(w.verdicts.get(&odd), None | Some(Verdict::Taken)));
+    assert_eq!(w.submissions.verdicts.get(&next), Some(&Verdict::Taken));
+    assert!(!matches!(
+        w.submissions.verdicts.get(&odd),
+        None | Some(Verdict::Taken)
+    ));
     // The same job through two controllers at once: one takes it, the other knows it.
     let other = (leader_index + 1) % 3;
     let controller = w.controllers[other].as_ref().unwrap().mirror.store_revision;
@@ -307,8 +310,8 @@
     assert!(w.controllers[other].as_ref().unwrap().mirror.store_revision >= controller);
     let two = w.offer(other, &spec(URGENT + 502, 1), None);
     w.run(2.0);
-    assert_eq!(w.verdicts.get(&one), Some(&Verdict::Taken));
-    assert_eq!(w.verdicts.get(&two), Some(&Verdict::Known));
+    assert_eq!(w.submissions.verdicts.get(&one), Some(&Verdict::Taken));
+    assert_eq!(w.submissions.verdicts.get(&two), Some(&Verdict::Known));
 }
 
 /// While no controller hears another, each writes what comes to it, the leader by pages
@@ -318,7 +321,7 @@
 fn controllers_that_hear_nobody_do_not_get_in_each_others_way() {
     let mut w = cluster(fleet(7, 21));
     w.run(10.0);
-    w.alone.extend(0..7);
+    w.network.isolated.extend(0..7);
     w.run(2.0);
     let (mut single, mut twice) = (Vec::new(), Vec::new());
     for i in 0..60 {
@@ -331,7 +334,7 @@
         w.run(0.3);
     }
     w.run(1.5);
-    let verdict = |t: &u64| w.verdicts.get(t).copied();
+    let verdict = |t: &u64| w.submissions.verdicts.get(t).copied();
     for ticket in &single {
         assert_eq!(verdict(ticket), Some(Verdict::Taken));
     }
@@ -340,7 +343,7 @@
         let taken = all.iter().filter(|v| **v == Some(Verdict::Taken)).count();
         assert_eq!(taken, 1, "{all:?}");
     }
-    w.alone.clear();
+    w.network.isolated.clear();
     w.run(60.0);
     for i in 0..60 {
         let view = w.view(2, &format!("j-{:06}", URGENT + i)).unwrap();
@@ -443,9 +446,9 @@
 
 /// Nothing fails any more.
 fn mend(w: &mut World) {
-    w.frozen.clear();
-    w.alone.clear();
-    w.refused.clear();
+    w.processes.frozen.clear();
+    w.network.isolated.clear();
+    w.state_link.refused.clear();
     for i in 0..w.controllers.len() {
         if w.controllers[i].is_none() {
             w.start(i);
@@ -463,10 +466,10 @@
         let i = rng.random_range(0..n);
         match rng.random_range(0..30) {
             0 if w.controllers[i].is_some() => w.kill(i),
-            1 => drop(w.frozen.insert(i)),
-            2 => drop(w.alone.insert(i)),
-            3 => drop(w.refused.insert(i)),
-            4 => w.refused.extend(0..n),
+            1 => drop(w.processes.frozen.insert(i)),
+            2 => drop(w.network.isolated.insert(i)),
+            3 => drop(w.state_link.refused.insert(i)),
+            4 => w.state_link.refused.extend(0..n),
             5..12 => mend(&mut w),
             _ => {}
         }
--- a/crates/cherryyard-simulation/tests/asymmetric_partition.rs
+++ b/crates/cherryyard-simulation/tests/asymmetric_partition.rs
@@ -94,7 +94,7 @@
         limit: 400.0,
         ..Setup::default()
     });
-    w.unreachable = w.workers.keys().cloned().collect();
+    w.network.unreachable = w.workers.keys().cloned().collect();
     w.workers.values_mut().for_each(|x| x.run_ms = 9000.0);
     w.run(5.0);
     w
@@ -104,10 +104,8 @@
 fn places(w: &World) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
     for worker in w.workers.values() {
-        for (task_name, state) in &worker.tasks {
-            if state.2.is_none() {
-                all.insert(task_name.clone(), worker.host.clone());
-            }
+        for task_name in worker.running_tasks() {
+            all.insert(task_name.clone(), worker.host.clone());
         }
     }
     all
@@ -150,14 +148,14 @@
             w.run(0.05);
         }
         assert_eq!(w.running(), 0);
-        w.unreachable.clear();
+        w.network.unreachable.clear();
         w.run(6.0);
         assert!(w.running() >= 190, "{}", w.running());
         placed.push(places(w));
     }
     // Placement and assignments: the same task on the same machine.
     assert_eq!(placed[0], placed[1]);
-    let cores = |w: &World| w.most_cores;
+    let cores = |w: &World| w.checker.most_cores;
     assert!(cores(&file) <= 400.0 && cores(&file) == cores(&own));
 
     // Faults on the way: a controller ends and starts, machines are cut off.
@@ -166,16 +164,16 @@
         w.run(2.0);
         w.kill(1);
         let cut = ["host-000007", "host-000071", "host-000130"];
-        w.unreachable.extend(cut.map(String::from));
+        w.network.unreachable.extend(cut.map(String::from));
         w.run(12.0);
         w.start(1);
-        w.unreachable.clear();
+        w.network.unreachable.clear();
         w.run_until(120.0, |w| open_jobs(w) == 0);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
-        assert!(w.most_cores <= 400.0, "{}", w.most_cores);
+        assert!(w.checker.most_cores <= 400.0, "{}", w.checker.most_cores);
         let done = w.trace.iter().filter(|l| l.contains(" ends j-")).count();
         let account = w.account();
-        ends.push((done, w.most_cores, account.get(CoreUse::Arrays)));
+        ends.push((done, w.checker.most_cores, account.get(CoreUse::Arrays)));
     }
     // All tasks, and some that were done again; the account within the samples' step.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
--- a/crates/cherryyard-simulation/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -11,7 +11,7 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    w.lists_ms = Some(5000.0);
+    w.cloud.list_every_ms = Some(5000.0);
     w.run(6.0);
     w
 }
@@ -58,7 +58,7 @@
     w.run_until(60.0, |w| w.running() == 4);
     let on = w.workers.values().find(|x| x.runs("j-000001/0"));
     let hung = on.expect("it runs").host.clone();
-    w.hung.insert(hung);
+    w.machines.hung.insert(hung);
     w.run(1.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     let waits = (0..6).find(|n| w.copies(&format!("j-000001/{n}")) == 0);
@@ -132,7 +132,7 @@
     let mut w = cluster(0.0);
     w.requests.close_looks = true;
     w.requests.without_barrier = true;
-    w.slow_ms = 1500.0;
+    w.state_link.latency_ms = 1500.0;
     for n in 1..=12 {
         w.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
         w.run(1.0);
@@ -193,13 +193,13 @@
     users.submit(&mut w, &World::spec("j-000001", "service", 2));
     users.run(&mut w, 6.0);
     let over = w.now;
-    w.frozen.extend([0, 1, 2]);
+    w.processes.frozen.extend([0, 1, 2]);
     let mut spec = World::spec("j-000002", "service", 2);
     users.run(&mut w, 1.0);
-    w.frozen.clear();
+    w.processes.frozen.clear();
     spec.zone = Some("b".into());
     users.submit(&mut w, &spec);
-    w.frozen.extend([0, 1, 2]);
+    w.processes.frozen.extend([0, 1, 2]);
     users.run(&mut w, 95.0);
     let wrong = users.judge(&w, over);
     let waits = |x: &String| x.contains("j-000002 waits for") && x.contains("though there is room");
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -50,7 +50,11 @@
     }
     assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
     if w.limit_of("guests") == w.limit_of("team") {
-        assert!(w.most_cores <= 48.0, "{state}: {} cores", w.most_cores);
+        assert!(
+            w.checker.most_cores <= 48.0,
+            "{state}: {} cores",
+            w.checker.most_cores
+        );
     }
     if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
         for i in 0..3 {
@@ -115,7 +119,7 @@
                 users.run(&mut w, 5.0);
                 let state = format!("{apart_s} s, {changes} changes, {late}% late");
                 assert_eq!(w.running(), 5, "{state}");
-                w.late_writes = late;
+                w.state_link.delayed_percent = late;
                 // The first task of each ends, then a leader and an owner, then the rest.
                 for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
                     for job in ["j-000001", "j-000002"] {
@@ -133,7 +137,7 @@
                     }
                 }
                 users.run(&mut w, 16.0);
-                w.late_writes = 0;
+                w.state_link.delayed_percent = 0;
                 users.run(&mut w, 16.0);
                 for (job, task_count) in [("j-000001", 2), ("j-000002", 3)] {
                     for i in 0..3 {
@@ -179,15 +183,15 @@
             .map(|x| x.host.clone())
             .collect();
         if deaf {
-            w.one_way = away;
+            w.network.inbound_lost = away;
         } else {
-            w.unreachable = away;
+            w.network.unreachable = away;
         }
         users.run(&mut w, 1.0);
         w.kill(gone);
         users.run(&mut w, away_s);
-        w.one_way.clear();
-        w.unreachable.clear();
+        w.network.inbound_lost.clear();
+        w.network.unreachable.clear();
         users.run(&mut w, 10.0);
         w.start(gone);
         users.run(&mut w, 60.0);
@@ -217,18 +221,18 @@
                 users.submit(&mut w, &World::spec(&format!("j-00000{job}"), "service", 3));
             }
             users.run(&mut w, 8.0);
-            w.slow_ms = slow_ms;
+            w.state_link.latency_ms = slow_ms;
             users.run(&mut w, 3.0);
             for job in 1..=3 {
                 users.ask_cancel(&mut w, job % 3, &format!("j-00000{job}"));
                 users.run(&mut w, 1.5);
             }
             if refuses {
-                w.refused.insert(0);
+                w.state_link.refused.insert(0);
                 users.run(&mut w, 2.0);
-                w.refused.extend([1, 2]);
+                w.state_link.refused.extend([1, 2]);
                 users.run(&mut w, 60.0);
-                w.refused.clear();
+                w.state_link.refused.clear();
             }
             users.run(&mut w, 45.0);
             end(
@@ -251,12 +255,12 @@
             let mut w = cluster(f64::INFINITY);
             let mut users = Users::default();
             let hosts: Vec<String> = w.workers.keys().cloned().collect();
-            w.slow_direct.extend(hosts.clone());
+            w.machines.slow_commands.extend(hosts.clone());
             users.submit(&mut w, &World::spec("j-000001", "service", 20));
             users.run(&mut w, 0.5);
             match between {
                 0 => users.ask_cancel(&mut w, 1, "j-000001"),
-                1 => w.unreachable.extend(hosts.iter().take(7).cloned()),
+                1 => w.network.unreachable.extend(hosts.iter().take(7).cloned()),
                 2 => {
                     let i = leader(&w);
                     w.kill(i);
@@ -265,8 +269,8 @@
                 _ => w.kill(1),
             }
             users.run(&mut w, late_s);
-            w.unreachable.clear();
-            w.slow_direct.clear();
+            w.network.unreachable.clear();
+            w.machines.slow_commands.clear();
             w.deliver_direct();
             users.run(&mut w, 30.0);
             let state = format!("between {between}, {late_s} s late");
@@ -287,10 +291,10 @@
         let mut w = cluster(f64::INFINITY);
         let mut users = Users::default();
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.slow_direct.extend(hosts);
+        w.machines.slow_commands.extend(hosts);
         users.submit(&mut w, &World::spec("j-000001", "service", 20));
-        w.run_until(2.0, |w| !w.held_direct.is_empty());
-        w.slow_direct.clear();
+        w.run_until(2.0, |w| !w.machines.held_commands.is_empty());
+        w.machines.slow_commands.clear();
         users.run(&mut w, 5.0);
         assert_eq!(w.running(), 20);
         users.ask_cancel(&mut w, 1, "j-000001");
@@ -310,15 +314,20 @@
         let mut w = cluster(f64::INFINITY);
         let mut users = Users::default();
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.slow_direct.extend(hosts);
+        w.machines.slow_commands.extend(hosts);
         users.submit(&mut w, &World::spec("j-000001", "service", 20));
-        w.run_until(2.0, |w| !w.held_direct.is_empty());
-        let held = w.held_direct.iter().take(4).map(|h| h.0.clone());
-        w.hung = held.collect();
-        w.slow_direct.clear();
+        w.run_until(2.0, |w| !w.machines.held_commands.is_empty());
+        let held = w
+            .machines
+            .held_commands
+            .iter()
+            .take(4)
+            .map(|h| h.machine.clone());
+        w.machines.hung = held.collect();
+        w.machines.slow_commands.clear();
         users.run(&mut w, hangs_s);
         w.deliver_direct();
-        w.hung.clear();
+        w.machines.hung.clear();
         let state = format!("{hangs_s} s");
         users.run(&mut w, 30.0);
         end(&mut w, &mut users, &state);
@@ -333,16 +342,16 @@
     for late_ms in [500.0, 2500.0, 9000.0, 11_000.0, 25_000.0, 45_000.0] {
         let mut w = cluster(6.0);
         let mut users = Users::default();
-        w.copies_ms = Some(late_ms);
+        w.duplicates.delay_ms = Some(late_ms);
         for job in 1..=4 {
             users.submit(&mut w, &sweep(job, 24));
         }
         users.run(&mut w, 3.0);
         // Sessions end, and attempts are made anew.
         let some: Vec<String> = w.workers.keys().step_by(3).cloned().collect();
-        w.unreachable.extend(some.iter().cloned());
+        w.network.unreachable.extend(some.iter().cloned());
         users.run(&mut w, 13.0);
-        w.unreachable.clear();
+        w.network.unreachable.clear();
         w.reborn(&some[0]);
         users.run(&mut w, 4.0);
         let gone = leader(&w);
@@ -372,9 +381,9 @@
         true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
     };
     w.requests.seed(seed);
-    w.lists_ms = newer.then_some(5000.0);
+    w.cloud.list_every_ms = newer.then_some(5000.0);
     w.seed_late(seed);
-    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 8000.0);
+    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
     let mut users = Users::default();
     let mut job = 100;
     let mut open: Vec<String> = Vec::new();
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -86,16 +86,16 @@
         users.run(&mut w, 6.0);
         assert_eq!(w.running(), 18);
         for again in 0..2 {
-            w.refused.insert(0);
-            w.alone.insert(0);
+            w.state_link.refused.insert(0);
+            w.network.isolated.insert(0);
             users.run(&mut w, seconds / 2.0);
             if again == 0 {
                 users.cancel(&mut w, 1, "j-000003");
                 users.submit(&mut w, &World::spec("j-000004", "service", 3));
             }
             users.run(&mut w, seconds / 2.0);
-            w.refused.clear();
-            w.alone.clear();
+            w.state_link.refused.clear();
+            w.network.isolated.clear();
             users.run(&mut w, 12.0);
         }
         let over = w.now;
@@ -118,14 +118,14 @@
     w.submit(&World::spec("j-000002", "sweep", 1));
     w.run(3.0);
     w.say("node-0 is alone with its workers");
-    w.refused.insert(0);
-    w.alone.insert(0);
+    w.state_link.refused.insert(0);
+    w.network.isolated.insert(0);
     w.run(3.0);
     w.cancel(1, "j-000001");
     w.run(45.0);
     w.say("it is back");
-    w.refused.clear();
-    w.alone.clear();
+    w.state_link.refused.clear();
+    w.network.isolated.clear();
     w.run(30.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     insta::assert_snapshot!(w.trace.join("\n"));
@@ -138,17 +138,17 @@
         machines: vec![("a", 2)],
         ..Setup::default()
     });
-    w.copies_ms = Some(12_000.0);
+    w.duplicates.delay_ms = Some(12_000.0);
     w.run(5.0);
     w.submit(&World::spec("j-000001", "sweep", 3));
     w.run(5.0);
     w.say("host-000000 hears nothing");
-    w.one_way.insert("host-000000".into());
+    w.network.inbound_lost.insert("host-000000".into());
     w.run(40.0);
     w.submit(&World::spec("j-000002", "sweep", 2));
     w.run(10.0);
     w.say("host-000000 hears again");
-    w.one_way.clear();
+    w.network.inbound_lost.clear();
     w.run(20.0);
     w.reborn("host-000001");
     w.run(20.0);
@@ -201,7 +201,7 @@
 fn day(seed: u64) {
     let mut draw = draws(seed);
     let mut w = cluster(|_| {});
-    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 4000.0);
+    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut job = 100;
     for _ in 0..25 {
@@ -217,35 +217,38 @@
         let host = host.cloned().unwrap_or_default();
         let i = draw(3) as usize;
         match draw(10) {
-            0 => drop(w.one_way.insert(host)),
-            1 => w.one_way.extend(hosts.into_iter().filter(|_| draw(3) == 0)),
-            2 => w.copies_ms = Some(500.0 + draw(44_500) as f64),
+            0 => drop(w.network.inbound_lost.insert(host)),
+            1 => w
+                .network
+                .inbound_lost
+                .extend(hosts.into_iter().filter(|_| draw(3) == 0)),
+            2 => w.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
             3 => w.reborn(&host),
             4 => {
                 w.kill(i);
                 users.run(&mut w, [0.0, 0.5, 0.5, 4.0][draw(4) as usize]);
                 w.start(i);
             }
-            5 => drop(w.frozen.insert(i)),
+            5 => drop(w.processes.frozen.insert(i)),
             6 => {
-                w.refused.insert(i);
-                w.alone.insert(i);
+                w.state_link.refused.insert(i);
+                w.network.isolated.insert(i);
             }
-            7 => w.refused.extend([0, 1, 2]),
+            7 => w.state_link.refused.extend([0, 1, 2]),
             _ => {
-                w.one_way.clear();
-                w.frozen.clear();
-                w.alone.clear();
-                w.refused.clear();
+                w.network.inbound_lost.clear();
+                w.processes.frozen.clear();
+                w.network.isolated.clear();
+                w.state_link.refused.clear();
             }
         }
         users.run(&mut w, 1.0 + draw(16) as f64 / 2.0);
         w.list_machines();
     }
-    w.one_way.clear();
-    w.frozen.clear();
-    w.alone.clear();
-    w.refused.clear();
+    w.network.inbound_lost.clear();
+    w.processes.frozen.clear();
+    w.network.isolated.clear();
+    w.state_link.refused.clear();
     let over = w.now;
     for _ in 0..50 {
         users.run(&mut w, 5.0);
--- a/crates/cherryyard-simulation/tests/event_loop_lag.rs
+++ b/crates/cherryyard-simulation/tests/event_loop_lag.rs
@@ -19,13 +19,13 @@
     w.run_until(10.0, |w| w.running() == 6);
     w.run(20.0);
     w.say("node-0 is 3.5 s behind");
-    w.late.insert(0, 3500.0);
+    w.processes.lag_ms.insert(0, 3500.0);
     w.run(40.0);
     w.submit(&World::spec("j-000002", "service", 1));
     w.cancel(1, "j-000001");
     w.run(15.0);
     assert_eq!(w.running(), 1, "{}", w.trace.join("\n"));
-    w.late.clear();
+    w.processes.lag_ms.clear();
     w.say("node-0 is in time again");
     w.run(20.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -45,10 +45,10 @@
     w.submit(&World::spec("j-000001", "service", 10));
     w.run_until(10.0, |w| w.running() == 10);
     for late in [5000.0, 1000.0, 9000.0, 6000.0] {
-        w.late.insert(0, late);
+        w.processes.lag_ms.insert(0, late);
         w.run(25.0);
     }
-    w.late.clear();
+    w.processes.lag_ms.clear();
     w.run(90.0);
     assert_eq!(w.running(), 10, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -109,16 +109,16 @@
     }
     w.run(20.0);
     w.say("node-0 loses its workers");
-    w.deaf.insert(0);
+    w.network.cut_from_workers.insert(0);
     w.run(40.0);
     let releases = |w: &World| w.trace.iter().filter(|l| l.contains("releases")).count();
     assert_eq!(releases(&w), 0, "{}", w.trace.join("\n"));
     assert_eq!(w.running(), all, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty());
-    w.deaf.clear();
+    w.network.cut_from_workers.clear();
     w.run(60.0);
     let host = w.workers.keys().next().unwrap().clone();
-    w.unreachable.insert(host);
+    w.network.unreachable.insert(host);
     w.run(9.0);
     assert_eq!(releases(&w), 1, "{}", w.trace.join("\n"));
 }
--- a/crates/cherryyard-simulation/tests/fault_combinations.rs
+++ b/crates/cherryyard-simulation/tests/fault_combinations.rs
@@ -17,8 +17,8 @@
     for worker in w.workers.values_mut() {
         worker.run_ms = run_s * 1000.0;
     }
-    w.provisioned_run_ms = run_s * 1000.0;
-    w.lists_ms = Some(5000.0);
+    w.cloud.provisioned_run_ms = run_s * 1000.0;
+    w.cloud.list_every_ms = Some(5000.0);
     w.run(6.0);
     w
 }
@@ -40,8 +40,7 @@
 /// Machines with a task of one of these jobs.
 fn hosts_of(w: &World, ids: &[String]) -> BTreeSet<String> {
     let on = |x: &&cherryyard_simulation::WorkerStandIn| {
-        let here = x.tasks.iter().filter(|p| p.1.2.is_none());
-        here.map(|p| p.0)
+        x.running_tasks()
             .any(|p| ids.iter().any(|id| p.starts_with(id.as_str())))
     };
     w.workers
@@ -65,7 +64,11 @@
                 let mut users = Users::default();
                 w.seed_late(slow_ms as u64 + late + lost);
                 w.requests.seed(late + lost + u64::from(ends));
-                (w.slow_ms, w.late_writes, w.lost_answers) = (slow_ms, late, lost);
+                (
+                    w.state_link.latency_ms,
+                    w.state_link.delayed_percent,
+                    w.state_link.lost_response_percent,
+                ) = (slow_ms, late, lost);
                 w.requests.close_looks = true;
                 for second in 0..40u64 {
                     let shape = if second % 4 == 3 { "service" } else { "sweep" };
@@ -109,7 +112,7 @@
                     w.insist((step as usize + 1) % 3, &id, Question::Cancel);
                 }
                 if step == from {
-                    w.lost_answers = 100;
+                    w.state_link.lost_response_percent = 100;
                 }
                 if step == from + 3 {
                     if ends {
@@ -117,7 +120,7 @@
                         w.kill(i);
                         w.start(i);
                     }
-                    w.lost_answers = 0;
+                    w.state_link.lost_response_percent = 0;
                 }
                 users.run(&mut w, 1.0);
             }
@@ -139,7 +142,7 @@
             users.submit(&mut w, &job(1, "service", 9));
             users.run(&mut w, 12.0);
             assert_eq!(w.running(), 9);
-            w.lost_answers = lost;
+            w.state_link.lost_response_percent = lost;
             let from = w.trace.len();
             let i = leader(&w);
             w.kill(i);
@@ -171,20 +174,20 @@
 
     fn begin(self, w: &mut World, hosts: &BTreeSet<String>) {
         let set = match self {
-            Self::Hang => &mut w.hung,
-            Self::Cut => &mut w.unreachable,
-            Self::Deaf => &mut w.one_way,
-            Self::OneWaySilence => &mut w.one_way_silent,
+            Self::Hang => &mut w.machines.hung,
+            Self::Cut => &mut w.network.unreachable,
+            Self::Deaf => &mut w.network.inbound_lost,
+            Self::OneWaySilence => &mut w.network.outbound_lost,
         };
         set.extend(hosts.iter().cloned());
     }
 
     fn finish(w: &mut World) {
         w.deliver_direct();
-        w.hung.clear();
-        w.unreachable.clear();
-        w.one_way.clear();
-        w.one_way_silent.clear();
+        w.machines.hung.clear();
+        w.network.unreachable.clear();
+        w.network.inbound_lost.clear();
+        w.network.outbound_lost.clear();
     }
 }
 
@@ -236,9 +239,9 @@
             }
             if frozen {
                 let i = leader(&w);
-                w.frozen.insert(i);
+                w.processes.frozen.insert(i);
                 users.run(&mut w, 6.0);
-                w.frozen.clear();
+                w.processes.frozen.clear();
             }
             users.run(&mut w, away_s / 3.0);
             Away::finish(&mut w);
@@ -286,20 +289,20 @@
                 }
                 // Starts of the one before are on their way.
                 let hosts: Vec<String> = w.workers.keys().cloned().collect();
-                w.slow_direct.extend(hosts);
+                w.machines.slow_commands.extend(hosts);
                 users.submit(&mut w, &job(4, "service", 8));
                 w.run(0.4);
                 match change {
                     WatchEvent::Ends => w.kill(i),
-                    WatchEvent::Deaf => drop(w.deaf.insert(i)),
-                    WatchEvent::Refused => drop(w.refused.insert(i)),
+                    WatchEvent::Deaf => drop(w.network.cut_from_workers.insert(i)),
+                    WatchEvent::Refused => drop(w.state_link.refused.insert(i)),
                     WatchEvent::Back => {}
                 }
                 w.run(f64::from(step) * 0.15);
                 w.insist(at, "j-000001", Question::Cancel);
                 w.insist((at + 1) % 3, "j-000004", Question::Cancel);
                 w.run(1.0);
-                w.slow_direct.clear();
+                w.machines.slow_commands.clear();
                 w.deliver_direct();
                 users.run(&mut w, 6.0);
                 if w.controllers[i].is_none() {
@@ -329,16 +332,21 @@
                     write_rps: 60.0,
                     ..Setup::default()
                 });
-                w.lists_ms = Some(3000.0);
+                w.cloud.list_every_ms = Some(3000.0);
                 w.run(10.0);
                 let mut users = Users::default();
-                (w.provisioning_ms, w.provisions_unanswered) = (Some(provisioning_ms), unanswered);
+                (w.cloud.provisioning_ms, w.cloud.provisions_unanswered) =
+                    (Some(provisioning_ms), unanswered);
                 w.seed_late(step);
-                (w.late_writes, w.lost_answers, w.slow_ms) = (late, lost, slow_ms);
+                (
+                    w.state_link.delayed_percent,
+                    w.state_link.lost_response_percent,
+                    w.state_link.latency_ms,
+                ) = (late, lost, slow_ms);
                 for n in 1..=3 {
                     users.submit(&mut w, &job(n, "service", 8));
                 }
-                w.run_until(30.0, |w| !w.provision_requests.is_empty());
+                w.run_until(30.0, |w| !w.cloud.provision_requests.is_empty());
                 w.run(step as f64 * 0.05);
                 let i = leader(&w);
                 w.kill(i);
@@ -347,11 +355,15 @@
                 users.run(&mut w, 12.0);
                 whole(&mut w, &mut users, &state);
                 assert_eq!(w.running(), 24, "{state}: {}", w.trace.join("\n"));
-                let names: BTreeSet<&String> =
-                    w.provision_requests.iter().map(|h| &h.request_id).collect();
+                let names: BTreeSet<&String> = w
+                    .cloud
+                    .provision_requests
+                    .iter()
+                    .map(|h| &h.request_id)
+                    .collect();
                 assert_eq!(
                     names.len(),
-                    w.provision_requests.len(),
+                    w.cloud.provision_requests.len(),
                     "{state}: a name was used again"
                 );
             }
@@ -373,7 +385,10 @@
             }
             users.submit(&mut w, &job(5, "service", 4));
             users.run(&mut w, 4.0);
-            (w.copies_for_next, w.copies_wait_ms) = (true, wait_ms);
+            (
+                w.duplicates.for_next_leader,
+                w.duplicates.next_leader_wait_ms,
+            ) = (true, wait_ms);
             users.run(&mut w, 4.0);
             let some: BTreeSet<String> = w.workers.keys().step_by(2).cloned().collect();
             Away::Cut.begin(&mut w, &some);
@@ -416,7 +431,7 @@
     for worker in w.workers.values_mut() {
         worker.run_ms = 6000.0;
     }
-    w.lists_ms = Some(10_000.0);
+    w.cloud.list_every_ms = Some(10_000.0);
     w.run(8.0);
     let mut users = Users::default();
     let (before, seconds) = (w.state.writes, 180);
@@ -519,9 +534,9 @@
                 users.submit(&mut w, &job(1, "service", 3));
                 users.run(&mut w, 4.0);
                 let hosts: Vec<String> = w.workers.keys().cloned().collect();
-                w.slow_direct.extend(hosts.clone());
+                w.machines.slow_commands.extend(hosts.clone());
                 users.submit(&mut w, &job(2, "service", 15));
-                w.run_until(3.0, |w| w.held_direct.len() >= 10);
+                w.run_until(3.0, |w| w.machines.held_commands.len() >= 10);
                 // Half of the machines of zone a, and one of each other.
                 let hung = hosts
                     .iter()
@@ -533,8 +548,10 @@
                 users.run(&mut w, told_s);
                 w.insist(1, "j-000002", Question::Cancel);
                 // What is not for those is lost.
-                w.held_direct.retain(|held| hung.contains(&held.0));
-                w.slow_direct.clear();
+                w.machines
+                    .held_commands
+                    .retain(|held| hung.contains(&held.machine));
+                w.machines.slow_commands.clear();
                 users.run(&mut w, f64::min(back_s, hang_s));
                 w.start(0);
                 users.run(&mut w, hang_s - f64::min(back_s, hang_s));
@@ -598,8 +615,8 @@
             }
             users.run(&mut w, 6.0);
             let i = if zone == "a" { 0 } else { 1 };
-            w.zones_cut.insert(zone.into());
-            w.refused.insert(i);
+            w.network.partitioned_zones.insert(zone.into());
+            w.state_link.refused.insert(i);
             users.run(&mut w, 1.0);
             w.insist((i + 1) % 3, "j-000001", Question::Cancel);
             w.insist(i, "j-000002", Question::Cancel);
@@ -622,7 +639,7 @@
             let state = format!("away for {away_s} s, {apart_s} s apart");
             let mut w = cluster(24.0, 5.0);
             let mut users = Users::default();
-            w.copies_for_next = true;
+            w.duplicates.for_next_leader = true;
             for n in 1..=3 {
                 w.submit_at(n as usize % 3, &job(n, "sweep", 10));
             }
@@ -652,10 +669,13 @@
         for (late, lost) in [(0, 0), (25, 0), (0, 25)] {
             let state = format!("outage {outage}, {late}% late, {lost}% lost");
             let mut w = cluster(32.0, 6.0);
-            w.provisioning_ms = Some(3000.0);
+            w.cloud.provisioning_ms = Some(3000.0);
             let mut users = Users::default();
             Fault::LeadersEnd.begin(&mut w, &mut |_| 0);
-            (w.late_writes, w.lost_answers) = (late, lost);
+            (
+                w.state_link.delayed_percent,
+                w.state_link.lost_response_percent,
+            ) = (late, lost);
             for second in 0..120u64 {
                 if second % 2 == 0 {
                     w.submit_at(
@@ -668,10 +688,10 @@
                     w.insist(second as usize % 3, &id, Question::Cancel);
                 }
                 if outage && second == 30 {
-                    w.refused.extend([0, 1, 2]);
+                    w.state_link.refused.extend([0, 1, 2]);
                 }
                 if outage && second == 75 {
-                    w.refused.clear();
+                    w.state_link.refused.clear();
                 }
                 users.run(&mut w, 1.0);
             }
@@ -720,7 +740,7 @@
             w.workers.remove(host);
         }
         if rents {
-            w.provisioning_ms = Some(4000.0);
+            w.cloud.provisioning_ms = Some(4000.0);
         }
         if ends {
             let i = leader(&w);
@@ -746,7 +766,7 @@
             let mut w = cluster(0.0, 9.0);
             let mut users = Users::default();
             if behind {
-                w.late.insert(1, 1200.0);
+                w.processes.lag_ms.insert(1, 1200.0);
             }
             for cycle in 0..8u64 {
                 let mut low = job(cycle * 10 + 1, "sweep", 16);
@@ -756,12 +776,12 @@
                 (low.job_class, high.job_class) = ("low".into(), "high".into());
                 users.submit(&mut w, &low);
                 let hosts: Vec<String> = w.workers.keys().step_by(2).cloned().collect();
-                w.slow_direct.extend(hosts);
+                w.machines.slow_commands.extend(hosts);
                 users.run(&mut w, 1.0);
                 users.submit(&mut w, &high);
                 users.run(&mut w, late_s);
                 w.deliver_direct();
-                w.slow_direct.clear();
+                w.machines.slow_commands.clear();
                 users.run(&mut w, 3.0);
                 if cycle % 3 == 2 {
                     users.ask_cancel(&mut w, 0, &low.id);
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -41,7 +41,7 @@
             },
             8,
         );
-        w.frozen.insert(0);
+        w.processes.frozen.insert(0);
         // A report that waits, in the controller's own socket, all the while.
         let name = w.workers.keys().next().unwrap().clone();
         let old = w.workers.get_mut(&name).unwrap().report(w.now);
@@ -76,7 +76,7 @@
             }
         }
         assert!(!controller.ready(now));
-        w.frozen.clear();
+        w.processes.frozen.clear();
         w.run(60.0);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
         assert_eq!(w.running(), 8, "{}", w.trace.join("\n"));
@@ -91,10 +91,10 @@
 fn trace_of_a_freeze() {
     let mut w = running(Setup::default(), 4);
     w.say("node-0 stands still");
-    w.frozen.insert(0);
+    w.processes.frozen.insert(0);
     w.run(32.0);
     w.say("node-0 goes on");
-    w.frozen.clear();
+    w.processes.frozen.clear();
     w.run(30.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     assert_eq!(w.running(), 4);
@@ -122,7 +122,7 @@
             [worker.report(now), worker.report(now)]
         })
         .collect();
-    w.unreachable.extend(cut.iter().cloned());
+    w.network.unreachable.extend(cut.iter().cloned());
     w.run(51.0);
     assert_eq!(w.running(), 10, "{}", w.trace.join("\n"));
     let assignments = |w: &World| -> Vec<_> {
@@ -141,7 +141,7 @@
     }
     w.run(1.0);
     assert_eq!(assignments(&w), before);
-    w.unreachable.clear();
+    w.network.unreachable.clear();
     w.run(30.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     assert_eq!(w.running(), 10);
@@ -213,14 +213,14 @@
     for (frozen_s, gone) in [(8.0, true), (0.0, false)] {
         let mut w = running(Setup::default(), 6);
         if gone {
-            w.frozen.insert(0);
+            w.processes.frozen.insert(0);
             w.run(0.5);
             w.cancel(1, "j-000001");
         }
         w.run(0.5);
-        w.refused = [0, 1, 2].into();
+        w.state_link.refused = [0, 1, 2].into();
         w.run(frozen_s);
-        w.frozen.clear();
+        w.processes.frozen.clear();
         w.run(39.0 - frozen_s);
         if gone {
             assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
@@ -228,9 +228,9 @@
             // Nothing was missed: what runs goes on, and a freeze in the outage, when
             // nobody can have taken anything, changes nothing.
             assert_eq!(w.running(), 6);
-            w.frozen.insert(0);
+            w.processes.frozen.insert(0);
             w.run(5.0);
-            w.frozen.clear();
+            w.processes.frozen.clear();
             w.run(40.0);
             assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
         }
@@ -242,11 +242,11 @@
 #[test]
 fn a_cancellation_missed_by_a_cut_before_an_outage() {
     let mut w = running(Setup::default(), 6);
-    w.refused.insert(0);
+    w.state_link.refused.insert(0);
     w.run(3.0);
     w.cancel(1, "j-000001");
     w.run(2.0);
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     w.run(60.0);
     assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -269,19 +269,21 @@
             let i = next(3) as usize;
             match next(9) {
                 0 | 1 => {
-                    w.frozen.insert(i);
+                    w.processes.frozen.insert(i);
                 }
-                2 => w.frozen.clear(),
+                2 => w.processes.frozen.clear(),
                 3 => {
-                    w.refused.insert(i);
+                    w.state_link.refused.insert(i);
                 }
-                4 => w.refused = [0, 1, 2].into(),
-                5 => w.refused.clear(),
+                4 => w.state_link.refused = [0, 1, 2].into(),
+                5 => w.state_link.refused.clear(),
                 6 if w.controllers[i].is_some() => w.kill(i),
                 6 => w.start(i),
                 _ => {
                     let able = w.controllers[i].as_ref().is_some_and(|n| n.mirror.loaded);
-                    let able = able && !w.refused.contains(&i) && !w.frozen.contains(&i);
+                    let able = able
+                        && !w.state_link.refused.contains(&i)
+                        && !w.processes.frozen.contains(&i);
                     if able
                         && open.len() > 1
                         && let Some(id) = open.pop()
@@ -296,8 +298,8 @@
         }
         // Mostly an outage that lasts, soon after one was cut off or stood still.
         if next(3) > 0 {
-            w.frozen.clear();
-            w.refused.clear();
+            w.processes.frozen.clear();
+            w.state_link.refused.clear();
             for k in 0..3 {
                 if w.controllers[k].is_none() {
                     w.start(k);
@@ -306,18 +308,18 @@
             w.run(15.0);
             let i = next(3) as usize;
             if next(2) == 0 {
-                w.frozen.insert(i);
+                w.processes.frozen.insert(i);
             } else {
-                w.refused.insert(i);
+                w.state_link.refused.insert(i);
             }
             w.run(next(30) as f64 / 10.0);
             if let Some(id) = open.pop() {
                 w.cancel((i + 1) % 3, id);
             }
             w.run(next(20) as f64 / 10.0);
-            w.refused = [0, 1, 2].into();
+            w.state_link.refused = [0, 1, 2].into();
             w.run(next(60) as f64 / 10.0);
-            w.frozen.clear();
+            w.processes.frozen.clear();
             // Ends in it, so that peers vouch.
             for _ in 0..next(3) {
                 let k = next(3) as usize;
--- a/crates/cherryyard-simulation/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -2,7 +2,7 @@
 //! cancellations, then it refuses everybody for longer than a cancellation has. What an
 //! owner may take for known of the others' cancellations decides.
 
-use cherryyard_simulation::{Setup, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, Task, World, draws, play_seeds};
 
 fn id(job: usize) -> String {
     format!("j-{job:06}")
@@ -44,10 +44,10 @@
 /// Everybody is refused for 63 s; then everything works.
 fn outage(w: &mut World, seconds: f64) {
     w.say("the state service refuses everybody");
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     w.run(seconds);
     w.say("it serves everybody");
-    w.refused.clear();
+    w.state_link.refused.clear();
 }
 
 /// The gap, twice in a row, 20 s apart, with a cancellation at each place of the first
@@ -62,7 +62,7 @@
                 let state = format!("{before_ms} ms before, end {end:?}, round {cycle}");
                 let alone = leader(&w).unwrap_or(0);
                 w.say(format!("the state service refuses node-{alone}"));
-                w.refused.insert(alone);
+                w.state_link.refused.insert(alone);
                 w.run((2000.0 - before_ms) / 1000.0);
                 let at = (alone + 1 + cycle) % 3;
                 for job in 1..=5 {
@@ -78,7 +78,7 @@
                 }
                 w.run((before_ms / 1000.0 - 0.05_f64).max(0.0));
                 w.say("the state service refuses everybody");
-                w.refused = [0, 1, 2].into();
+                w.state_link.refused = [0, 1, 2].into();
                 if let Some((after, back)) = end {
                     w.run(after);
                     if w.controllers[at].is_some() && after > 0.0 {
@@ -91,7 +91,7 @@
                 }
                 w.run(62.0);
                 whole(&w, &state);
-                w.refused.clear();
+                w.state_link.refused.clear();
                 w.run(20.0);
             }
             w.run(30.0);
@@ -110,7 +110,7 @@
     w.submit(&World::spec("j-000001", "service", 2));
     w.run(20.0);
     w.say("the state service refuses node-0");
-    w.refused.insert(0);
+    w.state_link.refused.insert(0);
     w.run(2.1);
     w.ask_cancel(1, "j-000001");
     w.kill(1);
@@ -121,12 +121,12 @@
 
 fn outage_with(w: &mut World, back: usize) {
     w.say("the state service refuses everybody");
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     w.run(4.0);
     w.start(back);
     w.run(60.0);
     w.say("it serves everybody");
-    w.refused.clear();
+    w.state_link.refused.clear();
     w.run(10.0);
 }
 
@@ -137,25 +137,25 @@
 fn back_for_less_than_a_restart() {
     for (back_s, tells) in [(0.3, true), (0.3, false), (2.0, true), (12.0, true)] {
         let (mut w, _) = running(6);
-        w.refused = [0, 1, 2].into();
+        w.state_link.refused = [0, 1, 2].into();
         w.run(8.0);
-        w.refused.remove(&1);
+        w.state_link.refused.remove(&1);
         if back_s > 11.0 {
             // None of the others hears it, so only time lets it tell its user.
-            w.alone.insert(1);
+            w.network.isolated.insert(1);
         }
         w.run(back_s - 0.3);
         w.ask_cancel(1, "j-000001");
         w.ask_cancel(1, "j-000002");
         w.run(if tells { 0.3 } else { 0.0 });
         w.kill(1);
-        w.refused.insert(1);
-        w.alone.clear();
+        w.state_link.refused.insert(1);
+        w.network.isolated.clear();
         w.run(3.0);
         w.start(1);
         w.run(58.0);
         whole(&w, &format!("back for {back_s} s, {tells}"));
-        w.refused.clear();
+        w.state_link.refused.clear();
         w.run(30.0);
         whole(&w, "after");
         assert_eq!(w.running(), 8, "{}", w.trace.join("\n"));
@@ -170,17 +170,19 @@
     for ends in [false, true] {
         let (mut w, leader) = running(6);
         let (taker, reader) = ((leader + 1) % 3, (leader + 2) % 3);
-        w.refused.insert(leader);
+        w.state_link.refused.insert(leader);
         w.run(1.0);
-        w.late_writes = 100;
+        w.state_link.delayed_percent = 100;
         w.seed_late(3);
         w.ask_cancel(taker, "j-000001");
-        w.late_writes = 0;
+        w.state_link.delayed_percent = 0;
         w.kill(taker);
         // Its transaction is carried out late, and the user asks the next controller.
         w.run(1.0);
         w.start(taker);
-        w.run_until(20.0, |w| w.cancelled_at.contains_key("j-000001"));
+        w.run_until(20.0, |w| {
+            w.submissions.cancelled_at.contains_key("j-000001")
+        });
         if ends {
             w.kill(reader);
             w.start(reader);
@@ -209,7 +211,7 @@
     w.run_until(60.0, |w| w.running() == 280);
     w.run(10.0);
     let alone = leader(&w).expect("a leader");
-    w.refused.insert(alone);
+    w.state_link.refused.insert(alone);
     w.run(0.5);
     for job in 1..=270 {
         w.ask_cancel((alone + 1) % 3, &id(job));
@@ -239,7 +241,7 @@
             })
         });
         let Some(owner) = owner else { continue };
-        w.refused.insert(owner);
+        w.state_link.refused.insert(owner);
         w.run(0.5);
         let other = 1 - owner;
         for job in 1..=3 {
@@ -258,17 +260,17 @@
 #[test]
 fn a_machine_that_is_being_returned() {
     let (mut w, _) = running(6);
-    w.cloud_down = true;
+    w.cloud.down = true;
     let names: Vec<String> = w.workers.keys().cloned().collect();
     let held: Vec<String> = names
         .into_iter()
         .filter(|n| w.workers[n].tasks.keys().any(|p| p.starts_with("j-000001")))
         .collect();
     // Silent for longer than a service waits, so that they are to be returned.
-    w.unreachable.extend(held.iter().cloned());
+    w.network.unreachable.extend(held.iter().cloned());
     w.run(7.5);
-    assert!(w.releases_failed > 0, "{}", w.trace.join("\n"));
-    w.unreachable.clear();
+    assert!(w.cloud.releases_failed > 0, "{}", w.trace.join("\n"));
+    w.network.unreachable.clear();
     w.run(2.0);
     let before = w.copies("j-000001/0") + w.copies("j-000001/1");
     assert!(before > 0, "still there: {}", w.trace.join("\n"));
@@ -289,15 +291,15 @@
         });
         w.run(8.0);
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.slow_direct.extend(hosts);
+        w.machines.slow_commands.extend(hosts);
         // In between two reports, so that the start goes directly.
         w.submit(&World::spec("j-000001", "service", 6));
-        w.run_until(3.0, |w| !w.held_direct.is_empty());
-        w.refused = [0].into();
+        w.run_until(3.0, |w| !w.machines.held_commands.is_empty());
+        w.state_link.refused = [0].into();
         w.ask_cancel(1, "j-000001");
         w.run(0.5);
-        w.refused = [0, 1, 2].into();
-        w.slow_direct.clear();
+        w.state_link.refused = [0, 1, 2].into();
+        w.machines.slow_commands.clear();
         w.run(late_s);
         w.deliver_direct();
         w.run(75.0 - late_s);
@@ -312,7 +314,7 @@
 fn old_beats_that_say_cut_off() {
     let (mut w, leader) = running(6);
     let (other, third) = ((leader + 1) % 3, (leader + 2) % 3);
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     w.run(3.0);
     let now = w.now;
     let old = w.controllers[other]
@@ -320,16 +322,16 @@
         .expect("it runs")
         .heartbeat_out(now);
     assert!(old.cut_off);
-    w.refused.clear();
+    w.state_link.refused.clear();
     w.run(14.0);
     // The owner is cut from the other, which is served and takes a cancellation.
-    w.alone.insert(leader);
-    w.refused = [leader].into();
+    w.network.isolated.insert(leader);
+    w.state_link.refused = [leader].into();
     w.run(0.5);
     w.ask_cancel(other, "j-000001");
-    assert!(w.cancelled_at.contains_key("j-000001"));
+    assert!(w.submissions.cancelled_at.contains_key("j-000001"));
     w.run(0.3);
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     for _ in 0..140 {
         w.run(0.5);
         let now = w.now;
@@ -356,7 +358,7 @@
     let (mut w, leader) = running(3);
     let zone = ["a", "b", "c"];
     let other = (leader + 1) % 3;
-    w.refused.insert(leader);
+    w.state_link.refused.insert(leader);
     w.run(0.2);
     // It may run anywhere: nobody places it, as it is cancelled in the same moment.
     w.submit(&World::spec("j-000099", "service", 1));
@@ -364,7 +366,7 @@
     let worker = w.workers.values_mut().find(|x| x.zone == zone[leader]);
     let worker = worker.expect("a machine");
     let now = w.now;
-    worker.tasks.insert("j-000099/0".into(), (1, now, None));
+    worker.tasks.insert("j-000099/0".into(), Task::new(1, now));
     w.run(1.0);
     outage(&mut w, 70.0);
     whole(&w, "never read");
@@ -381,21 +383,21 @@
     w.submit(&World::spec("j-000001", "service", 6));
     w.run_until(10.0, |w| w.running() == 6);
     w.run(30.0);
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     w.run(3.0);
-    w.refused.remove(&0);
+    w.state_link.refused.remove(&0);
     w.run(1.2);
     // Its own workers do not come to hear of it before it ends.
     let names: Vec<String> = w.workers.keys().cloned().collect();
-    w.unreachable.extend(names);
+    w.network.unreachable.extend(names);
     w.ask_cancel(0, "j-000001");
     w.run(0.6);
-    assert!(w.cancelled_at.contains_key("j-000001"));
-    w.refused.insert(0);
+    assert!(w.submissions.cancelled_at.contains_key("j-000001"));
+    w.state_link.refused.insert(0);
     w.kill(0);
     w.run(2.0);
     w.start(0);
-    w.unreachable.clear();
+    w.network.unreachable.clear();
     w.run(60.0);
     whole(&w, "told on");
 }
@@ -409,16 +411,16 @@
         let back_ms = f64::from(back) * 100.0;
         let (mut w, leader) = running(6);
         let other = (leader + 1) % 3;
-        w.refused.insert(leader);
-        w.alone.insert(leader);
+        w.state_link.refused.insert(leader);
+        w.network.isolated.insert(leader);
         w.run(1.9);
         for job in 1..=6 {
             w.ask_cancel(other, &id(job));
         }
         w.run(0.1);
-        w.refused = [0, 1, 2].into();
+        w.state_link.refused = [0, 1, 2].into();
         w.run(30.5);
-        w.refused.remove(&leader);
+        w.state_link.refused.remove(&leader);
         w.run(back_ms / 1000.0);
         w.kill(leader);
         w.run(30.0);
@@ -440,26 +442,31 @@
             draw(3) as usize
         };
         match draw(8) {
-            0 => w.late_writes = 10 + draw(40),
-            1 => w.slow_ms = 200.0 + draw(2300) as f64,
-            2 => w.copies_ms = Some(500.0 + draw(20_000) as f64),
+            0 => w.state_link.delayed_percent = 10 + draw(40),
+            1 => w.state_link.latency_ms = 200.0 + draw(2300) as f64,
+            2 => w.duplicates.delay_ms = Some(500.0 + draw(20_000) as f64),
             _ => {}
         }
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
         let host = || hosts.iter();
         match draw(6) {
             0 => w
-                .slow_direct
+                .machines
+                .slow_commands
                 .extend(host().filter(|_| draw(2) == 0).cloned()),
             1 => w
+                .network
                 .unreachable
                 .extend(host().filter(|_| draw(4) == 0).cloned()),
-            2 => w.one_way.extend(host().filter(|_| draw(4) == 0).cloned()),
-            3 => w.cloud_down = true,
+            2 => w
+                .network
+                .inbound_lost
+                .extend(host().filter(|_| draw(4) == 0).cloned()),
+            3 => w.cloud.down = true,
             _ => {}
         }
         w.say(format!("the state service refuses node-{alone}"));
-        w.refused.insert(alone);
+        w.state_link.refused.insert(alone);
         let before = draw(40) as f64 / 20.0;
         w.run(2.0 - before);
         let at = (alone + 1 + draw(2) as usize) % 3;
@@ -468,7 +475,7 @@
             w.ask_cancel(at, &id(cycle * 6 + job));
         }
         if draw(3) == 0 {
-            w.alone.insert([at, alone][draw(2) as usize]);
+            w.network.isolated.insert([at, alone][draw(2) as usize]);
         }
         let ends = draw(2) == 0;
         if ends && draw(2) == 0 {
@@ -478,7 +485,7 @@
         }
         w.run(draw(1 + (before * 20.0) as u64) as f64 / 20.0);
         w.say("the state service refuses everybody");
-        w.refused = [0, 1, 2].into();
+        w.state_link.refused = [0, 1, 2].into();
         if ends {
             w.run(draw(120) as f64 / 20.0);
             w.kill(at);
@@ -491,7 +498,7 @@
             let (after, back) = (draw(25) as f64, 0.2 + draw(240) as f64 / 20.0);
             w.run(after);
             let one = draw(3) as usize;
-            w.refused.remove(&one);
+            w.state_link.refused.remove(&one);
             w.run(back);
             w.ask_cancel(one, &id(cycle * 6 + 6));
             w.run(draw(10) as f64 / 20.0);
@@ -499,18 +506,23 @@
                 w.kill(one);
                 w.start(one);
             }
-            w.refused = [0, 1, 2].into();
+            w.state_link.refused = [0, 1, 2].into();
             left -= after + back;
         }
         w.run(draw(15) as f64);
-        w.alone.clear();
+        w.network.isolated.clear();
         w.deliver_direct();
-        w.slow_direct.clear();
+        w.machines.slow_commands.clear();
         w.run(left);
-        w.refused.clear();
-        w.unreachable.clear();
-        w.one_way.clear();
-        (w.late_writes, w.slow_ms, w.copies_ms, w.cloud_down) = (0, 0.0, None, false);
+        w.state_link.refused.clear();
+        w.network.unreachable.clear();
+        w.network.inbound_lost.clear();
+        (
+            w.state_link.delayed_percent,
+            w.state_link.latency_ms,
+            w.duplicates.delay_ms,
+            w.cloud.down,
+        ) = (0, 0.0, None, false);
         w.run(20.0);
         whole(&w, &format!("seed {seed}, round {cycle}"));
     }
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -1,7 +1,7 @@
 //! The history of jobs that are over: what must hold whatever fails on its way.
 
 use cherryyard_core::Outcome;
-use cherryyard_simulation::{Setup, World};
+use cherryyard_simulation::{CrashPoint, Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
 use cherryyard_wire::record::{LeaseRecord, job_key, shard_key};
 use cherryyard_wire::state::{Apply, Commit};
@@ -118,7 +118,7 @@
         let mut w = cluster(12);
         jobs(&mut w, 1..=14);
         w.run(20.0);
-        w.packer_commits
+        w.state_link.compaction_commits
     };
     assert!((4..40).contains(&total), "{total}");
     for n in 1..=total {
@@ -129,14 +129,14 @@
                 history: Some(12),
                 ..Setup::default()
             });
-            w.cut_packer = Some((n, applied));
+            w.state_link.compaction_crash = Some(CrashPoint { commit: n, applied });
             w.run(5.0);
             w.workers.values_mut().for_each(|x| x.run_ms = 300.0);
             let all = jobs(&mut w, 1..=14);
             w.run(6.0);
             check_known(&mut w, &all, &what);
             let ended = w.controllers.iter().position(Option::is_none);
-            let late = std::mem::take(&mut w.held_commits);
+            let late = std::mem::take(&mut w.state_link.held_commits);
             w.run(8.0);
             for commit in late {
                 // Another leads now, or nothing is left to do.
--- a/crates/cherryyard-simulation/tests/largest.rs
+++ b/crates/cherryyard-simulation/tests/largest.rs
@@ -197,7 +197,7 @@
     });
     assert_eq!(begun.count(), large.len(), "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
-    assert!(w.most_cores <= 24.0, "{}", w.most_cores);
+    assert!(w.checker.most_cores <= 24.0, "{}", w.checker.most_cores);
 }
 
 /// Where a team's services hold so much of its limit that a large task never fits in the
@@ -229,7 +229,7 @@
             worker
                 .tasks
                 .values_mut()
-                .for_each(|p| p.1 = now + 600_000.0);
+                .for_each(|task| task.started_at = now + 600_000.0);
             worker.run_ms = 4000.0;
         }
         users.submit(&mut w, &spec(2, 4, 4.0));
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -53,17 +53,21 @@
     // theirs.
     let (low, more) = ((leader(&w) + 1) % 3, (leader(&w) + 2) % 3);
     let zone = |p: usize| ["a", "b", "c"][p];
-    w.hold_commits.insert(low);
+    w.state_link.hold_owner_commits.insert(low);
     w.submit(&in_zone("j-000001", "service", 11, zone(more)));
     let lowers = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/grant"));
-    w.run_until(10.0, |w| w.held_commits.iter().any(lowers));
-    w.held_commits.retain(lowers);
-    w.hold_commits.clear();
+    w.run_until(10.0, |w| w.state_link.held_commits.iter().any(lowers));
+    w.state_link.held_commits.retain(lowers);
+    w.state_link.hold_owner_commits.clear();
     w.submit(&in_zone("j-000002", "service", 4, zone(low)));
     w.run_until(10.0, |w| w.copies("j-000002/3") == 1);
     nothing_applied(&mut w);
     w.run(40.0);
-    assert!(w.most_cores <= 24.0, "{} cores", w.most_cores);
+    assert!(
+        w.checker.most_cores <= 24.0,
+        "{} cores",
+        w.checker.most_cores
+    );
     assert_eq!(w.running() * 2, 24, "{}", w.trace.join("\n"));
 }
 
@@ -92,22 +96,25 @@
         earlier,
         ..Setup::default()
     });
-    w.hold_commits.insert(0);
+    w.state_link.hold_owner_commits.insert(0);
     w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.held_commits.is_empty());
+    w.run_until(5.0, |w| !w.state_link.held_commits.is_empty());
     // It is placed elsewhere: the machine's notice, far ahead, makes it unusable.
-    let first = w.held_commits.len();
-    let assigned = w.held_commits[0].apply.iter().find_map(|a| match a {
-        Apply::Set { set, v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
-        _ => None,
-    });
+    let first = w.state_link.held_commits.len();
+    let assigned = w.state_link.held_commits[0]
+        .apply
+        .iter()
+        .find_map(|a| match a {
+            Apply::Set { set, v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
+            _ => None,
+        });
     let host = assigned.expect("a page").h[0].clone();
     assert!(w.workers.contains_key(&host), "the mark's machine");
     let at = w.now + 900_000.0;
     w.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
     w.run(3.0);
-    w.held_commits.truncate(first);
-    w.hold_commits.clear();
+    w.state_link.held_commits.truncate(first);
+    w.state_link.hold_owner_commits.clear();
     w.run_until(5.0, |w| w.copies("j-000001/0") == 1);
     for worker in w.workers.values_mut() {
         worker.run_ms = 2500.0;
@@ -192,12 +199,12 @@
             } else {
                 (leader(&w) + 1) % 3
             };
-            w.hold_intake.insert(i);
-            let before = w.held_commits.len();
+            w.state_link.hold_admission_commits.insert(i);
+            let before = w.state_link.held_commits.len();
             add(&mut w, i, next);
             w.run(0.2);
-            w.hold_intake.clear();
-            let commits = w.held_commits.split_off(before);
+            w.state_link.hold_admission_commits.clear();
+            let commits = w.state_link.held_commits.split_off(before);
             let begins = |c: &Commit| c.when.iter().any(|x| x.key == admission_log_key(4));
             assert!(commits.iter().all(begins), "{commits:?}");
             // The user asks the leader.
@@ -205,7 +212,7 @@
             w.run(0.2);
             next += 1;
             if page(&w, next - 1).0 == Some(5) {
-                w.held_commits.extend(commits);
+                w.state_link.held_commits.extend(commits);
                 break next - 1;
             }
         };
@@ -247,7 +254,7 @@
     w.run(6.0);
     let (value, _) = w.state.get("c/part/0").expect("a claim");
     let value = value.clone();
-    w.deaf.insert(0);
+    w.network.cut_from_workers.insert(0);
     w.run_until(20.0, |w| w.state.get("c/part/0").is_none());
     let lease_id = w.controllers[0].as_ref().and_then(Controller::lease_id);
     let mut late = Commit::default();
@@ -291,7 +298,7 @@
         worker.run_ms = 2000.0 + draw(20_000) as f64;
     }
     for _ in 0..25 {
-        w.late_writes = if draw(4) == 0 { 0 } else { share };
+        w.state_link.delayed_percent = if draw(4) == 0 { 0 } else { share };
         for _ in 0..draw(6) {
             job += 1;
             let task_count = [1, 2, 3, 24][draw(4) as usize];
@@ -311,24 +318,24 @@
                 users.run(&mut w, [0.0, 0.5, 4.0][draw(3) as usize]);
                 w.start(i);
             }
-            1 => drop(w.frozen.insert(i)),
-            2 => drop(w.refused.insert(i)),
-            3 => w.refused.extend([0, 1, 2]),
+            1 => drop(w.processes.frozen.insert(i)),
+            2 => drop(w.state_link.refused.insert(i)),
+            3 => w.state_link.refused.extend([0, 1, 2]),
             4 => {
-                w.deaf.insert(i);
+                w.network.cut_from_workers.insert(i);
             }
             _ => {
-                w.deaf.clear();
-                w.frozen.clear();
-                w.refused.clear();
+                w.network.cut_from_workers.clear();
+                w.processes.frozen.clear();
+                w.state_link.refused.clear();
             }
         }
         users.run(&mut w, 1.0 + draw(16) as f64 / 2.0);
     }
-    w.late_writes = 0;
-    w.deaf.clear();
-    w.frozen.clear();
-    w.refused.clear();
+    w.state_link.delayed_percent = 0;
+    w.network.cut_from_workers.clear();
+    w.processes.frozen.clear();
+    w.state_link.refused.clear();
     users.run(&mut w, 13.0);
     let over = w.now;
     users.run(&mut w, 240.0);
@@ -337,9 +344,9 @@
     }
     assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
     assert!(
-        limit == 0.0 || w.most_cores <= limit,
+        limit == 0.0 || w.checker.most_cores <= limit,
         "seed {seed}: {} of {limit} cores",
-        w.most_cores
+        w.checker.most_cores
     );
     let wrong = users.judge(&w, over);
     if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
@@ -379,15 +386,16 @@
     let ids: Vec<String> = (1..=14).map(|n| format!("j-{n:06}")).collect();
     let leader_index = leader(&w);
     // None is divided, and no answer comes to the leader's transactions.
-    w.hold_lead = true;
+    w.state_link.hold_leader_commits = true;
     for id in &ids {
         let mut spec = World::spec(id, "service", 4);
         spec.image = format!("img-{id}");
         w.submit(&spec);
     }
     let by_records = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/job/"));
-    w.run_until(10.0, |w| w.held_commits.iter().any(by_records));
+    w.run_until(10.0, |w| w.state_link.held_commits.iter().any(by_records));
     let held = w
+        .state_link
         .held_commits
         .iter()
         .find(|c| by_records(c))
@@ -402,8 +410,8 @@
     for id in ids.iter().filter(|id| !divided.contains(id)) {
         w.ask_cancel(leader_index, id);
     }
-    w.hold_lead = false;
-    w.held_commits.clear();
+    w.state_link.hold_leader_commits = false;
+    w.state_link.held_commits.clear();
     w.run_until(20.0, |w| w.copies(&format!("{}/0", divided[0])) == 1);
     w.run(5.0);
     let in_page = |w: &World| {
@@ -412,7 +420,7 @@
         controller.mirror.in_page(job)
     };
     assert!(in_page(&w), "it was divided in its page");
-    w.held_commits.push(held);
+    w.state_link.held_commits.push(held);
     nothing_applied(&mut w);
     w.run(20.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
--- a/crates/cherryyard-simulation/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -20,12 +20,12 @@
 
 fn outage(w: &mut World) {
     w.say("the state service is down");
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
 }
 
 fn over(w: &mut World) {
     w.say("the state service is up");
-    w.refused.clear();
+    w.state_link.refused.clear();
 }
 
 /// An owner ends in an outage and starts again: its workers' leases go on by the word
@@ -77,7 +77,7 @@
 #[test]
 fn nobody_vouches_where_it_is_no_outage() {
     let mut w = running();
-    w.refused.insert(0);
+    w.state_link.refused.insert(0);
     w.run(1.0);
     w.kill(0);
     w.run(1.0);
@@ -96,7 +96,7 @@
     for owner_reads in [true, false] {
         let mut w = running();
         if !owner_reads {
-            w.refused.insert(0);
+            w.state_link.refused.insert(0);
             w.run(1.0);
         }
         w.cancel(1, "j-000001");
@@ -129,10 +129,10 @@
     w.run(2.0);
     w.start(0);
     w.run(4.0);
-    w.frozen = [1, 2].into();
+    w.processes.frozen = [1, 2].into();
     w.run(25.0);
     assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
-    w.frozen.clear();
+    w.processes.frozen.clear();
     over(&mut w);
     w.run(40.0);
     assert_eq!(w.running(), 6);
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -194,10 +194,10 @@
     assert_eq!(submit(&mut w, 1, &sweep(3, 1, &[1, 77])), Response::Never);
     assert_eq!(submit(&mut w, 1, &sweep(4, 1, &[4])), Response::Never);
     assert_eq!(submit(&mut w, 1, &sweep(5, 1, &[2])), Response::Never);
-    w.refused.extend(0..3);
+    w.state_link.refused.extend(0..3);
     w.run(4.0);
     assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[78])), Response::Later);
-    w.refused.clear();
+    w.state_link.refused.clear();
     w.run(3.0);
     assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[1])), Response::Taken);
     // A repetition of an accepted job is never refused, whatever it names.
@@ -214,11 +214,11 @@
         for i in 0..3 {
             for lost in [false, true] {
                 let mut w = cluster(2.0);
-                w.slow_ms = slow_ms;
+                w.state_link.latency_ms = slow_ms;
                 w.requests.seed(i as u64 + 7);
-                w.lost_answers = if lost { 100 } else { 0 };
+                w.state_link.lost_response_percent = if lost { 100 } else { 0 };
                 let first = submit(&mut w, i, &sweep(1, 1, &[]));
-                w.lost_answers = 0;
+                w.state_link.lost_response_percent = 0;
                 if lost {
                     // Its user asks again, elsewhere.
                     let again = submit(&mut w, (i + 2) % 3, &sweep(1, 1, &[]));
@@ -251,14 +251,14 @@
         w.run(2.0);
         let request = w.ask_once(i, &id(1), Question::Cancel);
         w.run_until(6.0, |w| w.requests.answers.contains_key(&request));
-        w.refused.extend(0..3);
+        w.state_link.refused.extend(0..3);
         for _ in 0..14 {
             for k in 0..3 {
                 w.ask_once(k, &id(2), Question::Poll);
             }
             w.run(5.0);
         }
-        w.refused.clear();
+        w.state_link.refused.clear();
         w.run(3.0);
         for k in 0..3 {
             assert_eq!(status_at(&mut w, k, 2), Some(JobStatus::Cancelled));
@@ -308,7 +308,7 @@
         assert_eq!(submit(&mut w, 0, &sweep(job, 40, &[1])), Response::Taken);
     }
     w.run(20.0);
-    w.provision_requests.clear();
+    w.cloud.provision_requests.clear();
     assert_eq!(w.running(), 1, "only the first has a task");
     let controller = w.controllers[0].as_ref().expect("it is up");
     assert!(controller.mirror.undivided.is_empty());
@@ -323,9 +323,9 @@
     w.run(10.0);
     assert_eq!(w.running(), 5, "all of its team's limit is free for it");
     assert!(
-        w.provision_requests.is_empty(),
+        w.cloud.provision_requests.is_empty(),
         "{:?}",
-        w.provision_requests
+        w.cloud.provision_requests
     );
     whole(&w);
 }
@@ -475,8 +475,8 @@
     );
     w.requests.seed(seed);
     w.seed_late(seed);
-    w.lists_ms = Some(5000.0);
-    (w.provisioning_ms, w.provisioned_run_ms) = (Some(5000.0), 4000.0);
+    w.cloud.list_every_ms = Some(5000.0);
+    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut pipelines = Pipelines::default();
     let mut job = 100;
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -114,16 +114,16 @@
 #[test]
 fn a_late_round_dies_with_the_attributes_it_was_placed_by() {
     let mut w = cluster(json!({ "a": { "Ledger": true } }));
-    w.hold_commits = [0, 1, 2].into();
+    w.state_link.hold_owner_commits = [0, 1, 2].into();
     w.submit_with(&World::spec("j-000001", "sweep", 2), requires("Ledger"));
     w.run(3.0);
-    let late = std::mem::take(&mut w.held_commits);
+    let late = std::mem::take(&mut w.state_link.held_commits);
     assert!(
         late.iter()
             .any(|c| c.apply.iter().any(|a| a.key().starts_with("c/mark/")))
     );
     w.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
-    w.hold_commits.clear();
+    w.state_link.hold_owner_commits.clear();
     w.kill(0);
     w.kill(1);
     w.kill(2);
@@ -157,6 +157,7 @@
     w.list_machines();
     w.run(20.0);
     let wanted: BTreeSet<_> = w
+        .cloud
         .provision_requests
         .iter()
         .map(|h| (&*h.machine_type, &*h.zone))
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -34,7 +34,7 @@
     w.submit(&World::spec("j-000001", "sweep", 2));
     w.run_until(5.0, |w| w.running() == 2);
     let host = host_of(&w, "j-000001/0");
-    w.one_way.insert(host.clone());
+    w.network.inbound_lost.insert(host.clone());
     w.run(30.0);
     assert_eq!(w.running(), 2, "{}", w.trace.join("\n"));
     let from = w.trace.len();
@@ -45,7 +45,7 @@
     w.run(40.0);
     assert_eq!(w.running(), 4, "the other two are full");
     assert_eq!(count(&w, from, &format!("{host} starts")), 0);
-    w.one_way.clear();
+    w.network.inbound_lost.clear();
     w.run_until(20.0, |w| w.running() == 6);
     assert_eq!(w.workers.len(), 3, "released");
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -61,7 +61,7 @@
             machines: vec![("a", 3), ("b", 3), ("c", 3)],
             ..Setup::default()
         });
-        w.copies_ms = copies;
+        w.duplicates.delay_ms = copies;
         w.submit(&World::spec("j-000001", "service", 6));
         w.submit(&World::spec("j-000002", "sweep", 3));
         w.run_until(10.0, |w| w.running() == 9);
@@ -71,7 +71,7 @@
             .filter(|x| x.zone == "a")
             .map(|x| x.host.clone())
             .collect();
-        w.one_way.extend(zone);
+        w.network.inbound_lost.extend(zone);
         w.run(3.0);
         w.cancel(1, "j-000002");
         w.run(45.0);
@@ -80,7 +80,7 @@
             .filter(|n| w.copies(&format!("j-000001/{n}")) == 1)
             .count();
         assert_eq!(there, 6, "{}", w.trace.join("\n"));
-        w.one_way.clear();
+        w.network.inbound_lost.clear();
         w.run(40.0);
         assert_eq!(w.workers.len(), 9, "released");
         assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -98,12 +98,12 @@
             machines: vec![("a", 3)],
             ..Setup::default()
         });
-        w.copies_ms = copies;
+        w.duplicates.delay_ms = copies;
         w.submit(&World::spec("j-000001", "sweep", 1));
         w.run_until(5.0, |w| w.running() == 1);
         w.run(35.0);
         let host = host_of(&w, "j-000001/0");
-        w.unreachable.insert(host.clone());
+        w.network.unreachable.insert(host.clone());
         w.workers.get_mut(&host).unwrap().tasks.clear();
         let at = w.now;
         w.run_until(40.0, |w| w.running() == 1);
@@ -123,7 +123,7 @@
             machines: vec![("a", 3), ("b", 1)],
             ..Setup::default()
         });
-        w.copies_ms = Some(ms);
+        w.duplicates.delay_ms = Some(ms);
         w.submit(&World::spec("j-000001", "service", 5));
         w.run_until(5.0, |w| w.running() == 5);
         w.run(20.0);
@@ -148,7 +148,7 @@
             machines: vec![("a", 2)],
             ..Setup::default()
         });
-        w.copies_ms = copies;
+        w.duplicates.delay_ms = copies;
         w.submit(&World::spec("j-000001", "service", 3));
         w.run_until(5.0, |w| w.running() == 3);
         w.run(60.0);
@@ -174,15 +174,15 @@
     });
     w.run(30.0);
     let hosts: Vec<String> = w.workers.keys().cloned().collect();
-    w.slow_direct.extend(hosts.clone());
+    w.machines.slow_commands.extend(hosts.clone());
     w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.held_direct.is_empty());
-    let host = w.held_direct[0].0.clone();
-    let held = std::mem::take(&mut w.held_direct);
+    w.run_until(5.0, |w| !w.machines.held_commands.is_empty());
+    let host = w.machines.held_commands[0].machine.clone();
+    let held = std::mem::take(&mut w.machines.held_commands);
     w.reborn(&host);
-    w.held_direct = held;
+    w.machines.held_commands = held;
     w.run(15.0);
-    w.slow_direct.clear();
+    w.machines.slow_commands.clear();
     w.deliver_direct();
     w.run(20.0);
     assert_eq!(w.copies("j-000001/0"), 1, "{}", w.trace.join("\n"));
@@ -200,9 +200,9 @@
     });
     let host = "host-000000".to_string();
     // Its second incarnation.
-    w.unreachable.insert(host.clone());
+    w.network.unreachable.insert(host.clone());
     w.run(12.0);
-    w.unreachable.clear();
+    w.network.unreachable.clear();
     w.run(5.0);
     w.submit(&World::spec("j-000001", "service", 4));
     w.run_until(5.0, |w| w.running() == 4);
@@ -226,10 +226,14 @@
     });
     w.submit(&World::spec("j-000001", "service", 20));
     w.run(60.0);
-    assert_eq!(w.questions, 0);
-    w.copies_ms = Some(7000.0);
+    assert_eq!(w.machines.status_queries, 0);
+    w.duplicates.delay_ms = Some(7000.0);
     w.run(60.0);
-    assert!(w.questions <= 20, "{}", w.questions);
+    assert!(
+        w.machines.status_queries <= 20,
+        "{}",
+        w.machines.status_queries
+    );
 }
 
 /// Troubles of this page in random overlaps with ends, freezes, refusals and
@@ -252,13 +256,13 @@
         let host = hosts[draw(hosts.len() as u64) as usize].clone();
         let i = draw(3) as usize;
         match draw(11) {
-            0 => drop(w.one_way.insert(host)),
-            1 => w.one_way.extend(
+            0 => drop(w.network.inbound_lost.insert(host)),
+            1 => w.network.inbound_lost.extend(
                 hosts
                     .into_iter()
                     .filter(|h| h.as_bytes()[10] % 3 == i as u8),
             ),
-            2 => w.copies_ms = Some(500.0 + draw(44_500) as f64),
+            2 => w.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
             3 => w.reborn(&host),
             4 => {
                 if w.controllers[i].is_some() {
@@ -267,37 +271,40 @@
                 }
                 w.start(i);
             }
-            5 => drop(w.frozen.insert(i)),
-            6 => drop(w.alone.insert(i)),
+            5 => drop(w.processes.frozen.insert(i)),
+            6 => drop(w.network.isolated.insert(i)),
             7 => {
-                w.refused.insert(i);
-                w.alone.insert(i);
+                w.state_link.refused.insert(i);
+                w.network.isolated.insert(i);
             }
-            8 => drop(w.slow_direct.insert(host)),
-            9 => drop(w.unreachable.insert(host)),
+            8 => drop(w.machines.slow_commands.insert(host)),
+            9 => drop(w.network.unreachable.insert(host)),
             _ => {
-                w.one_way.clear();
-                w.frozen.clear();
-                w.alone.clear();
-                w.refused.clear();
-                w.unreachable.clear();
-                w.slow_direct.clear();
+                w.network.inbound_lost.clear();
+                w.processes.frozen.clear();
+                w.network.isolated.clear();
+                w.state_link.refused.clear();
+                w.network.unreachable.clear();
+                w.machines.slow_commands.clear();
                 w.deliver_direct();
             }
         }
-        if cancelled < 2 && draw(100) < 15 && w.refused.len() + w.frozen.len() == 0 {
+        if cancelled < 2
+            && draw(100) < 15
+            && w.state_link.refused.len() + w.processes.frozen.len() == 0
+        {
             cancelled += 1;
             let id = format!("j-00000{}", jobs + 1 - cancelled);
             w.cancel(0, &id);
         }
         w.run(0.2 + draw(88) as f64 / 10.0);
     }
-    w.one_way.clear();
-    w.frozen.clear();
-    w.alone.clear();
-    w.refused.clear();
-    w.unreachable.clear();
-    w.slow_direct.clear();
+    w.network.inbound_lost.clear();
+    w.processes.frozen.clear();
+    w.network.isolated.clear();
+    w.state_link.refused.clear();
+    w.network.unreachable.clear();
+    w.machines.slow_commands.clear();
     w.deliver_direct();
     for _ in 0..20 {
         w.run(5.0);
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -50,7 +50,7 @@
         .host
         .clone();
     let owner = usize::from(host.as_bytes()[10] - b'0');
-    w.unreachable.insert(host.clone());
+    w.network.unreachable.insert(host.clone());
     w.workers.get_mut(&host).unwrap().lease_ms = f64::INFINITY;
     w.kill(owner);
     w.run(120.0);
@@ -73,11 +73,11 @@
         machines: vec![("a", 2)],
         ..Setup::default()
     });
-    w.hold_commits.insert(0);
+    w.state_link.hold_owner_commits.insert(0);
     w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.held_commits.is_empty());
+    w.run_until(5.0, |w| !w.state_link.held_commits.is_empty());
     w.kill(0);
-    w.hold_commits.clear();
+    w.state_link.hold_owner_commits.clear();
     w.run_until(30.0, |w| w.running() == 1);
     let store_revision = w.state.store_revision();
     let outcomes = w.deliver_commits();
@@ -99,11 +99,11 @@
         machines: vec![("a", 2)],
         ..Setup::default()
     });
-    w.hold_commits.extend([0, 1, 2]);
+    w.state_link.hold_owner_commits.extend([0, 1, 2]);
     w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.held_commits.is_empty());
+    w.run_until(5.0, |w| !w.state_link.held_commits.is_empty());
     w.kill(0);
-    let old = std::mem::take(&mut w.held_commits);
+    let old = std::mem::take(&mut w.state_link.held_commits);
     w.run_until(15.0, |w| {
         w.trace
             .iter()
@@ -136,7 +136,7 @@
         .unwrap()
         .host
         .clone();
-    w.unreachable.insert(host.clone());
+    w.network.unreachable.insert(host.clone());
     w.workers.get_mut(&host).unwrap().lease_ms = f64::INFINITY;
     w.kill(0);
     w.run_until(15.0, |w| {
@@ -161,15 +161,16 @@
         machines: vec![("a", 2)],
         ..Setup::default()
     });
-    w.slow_direct
+    w.machines
+        .slow_commands
         .extend(["host-000000".to_string(), "host-000001".to_string()]);
     w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.held_direct.is_empty());
+    w.run_until(5.0, |w| !w.machines.held_commands.is_empty());
     w.kill(0);
-    let old = std::mem::take(&mut w.held_direct);
-    w.slow_direct.clear();
+    let old = std::mem::take(&mut w.machines.held_commands);
+    w.machines.slow_commands.clear();
     w.run_until(25.0, |w| w.running() == 1);
-    w.held_direct = old;
+    w.machines.held_commands = old;
     assert_eq!(w.deliver_direct(), 0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
@@ -182,13 +183,13 @@
         machines: vec![("a", 1)],
         ..Setup::default()
     });
-    w.slow_direct.insert("host-000000".into());
+    w.machines.slow_commands.insert("host-000000".into());
     w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.held_direct.is_empty());
-    w.unreachable.insert("host-000000".into());
+    w.run_until(5.0, |w| !w.machines.held_commands.is_empty());
+    w.network.unreachable.insert("host-000000".into());
     w.cancel(1, "j-000001");
     w.run(1.0);
-    w.unreachable.clear();
+    w.network.unreachable.clear();
     w.run(10.0);
     assert_eq!(w.deliver_direct(), 0, "{}", w.trace.join("\n"));
     w.run(5.0);
@@ -207,8 +208,8 @@
     });
     w.submit(&World::spec("j-000001", "service", 1));
     w.run_until(5.0, |w| w.running() == 1);
-    w.refused.insert(0);
-    w.alone.insert(0);
+    w.state_link.refused.insert(0);
+    w.network.isolated.insert(0);
     w.run(0.5);
     w.cancel(1, "j-000001");
     w.run(20.0);
@@ -235,7 +236,7 @@
     }
     w.submit(&World::spec("j-000001", "service", 8));
     w.run_until(5.0, |w| w.running() == 8);
-    w.deaf.insert(0);
+    w.network.cut_from_workers.insert(0);
     w.run(18.0);
     assert_eq!(w.running(), 8);
     w.run(40.0);
@@ -255,10 +256,10 @@
     w.submit(&World::spec("j-000001", "service", 3));
     w.run_until(5.0, |w| w.running() == 3);
     w.submit(&World::spec("j-000002", "service", 1));
-    w.refused.extend([0, 1, 2]);
+    w.state_link.refused.extend([0, 1, 2]);
     w.run(90.0);
     assert_eq!(w.running(), 3, "{}", w.trace.join("\n"));
-    w.refused.clear();
+    w.state_link.refused.clear();
     w.run(10.0);
     assert_eq!(w.running(), 4, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
@@ -281,10 +282,10 @@
     }
     w.submit(&World::spec("j-000001", "sweep", 200));
     w.run(20.0);
-    assert_eq!(w.most_cores, 60.0);
+    assert_eq!(w.checker.most_cores, 60.0);
     w.run(80.0);
     assert_eq!(w.view(3, "j-000001").unwrap().status, JobStatus::Done);
-    assert_eq!(w.most_cores, 60.0);
+    assert_eq!(w.checker.most_cores, 60.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
@@ -301,7 +302,7 @@
         let status = w.view(i, "j-000001").map(|v| v.status);
         assert_eq!(status, Some(JobStatus::Cancelled), "node-{i}");
     }
-    w.refused.insert(1);
+    w.state_link.refused.insert(1);
     let now = w.now;
     let controller = w.controllers[1].as_mut().unwrap();
     controller.events(&old, now, now);
@@ -349,14 +350,14 @@
     w.run_until(120.0, |w| {
         w.state.pairs().iter().any(|p| p.v.text().contains("done"))
     });
-    assert_eq!(w.most_cores, 12.0);
-    w.most_cores = 0.0;
+    assert_eq!(w.checker.most_cores, 12.0);
+    w.checker.most_cores = 0.0;
     let mut spec = World::spec("j-000002", "sweep", 12);
     spec.zone = Some("a".into());
     w.submit(&spec);
     w.run(60.0);
     assert_eq!(
-        w.most_cores, 12.0,
+        w.checker.most_cores, 12.0,
         "the other parts give back what they do not use"
     );
     let view = w.view(1, "j-000002").unwrap();
@@ -621,7 +622,7 @@
     w.list_machines();
     w.run(5.0);
     let leader_index = w.state.get("c/lead").unwrap().1;
-    w.alone.extend([0, 1, 2]);
+    w.network.isolated.extend([0, 1, 2]);
     w.run(20.0);
     w.list_machines();
     w.run(3.0);
@@ -668,7 +669,7 @@
         all.find(|x| x.runs("j-000003/0")).map(|x| x.host.clone())
     };
     let first = holder(&w).expect("it runs");
-    w.unreachable.insert(first.clone());
+    w.network.unreachable.insert(first.clone());
     w.say(format!("{first} is lost"));
     w.run(14.0);
     let starts = starts(&w, "j-000003/0");
@@ -699,9 +700,9 @@
         let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
         w.workers.insert(name, worker);
     }
-    w.hold_lead = true;
-    w.run_until(14.0, |w| !w.held_commits.is_empty());
-    let moves = std::mem::take(&mut w.held_commits);
+    w.state_link.hold_leader_commits = true;
+    w.run_until(14.0, |w| !w.state_link.held_commits.is_empty());
+    let moves = std::mem::take(&mut w.state_link.held_commits);
     assert!(
         moves
             .iter()
@@ -715,8 +716,8 @@
             "{outcome:?}: {commit:?}"
         );
     }
-    w.held_commits.clear();
-    w.hold_lead = false;
+    w.state_link.held_commits.clear();
+    w.state_link.hold_leader_commits = false;
     w.run(40.0);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     let view = w.view(1, "j-000001").unwrap();
@@ -737,7 +738,7 @@
     w.run_until(5.0, |w| w.running() == 7);
     w.kill(0);
     w.say("host-000003 is lost");
-    w.unreachable.insert("host-000003".into());
+    w.network.unreachable.insert("host-000003".into());
     w.run(4.0);
     w.start(0);
     w.run(9.0);
--- a/crates/cherryyard-simulation/tests/scale_out.rs
+++ b/crates/cherryyard-simulation/tests/scale_out.rs
@@ -9,7 +9,7 @@
         machines: vec![("a", 1), ("b", 1)],
         ..Setup::default()
     });
-    w.provisioning_ms = Some(provisioning_ms);
+    w.cloud.provisioning_ms = Some(provisioning_ms);
     w.run(10.0);
     w.submit(&World::spec("j-000001", "service", 24));
     w
@@ -23,7 +23,11 @@
 }
 
 fn rented(w: &World) -> usize {
-    w.provision_requests.iter().map(|h| h.number as usize).sum()
+    w.cloud
+        .provision_requests
+        .iter()
+        .map(|h| h.number as usize)
+        .sum()
 }
 
 /// Up within a second: used, and no more are provisioned than are needed.
@@ -47,10 +51,15 @@
     assert_eq!(w.running(), 24, "{}", w.trace.join("\n"));
     listing(&mut w, 400);
     assert!(w.workers.len() <= 24, "{}", w.workers.len());
-    let names: BTreeSet<&String> = w.provision_requests.iter().map(|h| &h.request_id).collect();
+    let names: BTreeSet<&String> = w
+        .cloud
+        .provision_requests
+        .iter()
+        .map(|h| &h.request_id)
+        .collect();
     assert_eq!(
         names.len(),
-        w.provision_requests.len(),
+        w.cloud.provision_requests.len(),
         "a name was used again"
     );
 }
@@ -60,8 +69,8 @@
 fn some_never_come() {
     let mut w = short(1e12);
     listing(&mut w, 20);
-    w.provisioning_ms = Some(20_000.0);
-    let lost: Vec<String> = w.booting.keys().cloned().collect();
+    w.cloud.provisioning_ms = Some(20_000.0);
+    let lost: Vec<String> = w.cloud.booting.keys().cloned().collect();
     assert!(lost.len() >= 8);
     listing(&mut w, 100);
     // The first were expected after 60 s; four at a time are replaced.
@@ -69,7 +78,7 @@
     listing(&mut w, 200);
     assert_eq!(w.running(), 24);
     assert!(
-        lost.iter().all(|name| !w.booting.contains_key(name)),
+        lost.iter().all(|name| !w.cloud.booting.contains_key(name)),
         "kept"
     );
 }
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -1,6 +1,6 @@
 //! Submissions of many jobs: each of their jobs is created once, whatever fails.
 
-use cherryyard_simulation::{Setup, World, draws};
+use cherryyard_simulation::{CrashPoint, Setup, World, draws};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::End;
@@ -93,14 +93,14 @@
         let mut w = cluster(Some(400), 0.0);
         w.queue("june", &chunks);
         w.run(25.0);
-        w.creator_commits
+        w.state_link.creation_commits
     };
     assert!((3..30).contains(&total), "{total}");
     for n in 1..=total {
         for applied in [false, true] {
             let what = format!("cut at {n}, applied {applied}");
             let mut w = cluster(Some(400), 0.0);
-            w.cut_creator = Some((n, applied));
+            w.state_link.creation_crash = Some(CrashPoint { commit: n, applied });
             let (number, first) = w.queue("june", &chunks);
             w.run(12.0);
             let ended = w
@@ -108,7 +108,7 @@
                 .iter()
                 .position(Option::is_none)
                 .expect("one has ended");
-            for commit in std::mem::take(&mut w.held_commits) {
+            for commit in std::mem::take(&mut w.state_link.held_commits) {
                 w.state.commit(&commit);
             }
             w.run(3.0);
@@ -129,11 +129,11 @@
     let mut w = cluster(Some(400), 0.0);
     let (number, first) = w.queue("june", &[chunk(&[(150, 1)])]);
     w.run_until(30.0, |w| w.submission(number).unwrap().next > 20);
-    w.refused = [0, 1, 2].into();
+    w.state_link.refused = [0, 1, 2].into();
     w.run(5.0);
     w.restart_all();
     w.run(15.0);
-    w.refused.clear();
+    w.state_link.refused.clear();
     w.run_until(120.0, |w| {
         w.submission(number).unwrap().swept == 1 && open_jobs(w) == 0
     });
@@ -148,9 +148,12 @@
     let mut w = cluster(Some(400), 0.0);
     w.workers.values_mut().for_each(|x| x.run_ms = 1e9);
     let (number, first) = w.queue("june", &[chunk(&[(300, 1)])]);
-    w.cut_creator = Some((6, false));
+    w.state_link.creation_crash = Some(CrashPoint {
+        commit: 6,
+        applied: false,
+    });
     w.run_until(30.0, |w| w.controllers.iter().any(Option::is_none));
-    let late = std::mem::take(&mut w.held_commits);
+    let late = std::mem::take(&mut w.state_link.held_commits);
     w.remove(number);
     let created = w.submission(number).unwrap().created();
     assert!(created > 5 && created < 300, "{created}");
@@ -194,7 +197,7 @@
         w.run(0.7);
     }
     w.run_until(200.0, |w| open_jobs(w) == 0);
-    assert_eq!(w.most_cores, 12.0);
+    assert_eq!(w.checker.most_cores, 12.0);
     assert!(w.broken.is_empty());
 }
 
@@ -222,11 +225,15 @@
                         w.kill(i);
                     }
                 }
-                1 => w.refused = [0, 1, 2].into(),
-                2 => w.refused = [next(3) as usize].into(),
+                1 => w.state_link.refused = [0, 1, 2].into(),
+                2 => w.state_link.refused = [next(3) as usize].into(),
                 3 => {
-                    let at = w.creator_commits + 1;
-                    w.cut_creator = Some((at, next(2) == 0));
+                    let at = w.state_link.creation_commits + 1;
+                    let applied = next(2) == 0;
+                    w.state_link.creation_crash = Some(CrashPoint {
+                        commit: at,
+                        applied,
+                    });
                 }
                 _ => {
                     let one = &mut all[next(2) as usize];
@@ -235,7 +242,7 @@
                 }
             }
             w.run(next(60) as f64 / 10.0);
-            w.refused.clear();
+            w.state_link.refused.clear();
             for i in 0..3 {
                 if w.controllers[i].is_none() && next(2) == 0 {
                     w.start(i);
@@ -243,7 +250,7 @@
             }
             w.deliver_commits();
         }
-        w.cut_creator = None;
+        w.state_link.creation_crash = None;
         for i in 0..3 {
             if w.controllers[i].is_none() {
                 w.start(i);
