--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -113,7 +113,7 @@
         let is_reachable =
             !self.network.cut_from_workers.contains(&i) && !self.processes.frozen.contains(&i);
         let controller = self.controllers[i].as_mut().filter(|_| is_reachable);
-        let reply = controller.map(|controller| controller.report(heartbeat, now));
+        let reply = controller.map(|controller| controller.handle_worker_heartbeat(heartbeat, now));
         let name = &heartbeat.host;
         let awaits = self.machines.awaiting_response.get(name) == Some(&sent_at);
         let log = if awaits && !self.network.inbound_lost.contains(name) {
@@ -179,7 +179,7 @@
             PushOutcome::Unsent
         };
         if let Some(controller) = &mut self.controllers[i] {
-            controller.pushed(host, &request, outcome, now);
+            controller.handle_push_outcome(host, &request, outcome, now);
         }
     }
 
@@ -193,7 +193,7 @@
         let worker = self.workers.get_mut(name).filter(|_| is_reachable);
         let status = worker.map(|worker| worker.report(now));
         if let Some(controller) = &mut self.controllers[i] {
-            controller.queried(host, status.as_ref(), now);
+            controller.handle_status_answer(host, status.as_ref(), now);
         }
     }
 
