--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -22,9 +22,8 @@
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
 use cherryyard_wire::history::PackedRecord;
-use cherryyard_wire::record::{
-    End, FormatRecord, Grant, ImagesRecord, Key, LeaseRecord, StoredPage,
-};
+use cherryyard_wire::page::StoredPage;
+use cherryyard_wire::record::{End, FormatRecord, Grant, ImagesRecord, Key, LeaseRecord};
 use cherryyard_wire::rules::Attributes;
 use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchResponse};
 use cherryyard_wire::{RangeSet, record};
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -1,7 +1,8 @@
 //! Pages of assignments: what a shard's owner has started, of many jobs in one record.
 
 use crate::names::Names;
-use cherryyard_wire::record::{AssignmentGroup, PageRecord, StoredPage};
+use cherryyard_wire::page::StoredPage;
+use cherryyard_wire::record::{AssignmentGroup, PageRecord};
 use cherryyard_wire::{RangeSet, page};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -5,7 +5,8 @@
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
-use cherryyard_wire::record::{PageRecord, StoredPage, admission_log_key, assignments_key};
+use cherryyard_wire::page::StoredPage;
+use cherryyard_wire::record::{PageRecord, admission_log_key, assignments_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::BTreeSet;
 
--- a/crates/cherryyard-wire/src/dependencies.rs
+++ b/crates/cherryyard-wire/src/dependencies.rs
@@ -1,6 +1,6 @@
 //! Jobs that wait for others: what a submission names, and what is stored of it.
 
-use crate::job::{job_id, job_number};
+use crate::job_id::{job_id, job_number};
 use serde::{Deserialize, Deserializer, Serialize};
 
 /// Most jobs that a submission may wait for.
--- a/crates/cherryyard-wire/src/job.rs
+++ b/crates/cherryyard-wire/src/job.rs
@@ -1,6 +1,7 @@
 //! Users' jobs as they are submitted and shown.
 
 use crate::dependencies::{dependency_numbers, read_ids};
+pub use crate::job_id::{job_id, job_number};
 use serde::{Deserialize, Serialize};
 
 /// Most tasks in a job.
@@ -73,22 +74,6 @@
     pub waits_on: Vec<String>,
 }
 
-/// The number in a job id: `j-` and six or more digits, without needless zeros.
-pub fn job_number(id: &str) -> Option<u64> {
-    let digits = id.strip_prefix("j-")?;
-    let plain = digits.bytes().all(|b| b.is_ascii_digit());
-    let padded = digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0'));
-    if !plain || !padded || digits.len() > 18 {
-        return None;
-    }
-    digits.parse().ok()
-}
-
-/// The id of job `number`.
-pub fn job_id(number: u64) -> String {
-    format!("j-{number:06}")
-}
-
 impl JobSpec {
     /// Reads and checks a submission; the error names the field.
     pub fn parse(body: &[u8]) -> Result<Self, String> {
--- a/crates/cherryyard-wire/src/lib.rs
+++ b/crates/cherryyard-wire/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod dependencies;
 pub mod history;
 pub mod job;
+pub mod job_id;
 pub mod page;
 pub mod peer;
 pub mod ranges;
--- a/crates/cherryyard-wire/src/page.rs
+++ b/crates/cherryyard-wire/src/page.rs
@@ -25,8 +25,36 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use integer_encoding::VarInt;
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// A page of a shard's assignments as it is stored: packed, or plain as builds
+/// before format [`DEPENDENCIES`](crate::record::DEPENDENCIES) write it and an empty page always is.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(untagged)]
+pub enum StoredPage {
+    /// Packed.
+    Packed {
+        /// What [`pack`] gives.
+        b: String,
+    },
+    /// Plain.
+    Plain(PageRecord),
+}
+
+impl StoredPage {
+    /// Bytes that packed text takes as JSON beside itself.
+    pub const FRAME: usize = 8;
+
+    /// What it says; none if it makes no sense.
+    pub fn read(self) -> Option<PageRecord> {
+        match self {
+            Self::Packed { b } => unpack(&b),
+            Self::Plain(record) => Some(record),
+        }
+    }
+}
+
 /// Version of the encoding.
 const VERSION: u8 = 1;
 /// Modes of machines' names.
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -5,13 +5,14 @@
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::admission_log::{AdmissionPageRecord, Rest};
 use cherryyard_wire::job::{JobSpec, job_id};
+use cherryyard_wire::page::StoredPage;
 use cherryyard_wire::peer::{
     CapacityReport, DemandReport, FlowShare, ForwardResponse, ForwardedSubmission, Heartbeat,
     LevelGrant, MachineCapacity, MachinePool, Message, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
     ADMISSION_LOG, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
-    PageRecord, StoredPage,
+    PageRecord,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
