--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -40,7 +40,7 @@
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
             jobs: self.mirror.format.max(1),
-            new: true,
+            admission_log: true,
             dependencies: self.mirror.dependencies,
         };
         commit.apply.push(Apply::set(FORMAT, &record));
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -47,7 +47,7 @@
             shard: shard_id as u32,
             revision,
             pools: Vec::new(),
-            images: stored.record.i.iter().map(|i| i.0.clone()).collect(),
+            images: stored.record.images.iter().map(|i| i.0.clone()).collect(),
             machines: Vec::new(),
             waiting: Vec::new(),
             wants: Vec::new(),
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -34,7 +34,7 @@
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
             jobs: self.mirror.format.max(1),
-            new: self.mirror.by_pages,
+            admission_log: self.mirror.by_pages,
             dependencies: true,
         };
         commit.apply.push(Apply::set(FORMAT, &record));
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -10,7 +10,7 @@
 use super::{EndedJob, Mirror};
 use crate::Config;
 use cherryyard_wire::record::{
-    self, BUCKETS, BucketRecord, End, JobRecord, Key, Use, bucket_key, job_hash, job_key,
+    self, BUCKETS, BucketRecord, End, JobRecord, Key, TaskUsage, bucket_key, job_hash, job_key,
 };
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,13 +30,18 @@
 /// One job in a bucket to be written.
 enum Item {
     Open(JobRecord),
-    Over(End, u32, u64, Option<Use>),
+    Over(End, u32, u64, Option<TaskUsage>),
 }
 
 impl Item {
     fn of(record: JobRecord, generation: u64) -> Self {
         match record {
-            JobRecord::Ended { end, n, r#use, .. } => Self::Over(end, n, generation, Some(r#use)),
+            JobRecord::Ended {
+                end,
+                task_count,
+                usage,
+                ..
+            } => Self::Over(end, task_count, generation, Some(usage)),
             open => Self::Open(open),
         }
     }
@@ -46,7 +51,7 @@
         match self {
             Self::Open(open) => Json::of(open).text().len() + 25,
             Self::Over(_, _, _, None) => 60,
-            Self::Over(_, _, _, Some(r#use)) => 160 + r#use.team.len(),
+            Self::Over(_, _, _, Some(usage)) => 160 + usage.team.len(),
         }
     }
 }
@@ -81,8 +86,8 @@
 
     pub(super) fn put_bucket(&mut self, from: u64, record: BucketRecord, revision: u64) {
         let mut jobs = BTreeSet::new();
-        let mut uses: BTreeMap<u64, Use> = record.u.into_iter().collect();
-        for (job, open) in record.o {
+        let mut uses: BTreeMap<u64, TaskUsage> = record.usage.into_iter().collect();
+        for (job, open) in record.open {
             jobs.insert(job);
             self.bucket_of.insert(job, from);
             if let Err(e) = self.put_job(job, open, revision) {
@@ -90,7 +95,7 @@
                 self.complaints.push(format!("{key}: job {job}: {e}"));
             }
         }
-        for (job, end, n, generation) in record.e {
+        for (job, end, n, generation) in record.ended {
             jobs.insert(job);
             self.bucket_of.insert(job, from);
             let uses = uses.remove(&job).map(|u| self.uses_of(&u));
@@ -151,15 +156,15 @@
         let uses = self.ended_uses.get(&job);
         let uses = uses
             .filter(|_| self.named_in_pages(job))
-            .map(|(team, n)| Use {
+            .map(|(team, n)| TaskUsage {
                 team: if *team == u32::MAX {
                     String::new()
                 } else {
                     self.teams.name(*team).to_string()
                 },
                 cores: n.cores,
-                acc: n.acc,
-                ram: n.ram,
+                accelerators: n.acc,
+                ram_gb: n.ram,
             });
         Some(Item::Over(ended.end, ended.n, ended.generation, uses))
     }
@@ -199,7 +204,7 @@
         let mut ends = false;
         let mut buckets: BTreeMap<u64, BTreeMap<u64, Item>> = BTreeMap::new();
         for (job, mut record) in records {
-            if let JobRecord::Ended { g, .. } = &mut record
+            if let JobRecord::Ended { generation: g, .. } = &mut record
                 && self.format >= BUCKETS
             {
                 *g = generation;
@@ -272,7 +277,7 @@
         self.require(&mut commit, Key::Format);
         let format = record::FormatRecord {
             jobs: BUCKETS,
-            new: self.by_pages,
+            admission_log: self.by_pages,
             dependencies: self.dependencies,
         };
         commit.apply.push(Apply::set(record::FORMAT, &format));
@@ -336,10 +341,10 @@
     let mut record = BucketRecord::default();
     for (_, job, _, item) in run {
         match item {
-            Item::Open(open) => record.o.push((job, open)),
+            Item::Open(open) => record.open.push((job, open)),
             Item::Over(end, n, generation, uses) => {
-                record.e.push((job, end, n, generation));
-                record.u.extend(uses.map(|u| (job, u)));
+                record.ended.push((job, end, n, generation));
+                record.usage.extend(uses.map(|u| (job, u)));
             }
         }
     }
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -229,8 +229,8 @@
     pub fn end_of_dependent(&self, job: u64) -> Option<JobRecord> {
         let cancelled_with = self.cancelled_with(job)?;
         let mut record = self.open.get(&job)?.ended(End::Cancelled);
-        if let JobRecord::Ended { by, .. } = &mut record {
-            *by = Some(cancelled_with);
+        if let JobRecord::Ended { cancelled_by, .. } = &mut record {
+            *cancelled_by = Some(cancelled_with);
         }
         Some(record)
     }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -8,7 +8,7 @@
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::{Dependencies, dependency_ids};
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Rank, Shape, job_id};
-use cherryyard_wire::record::{End, JobRecord, Use};
+use cherryyard_wire::record::{End, JobRecord, TaskUsage};
 use cherryyard_wire::rules::Rules;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -142,15 +142,15 @@
     pub fn ended(&self, end: End) -> JobRecord {
         JobRecord::Ended {
             end,
-            n: self.spec.task_count,
-            r#use: Use {
+            task_count: self.spec.task_count,
+            usage: TaskUsage {
                 team: self.spec.team.clone(),
                 cores: self.spec.cores,
-                acc: self.spec.accelerators,
-                ram: self.spec.ram_gb,
+                accelerators: self.spec.accelerators,
+                ram_gb: self.spec.ram_gb,
             },
-            g: 0,
-            by: None,
+            generation: 0,
+            cancelled_by: None,
         }
     }
 }
@@ -197,18 +197,18 @@
         match record {
             JobRecord::Ended {
                 end,
-                n,
-                r#use,
-                g,
-                by,
+                task_count,
+                usage,
+                generation,
+                cancelled_by,
             } => {
-                let uses = self.uses_of(&r#use);
+                let uses = self.uses_of(&usage);
                 let ended = EndedJob {
                     end,
-                    n,
-                    generation: g,
+                    n: task_count,
+                    generation,
                     revision,
-                    cancelled_by: by,
+                    cancelled_by,
                 };
                 self.put_end(job, ended, Some(uses));
             }
@@ -255,12 +255,12 @@
 
     /// The team, and what a task takes, of a job's record; a team that is not in the
     /// settings is none of ours.
-    pub(super) fn uses_of(&self, r#use: &Use) -> (u32, Needs) {
-        let team = self.teams.get(&r#use.team).unwrap_or(u32::MAX);
+    pub(super) fn uses_of(&self, usage: &TaskUsage) -> (u32, Needs) {
+        let team = self.teams.get(&usage.team).unwrap_or(u32::MAX);
         let needs = Needs {
-            cores: r#use.cores,
-            acc: r#use.acc,
-            ram: r#use.ram,
+            cores: usage.cores,
+            acc: usage.accelerators,
+            ram: usage.ram_gb,
         };
         (team, needs)
     }
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -51,8 +51,8 @@
         Self {
             label: holder.label,
             revision,
-            format: holder.f.unwrap_or(1),
-            process: holder.n,
+            format: holder.newest_format.unwrap_or(1),
+            process: holder.process,
         }
     }
 }
@@ -462,7 +462,7 @@
             Key::AdmissionPage(page) => self.put_admission_page(page, value.read()?, revision)?,
             Key::Format => {
                 let record: FormatRecord = value.read()?;
-                (self.format, self.by_pages) = (record.jobs, record.new);
+                (self.format, self.by_pages) = (record.jobs, record.admission_log);
                 self.dependencies = record.dependencies;
                 self.format_revision = revision;
             }
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -44,7 +44,7 @@
         let mut m = Machine::new(host, shard_id, report, now);
         let stored = &self.mirror.images[shard_id];
         if let Some(held) = stored.held.get(&report.host) {
-            for (name, gb) in held.iter().filter_map(|&i| stored.record.i.get(i)) {
+            for (name, gb) in held.iter().filter_map(|&i| stored.record.images.get(i)) {
                 m.use_image(name, *gb, true, f64::INFINITY);
             }
         }
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -122,7 +122,7 @@
             _ => None,
         };
         match packed {
-            Some(b) => StoredPage::Packed { b },
+            Some(base64) => StoredPage::Packed { base64 },
             None => StoredPage::Plain(record),
         }
     }
@@ -135,8 +135,10 @@
             let mut groups: BTreeMap<(u64, u64), AssignmentGroup> = BTreeMap::new();
             for (&number, assignment) in &j.assignments {
                 let place = *places.entry(assignment.host).or_insert_with(|| {
-                    record.h.push(hosts.name(assignment.host).to_string());
-                    record.h.len() as u64 - 1
+                    record
+                        .machines
+                        .push(hosts.name(assignment.host).to_string());
+                    record.machines.len() as u64 - 1
                 });
                 groups
                     .entry((assignment.attempt, assignment.incarnation))
@@ -144,7 +146,7 @@
                     .extend([place, number.into()]);
             }
             record
-                .j
+                .jobs
                 .push((job, groups.into_values().collect(), j.done.clone()));
         }
         record
@@ -153,7 +155,7 @@
     /// What a stored page says; none if it makes no sense.
     pub(crate) fn of_stored(stored: StoredPage, revision: u64, hosts: &mut Names) -> Option<Self> {
         let packed = match &stored {
-            StoredPage::Packed { b } => Some(b.len() + StoredPage::FRAME),
+            StoredPage::Packed { base64 } => Some(base64.len() + StoredPage::FRAME),
             StoredPage::Plain(_) => None,
         };
         let mut page = Self::of_record(stored.read()?, revision, hosts)?;
@@ -163,12 +165,12 @@
 
     /// What a record says; none if it makes no sense.
     fn of_record(record: PageRecord, revision: u64, hosts: &mut Names) -> Option<Self> {
-        let hosts: Vec<u32> = record.h.iter().map(|h| hosts.intern(h)).collect();
+        let hosts: Vec<u32> = record.machines.iter().map(|h| hosts.intern(h)).collect();
         let mut page = Self {
             revision,
             ..Self::default()
         };
-        for (job, groups, done) in record.j {
+        for (job, groups, done) in record.jobs {
             if !done.is_canonical() {
                 return None;
             }
--- a/crates/cherryyard-history/src/leaf.rs
+++ b/crates/cherryyard-history/src/leaf.rs
@@ -70,14 +70,14 @@
             before = p.job;
         }
         LeafRecord {
-            n: self.jobs.len() as u32,
-            b: BASE64.encode(&bytes),
+            job_count: self.jobs.len() as u32,
+            base64: BASE64.encode(&bytes),
         }
     }
 
     /// Reads a record; the error says what is wrong.
     pub fn of_record(record: &LeafRecord) -> Result<Self, &'static str> {
-        let bytes = BASE64.decode(&record.b).map_err(|_| "b: not base64")?;
+        let bytes = BASE64.decode(&record.base64).map_err(|_| "b: not base64")?;
         let (&version, mut rest) = bytes.split_first().ok_or("b: empty")?;
         if version != VERSION {
             return Err("b: written by a later version");
@@ -89,9 +89,9 @@
         };
         let small = |n: u64| u32::try_from(n).map_err(|_| "b: a number is too large");
         let base = small(take()?)?;
-        let mut jobs = Vec::with_capacity(record.n.min(20_000) as usize);
+        let mut jobs = Vec::with_capacity(record.job_count.min(20_000) as usize);
         let mut before = 0u64;
-        for i in 0..record.n {
+        for i in 0..record.job_count {
             let gap = take()?;
             let job = before.checked_add(gap).filter(|&job| job <= LAST);
             let job = job.ok_or("b: an id is too large")?;
@@ -196,7 +196,7 @@
             let leaf = Leaf::of(old.clone());
             let record = leaf.record();
             prop_assert_eq!(Leaf::of_record(&record).unwrap(), leaf.clone());
-            let json = record.b.len() + FRAME;
+            let json = record.base64.len() + FRAME;
             prop_assert!(json <= Leaf::size(leaf.jobs()) + 4);
             let new = Leaf::of(new);
             let pieces = fold(&leaf, new.jobs(), 0, most);
@@ -222,7 +222,7 @@
         /// No record that is damaged does more than fail.
         #[test]
         fn damaged_records_are_refused(n in 0u32..5000, b in "[A-Za-z0-9+/]{0,200}") {
-            let _ = Leaf::of_record(&LeafRecord { n, b });
+            let _ = Leaf::of_record(&LeafRecord { job_count: n, base64: b });
         }
     }
 
@@ -237,7 +237,7 @@
         };
         for (gap, most) in [(1, 4.1), (1_000_000_000_000, 11.0)] {
             let leaf = Leaf::of((0..400).map(|i| job(i, gap)).collect());
-            let bytes = leaf.record().b.len() as f64 / 400.0;
+            let bytes = leaf.record().base64.len() as f64 / 400.0;
             assert!(bytes < most, "{gap}: {bytes}");
         }
         let old = fold(&Leaf::of(vec![job(1, 1)]), &[job(2, 1)], 20_424, 1000);
--- a/crates/cherryyard-history/src/packer.rs
+++ b/crates/cherryyard-history/src/packer.rs
@@ -287,7 +287,7 @@
                     let mut record = self.record;
                     record.gen_done = record.gen_done.max(*done);
                     record.own = record.own.max(*own);
-                    record.spilling = record.n[0] > self.limits.small_run;
+                    record.spilling = record.jobs_in_runs[0] > self.limits.small_run;
                     self.then = Some(Then::Recorded(record));
                     Step::Write(Write {
                         record: Some(record),
@@ -334,7 +334,7 @@
                 }),
                 None => {
                     let mut record = self.record;
-                    record.n = [0, record.n[0] + record.n[1]];
+                    record.jobs_in_runs = [0, record.jobs_in_runs[0] + record.jobs_in_runs[1]];
                     record.spilling = false;
                     let write = Write {
                         record: Some(record),
@@ -451,7 +451,7 @@
             Then::Folded(taken) => {
                 // Those that are there already were folded by a leader that ended
                 // before it could count them.
-                self.record.n[0] += taken as u64;
+                self.record.jobs_in_runs[0] += taken as u64;
                 self.change(Event::Folded(taken));
             }
             Then::Spilled(taken) => self.change(Event::Spilled(taken)),
--- a/crates/cherryyard-history/tests/packer.rs
+++ b/crates/cherryyard-history/tests/packer.rs
@@ -150,7 +150,7 @@
                 }
             }
         }
-        assert_eq!(last.record.0.n, [0, 36], "{cut:?}");
+        assert_eq!(last.record.0.jobs_in_runs, [0, 36], "{cut:?}");
         assert!(!last.record.0.spilling);
         if let Some((write, lead, stamp)) = held {
             for state in states.iter().filter(|s| s.lead != lead) {
@@ -246,7 +246,7 @@
     let writes = store.writes as f64 / jobs as f64;
     println!("{writes:.3} writes a job");
     assert!(writes < 0.2, "{writes} writes a job");
-    assert_eq!(store.record.0.n.iter().sum::<u64>(), jobs as u64);
+    assert_eq!(store.record.0.jobs_in_runs.iter().sum::<u64>(), jobs as u64);
 }
 
 /// Batches in the leaf of before.
@@ -285,7 +285,7 @@
             Step::Write(write) => {
                 assert!(write.put.len() <= txn_ops, "{} changes", write.put.len());
                 assert!(write.when.len() + 2 <= txn_ops * 4);
-                let large = |put: &&(String, LeafRecord)| put.1.b.len() > 120;
+                let large = |put: &&(String, LeafRecord)| put.1.base64.len() > 120;
                 assert_eq!(write.put.iter().find(large), None);
                 sent += 1;
                 let ends = cut.filter(|c| c.0 == sent);
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -13,7 +13,7 @@
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
     BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, MACHINE_TYPES_KEY, PACKED,
-    PageRecord, Use, assignments_key, bucket_key, job_hash, job_key,
+    PageRecord, TaskUsage, assignments_key, bucket_key, job_hash, job_key,
 };
 use clap::Parser;
 use rand::rngs::StdRng;
@@ -103,7 +103,7 @@
         jobs.sort_by_key(|&id| job_hash(id));
         for (i, two) in jobs.chunks(2).enumerate() {
             let bucket = BucketRecord {
-                o: two.iter().map(|&id| (id, record(id))).collect(),
+                open: two.iter().map(|&id| (id, record(id))).collect(),
                 ..BucketRecord::default()
             };
             let from = if i == 0 { 0 } else { job_hash(two[0]) };
@@ -116,12 +116,12 @@
         let mut assignments = PageRecord::default();
         for (i, &job) in some.iter().enumerate() {
             assignments
-                .h
+                .machines
                 .push(format!("host-{:06}", page * per_page + i));
             let at = i as u64;
             let places = (0..args.tasks).flat_map(|n| [at, n.into()]);
             let group = [7, 1].into_iter().chain(places).collect();
-            assignments.j.push((job, vec![group], RangeSet::new()));
+            assignments.jobs.push((job, vec![group], RangeSet::new()));
         }
         state.seed(&assignments_key(0, page as u32), &assignments);
     }
@@ -135,15 +135,15 @@
         for &id in ids {
             let record = JobRecord::Ended {
                 end: past(id).end,
-                n: 50,
-                r#use: Use {
+                task_count: 50,
+                usage: TaskUsage {
                     team: "team".into(),
                     cores: 1.0,
-                    acc: 0.0,
-                    ram: 1.7,
+                    accelerators: 0.0,
+                    ram_gb: 1.7,
                 },
-                g: 0,
-                by: None,
+                generation: 0,
+                cancelled_by: None,
             };
             state.seed(&job_key(id), &record);
         }
@@ -153,7 +153,7 @@
         FORMAT,
         &FormatRecord {
             jobs: BUCKETS,
-            new: false,
+            admission_log: false,
             dependencies: false,
         },
     );
@@ -163,7 +163,7 @@
     let record = PackedRecord {
         gen_now: 2,
         gen_done: 1,
-        n: [0, ids.len() as u64],
+        jobs_in_runs: [0, ids.len() as u64],
         ..PackedRecord::default()
     };
     state.seed(PACKED, &record);
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -217,8 +217,8 @@
     let mut commit = Commit::default();
     let holder = LeaseRecord {
         label: "node-2".into(),
-        f: None,
-        n: None,
+        newest_format: None,
+        process: None,
     };
     commit.apply.push(Apply::Set {
         set: shard_key(2),
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -102,7 +102,7 @@
         Apply::Set { set, v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
         _ => None,
     });
-    let host = assigned.expect("a page").h[0].clone();
+    let host = assigned.expect("a page").machines[0].clone();
     assert!(w.workers.contains_key(&host), "the mark's machine");
     let at = w.now + 900_000.0;
     w.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
@@ -127,7 +127,7 @@
     let key = |page: u32| assignments_key(0, page);
     let gone = |w: &World| match w.state.get(&key(0)) {
         None => true,
-        Some((v, _)) => page_of(v).j.is_empty(),
+        Some((v, _)) => page_of(v).jobs.is_empty(),
     };
     w.run_until(60.0, |w| {
         gone(w) && (1..9).any(|p| w.state.get(&key(p)).is_some())
--- a/crates/cherryyard-wire/src/history.rs
+++ b/crates/cherryyard-wire/src/history.rs
@@ -45,9 +45,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafRecord {
     /// How many jobs it holds.
-    pub n: u32,
+    #[serde(rename = "n")]
+    pub job_count: u32,
     /// The jobs, in base64; see `cherryyard_history::Leaf`.
-    pub b: String,
+    #[serde(rename = "b")]
+    pub base64: String,
 }
 
 /// How far the history goes: `c/packed`.
@@ -66,8 +68,8 @@
     #[serde(default)]
     pub own: u64,
     /// About how many jobs the small and the large run hold.
-    #[serde(default)]
-    pub n: [u64; 2],
+    #[serde(default, rename = "n")]
+    pub jobs_in_runs: [u64; 2],
     /// Whether the small run is being spilled into the large one.
     #[serde(default)]
     pub spilling: bool,
--- a/crates/cherryyard-wire/src/page.rs
+++ b/crates/cherryyard-wire/src/page.rs
@@ -36,7 +36,8 @@
     /// Packed.
     Packed {
         /// What [`pack`] gives.
-        b: String,
+        #[serde(rename = "b")]
+        base64: String,
     },
     /// Plain.
     Plain(PageRecord),
@@ -49,7 +50,7 @@
     /// What it says; none if it makes no sense.
     pub fn read(self) -> Option<PageRecord> {
         match self {
-            Self::Packed { b } => unpack(&b),
+            Self::Packed { base64 } => unpack(&base64),
             Self::Plain(record) => Some(record),
         }
     }
@@ -252,7 +253,7 @@
 
 /// The attempts and incarnations that a page names, in order.
 fn attempts_of(record: &PageRecord) -> Vec<(u64, u64)> {
-    let groups = record.j.iter().flat_map(|job| &job.1);
+    let groups = record.jobs.iter().flat_map(|job| &job.1);
     let named = groups.filter_map(|group| Some((*group.first()?, *group.get(1)?)));
     let mut attempts: Vec<(u64, u64)> = named.collect();
     attempts.sort_unstable();
@@ -263,7 +264,7 @@
 /// A page's record in few bytes; none if it makes no sense.
 pub fn pack(record: &PageRecord) -> Option<String> {
     let mut out = Writer(vec![VERSION]);
-    let machines = put_machines(&mut out, &record.h);
+    let machines = put_machines(&mut out, &record.machines);
     let attempts = attempts_of(record);
     out.put(attempts.len() as u64);
     let mut before = 0;
@@ -272,7 +273,7 @@
         out.put(incarnation);
         before = attempt;
     }
-    let mut jobs: Vec<_> = record.j.iter().collect();
+    let mut jobs: Vec<_> = record.jobs.iter().collect();
     jobs.sort_by_key(|job| job.0);
     out.put(jobs.len() as u64);
     let mut before = 0;
@@ -305,9 +306,9 @@
     for _ in 0..from.take_count()? {
         job = job.checked_add(from.take()?)?;
         let (groups, completed) = take_entries(&mut from, machines.len(), &attempts)?;
-        record.j.push((job, groups, completed));
+        record.jobs.push((job, groups, completed));
     }
-    record.h = machines;
+    record.machines = machines;
     Some(record)
 }
 
--- a/crates/cherryyard-wire/src/record/assignments.rs
+++ b/crates/cherryyard-wire/src/record/assignments.rs
@@ -12,10 +12,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageRecord {
     /// Machines that the assignments name.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub h: Vec<String>,
-    /// By job's number: its assignments, and its numbers done.
-    pub j: Vec<(u64, Vec<AssignmentGroup>, RangeSet)>,
+    #[serde(default, rename = "h", skip_serializing_if = "Vec::is_empty")]
+    pub machines: Vec<String>,
+    /// Of each job: its number, its assignments, and the numbers of its completed tasks.
+    #[serde(rename = "j")]
+    pub jobs: Vec<(u64, Vec<AssignmentGroup>, RangeSet)>,
 }
 
 /// What a shard may use of a team's limit.
--- a/crates/cherryyard-wire/src/record/format.rs
+++ b/crates/cherryyard-wire/src/record/format.rs
@@ -17,9 +17,9 @@
 pub struct FormatRecord {
     /// How jobs are kept.
     pub jobs: u32,
-    /// Whether new jobs come by pages of admissions, and by these alone.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub new: bool,
+    /// Whether new jobs are written to the admission log, and nowhere else.
+    #[serde(default, rename = "new", skip_serializing_if = "is_false")]
+    pub admission_log: bool,
     /// Whether jobs may wait for others.
     #[serde(default, skip_serializing_if = "is_false")]
     pub dependencies: bool,
--- a/crates/cherryyard-wire/src/record/images/tests.rs
+++ b/crates/cherryyard-wire/src/record/images/tests.rs
@@ -20,7 +20,7 @@
     assert_eq!(old.held().next(), Some(("host-1".into(), vec![0])));
     assert!(
         ImagesRecord::pack(images, &[("a b", vec![0])], 4096)
-            .m
+            .machines
             .is_empty()
     );
     assert!(old.is_sound());
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -11,14 +11,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BucketRecord {
     /// Jobs that are not over.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub o: Vec<(u64, JobRecord)>,
-    /// Jobs that are over: how, how many tasks they had, and the generation.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub e: Vec<(u64, End, u32, u64)>,
+    #[serde(default, rename = "o", skip_serializing_if = "Vec::is_empty")]
+    pub open: Vec<(u64, JobRecord)>,
+    /// Jobs that are over: job number, how it ended, how many tasks it had, and its
+    /// generation in the history.
+    #[serde(default, rename = "e", skip_serializing_if = "Vec::is_empty")]
+    pub ended: Vec<(u64, End, u32, u64)>,
     /// What a task of those takes, while some may still be on machines.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub u: Vec<(u64, Use)>,
+    #[serde(default, rename = "u", skip_serializing_if = "Vec::is_empty")]
+    pub usage: Vec<(u64, TaskUsage)>,
 }
 
 /// A job's record.
@@ -30,16 +31,17 @@
         /// How.
         end: End,
         /// How many tasks it has.
-        n: u32,
+        #[serde(rename = "n")]
+        task_count: u32,
         /// What each of its tasks takes, while some may still be there.
-        #[serde(default)]
-        r#use: Use,
+        #[serde(default, rename = "use")]
+        usage: TaskUsage,
         /// Its generation in the history; 0 where ends have none.
-        #[serde(default, skip_serializing_if = "is_zero")]
-        g: u64,
+        #[serde(default, rename = "g", skip_serializing_if = "is_zero")]
+        generation: u64,
         /// The cancelled job that it needed, if it is cancelled for that.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        by: Option<u64>,
+        #[serde(default, rename = "by", skip_serializing_if = "Option::is_none")]
+        cancelled_by: Option<u64>,
     },
     /// The job is not over.
     Open {
@@ -79,15 +81,17 @@
     Cancelled,
 }
 
-/// What a task takes of its team's limit.
+/// What one task counts against its team's limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Use {
+pub struct TaskUsage {
     /// The team.
     pub team: String,
     /// Cores.
     pub cores: f64,
     /// Accelerators.
-    pub acc: f64,
-    /// Memory.
-    pub ram: f64,
+    #[serde(rename = "acc")]
+    pub accelerators: f64,
+    /// Memory in GB.
+    #[serde(rename = "ram")]
+    pub ram_gb: f64,
 }
--- a/crates/cherryyard-wire/tests/page.rs
+++ b/crates/cherryyard-wire/tests/page.rs
@@ -13,11 +13,11 @@
 
 fn meaning(record: &PageRecord) -> Meaning {
     let mut all = Meaning::new();
-    for (job, groups, completed) in &record.j {
+    for (job, groups, completed) in &record.jobs {
         let mut running = BTreeMap::new();
         for group in groups {
             for pair in group[2..].chunks_exact(2) {
-                let machine = record.h[pair[0] as usize].clone();
+                let machine = record.machines[pair[0] as usize].clone();
                 running.insert(pair[1] as u32, (machine, group[1], group[0]));
             }
         }
@@ -31,10 +31,10 @@
     for (job, (running, completed)) in meaning {
         let mut groups: BTreeMap<(u64, u64), Vec<u64>> = BTreeMap::new();
         for (&number, (machine, incarnation, attempt)) in running {
-            let place = record.h.iter().position(|h| h == machine);
+            let place = record.machines.iter().position(|h| h == machine);
             let place = place.unwrap_or_else(|| {
-                record.h.push(machine.clone());
-                record.h.len() - 1
+                record.machines.push(machine.clone());
+                record.machines.len() - 1
             });
             let key = (*attempt, *incarnation);
             let group = groups
@@ -43,7 +43,7 @@
             group.extend([place as u64, number.into()]);
         }
         let groups = groups.into_values().collect();
-        record.j.push((*job, groups, completed.clone()));
+        record.jobs.push((*job, groups, completed.clone()));
     }
     record
 }
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -161,24 +161,24 @@
         after: Default::default(),
     };
     same("undivided", &undivided);
-    let r#use = cherryyard_wire::record::Use {
+    let usage = cherryyard_wire::record::TaskUsage {
         team: "member-care".into(),
         cores: 1.0,
-        acc: 0.0,
-        ram: 3.2,
+        accelerators: 0.0,
+        ram_gb: 3.2,
     };
     let ended = JobRecord::Ended {
         end: End::Done,
-        n: 6,
-        r#use: r#use.clone(),
-        g: 0,
-        by: None,
+        task_count: 6,
+        usage: usage.clone(),
+        generation: 0,
+        cancelled_by: None,
     };
     same("ended", &ended);
     let bucket = BucketRecord {
-        o: vec![(412, open(412, 7, Vec::new()))],
-        e: vec![(398_405, End::Cancelled, 6, 3)],
-        u: vec![(398_405, r#use)],
+        open: vec![(412, open(412, 7, Vec::new()))],
+        ended: vec![(398_405, End::Cancelled, 6, 3)],
+        usage: vec![(398_405, usage)],
     };
     same("bucket", &bucket);
     let mut page = AdmissionPageRecord::default();
@@ -201,7 +201,7 @@
     );
     let format = FormatRecord {
         jobs: 1,
-        new: true,
+        admission_log: true,
         dependencies: false,
     };
     same("format", &format);
@@ -214,8 +214,8 @@
     let images = ImagesRecord::pack(vec![("img-02".into(), 1.0)], &held, 4096);
     same("images", &images);
     let page = PageRecord {
-        h: vec!["host-000231".into(), "host-000007".into()],
-        j: vec![
+        machines: vec!["host-000231".into(), "host-000007".into()],
+        jobs: vec![
             (
                 412,
                 vec![vec![88, 1, 0, 0, 1, 3], vec![91, 2, 1, 4]],
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -21,7 +21,7 @@
         FORMAT,
         &FormatRecord {
             jobs: BUCKETS,
-            new: false,
+            admission_log: false,
             dependencies: false,
         },
     );
@@ -29,7 +29,7 @@
     let record = PackedRecord {
         gen_now: 2,
         gen_done: 1,
-        n: [0, 3],
+        jobs_in_runs: [0, 3],
         ..PackedRecord::default()
     };
     state.seed(PACKED, &record);
