--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -85,7 +85,7 @@
             let same =
                 |r: &(u32, u32, u32)| Some(r.0) == places[group.template] && r.1 == group.tasks;
             if let Some(last) = all.last_mut()
-                && let Some(run) = last.r.last_mut().filter(|r| same(r))
+                && let Some(run) = last.runs.last_mut().filter(|r| same(r))
             {
                 run.2 += 1;
                 continue;
@@ -100,10 +100,10 @@
             bytes += places[group.template].map_or(sizes[group.template], |_| 0) + 32;
             if let Some(chunk) = all.last_mut() {
                 let place = *places[group.template].get_or_insert_with(|| {
-                    chunk.t.push(self.templates[group.template].clone());
-                    chunk.t.len() as u32 - 1
+                    chunk.templates.push(self.templates[group.template].clone());
+                    chunk.templates.len() as u32 - 1
                 });
-                chunk.r.push((place, group.tasks, 1));
+                chunk.runs.push((place, group.tasks, 1));
             }
         }
         all
--- a/crates/cherryyard-condor/tests/submit.rs
+++ b/crates/cherryyard-condor/tests/submit.rs
@@ -168,7 +168,7 @@
     assert_eq!((c.templates.len(), c.groups.len()), (1, 20_000));
     let chunks = c.chunks(4000);
     assert_eq!(chunks.len(), 1);
-    assert_eq!(chunks[0].r, [(0, 1, 20_000)]);
+    assert_eq!(chunks[0].runs, [(0, 1, 20_000)]);
 }
 
 /// Items, their variables and slices, macros and their functions.
--- a/crates/cherryyard-core/src/leader/bulk_creation.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation.rs
@@ -73,7 +73,7 @@
     fn new(submission: u64, chunk: u32, first: u64, read: Chunk) -> Self {
         let mut jobs = Vec::new();
         let mut job = first;
-        for (template, task_count, count) in read.r {
+        for (template, task_count, count) in read.runs {
             for _ in 0..count {
                 jobs.push((job, template, task_count));
                 job += 1;
@@ -83,7 +83,7 @@
         Self {
             submission,
             chunk,
-            templates: read.t,
+            templates: read.templates,
             jobs,
         }
     }
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -18,7 +18,7 @@
 
 use super::{Mirror, OpenJob};
 use crate::Config;
-use cherryyard_wire::admission_log::{AdmissionPageRecord, Arrival, Rest};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, AdmittedJob, Rest};
 use cherryyard_wire::record::{BUCKETS, Key, admission_log_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::BTreeSet;
@@ -65,14 +65,14 @@
             record.push(job, &open.spec, open.at, &open.div, rest);
         };
         add(&mut one);
-        let known = self.record.c.contains(&one.c[0]);
+        let known = self.record.common.contains(&one.common[0]);
         let size = |x: Option<Vec<u8>>| x.map_or(most, |text| text.len() + 1);
         // Later rows' times have more digits.
-        let mut bytes = size(serde_json::to_vec(&one.j).ok()) + 12;
+        let mut bytes = size(serde_json::to_vec(&one.jobs).ok()) + 12;
         if !known {
-            bytes += size(serde_json::to_vec(&one.c).ok());
+            bytes += size(serde_json::to_vec(&one.common).ok());
         }
-        if self.record.j.len() >= MOST_ROWS || self.bytes + bytes + 50 > most {
+        if self.record.jobs.len() >= MOST_ROWS || self.bytes + bytes + 50 > most {
             return false;
         }
         self.bytes += bytes;
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    fn put_admission(&mut self, arrival: Arrival) {
+    fn put_admission(&mut self, arrival: AdmittedJob) {
         let job = arrival.job;
         if self.open.get(&job).is_some_and(|o| o.div == arrival.div) {
             return;
@@ -212,7 +212,7 @@
                 break;
             }
             if !draft.push(job, open, most) {
-                if added > 0 || draft.record.j.is_empty() {
+                if added > 0 || draft.record.jobs.is_empty() {
                     break;
                 }
                 // The last page is full: a new one.
--- a/crates/cherryyard-simulation/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -49,11 +49,11 @@
     w.run(10.0);
     let (since, before) = (w.now, w.state.writes);
     let chunk = Chunk {
-        t: vec![Template {
+        templates: vec![Template {
             spec: World::spec(NO_ID, "sweep", 1),
             rules: None,
         }],
-        r: vec![(0, args.tasks, args.jobs)],
+        runs: vec![(0, args.tasks, args.jobs)],
     };
     let (number, _) = w.queue("measured", &[chunk]);
     let mut ended = false;
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -21,11 +21,11 @@
 /// Runs of jobs: how many, with how many tasks each.
 fn chunk(runs: &[(u32, u32)]) -> Chunk {
     Chunk {
-        t: vec![Template {
+        templates: vec![Template {
             spec: World::spec(NO_ID, "sweep", 1),
             rules: None,
         }],
-        r: runs.iter().map(|&(jobs, tasks)| (0, tasks, jobs)).collect(),
+        runs: runs.iter().map(|&(jobs, tasks)| (0, tasks, jobs)).collect(),
     }
 }
 
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -56,20 +56,23 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
     /// Templates that they use.
-    pub t: Vec<Template>,
-    /// Runs of jobs: by which template, with how many tasks each, and how many jobs.
-    pub r: Vec<(u32, u32, u32)>,
+    #[serde(rename = "t")]
+    pub templates: Vec<Template>,
+    /// Runs of equal jobs: the template's index, how many tasks each has, and how many
+    /// jobs there are.
+    #[serde(rename = "r")]
+    pub runs: Vec<(u32, u32, u32)>,
 }
 
 impl Chunk {
     /// How many jobs it stands for.
     pub fn jobs(&self) -> u64 {
-        self.r.iter().map(|r| u64::from(r.2)).sum()
+        self.runs.iter().map(|run| u64::from(run.2)).sum()
     }
 
     /// Checks it; the error names the field.
     pub fn check(&self) -> Result<(), String> {
-        for (i, t) in self.t.iter().enumerate() {
+        for (i, t) in self.templates.iter().enumerate() {
             let named = |e: String| format!("t[{i}].{e}");
             t.spec.check().map_err(named)?;
             if t.spec.id != NO_ID {
@@ -77,8 +80,8 @@
             }
             t.rules.iter().try_for_each(Rules::check).map_err(named)?;
         }
-        for (i, r) in self.r.iter().enumerate() {
-            if r.0 as usize >= self.t.len() {
+        for (i, r) in self.runs.iter().enumerate() {
+            if r.0 as usize >= self.templates.len() {
                 return Err(format!("r[{i}]: no such template"));
             }
             if r.1 == 0 || r.1 > crate::job::MAX_TASKS {
@@ -89,7 +92,7 @@
                 return Err(format!("r[{i}]: no jobs"));
             }
         }
-        if self.r.is_empty() || self.jobs() > MAX_JOBS {
+        if self.runs.is_empty() || self.jobs() > MAX_JOBS {
             return Err(format!("r: must stand for 1 to {MAX_JOBS} jobs"));
         }
         Ok(())
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -52,10 +52,10 @@
 
 /// Checks that all of a chunk's jobs can run.
 fn admit_chunk(controller: &Controller, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
-    for i in 0..post.jobs.t.len() {
-        let uses = post.jobs.r.iter().filter(|r| r.0 as usize == i);
+    for i in 0..post.jobs.templates.len() {
+        let uses = post.jobs.runs.iter().filter(|r| r.0 as usize == i);
         let task_count = uses.map(|r| r.1).max().unwrap_or(1);
-        let Template { spec, rules } = &mut post.jobs.t[i];
+        let Template { spec, rules } = &mut post.jobs.templates[i];
         spec.task_count = task_count;
         if !spec.waits_on.is_empty() {
             let why = format!("t[{i}].waits_on: jobs of a submission cannot wait for others");
