--- a/crates/cherryyard-condor/src/job.rs
+++ b/crates/cherryyard-condor/src/job.rs
@@ -231,7 +231,7 @@
             due_s: amount("DueSeconds")?,
             waits_on: Vec::new(),
         };
-        spec.check().map_err(|e| self.place.error(e))?;
+        spec.check().map_err(|e| self.place.error(e.to_string()))?;
         let mut set = |name: &str, value: Value| {
             let index = names.intern(name);
             if ad.get(index).is_none() {
--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -32,7 +32,7 @@
     pub fn resolve_dependencies(&self, spec: &JobSpec, past: &PastEnds) -> Resolution {
         let needs = match dependency_numbers(&spec.waits_on) {
             Ok(needs) => needs,
-            Err(why) => return Resolution::Never(why),
+            Err(why) => return Resolution::Never(why.to_string()),
         };
         let mut after = Dependencies::default();
         for need in needs {
--- a/crates/cherryyard-core/src/pools.rs
+++ b/crates/cherryyard-core/src/pools.rs
@@ -175,7 +175,7 @@
     }
 
     fn read(&self, rules: &Rules) -> Result<Read, String> {
-        rules.check()?;
+        rules.check().map_err(|e| e.to_string())?;
         let mut names = self.names.clone();
         let mut parse = |name: &str, text: &Option<String>| {
             let expr = text.as_ref().map(|t| Expr::parse(t, &mut names));
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -6,7 +6,9 @@
 //! none is. They get a block of ids of their own, and are created from the chunks at
 //! the pace of the write budget, by whoever leads.
 
+use crate::error::{FieldProblem, InvalidField, ReadError};
 use crate::job::JobSpec;
+pub use crate::limits::{MAX_CHUNKS, MAX_JOBS, NO_ID};
 use crate::rules::Rules;
 use serde::{Deserialize, Serialize};
 
@@ -14,12 +16,6 @@
 pub const FIRST_ID: u64 = 800_000_000_000_000_000;
 /// Ids end before this.
 pub const END_ID: u64 = 1_000_000_000_000_000_000;
-/// Most chunks of a submission.
-pub const MAX_CHUNKS: u32 = 4096;
-/// Most jobs of a submission.
-pub const MAX_JOBS: u64 = 100_000;
-/// The id that stands in templates.
-pub const NO_ID: &str = "j-000000";
 
 /// Whether an id is one that only submissions get.
 pub fn is_reserved(job: u64) -> bool {
@@ -71,32 +67,44 @@
     }
 
     /// Checks it; the error names the field.
-    pub fn check(&self) -> Result<(), String> {
-        for (i, t) in self.templates.iter().enumerate() {
-            let named = |e: String| format!("t[{i}].{e}");
-            t.spec.check().map_err(named)?;
-            if t.spec.id != NO_ID {
-                return Err(format!("t[{i}].id: must be {NO_ID}"));
-            }
-            t.rules.iter().try_for_each(Rules::check).map_err(named)?;
+    pub fn check(&self) -> Result<(), InvalidField> {
+        for (i, template) in self.templates.iter().enumerate() {
+            template.check().map_err(|e| e.within(&format!("t[{i}]")))?;
         }
-        for (i, r) in self.runs.iter().enumerate() {
-            if r.0 as usize >= self.templates.len() {
-                return Err(format!("r[{i}]: no such template"));
-            }
-            if r.1 == 0 || r.1 > crate::job::MAX_TASKS {
-                let most = crate::job::MAX_TASKS;
-                return Err(format!("r[{i}]: tasks must be from 1 to {most}"));
-            }
-            if r.2 == 0 {
-                return Err(format!("r[{i}]: no jobs"));
-            }
+        for (i, run) in self.runs.iter().enumerate() {
+            self.check_run(run)
+                .map_err(|problem| InvalidField::new(format!("r[{i}]"), problem))?;
         }
         if self.runs.is_empty() || self.jobs() > MAX_JOBS {
-            return Err(format!("r: must stand for 1 to {MAX_JOBS} jobs"));
+            return Err(InvalidField::new("r", FieldProblem::JobCount));
         }
         Ok(())
     }
+
+    fn check_run(&self, run: &(u32, u32, u32)) -> Result<(), FieldProblem> {
+        let &(template, task_count, jobs) = run;
+        if template as usize >= self.templates.len() {
+            return Err(FieldProblem::NoSuchTemplate);
+        }
+        if task_count == 0 || task_count > crate::limits::MAX_TASKS {
+            return Err(FieldProblem::RunTaskCount);
+        }
+        if jobs == 0 {
+            return Err(FieldProblem::NoJobs);
+        }
+        Ok(())
+    }
+}
+
+impl Template {
+    /// Checks it; the error names the field.
+    fn check(&self) -> Result<(), InvalidField> {
+        self.spec.check()?;
+        if self.spec.id != NO_ID {
+            return Err(InvalidField::new("id", FieldProblem::NotThePlaceholderId));
+        }
+        self.rules.iter().try_for_each(Rules::check)
+    }
 }
 
 /// A chunk as a client sends it.
@@ -115,13 +123,11 @@
 
 impl ChunkPost {
     /// Reads and checks one; the error names the field.
-    pub fn parse(body: &[u8]) -> Result<Self, String> {
+    pub fn parse(body: &[u8]) -> Result<Self, ReadError> {
         let post: Self = crate::parse_object(body)?;
         check_name(&post.name)?;
         if post.of == 0 || post.of > MAX_CHUNKS || post.chunk >= post.of {
-            return Err(format!(
-                "chunk: must be below `of`, which is at most {MAX_CHUNKS}"
-            ));
+            return Err(InvalidField::new("chunk", FieldProblem::ChunkNumber).into());
         }
         post.jobs.check()?;
         Ok(post)
@@ -129,10 +135,10 @@
 }
 
 /// Checks a submission's name.
-pub fn check_name(name: &str) -> Result<(), String> {
+pub fn check_name(name: &str) -> Result<(), InvalidField> {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
     if name.is_empty() || name.len() > 64 || !name.bytes().all(plain) {
-        return Err("name: must have 1 to 64 letters, digits, `.`, `_` or `-`".into());
+        return Err(InvalidField::new("name", FieldProblem::NotASubmissionName));
     }
     Ok(())
 }
@@ -277,63 +283,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    fn template() -> serde_json::Value {
-        json!({ "spec": { "id": NO_ID, "jobclass": "condor", "owner": "posting",
-            "shape": "sweep", "rank": "standard", "pieces": 1, "cores": 1.0,
-            "accelerators": 0.0, "ram_gb": 1.0, "bundle": "img", "image_gb": 0.0,
-            "together": false, "apart": false, "borrowed": false, "expected_s": 0.0,
-            "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0 } })
-    }
-
-    /// What is malformed is refused, and the reason names the field.
-    #[test]
-    fn bad_chunks_name_their_field() {
-        let good = json!({ "name": "june", "chunk": 0, "of": 2, "t": [template()],
-            "r": [[0, 3, 20_000]] });
-        let post = ChunkPost::parse(good.to_string().as_bytes()).unwrap();
-        assert_eq!(post.jobs.jobs(), 20_000);
-        for (field, value) in [
-            ("name", json!("a b")),
-            ("name", json!("")),
-            ("chunk", json!(2)),
-            ("of", json!(5000)),
-            ("r", json!([])),
-            ("r", json!([[1, 1, 1]])),
-            ("r", json!([[0, 0, 1]])),
-            ("r", json!([[0, 1, 4_000_000_000u32]])),
-            ("t", json!([7])),
-        ] {
-            let mut body = good.clone();
-            body[field] = value.clone();
-            let error = ChunkPost::parse(body.to_string().as_bytes()).unwrap_err();
-            assert!(error.contains(field), "{field} = {value}: {error}");
-        }
-        let mut own = good.clone();
-        own["t"][0]["spec"]["id"] = json!("j-000412");
-        let error = ChunkPost::parse(own.to_string().as_bytes()).unwrap_err();
-        assert!(error.contains("t[0].id"), "{error}");
-    }
-
-    /// Nothing that was accepted is dropped, and nothing removed comes back.
-    #[test]
-    fn phases_only_go_forward() {
-        use PhaseEvent::*;
-        let all = [Accepted, GivenUp, LastCreated, Removed, NoneOpen];
-        for event in all {
-            for last in [Phase::Cancelled, Phase::Dropped] {
-                assert_eq!(last.after(event), last);
-            }
-            for accepted in [Phase::Creating, Phase::Created, Phase::Cancelling] {
-                assert!(!matches!(
-                    accepted.after(event),
-                    Phase::Dropped | Phase::Receiving
-                ));
-            }
-            assert_ne!(Phase::Cancelling.after(event), Phase::Created);
-        }
-    }
-}
+mod tests;
--- a/crates/cherryyard-wire/src/dependencies.rs
+++ b/crates/cherryyard-wire/src/dependencies.rs
@@ -1,11 +1,10 @@
 //! Jobs that wait for others: what a submission names, and what is stored of it.
 
+use crate::error::{FieldProblem, InvalidField};
 use crate::job_id::{job_id, job_number};
+pub use crate::limits::MAX_DEPENDENCIES;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// Most jobs that a submission may wait for.
-pub const MAX_DEPENDENCIES: usize = 64;
-
 /// What an accepted job waits for, as it is stored with the job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dependencies {
@@ -35,18 +34,16 @@
 }
 
 /// The numbers of the named jobs, in order, each once; the error names the entry.
-pub fn dependency_numbers(ids: &[String]) -> Result<Vec<u64>, String> {
+pub fn dependency_numbers(ids: &[String]) -> Result<Vec<u64>, InvalidField> {
     if ids.len() > MAX_DEPENDENCIES {
-        let count = ids.len();
-        return Err(format!(
-            "waits_on: {count} jobs, and at most {MAX_DEPENDENCIES} may be named"
-        ));
+        let problem = FieldProblem::TooManyDependencies { count: ids.len() };
+        return Err(InvalidField::new("waits_on", problem));
     }
     let mut numbers = Vec::new();
     for (i, id) in ids.iter().enumerate() {
-        let number = job_number(id);
-        let wrong = || format!("waits_on[{i}]: must be `j-` and digits, such as j-000412");
-        numbers.push(number.ok_or_else(wrong)?);
+        let number = job_number(id)
+            .ok_or_else(|| InvalidField::new(format!("waits_on[{i}]"), FieldProblem::NotAJobId))?;
+        numbers.push(number);
     }
     numbers.sort_unstable();
     numbers.dedup();
--- a/crates/cherryyard-wire/src/job.rs
+++ b/crates/cherryyard-wire/src/job.rs
@@ -1,12 +1,12 @@
 //! Users' jobs as they are submitted and shown.
 
 use crate::dependencies::{dependency_numbers, read_ids};
+use crate::error::{FieldProblem, InvalidField, ReadError};
 pub use crate::job_id::{job_id, job_number};
+use crate::limits::MAX_NAME_BYTES;
+pub use crate::limits::MAX_TASKS;
 use serde::{Deserialize, Serialize};
 
-/// Most tasks in a job.
-pub const MAX_TASKS: u32 = 100_000;
-
 /// What a job's tasks do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -76,31 +76,31 @@
 
 impl JobSpec {
     /// Reads and checks a submission; the error names the field.
-    pub fn parse(body: &[u8]) -> Result<Self, String> {
+    pub fn parse(body: &[u8]) -> Result<Self, ReadError> {
         let spec: Self = crate::parse_object(body)?;
         spec.check()?;
         Ok(spec)
     }
 
     /// Checks the fields; the error names one.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), InvalidField> {
         if job_number(&self.id).is_none() {
-            return Err("id: must be `j-` and digits, such as j-000412".into());
+            return Err(InvalidField::new("id", FieldProblem::NotAJobId));
         }
         for (name, text) in [
             ("jobclass", &self.job_class),
             ("owner", &self.team),
             ("bundle", &self.image),
         ] {
-            if text.is_empty() || text.len() > 200 {
-                return Err(format!("{name}: must have 1 to 200 bytes"));
+            if text.is_empty() || text.len() > MAX_NAME_BYTES {
+                return Err(InvalidField::new(name, FieldProblem::NameLength));
             }
         }
         if self.task_count == 0 || self.task_count > MAX_TASKS {
-            return Err(format!("pieces: must be from 1 to {MAX_TASKS}"));
+            return Err(InvalidField::new("pieces", FieldProblem::TaskCount));
         }
         if !(self.cores.is_finite() && self.cores > 0.0) {
-            return Err("cores: must be above 0".into());
+            return Err(InvalidField::new("cores", FieldProblem::NotPositive));
         }
         let amounts = [
             ("accelerators", self.accelerators),
@@ -111,9 +111,10 @@
             ("snapshot_cost_s", self.snapshot_cost_s),
             ("due_s", self.due_s.unwrap_or(0.0)),
         ];
-        for (name, x) in amounts {
-            if !x.is_finite() || x < 0.0 {
-                return Err(format!("{name}: must be 0 or more"));
+        for (name, amount) in amounts {
+            if !amount.is_finite() || amount < 0.0 {
+                let problem = FieldProblem::BelowLeast { least: 0 };
+                return Err(InvalidField::new(name, problem));
             }
         }
         dependency_numbers(&self.waits_on).map(|_| ())
@@ -170,69 +171,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::{Value, json};
-
-    fn good() -> Value {
-        json!({
-            "id": "j-000412", "jobclass": "train", "owner": "vision", "shape": "sweep",
-            "rank": "high", "pieces": 16, "cores": 8.0, "accelerators": 0, "ram_gb": 64.0,
-            "bundle": "img-07", "image_gb": 6.2, "kinds_of_host": null, "together": false,
-            "apart": false, "borrowed": true, "expected_s": 0.0, "snapshot_every_s": 0,
-            "snapshot_cost_s": 0, "due_s": null, "colour": "ignored"
-        })
-    }
-
-    /// What is malformed is refused, and the reason names the field.
-    #[test]
-    fn bad_submissions_name_their_field() {
-        assert!(JobSpec::parse(good().to_string().as_bytes()).is_ok());
-        let cases = [
-            ("id", json!("job-1")),
-            ("id", json!("j-12")),
-            ("id", json!("j-0000412")),
-            ("id", json!(null)),
-            ("shape", json!("gang")),
-            ("rank", json!("urgent")),
-            ("pieces", json!(0)),
-            ("pieces", json!(100_001)),
-            ("pieces", json!(-1)),
-            ("pieces", json!(1.5)),
-            ("cores", json!(0)),
-            ("cores", json!(-2.0)),
-            ("cores", json!("8")),
-            ("ram_gb", json!(-1)),
-            ("image_gb", json!(-0.1)),
-            ("expected_s", json!(-1)),
-            ("due_s", json!(-5)),
-            ("due_s", json!("soon")),
-            ("together", json!(1)),
-            ("kinds_of_host", json!(["g8", 3])),
-            ("bundle", json!("")),
-            ("owner", json!("x".repeat(201))),
-        ];
-        for (field, value) in cases {
-            let mut body = good();
-            body[field] = value.clone();
-            let error = JobSpec::parse(body.to_string().as_bytes()).unwrap_err();
-            assert!(error.contains(field), "{field} = {value}: {error}");
-            let mut without = good();
-            without.as_object_mut().unwrap().remove(field);
-            let missing = JobSpec::parse(without.to_string().as_bytes());
-            let optional = matches!(field, "due_s" | "kinds_of_host");
-            assert_eq!(missing.is_ok(), optional, "without {field}");
-        }
-        for text in [
-            "",
-            "[]",
-            "7",
-            "{",
-            "null",
-            "[\"j-000412\"]",
-            "{\"cores\":1e999}",
-        ] {
-            assert!(JobSpec::parse(text.as_bytes()).is_err(), "{text}");
-        }
-    }
-}
+mod tests;
--- a/crates/cherryyard-wire/src/lib.rs
+++ b/crates/cherryyard-wire/src/lib.rs
@@ -10,9 +10,11 @@
 pub mod cloud;
 pub mod condor;
 pub mod dependencies;
+pub mod error;
 pub mod history;
 pub mod job;
 pub mod job_id;
+pub mod limits;
 pub mod page;
 pub mod peer;
 pub mod ranges;
@@ -22,6 +24,7 @@
 pub mod state;
 pub mod worker;
 
+pub use error::{FieldProblem, InvalidField, ParseError, ReadError};
 pub use ranges::RangeSet;
 
 /// Largest request body, and largest line of an answer, in bytes.
@@ -30,25 +33,32 @@
 /// Parses `text` as a JSON object of type `T`; the error names the field.
 ///
 /// Arrays are refused although serde would accept them for a struct.
-pub fn parse_object<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, String> {
+pub fn parse_object<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, ParseError> {
     let first = text.iter().find(|b| !b.is_ascii_whitespace());
     if first == Some(&b'{')
-        && let Ok(good) = serde_json::from_slice(text)
+        && let Ok(object) = serde_json::from_slice(text)
     {
-        return Ok(good);
+        return Ok(object);
     }
-    // Read once more, slowly, to tell what is wrong with it.
+    explain_parse_failure(text)
+}
+
+/// Parses `text` once more, more slowly, so that the error names the field.
+fn explain_parse_failure<T: serde::de::DeserializeOwned>(text: &[u8]) -> Result<T, ParseError> {
     let value: serde_json::Value =
-        serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
+        serde_json::from_slice(text).map_err(|e| ParseError::NotJson {
+            reason: e.to_string(),
+        })?;
     if !value.is_object() {
-        return Err("not a JSON object".into());
+        return Err(ParseError::NotAnObject);
     }
     serde_path_to_error::deserialize(value).map_err(|e| {
         let path = e.path().to_string();
+        let reason = e.into_inner().to_string();
         if path == "." {
-            e.into_inner().to_string()
+            ParseError::Object { reason }
         } else {
-            format!("{path}: {}", e.into_inner())
+            ParseError::Field { path, reason }
         }
     })
 }
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -12,6 +12,7 @@
 //! at the other end can read, whichever build that is.
 
 use bitcode::{Decode, Encode};
+use thiserror::Error;
 
 /// The version of frames of earlier builds, which read no other.
 pub const LEGACY_VERSION: u8 = 8;
@@ -225,6 +226,40 @@
     }
 }
 
+/// Why a frame of another controller is refused.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum FrameError {
+    /// It has no bytes.
+    #[error("empty frame")]
+    Empty,
+    /// Its version is not known.
+    #[error("version {version} instead of {LEGACY_VERSION} or {VERSION}")]
+    UnknownVersion {
+        /// The version.
+        version: u8,
+    },
+    /// It has too many sections.
+    #[error("{count} sections")]
+    TooManySections {
+        /// How many.
+        count: usize,
+    },
+    /// Its payload cannot be decoded.
+    #[error("{reason}")]
+    Malformed {
+        /// What the decoder says.
+        reason: String,
+    },
+}
+
+impl From<bitcode::Error> for FrameError {
+    fn from(error: bitcode::Error) -> Self {
+        Self::Malformed {
+            reason: error.to_string(),
+        }
+    }
+}
+
 fn versioned(version: u8, body: Vec<u8>) -> Vec<u8> {
     let mut out = vec![version];
     out.extend(body);
@@ -252,24 +287,23 @@
 }
 
 /// Reads a frame's payload, of either version.
-pub fn decode(payload: &[u8]) -> Result<Frame, String> {
+pub fn decode(payload: &[u8]) -> Result<Frame, FrameError> {
     match payload.split_first() {
         Some((&LEGACY_VERSION, rest)) => Ok(Frame {
-            message: Some(bitcode::decode(rest).map_err(|e| e.to_string())?),
+            message: Some(bitcode::decode(rest)?),
             sender: None,
         }),
         Some((&VERSION, rest)) => decode_sections(rest),
-        Some((v, _)) => Err(format!(
-            "version {v} instead of {LEGACY_VERSION} or {VERSION}"
-        )),
-        None => Err("empty frame".into()),
+        Some((&version, _)) => Err(FrameError::UnknownVersion { version }),
+        None => Err(FrameError::Empty),
     }
 }
 
-fn decode_sections(payload: &[u8]) -> Result<Frame, String> {
-    let Sections(sections) = bitcode::decode(payload).map_err(|e| e.to_string())?;
+fn decode_sections(payload: &[u8]) -> Result<Frame, FrameError> {
+    let Sections(sections) = bitcode::decode(payload)?;
     if sections.len() > MAX_SECTIONS {
-        return Err(format!("{} sections", sections.len()));
+        let count = sections.len();
+        return Err(FrameError::TooManySections { count });
     }
     let mut frame = Frame {
         message: None,
@@ -278,10 +312,10 @@
     for (kind, bytes) in sections {
         match kind {
             MESSAGE_SECTION => {
-                frame.message = Some(bitcode::decode(&bytes).map_err(|e| e.to_string())?);
+                frame.message = Some(bitcode::decode(&bytes)?);
             }
             SENDER_SECTION => {
-                frame.sender = Some(bitcode::decode(&bytes).map_err(|e| e.to_string())?);
+                frame.sender = Some(bitcode::decode(&bytes)?);
             }
             // Of a later build.
             _ => {}
@@ -291,74 +325,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn sender() -> Sender {
-        Sender {
-            label: "a".into(),
-            format: 4,
-            build: "0.1.0".into(),
-        }
-    }
-
-    /// Sections of a kind that is not known are passed over, and what is known is read.
-    #[test]
-    fn unknown_sections_are_passed_over() {
-        let told = Message::ForwardResponse(ForwardResponse {
-            ticket: 1,
-            status: 200,
-            retry_after: 0,
-            body: "{}".into(),
-        });
-        let sections = Sections(vec![
-            (999, vec![1, 2, 3]),
-            (MESSAGE_SECTION, bitcode::encode(&told)),
-            (SENDER_SECTION, bitcode::encode(&sender())),
-            (1000, Vec::new()),
-        ]);
-        let frame = decode(&versioned(VERSION, bitcode::encode(&sections))).unwrap();
-        assert_eq!(frame.message, Some(told));
-        assert_eq!(frame.sender, Some(sender()));
-        let later = Sections(vec![(999, vec![7])]);
-        let frame = decode(&versioned(VERSION, bitcode::encode(&later))).unwrap();
-        assert_eq!((frame.message, frame.sender), (None, None));
-        let greeted = decode(&greeting(&sender())).unwrap();
-        assert_eq!((greeted.message, greeted.sender), (None, Some(sender())));
-    }
-
-    /// A truncated, foreign or random frame is an error, never a panic.
-    #[test]
-    fn bad_frames_are_refused() {
-        let heartbeat = Message::Heartbeat(Box::new(Heartbeat {
-            label: "a".into(),
-            cut_off: false,
-            silent_ms: 400,
-            cancelled: vec![412],
-            reach_ms: 60_000,
-            complete: false,
-            store_revision: 7,
-            leases: vec![(0, 3, "a".into())],
-            shards: vec![],
-            short: vec![],
-            handing: vec![],
-            misdirected: vec![],
-            number: 3,
-            heard: vec![(1, 7)],
-            shares: vec![],
-            intake_ms: 0,
-            demand: vec![],
-        }));
-        for whole in [encode_legacy(&heartbeat), encode(&heartbeat, &sender())] {
-            let read = decode(&whole).map(|frame| frame.message);
-            assert_eq!(read, Ok(Some(heartbeat.clone())));
-            for n in 0..whole.len() {
-                assert!(decode(&whole[..n]).is_err(), "{n} bytes");
-            }
-            let mut foreign = whole.clone();
-            foreign[0] = 10;
-            let refused = decode(&foreign);
-            assert_eq!(refused, Err("version 10 instead of 8 or 9".into()));
-        }
-    }
-}
+mod tests;
--- a/crates/cherryyard-wire/src/rules.rs
+++ b/crates/cherryyard-wire/src/rules.rs
@@ -5,16 +5,11 @@
 //! or by match expressions that are evaluated against each pool's attributes, or both:
 //! then a pool must satisfy both. `machine_types`, `zone` and `spot` count as well.
 
+use crate::error::{AttributeError, AttributeProblem, FieldProblem, InvalidField};
+pub use crate::limits::{MAX_ATTRIBUTES, MAX_BLOCKS, MAX_EXPRESSION};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest expression in a job's rules.
-pub const MAX_EXPRESSION: usize = 2048;
-/// Most blocks of pools.
-pub const MAX_BLOCKS: usize = 64;
-/// Most attributes in one group of operators' own.
-pub const MAX_ATTRIBUTES: usize = 64;
-
 /// Pools that a job may run in: all of these types in all of these zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PoolBlock {
@@ -62,14 +57,18 @@
 
     /// Checks the bounds; the error names the field. Whether the expressions parse
     /// is for whoever evaluates them.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), InvalidField> {
         for (name, text) in [("requirements", &self.requirements), ("rank", &self.rank)] {
             if text.as_ref().is_some_and(|t| t.len() > MAX_EXPRESSION) {
-                return Err(format!("rules.{name}: more than {MAX_EXPRESSION} bytes"));
+                let path = format!("rules.{name}");
+                return Err(InvalidField::new(path, FieldProblem::ExpressionTooLong));
             }
         }
         if self.pools.len() > MAX_BLOCKS {
-            return Err(format!("rules.cells: more than {MAX_BLOCKS} blocks"));
+            return Err(InvalidField::new(
+                "rules.cells",
+                FieldProblem::TooManyBlocks,
+            ));
         }
         Ok(())
     }
@@ -121,57 +120,49 @@
 
 impl Attributes {
     /// Checks names, values and bounds; the error names the attribute.
-    pub fn check(&self) -> Result<(), String> {
-        let all = [("all", &self.all)].into_iter();
-        let named = self.machine_types.iter().chain(&self.zones);
-        let groups = all.chain(named.map(|(name, group)| (name.as_str(), group)));
-        for (of, group) in groups {
-            if group.len() > MAX_ATTRIBUTES {
-                return Err(format!(
-                    "attributes of {of}: more than {MAX_ATTRIBUTES} of them"
-                ));
-            }
-            for (name, value) in group {
-                let bad = |what: &str| Err(format!("attribute {name} of {of}: {what}"));
-                let mut bytes = name.bytes();
-                let first = bytes
-                    .next()
-                    .is_some_and(|b| b.is_ascii_alphabetic() || b == b'_');
-                if !first || !bytes.all(|b| b.is_ascii_alphanumeric() || b == b'_') {
-                    return bad("not a name");
-                }
-                if BUILT_IN.iter().any(|b| b.eq_ignore_ascii_case(name)) {
-                    return bad("every machine has it, and it cannot be set");
-                }
-                let plain =
-                    |v: &serde_json::Value| v.is_boolean() || v.is_number() || v.is_string();
-                let list = value.as_array().is_some_and(|l| l.iter().all(plain));
-                if !plain(value) && !list {
-                    return bad("must be a boolean, a number, a string, or a list of these");
-                }
-            }
+    pub fn check(&self) -> Result<(), AttributeError> {
+        check_group("all", &self.all)?;
+        for (name, group) in self.machine_types.iter().chain(&self.zones) {
+            check_group(name, group)?;
         }
         Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn check_group(group_name: &str, group: &Group) -> Result<(), AttributeError> {
+    if group.len() > MAX_ATTRIBUTES {
+        return Err(AttributeError::TooMany {
+            group: group_name.into(),
+        });
+    }
+    for (name, value) in group {
+        check_attribute(name, value).map_err(|problem| AttributeError::Invalid {
+            name: name.clone(),
+            group: group_name.into(),
+            problem,
+        })?;
+    }
+    Ok(())
+}
 
-    /// What operators write wrongly is named.
-    #[test]
-    fn attributes_are_checked() {
-        let read = |text: &str| serde_json::from_str::<Attributes>(text).unwrap().check();
-        assert_eq!(read(r#"{"all":{"OpSys":"LINUX","Slots":[1,2]}}"#), Ok(()));
-        for (text, said) in [
-            (r#"{"all":{"a b":1}}"#, "attribute a b of all: not a name"),
-            (r#"{"kinds":{"g8":{"zone":"a"}}}"#, "zone of g8: every"),
-            (r#"{"zones":{"a":{"Rack":null}}}"#, "Rack of a: must be"),
-            (r#"{"zones":{"a":{"Rack":[[1]]}}}"#, "Rack of a: must be"),
-        ] {
-            let error = read(text).unwrap_err();
-            assert!(error.contains(said), "{text}: {error}");
-        }
+fn check_attribute(name: &str, value: &serde_json::Value) -> Result<(), AttributeProblem> {
+    let mut bytes = name.bytes();
+    let letter_first = bytes
+        .next()
+        .is_some_and(|b| b.is_ascii_alphabetic() || b == b'_');
+    if !letter_first || !bytes.all(|b| b.is_ascii_alphanumeric() || b == b'_') {
+        return Err(AttributeProblem::NotAName);
+    }
+    if BUILT_IN.iter().any(|b| b.eq_ignore_ascii_case(name)) {
+        return Err(AttributeProblem::BuiltIn);
     }
+    let plain = |v: &serde_json::Value| v.is_boolean() || v.is_number() || v.is_string();
+    let plain_list = value.as_array().is_some_and(|list| list.iter().all(plain));
+    if !plain(value) && !plain_list {
+        return Err(AttributeProblem::NotPlain);
+    }
+    Ok(())
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/cherryyard-wire/src/settings.rs
+++ b/crates/cherryyard-wire/src/settings.rs
@@ -1,5 +1,6 @@
 //! The settings file that the platform hands to every controller.
 
+use crate::error::{FieldProblem, InvalidField, ReadError};
 use serde::Deserialize;
 
 /// One controller's settings, checked by [`Settings::parse`].
@@ -65,6 +66,33 @@
     pub clock_off_ms: f64,
 }
 
+impl Cluster {
+    fn check(&self) -> Result<(), InvalidField> {
+        if self.zones.is_empty() {
+            return Err(InvalidField::new("cluster.zones", FieldProblem::Empty));
+        }
+        for (i, team) in self.teams.iter().enumerate() {
+            let amounts = [
+                ("cpus", team.cpus),
+                ("cpus_max", team.cpus_max),
+                ("gpus", team.gpus),
+                ("gpus_max", team.gpus_max),
+            ];
+            for (name, amount) in amounts {
+                check_least(&format!("cluster.teams[{i}].{name}"), amount, 0)?;
+            }
+        }
+        check_positive("cluster.workers.report_s", self.workers.report_s)?;
+        check_positive("cluster.workers.lease_s", self.workers.lease_s)?;
+        check_positive("cluster.workers.cancel_s", self.workers.cancel_s)?;
+        self.state.check()?;
+        check_positive("cluster.cloud.rps", self.cloud.rps)?;
+        check_least("cluster.cloud.list_lag_s", self.cloud.list_lag_s, 0)?;
+        let sockets = self.limits.sockets as f64;
+        check_least("cluster.limits.sockets", sockets, LEAST_SOCKETS)
+    }
+}
+
 /// A team, its guarantee and its limit; 0 means none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
@@ -164,46 +192,54 @@
     }
 
     /// Checks the fields; the error names one.
-    fn check(&self) -> Result<(), String> {
-        positive("cluster.state.rps", self.rps)?;
-        positive("cluster.state.write_rps", self.write_rps)?;
-        check_value_kb("cluster.state.value_kb", self.value_kb)?;
-        check_txn_ops("cluster.state.txn_ops", self.txn_ops)?;
+    fn check(&self) -> Result<(), InvalidField> {
+        check_positive("cluster.state.rps", self.rps)?;
+        check_positive("cluster.state.write_rps", self.write_rps)?;
+        check_least("cluster.state.value_kb", self.value_kb, LEAST_VALUE_KB)?;
+        check_least("cluster.state.txn_ops", self.txn_ops as f64, LEAST_TXN_OPS)?;
         let next = self.next.unwrap_or_default();
         if let Some(rps) = next.write_rps {
-            positive("cluster.state.next.write_rps", rps)?;
+            check_positive("cluster.state.next.write_rps", rps)?;
         }
         if let Some(kb) = next.value_kb {
-            check_value_kb("cluster.state.next.value_kb", kb)?;
+            check_least("cluster.state.next.value_kb", kb, LEAST_VALUE_KB)?;
         }
         if let Some(ops) = next.txn_ops {
-            check_txn_ops("cluster.state.next.txn_ops", ops)?;
+            check_least("cluster.state.next.txn_ops", ops as f64, LEAST_TXN_OPS)?;
         }
         Ok(())
     }
 }
 
-fn positive(name: &str, x: f64) -> Result<(), String> {
-    if x.is_finite() && x > 0.0 {
+fn check_positive(path: &str, number: f64) -> Result<(), InvalidField> {
+    if number.is_finite() && number > 0.0 {
         return Ok(());
     }
-    Err(format!("{name}: must be above 0"))
+    Err(InvalidField::new(path, FieldProblem::NotPositive))
 }
 
-fn check_value_kb(name: &str, kb: f64) -> Result<(), String> {
-    if kb.is_finite() && kb >= 1.0 {
+fn check_least(path: &str, number: f64, least: u32) -> Result<(), InvalidField> {
+    if number.is_finite() && number >= f64::from(least) {
         return Ok(());
     }
-    Err(format!("{name}: must be 1 or more"))
+    Err(InvalidField::new(path, FieldProblem::BelowLeast { least }))
 }
 
-fn check_txn_ops(name: &str, ops: usize) -> Result<(), String> {
-    if ops >= 2 {
+fn check_address(path: &str, text: &str) -> Result<(), InvalidField> {
+    if text.parse::<std::net::SocketAddr>().is_ok() {
         return Ok(());
     }
-    Err(format!("{name}: must be 2 or more"))
+    let text = text.to_string();
+    Err(InvalidField::new(path, FieldProblem::NotAnAddress { text }))
 }
 
+/// Least size of a value of the state service, in KiB.
+const LEAST_VALUE_KB: u32 = 1;
+/// Least number of changes in a transaction.
+const LEAST_TXN_OPS: u32 = 2;
+/// Least number of sockets that a controller can work with.
+const LEAST_SOCKETS: u32 = 32;
+
 /// Limits of the cloud's interface.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
@@ -240,60 +276,30 @@
 
 impl Settings {
     /// Reads and checks a settings file; the error names the field.
-    pub fn parse(text: &[u8]) -> Result<Self, String> {
-        let s: Self = crate::parse_object(text)?;
-        s.check()?;
-        Ok(s)
+    pub fn parse(text: &[u8]) -> Result<Self, ReadError> {
+        let settings: Self = crate::parse_object(text)?;
+        settings.check()?;
+        Ok(settings)
     }
 
-    fn check(&self) -> Result<(), String> {
-        let addr = |name: &str, text: &str| {
-            text.parse::<std::net::SocketAddr>()
-                .map(|_| ())
-                .map_err(|_| format!("{name}: `{text}` is not an IP address and port"))
-        };
+    fn check(&self) -> Result<(), InvalidField> {
         if self.label.is_empty() {
-            return Err("label: must not be empty".into());
+            return Err(InvalidField::new("label", FieldProblem::Empty));
         }
-        addr("public_addr", &self.public_addr)?;
-        addr("peer_listen", &self.peer_listen)?;
-        addr("services.cloud", &self.services.cloud)?;
-        addr("services.state", &self.services.state)?;
-        for (i, p) in self.known.iter().enumerate() {
-            addr(&format!("known[{i}].endpoint"), &p.endpoint)?;
-            if p.label == self.label || self.known[..i].iter().any(|q| q.label == p.label) {
-                return Err(format!("known[{i}].label: `{}` appears twice", p.label));
+        check_address("public_addr", &self.public_addr)?;
+        check_address("peer_listen", &self.peer_listen)?;
+        check_address("services.cloud", &self.services.cloud)?;
+        check_address("services.state", &self.services.state)?;
+        for (i, peer) in self.known.iter().enumerate() {
+            check_address(&format!("known[{i}].endpoint"), &peer.endpoint)?;
+            let known_before = self.known[..i].iter().any(|p| p.label == peer.label);
+            if peer.label == self.label || known_before {
+                let name = peer.label.clone();
+                let path = format!("known[{i}].label");
+                return Err(InvalidField::new(path, FieldProblem::Duplicate { name }));
             }
         }
-        let c = &self.cluster;
-        if c.zones.is_empty() {
-            return Err("cluster.zones: must not be empty".into());
-        }
-        for (i, t) in c.teams.iter().enumerate() {
-            let amounts = [
-                ("cpus", t.cpus),
-                ("cpus_max", t.cpus_max),
-                ("gpus", t.gpus),
-                ("gpus_max", t.gpus_max),
-            ];
-            for (name, x) in amounts {
-                if !x.is_finite() || x < 0.0 {
-                    return Err(format!("cluster.teams[{i}].{name}: must be 0 or more"));
-                }
-            }
-        }
-        positive("cluster.workers.report_s", c.workers.report_s)?;
-        positive("cluster.workers.lease_s", c.workers.lease_s)?;
-        positive("cluster.workers.cancel_s", c.workers.cancel_s)?;
-        c.state.check()?;
-        positive("cluster.cloud.rps", c.cloud.rps)?;
-        if !(c.cloud.list_lag_s.is_finite() && c.cloud.list_lag_s >= 0.0) {
-            return Err("cluster.cloud.list_lag_s: must be 0 or more".into());
-        }
-        if c.limits.sockets < 32 {
-            return Err("cluster.limits.sockets: must be 32 or more".into());
-        }
-        Ok(())
+        self.cluster.check()
     }
 
     /// All controllers' names and zones, in the order every controller agrees on.
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -296,7 +296,7 @@
                 return Ok(());
             }
             let name = name.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
-            check_name(&name)?;
+            check_name(&name).map_err(|e| e.to_string())?;
             println!("Submitting job(s).");
             let view = send(&server, &name, &cluster).await?;
             let first = view.first.unwrap_or_default();
@@ -313,7 +313,7 @@
         Condor::Q { server, name } => {
             let views = match name {
                 Some(name) => {
-                    check_name(&name)?;
+                    check_name(&name).map_err(|e| e.to_string())?;
                     let path = format!("/v2/condor/submissions/{name}");
                     vec![parsed(&good(insist("GET", &server, &path, None).await?)?)?]
                 }
@@ -326,7 +326,7 @@
             Ok(())
         }
         Condor::Rm { server, name } => {
-            check_name(&name)?;
+            check_name(&name).map_err(|e| e.to_string())?;
             let path = format!("/v2/condor/submissions/{name}/cancel");
             let body = Some(b"{}".to_vec());
             let answer = insist("POST", &server, &path, body).await?;
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -149,7 +149,7 @@
         machine_types: file.machine_type,
         zones: file.zone,
     };
-    tuning.attributes.check()?;
+    tuning.attributes.check().map_err(|e| e.to_string())?;
     Ok(tuning)
 }
 
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -233,7 +233,7 @@
     }
     let mut post = match ChunkPost::parse(body) {
         Ok(post) => post,
-        Err(e) => return bad(e),
+        Err(e) => return bad(e.to_string()),
     };
     let number = submission_number(&post.name);
     let at = wall_ms() as u64;
@@ -285,7 +285,7 @@
 /// Tells a submission's state.
 pub(super) async fn state(app: &Arc<App>, name: &str) -> Answer {
     if let Err(e) = check_name(name) {
-        return Answer::error(StatusCode::NOT_FOUND, e);
+        return Answer::error(StatusCode::NOT_FOUND, e.to_string());
     }
     if !app.caught_up().await {
         return Answer::later("the state service cannot be reached");
@@ -364,10 +364,10 @@
 pub(super) fn explain(app: &Arc<App>, body: &[u8]) -> Answer {
     let template = match parse_object::<Template>(body) {
         Ok(template) => template,
-        Err(e) => return bad(e),
+        Err(e) => return bad(e.to_string()),
     };
     if let Err(e) = template.spec.check() {
-        return bad(e);
+        return bad(e.to_string());
     }
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -70,10 +70,12 @@
 /// Reads a submission, and answers it if its job is known already.
 async fn read_submission(app: &Arc<App>, body: &[u8]) -> Result<Submission, Answer> {
     let bad = |e: String| Answer::error(StatusCode::BAD_REQUEST, e);
-    let spec = JobSpec::parse(body).map_err(bad)?;
+    let spec = JobSpec::parse(body).map_err(|e| bad(e.to_string()))?;
     let mut rules = None;
     if app.with(|n, _| n.config.tuning.condor) {
-        rules = parse_object::<Additions>(body).map_err(bad)?.rules;
+        rules = parse_object::<Additions>(body)
+            .map_err(|e| bad(e.to_string()))?
+            .rules;
         rules = rules.filter(|r| !r.is_empty());
     }
     let Some(job) = job_number(&spec.id) else {
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -140,7 +140,7 @@
         let answer = match body(&self.0, req).await {
             Err(answer) => answer,
             Ok(body) => match parse_object::<WorkerHeartbeat>(&body.text) {
-                Err(e) => Answer::error(StatusCode::BAD_REQUEST, e),
+                Err(e) => Answer::error(StatusCode::BAD_REQUEST, e.to_string()),
                 Ok(report) => match self.0.with(|n, now| n.report(&report, now)) {
                     Reply::Answer(a) => Answer::of(StatusCode::OK, &a),
                     Reply::Elsewhere(owner) => {
