--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -155,7 +155,7 @@
 impl ChunkBuilder<'_> {
     fn add(&mut self, group: &Group) {
         let position = self.positions[group.template];
-        if let Some(run) = self.current.r.last_mut()
+        if let Some(run) = self.current.runs.last_mut()
             && Some(run.0) == position
             && run.1 == group.tasks
         {
@@ -169,10 +169,12 @@
         }
         self.bytes += self.cost(group);
         let position = *self.positions[group.template].get_or_insert_with(|| {
-            self.current.t.push(self.templates[group.template].clone());
-            self.current.t.len() as u32 - 1
+            self.current
+                .templates
+                .push(self.templates[group.template].clone());
+            self.current.templates.len() as u32 - 1
         });
-        self.current.r.push((position, group.tasks, 1));
+        self.current.runs.push((position, group.tasks, 1));
     }
 
     /// Most bytes by which a group enlarges the current chunk.
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -44,7 +44,7 @@
         let mut machine = Machine::new(host, shard_id, heartbeat, now);
         let stored = &self.mirror.images[shard_id];
         if let Some(held) = stored.held.get(&heartbeat.host) {
-            for (name, gb) in held.iter().filter_map(|&i| stored.record.i.get(i)) {
+            for (name, gb) in held.iter().filter_map(|&i| stored.record.images.get(i)) {
                 machine.use_image(name, *gb, true, f64::INFINITY);
             }
         }
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -213,7 +213,7 @@
         let mut record = self.record;
         record.gen_done = record.gen_done.max(batch.generation);
         record.own = record.own.max(batch.revision);
-        record.spilling = record.n[0] > self.limits.small_run;
+        record.spilling = record.jobs_in_runs[0] > self.limits.small_run;
         record
     }
 
@@ -248,7 +248,7 @@
     /// Prepares the record that says that the small run is empty.
     fn prepare_emptied(&mut self) {
         let mut record = self.record;
-        record.n = [0, record.n[0] + record.n[1]];
+        record.jobs_in_runs = [0, record.jobs_in_runs[0] + record.jobs_in_runs[1]];
         record.spilling = false;
         let transaction = Transaction::of_record(record);
         self.operation = Operation::Prepared(transaction, Completion::Emptied(record));
@@ -365,7 +365,7 @@
             Completion::Archived(count) => {
                 // Jobs that are there already were written by a leader that stopped
                 // before it could count them.
-                self.record.n[0] += count as u64;
+                self.record.jobs_in_runs[0] += count as u64;
                 self.change(Event::Archived(count));
             }
             Completion::Compacted(count) => self.change(Event::Compacted(count)),
--- a/crates/cherryyard-history/src/leaf/codec.rs
+++ b/crates/cherryyard-history/src/leaf/codec.rs
@@ -60,8 +60,8 @@
             previous = finished.job;
         }
         LeafRecord {
-            n: self.jobs.len() as u32,
-            b: BASE64.encode(&bytes),
+            job_count: self.jobs.len() as u32,
+            base64: BASE64.encode(&bytes),
         }
     }
 
@@ -71,16 +71,18 @@
     ///
     /// What is wrong with a record that is damaged, or of a later version.
     pub fn from_record(record: &LeafRecord) -> Result<Self, LeafError> {
-        let bytes = BASE64.decode(&record.b).map_err(|_| LeafError::NotBase64)?;
+        let bytes = BASE64
+            .decode(&record.base64)
+            .map_err(|_| LeafError::NotBase64)?;
         let (&version, encoded) = bytes.split_first().ok_or(LeafError::Empty)?;
         if version != VERSION {
             return Err(LeafError::LaterVersion);
         }
         let mut varints = Varints { rest: encoded };
         let first_day = varints.next_u32()?;
-        let mut jobs = Vec::with_capacity(record.n.min(MAX_RESERVED_JOBS) as usize);
+        let mut jobs = Vec::with_capacity(record.job_count.min(MAX_RESERVED_JOBS) as usize);
         let mut previous = 0u64;
-        for index in 0..record.n {
+        for index in 0..record.job_count {
             let gap = varints.next_u64()?;
             let job = previous
                 .checked_add(gap)
