--- a/crates/cherryyard-classad/src/parse/mod.rs
+++ b/crates/cherryyard-classad/src/parse/mod.rs
@@ -1,6 +1,7 @@
 //! Parsing of expressions and ads, by the grammar in `classad.pest`.
 
 mod builder;
+mod check;
 mod error;
 mod grammar;
 mod limits;
@@ -12,6 +13,7 @@
 use crate::expr::Expr;
 use crate::names::Names;
 use builder::Builder;
+use check::check;
 use grammar::{Grammar, Rule};
 use pest::Parser;
 use pest::iterators::Pair;
@@ -24,7 +26,7 @@
     /// What is wrong with the text and where: it is no expression, too long, or nested too
     /// deep.
     pub fn parse(text: &str, names: &mut Names) -> Result<Self, ParseError> {
-        limits::check(text)?;
+        check(text)?;
         let mut pairs = Grammar::parse(Rule::whole_expr, text)?;
         match pairs.next() {
             Some(pair) => Builder::new(text, names).build(pair),
@@ -40,7 +42,7 @@
     ///
     /// What is wrong with the text and where, as for [`Expr::parse`].
     pub fn parse(text: &str, names: &mut Names) -> Result<Self, ParseError> {
-        limits::check(text)?;
+        check(text)?;
         let mut pairs = Grammar::parse(Rule::whole_ad, text)?;
         let mut ad = Self::default();
         for attribute in pairs.next().into_iter().flat_map(Pair::into_inner) {
--- a/crates/cherryyard-history/src/cache.rs
+++ b/crates/cherryyard-history/src/cache.rs
@@ -32,7 +32,7 @@
 /// Recently read leaves of both runs, up to a bound on their jobs.
 ///
 /// A job found in a leaf stays finished, however old the leaf is. That a job is *not* in
-/// a leaf holds only until the history changes: see [`LeafCache::look_up`].
+/// a leaf holds only until the history changes: see [`LeafCache::lookup`].
 #[derive(Debug)]
 pub struct LeafCache {
     /// By run and last job number; the least recently used is evicted first.
@@ -57,7 +57,7 @@
     /// What is known about a job in one run. `changed_at` is the revision at which the
     /// history last changed, that of its record: a leaf read before it may lack jobs that
     /// have been added since, so the job's absence from it proves nothing.
-    pub fn look_up(&mut self, level: Level, job: u64, changed_at: u64) -> Lookup {
+    pub fn lookup(&mut self, level: Level, job: u64, changed_at: u64) -> Lookup {
         let Some(&key) = self.order.range((level, job)..=(level, u64::MAX)).next() else {
             return Lookup::Unknown;
         };
--- a/crates/cherryyard-history/src/cache/tests.rs
+++ b/crates/cherryyard-history/src/cache/tests.rs
@@ -17,27 +17,24 @@
 fn silence_counts_until_the_history_moves() {
     let mut c = LeafCache::new(1000);
     c.put(Level::Small, 50, 100, 7, leaf(&[60, 90]));
-    assert!(matches!(
-        c.look_up(Level::Small, 60, 9),
-        Lookup::Finished(_)
-    ));
-    assert_eq!(c.look_up(Level::Small, 61, 7), Lookup::Absent(7));
-    assert_eq!(c.look_up(Level::Small, 61, 8), Lookup::Unknown);
+    assert!(matches!(c.lookup(Level::Small, 60, 9), Lookup::Finished(_)));
+    assert_eq!(c.lookup(Level::Small, 61, 7), Lookup::Absent(7));
+    assert_eq!(c.lookup(Level::Small, 61, 8), Lookup::Unknown);
     assert_eq!(
-        c.look_up(Level::Small, 49, 7),
+        c.lookup(Level::Small, 49, 7),
         Lookup::Unknown,
         "not asked for"
     );
-    assert_eq!(c.look_up(Level::Small, 101, 7), Lookup::Unknown);
-    assert_eq!(c.look_up(Level::Large, 61, 7), Lookup::Unknown);
+    assert_eq!(c.lookup(Level::Small, 101, 7), Lookup::Unknown);
+    assert_eq!(c.lookup(Level::Large, 61, 7), Lookup::Unknown);
     c.put(Level::Small, 80, 100, 7, leaf(&[60, 90]));
     assert_eq!(
-        c.look_up(Level::Small, 61, 7),
+        c.lookup(Level::Small, 61, 7),
         Lookup::Absent(7),
         "still covers"
     );
     c.put(Level::Small, 80, 100, 9, leaf(&[60, 90]));
-    assert_eq!(c.look_up(Level::Small, 61, 9), Lookup::Unknown);
+    assert_eq!(c.lookup(Level::Small, 61, 9), Lookup::Unknown);
 }
 
 /// The bound holds whatever comes, and the least recently used goes first.
@@ -48,9 +45,9 @@
         let ids: Vec<u64> = (0..10).map(|k| i * 100 + k).collect();
         c.put(Level::Large, i * 100, i * 100 + 99, 1, leaf(&ids));
         assert!(c.len() <= 100);
-        c.look_up(Level::Large, 0, 1);
+        c.lookup(Level::Large, 0, 1);
     }
-    assert!(matches!(c.look_up(Level::Large, 0, 1), Lookup::Finished(_)));
-    assert_eq!(c.look_up(Level::Large, 1000, 1), Lookup::Unknown);
+    assert!(matches!(c.lookup(Level::Large, 0, 1), Lookup::Finished(_)));
+    assert_eq!(c.lookup(Level::Large, 1000, 1), Lookup::Unknown);
     assert_eq!(c.order.len(), c.leaves.len());
 }
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -14,7 +14,7 @@
 mod split;
 mod transaction;
 
-pub use phase::Phase;
+pub use phase::{Batch, Phase};
 pub use transaction::{Precondition, ReadFailed, Step, StoredLeaf, StoredLeafKey, Transaction};
 
 use crate::leaf::{FinishedJob, Leaf};
@@ -38,17 +38,6 @@
     pub keep_days: u32,
 }
 
-/// Finished jobs that are archived together.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Batch {
-    /// The generation whose ends, and those of all before, are in the batch.
-    pub generation: u64,
-    /// The revision up to which ends in records of their own are in the batch.
-    pub revision: u64,
-    /// The jobs, sorted by number.
-    pub jobs: Vec<FinishedJob>,
-}
-
 /// What a transaction of the compactor brings about when it is applied.
 #[derive(Clone, Debug)]
 enum Completion {
--- a/crates/cherryyard-history/src/compactor/phase.rs
+++ b/crates/cherryyard-history/src/compactor/phase.rs
@@ -1,8 +1,19 @@
 //! The phases of the compactor, and what moves it from one to another.
 
-use super::{Batch, StoredLeafKey};
+use super::transaction::StoredLeafKey;
 use crate::leaf::FinishedJob;
 
+/// Finished jobs that are archived together.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Batch {
+    /// The generation whose ends, and those of all before, are in the batch.
+    pub generation: u64,
+    /// The revision up to which ends in records of their own are in the batch.
+    pub revision: u64,
+    /// The jobs, sorted by number.
+    pub jobs: Vec<FinishedJob>,
+}
+
 /// Where the compactor stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
--- a/crates/cherryyard-history/src/leaf/codec.rs
+++ b/crates/cherryyard-history/src/leaf/codec.rs
@@ -1,6 +1,6 @@
 //! The stored form of leaves: a few bytes a job, as varints in base64.
 
-use super::{FinishedJob, Leaf};
+use super::jobs::{FinishedJob, Leaf};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use cherryyard_wire::history::{LAST, LeafRecord};
--- a/crates/cherryyard-history/src/leaf/tests.rs
+++ b/crates/cherryyard-history/src/leaf/tests.rs
@@ -1,6 +1,7 @@
 use super::codec::FRAME;
 use super::*;
 use cherryyard_wire::history::{LAST, LeafRecord};
+use cherryyard_wire::record::End;
 use proptest::prelude::*;
 
 fn past() -> impl Strategy<Value = FinishedJob> {
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -130,7 +130,7 @@
         let mut cache = lock(&self.history.cache);
         let mut absent = 0;
         for level in Node::LOOK_UP_ORDER {
-            match cache.look_up(level, job, moved) {
+            match cache.lookup(level, job, moved) {
                 Lookup::Finished(past) => {
                     let past = Some(past);
                     return Some(Found { past, moved });
@@ -149,7 +149,7 @@
         let (moved_at, spilling) = self.with(|n, _| moved(n));
         let mut small_epoch = 0;
         for level in Node::LOOK_UP_ORDER {
-            let known = lock(&self.history.cache).look_up(level, job, moved_at);
+            let known = lock(&self.history.cache).lookup(level, job, moved_at);
             match known {
                 Lookup::Finished(past) => {
                     return Some(Found {
