--- a/crates/cherryyard-simulation/src/lib.rs
+++ b/crates/cherryyard-simulation/src/lib.rs
@@ -1,9 +1,13 @@
-//! Rehearsals: whole clusters in one thread, on a clock that the test moves.
+//! Deterministic simulation of whole clusters: controllers, state service, cloud, workers
+//! and users in one thread, on a clock that the test moves.
 //!
-//! The stand-ins follow the protocol's words on state service, workers and
-//! cloud, and nothing is random, so a rehearsal's trace can be kept and read.
-//! This is also where a rehearsal kit for operators would grow: a [`world`] is
-//! made of stand-ins and a script, whatever format its jobs come in.
+//! The controllers are the real ones of `cherryyard-core`. All around them are stand-ins:
+//! [`StateStandIn`] and [`WorkerStandIn`] follow the protocol; the cloud, the network and
+//! the ways between them are part of [`World`]. A [`Fault`] begins and ends by name;
+//! [`Users`] submit, poll and judge in the end. Whatever is drawn is drawn by a seed, so
+//! the same scenario always has the same trace.
+//!
+//! [`http`] and [`process`] run the real program against the state service's stand-in.
 
 pub mod fault;
 pub mod http;
@@ -20,8 +24,8 @@
 pub use world::pipelines::Pipelines;
 pub use world::{CrashPoint, Question, Response, Setup, World, small_machine_type};
 
-/// Plays days by seed, by hand: `FROM` names the first seed and `SEEDS` how many there
-/// are, else these.
+/// Plays random scenarios by seed, by hand: `FROM` names the first seed and `SEEDS` how
+/// many there are, else these.
 ///
 /// # Panics
 ///
