--- a/crates/cherryyard-simulation/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -35,6 +35,9 @@
     end_at: Option<f64>,
 }
 
+/// Simulated time within which all jobs must have been created.
+const DEADLINE_MS: f64 = 7_200_000.0;
+
 fn main() {
     let args = Args::parse();
     let mut w = World::new(Setup {
@@ -48,46 +51,48 @@
     });
     w.run(10.0);
     let (since, before) = (w.now, w.state.writes);
-    let chunk = Chunk {
+    let (number, _) = w.queue("measured", &[chunk(&args)]);
+    run_until_created(&mut w, &args, number);
+    println!(
+        "{} jobs of {}: created after {:.1} s, {} writes, {} in the largest transaction",
+        args.jobs,
+        args.tasks,
+        (w.now - since) / 1000.0,
+        w.state.writes - before,
+        w.state.most_ops,
+    );
+}
+
+/// All jobs of the submission, equal to each other.
+fn chunk(args: &Args) -> Chunk {
+    Chunk {
         t: vec![Template {
             spec: World::spec(NO_ID, "sweep", 1),
             rules: None,
         }],
         r: vec![(0, args.tasks, args.jobs)],
-    };
-    let (number, _) = w.queue("measured", &[chunk]);
-    let mut ended = false;
+    }
+}
+
+/// Lets time pass until all jobs have been created; the leader ends midway, if it is to.
+fn run_until_created(w: &mut World, args: &Args, number: u64) {
+    let deadline = w.now + DEADLINE_MS;
+    let mut has_ended = false;
     loop {
         w.run(0.5);
         let record = w.submission(number).expect("the submission");
         let created = record.created();
-        if let Some(share) = args.end_at.filter(|_| !ended)
+        if let Some(share) = args.end_at.filter(|_| !has_ended)
             && created as f64 >= share * f64::from(args.jobs)
         {
-            ended = true;
-            let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
-            let at = w
-                .controllers
-                .iter()
-                .position(|n| n.as_ref().is_some_and(leads));
-            let at = at.expect("a leader");
-            w.kill(at);
-            w.start(at);
+            has_ended = true;
+            let leader = w.leader().expect("a leader");
+            w.kill(leader);
+            w.start(leader);
         }
         if record.phase == Phase::Created {
-            break;
+            return;
         }
-        assert!(
-            w.now - since < 7_200_000.0,
-            "not within two hours: {created}"
-        );
+        assert!(w.now < deadline, "not within two hours: {created}");
     }
-    println!(
-        "{} jobs of {}: created after {:.1} s, {} writes, {} in the largest transaction",
-        args.jobs,
-        args.tasks,
-        (w.now - since) / 1000.0,
-        w.state.writes - before,
-        w.state.most_ops,
-    );
 }
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -18,10 +18,18 @@
 use clap::Parser;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use serde_json::json;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+/// How long a connection attempt may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a request may take.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Within what time the controller must be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(600);
+
 /// Measure a controller's start on a history of jobs that are over.
 #[derive(Debug, Parser)]
 struct Args {
@@ -119,8 +127,8 @@
                 .h
                 .push(format!("host-{:06}", page * per_page + i));
             let at = i as u64;
-            let places = (0..args.tasks).flat_map(|n| [at, n.into()]);
-            let group = [7, 1].into_iter().chain(places).collect();
+            let tasks = (0..args.tasks).flat_map(|n| [at, n.into()]);
+            let group = [7, 1].into_iter().chain(tasks).collect();
             assignments.j.push((job, vec![group], RangeSet::new()));
         }
         state.seed(&assignments_key(0, page as u32), &assignments);
@@ -171,9 +179,9 @@
     let mut rest = ids.chunks(350).peekable();
     while let Some(chunk) = rest.next() {
         let jobs: Vec<Past> = chunk.iter().map(|&id| past(id)).collect();
-        let task_count = fold(&Leaf::default(), &jobs, 0, 4032);
-        let count = task_count.len();
-        for (i, leaf) in task_count.into_iter().enumerate() {
+        let leaves = fold(&Leaf::default(), &jobs, 0, 4032);
+        let count = leaves.len();
+        for (i, leaf) in leaves.into_iter().enumerate() {
             let last = leaf.jobs().last().map_or(LAST, |p| p.job);
             let open = rest.peek().is_none() && i + 1 == count;
             let last = if open { LAST } else { last };
@@ -182,14 +190,107 @@
     }
 }
 
+/// Settings of the controller that is measured.
+fn settings(args: &Args, state: SocketAddr) -> Value {
+    let mut settings = process::settings(&state.to_string());
+    let cluster = &mut settings["cluster"];
+    cluster["workers"] = json!({ "report_s": 5.0, "lease_s": 26.5, "cancel_s": 51.5 });
+    cluster["state"]["rps"] = args.rps.into();
+    cluster["state"]["write_rps"] = args.write_rps.into();
+    cluster["limits"] = json!({ "cpu_share": 0.1, "memory_mb": 53.0, "sockets": 1000 });
+    settings
+}
+
+/// A client of the controller, which asks for paths alone.
+struct Client {
+    http: Http,
+    controller: String,
+}
+
+impl Client {
+    fn new(controller: &str) -> Self {
+        Self {
+            http: Http::new(CONNECT_TIMEOUT, 4),
+            controller: controller.into(),
+        }
+    }
+
+    /// The status that a path is answered with, if it is.
+    async fn get(&self, path: &str) -> Option<u16> {
+        let url = format!("http://{}{path}", self.controller);
+        let method = "GET".parse().expect("a method");
+        let response = self.http.call(method, &url, None, REQUEST_TIMEOUT, 65_536);
+        response.await.ok().map(|(status, _)| status)
+    }
+
+    /// Waits until the controller is ready; how long it took since `started`.
+    async fn ready(&self, started: Instant) -> Duration {
+        while self.get("/ready").await != Some(200) {
+            assert!(started.elapsed() < READY_TIMEOUT, "never ready");
+            tokio::time::sleep(Duration::from_millis(10)).await;
+        }
+        started.elapsed()
+    }
+}
+
+/// Which jobs are polled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Polled {
+    Old,
+    Unknown,
+}
+
+impl Polled {
+    fn word(self) -> &'static str {
+        match self {
+            Self::Old => "old",
+            Self::Unknown => "unknown",
+        }
+    }
+}
+
+/// Polls jobs one after the other, and prints how that went.
+async fn measure_polls(
+    client: &Client,
+    service: &HttpState,
+    polled: Polled,
+    polls: u64,
+    ids: &[u64],
+    rng: &mut StdRng,
+) {
+    let before = service.requests().reads;
+    let (mut good, mut worst) = (0, Duration::ZERO);
+    let is_known = polled == Polled::Old && !ids.is_empty();
+    for _ in 0..polls {
+        let id = if is_known {
+            ids[rng.random_range(0..ids.len())]
+        } else {
+            rng.random_range(0..LAST)
+        };
+        let sent_at = Instant::now();
+        let status = client.get(&format!("/v2/runs/{}", job_id(id))).await;
+        worst = worst.max(sent_at.elapsed());
+        let expected = if is_known { 200 } else { 404 };
+        good += u64::from(status == Some(expected));
+    }
+    let reads = service.requests().reads - before;
+    println!(
+        "{polls} polls of {} jobs: {good} answered, {reads} reads, worst {:.0} ms",
+        polled.word(),
+        worst.as_secs_f64() * 1000.0
+    );
+}
+
+/// The program beside this one.
+fn program_beside() -> PathBuf {
+    let this = std::env::current_exe().expect("this program's path");
+    this.with_file_name("cherryyard")
+}
+
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
     let args = Args::parse();
-    let beside = || {
-        let me = std::env::current_exe().expect("this program's path");
-        me.with_file_name("cherryyard")
-    };
-    let program = args.program.clone().unwrap_or_else(beside);
+    let program = args.program.clone().unwrap_or_else(program_beside);
     let mut state = StateStandIn::default();
     let ids = ids(&args);
     fill(&mut state, &args, &ids);
@@ -198,64 +299,21 @@
         write_rps: args.write_rps,
     };
     let service = HttpState::new(state, budgets);
-    let addr = service.serve().await;
-    let mut settings = process::settings(&addr.to_string());
-    let cluster = &mut settings["cluster"];
-    cluster["workers"] = json!({ "report_s": 5.0, "lease_s": 26.5, "cancel_s": 51.5 });
-    cluster["state"]["rps"] = args.rps.into();
-    cluster["state"]["write_rps"] = args.write_rps.into();
-    cluster["limits"] = json!({ "cpu_share": 0.1, "memory_mb": 53.0, "sockets": 1000 });
-    let born = Instant::now();
+    let settings = settings(&args, service.serve().await);
+    let started = Instant::now();
     let controller = Process::start(&program, &settings, "history = true\n");
-    let public = controller.addr.clone();
-    let http = Http::new(Duration::from_secs(1), 4);
-    let get = async |path: String| {
-        let url = format!("http://{public}{path}");
-        let second = Duration::from_secs(3);
-        let answer = http.call("GET".parse().expect("a method"), &url, None, second, 65_536);
-        answer.await.map(|a| a.0)
-    };
-    let mut first_answer = None;
-    let ready = loop {
-        let status = get("/ready".into()).await;
-        if status.is_ok() {
-            first_answer.get_or_insert(born.elapsed());
-        }
-        if status == Ok(200) {
-            break born.elapsed();
-        }
-        assert!(born.elapsed() < Duration::from_secs(600), "never ready");
-        tokio::time::sleep(Duration::from_millis(10)).await;
-    };
-    let reads = service.requests().reads;
+    let client = Client::new(&controller.addr);
+    let ready = client.ready(started).await;
     println!(
-        "{} jobs over: ready after {:.2} s, peak {:.1} MB, {reads} reads",
+        "{} jobs over: ready after {:.2} s, peak {:.1} MB, {} reads",
         ids.len(),
         ready.as_secs_f64(),
-        controller.memory_mb()
+        controller.memory_mb(),
+        service.requests().reads
     );
     let mut rng = StdRng::seed_from_u64(7);
-    for (what, old) in [("old", true), ("unknown", false)] {
-        let before = service.requests().reads;
-        let (mut good, mut worst) = (0, Duration::ZERO);
-        for _ in 0..args.polls {
-            let id = if old && !ids.is_empty() {
-                ids[rng.random_range(0..ids.len())]
-            } else {
-                rng.random_range(0..LAST)
-            };
-            let queried = Instant::now();
-            let status = get(format!("/v2/runs/{}", job_id(id))).await;
-            worst = worst.max(queried.elapsed());
-            let expected = if old && !ids.is_empty() { 200 } else { 404 };
-            good += u64::from(status == Ok(expected));
-        }
-        let reads = service.requests().reads - before;
-        println!(
-            "{} polls of {what} jobs: {good} answered, {reads} reads, worst {:.0} ms",
-            args.polls,
-            worst.as_secs_f64() * 1000.0
-        );
+    for polled in [Polled::Old, Polled::Unknown] {
+        measure_polls(&client, &service, polled, args.polls, &ids, &mut rng).await;
     }
     println!("peak {:.1} MB", controller.memory_mb());
 }
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -1,4 +1,4 @@
-//! The state service's stand-in over HTTP on loopback, with its limits.
+//! The stand-in of the state service over HTTP on loopback, with its budgets.
 
 use crate::StateStandIn;
 use cherryyard_core::Outcome;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a stand-in allows a second.
+/// What the service allows a second.
 #[derive(Clone, Copy, Debug)]
 pub struct Budgets {
     /// Requests.
@@ -19,16 +19,77 @@
     pub write_rps: f64,
 }
 
+/// How long a lease lasts without a renewal, in milliseconds.
+const LEASE_MS: f64 = 5000.0;
+/// Pairs of a page of keys, unless a request says otherwise.
+const DEFAULT_PAGE: usize = 1000;
+/// Time between two looks for changes while a watch waits.
+const WATCH_POLL: Duration = Duration::from_millis(5);
+
+/// The tokens that are left of the budgets, each at most a second's.
+#[derive(Debug)]
+struct TokenBuckets {
+    budgets: Budgets,
+    requests: f64,
+    writes: f64,
+    filled_at: Instant,
+}
+
+impl TokenBuckets {
+    fn new(budgets: Budgets) -> Self {
+        Self {
+            budgets,
+            requests: budgets.rps,
+            writes: budgets.write_rps,
+            filled_at: Instant::now(),
+        }
+    }
+
+    /// Takes the tokens of a request with this many writes, if there are enough.
+    fn take(&mut self, writes: usize) -> bool {
+        let passed_s = self.filled_at.elapsed().as_secs_f64();
+        self.filled_at = Instant::now();
+        let Budgets { rps, write_rps } = self.budgets;
+        self.requests = (self.requests + passed_s * rps).min(rps);
+        self.writes = (self.writes + passed_s * write_rps).min(write_rps);
+        let is_admitted = self.requests >= 1.0 && self.writes >= writes as f64;
+        if is_admitted {
+            self.requests -= 1.0;
+            self.writes -= writes as f64;
+        }
+        is_admitted
+    }
+}
+
 #[derive(Debug)]
 struct Service {
     state: StateStandIn,
-    budgets: Budgets,
-    left: (f64, f64),
-    at: Instant,
-    /// Requests by sort: reads of ranges, others; and those refused.
-    reads: usize,
-    requests: usize,
-    refused: usize,
+    tokens: TokenBuckets,
+    counts: Requests,
+}
+
+/// A response: its status and JSON.
+struct Reply {
+    status: u16,
+    body: Value,
+}
+
+impl Reply {
+    fn new(status: u16, body: Value) -> Self {
+        Self { status, body }
+    }
+
+    fn ok(body: Value) -> Self {
+        Self::new(200, body)
+    }
+
+    fn empty(status: u16) -> Self {
+        Self::new(status, json!({}))
+    }
+
+    fn error(text: &str) -> Self {
+        Self::new(400, json!({ "error": text }))
+    }
 }
 
 /// A state service on loopback.
@@ -67,17 +128,38 @@
     lease_id: Option<u64>,
 }
 
+impl ApplyBody {
+    /// The change that it stands for; one without a key is left out.
+    fn into_change(self) -> Option<Apply> {
+        match (self.set, self.delete) {
+            (Some(set), _) => Some(Apply::Set {
+                set,
+                v: self.v,
+                lease_id: self.lease_id,
+            }),
+            (None, Some(delete)) => Some(Apply::Delete { delete }),
+            (None, None) => None,
+        }
+    }
+}
+
+impl From<CommitBody> for Commit {
+    fn from(body: CommitBody) -> Self {
+        let changes = body.apply.into_iter();
+        Self {
+            when: body.when,
+            apply: changes.filter_map(ApplyBody::into_change).collect(),
+        }
+    }
+}
+
 impl HttpState {
     /// A service that holds what `state` does.
     pub fn new(state: StateStandIn, budgets: Budgets) -> Self {
         let service = Service {
             state,
-            budgets,
-            left: (budgets.rps, budgets.write_rps),
-            at: Instant::now(),
-            reads: 0,
-            requests: 0,
-            refused: 0,
+            tokens: TokenBuckets::new(budgets),
+            counts: Requests::default(),
         };
         Self {
             service: Arc::new(Mutex::new(service)),
@@ -103,19 +185,14 @@
 
     /// Requests so far.
     pub fn requests(&self) -> Requests {
-        let service = self.lock();
-        Requests {
-            reads: service.reads,
-            all: service.requests,
-            refused: service.refused,
-        }
+        self.lock().counts
     }
 
     /// Serves on a port of the system's choice until the process ends.
     pub async fn serve(&self) -> SocketAddr {
         let listener = TcpListener::new("127.0.0.1:0").bind().await;
         let addr = listener.local_addr().expect("an address of loopback");
-        let router = Router::with_path("{**path}").goal(Door(self.clone()));
+        let router = Router::with_path("{**path}").goal(Endpoint(self.clone()));
         tokio::spawn(async move { Server::new(listener).serve(router).await });
         addr
     }
@@ -123,139 +200,129 @@
     /// Whether the budgets allow a request with this many writes.
     fn admit(&self, writes: usize) -> bool {
         let mut service = self.lock();
-        let passed = service.at.elapsed().as_secs_f64();
-        service.at = Instant::now();
-        let b = service.budgets;
-        service.left.0 = (service.left.0 + passed * b.rps).min(b.rps);
-        service.left.1 = (service.left.1 + passed * b.write_rps).min(b.write_rps);
-        service.requests += 1;
-        let fits = service.left.0 >= 1.0 && service.left.1 >= writes as f64;
-        if fits {
-            service.left.0 -= 1.0;
-            service.left.1 -= writes as f64;
-        } else {
-            service.refused += 1;
-        }
-        fits
+        service.counts.all += 1;
+        let is_admitted = service.tokens.take(writes);
+        service.counts.refused += usize::from(!is_admitted);
+        is_admitted
     }
 
-    async fn answer(&self, req: &mut Request) -> (u16, Value) {
+    async fn answer(&self, req: &mut Request) -> Reply {
         let path = req.uri().path().to_string();
-        let query = |name: &str| req.query::<String>(name);
         let words: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (req.method().as_str(), words.as_slice()) {
-            ("GET", ["store"]) => {
-                let since = query("since");
-                let most = req.query::<usize>("page").unwrap_or(1000);
-                let mut service = self.lock();
-                service.reads += 1;
-                let prefix = query("starts").unwrap_or_default();
-                let (pairs, truncated) = service.state.page(&prefix, since.as_deref(), most);
-                let store_revision = service.state.store_revision();
-                let pairs = json!(pairs);
-                (
-                    200,
-                    json!({ "pairs": pairs, "truncated": truncated, "epoch": store_revision }),
-                )
-            }
-            ("GET", ["store", ..]) => {
-                let key = &path["/store/".len()..];
-                let service = self.lock();
-                match service.state.get(key) {
-                    Some((v, revision)) => (200, json!({ "key": key, "v": v, "stamp": revision })),
-                    None => (404, json!({ "epoch": service.state.store_revision() })),
-                }
-            }
+            ("GET", ["store"]) => self.list(req),
+            ("GET", ["store", ..]) => self.get(&path["/store/".len()..]),
             ("GET", ["follow"]) => {
-                let since = req.query::<u64>("since").unwrap_or(0);
-                let wait = req.query::<u64>("wait_ms").unwrap_or(0);
-                let until = Instant::now() + Duration::from_millis(wait);
-                loop {
-                    {
-                        let service = self.lock();
-                        if !service.state.remembers(since) {
-                            return (410, json!({}));
-                        }
-                        let events = service.state.events(since);
-                        if !events.events.is_empty() || Instant::now() >= until {
-                            return (200, json!(events));
-                        }
-                    }
-                    tokio::time::sleep(Duration::from_millis(5)).await;
-                }
+                let since = req.query("since").unwrap_or(0);
+                self.watch(since, req.query("wait_ms").unwrap_or(0)).await
             }
-            ("POST", ["holds"]) => {
-                let until = self.now_ms() + 5000.0;
-                (200, json!({ "hold": self.lock().state.grant_lease(until) }))
-            }
-            ("POST", ["holds", id, "touch"]) => {
-                let until = self.now_ms() + 5000.0;
-                let known = id
-                    .parse()
-                    .is_ok_and(|id| self.lock().state.renew_lease(id, until));
-                (if known { 200 } else { 404 }, json!({}))
-            }
-            ("DELETE", ["holds", id]) => {
-                if let Ok(id) = id.parse() {
-                    self.lock().state.end_lease(id);
-                }
-                (200, json!({}))
+            ("POST", ["holds"]) => self.grant_lease(),
+            ("POST", ["holds", id, "touch"]) => self.renew_lease(id),
+            ("DELETE", ["holds", id]) => self.end_lease(id),
+            _ => Reply::error("no such call"),
+        }
+    }
+
+    /// A page of keys and values.
+    fn list(&self, req: &Request) -> Reply {
+        let since = req.query::<String>("since");
+        let prefix = req.query::<String>("starts").unwrap_or_default();
+        let most = req.query::<usize>("page").unwrap_or(DEFAULT_PAGE);
+        let mut service = self.lock();
+        service.counts.reads += 1;
+        let (pairs, truncated) = service.state.page(&prefix, since.as_deref(), most);
+        let store_revision = service.state.store_revision();
+        Reply::ok(json!({ "pairs": pairs, "truncated": truncated, "epoch": store_revision }))
+    }
+
+    fn get(&self, key: &str) -> Reply {
+        let service = self.lock();
+        match service.state.get(key) {
+            Some((v, revision)) => Reply::ok(json!({ "key": key, "v": v, "stamp": revision })),
+            None => Reply::new(404, json!({ "epoch": service.state.store_revision() })),
+        }
+    }
+
+    /// What has changed since a revision, as soon as there is something.
+    async fn watch(&self, since: u64, wait_ms: u64) -> Reply {
+        let until = Instant::now() + Duration::from_millis(wait_ms);
+        loop {
+            if let Some(reply) = self.changes(since, until) {
+                return reply;
             }
-            _ => (400, json!({ "error": "no such call" })),
+            tokio::time::sleep(WATCH_POLL).await;
         }
     }
 
-    async fn commit(&self, req: &mut Request) -> (u16, Value) {
+    /// What has changed since a revision; none if nothing has and there is time to wait.
+    fn changes(&self, since: u64, until: Instant) -> Option<Reply> {
+        let service = self.lock();
+        if !service.state.remembers(since) {
+            return Some(Reply::empty(410));
+        }
+        let events = service.state.events(since);
+        let is_over = !events.events.is_empty() || Instant::now() >= until;
+        is_over.then(|| Reply::ok(json!(events)))
+    }
+
+    fn grant_lease(&self) -> Reply {
+        let until = self.now_ms() + LEASE_MS;
+        Reply::ok(json!({ "hold": self.lock().state.grant_lease(until) }))
+    }
+
+    fn renew_lease(&self, id: &str) -> Reply {
+        let until = self.now_ms() + LEASE_MS;
+        let is_renewed = id
+            .parse()
+            .is_ok_and(|id| self.lock().state.renew_lease(id, until));
+        Reply::empty(if is_renewed { 200 } else { 404 })
+    }
+
+    fn end_lease(&self, id: &str) -> Reply {
+        if let Ok(id) = id.parse() {
+            self.lock().state.end_lease(id);
+        }
+        Reply::empty(200)
+    }
+
+    async fn commit(&self, req: &mut Request) -> Reply {
         let body = req.payload().await.map(|b| b.to_vec()).unwrap_or_default();
         let Ok(body) = serde_json::from_slice::<CommitBody>(&body) else {
-            return (400, json!({ "error": "malformed" }));
-        };
-        let commit = Commit {
-            when: body.when,
-            apply: body
-                .apply
-                .into_iter()
-                .filter_map(|a| match (a.set, a.delete) {
-                    (Some(set), _) => Some(Apply::Set {
-                        set,
-                        v: a.v,
-                        lease_id: a.lease_id,
-                    }),
-                    (None, Some(delete)) => Some(Apply::Delete { delete }),
-                    (None, None) => None,
-                })
-                .collect(),
+            return Reply::error("malformed");
         };
+        let commit = Commit::from(body);
         if !self.admit(commit.apply.len()) {
-            return (429, json!({}));
+            return Reply::empty(429);
         }
         match self.lock().state.commit_within_limits(&commit) {
-            Outcome::Applied(store_revision) => (200, json!({ "epoch": store_revision })),
+            Outcome::Applied(store_revision) => Reply::ok(json!({ "epoch": store_revision })),
             Outcome::Conflict(store_revision) => {
-                (409, json!({ "failed": [], "epoch": store_revision }))
+                Reply::new(409, json!({ "failed": [], "epoch": store_revision }))
             }
-            Outcome::NoLease => (400, json!({ "error": "no such lease" })),
-            Outcome::Malformed => (400, json!({ "error": "too large" })),
-            Outcome::Refused | Outcome::Unknown => (503, json!({})),
+            Outcome::NoLease => Reply::error("no such lease"),
+            Outcome::Malformed => Reply::error("too large"),
+            Outcome::Refused | Outcome::Unknown => Reply::empty(503),
         }
     }
 }
 
-struct Door(HttpState);
+/// All paths of the service.
+struct Endpoint(HttpState);
 
 #[async_trait]
-impl Handler for Door {
+impl Handler for Endpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let commits = req.uri().path() == "/commit";
-        let (status, body) = if commits {
+        let reply = if commits {
             self.0.commit(req).await
         } else if self.0.admit(0) {
             self.0.answer(req).await
         } else {
-            (429, json!({}))
+            Reply::empty(429)
         };
-        let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+        let status =
+            StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         res.status_code(status);
-        res.render(Text::Json(body.to_string()));
+        res.render(Text::Json(reply.body.to_string()));
     }
 }
--- a/crates/cherryyard-simulation/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -9,6 +9,18 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
+/// How long a client waits for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a client waits for a response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Idle connections that a client keeps.
+const IDLE_CONNECTIONS: usize = 50;
+/// Most bytes of a response.
+const MOST_RESPONSE_BYTES: usize = 65_536;
+/// Tries of a client that insists, and the time between two.
+const MOST_TRIES: usize = 300;
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
 /// A port that nobody listens on.
 pub fn free_port() -> u16 {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -32,7 +44,7 @@
     })
 }
 
-/// A running controller, ended with its holder.
+/// A running controller, ended when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -43,7 +55,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Gone already, if this fails.
+        // If one of these fails, it is gone already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -54,18 +66,18 @@
     /// Starts the program with these settings and operators' settings.
     pub fn start(program: &Path, settings: &Value, operator: &str) -> Self {
         let addr = settings["public_addr"].as_str().expect("an address");
-        let place = addr.replace([':', '.'], "-");
-        let dir = std::env::temp_dir().join(format!("cherryyard-{place}"));
+        let suffix = addr.replace([':', '.'], "-");
+        let dir = std::env::temp_dir().join(format!("cherryyard-{suffix}"));
         std::fs::create_dir_all(&dir).expect("a folder for settings");
-        let (config, own) = (dir.join("controller.json"), dir.join("operator.hcl"));
+        let (config, operators) = (dir.join("controller.json"), dir.join("operator.hcl"));
         std::fs::write(&config, settings.to_string()).expect("a settings file");
-        std::fs::write(&own, operator).expect("an operators' file");
+        std::fs::write(&operators, operator).expect("an operators' file");
         let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "error".into());
         let child = Command::new(program)
             .arg("--config")
             .arg(&config)
             .arg("--operator")
-            .arg(&own)
+            .arg(&operators)
             .env("LOG_LEVEL", level)
             .stderr(Stdio::inherit())
             .spawn()
@@ -108,7 +120,7 @@
     /// A client of it.
     pub fn client(&self) -> Client {
         Client {
-            http: Http::new(Duration::from_secs(2), 50),
+            http: Http::new(CONNECT_TIMEOUT, IDLE_CONNECTIONS),
             addr: self.addr.clone(),
         }
     }
@@ -122,25 +134,27 @@
 }
 
 impl Client {
-    /// A request's status and answer; 0 if there is none.
+    /// A request's status and response; 0 if there is none.
     pub async fn call(&self, method: &str, path: &str, body: Option<String>) -> (u16, String) {
         let url = format!("http://{}{path}", self.addr);
         let method = method.parse().expect("a method");
         let body = body.map(String::into_bytes);
-        let patience = Duration::from_secs(20);
-        let answer = self.http.call(method, &url, body, patience, 65_536).await;
-        let (status, body) = answer.unwrap_or_default();
+        let response = self
+            .http
+            .call(method, &url, body, REQUEST_TIMEOUT, MOST_RESPONSE_BYTES)
+            .await;
+        let (status, body) = response.unwrap_or_default();
         (status, String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// The same until the answer is another than 503, or none.
+    /// The same, again and again until there is a response other than 503.
     pub async fn insist(&self, method: &str, path: &str, body: Option<String>) -> (u16, String) {
-        for _ in 0..300 {
-            let answer = self.call(method, path, body.clone()).await;
-            if answer.0 != 503 && answer.0 != 0 {
-                return answer;
+        for _ in 0..MOST_TRIES {
+            let (status, text) = self.call(method, path, body.clone()).await;
+            if status != 503 && status != 0 {
+                return (status, text);
             }
-            tokio::time::sleep(Duration::from_millis(100)).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         panic!("{method} {path}: never taken");
     }
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -1,21 +1,56 @@
-//! Stand-in of the state service.
+//! Stand-in of the state service: a store of keys with revisions, leases and transactions,
+//! and a log of its changes.
 
 use cherryyard_core::Outcome;
 use cherryyard_wire::history::{LeafRecord, Level, leaf_key, leaf_of_key};
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse};
+use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse, When};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys, revisions and leases.
+/// Prefix of the keys of assignments.
+const ASSIGNMENTS: &str = "c/mark";
+/// Most pairs of a page of keys.
+const PAGE_PAIRS: usize = 1000;
+/// Most bytes of a page of keys.
+const PAGE_BYTES: usize = 512 * 1024;
+/// What a pair takes in a page beside its key and value.
+const PAIR_OVERHEAD_BYTES: usize = 40;
+/// Most bytes of a transaction.
+const COMMIT_BYTES: usize = 64 * 1024;
+/// Conditions that a transaction may have for each change.
+const CONDITIONS_PER_CHANGE: usize = 4;
+
+/// A key's value.
+#[derive(Clone, Debug)]
+struct Stored {
+    value: Json,
+    revision: u64,
+    /// The lease that it ends with.
+    lease_id: Option<u64>,
+}
+
+impl Stored {
+    fn pair(&self, key: &str) -> Pair {
+        Pair {
+            key: key.to_string(),
+            v: self.value.clone(),
+            revision: self.revision,
+        }
+    }
+}
+
+/// The state service: keys, revisions and leases.
 #[derive(Debug, Default)]
 pub struct StateStandIn {
     store_revision: u64,
-    keys: BTreeMap<String, (Json, u64, Option<u64>)>,
+    keys: BTreeMap<String, Stored>,
+    /// Until when each lease lasts, in milliseconds.
     leases: BTreeMap<u64, f64>,
     next_lease: u64,
     /// Changes up to this revision are not told any more.
     forgotten: u64,
     changes: Vec<WatchEvent>,
+    /// The largest value in bytes that each key ever had.
     largest: BTreeMap<String, usize>,
     /// Puts and deletes of assignments so far.
     pub assignment_writes: usize,
@@ -47,8 +82,8 @@
             Apply::Delete { .. } => true,
         };
         commit.apply.len() <= self.txn_ops
-            && commit.when.len() <= 4 * self.txn_ops
-            && commit.bytes() <= 64 * 1024
+            && commit.when.len() <= CONDITIONS_PER_CHANGE * self.txn_ops
+            && commit.bytes() <= COMMIT_BYTES
             && commit.apply.iter().all(fits)
     }
 }
@@ -61,7 +96,8 @@
 
     /// A key's value and revision.
     pub fn get(&self, key: &str) -> Option<(&Json, u64)> {
-        self.keys.get(key).map(|(v, revision, _)| (v, *revision))
+        let stored = self.keys.get(key)?;
+        Some((&stored.value, stored.revision))
     }
 
     /// All keys.
@@ -69,20 +105,16 @@
         self.keys
             .iter()
             .filter(|(key, _)| key.starts_with(PREFIX))
-            .map(|(key, (v, revision, _))| Pair {
-                key: key.clone(),
-                v: v.clone(),
-                revision: *revision,
-            })
+            .map(|(key, stored)| stored.pair(key))
             .collect()
     }
 
     /// The first leaf of a run whose last possible id is `job` or later.
     pub fn leaf(&self, level: Level, job: u64) -> Option<(u64, u64, LeafRecord)> {
         let from = leaf_key(level, job);
-        let (key, (value, revision, _)) = self.keys.range(from..).next()?;
-        let record = value.read().expect("a leaf");
-        Some((leaf_of_key(level, key)?, *revision, record))
+        let (key, stored) = self.keys.range(from..).next()?;
+        let record = stored.value.read().expect("a leaf");
+        Some((leaf_of_key(level, key)?, stored.revision, record))
     }
 
     /// A page of the keys with this prefix after `since`: at most `most` of them and
@@ -94,16 +126,12 @@
             .filter(|(key, _)| since != Some(key.as_str()))
             .take_while(|(key, _)| key.starts_with(prefix));
         let (mut pairs, mut bytes) = (Vec::new(), 0);
-        for (key, (v, revision, _)) in &mut after {
-            bytes += key.len() + v.text().len() + 40;
-            if pairs.len() == most.min(1000) || bytes > 512 * 1024 {
+        for (key, stored) in &mut after {
+            bytes += key.len() + stored.value.text().len() + PAIR_OVERHEAD_BYTES;
+            if pairs.len() == most.min(PAGE_PAIRS) || bytes > PAGE_BYTES {
                 return (pairs, true);
             }
-            pairs.push(Pair {
-                key: key.clone(),
-                v: v.clone(),
-                revision: *revision,
-            });
+            pairs.push(stored.pair(key));
         }
         (pairs, false)
     }
@@ -111,8 +139,12 @@
     /// Puts a value that nobody is told of, before anybody runs.
     pub fn seed(&mut self, key: &str, value: &impl serde::Serialize) {
         self.store_revision += 1;
-        let value = (Json::of(value), self.store_revision, None);
-        self.keys.insert(key.to_string(), value);
+        let stored = Stored {
+            value: Json::of(value),
+            revision: self.store_revision,
+            lease_id: None,
+        };
+        self.keys.insert(key.to_string(), stored);
     }
 
     /// Ends a lease at once.
@@ -133,9 +165,9 @@
         let events = self
             .changes
             .iter()
-            .filter(|c| c.revision > since)
-            .filter(|c| {
-                let key = c.set.as_ref().or(c.delete.as_ref());
+            .filter(|event| event.revision > since)
+            .filter(|event| {
+                let key = event.set.as_ref().or(event.delete.as_ref());
                 key.is_some_and(|k| k.starts_with(PREFIX))
             })
             .cloned()
@@ -165,7 +197,8 @@
 
     /// Renews a lease; false if it is over.
     pub fn renew_lease(&mut self, lease_id: u64, until: f64) -> bool {
-        self.leases.get_mut(&lease_id).map(|u| *u = until).is_some()
+        let known = self.leases.get_mut(&lease_id);
+        known.map(|old| *old = until).is_some()
     }
 
     /// Lets leases run out.
@@ -173,15 +206,16 @@
         let over: BTreeSet<u64> = self
             .leases
             .iter()
-            .filter(|(_, u)| **u < now)
-            .map(|(h, _)| *h)
+            .filter(|(_, until)| **until < now)
+            .map(|(lease_id, _)| *lease_id)
             .collect();
-        self.leases.retain(|h, _| !over.contains(h));
+        self.leases.retain(|lease_id, _| !over.contains(lease_id));
+        let is_over = |stored: &Stored| stored.lease_id.is_some_and(|id| over.contains(&id));
         let gone: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, lease_id))| lease_id.is_some_and(|h| over.contains(&h)))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, stored)| is_over(stored))
+            .map(|(key, _)| key.clone())
             .collect();
         for key in gone {
             self.store_revision += 1;
@@ -211,45 +245,56 @@
 
     /// Applies a transaction, if its conditions hold.
     pub fn commit(&mut self, commit: &Commit) -> Outcome {
-        // Those that fail cost as much.
-        self.writes += commit.apply.len();
-        let assignment = |a: &&Apply| a.key().starts_with("c/mark");
-        self.assignment_writes += commit.apply.iter().filter(assignment).count();
-        self.most_ops = self.most_ops.max(commit.apply.len());
-        self.most_conditions = self.most_conditions.max(commit.when.len());
-        let unchanged =
-            |key: &str, revision: u64| self.keys.get(key).map_or(0, |k| k.1) == revision;
-        if !commit.when.iter().all(|w| unchanged(&w.key, w.revision)) {
+        self.count(commit);
+        let is_unchanged = |when: &When| {
+            let stored = self.keys.get(&when.key);
+            stored.map_or(0, |stored| stored.revision) == when.revision
+        };
+        if !commit.when.iter().all(is_unchanged) {
             return Outcome::Conflict(self.store_revision);
         }
-        for change in &commit.apply {
-            if let Apply::Set {
-                lease_id: Some(h), ..
-            } = change
-                && !self.leases.contains_key(h)
-            {
-                return Outcome::NoLease;
+        let is_leased = |change: &Apply| match change {
+            Apply::Set { lease_id, .. } => {
+                lease_id.is_none_or(|lease_id| self.leases.contains_key(&lease_id))
             }
+            Apply::Delete { .. } => true,
+        };
+        if !commit.apply.iter().all(is_leased) {
+            return Outcome::NoLease;
         }
         self.store_revision += 1;
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, lease_id } => {
-                    let size = v.text().len();
-                    let largest = self.largest.entry(set.clone()).or_default();
-                    *largest = (*largest).max(size);
-                    self.keys
-                        .insert(set.clone(), (v.clone(), self.store_revision, *lease_id));
-                    self.changes.push(WatchEvent {
-                        set: Some(set.clone()),
-                        delete: None,
-                        v: v.clone(),
-                        revision: self.store_revision,
-                    });
-                }
+                Apply::Set { set, v, lease_id } => self.set_key(set, v, *lease_id),
                 Apply::Delete { delete } => self.drop_key(delete),
             }
         }
         Outcome::Applied(self.store_revision)
     }
+
+    /// Counts what a transaction costs; those that fail cost as much.
+    fn count(&mut self, commit: &Commit) {
+        self.writes += commit.apply.len();
+        let is_assignment = |change: &&Apply| change.key().starts_with(ASSIGNMENTS);
+        self.assignment_writes += commit.apply.iter().filter(is_assignment).count();
+        self.most_ops = self.most_ops.max(commit.apply.len());
+        self.most_conditions = self.most_conditions.max(commit.when.len());
+    }
+
+    fn set_key(&mut self, key: &str, value: &Json, lease_id: Option<u64>) {
+        let largest = self.largest.entry(key.to_string()).or_default();
+        *largest = (*largest).max(value.text().len());
+        let stored = Stored {
+            value: value.clone(),
+            revision: self.store_revision,
+            lease_id,
+        };
+        self.keys.insert(key.to_string(), stored);
+        self.changes.push(WatchEvent {
+            set: Some(key.to_string()),
+            delete: None,
+            v: value.clone(),
+            revision: self.store_revision,
+        });
+    }
 }
--- a/crates/cherryyard-simulation/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a worker.
+//! Stand-in of a machine's worker.
 
 use cherryyard_wire::worker::{
     CommandBatch, ExitCause, HeartbeatResponse, TaskReport, TaskStatus, WorkerCommand,
@@ -7,7 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long the tasks of a job that was submitted with a mistake run.
-const BAD_MS: f64 = 500.0;
+const BAD_JOB_RUN_MS: f64 = 500.0;
+/// A machine was provisioned so long before its worker starts.
+const PROVISIONED_BEFORE_MS: f64 = 10_000.0;
+/// After what time a worker that was shown a new token sends a heartbeat.
+const NEW_TOKEN_HEARTBEAT_MS: f64 = 500.0;
 
 /// A task on a machine.
 #[derive(Clone, Debug)]
@@ -59,11 +63,11 @@
     pub tasks: BTreeMap<String, Task>,
     /// When its machine was provisioned, about.
     pub provisioned_at: f64,
-    /// When the last answered report was sent, or the incarnation began.
+    /// When the last heartbeat that was answered was sent, or the incarnation began.
     renewed_at: f64,
-    /// The controller it reports to.
+    /// The controller that it sends heartbeats to.
     pub controller: usize,
-    /// When it reports next.
+    /// When it sends the next heartbeat.
     pub report_at: f64,
     /// How long its tasks run; infinite for replicas.
     pub run_ms: f64,
@@ -73,7 +77,7 @@
     pub bad_jobs: BTreeSet<String>,
     /// When the cloud takes the machine, if it has said so.
     pub reclaim_at: Option<f64>,
-    /// How long an answered report keeps its tasks; infinite stands for an old
+    /// How long an answered heartbeat keeps its tasks; infinite stands for an old
     /// owner that nobody else sees and that goes on answering.
     pub lease_ms: f64,
 }
@@ -89,7 +93,7 @@
             sequence: 0,
             fencing_token: 0,
             tasks: BTreeMap::new(),
-            provisioned_at: now - 10_000.0,
+            provisioned_at: now - PROVISIONED_BEFORE_MS,
             renewed_at: now,
             controller,
             report_at: now,
@@ -124,7 +128,7 @@
             let job = job_of(name);
             let bad = self.bad_jobs.contains(job);
             let run_ms = match (bad, services.contains(job)) {
-                (true, _) => BAD_MS,
+                (true, _) => BAD_JOB_RUN_MS,
                 (_, true) if !self.faulty => f64::INFINITY,
                 _ => self.run_ms,
             };
@@ -177,7 +181,7 @@
         running.map(|(name, _)| name)
     }
 
-    /// Its report.
+    /// A heartbeat, with the status of its tasks.
     pub fn report(&mut self, now: f64) -> WorkerHeartbeat {
         self.sequence += 1;
         WorkerHeartbeat {
@@ -208,17 +212,22 @@
         }
     }
 
-    /// Takes the answer to a report that was sent at `sent_at`.
-    pub fn answered(&mut self, answer: &HeartbeatResponse, sent_at: f64, now: f64) -> Vec<String> {
-        if answer.fencing_token < self.fencing_token {
+    /// Takes the response to a heartbeat that was sent at `sent_at`.
+    pub fn answered(
+        &mut self,
+        response: &HeartbeatResponse,
+        sent_at: f64,
+        now: f64,
+    ) -> Vec<String> {
+        if response.fencing_token < self.fencing_token {
             return Vec::new();
         }
-        if answer.fencing_token > self.fencing_token {
-            self.report_at = now + 500.0;
+        if response.fencing_token > self.fencing_token {
+            self.report_at = now + NEW_TOKEN_HEARTBEAT_MS;
         }
-        self.fencing_token = answer.fencing_token;
+        self.fencing_token = response.fencing_token;
         self.renewed_at = self.renewed_at.max(sent_at);
-        self.execute(&answer.commands, now)
+        self.execute(&response.commands, now)
     }
 
     /// Takes direct commands; the flag tells whether they were executed.
