--- a/crates/cherryyard-simulation/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -429,14 +429,14 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Many more of the short days below; takes minutes.
+/// Many more of the short scenarios below; takes minutes.
 #[test]
 #[ignore = "takes minutes"]
 fn random_overlaps_by_the_hundred() {
     (1000..1100).for_each(short_day);
 }
 
-/// Short days by seed: floods of either class or both, controllers that end, stand
+/// Short scenarios by seed: floods of either class or both, controllers that end, stand
 /// still, lose their peers or the state service. Once nothing has failed for a while,
 /// each class has its floor or all that it asks for.
 #[test]
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -1,6 +1,6 @@
-//! Two troubles at once: the meetings that broke schedulers, each by itself, and every
-//! pair of troubles within each other's span. `docs/restart.md` has the table of
-//! meetings and tests; the gap and late transactions have files of their own.
+//! Two faults at once: the combinations that broke schedulers, each by itself, and every
+//! pair of faults within each other's span. `docs/restart.md` has the table of
+//! combinations and tests; the gap and late transactions have files of their own.
 
 use cherryyard_simulation::fault::{NEWER, OLDER, leader};
 use cherryyard_simulation::{Fault, Question, Setup, Users, World, draws, play_seeds};
@@ -42,7 +42,7 @@
     w.trace.iter().filter(|l| l.contains(&needle)).count()
 }
 
-/// Nothing fails any more; the day is judged after what is left of it.
+/// Nothing fails any more; the scenario is judged after time to recover.
 fn end(w: &mut World, users: &mut Users, state: &str) {
     let wrong = users.see_out(w);
     if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
@@ -307,7 +307,7 @@
 
 /// Machines hang with a start on its way to them, for longer than a lease, and carry it
 /// out before they see that their incarnation is over. It must not run elsewhere by then.
-/// (Found by a hunted day, rahbar-lahore-hunt hunt-bc60-5.)
+/// (Found by a hunted scenario, rahbar-lahore-hunt hunt-bc60-5.)
 #[test]
 fn a_start_to_a_machine_that_hangs_beyond_its_lease() {
     for hangs_s in [4.0, 12.0, 16.0, 24.0] {
@@ -364,16 +364,16 @@
     }
 }
 
-/// A pair of troubles that begin and end within each other's span, one after the other,
+/// A pair of faults that begin and end within each other's span, one after the other,
 /// while users submit, cancel, repeat and poll at every controller.
-fn day(seed: u64, faults: &[Fault], at_once: usize) {
-    day_of(seed, faults, at_once, vec!["a", "b", "c"]);
+fn scenario(seed: u64, faults: &[Fault], at_once: usize) {
+    scenario_of(seed, faults, at_once, vec!["a", "b", "c"]);
 }
 
-fn day_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
+fn scenario_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
     let mut draw = draws(seed);
     let seconds = 4.0 + draw(12) as f64;
-    // With the newer troubles users' requests come as in the program, and a guest team is
+    // With the newer faults users' requests come as in the program, and a guest team is
     // at its limit.
     let newer = faults.len() > OLDER.len();
     let mut w = match newer {
@@ -461,22 +461,22 @@
 
 #[test]
 fn random_pairs() {
-    (0..24).for_each(|seed| day(seed, &OLDER, 2));
+    (0..24).for_each(|seed| scenario(seed, &OLDER, 2));
 }
 
-/// All troubles, the newer ones first.
+/// All faults, the newer ones first.
 fn every() -> Vec<Fault> {
     NEWER.into_iter().chain(OLDER).collect()
 }
 
 #[test]
 fn random_pairs_with_the_newer_troubles() {
-    (0..24).for_each(|seed| day(seed, &every(), 2));
+    (0..24).for_each(|seed| scenario(seed, &every(), 2));
 }
 
 #[test]
 fn random_threes() {
-    (0..12).for_each(|seed| day(seed, &every(), 3));
+    (0..12).for_each(|seed| scenario(seed, &every(), 3));
 }
 
 /// With six controllers, two of them in each zone.
@@ -484,31 +484,33 @@
 
 #[test]
 fn random_threes_of_six_controllers() {
-    (0..8).for_each(|seed| day_of(seed, &every(), 3, SIX.to_vec()));
+    (0..8).for_each(|seed| scenario_of(seed, &every(), 3, SIX.to_vec()));
 }
 
 /// By hand; `SEEDS` and `FROM` choose which.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_by_the_thousand() {
-    play_seeds(24, 1000, |seed| day(seed, &OLDER, 2));
+    play_seeds(24, 1000, |seed| scenario(seed, &OLDER, 2));
 }
 
-/// The same with all troubles, two and three at once.
+/// The same with all faults, two and three at once.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_of_all_by_the_thousand() {
-    play_seeds(24, 1000, |seed| day(seed, &every(), 2));
+    play_seeds(24, 1000, |seed| scenario(seed, &every(), 2));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn random_threes_by_the_thousand() {
-    play_seeds(24, 1000, |seed| day(seed, &every(), 3));
+    play_seeds(24, 1000, |seed| scenario(seed, &every(), 3));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn random_threes_of_six_by_the_thousand() {
-    play_seeds(24, 1000, |seed| day_of(seed, &every(), 3, SIX.to_vec()));
+    play_seeds(24, 1000, |seed| {
+        scenario_of(seed, &every(), 3, SIX.to_vec())
+    });
 }
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -1,5 +1,5 @@
-//! What is checked at the end of a day: nothing forgotten, nobody left out, and the new
-//! troubles alone, overlapping, and at every step of a lease.
+//! What is checked at the end of a scenario: nothing forgotten, nobody left out, and the
+//! newer faults alone, overlapping, and at every step of a lease.
 
 use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
@@ -36,10 +36,10 @@
     }
 }
 
-/// The checker itself: a day passes, and each deliberately broken build is caught.
+/// The checker itself: a scenario passes, and each deliberately broken build is caught.
 #[test]
 fn broken_builds_are_caught() {
-    let day = |turn_s: f64, never: Option<&str>, skip: bool| {
+    let scenario = |turn_s: f64, never: Option<&str>, skip: bool| {
         let mut w = cluster(|s| s.tuning.admission.turn_s = turn_s);
         let mut users = Users::default();
         users.never_answers = never.map(Into::into);
@@ -56,14 +56,14 @@
         let over = w.now - 80_000.0;
         users.judge(&w, over)
     };
-    assert_eq!(day(60.0, None, true), Vec::<String>::new());
-    let wrong = day(1e9, None, false);
+    assert_eq!(scenario(60.0, None, true), Vec::<String>::new());
+    let wrong = scenario(1e9, None, false);
     assert!(
         wrong.iter().any(|x| x.starts_with("largest of")),
         "{wrong:?}"
     );
     assert_eq!(
-        day(60.0, Some("j-000120"), false),
+        scenario(60.0, Some("j-000120"), false),
         ["j-000120 is forgotten"]
     );
 }
@@ -196,9 +196,9 @@
     }
 }
 
-/// The new troubles in random overlaps with the old ones, while users submit, cancel and
+/// The newer faults in random overlaps with the old ones, while users submit, cancel and
 /// poll; at the end nothing is forgotten and nobody left out.
-fn day(seed: u64) {
+fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let mut w = cluster(|_| {});
     (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
@@ -261,12 +261,12 @@
 
 #[test]
 fn random_days() {
-    (0..10).for_each(day);
+    (0..10).for_each(scenario);
 }
 
 /// By hand; `SEEDS` and `FROM` choose which.
 #[test]
 #[ignore = "minutes"]
 fn random_days_by_the_hundred() {
-    play_seeds(10, 200, day);
+    play_seeds(10, 200, scenario);
 }
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
@@ -10,7 +10,7 @@
 /// Draws of all of it: who is refused, when cancellations come in the gap and where,
 /// whether the confirming controller ends, heartbeats are lost, machines are cut, deaf or
 /// held up, commands and transactions late; twice.
-fn day(seed: u64) {
+fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let (mut w, _) = running(12);
     w.seed_late(seed);
@@ -111,12 +111,12 @@
 
 #[test]
 fn random_gaps() {
-    (0..40).for_each(day);
+    (0..40).for_each(scenario);
 }
 
 /// By hand; `SEEDS` and `FROM` choose which.
 #[test]
 #[ignore = "minutes"]
 fn random_gaps_by_the_thousand() {
-    play_seeds(40, 1000, day);
+    play_seeds(40, 1000, scenario);
 }
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -1,6 +1,6 @@
 //! Transactions without an answer that are carried out after newer ones of the same
 //! controller, under the same lease. `docs/protocol.md` has the table of all kinds; here
-//! are those that did harm, and days on which any transaction may be so late.
+//! are those that did harm, and random scenarios in which any transaction may be so late.
 
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
@@ -275,10 +275,10 @@
     assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
 }
 
-/// Days on which any transaction gets no answer and is carried out 2 to 12 s later, or
-/// at once, among the older troubles. The users submit and cancel until they are told;
+/// Scenarios in which any transaction gets no answer and is carried out 2 to 12 s later, or
+/// at once, among the older faults. The users submit and cancel until they are told;
 /// the team has a limit.
-fn day(seed: u64) {
+fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let limit = [0.0, 24.0][draw(2) as usize];
     let mut w = World::new(Setup {
@@ -360,14 +360,14 @@
 
 #[test]
 fn random_days() {
-    (0..12).for_each(day);
+    (0..12).for_each(scenario);
 }
 
 /// By hand; `SEEDS` and `FROM` choose which.
 #[test]
 #[ignore = "minutes"]
 fn random_days_by_the_hundred() {
-    play_seeds(12, 200, day);
+    play_seeds(12, 200, scenario);
 }
 
 /// New jobs stand undivided in a page that has no room for their divisions, so the leader
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -47,7 +47,7 @@
 /// The answers of all transactions are lost for half a minute, claims' too, just as an
 /// owner ends, or the leader: another sees its own claim in the state and serves the shard
 /// at once. (It claimed anew, again and again, as for a claim of a process before, and the
-/// shard's leases ran out. Found by seed 5092 of three troubles.)
+/// shard's leases ran out. Found by seed 5092 of three faults.)
 #[test]
 fn a_claim_whose_answer_is_lost() {
     for lost in [100, 60] {
--- a/crates/cherryyard-simulation/tests/machine_faults.rs
+++ b/crates/cherryyard-simulation/tests/machine_faults.rs
@@ -99,7 +99,7 @@
 /// Machines hang with starts on their way, the job is cancelled, and the owner that sent
 /// them ends. Its successor knows nothing of the starts and has never heard the machines,
 /// too many for them to be taken for lost; what goes on after its incarnation is over carries
-/// out first what was sent to it. (Found by seed 1029 of three troubles at once: such a
+/// out first what was sent to it. (Found by seed 1029 of three faults at once: such a
 /// start came long after the time that cancelled tasks have.)
 #[test]
 fn a_start_to_a_hung_machine_whose_owner_ends() {
--- a/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
@@ -6,8 +6,8 @@
 use cherryyard_simulation::{Fault, Pipelines, Question, Setup, Users, World, draws, play_seeds};
 use common::pipelines::{cluster_of, id, sweep};
 
-/// Days by seed: pipelines and troubles, two at once.
-fn day(seed: u64, faults: &[Fault]) {
+/// Scenarios by seed: pipelines and faults, two at once.
+fn scenario(seed: u64, faults: &[Fault]) {
     let mut draw = draws(seed);
     let mut w = cluster_of(
         2.0 + draw(6) as f64,
@@ -97,12 +97,12 @@
 
 #[test]
 fn random_days_with_pipelines() {
-    (0..24).for_each(|seed| day(seed, &every()));
+    (0..24).for_each(|seed| scenario(seed, &every()));
 }
 
 /// By hand; `SEEDS` and `FROM` choose which.
 #[test]
 #[ignore = "minutes"]
 fn random_days_with_pipelines_by_the_thousand() {
-    play_seeds(24, 1000, |seed| day(seed, &every()));
+    play_seeds(24, 1000, |seed| scenario(seed, &every()));
 }
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -236,9 +236,9 @@
     );
 }
 
-/// Troubles of this page in random overlaps with ends, freezes, refusals and
+/// Faults of this page in random overlaps with ends, freezes, refusals and
 /// cancellations; afterwards all that was not cancelled runs, once.
-fn day(seed: u64) {
+fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let mut w = settled(Setup {
         machines: vec![("a", 3), ("b", 3), ("c", 3)],
@@ -324,14 +324,14 @@
 
 #[test]
 fn random_overlaps() {
-    (0..40).for_each(day);
+    (0..40).for_each(scenario);
 }
 
 /// By hand; `SEEDS` and `FROM` choose which.
 #[test]
 #[ignore = "minutes"]
 fn random_overlaps_by_the_thousand() {
-    play_seeds(40, 1000, day);
+    play_seeds(40, 1000, scenario);
 }
 
 /// Whoever names none of our messages for three seconds is connected to anew, and again
--- a/crates/cherryyard-simulation/tests/request_races.rs
+++ b/crates/cherryyard-simulation/tests/request_races.rs
@@ -90,7 +90,7 @@
 }
 
 /// A cancellation, a question or a repeated submission meets the end of a job's last
-/// task, at each step around it and through any controller, with no other trouble.
+/// task, at each step around it and through any controller, with no other fault.
 #[test]
 fn all_meets_the_end_of_the_last_task() {
     for step in 0..24 {
