--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -55,9 +55,8 @@
     /// nought.
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
         let ours = self.demand_out();
-        let peers = self.peers.iter().enumerate();
-        let theirs =
-            peers.filter_map(|(i, peer)| Some((i, peer.as_ref()?.heartbeat.demand.as_slice())));
+        let peers = self.peers.enumerate();
+        let theirs = peers.map(|(i, peer)| (i, peer.heartbeat.demand.as_slice()));
         let mut sums: BTreeMap<(u32, &str), [u64; 3]> = BTreeMap::new();
         let mut reported = HashMap::new();
         for (i, told) in theirs.chain([(self.config.me, ours.as_slice())]) {
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -148,7 +148,7 @@
                 mirror.end(*job).is_none() && (reported <= *at || mirror.open.contains_key(job))
             });
         }
-        let before = self.peers[peer].as_ref().map(|p| p.covered);
+        let before = self.peers.get(peer).map(|state| state.covered);
         // By the sender's clock, which may be fast.
         let ago = |ms: u32| now - f64::from(ms) * 0.999;
         let from = ago(heartbeat.reach_ms);
@@ -197,9 +197,9 @@
     pub fn may_confirm_cancelled(&self, job: u64, now: Millis) -> bool {
         let c = &self.cancelled;
         let named_by_all = |at: Millis| {
-            let others = (0..self.peers.len()).filter(|&i| i != self.config.me);
-            others
-                .map(|i| self.named_at(i))
+            self.peers
+                .others()
+                .map(|peer| self.named_at(peer))
                 .all(|named| named.is_some_and(|n| n > at))
         };
         let learnt = c.learnt_at(job);
@@ -239,14 +239,13 @@
             && report.fencing_token > 0
             && self.cancelled.announced.len() < MAX_ANNOUNCED
             && self.all_cut_off(now)
-            && self.peers.iter().flatten().any(knows)
+            && self.peers.iter().any(knows)
             && !report.tasks.iter().any(cancelled)
     }
 
     /// Whether there can be no cancellation that we have neither read nor been told of.
     pub(crate) fn knows_cancellations(&self) -> bool {
-        let others = (0..self.peers.len()).filter(|&i| i != self.config.me);
-        others.map(|i| self.peers[i].as_ref()).all(|peer| {
+        self.peers.other_states().all(|peer| {
             peer.is_some_and(|p| {
                 let contact = p.covered.contact;
                 contact <= p.covered.to || contact < self.state_read_at
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -8,6 +8,10 @@
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 
+/// Machines that a controller keeps: of its own shards, and as many of other controllers'.
+/// It bounds the memory that reports can take; the largest fleets have some 4,000.
+pub const MAX_MACHINES: usize = 20_000;
+
 /// Largest page of assignments, whatever the value limit: every change of one is told
 /// to all controllers.
 const MAX_PAGE: usize = 12 * 1024;
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -8,8 +8,9 @@
 use crate::event_loop_lag::EventLoopLag;
 use crate::leader::state::Leader;
 use crate::machine::{Machine, MachineEvent, MachineState};
+use crate::misdirected_workers::MisdirectedWorkers;
 use crate::owner::state::Shard;
-use crate::peers::{MisdirectedWorker, PeerFormat, PeerState};
+use crate::peers::Peers;
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
@@ -39,12 +40,7 @@
     pub(crate) shards: Vec<Shard>,
     pub(crate) machines: BTreeMap<u32, Machine>,
     pub(crate) leader: Leader,
-    pub(crate) peers: Vec<Option<PeerState>>,
-    /// What the other controllers' builds can work with, as they say in frames; earlier
-    /// builds say nothing.
-    pub(crate) peer_formats: Vec<Option<PeerFormat>>,
-    /// When the connection to each other controller was last to be made anew.
-    pub(crate) reconnected_at: Vec<Millis>,
+    pub(crate) peers: Peers,
     pub(crate) lease_id: Option<u64>,
     pub(crate) effects: Vec<Effect>,
     pub(crate) rng: StdRng,
@@ -69,9 +65,7 @@
     /// When this controller last started, or went on after it had stood still.
     pub(crate) woke_at: Millis,
     /// Workers of others' shards that reported here, by shard and machine.
-    pub(crate) misdirected: BTreeMap<(usize, u32), MisdirectedWorker>,
-    /// Whether the log says that further ones are not counted.
-    pub(crate) misdirected_full_logged: bool,
+    pub(crate) misdirected: MisdirectedWorkers,
     /// Users' writes that this controller may make.
     pub(crate) user_write_budget: TokenBucket,
     /// Machines whose assignments scheduling cycles have looked at so far: what scheduling cycles cost.
@@ -99,7 +93,6 @@
         let shards = (0..config.shards())
             .map(|_| Shard::new(config.cycle_writes_per_s, now))
             .collect();
-        let peers = vec![None; config.shards()];
         let number = StdRng::seed_from_u64(seed).random();
         let rng = StdRng::seed_from_u64(seed);
         Self {
@@ -107,9 +100,7 @@
             mirror,
             shards,
             machines: BTreeMap::new(),
-            reconnected_at: vec![now; peers.len()],
-            peer_formats: vec![None; peers.len()],
-            peers,
+            peers: Peers::new(config.me, config.shards(), now),
             lease_id: None,
             effects: Vec::new(),
             rng,
@@ -126,8 +117,7 @@
             newest_revision: 0,
             clock: now,
             woke_at: now,
-            misdirected: BTreeMap::new(),
-            misdirected_full_logged: false,
+            misdirected: MisdirectedWorkers::default(),
             user_write_budget: TokenBucket::new(
                 config.user_writes_per_s / config.shards() as f64,
                 now,
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -3,31 +3,14 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::Effect;
-use crate::peers::{PeerFormat, PeerState};
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
-use std::collections::BTreeMap;
-
-/// How long nothing of what we send a controller may be named by it.
-const DEAF_MS: f64 = 3000.0;
-/// How long a report counts that came to one who does not own its machine: a worker that
-/// cannot reach its owner waits 4 s there, 1 s more, and is sent there again.
-const MISDIRECTED_MS: f64 = 6000.0;
-/// How long after a newer heartbeat an older one is taken for one that was held back. One who
-/// began anew counts from anywhere, but names ours of since then.
-const OLD_CONNECTION_MS: f64 = 3000.0;
 
 impl Controller {
     /// Whether every other controller says lately that the state service does
     /// not answer it either.
     pub(crate) fn all_cut_off(&self, now: Millis) -> bool {
-        (0..self.peers.len())
-            .filter(|&i| i != self.config.me)
-            .all(|i| {
-                self.peers[i].as_ref().is_some_and(|peer| {
-                    now - peer.made_at <= self.config.relied_ms() && peer.heartbeat.cut_off
-                })
-            })
+        self.peers.all_cut_off(self.config.relied_ms(), now)
     }
 
     /// Controllers that have for long named no message of ours, though we send them one
@@ -35,18 +18,14 @@
     /// behind a cut, may be back and know nothing of the old connection, which tells us
     /// nothing for a minute or more. Each is told of again after the same time.
     pub fn deaf_peers(&mut self, now: Millis) -> Vec<&str> {
-        let me = self.config.me;
         let mut deaf = Vec::new();
-        for i in (0..self.peers.len()).filter(|&i| i != me) {
-            let named = self.named_at(i).unwrap_or(self.started_at);
-            let since = self.reconnected_at[i].max(named);
-            if now - since > DEAF_MS {
-                self.reconnected_at[i] = now;
-                deaf.push(i);
+        for peer in self.peers.others() {
+            let acknowledged_at = self.named_at(peer).unwrap_or(self.started_at);
+            if self.peers.reconnect_due(peer, acknowledged_at, now) {
+                deaf.push(self.config.labels[peer].as_str());
             }
         }
-        let labels = &self.config.labels;
-        deaf.into_iter().map(|i| labels[i].as_str()).collect()
+        deaf
     }
 
     /// Takes what another controller says of its build.
@@ -55,11 +34,10 @@
             return;
         };
         let format = sender.format;
-        if self.peer_formats[i].is_none_or(|known| known.format != format) {
+        if self.peers.note_format(i, format, now) {
             let (label, build) = (&sender.label, &sender.build);
             tracing::info!(label, build, format, "a controller names its build");
         }
-        self.peer_formats[i] = Some(PeerFormat { format, at: now });
     }
 
     /// Takes another controller's heartbeat.
@@ -77,13 +55,7 @@
             return;
         }
         let made_at = self.made_at(&heartbeat);
-        let older = |peer: &PeerState| {
-            heartbeat.number < peer.heartbeat.number
-                && made_at <= peer.made_at
-                && now - peer.last_heard_at < OLD_CONNECTION_MS
-        };
-        if self.peers[i].as_ref().is_some_and(older) {
-            // Held back on a connection that has been given up since.
+        if self.peers.is_delayed(i, &heartbeat, made_at, now) {
             return;
         }
         for (shard, token, label) in &heartbeat.leases {
@@ -110,40 +82,12 @@
         for report in &heartbeat.shards {
             self.leader.hear(report.clone(), now);
         }
-        let up_since = match &self.peers[i] {
-            Some(peer) if now - peer.last_heard_at < 3000.0 => peer.up_since,
-            _ => now,
-        };
         if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
             self.lower_grants(&heartbeat.short, now);
         }
         self.entitlements_in(i, &heartbeat, now);
         let covered = self.learn_cancellations(i, &heartbeat, made_at, now);
-        let before = self.peers[i].as_ref();
-        self.peers[i] = Some(PeerState {
-            made_at: before.map_or(made_at, |peer| peer.made_at.max(made_at)),
-            heartbeat,
-            last_heard_at: now,
-            up_since,
-            covered,
-        });
-    }
-
-    /// How many workers of others' shards report here and hear, by shard. Not all are
-    /// asked, as they may come by the hundred at once: those that were stand for them.
-    fn misdirected_counts(&mut self, now: Millis) -> Vec<(u32, u32)> {
-        self.misdirected
-            .retain(|_, worker| now - worker.at < MISDIRECTED_MS);
-        let mut counts: BTreeMap<usize, (u32, u32, u32)> = BTreeMap::new();
-        for (&(shard_id, _), worker) in &self.misdirected {
-            let (all, queried, hear) = counts.entry(shard_id).or_default();
-            *all += 1;
-            *queried += u32::from(worker.asked_at.is_finite() && !worker.query_pending);
-            *hear += u32::from(worker.is_reachable);
-        }
-        let told = counts.into_iter().filter(|c| c.1.1 > 0);
-        told.map(|(shard_id, (all, queried, hear))| (shard_id as u32, all * hear / queried))
-            .collect()
+        self.peers.receive(i, heartbeat, made_at, covered, now);
     }
 
     /// What this controller tells the others now.
@@ -164,7 +108,7 @@
                 self.leader.hear(report.clone(), now);
             }
         }
-        let misdirected = self.misdirected_counts(now);
+        let misdirected = self.misdirected.counts(now);
         let demand = self.demand_out();
         let mut short = Vec::new();
         if self.leader.leads(&self.mirror) {
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -6,8 +6,6 @@
 
 /// Least time between two looks for pages to compact.
 const COMPACT_MS: f64 = 1000.0;
-/// For how long what a controller has said of its build counts.
-const SAID_MS: f64 = 3000.0;
 /// Pages that are left alone.
 const FEW: usize = 3;
 
@@ -26,8 +24,8 @@
         }
         let holder = self.mirror.shards[i].as_ref();
         let acquired = holder.filter(|c| c.label == self.config.labels[i]);
-        let said = self.peer_formats[i].filter(|said| self.clock - said.at <= SAID_MS);
-        acquired.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
+        let said = self.peers.format(i, self.clock);
+        acquired.is_some_and(|c| c.format >= format) || said.is_some_and(|said| said >= format)
     }
 
     /// New jobs come by pages from now on, once every controller can read them.
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -20,6 +20,7 @@
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::mirror::OpenJob;
 use crate::needs::Needs;
+use crate::peers::SUCCESSION_MS;
 use crate::{Millis, admit};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType, ProvisionRequest};
@@ -53,17 +54,13 @@
                     .labels
                     .iter()
                     .position(|l| *l == c.label)
-                    .and_then(|i| self.peers[i].as_ref().map(|peer| now - peer.last_heard_at));
+                    .and_then(|peer| self.peers.silence(peer, now));
                 let rank = self.successor_rank(&c.label, now);
                 let limit = 1800.0 + 500.0 * rank as f64;
                 // Who hears nobody at all cannot tell a dead leader from a cut
                 // between controllers; the state service tells, by its lease.
                 // Else the lead went round among all, again and again.
-                let anyone = self
-                    .peers
-                    .iter()
-                    .flatten()
-                    .any(|peer| now - peer.last_heard_at < 1500.0);
+                let anyone = self.peers.any_heard_within(SUCCESSION_MS, now);
                 match silent.filter(|_| anyone) {
                     Some(ms) => ms > limit && now - self.started_at > 4000.0,
                     None => silent.is_none() && anyone && now - self.started_at > 4000.0 + limit,
@@ -109,11 +106,7 @@
         (1..n)
             .map(|k| (from + k) % n)
             .take_while(|&i| i != self.config.me)
-            .filter(|&i| {
-                self.peers[i]
-                    .as_ref()
-                    .is_some_and(|peer| now - peer.last_heard_at < 1500.0)
-            })
+            .filter(|&i| self.peers.heard_within(i, SUCCESSION_MS, now))
             .count()
     }
 
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -73,11 +73,7 @@
 
     /// Services that their shards would rather see elsewhere.
     fn handed_over(&self) -> HashSet<(usize, u64)> {
-        let told = self
-            .peers
-            .iter()
-            .flatten()
-            .flat_map(|s| &s.heartbeat.handing);
+        let told = self.peers.iter().flat_map(|s| &s.heartbeat.handing);
         let ours = self.shards.iter().enumerate();
         let ours = ours
             .flat_map(|(shard_id, shard)| shard.handing.iter().map(move |&job| (shard_id, job)));
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -6,6 +6,7 @@
 use crate::leader::state::LeadershipPhase;
 use crate::machine::MachineState;
 use crate::mirror::LeaseHolder;
+use crate::peers::SUCCESSION_MS;
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
 use cherryyard_wire::record::{self, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
@@ -84,9 +85,7 @@
                 }
                 None => {
                     let since = *self.shards[shard_id].ownerless_since.get_or_insert(now);
-                    let home_alive = self.peers[shard_id]
-                        .as_ref()
-                        .is_some_and(|s| now - s.last_heard_at < 1500.0 && !s.heartbeat.cut_off);
+                    let home_alive = self.peers.has_state_within(shard_id, SUCCESSION_MS, now);
                     let rank = ((me + n - shard_id) % n) as f64;
                     let wait = if shard_id == me {
                         0.0
@@ -140,16 +139,7 @@
                 all += 1;
                 silent += u32::from(now - m.last_heard_at > limit);
             }
-            let elsewhere = self
-                .peers
-                .iter()
-                .flatten()
-                .filter(|s| now - s.last_heard_at < 2000.0 && !s.heartbeat.cut_off)
-                .flat_map(|s| &s.heartbeat.misdirected)
-                .filter(|x| x.0 as usize == shard_id)
-                // Each goes from one controller to the next: none hears them all.
-                .map(|x| x.1)
-                .sum::<u32>();
+            let elsewhere = self.peers.misdirected_workers(shard_id, now);
             if silent * 2 >= all && all > 0 {
                 tracing::debug!(
                     shard = shard_id,
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -20,6 +20,7 @@
 mod lease_acquisition;
 pub mod machine;
 pub mod mirror;
+mod misdirected_workers;
 pub mod names;
 pub mod needs;
 pub mod owner;
@@ -34,12 +35,11 @@
 pub mod users;
 mod worker_heartbeats;
 
-pub use config::{Config, Tuning};
+pub use config::{Config, MAX_MACHINES, Tuning};
 pub use controller::Controller;
 pub use effects::{Effect, Outcome, PushOutcome, Reply, Ticket};
 pub use machine::{Machine, MachineState, Task};
 pub use mirror::Mirror;
-pub use worker_heartbeats::MAX_MACHINES;
 
 /// Milliseconds on this process's steady clock.
 pub type Millis = f64;
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -2,6 +2,7 @@
 
 use crate::Millis;
 use crate::controller::Controller;
+use crate::peers::FORWARDING_MS;
 use cherryyard_wire::job::{JobStatus, JobView};
 use cherryyard_wire::record::End;
 use cherryyard_wire::state::Commit;
@@ -86,8 +87,8 @@
         } else {
             let label = self.mirror.leader_lease.as_ref().map(|c| &c.label);
             let leader = self.config.labels.iter().position(|l| Some(l) == label);
-            let heard = leader.and_then(|i| self.peers[i].as_ref());
-            let lent = heard.is_some_and(|peer| now - peer.last_heard_at <= LENT_MS * 1.25);
+            let silence = leader.and_then(|peer| self.peers.silence(peer, now));
+            let lent = silence.is_some_and(|silence| silence <= LENT_MS * 1.25);
             even * if lent { 1.0 - LENT_SHARE } else { 1.0 }
         };
         self.user_write_budget.set_rate(rate, now);
@@ -114,12 +115,8 @@
         if self.leader.leads(&self.mirror) && self.state_fresh(now) {
             return None;
         }
-        let able = |i: &usize| {
-            *i != self.config.me
-                && self.peers[*i].as_ref().is_some_and(|peer| {
-                    now - peer.last_heard_at < 1200.0 && !peer.heartbeat.cut_off
-                })
-        };
+        let able =
+            |i: &usize| *i != self.config.me && self.peers.has_state_within(*i, FORWARDING_MS, now);
         let all = 0..self.config.labels.len();
         let leader = all
             .clone()
@@ -136,7 +133,7 @@
     /// usual, by what it last told.
     pub fn intake_ms(&self, label: &str) -> u64 {
         let i = self.config.labels.iter().position(|l| l == label);
-        let peer = i.and_then(|i| self.peers[i].as_ref());
+        let peer = i.and_then(|i| self.peers.get(i));
         peer.map_or(0, |p| u64::from(p.heartbeat.intake_ms))
     }
 
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -1,10 +1,11 @@
 //! Workers' reports and direct commands, as a controller takes them.
 
 use crate::Millis;
+use crate::config::MAX_MACHINES;
 use crate::controller::Controller;
 use crate::effects::{Effect, PushOutcome, Reply};
 use crate::machine::{Freshness, Machine, MachineState, PushedStart};
-use crate::peers::MisdirectedWorker;
+use crate::peers::{KNOWN_LEASES_MS, MISDIRECTED_REPORTS_MS};
 use crate::reachability::{Reachability, ReachabilityEvent};
 use crate::shard_lease::ShardLease;
 use cherryyard_wire::record::End;
@@ -14,9 +15,6 @@
 
 /// Questions to machines under way at once.
 const MAX_QUERIES: usize = 16;
-/// Machines that a controller keeps: of its own shards, and as many of other controllers'.
-/// It bounds the memory that reports can take; the largest fleets have some 4,000.
-pub const MAX_MACHINES: usize = 20_000;
 /// Longest name of a machine that is taken, in bytes.
 const MAX_HOST_NAME: usize = 100;
 /// How much longer than its lease a silent machine is still asked.
@@ -42,12 +40,8 @@
         let mut best = self.mirror.shards[shard_id]
             .as_ref()
             .map(|c| (c.revision, c.label.clone()));
-        for peer in self
-            .peers
-            .iter()
-            .flatten()
-            .filter(|s| now - s.last_heard_at < 5000.0)
-        {
+        let peers = self.peers.iter();
+        for peer in peers.filter(|peer| peer.heard_within(KNOWN_LEASES_MS, now)) {
             for (shard, token, label) in &peer.heartbeat.leases {
                 if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *token) {
                     best = Some((*token, label.clone()));
@@ -58,65 +52,27 @@
             .filter(|label| *label != self.config.labels[self.config.me])
     }
 
-    /// Notes that a worker of another's part reports here. It may have lost its owner, or
-    /// hear nobody, and roam from one to the next: then no other owner would do better.
-    /// So it is asked, unless the owner has ended anyway.
+    /// Notes that a worker of another controller's shard reports here, and queries it if that
+    /// tells more.
     fn note_misdirected_worker(&mut self, shard_id: usize, report: &WorkerHeartbeat, now: Millis) {
-        if report.host.len() > MAX_HOST_NAME || !self.can_track_misdirected(shard_id, &report.host)
+        if report.host.len() > MAX_HOST_NAME
+            || !self
+                .misdirected
+                .can_track(shard_id, &report.host, &self.mirror.hosts)
         {
             return;
         }
         let owner = self.owner_elsewhere(shard_id, now);
         let owner = owner.and_then(|label| self.config.labels.iter().position(|l| *l == label));
-        let alive = owner.and_then(|i| self.peers[i].as_ref());
-        let alive = alive.is_some_and(|peer| now - peer.last_heard_at < 2000.0);
+        let owner_alive =
+            owner.is_some_and(|owner| self.peers.heard_within(owner, MISDIRECTED_REPORTS_MS, now));
         let host = self.mirror.hosts.intern(&report.host);
-        let due = |s: &MisdirectedWorker| {
-            !s.is_reachable && !s.query_pending && now - s.asked_at > 3000.0
-        };
-        let due = self.misdirected.get(&(shard_id, host)).is_none_or(due);
-        // Counted only where it decides: there may be thousands.
-        let query_pending = || {
-            self.misdirected
-                .values()
-                .filter(|s| s.query_pending)
-                .count()
-        };
-        let query = alive && due && query_pending() < MAX_QUERIES;
-        let worker = self
-            .misdirected
-            .entry((shard_id, host))
-            .or_insert(MisdirectedWorker {
-                at: now,
-                asked_at: f64::NEG_INFINITY,
-                query_pending: false,
-                is_reachable: false,
-            });
-        worker.at = now;
-        if query {
-            (worker.query_pending, worker.asked_at) = (true, now);
+        if self.misdirected.reported(shard_id, host, owner_alive, now) {
             let addr = report.addr.clone();
             self.effects.push(Effect::QueryStatus { host, addr });
         }
     }
 
-    /// Whether a machine of another's part is known or may become so; says in the log
-    /// once that it may not.
-    fn can_track_misdirected(&mut self, shard_id: usize, host: &str) -> bool {
-        if self.misdirected.len() < MAX_MACHINES {
-            return true;
-        }
-        if !std::mem::replace(&mut self.misdirected_full_logged, true) {
-            let most = MAX_MACHINES;
-            tracing::warn!(
-                most,
-                "too many machines of other parts report here; further ones are not counted"
-            );
-        }
-        let host = self.mirror.hosts.get(host);
-        host.is_some_and(|host| self.misdirected.contains_key(&(shard_id, host)))
-    }
-
     /// Takes a worker's report.
     pub fn report(&mut self, report: &WorkerHeartbeat, now: Millis) -> Reply {
         match self.answer_report(report, now) {
@@ -318,13 +274,7 @@
     pub fn queried(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
         self.notice(now);
         let last = self.mirror.store_revision.max(self.newest_revision) + 1;
-        for (_, worker) in self
-            .misdirected
-            .iter_mut()
-            .filter(|s| s.0.1 == host && s.1.query_pending)
-        {
-            (worker.query_pending, worker.is_reachable) = (false, answer.is_some());
-        }
+        self.misdirected.queried(host, answer.is_some());
         let Some(m) = self.machines.get_mut(&host) else {
             return;
         };
