--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -122,7 +122,10 @@
     // Its report gets through; the answer, and with it the token, is lost.
     let report = w.workers.get_mut(&host).unwrap().report(w.now);
     let now = w.now;
-    w.controllers[1].as_mut().unwrap().report(&report, now);
+    w.controllers[1]
+        .as_mut()
+        .unwrap()
+        .handle_worker_heartbeat(&report, now);
     w.run(60.0);
     assert_eq!(starts(&w, "j-000001/0").len(), 1, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
