--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -51,7 +51,7 @@
     /// depends on them.
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        let last = self.mirror.admission_log.last_key_value().map(|l| *l.0);
+        let last = self.mirror.admission_log.last_page();
         for &job in &self.mirror.undivided {
             if self.mirror.in_page(job)
                 && let Some(page) = self.mirror.page_of(job)
--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -173,7 +173,7 @@
                     .map(|(job, e)| Past {
                         job,
                         end: e.end,
-                        done: if e.end == End::Done { e.n } else { 0 },
+                        done: if e.end == End::Done { e.task_count } else { 0 },
                         day,
                     })
                     .collect();
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -9,29 +9,33 @@
 //!
 //! A transaction without an answer may be carried out after later ones. So that what it
 //! took for absent is not absent once more, the last page and page 0 are never deleted,
-//! and who deletes another changes the page before it, if that is still there.
+//! and who deletes another changes the page before it, if that is still there
+//! (`admission_compaction`).
 //!
 //! What is stored of a job elsewhere, in a record of its own or in a bucket, counts
 //! instead of its page: its end, or a division that has changed. A job without such a
 //! record is as its page says, and whoever depends on that depends on the record's
 //! absence (or on the bucket, where there are buckets).
 
+use super::record_error::RecordProblem;
 use super::{Mirror, OpenJob};
 use crate::Config;
 use cherryyard_wire::admission_log::{AdmissionPageRecord, Arrival, Rest};
 use cherryyard_wire::record::{BUCKETS, Key, admission_log_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Largest page, whatever the value limit: each is told to all controllers whenever a
 /// job is added to it.
-const MOST_BYTES: usize = 4096;
+const MAX_PAGE_BYTES: usize = 4096;
 /// Most jobs of a page.
 pub const MOST_ROWS: usize = 64;
-
-/// Changes that the deletion of a page takes, and that its joining with another takes.
-const DELETE_CHANGES: usize = 2;
-const JOIN_CHANGES: usize = 3;
+/// Bytes that a page's record takes beside its rows.
+const FRAME_BYTES: usize = 50;
+/// Bytes that a row may take more once others have come: later rows' times have more digits.
+const ROW_RESERVE_BYTES: usize = 12;
+/// Conditions that a job takes with the two on pages.
+const JOB_CONDITIONS: usize = 3;
 
 /// A page of new jobs as the mirror knows it.
 #[derive(Clone, Debug, Default)]
@@ -41,52 +45,138 @@
     /// Its jobs.
     pub jobs: BTreeSet<u64>,
     /// Whether it names a team that is not in our settings: it is left as it is.
-    foreign: bool,
+    pub(super) foreign: bool,
+}
+
+/// Which job came by which page.
+#[derive(Clone, Debug, Default)]
+pub struct AdmissionLog {
+    pages: BTreeMap<u64, AdmissionPage>,
+    page_by_job: HashMap<u64, u64>,
+}
+
+impl AdmissionLog {
+    /// How many pages there are.
+    pub fn len(&self) -> usize {
+        self.pages.len()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.pages.is_empty()
+    }
+
+    /// The number of the last page.
+    pub fn last_page(&self) -> Option<u64> {
+        self.pages.last_key_value().map(|(&page, _)| page)
+    }
+
+    /// A page.
+    pub(super) fn get(&self, page: u64) -> Option<&AdmissionPage> {
+        self.pages.get(&page)
+    }
+
+    /// A page that may be written anew.
+    pub(super) fn writable(&self, page: u64) -> Option<&AdmissionPage> {
+        self.pages.get(&page).filter(|known| !known.foreign)
+    }
+
+    /// All pages, in order.
+    pub(super) fn pages(&self) -> &BTreeMap<u64, AdmissionPage> {
+        &self.pages
+    }
+
+    fn page_of(&self, job: u64) -> Option<u64> {
+        self.page_by_job.get(&job).copied()
+    }
+
+    fn assign(&mut self, job: u64, page: u64) {
+        self.page_by_job.insert(job, page);
+    }
+
+    /// Puts a page into the place of an earlier version; gives back the jobs that no page
+    /// names any more.
+    fn replace(&mut self, page: u64, new: AdmissionPage) -> Vec<u64> {
+        let old = self.pages.insert(page, new).unwrap_or_default();
+        self.unlist(page, old.jobs)
+    }
+
+    /// Removes a page; gives back the jobs that no page names any more.
+    fn remove(&mut self, page: u64) -> Vec<u64> {
+        let old = self.pages.remove(&page).unwrap_or_default();
+        self.unlist(page, old.jobs)
+    }
+
+    /// Of a page's jobs before, takes out those that it does not name any more and that
+    /// have not gone to another.
+    fn unlist(&mut self, page: u64, before: BTreeSet<u64>) -> Vec<u64> {
+        let named = self.pages.get(&page).map(|known| &known.jobs);
+        let mut gone = Vec::new();
+        for job in before {
+            let is_named = named.is_some_and(|jobs| jobs.contains(&job));
+            if !is_named && self.page_by_job.get(&job) == Some(&page) {
+                self.page_by_job.remove(&job);
+                gone.push(job);
+            }
+        }
+        gone
+    }
 }
 
 /// A page in the making.
-#[derive(Debug, Default)]
-pub struct Draft {
+#[derive(Debug)]
+pub(super) struct PageDraft {
     record: AdmissionPageRecord,
     bytes: usize,
+    max_bytes: usize,
 }
 
-impl Draft {
-    /// Adds a job if there is room for it.
-    fn push(&mut self, job: u64, open: &OpenJob, most: usize) -> bool {
-        let mut one = AdmissionPageRecord::default();
-        let add = |record: &mut AdmissionPageRecord| {
-            let rest = Rest {
-                zone: open.zone.clone(),
-                caps: open.caps.clone(),
-                rules: open.rules.as_ref().map(|r| r.0.clone()),
-                after: open.after.clone(),
-            };
-            record.push(job, &open.spec, open.at, &open.div, rest);
-        };
-        add(&mut one);
-        let known = self.record.c.contains(&one.c[0]);
-        let size = |x: Option<Vec<u8>>| x.map_or(most, |text| text.len() + 1);
-        // Later rows' times have more digits.
-        let mut bytes = size(serde_json::to_vec(&one.j).ok()) + 12;
-        if !known {
-            bytes += size(serde_json::to_vec(&one.c).ok());
+impl PageDraft {
+    /// An empty one, of the largest size that the settings allow.
+    pub fn new(config: &Config) -> Self {
+        Self {
+            record: AdmissionPageRecord::default(),
+            bytes: 0,
+            max_bytes: config.value_bytes.min(MAX_PAGE_BYTES),
         }
-        if self.record.j.len() >= MOST_ROWS || self.bytes + bytes + 50 > most {
+    }
+
+    /// Adds a job; false, and nothing added, if there is no room for it.
+    pub fn push(&mut self, job: u64, open: &OpenJob) -> bool {
+        let mut single = AdmissionPageRecord::default();
+        Self::add_row(&mut single, job, open);
+        let size = |text: Option<Vec<u8>>| text.map_or(self.max_bytes, |text| text.len() + 1);
+        let mut bytes = size(serde_json::to_vec(&single.j).ok()) + ROW_RESERVE_BYTES;
+        if !self.record.c.contains(&single.c[0]) {
+            bytes += size(serde_json::to_vec(&single.c).ok());
+        }
+        let is_full = self.record.j.len() >= MOST_ROWS;
+        if is_full || self.bytes + bytes + FRAME_BYTES > self.max_bytes {
             return false;
         }
         self.bytes += bytes;
-        add(&mut self.record);
+        Self::add_row(&mut self.record, job, open);
         true
     }
 
-    fn apply(&self, page: u64) -> Apply {
-        Apply::put(admission_log_key(page), Json::of(&self.record))
+    fn add_row(record: &mut AdmissionPageRecord, job: u64, open: &OpenJob) {
+        let rest = Rest {
+            zone: open.zone.clone(),
+            caps: open.caps.clone(),
+            rules: open.rules.as_ref().map(|(rules, _)| rules.clone()),
+            after: open.after.clone(),
+        };
+        record.push(job, &open.spec, open.at, &open.div, rest);
     }
-}
 
-fn page_bytes(config: &Config) -> usize {
-    config.value_bytes.min(MOST_BYTES)
+    fn is_empty(&self) -> bool {
+        self.record.j.is_empty()
+    }
+
+    /// The change that stores it.
+    pub fn apply(&self, page: u64) -> Apply {
+        Apply::put(admission_log_key(page), Json::of(&self.record))
+    }
 }
 
 impl Mirror {
@@ -105,12 +195,12 @@
     /// Whether an open job is as its page says.
     pub fn in_page(&self, job: u64) -> bool {
         let open = self.open.get(&job);
-        open.is_some_and(|o| o.revision == 0) && !self.bucket_of.contains_key(&job)
+        open.is_some_and(|open| open.revision == 0) && !self.buckets.holds(job)
     }
 
     /// The page that names a job, if any does.
     pub fn page_of(&self, job: u64) -> Option<u64> {
-        self.arrived.get(&job).copied()
+        self.admission_log.page_of(job)
     }
 
     pub(super) fn put_admission_page(
@@ -118,32 +208,32 @@
         page: u64,
         record: AdmissionPageRecord,
         revision: u64,
-    ) -> Result<(), String> {
-        let all = record.read(self.shards.len()).ok_or("bad rows")?;
+    ) -> Result<(), RecordProblem> {
+        let arrivals = record.read(self.shards.len());
+        let arrivals = arrivals.ok_or(RecordProblem::BadRows)?;
         let mut new = AdmissionPage {
             revision,
             ..AdmissionPage::default()
         };
-        for arrival in all {
+        for arrival in arrivals {
             let job = arrival.job;
             new.jobs.insert(job);
             new.foreign |= self.teams.get(&arrival.spec.team).is_none();
-            self.arrived.insert(job, page);
+            self.admission_log.assign(job, page);
             // What has been stored of it since counts.
-            if !self.ended.contains_key(&job)
-                && (!self.open.contains_key(&job) || self.in_page(job))
-            {
-                self.put_admission(arrival);
+            if !self.ended.contains(job) && (!self.open.contains_key(&job) || self.in_page(job)) {
+                self.put_arrival(arrival);
             }
         }
-        let old = self.admission_log.insert(page, new).unwrap_or_default();
-        self.drop_admission_page(page, old.jobs);
+        let gone = self.admission_log.replace(page, new);
+        self.drop_unnamed(&gone);
         Ok(())
     }
 
-    fn put_admission(&mut self, arrival: Arrival) {
+    fn put_arrival(&mut self, arrival: Arrival) {
         let job = arrival.job;
-        if self.open.get(&job).is_some_and(|o| o.div == arrival.div) {
+        let known = self.open.get(&job);
+        if known.is_some_and(|open| open.div == arrival.div) {
             return;
         }
         let rules = arrival.rest.rules;
@@ -160,34 +250,27 @@
         }
     }
 
-    pub(super) fn drop_page(&mut self, page: u64) {
-        let old = self.admission_log.remove(&page).unwrap_or_default();
-        self.drop_admission_page(page, old.jobs);
+    pub(super) fn drop_admission_page(&mut self, page: u64) {
+        let gone = self.admission_log.remove(page);
+        self.drop_unnamed(&gone);
     }
 
-    /// Of a page's jobs before, those that it does not name any more and that have not
-    /// gone to another.
-    fn drop_admission_page(&mut self, page: u64, before: BTreeSet<u64>) {
-        for job in before {
-            let named = |a: &AdmissionPage| a.jobs.contains(&job);
-            if self.arrived.get(&job) == Some(&page)
-                && !self.admission_log.get(&page).is_some_and(named)
-            {
-                self.arrived.remove(&job);
-                if self.in_page(job) {
-                    self.drop_job(job);
-                }
+    /// Of jobs that no page names any more, drops those that nothing else is stored of.
+    fn drop_unnamed(&mut self, gone: &[u64]) {
+        for &job in gone {
+            if self.in_page(job) {
+                self.drop_job(job);
             }
         }
     }
 
     /// A page with what still depends on it; none if it is not ours to write anew.
-    fn draft(&self, page: u64, most: usize) -> Option<Draft> {
-        let known = self.admission_log.get(&page).filter(|a| !a.foreign)?;
-        let mut draft = Draft::default();
+    pub(super) fn draft(&self, page: u64, config: &Config) -> Option<PageDraft> {
+        let known = self.admission_log.writable(page)?;
+        let mut draft = PageDraft::new(config);
         // What has a record of its own need not be named any longer.
         let mut here = known.jobs.iter().filter(|job| self.in_page(**job));
-        let fits = here.all(|&job| draft.push(job, &self.open[&job], most));
+        let fits = here.all(|&job| draft.push(job, &self.open[&job]));
         fits.then_some(draft)
     }
 
@@ -200,24 +283,23 @@
         jobs: impl Iterator<Item = (u64, &'a OpenJob)>,
         config: &Config,
     ) -> usize {
-        let most = page_bytes(config);
-        let last = self.admission_log.last_key_value().map(|(&page, _)| page);
-        let after = last.map_or(0, |page| page + 1);
-        let drafted = last.and_then(|page| Some((page, self.draft(page, most)?)));
-        let (mut page, mut draft) = drafted.unwrap_or((after, Draft::default()));
+        let last = self.admission_log.last_page();
+        let next = last.map_or(0, |page| page + 1);
+        let drafted = last.and_then(|page| Some((page, self.draft(page, config)?)));
+        let (mut page, mut draft) = drafted.unwrap_or_else(|| (next, PageDraft::new(config)));
         let mut added = 0;
         for (job, open) in jobs {
-            // Its own condition, and the two on pages.
-            if self.format < BUCKETS && commit.when.len() + 3 > config.max_conditions() {
+            let conditions = commit.when.len() + JOB_CONDITIONS;
+            if self.format < BUCKETS && conditions > config.max_conditions() {
                 break;
             }
-            if !draft.push(job, open, most) {
-                if added > 0 || draft.record.j.is_empty() {
+            if !draft.push(job, open) {
+                if added > 0 || draft.is_empty() {
                     break;
                 }
                 // The last page is full: a new one.
-                (page, draft) = (after, Draft::default());
-                if !draft.push(job, open, most) {
+                (page, draft) = (next, PageDraft::new(config));
+                if !draft.push(job, open) {
                     break;
                 }
             }
@@ -235,7 +317,7 @@
 
     /// Adds the conditions that no job has come by a page that is not known here.
     pub(crate) fn require_pages(&self, commit: &mut Commit) {
-        let last = self.admission_log.last_key_value().map(|(&page, _)| page);
+        let last = self.admission_log.last_page();
         if let Some(last) = last {
             self.require(commit, Key::AdmissionPage(last));
         }
@@ -251,16 +333,15 @@
         changed: &[(u64, OpenJob)],
         config: &Config,
     ) -> bool {
-        let most = page_bytes(config);
-        let Some(known) = self.admission_log.get(&page).filter(|a| !a.foreign) else {
+        let Some(known) = self.admission_log.writable(page) else {
             return false;
         };
-        let mut draft = Draft::default();
+        let mut draft = PageDraft::new(config);
         for &job in &known.jobs {
-            let new = changed.iter().find(|c| c.0 == job).map(|c| &c.1);
+            let new = changed.iter().find(|(changed_job, _)| *changed_job == job);
             let old = self.open.get(&job).filter(|_| self.in_page(job));
-            if let Some(open) = new.or(old)
-                && !draft.push(job, open, most)
+            if let Some(open) = new.map(|(_, open)| open).or(old)
+                && !draft.push(job, open)
             {
                 return false;
             }
@@ -269,84 +350,4 @@
         commit.apply.push(draft.apply(page));
         true
     }
-
-    /// Adds to a transaction what deletes a page. One that was to make this page, and is
-    /// carried out late, depends on the page before: that is changed, if it is there.
-    fn delete_page(&self, commit: &mut Commit, page: u64, config: &Config) -> bool {
-        let changed = |at: u64| {
-            let key = admission_log_key(at);
-            commit.apply.iter().any(|a| a.key() == key)
-        };
-        let before = page.checked_sub(1);
-        let before = before.filter(|at| self.admission_log.contains_key(at) && !changed(*at));
-        if let Some(before) = before {
-            let Some(draft) = self.draft(before, page_bytes(config)) else {
-                return false;
-            };
-            self.require(commit, Key::AdmissionPage(before));
-            commit.apply.push(draft.apply(before));
-        }
-        self.require(commit, Key::AdmissionPage(page));
-        commit.apply.push(Apply::delete(admission_log_key(page)));
-        true
-    }
-
-    /// The transaction that tidies the pages, if there is something to compact: pages of
-    /// which no job depends any more are deleted, and what little is left of two goes
-    /// into one. Never the last: it shows what has been added. The first is emptied.
-    pub(crate) fn compact_pages(&self, config: &Config) -> Option<Commit> {
-        let mut commit = Commit::default();
-        let last = *self.admission_log.last_key_value()?.0;
-        let mut left: Option<(u64, usize)> = None;
-        for (&page, known) in self.admission_log.range(..last).filter(|(_, a)| !a.foreign) {
-            let capacity = config.txn_ops.saturating_sub(commit.apply.len());
-            if capacity < DELETE_CHANGES {
-                break;
-            }
-            let here = known.jobs.iter().filter(|job| self.in_page(**job)).count();
-            if page == 0 {
-                if here == 0 && !known.jobs.is_empty() {
-                    self.require(&mut commit, Key::AdmissionPage(0));
-                    commit.apply.push(Draft::default().apply(0));
-                }
-            } else if here == 0 {
-                // One that is written for this is not joined in the same transaction.
-                left = left.filter(|l| l.0 + 1 != page);
-                self.delete_page(&mut commit, page, config);
-            } else if here <= MOST_ROWS / 4 {
-                // Into the later of the two: one who reads page by page meanwhile
-                // finds its jobs in one or the other.
-                match left.take() {
-                    Some((earlier, n)) if n + here <= MOST_ROWS / 2 && capacity >= JOIN_CHANGES => {
-                        if self.join_pages(&mut commit, earlier, page, config) {
-                            break;
-                        }
-                    }
-                    _ => left = Some((page, here)),
-                }
-            }
-        }
-        (!commit.apply.is_empty()).then_some(commit)
-    }
-
-    fn join_pages(&self, commit: &mut Commit, from: u64, into: u64, config: &Config) -> bool {
-        let most = page_bytes(config);
-        let Some(mut draft) = self.draft(into, most) else {
-            return false;
-        };
-        let moving = &self.admission_log[&from].jobs;
-        let fits = moving.iter().filter(|job| self.in_page(**job)).all(|&job| {
-            let open = self.open.get(&job);
-            open.is_some_and(|open| draft.push(job, open, most))
-        });
-        // First what comes, then what goes: a reader of the changes loses no job.
-        let mut joined = commit.clone();
-        self.require(&mut joined, Key::AdmissionPage(into));
-        joined.apply.push(draft.apply(into));
-        let fits = fits && self.delete_page(&mut joined, from, config);
-        if fits {
-            *commit = joined;
-        }
-        fits
-    }
 }
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -7,124 +7,163 @@
 //! adds a job depends on its bucket's revision, so no job comes twice, and a bucket
 //! that has been divided or joined meanwhile takes nothing.
 
-use super::{EndedJob, Mirror};
+use super::Mirror;
+use super::bucket_division::{BucketItem, divide};
+use super::ended::{EndedJob, TaskDemand};
+use super::record_error::{RecordError, RecordProblem};
 use crate::Config;
 use cherryyard_wire::record::{
-    self, BUCKETS, BucketRecord, End, JobRecord, Key, Use, bucket_key, job_hash, job_key,
+    self, BUCKETS, BucketRecord, JobRecord, Key, Use, bucket_key, job_hash, job_key,
 };
 use cherryyard_wire::state::{Apply, Commit, Json};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Bytes beyond which a bucket is divided; a single job's may be larger.
-const MOST: usize = 2048;
+/// Most buckets that the format begins with.
+const MAX_FIRST_BUCKETS: usize = 16;
 
 /// A bucket as the mirror knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Bucket {
+pub(super) struct Bucket {
     /// Revision of its key.
-    pub revision: u64,
+    revision: u64,
     /// Its jobs, open and over.
-    pub jobs: BTreeSet<u64>,
+    jobs: BTreeSet<u64>,
 }
 
-/// One job in a bucket to be written.
-enum Item {
-    Open(JobRecord),
-    Over(End, u32, u64, Option<Use>),
+/// Which job stands in which bucket.
+#[derive(Clone, Debug, Default)]
+pub(super) struct BucketIndex {
+    /// Buckets by the hash at which each starts.
+    by_start: BTreeMap<u64, Bucket>,
+    /// The start of each job's bucket.
+    start_by_job: HashMap<u64, u64>,
 }
 
-impl Item {
-    fn of(record: JobRecord, generation: u64) -> Self {
-        match record {
-            JobRecord::Ended { end, n, r#use, .. } => Self::Over(end, n, generation, Some(r#use)),
-            open => Self::Open(open),
-        }
+impl BucketIndex {
+    /// Whether the job stands in a bucket.
+    pub fn holds(&self, job: u64) -> bool {
+        self.start_by_job.contains_key(&job)
+    }
+
+    /// The starts of all buckets, in order.
+    pub fn starts(&self) -> impl Iterator<Item = u64> + '_ {
+        self.by_start.keys().copied()
+    }
+
+    /// The revision of a bucket's key, 0 if there is no such bucket.
+    pub fn revision(&self, start: u64) -> u64 {
+        self.by_start
+            .get(&start)
+            .map_or(0, |bucket| bucket.revision)
+    }
+
+    /// The start of the bucket that a job of this hash belongs to.
+    fn start_covering(&self, hash: u64) -> Option<u64> {
+        let mut below = self.by_start.range(..=hash);
+        below.next_back().map(|(&start, _)| start)
+    }
+
+    fn assign(&mut self, job: u64, start: u64) {
+        self.start_by_job.insert(job, start);
     }
 
-    /// About how many bytes it takes, never too few.
-    fn bytes(&self) -> usize {
-        match self {
-            Self::Open(open) => Json::of(open).text().len() + 25,
-            Self::Over(_, _, _, None) => 60,
-            Self::Over(_, _, _, Some(r#use)) => 160 + r#use.team.len(),
+    /// Puts a bucket into the place of an earlier version; gives back the jobs that stand
+    /// in no bucket any more.
+    fn replace(&mut self, start: u64, new: Bucket) -> Vec<u64> {
+        let old = self.by_start.insert(start, new).unwrap_or_default();
+        self.unlist(start, old.jobs)
+    }
+
+    /// Removes a bucket; gives back the jobs that stand in no bucket any more.
+    fn remove(&mut self, start: u64) -> Vec<u64> {
+        let old = self.by_start.remove(&start).unwrap_or_default();
+        self.unlist(start, old.jobs)
+    }
+
+    /// Of a bucket's jobs before, takes out those that it does not name any more and that
+    /// have not gone to another bucket.
+    fn unlist(&mut self, start: u64, before: BTreeSet<u64>) -> Vec<u64> {
+        let named = self.by_start.get(&start).map(|bucket| &bucket.jobs);
+        let mut gone = Vec::new();
+        for job in before {
+            let is_named = named.is_some_and(|jobs| jobs.contains(&job));
+            if !is_named && self.start_by_job.get(&job) == Some(&start) {
+                self.start_by_job.remove(&job);
+                gone.push(job);
+            }
         }
+        gone
     }
 }
 
+/// Records to be written, by where they go.
+#[derive(Default)]
+struct WritePlan {
+    /// Under keys of their own.
+    own: Vec<(u64, Json)>,
+    /// By the start of their bucket.
+    buckets: BTreeMap<u64, BTreeMap<u64, BucketItem>>,
+    /// Whether ends with a generation are among them.
+    has_ends: bool,
+}
+
 impl Mirror {
     /// The key of the record that a job stands in, or would stand in.
     pub(crate) fn home(&self, job: u64) -> Key {
         if self.format < BUCKETS || self.has_own_record(job) {
             return Key::Job(job);
         }
-        match self.covering(job) {
-            Some(from) => Key::Bucket(from),
-            None => Key::Bucket(0),
-        }
+        let start = self.buckets.start_covering(job_hash(job));
+        Key::Bucket(start.unwrap_or(0))
     }
 
     fn has_own_record(&self, job: u64) -> bool {
-        !self.bucket_of.contains_key(&job)
-            && (self.open.get(&job).is_some_and(|o| o.revision != 0)
-                || self.ended.contains_key(&job))
-    }
-
-    fn covering(&self, job: u64) -> Option<u64> {
-        let mut below = self.buckets.range(..=job_hash(job));
-        below.next_back().map(|(&from, _)| from)
+        !self.buckets.holds(job)
+            && (self.open.get(&job).is_some_and(|open| open.revision != 0)
+                || self.ended.contains(job))
     }
 
     /// How many buckets there are.
     pub fn bucket_count(&self) -> usize {
-        self.buckets.len()
+        self.buckets.by_start.len()
     }
 
-    pub(super) fn put_bucket(&mut self, from: u64, record: BucketRecord, revision: u64) {
+    pub(super) fn put_bucket(&mut self, start: u64, record: BucketRecord, revision: u64) {
         let mut jobs = BTreeSet::new();
-        let mut uses: BTreeMap<u64, Use> = record.u.into_iter().collect();
+        let mut demands: BTreeMap<u64, Use> = record.u.into_iter().collect();
         for (job, open) in record.o {
             jobs.insert(job);
-            self.bucket_of.insert(job, from);
-            if let Err(e) = self.put_job(job, open, revision) {
-                let key = bucket_key(from);
-                self.complaints.push(format!("{key}: job {job}: {e}"));
+            self.buckets.assign(job, start);
+            if let Err(problem) = self.put_job(job, open, revision) {
+                let problem = Box::new(problem);
+                self.record_errors.push(RecordError {
+                    key: bucket_key(start),
+                    problem: RecordProblem::Job { job, problem },
+                });
             }
         }
-        for (job, end, n, generation) in record.e {
+        for (job, end, task_count, generation) in record.e {
             jobs.insert(job);
-            self.bucket_of.insert(job, from);
-            let uses = uses.remove(&job).map(|u| self.uses_of(&u));
+            self.buckets.assign(job, start);
+            let demand = demands.remove(&job);
+            let demand = demand.map(|demand| self.task_demand(&demand));
             let ended = EndedJob {
                 end,
-                n,
+                task_count,
                 generation,
                 revision: 0,
                 cancelled_by: None,
             };
-            self.put_end(job, ended, uses);
+            self.put_end(job, ended, demand);
+        }
+        for job in self.buckets.replace(start, Bucket { revision, jobs }) {
+            self.drop_job(job);
         }
-        let new = Bucket { revision, jobs };
-        let old = self.buckets.insert(from, new).unwrap_or_default();
-        self.drop_gone(from, old.jobs);
-    }
-
-    pub(super) fn drop_bucket(&mut self, from: u64) {
-        let old = self.buckets.remove(&from).unwrap_or_default();
-        self.drop_gone(from, old.jobs);
     }
 
-    /// Of a bucket's jobs before, those that it does not name any more and that
-    /// have not gone to another bucket.
-    fn drop_gone(&mut self, from: u64, before: BTreeSet<u64>) {
-        for job in before {
-            let named = self
-                .buckets
-                .get(&from)
-                .is_some_and(|b| b.jobs.contains(&job));
-            if !named && self.bucket_of.get(&job) == Some(&from) {
-                self.bucket_of.remove(&job);
-                self.drop_job(job);
-            }
+    pub(super) fn drop_bucket(&mut self, start: u64) {
+        for job in self.buckets.remove(start) {
+            self.drop_job(job);
         }
     }
 
@@ -137,31 +176,39 @@
             return false;
         }
         self.ended
-            .get(&job)
-            .is_some_and(|e| e.generation <= self.packed.gen_done)
+            .get(job)
+            .is_some_and(|ended| ended.generation <= self.packed.gen_done)
             && !self.named_in_pages(job)
     }
 
-    fn item(&self, job: u64) -> Option<Item> {
+    /// A job of a bucket as it is known, to write it anew.
+    fn known_item(&self, job: u64) -> Option<BucketItem> {
         if let Some(open) = self.open.get(&job) {
-            return Some(Item::Open(open.record()));
+            return Some(BucketItem::Open(open.record()));
         }
-        let ended = self.ended.get(&job)?;
+        let ended = self.ended.get(job)?;
         // What its tasks take matters while a page may name it.
-        let uses = self.ended_uses.get(&job);
-        let uses = uses
-            .filter(|_| self.named_in_pages(job))
-            .map(|(team, n)| Use {
-                team: if *team == u32::MAX {
-                    String::new()
-                } else {
-                    self.teams.name(*team).to_string()
-                },
-                cores: n.cores,
-                acc: n.acc,
-                ram: n.ram,
-            });
-        Some(Item::Over(ended.end, ended.n, ended.generation, uses))
+        let demand = self.ended.demand(job);
+        let demand = demand.filter(|_| self.named_in_pages(job));
+        Some(BucketItem::Ended {
+            end: ended.end,
+            task_count: ended.task_count,
+            generation: ended.generation,
+            demand: demand.map(|demand| self.demand_record(demand)),
+        })
+    }
+
+    fn demand_record(&self, demand: TaskDemand) -> Use {
+        let team = match demand.team {
+            u32::MAX => String::new(),
+            known => self.teams.name(known).to_string(),
+        };
+        Use {
+            team,
+            cores: demand.needs.cores,
+            acc: demand.needs.acc,
+            ram: demand.needs.ram,
+        }
     }
 
     /// Adds to a transaction what adds a new job, with the condition that it is
@@ -194,25 +241,11 @@
         records: Vec<(u64, JobRecord)>,
         config: &Config,
     ) -> bool {
-        let mut own: Vec<(u64, Json)> = Vec::new();
-        let generation = self.packed.generation();
-        let mut ends = false;
-        let mut buckets: BTreeMap<u64, BTreeMap<u64, Item>> = BTreeMap::new();
-        for (job, mut record) in records {
-            if let JobRecord::Ended { g, .. } = &mut record
-                && self.format >= BUCKETS
-            {
-                *g = generation;
-                ends = true;
-            }
-            match self.home(job) {
-                Key::Bucket(from) => {
-                    let edits = buckets.entry(from).or_default();
-                    edits.insert(job, Item::of(record, generation));
-                }
-                _ => own.push((job, Json::of(&record))),
-            }
-        }
+        let WritePlan {
+            own,
+            buckets,
+            has_ends,
+        } = self.plan_write(records);
         let mut puts: Vec<Apply> = Vec::new();
         for (job, value) in &own {
             if value.text().len() > config.value_bytes {
@@ -220,28 +253,12 @@
             }
             puts.push(Apply::put(job_key(*job), value.clone()));
         }
-        let mut homes = Vec::new();
-        for (from, mut items) in buckets {
-            let Some(bucket) = self.buckets.get(&from) else {
-                // Not read yet, or not made yet.
+        let starts: Vec<u64> = buckets.keys().copied().collect();
+        for (start, items) in buckets {
+            let Some(changed) = self.bucket_puts(start, items, config.value_bytes) else {
                 return false;
             };
-            for &job in &bucket.jobs {
-                if !items.contains_key(&job)
-                    && !self.may_leave(job)
-                    && let Some(item) = self.item(job)
-                {
-                    items.insert(job, item);
-                }
-            }
-            homes.push(from);
-            for (from, record) in divide(from, items, config.value_bytes) {
-                let value = Json::of(&record);
-                if value.text().len() > config.value_bytes {
-                    return false;
-                }
-                puts.push(Apply::put(bucket_key(from), value));
-            }
+            puts.extend(changed);
         }
         if commit.apply.len() + puts.len() > config.txn_ops {
             return false;
@@ -254,17 +271,67 @@
                 self.require(commit, Key::Format);
             }
         }
-        if ends {
+        if has_ends {
             // So that a generation, once closed, gets no further ends.
             self.require(commit, Key::Packed);
         }
-        for from in homes {
-            self.require(commit, Key::Bucket(from));
+        for start in starts {
+            self.require(commit, Key::Bucket(start));
         }
         commit.apply.extend(puts);
         true
     }
 
+    fn plan_write(&self, records: Vec<(u64, JobRecord)>) -> WritePlan {
+        let mut plan = WritePlan::default();
+        let generation = self.packed.generation();
+        for (job, mut record) in records {
+            if let JobRecord::Ended { g, .. } = &mut record
+                && self.format >= BUCKETS
+            {
+                *g = generation;
+                plan.has_ends = true;
+            }
+            match self.home(job) {
+                Key::Bucket(start) => {
+                    let items = plan.buckets.entry(start).or_default();
+                    items.insert(job, BucketItem::of(record, generation));
+                }
+                _ => plan.own.push((job, Json::of(&record))),
+            }
+        }
+        plan
+    }
+
+    /// What writes a bucket with these jobs changed, divided if it has to be; none if the
+    /// bucket is not known, since it has not been read yet or made yet, or if a value would
+    /// be too large.
+    fn bucket_puts(
+        &self,
+        start: u64,
+        mut items: BTreeMap<u64, BucketItem>,
+        value_bytes: usize,
+    ) -> Option<Vec<Apply>> {
+        let bucket = self.buckets.by_start.get(&start)?;
+        for &job in &bucket.jobs {
+            if !items.contains_key(&job)
+                && !self.may_leave(job)
+                && let Some(item) = self.known_item(job)
+            {
+                items.insert(job, item);
+            }
+        }
+        let mut puts = Vec::new();
+        for (start, record) in divide(start, items, value_bytes) {
+            let value = Json::of(&record);
+            if value.text().len() > value_bytes {
+                return None;
+            }
+            puts.push(Apply::put(bucket_key(start), value));
+        }
+        Some(puts)
+    }
+
     /// The transaction that begins the format of buckets, as many at once as it may
     /// have; whoever adds a job by its own key depends on its not having been made.
     pub(crate) fn begin_buckets(&self, txn_ops: usize) -> Commit {
@@ -276,72 +343,14 @@
             dependencies: self.dependencies,
         };
         commit.apply.push(Apply::set(record::FORMAT, &format));
-        let count = txn_ops.saturating_sub(1).clamp(1, 16) as u64;
+        let count = txn_ops.saturating_sub(1).clamp(1, MAX_FIRST_BUCKETS) as u64;
         let width = (u64::MAX / count).saturating_add(1);
         for i in 0..count {
-            let from = width * i;
-            commit.require(bucket_key(from), 0);
+            let start = width * i;
+            commit.require(bucket_key(start), 0);
             let empty = BucketRecord::default();
-            commit.apply.push(Apply::set(bucket_key(from), &empty));
+            commit.apply.push(Apply::set(bucket_key(start), &empty));
         }
         commit
     }
 }
-
-/// One job on its way into a bucket: its hash, number, about how many bytes, and it.
-type Sized = (u64, u64, usize, Item);
-
-/// Divides a bucket's jobs, in the order of their hashes, into as few buckets as
-/// keep below the bounds; the first keeps its key. New ones come before the one that
-/// is divided, so that a reader finds its jobs in one or the other.
-fn divide(from: u64, items: BTreeMap<u64, Item>, value_bytes: usize) -> Vec<(u64, BucketRecord)> {
-    let mut sorted: Vec<Sized> = items
-        .into_iter()
-        .map(|(job, item)| (job_hash(job), job, item.bytes(), item))
-        .collect();
-    sorted.sort_by_key(|i| (i.0, i.1));
-    let mut all = Vec::new();
-    halve(
-        from,
-        sorted,
-        MOST.min(value_bytes.saturating_sub(30)),
-        &mut all,
-    );
-    all.reverse();
-    all
-}
-
-/// Halves a run of jobs, by bytes, until each piece is small enough.
-fn halve(from: u64, mut run: Vec<Sized>, most: usize, all: &mut Vec<(u64, BucketRecord)>) {
-    let total: usize = run.iter().map(|i| i.2).sum();
-    let mut best: Option<(usize, usize)> = None;
-    let mut left = 0;
-    for at in 1..run.len() {
-        left += run[at - 1].2;
-        // Of two with the same hash, neither can begin a bucket of its own.
-        let larger = left.max(total - left);
-        if run[at - 1].0 != run[at].0 && best.is_none_or(|b| larger < b.1) {
-            best = Some((at, larger));
-        }
-    }
-    if total > most
-        && let Some((at, _)) = best
-    {
-        let right = run.split_off(at);
-        let begin = right[0].0;
-        halve(from, run, most, all);
-        halve(begin, right, most, all);
-        return;
-    }
-    let mut record = BucketRecord::default();
-    for (_, job, _, item) in run {
-        match item {
-            Item::Open(open) => record.o.push((job, open)),
-            Item::Over(end, n, generation, uses) => {
-                record.e.push((job, end, n, generation));
-                record.u.extend(uses.map(|u| (job, u)));
-            }
-        }
-    }
-    all.push((from, record));
-}
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -1,174 +1,15 @@
-//! Jobs in the mirror, open and over.
+//! Jobs in the mirror: their records, what follows from these, and what users see.
 
-use super::{Mirror, Urgency};
-use crate::admission::flows::Flow;
-use crate::admit::allows_machine_type;
+use super::ended::{EndedJob, TaskDemand};
+use super::record_error::RecordProblem;
+use super::{Mirror, OpenJob, Urgency};
 use crate::needs::Needs;
-use crate::pools::PoolSet;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::{Dependencies, dependency_ids};
-use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Rank, Shape, job_id};
+use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Shape, job_id};
 use cherryyard_wire::record::{End, JobRecord, Use};
 use cherryyard_wire::rules::Rules;
-use std::hash::{Hash, Hasher};
-use std::sync::Arc;
-use xxhash_rust::xxh3::Xxh3Default;
-
-/// A job that is not over.
-#[derive(Clone, Debug)]
-pub struct OpenJob {
-    /// Revision of its record; 0 while it is as its page of admissions says.
-    pub revision: u64,
-    /// What was submitted.
-    pub spec: JobSpec,
-    /// Its team.
-    pub team: u32,
-    /// Its class and team.
-    pub flow: Flow,
-    /// Time of day at its submission, in milliseconds.
-    pub at: u64,
-    /// Each shard's task numbers; empty before the division.
-    pub div: Vec<RangeSet>,
-    /// The zone of all its tasks, if that was asked for.
-    pub zone: Option<String>,
-    /// Most tasks per shard and zone, if tasks are to be apart.
-    pub caps: Vec<Vec<u32>>,
-    /// Where it may run, beyond what the submission's fields say, and the pools that
-    /// this comes to now.
-    pub rules: Option<(Box<Rules>, Arc<PoolSet>)>,
-    /// Jobs that it waits for.
-    pub after: Dependencies,
-    /// Its priority and deadline, with what it inherits from jobs that need it.
-    pub urgency: Urgency,
-}
-
-impl OpenJob {
-    /// Whether the leader has divided it.
-    pub fn divided(&self) -> bool {
-        !self.div.is_empty()
-    }
-
-    /// Whether all that the job asks for allows a machine of this type, zone and sort;
-    /// how much it prefers it then, 0 the most.
-    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
-        let allowed = (self.spec.spot || !spot)
-            && allows_machine_type(&self.spec, machine_type)
-            && self.spec.zone.as_deref().is_none_or(|y| y == zone)
-            && self.zone.as_deref().is_none_or(|z| z == zone);
-        allowed
-            .then(|| self.tier(machine_type, zone, spot))
-            .flatten()
-    }
-
-    /// How much its rules prefer a pool, 0 the most; none if they exclude it.
-    pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
-        match &self.rules {
-            None => Some(0),
-            Some((_, pools)) => pools.tier(machine_type, zone, spot),
-        }
-    }
-
-    /// When it should be complete, in milliseconds of the day's clock; infinite without
-    /// a deadline.
-    pub fn due_ms(&self) -> f64 {
-        let deadline = self.urgency.deadline;
-        deadline.map_or(f64::INFINITY, |d| d.complete_by(1.0))
-    }
-
-    /// Its priority: its own, or a higher one of a job that needs it.
-    pub fn rank(&self) -> Rank {
-        self.urgency.rank
-    }
-
-    /// Whether its tasks may stop another job's for their priority. Services go by what
-    /// both have of their own, or an array with a service's priority from a job that
-    /// needs it would keep services out.
-    pub fn goes_before(&self, other: &Self) -> bool {
-        if self.spec.shape == Shape::Service {
-            return other.spec.rank < self.spec.rank;
-        }
-        other.rank() < self.rank()
-    }
-
-    /// When it began to wait for machines, in milliseconds of the day's clock: at its
-    /// submission, or when the last job that it needs was done.
-    pub fn ready_at(&self) -> u64 {
-        self.after.ready_at.unwrap_or(self.at)
-    }
-
-    /// What one of its tasks takes.
-    pub fn needs(&self) -> Needs {
-        Needs {
-            cores: self.spec.cores,
-            acc: self.spec.accelerators,
-            ram: self.spec.ram_gb,
-        }
-    }
-
-    /// Jobs with the same signature fit the same machines: what a search over all of
-    /// them has found for one holds for the other.
-    pub fn signature(&self) -> u64 {
-        let mut hash = Xxh3Default::new();
-        let s = &self.spec;
-        let sizes = [s.cores, s.accelerators, s.ram_gb].map(f64::to_bits);
-        sizes.hash(&mut hash);
-        (&s.image, &s.machine_types, &s.zone, &self.zone, s.spot).hash(&mut hash);
-        if let Some((_, pools)) = &self.rules {
-            pools.hash(&mut hash);
-        }
-        hash.finish()
-    }
-
-    /// Whether its tasks make way for more important work: an array of
-    /// ordinary rank or below.
-    pub fn makes_way(&self) -> bool {
-        self.spec.shape == Shape::Array && self.spec.rank <= Rank::Standard
-    }
-
-    /// The record, to write it anew.
-    pub fn record(&self) -> JobRecord {
-        JobRecord::Open {
-            spec: Box::new(self.spec.clone()),
-            at: self.at,
-            div: self.div.clone(),
-            zone: self.zone.clone(),
-            caps: self.caps.clone(),
-            rules: self.rules.as_ref().map(|r| r.0.clone()),
-            after: self.after.clone(),
-        }
-    }
-
-    /// The record of its end.
-    pub fn ended(&self, end: End) -> JobRecord {
-        JobRecord::Ended {
-            end,
-            n: self.spec.task_count,
-            r#use: Use {
-                team: self.spec.team.clone(),
-                cores: self.spec.cores,
-                acc: self.spec.accelerators,
-                ram: self.spec.ram_gb,
-            },
-            g: 0,
-            by: None,
-        }
-    }
-}
-
-/// A job that is over, as long as the watched records name it.
-#[derive(Clone, Copy, Debug)]
-pub struct EndedJob {
-    /// How it ended.
-    pub end: End,
-    /// How many tasks it had.
-    pub n: u32,
-    /// Its generation in the history.
-    pub generation: u64,
-    /// Revision of its own record, if it has one.
-    pub revision: u64,
-    /// The cancelled job that it needed, if it is cancelled for that.
-    pub cancelled_by: Option<u64>,
-}
+use std::ops::Range;
 
 /// A job that is over, as its user sees it.
 pub fn over(job: u64, end: End, done: u32) -> JobView {
@@ -188,29 +29,31 @@
 }
 
 impl Mirror {
+    /// Takes a job's record, from a key of its own or from a bucket.
     pub(super) fn put_job(
         &mut self,
         job: u64,
         record: JobRecord,
         revision: u64,
-    ) -> Result<(), String> {
+    ) -> Result<(), RecordProblem> {
         match record {
             JobRecord::Ended {
                 end,
-                n,
-                r#use,
-                g,
-                by,
+                n: task_count,
+                r#use: demand,
+                g: generation,
+                by: cancelled_by,
             } => {
-                let uses = self.uses_of(&r#use);
+                let demand = self.task_demand(&demand);
                 let ended = EndedJob {
                     end,
-                    n,
-                    generation: g,
+                    task_count,
+                    generation,
                     revision,
-                    cancelled_by: by,
+                    cancelled_by,
                 };
-                self.put_end(job, ended, Some(uses));
+                self.put_end(job, ended, Some(demand));
+                Ok(())
             }
             JobRecord::Open {
                 spec,
@@ -223,46 +66,56 @@
             } => {
                 // A job's end is final; nothing may bring it back, so a record
                 // that does is older or bad.
-                if self.ended.contains_key(&job) {
+                if self.ended.contains(job) {
                     return Ok(());
                 }
-                let shards = self.shards.len();
-                if !(div.is_empty() || div.len() == shards)
-                    || !div.iter().all(RangeSet::is_canonical)
-                {
-                    return Err("bad division".into());
-                }
-                let new = self.new_job(*spec, rules, at).ok_or("unknown team")?;
+                self.check_division(&div)?;
+                let new = self.new_job(*spec, rules, at);
                 let open = OpenJob {
                     revision,
                     div,
                     zone,
                     caps,
                     after,
-                    ..new
+                    ..new.ok_or(RecordProblem::UnknownTeam)?
                 };
-                // A bucket tells of jobs that have not changed, too.
-                let before = self.insert_open(job, open);
-                let now = &self.open[&job];
-                let same = |b: OpenJob| b.div == now.div && b.spec == now.spec;
-                if !before.is_some_and(same) {
-                    self.refresh_job(job);
-                }
+                self.put_open(job, open);
+                Ok(())
             }
         }
-        Ok(())
+    }
+
+    /// A division is empty, or has one canonical set of task numbers for each shard.
+    fn check_division(&self, division: &[RangeSet]) -> Result<(), RecordProblem> {
+        let complete = division.is_empty() || division.len() == self.shards.len();
+        if complete && division.iter().all(RangeSet::is_canonical) {
+            Ok(())
+        } else {
+            Err(RecordProblem::BadDivision)
+        }
+    }
+
+    fn put_open(&mut self, job: u64, open: OpenJob) {
+        let before = self.insert_open(job, open);
+        let now = &self.open[&job];
+        // A bucket also names jobs that have not changed.
+        let unchanged = |before: OpenJob| before.div == now.div && before.spec == now.spec;
+        if !before.is_some_and(unchanged) {
+            self.refresh_job(job);
+        }
     }
 
     /// The team, and what a task takes, of a job's record; a team that is not in the
     /// settings is none of ours.
-    pub(super) fn uses_of(&self, r#use: &Use) -> (u32, Needs) {
-        let team = self.teams.get(&r#use.team).unwrap_or(u32::MAX);
-        let needs = Needs {
-            cores: r#use.cores,
-            acc: r#use.acc,
-            ram: r#use.ram,
-        };
-        (team, needs)
+    pub(super) fn task_demand(&self, record: &Use) -> TaskDemand {
+        TaskDemand {
+            team: self.teams.get(&record.team).unwrap_or(u32::MAX),
+            needs: Needs {
+                cores: record.cores,
+                acc: record.acc,
+                ram: record.ram,
+            },
+        }
     }
 
     /// A new job, with what its rules come to; none if its team is unknown.
@@ -298,75 +151,66 @@
     }
 
     /// Takes a job's end.
-    pub(super) fn put_end(&mut self, job: u64, ended: EndedJob, uses: Option<(u32, Needs)>) {
+    pub(super) fn put_end(&mut self, job: u64, ended: EndedJob, demand: Option<TaskDemand>) {
         // One that is cancelled with another has never had a task.
         let never_ran = ended.cancelled_by.is_some() || self.cancelled_with(job).is_some();
         let was_open = self.remove_open(job);
         if was_open {
             self.refresh_job(job);
         }
-        let known = self.ended.insert(job, ended).is_some() || self.recent.contains(&job);
+        let known = self.ended.insert(job, ended);
         self.refresh_dependents(job);
         // Also one that a full read shows and that came and went since the one before.
-        let events = was_open || (self.loaded && !known);
-        if ended.end == End::Cancelled && events && !never_ran {
-            self.new_cancels.push(job);
+        let is_new = was_open || (self.loaded && !known);
+        if ended.end == End::Cancelled && is_new && !never_ran {
+            self.ended.note_cancelled(job);
         }
-        match uses {
-            Some(uses) => self.ended_uses.insert(job, uses),
-            None => self.ended_uses.remove(&job),
-        };
+        self.ended.set_demand(job, demand);
     }
 
     /// Jobs that have been seen to be cancelled since the last call.
     pub fn new_cancels(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.new_cancels)
+        self.ended.take_cancelled()
     }
 
     /// Whether a job has been seen to be cancelled since then.
     pub(crate) fn is_new_cancel(&self, job: u64) -> bool {
-        self.new_cancels.contains(&job)
+        self.ended.is_newly_cancelled(job)
     }
 
     /// Whether jobs may have been cancelled, since the last call, that no longer can be
     /// named.
     pub(crate) fn has_gap(&mut self) -> bool {
-        std::mem::take(&mut self.gap)
+        self.ended.take_gap()
     }
 
     /// A job's record is gone: it is over and in the history, or it never was.
     pub(super) fn drop_job(&mut self, job: u64) {
         if self.remove_open(job) {
             // How it ended was not seen.
-            self.gap = true;
+            self.ended.note_gap();
             self.refresh_job(job);
         }
-        self.ended_uses.remove(&job);
-        if let Some(ended) = self.ended.remove(&job) {
-            self.recent.put(job, (ended.end, ended.n));
-        }
+        self.ended.drop_to_history(job);
     }
 
     /// Whether a job with one of these numbers is open, or over and not only in the
     /// history.
-    pub fn knows_any(&self, jobs: std::ops::Range<u64>) -> bool {
-        self.open.range(jobs.clone()).next().is_some()
-            || self.ended.keys().any(|job| jobs.contains(job))
-            || self.recent.iter().any(|(job, _)| jobs.contains(job))
+    pub fn knows_any(&self, jobs: Range<u64>) -> bool {
+        self.open.range(jobs.clone()).next().is_some() || self.ended.knows_any(&jobs)
     }
 
     /// Whether any page names the job, of assignments or of admissions: while one of assignments
     /// does, its tasks may be on machines, and while one of admissions does, it would be
     /// open again if nothing said that it is over.
     pub fn named_in_pages(&self, job: u64) -> bool {
-        self.page_of(job).is_some()
-            || (0..self.shards.len())
-                .any(|shard_id| self.assignments.contains_key(&(shard_id, job)))
+        let assigned_in = |shard_id| self.assignments.contains_key(&(shard_id, job));
+        self.page_of(job).is_some() || (0..self.shards.len()).any(assigned_in)
     }
 
     /// Jobs that are over and stand in watched records.
     pub fn ended_jobs(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
-        self.ended.iter().map(|(&job, ended)| (job, ended))
+        self.ended.iter()
     }
 
     /// Jobs that are over and have records of their own, as earlier builds keep them.
@@ -388,12 +232,13 @@
         self.refresh_complete(job);
     }
 
+    /// After a change of the job's record or of how many of its tasks are done.
     pub(super) fn refresh_complete(&mut self, job: u64) {
         let done = self.done(job);
         let complete = self
             .open
             .get(&job)
-            .is_some_and(|o| o.spec.shape == Shape::Array && done >= o.spec.task_count);
+            .is_some_and(|open| open.spec.shape == Shape::Array && done >= open.spec.task_count);
         if complete {
             self.complete.insert(job);
         } else {
@@ -403,7 +248,7 @@
 
     /// How a job ended, if it did.
     pub fn end(&self, job: u64) -> Option<End> {
-        self.ended.get(&job).map(|e| e.end)
+        self.ended.get(job).map(|ended| ended.end)
     }
 
     /// How many jobs are known to be over.
@@ -416,7 +261,8 @@
         if let Some(open) = self.open.get(&job) {
             return Some((open.team, open.needs()));
         }
-        self.ended_uses.get(&job).copied()
+        let demand = self.ended.demand(job)?;
+        Some((demand.team, demand.needs))
     }
 
     /// How many of a job's tasks are done.
@@ -426,13 +272,15 @@
 
     /// The job as its user sees it, if it is known.
     pub fn view(&self, job: u64) -> Option<JobView> {
-        if let Some(need) = self.ended.get(&job).and_then(|e| e.cancelled_by) {
+        if let Some(need) = self.ended.get(job).and_then(|ended| ended.cancelled_by) {
             return Some(cancelled_with(job, need));
         }
-        let ended = self.ended.get(&job).map(|e| (e.end, e.n));
-        if let Some((end, n)) = ended.or_else(|| self.recent.peek(&job).copied()) {
-            let done = if end == End::Done { n } else { self.done(job) };
-            return Some(over(job, end, done));
+        if let Some(past) = self.ended.past_end(job) {
+            let done = match past.end {
+                End::Done => past.task_count,
+                End::Cancelled => self.done(job),
+            };
+            return Some(over(job, past.end, done));
         }
         let open = self.open.get(&job)?;
         if let Some(need) = self.cancelled_with(job) {
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -4,70 +4,47 @@
 //! transactions, in any order between these; each key keeps the change with
 //! the highest revision.
 
+mod admission_compaction;
 mod admission_log;
 mod assignments;
+mod bucket_division;
 mod buckets;
+mod changes;
 mod dependencies;
+mod ended;
+mod images;
 mod jobs;
+mod lease_holder;
+mod open_job;
+mod record_error;
 
 use crate::Config;
 use crate::admission::flows::Flows;
 use crate::names::Names;
-use crate::needs::Needs;
 use crate::pages::{Assignment, JobAssignments, Page};
 use crate::pools::Matcher;
-use admission_log::AdmissionPage;
-pub use admission_log::MOST_ROWS;
-use buckets::Bucket;
+use admission_log::AdmissionLog;
+pub use admission_log::{AdmissionPage, MOST_ROWS};
+use buckets::BucketIndex;
+use changes::SeenKeys;
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
 use cherryyard_wire::history::PackedRecord;
-use cherryyard_wire::record::{
-    End, FormatRecord, Grant, ImagesRecord, Key, LeaseRecord, StoredPage,
-};
+use cherryyard_wire::record::{FormatRecord, Grant, Key};
 use cherryyard_wire::rules::Attributes;
-use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchResponse};
+use cherryyard_wire::state::{Commit, Json};
 use cherryyard_wire::{RangeSet, record};
 use dependencies::DependencyGraph;
 pub use dependencies::{Deadline, Urgency};
-pub use jobs::{EndedJob, OpenJob, over};
-use lru::LruCache;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
-
-/// A lease on a shard or on the lead.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeaseHolder {
-    /// The owner's name.
-    pub label: String,
-    /// The lease's revision: the owner's token.
-    pub revision: u64,
-    /// The newest format of records that the owner can work with.
-    pub format: u32,
-    /// The number of the process that made it, if it says so.
-    pub process: Option<u64>,
-}
-
-impl LeaseHolder {
-    fn of(holder: LeaseRecord, revision: u64) -> Self {
-        Self {
-            label: holder.label,
-            revision,
-            format: holder.f.unwrap_or(1),
-            process: holder.n,
-        }
-    }
-}
-
-/// What is stored of the images in a shard.
-#[derive(Clone, Debug, Default)]
-pub struct StoredImages {
-    /// The record.
-    pub record: ImagesRecord,
-    /// What it says of each machine: a new owner looks here for every one.
-    pub held: HashMap<String, Vec<usize>>,
-    /// Its revision.
-    pub revision: u64,
-}
+pub use ended::EndedJob;
+use ended::EndedJobs;
+pub use images::StoredImages;
+pub use jobs::over;
+pub use lease_holder::LeaseHolder;
+pub use open_job::OpenJob;
+use record_error::read;
+pub use record_error::{RecordError, RecordProblem};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the state service holds, as far as this controller has heard.
 #[derive(Clone, Debug)]
@@ -124,34 +101,23 @@
     pub by_pages: bool,
     /// Whether jobs may wait for others: all controllers know of that.
     pub dependencies: bool,
-    /// Those pages.
-    pub admission_log: BTreeMap<u64, AdmissionPage>,
-    /// The page that names each job.
-    arrived: HashMap<u64, u64>,
+    /// Those pages. Written by `admission_log` alone.
+    pub admission_log: AdmissionLog,
     /// How far the history of jobs that are over goes.
     pub packed: PackedRecord,
     /// Revision of that record.
     pub packed_revision: u64,
-    ended: HashMap<u64, EndedJob>,
-    /// What tasks of those take that may still be on machines.
-    ended_uses: HashMap<u64, (u32, Needs)>,
-    /// Buckets by where they begin: their revisions and jobs.
-    buckets: BTreeMap<u64, Bucket>,
-    /// The bucket of each job that stands in one.
-    bucket_of: HashMap<u64, u64>,
-    /// Jobs that are over and have left the watched records for the history.
-    recent: LruCache<u64, (End, u32)>,
+    /// Jobs that are over.
+    ended: EndedJobs,
+    /// Which job stands in which bucket.
+    buckets: BucketIndex,
     /// By machine's index: each round and report looks here for many machines.
     on_host: Vec<BTreeMap<(u64, u32), Assignment>>,
-    deleted: HashMap<Key, u64>,
-    /// Keys that a full read under way has shown.
-    present: HashSet<Key>,
+    /// Deleted keys, and those that a full read under way has shown.
+    seen: SeenKeys,
     teams: Names,
     tasks_done: HashMap<u64, u32>,
-    new_cancels: Vec<u64>,
-    /// Whether ends may have been missed since the last call of `has_gap`.
-    gap: bool,
-    complaints: Vec<String>,
+    record_errors: Vec<RecordError>,
 }
 
 impl Mirror {
@@ -187,121 +153,22 @@
             format_revision: 0,
             by_pages: false,
             dependencies: false,
-            admission_log: BTreeMap::new(),
-            arrived: HashMap::new(),
+            admission_log: AdmissionLog::default(),
             packed: PackedRecord::default(),
             packed_revision: 0,
-            ended: HashMap::new(),
-            ended_uses: HashMap::new(),
-            buckets: BTreeMap::new(),
-            bucket_of: HashMap::new(),
-            recent: LruCache::new(config.recent_ends),
+            ended: EndedJobs::new(config.recent_ends),
+            buckets: BucketIndex::default(),
             on_host: Vec::new(),
-            deleted: HashMap::new(),
-            present: HashSet::new(),
+            seen: SeenKeys::default(),
             teams: config.team_names.clone(),
             tasks_done: HashMap::new(),
-            new_cancels: Vec::new(),
-            gap: false,
-            complaints: Vec::new(),
-        }
-    }
-
-    /// What was wrong with records read since the last call.
-    pub fn complaints(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.complaints)
-    }
-
-    /// Begins a full read.
-    pub fn begin_load(&mut self) {
-        self.present.clear();
-    }
-
-    /// Takes a piece of a full read. Each key is as good as if a watch had told
-    /// it; what the read lacks, and that nothing is missing, shows at its end.
-    pub fn load_some(&mut self, pairs: &[Pair]) {
-        for pair in pairs {
-            self.present.extend(Key::parse(&pair.key));
-            self.put(&pair.key, &pair.v, pair.revision);
-        }
-    }
-
-    /// Ends a full read whose first page described revision `store_revision`.
-    pub fn end_load(&mut self, store_revision: u64) {
-        let present = std::mem::take(&mut self.present);
-        if self.loaded && store_revision < self.store_revision {
-            return;
-        }
-        // What the read lacks was deleted before it: without this, a job or
-        // assignment deleted while the watch was too old (410) would live on here.
-        for key in self.keys() {
-            if !present.contains(&key) && self.revision(key) <= store_revision {
-                self.forget(key);
-            }
-        }
-        self.store_revision = self.store_revision.max(store_revision);
-        // Of what the first read shows to be over nobody knows since when.
-        self.gap |= !self.loaded;
-        self.loaded = true;
-    }
-
-    /// Takes the changes that a watch or barrier told.
-    pub fn events(&mut self, events: &WatchResponse) {
-        for change in &events.events {
-            // A watch and a barrier may tell the same change; what has been
-            // seen is skipped, or an old put could bring back a deleted key.
-            if change.revision <= self.store_revision {
-                continue;
-            }
-            match (&change.set, &change.delete) {
-                (Some(key), _) => self.put(key, &change.v, change.revision),
-                (None, Some(key)) => self.remove(key, change.revision),
-                (None, None) => {}
-            }
-        }
-        self.store_revision = self.store_revision.max(events.store_revision);
-        let reported = self.store_revision;
-        self.deleted.retain(|_, revision| *revision > reported);
-    }
-
-    /// Takes our own transaction, answered with revision `store_revision`.
-    pub fn committed(&mut self, commit: &Commit, store_revision: u64) {
-        for change in &commit.apply {
-            match change {
-                Apply::Set { set, v, .. } => self.put(set, v, store_revision),
-                Apply::Delete { delete } => self.remove(delete, store_revision),
-            }
+            record_errors: Vec::new(),
         }
     }
 
-    fn keys(&self) -> Vec<Key> {
-        let mut keys = Vec::new();
-        keys.extend(self.leader_lease.iter().map(|_| Key::Leader));
-        keys.extend((self.attributes_revision != 0).then_some(Key::Attributes));
-        keys.extend((self.ids_revision != 0).then_some(Key::Ids));
-        keys.extend(self.submissions.keys().map(|&n| Key::Submission(n)));
-        keys.extend(
-            (0..self.shards.len())
-                .filter(|&shard_id| self.shards[shard_id].is_some())
-                .map(Key::Shard),
-        );
-        let own = |j: &&u64| !self.bucket_of.contains_key(j);
-        let with_own = self.open.keys().filter(own).filter(|j| !self.in_page(**j));
-        keys.extend(with_own.map(|&j| Key::Job(j)));
-        keys.extend(
-            self.admission_log
-                .keys()
-                .map(|&page| Key::AdmissionPage(page)),
-        );
-        keys.extend(self.ended.keys().filter(own).map(|&j| Key::Job(j)));
-        keys.extend(self.buckets.keys().map(|&from| Key::Bucket(from)));
-        for (shard, pages) in self.pages.iter().enumerate() {
-            keys.extend(pages.keys().map(|&page| Key::Assignment { shard, page }));
-        }
-        for (team, shards) in self.grants.iter().enumerate() {
-            keys.extend((0..shards.len()).map(|shard| Key::Grant { team, shard }));
-        }
-        keys
+    /// Records that could not be used since the last call.
+    pub fn complaints(&mut self) -> Vec<RecordError> {
+        std::mem::take(&mut self.record_errors)
     }
 
     /// The revision under which `key` is known, 0 if it is absent.
@@ -318,13 +185,9 @@
                 .and_then(Option::as_ref)
                 .map_or(0, |c| c.revision),
             Key::Images(shard_id) => self.images.get(shard_id).map_or(0, |i| i.revision),
-            Key::Job(j) if self.bucket_of.contains_key(&j) => 0,
-            Key::Job(j) => {
-                let ended = || self.ended.get(&j).map_or(0, |e| e.revision);
-                self.open.get(&j).map_or_else(ended, |o| o.revision)
-            }
-            Key::Bucket(from) => self.buckets.get(&from).map_or(0, |b| b.revision),
-            Key::AdmissionPage(page) => self.admission_log.get(&page).map_or(0, |a| a.revision),
+            Key::Job(job) => self.own_revision(job),
+            Key::Bucket(start) => self.buckets.revision(start),
+            Key::AdmissionPage(page) => self.admission_log.get(page).map_or(0, |a| a.revision),
             Key::Format => self.format_revision,
             Key::Packed => self.packed_revision,
             Key::Assignment { shard, page } => self
@@ -340,6 +203,17 @@
         }
     }
 
+    /// The revision of a job's own record, 0 if it has none.
+    fn own_revision(&self, job: u64) -> u64 {
+        if self.buckets.holds(job) {
+            return 0;
+        }
+        if let Some(open) = self.open.get(&job) {
+            return open.revision;
+        }
+        self.ended.get(job).map_or(0, |ended| ended.revision)
+    }
+
     /// Takes machine types.
     pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
         if self.machine_types != machine_types {
@@ -384,7 +258,7 @@
             }
             Key::Job(j) => self.drop_job(j),
             Key::Bucket(from) => self.drop_bucket(from),
-            Key::AdmissionPage(page) => self.drop_page(page),
+            Key::AdmissionPage(page) => self.drop_admission_page(page),
             Key::Format => {
                 (self.format, self.format_revision) = (0, 0);
                 (self.by_pages, self.dependencies) = (false, false);
@@ -399,91 +273,59 @@
         }
     }
 
-    fn remove(&mut self, key: &str, revision: u64) {
-        let Some(key) = Key::parse(key) else { return };
-        if self.revision(key) < revision {
-            self.forget(key);
-            // Guards against an older put of this key that the watch has yet
-            // to tell: it would bring the deleted value back.
-            if revision > self.store_revision {
-                let kept = self.deleted.entry(key).or_default();
-                *kept = (*kept).max(revision);
-            }
-        }
-    }
-
-    fn put(&mut self, text: &str, value: &Json, revision: u64) {
-        let Some(key) = Key::parse(text) else { return };
-        if self.revision(key) >= revision || self.deleted.get(&key).is_some_and(|&s| s >= revision)
-        {
-            return;
-        }
-        if let Err(e) = self.put_record(key, value, revision) {
-            self.complaints.push(format!("{text}: {e}"));
-        }
-    }
-
-    fn put_record(&mut self, key: Key, value: &Json, revision: u64) -> Result<(), String> {
+    fn put_record(&mut self, key: Key, value: &Json, revision: u64) -> Result<(), RecordProblem> {
         match key {
             Key::Leader => {
-                self.leader_lease = Some(LeaseHolder::of(value.read()?, revision));
+                self.leader_lease = Some(LeaseHolder::of(read(value)?, revision));
             }
             Key::MachineTypes => {
-                self.set_machine_types(value.read()?);
+                self.set_machine_types(read(value)?);
                 self.machine_types_revision = revision;
             }
             Key::Attributes => {
-                self.attributes = value.read()?;
+                self.attributes = read(value)?;
                 self.attributes_revision = revision;
                 self.match_anew();
             }
             Key::Shard(shard_id) => {
-                let holder = LeaseHolder::of(value.read()?, revision);
-                *self.shards.get_mut(shard_id).ok_or("no such part")? = Some(holder);
+                let holder = LeaseHolder::of(read(value)?, revision);
+                let slot = self.shards.get_mut(shard_id);
+                *slot.ok_or(RecordProblem::UnknownShard)? = Some(holder);
             }
             Key::Images(shard_id) => {
-                let record: ImagesRecord = value.read()?;
-                if !record.is_sound() {
-                    return Err("no such image".into());
-                }
-                let place = self.images.get_mut(shard_id).ok_or("no such part")?;
-                let held = record.held().collect();
-                *place = StoredImages {
-                    record,
-                    held,
-                    revision,
-                };
+                let images = StoredImages::of(read(value)?, revision)?;
+                let slot = self.images.get_mut(shard_id);
+                *slot.ok_or(RecordProblem::UnknownShard)? = images;
             }
-            Key::Ids => (self.ids, self.ids_revision) = (value.read()?, revision),
-            Key::Submission(n) => {
-                self.submissions.insert(n, (value.read()?, revision));
+            Key::Ids => (self.ids, self.ids_revision) = (read(value)?, revision),
+            Key::Submission(number) => {
+                let submission = (read(value)?, revision);
+                self.submissions.insert(number, submission);
             }
-            Key::Job(j) => self.put_job(j, value.read()?, revision)?,
-            Key::Bucket(from) => self.put_bucket(from, value.read()?, revision),
-            Key::AdmissionPage(page) => self.put_admission_page(page, value.read()?, revision)?,
+            Key::Job(job) => self.put_job(job, read(value)?, revision)?,
+            Key::Bucket(start) => self.put_bucket(start, read(value)?, revision),
+            Key::AdmissionPage(page) => self.put_admission_page(page, read(value)?, revision)?,
             Key::Format => {
-                let record: FormatRecord = value.read()?;
+                let record: FormatRecord = read(value)?;
                 (self.format, self.by_pages) = (record.jobs, record.new);
                 self.dependencies = record.dependencies;
                 self.format_revision = revision;
             }
             Key::Packed => {
-                self.packed = value.read()?;
+                self.packed = read(value)?;
                 self.packed_revision = revision;
             }
             Key::Assignment { shard, page } => {
                 if shard >= self.shards.len() {
-                    return Err("no such part".into());
+                    return Err(RecordProblem::UnknownShard);
                 }
-                let stored: StoredPage = value.read()?;
-                let new = Page::of_stored(stored, revision, &mut self.hosts)
-                    .ok_or("bad ranges, machines or marks")?;
-                self.set_page(shard, page, Some(new));
+                let new = Page::of_stored(read(value)?, revision, &mut self.hosts);
+                self.set_page(shard, page, Some(new.ok_or(RecordProblem::BadAssignments)?));
             }
             Key::Grant { team, shard } => {
-                let grant = value.read()?;
-                let place = self.grants.get_mut(team).and_then(|g| g.get_mut(shard));
-                *place.ok_or("no such grant")? = (grant, revision);
+                let grant = read(value)?;
+                let slot = self.grants.get_mut(team).and_then(|g| g.get_mut(shard));
+                *slot.ok_or(RecordProblem::UnknownGrant)? = (grant, revision);
             }
         }
         Ok(())
