--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -161,7 +161,7 @@
         let sum = &mut self.sum;
         self.ran.retain(|&(task, attempt), &mut (s, cores)| {
             let (job, number) = task;
-            let assignments = mirror.assignments.get(&(shard_id, job));
+            let assignments = mirror.tasks.assignments.get(&(shard_id, job));
             let assigned = assignments.and_then(|m| m.assignments.get(&number));
             if assigned.is_some_and(|(m, _)| m.attempt == attempt) {
                 return true;
@@ -204,7 +204,7 @@
 
     fn count(&self, shard_id: usize, now: Millis, s: f64, account: &mut Account) {
         let silence = self.silence_ms();
-        let waiting: Vec<(u64, &OpenJob)> = self.mirror.waiting[shard_id]
+        let waiting: Vec<(u64, &OpenJob)> = self.mirror.tasks.waiting[shard_id]
             .keys()
             .filter_map(|job| Some((*job, self.mirror.open.get(job)?)))
             .take(JOBS)
@@ -262,7 +262,7 @@
 
     /// Cores that the waiting tasks of a shard take.
     fn wanted(&self, shard_id: usize) -> f64 {
-        let waiting = self.mirror.waiting[shard_id].iter();
+        let waiting = self.mirror.tasks.waiting[shard_id].iter();
         let cores = waiting.filter_map(|(job, set)| {
             let open = self.mirror.open.get(job)?;
             Some(f64::from(set.len()) * open.spec.cores)
--- a/crates/cherryyard-core/src/admission/entitlements.rs
+++ b/crates/cherryyard-core/src/admission/entitlements.rs
@@ -89,7 +89,7 @@
             };
             self.mirror.flows.len()
         ];
-        for (&(shard_id, job), assignments) in &self.mirror.assignments {
+        for (&(shard_id, job), assignments) in &self.mirror.tasks.assignments {
             if let Some(open) = self.mirror.open.get(&job)
                 && let Some(used) = all.get_mut(open.flow as usize)
             {
@@ -97,7 +97,7 @@
             }
         }
         for shard_id in 0..shards {
-            for (job, set) in &self.mirror.waiting[shard_id] {
+            for (job, set) in &self.mirror.tasks.waiting[shard_id] {
                 if let Some(open) = self.mirror.open.get(job)
                     && let Some(used) = all.get_mut(open.flow as usize)
                 {
@@ -355,6 +355,7 @@
         let mut runs: HashMap<Flow, f64> = HashMap::new();
         for (&(_, job), assignments) in self
             .mirror
+            .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX))
         {
--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -149,7 +149,7 @@
     fn calm(&self) -> bool {
         let overdue =
             self.mirror.ended_count() > OVERDUE_BATCHES * self.config.tuning.history_batch;
-        let waits = self.mirror.waiting.iter().any(|w| !w.is_empty());
+        let waits = self.mirror.tasks.waiting.iter().any(|w| !w.is_empty());
         overdue || !waits && self.mirror.undivided.is_empty()
     }
 
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -107,7 +107,7 @@
             match self.leader.ownerless.get(&shard_id) {
                 // Nobody reports for the shard, so nobody starts its numbers.
                 Some(&since) if now - since >= delay * 1000.0 => {
-                    self.mirror.waiting[shard_id]
+                    self.mirror.tasks.waiting[shard_id]
                         .keys()
                         .for_each(|&job| add(job));
                 }
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -143,7 +143,7 @@
         keys.extend(admission_pages.map(Key::AdmissionPage));
         keys.extend(self.ended.numbers().filter(own).map(Key::Job));
         keys.extend(self.buckets.starts().map(Key::Bucket));
-        for (shard, pages) in self.pages.iter().enumerate() {
+        for (shard, pages) in self.tasks.pages.iter().enumerate() {
             keys.extend(pages.keys().map(|&page| Key::Assignment { shard, page }));
         }
         for (team, shards) in self.grants.iter().enumerate() {
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -257,10 +257,7 @@
                 }
                 open.urgency = urgency;
             }
-            let shards = (0..self.shards.len())
-                .filter(|&shard_id| self.waiting[shard_id].contains_key(&job));
-            self.waiting_changes
-                .extend(shards.map(|shard_id| (shard_id, job)));
+            self.tasks.note_waiting_change(job);
             pending.extend(needs);
         }
     }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -204,8 +204,7 @@
     /// does, its tasks may be on machines, and while one of admissions does, it would be
     /// open again if nothing said that it is over.
     pub fn named_in_pages(&self, job: u64) -> bool {
-        let assigned_in = |shard_id| self.assignments.contains_key(&(shard_id, job));
-        self.page_of(job).is_some() || (0..self.shards.len()).any(assigned_in)
+        self.page_of(job).is_some() || self.tasks.names(job)
     }
 
     /// Jobs that are over and stand in watched records.
@@ -265,11 +264,6 @@
         Some((demand.team, demand.needs))
     }
 
-    /// How many of a job's tasks are done.
-    pub fn done(&self, job: u64) -> u32 {
-        self.tasks_done.get(&job).copied().unwrap_or(0)
-    }
-
     /// The job as its user sees it, if it is known.
     pub fn view(&self, job: u64) -> Option<JobView> {
         if let Some(need) = self.ended.get(job).and_then(|ended| ended.cancelled_by) {
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -21,19 +21,20 @@
 use crate::Config;
 use crate::admission::flows::Flows;
 use crate::names::Names;
-use crate::pages::{Assignment, JobAssignments, Page};
+use crate::pages::Page;
 use crate::pools::Matcher;
 use admission_log::AdmissionLog;
 pub use admission_log::{AdmissionPage, MOST_ROWS};
+pub use assignments::TaskTable;
 use buckets::BucketIndex;
 use changes::SeenKeys;
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
 use cherryyard_wire::history::PackedRecord;
+use cherryyard_wire::record;
 use cherryyard_wire::record::{FormatRecord, Grant, Key};
 use cherryyard_wire::rules::Attributes;
 use cherryyard_wire::state::{Commit, Json};
-use cherryyard_wire::{RangeSet, record};
 use dependencies::DependencyGraph;
 pub use dependencies::{Deadline, Urgency};
 pub use ended::EndedJob;
@@ -44,7 +45,7 @@
 pub use open_job::OpenJob;
 use record_error::read;
 pub use record_error::{RecordError, RecordProblem};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// What the state service holds, as far as this controller has heard.
 #[derive(Clone, Debug)]
@@ -75,19 +76,13 @@
     ids_revision: u64,
     /// Jobs that are not over, by number.
     pub open: BTreeMap<u64, OpenJob>,
-    /// Pages of assignments, by shard. New assignments go into a shard's last page or the one
-    /// after it, so these two tell whether any have been made.
-    pub pages: Vec<BTreeMap<u32, Page>>,
-    /// What the pages say, by shard and job.
-    pub assignments: BTreeMap<(usize, u64), JobAssignments>,
-    /// Numbers that are neither done nor assigned, by shard and job; none empty.
-    pub waiting: Vec<BTreeMap<u64, RangeSet>>,
+    /// Assignments of tasks, and what is left to be started. Only the mirror writes it.
+    pub tasks: TaskTable,
     /// Open jobs that wait for no other and that the leader has not divided yet.
     pub undivided: BTreeSet<u64>,
     graph: DependencyGraph,
     /// Classes and teams of jobs.
     pub flows: Flows,
-    waiting_changes: Vec<(usize, u64)>,
     /// Open arrays of which every task is done.
     pub complete: BTreeSet<u64>,
     /// Images held in each shard, as last stored, and the record's revision.
@@ -111,12 +106,9 @@
     ended: EndedJobs,
     /// Which job stands in which bucket.
     buckets: BucketIndex,
-    /// By machine's index: each round and report looks here for many machines.
-    on_host: Vec<BTreeMap<(u64, u32), Assignment>>,
     /// Deleted keys, and those that a full read under way has shown.
     seen: SeenKeys,
     teams: Names,
-    tasks_done: HashMap<u64, u32>,
     record_errors: Vec<RecordError>,
 }
 
@@ -139,13 +131,10 @@
             ids: IdsRecord::default(),
             ids_revision: 0,
             open: BTreeMap::new(),
-            pages: vec![BTreeMap::new(); shards],
-            assignments: BTreeMap::new(),
-            waiting: vec![BTreeMap::new(); shards],
+            tasks: TaskTable::new(shards),
             undivided: BTreeSet::new(),
             graph: DependencyGraph::default(),
             flows: Flows::new(config.teams.len()),
-            waiting_changes: Vec::new(),
             complete: BTreeSet::new(),
             images: vec![StoredImages::default(); shards],
             grants: vec![vec![(Grant::default(), 0); shards]; config.teams.len()],
@@ -158,10 +147,8 @@
             packed_revision: 0,
             ended: EndedJobs::new(config.recent_ends),
             buckets: BucketIndex::default(),
-            on_host: Vec::new(),
             seen: SeenKeys::default(),
             teams: config.team_names.clone(),
-            tasks_done: HashMap::new(),
             record_errors: Vec::new(),
         }
     }
@@ -190,11 +177,7 @@
             Key::AdmissionPage(page) => self.admission_log.get(page).map_or(0, |a| a.revision),
             Key::Format => self.format_revision,
             Key::Packed => self.packed_revision,
-            Key::Assignment { shard, page } => self
-                .pages
-                .get(shard)
-                .and_then(|pages| pages.get(&page))
-                .map_or(0, |page| page.revision),
+            Key::Assignment { shard, page } => self.tasks.page_revision(shard, page),
             Key::Grant { team, shard } => self
                 .grants
                 .get(team)
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -36,6 +36,7 @@
         let mut held = vec![Needs::default(); self.config.teams.len()];
         for (&(_, job), assignments) in self
             .mirror
+            .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX))
         {
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -155,7 +155,7 @@
 
     /// What one more of a team's waiting tasks takes in a shard, at least.
     pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
-        let waiting = self.mirror.waiting[shard_id].keys();
+        let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
         let needs = open.filter(|o| o.team as usize == team).map(OpenJob::needs);
         needs.reduce(|a, b| Needs {
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -90,7 +90,7 @@
             if !self.fits(1, 1) || self.bytes() + self.page_bytes > TXN_BYTES {
                 return None;
             }
-            let mut page = mirror.pages[self.shard]
+            let mut page = mirror.tasks.pages[self.shard]
                 .get(&number)
                 .cloned()
                 .unwrap_or_default();
@@ -264,7 +264,7 @@
         for host in hosts {
             for (task, assignment) in self.mirror.on_host(host) {
                 let (job, number) = task;
-                let place = self.mirror.assignments.get(&(shard_id, job));
+                let place = self.mirror.tasks.assignments.get(&(shard_id, job));
                 let Some(&(_, page)) = place.and_then(|m| m.assignments.get(&number)) else {
                     continue;
                 };
@@ -366,7 +366,8 @@
         }
         for &job in &self.mirror.complete {
             let first = (0..self.shards.len()).find(|&q| {
-                self.mirror.shards[q].is_some() && self.mirror.assignments.contains_key(&(q, job))
+                self.mirror.shards[q].is_some()
+                    && self.mirror.tasks.assignments.contains_key(&(q, job))
             });
             if first == Some(shard_id) {
                 cycle.end(job);
@@ -387,11 +388,11 @@
         let Some(last) = self.mirror.last_page(shard_id) else {
             return;
         };
-        for &number in self.mirror.pages[shard_id].keys() {
+        for &number in self.mirror.tasks.pages[shard_id].keys() {
             let Some((page, bytes)) = cycle.edit(&self.mirror, number) else {
                 return;
             };
-            let stored = self.mirror.pages[shard_id].get(&number);
+            let stored = self.mirror.tasks.pages[shard_id].get(&number);
             if number == 0 && stored.is_some_and(|page| page.jobs.is_empty()) {
                 // The first page stays, empty.
                 cycle.edits.clear();
@@ -453,7 +454,7 @@
             if !new.jobs.is_empty() || page == 0 {
                 let stored = new.stored(&self.mirror.hosts, cycle.format);
                 commit.apply.push(Apply::set(key, &stored));
-            } else if self.mirror.pages[shard_id].contains_key(&page) {
+            } else if self.mirror.tasks.pages[shard_id].contains_key(&page) {
                 commit.apply.push(Apply::delete(key));
             }
         }
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -112,7 +112,7 @@
         let left = shard.budget.left(now);
         // Where nothing waits, completions can wait a moment for each other;
         // what that saves is there when something comes.
-        let spacing = if self.mirror.waiting[shard_id].is_empty() {
+        let spacing = if self.mirror.tasks.waiting[shard_id].is_empty() {
             QUIET_MS
         } else {
             CYCLE_MS
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -55,7 +55,7 @@
     fn oversized_page(&self, shard_id: usize) -> Option<(u32, Page)> {
         let most = self.config.page_bytes;
         let format = self.mirror.page_format();
-        self.mirror.pages[shard_id]
+        self.mirror.tasks.pages[shard_id]
             .iter()
             .find_map(|(&number, page)| {
                 // Most pages are small enough with all that they hold.
@@ -72,7 +72,7 @@
     /// What a page holds that none of the shard's other pages does.
     fn without_copies(&self, shard_id: usize, number: u32, mut page: Page) -> Page {
         let others = || {
-            let all = self.mirror.pages[shard_id].iter();
+            let all = self.mirror.tasks.pages[shard_id].iter();
             all.filter(|other| *other.0 != number).map(|other| other.1)
         };
         for (job, mine) in &mut page.jobs {
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -118,7 +118,7 @@
 
     /// Puts a job in its place among what waits in a shard, or takes it out.
     pub(crate) fn requeue(&mut self, shard_id: usize, job: u64, now: Millis) {
-        let waits = self.mirror.waiting[shard_id].contains_key(&job);
+        let waits = self.mirror.tasks.waiting[shard_id].contains_key(&job);
         let Some(o) = self.mirror.open.get(&job).filter(|_| waits) else {
             self.shards[shard_id].queues.remove(job);
             return;
@@ -154,7 +154,10 @@
     /// Queues all that waits in a shard that has just become ours.
     pub(crate) fn queue_all(&mut self, shard_id: usize, now: Millis) {
         self.shards[shard_id].queues.clear();
-        let jobs: Vec<u64> = self.mirror.waiting[shard_id].keys().copied().collect();
+        let jobs: Vec<u64> = self.mirror.tasks.waiting[shard_id]
+            .keys()
+            .copied()
+            .collect();
         for job in jobs {
             self.requeue(shard_id, job, now);
         }
@@ -316,7 +319,7 @@
         // Of a job that fails everywhere one task at a time is tried.
         let is_quarantined = job_failures.is_some_and(JobFailures::is_quarantined);
         let is_tried = || {
-            let here = self.mirror.assignments.get(&(shard_id, job));
+            let here = self.mirror.tasks.assignments.get(&(shard_id, job));
             here.is_some_and(|all| all.assignments.len() > cycle.gone_of(job))
         };
         if is_quarantined && is_tried() {
@@ -665,7 +668,7 @@
                 }
             }
         };
-        if let Some(m) = self.mirror.assignments.get(&(shard_id, job)) {
+        if let Some(m) = self.mirror.tasks.assignments.get(&(shard_id, job)) {
             for (&number, (assignment, _)) in &m.assignments {
                 if !cycle.gone.contains(&(job, number)) {
                     count(assignment.host);
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -21,6 +21,7 @@
         };
         for (&(_, job), m) in self
             .mirror
+            .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX))
         {
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -30,7 +30,7 @@
         let Some(at) = m.reclaim_at else { return false };
         if open.spec.shape != Shape::Array
             || open.spec.snapshot_every_s > 0.0
-            || !self.mirror.waiting[m.shard].is_empty()
+            || !self.mirror.tasks.waiting[m.shard].is_empty()
         {
             return false;
         }
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -315,6 +315,7 @@
     assert!(
         controller
             .mirror
+            .tasks
             .waiting
             .iter()
             .all(|shard| shard.is_empty())
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -376,7 +376,7 @@
     let assigned: Vec<Vec<u32>> = (0..3)
         .map(|p| {
             let controller = w.controllers[0].as_ref().unwrap();
-            let assignments = &controller.mirror.assignments[&(p, 1)];
+            let assignments = &controller.mirror.tasks.assignments[&(p, 1)];
             assignments.assignments.keys().copied().collect()
         })
         .collect();
