--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -151,7 +151,7 @@
     fn calm(&self) -> bool {
         let overdue =
             self.mirror.ended_count() > OVERDUE_BATCHES * self.config.tuning.history_batch;
-        let waits = self.mirror.waiting.iter().any(|w| !w.is_empty());
+        let waits = self.mirror.tasks.waiting.iter().any(|w| !w.is_empty());
         overdue || !waits && self.mirror.undivided.is_empty()
     }
 
@@ -175,7 +175,7 @@
                     .map(|(job, e)| FinishedJob {
                         job,
                         end: e.end,
-                        done: if e.end == End::Done { e.n } else { 0 },
+                        done: if e.end == End::Done { e.task_count } else { 0 },
                         day,
                     })
                     .collect();
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -104,7 +104,7 @@
     ) {
         let (job, number) = task;
         let host = assignment.host;
-        let here = self.mirror.assignments.get(&(shard_id, job));
+        let here = self.mirror.tasks.assignments.get(&(shard_id, job));
         let Some(&(_, page)) = here.and_then(|here| here.assignments.get(&number)) else {
             return;
         };
--- a/crates/cherryyard-core/src/owner/cycle/commit.rs
+++ b/crates/cherryyard-core/src/owner/cycle/commit.rs
@@ -39,7 +39,7 @@
             if !edited.page.jobs.is_empty() || number == 0 {
                 let stored = edited.page.stored(&self.mirror.hosts, cycle.format);
                 commit.apply.push(Apply::set(key, &stored));
-            } else if self.mirror.pages[shard_id].contains_key(&number) {
+            } else if self.mirror.tasks.pages[shard_id].contains_key(&number) {
                 commit.apply.push(Apply::delete(key));
             }
         }
--- a/crates/cherryyard-core/src/owner/cycle/compaction.rs
+++ b/crates/cherryyard-core/src/owner/cycle/compaction.rs
@@ -10,7 +10,7 @@
         let Some(last) = mirror.last_page(self.shard) else {
             return;
         };
-        for (&number, stored) in &mirror.pages[self.shard] {
+        for (&number, stored) in &mirror.tasks.pages[self.shard] {
             let Some(EditedPage { page, bytes }) = self.edit(mirror, number) else {
                 return;
             };
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -292,7 +292,7 @@
     /// Whether tasks of a job are assigned in a shard that the cycle does not prove gone: of a
     /// job that fails everywhere one at a time is tried.
     fn has_assigned_tasks(&self, shard_id: usize, job: u64, cycle: &Cycle) -> bool {
-        let here = self.mirror.assignments.get(&(shard_id, job));
+        let here = self.mirror.tasks.assignments.get(&(shard_id, job));
         here.is_some_and(|here| here.assignments.len() > cycle.gone_of(job))
     }
 
--- a/crates/cherryyard-core/src/owner/queue_upkeep.rs
+++ b/crates/cherryyard-core/src/owner/queue_upkeep.rs
@@ -47,7 +47,7 @@
 
     /// Puts a job in its place among what waits in a shard, or takes it out.
     pub(super) fn requeue(&mut self, shard_id: usize, job: u64, now: Millis) {
-        let is_waiting = self.mirror.waiting[shard_id].contains_key(&job);
+        let is_waiting = self.mirror.tasks.waiting[shard_id].contains_key(&job);
         let Some(open) = self.mirror.open.get(&job).filter(|_| is_waiting) else {
             self.shards[shard_id].queues.remove(job);
             return;
@@ -82,7 +82,10 @@
     /// Queues all that waits in a shard that has just become ours.
     pub(crate) fn queue_all(&mut self, shard_id: usize, now: Millis) {
         self.shards[shard_id].queues.clear();
-        let jobs: Vec<u64> = self.mirror.waiting[shard_id].keys().copied().collect();
+        let jobs: Vec<u64> = self.mirror.tasks.waiting[shard_id]
+            .keys()
+            .copied()
+            .collect();
         for job in jobs {
             self.requeue(shard_id, job, now);
         }
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -45,7 +45,7 @@
         };
         if open.spec.shape != Shape::Array
             || open.spec.snapshot_every_s > 0.0
-            || !self.mirror.waiting[machine.shard].is_empty()
+            || !self.mirror.tasks.waiting[machine.shard].is_empty()
         {
             return false;
         }
