--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -22,7 +22,7 @@
 const LAST_START_MS: f64 = 60_000.0;
 /// Messages in a row older than one before them after which a machine is queried.
 const STALE_BEFORE_QUERY: u32 = 2;
-/// Time between two queries after such messages: of a worker that began anew, and of others.
+/// Time between two queries after such messages: of a worker that has restarted, and of others.
 const RESTARTED_QUERY_MS: f64 = 300.0;
 const STALE_QUERY_MS: f64 = 1000.0;
 
@@ -74,9 +74,9 @@
     pub(crate) query_pending: bool,
     /// Messages in a row that were older than one before them.
     pub(crate) stale_in_a_row: u32,
-    /// Attempts up to this one are of a life before: the worker began anew.
+    /// Attempts up to this one are from before the worker's last restart within a lease.
     pub(crate) restarted_after: u64,
-    /// It began anew under our present token. Copies of messages of its life before may
+    /// It has restarted under our present token. Copies of messages from before may
     /// still come, and would look newer than its own: only its direct answers count.
     pub(crate) has_restarted: bool,
     /// Starts sent directly whose outcome is not known.
@@ -200,7 +200,7 @@
         let interval = self.reachability.query_interval_ms();
         let is_doubted = interval.is_some_and(|interval| since >= interval)
             && now - self.last_heard_at < lost_ms;
-        // A copy that came late, or a worker that began anew: only it can tell.
+        // A copy that came late, or a worker that has restarted: only it can tell.
         let stale_interval = if self.has_restarted {
             RESTARTED_QUERY_MS
         } else {
--- a/crates/cherryyard-core/src/machine/proofs.rs
+++ b/crates/cherryyard-core/src/machine/proofs.rs
@@ -30,7 +30,7 @@
         if self.lease_over && incarnation <= self.newest.0 && !self.start_pending(task, attempt) {
             return true;
         }
-        if self.restarted_after > 0 && self.is_of_life_before(task, incarnation, attempt) {
+        if self.restarted_after > 0 && self.is_from_before_restart(task, incarnation, attempt) {
             return true;
         }
         match self.state {
@@ -46,8 +46,8 @@
 
     /// Whether the newest message, under our token, shows that an attempt is not there.
     fn is_absent(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
-        // An assignment older than our token in an incarnation that has yet to come is of a
-        // life before of the worker: it was there before it showed the token.
+        // An assignment older than our token in an incarnation that has yet to come is from
+        // before a restart of the worker: it was there before it showed the token.
         let is_of_future_incarnation = incarnation > self.newest.0 && attempt <= self.token;
         let is_unreported = || {
             incarnation == self.newest.0
@@ -57,9 +57,9 @@
         incarnation < self.newest.0 || is_of_future_incarnation || is_unreported()
     }
 
-    /// Whether an attempt was of the worker's life before, and nothing of it is left.
+    /// Whether an attempt is from before the worker's restart, and nothing of it is left.
     /// The worker shows our token: of older owners nothing can arrive any more.
-    fn is_of_life_before(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
+    fn is_from_before_restart(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
         matches!(self.state, MachineState::Ready | MachineState::Returning)
             && self.shows_our_token()
             && (incarnation > self.newest.0 || attempt <= self.restarted_after)
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -173,8 +173,8 @@
         let Some(machine) = self.machines.get(&assignment.host) else {
             return false;
         };
-        let is_of_life_before = assignment.attempt <= machine.restarted_after;
-        let should_go = is_of_life_before || !self.mirror.open.contains_key(&task.0);
+        let is_from_before_restart = assignment.attempt <= machine.restarted_after;
+        let should_go = is_from_before_restart || !self.mirror.open.contains_key(&task.0);
         let was_pushed = || {
             let mut pushed = machine.pushed.iter();
             pushed.any(|start| start.task == task && start.attempt == assignment.attempt)
--- /dev/null
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -0,0 +1,175 @@
+//! Which work is stopped to make room for a waiting task, and on which machine.
+
+use super::cycle::Cycle;
+use super::preemptible::{CORES_ROUNDING, EvictionScope, Preemption};
+use crate::Millis;
+use crate::admission::flows::Flow;
+use crate::controller::Controller;
+use crate::machine::{ImageState, Machine, Task};
+use crate::mirror::OpenJob;
+use crate::needs::Needs;
+use cherryyard_wire::job::Rank;
+use std::cmp::Reverse;
+use std::collections::HashMap;
+
+/// What stopping a task costs, less what its late start saves.
+const VICTIM_COST: f64 = 1e6;
+/// What it costs that the image has to be fetched.
+const IMAGE_FETCH_COST: f64 = 1.5e6;
+
+/// An attempt that could be stopped.
+pub(super) struct Victim {
+    pub(super) task: Task,
+    pub(super) attempt: u64,
+    rank: Rank,
+    needs: Needs,
+    flow: Flow,
+}
+
+/// What is stopped on a machine to make room for a waiting task.
+pub(super) struct Eviction {
+    pub(super) beneficiary: Task,
+    pub(super) host: u32,
+    pub(super) victims: Vec<Victim>,
+    cost: f64,
+}
+
+/// The search for the machine on which making room costs least.
+pub(super) struct EvictionSearch<'a> {
+    pub(super) controller: &'a Controller,
+    pub(super) shard_id: usize,
+    pub(super) job: u64,
+    pub(super) open: &'a OpenJob,
+    pub(super) needs: Needs,
+    pub(super) scope: EvictionScope,
+    /// Tasks of the job by zone.
+    pub(super) zones: HashMap<String, u32>,
+    pub(super) cycle: &'a Cycle,
+    pub(super) now: Millis,
+}
+
+impl EvictionSearch<'_> {
+    /// The cheapest eviction for a waiting task, on another machine than those before.
+    pub(super) fn cheapest(
+        &self,
+        number: u32,
+        earlier: &[Eviction],
+        preemption: &Preemption,
+    ) -> Option<Eviction> {
+        let silence = self.controller.silence_ms();
+        let mut best: Option<Eviction> = None;
+        for machine in self.controller.machines.values() {
+            if machine.shard != self.shard_id
+                || !machine.usable(self.now, silence)
+                || !self.is_eligible(machine, number)
+                || earlier.iter().any(|e| e.host == machine.host)
+                || self.is_spoken_for(machine)
+            {
+                continue;
+            }
+            if let Some(eviction) = self.eviction_on(machine, number, preemption)
+                && best.as_ref().is_none_or(|b| eviction.cost < b.cost)
+            {
+                best = Some(eviction);
+            }
+        }
+        best
+    }
+
+    /// Whether the waiting task may run on a machine.
+    fn is_eligible(&self, machine: &Machine, number: u32) -> bool {
+        let holds_image = || machine.image(&self.open.spec.image) == ImageState::Held;
+        self.controller.allowed(self.open, machine)
+            && (self.scope == EvictionScope::AnyMachine || holds_image())
+            && !machine.reported.contains_key(&(self.job, number))
+            && self
+                .controller
+                .zone_open(self.shard_id, self.open, &machine.zone, &self.zones)
+    }
+
+    /// Whether a machine is kept for others, or work is being stopped on it already.
+    fn is_spoken_for(&self, machine: &Machine) -> bool {
+        let shard = &self.controller.shards[self.shard_id];
+        let mut tasks = self.controller.mirror.on_host(machine.host);
+        shard.reserved.contains_key(&machine.host)
+            || self
+                .controller
+                .kept_from(self.shard_id, machine.host, self.open)
+            || tasks.any(|(task, _)| shard.preempted.contains_key(&task))
+    }
+
+    /// What has to be stopped on a machine for the waiting task to fit, if that is enough.
+    fn eviction_on(
+        &self,
+        machine: &Machine,
+        number: u32,
+        preemption: &Preemption,
+    ) -> Option<Eviction> {
+        let mut free = self.controller.free_on(machine, Some(self.cycle))?;
+        let mut victims = Vec::new();
+        let mut cost = 0.0;
+        // Of flows that have long had too little, no more is stopped than is allowed.
+        let mut stoppable = preemption.stoppable_cores.clone();
+        for victim in self.possible_victims(machine, preemption) {
+            if self.needs.fits(&free) {
+                break;
+            }
+            if let Some(left) = stoppable.get_mut(&victim.flow) {
+                if *left < victim.needs.cores {
+                    continue;
+                }
+                *left -= victim.needs.cores;
+            }
+            free.give(&victim.needs);
+            cost += VICTIM_COST - victim.attempt as f64;
+            victims.push(victim);
+        }
+        if !self.needs.fits(&free) || victims.is_empty() {
+            return None;
+        }
+        if machine.image(&self.open.spec.image) != ImageState::Held {
+            cost += IMAGE_FETCH_COST;
+        }
+        Some(Eviction {
+            beneficiary: (self.job, number),
+            host: machine.host,
+            victims,
+            cost,
+        })
+    }
+
+    /// Work on a machine that makes way for the job: the least important first, then what
+    /// began last, which has lost least.
+    fn possible_victims(&self, machine: &Machine, preemption: &Preemption) -> Vec<Victim> {
+        let mirror = &self.controller.mirror;
+        let mut victims: Vec<Victim> = mirror
+            .on_host(machine.host)
+            .filter_map(|(task, assignment)| {
+                let open = mirror.open.get(&task.0)?;
+                self.makes_way(open, preemption).then(|| Victim {
+                    task,
+                    attempt: assignment.attempt,
+                    rank: open.rank(),
+                    needs: open.needs(),
+                    flow: open.flow,
+                })
+            })
+            .collect();
+        victims.sort_by_key(|victim| (victim.rank, Reverse(victim.attempt)));
+        victims
+    }
+
+    /// Whether another job makes way: it is less important, or its team uses more than its
+    /// guarantee while this job's team stays within its own.
+    fn makes_way(&self, other: &OpenJob, preemption: &Preemption) -> bool {
+        if self.open.goes_before(other) {
+            return true;
+        }
+        let (team, other_team) = (self.open.team as usize, other.team as usize);
+        let guarantee = |team: usize| self.controller.config.teams[team].cores + CORES_ROUNDING;
+        let totals = &preemption.team_totals;
+        other_team != team
+            && totals[other_team].cores > guarantee(other_team)
+            && totals[team].cores + self.needs.cores <= guarantee(team)
+    }
+}
--- a/crates/cherryyard-core/src/owner/hand_over.rs
+++ b/crates/cherryyard-core/src/owner/hand_over.rs
@@ -3,7 +3,8 @@
 
 use super::cycle::Cycle;
 use super::placement::{Candidate, Placement};
-use super::preempt::{EvictionScope, PreemptionRequest};
+use super::preempt::PreemptionRequest;
+use super::preemptible::EvictionScope;
 use crate::controller::Controller;
 
 /// A fetch of an image for which other work makes way elsewhere, in seconds.
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -31,7 +31,7 @@
 
     /// Takes note of a machine that reports for the first time, with the images
     /// that its owner before knew it to hold.
-    pub(crate) fn meet(
+    pub(crate) fn register_machine(
         &mut self,
         host: u32,
         shard_id: usize,
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -3,7 +3,8 @@
 use super::cycle::Cycle;
 use super::failure_attribution::JobFailures;
 use super::fit::FitRequest;
-use super::preempt::{EvictionScope, Preemption, PreemptionRequest};
+use super::preempt::PreemptionRequest;
+use super::preemptible::{EvictionScope, Preemption};
 use super::search::{SearchBudget, UnmetNeeds};
 use super::state::Pending;
 use crate::Millis;
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,7 +1,7 @@
 //! What an owner remembers of a shard.
 
 use super::failure_attribution::JobFailures;
-use super::team_limits::KeptRests;
+use super::kept_rests::KeptRests;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -13,11 +13,7 @@
 use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::{self, Grant};
 use cherryyard_wire::state::{Apply, Commit};
-use std::collections::HashMap;
 
-/// Longest that a shard's rest of a team's limit is kept for a task, and then for so long
-/// not: whoever else waits for it must not wait for minutes.
-const KEEP_REST_MS: f64 = 45_000.0;
 /// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
 const STUCK_GRANT_MS: f64 = 2000.0;
 /// Differences of cores and accelerators below this are rounding.
@@ -25,21 +21,6 @@
 /// Conditions that giving a grant back may need: the grant, the last page and the one after it.
 const CONDITIONS_OF_GRANT: usize = 3;
 
-/// Teams whose rest of the limit in a shard is kept for a job: which, and since when.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct KeptRests(HashMap<usize, (u64, Millis)>);
-
-impl KeptRests {
-    /// Whether a team's rest is kept for a job now.
-    fn keep(&mut self, team: usize, job: u64, now: Millis) -> bool {
-        let (kept_for, since) = self.0.entry(team).or_insert((job, now));
-        if *kept_for != job || now - *since > 2.0 * KEEP_REST_MS {
-            (*kept_for, *since) = (job, now);
-        }
-        now - *since < KEEP_REST_MS
-    }
-}
-
 impl Controller {
     /// Whether the team's limit lets a task of the job start. The oldest job of its flow that
     /// has not begun keeps what is left of the limit here.
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -116,7 +116,7 @@
             return None;
         }
         let host = self.mirror.hosts.intern(&heartbeat.host);
-        self.meet(host, shard_id, heartbeat, now);
+        self.register_machine(host, shard_id, heartbeat, now);
         let machine = self.machines.get(&host)?;
         if machine.state == MachineState::Gone {
             return None;
