--- a/crates/cherryyard-core/tests/hang_model.rs
+++ b/crates/cherryyard-core/tests/hang_model.rs
@@ -3,8 +3,8 @@
 //! later than `CANCEL` after its user was told. (That it never runs twice is the concern of
 //! the lease's model; the state service serves everybody here.)
 //!
-//! The rule is that of `Controller::release_with_cancelled_tasks`; each mutant leaves a part of it out and
-//! must be caught.
+//! The rule is that of `Controller::release_with_cancelled_tasks`; each mutant leaves a part of
+//! it out and must be caught.
 
 use pathfinding::directed::bfs::bfs_reach;
 
@@ -27,132 +27,147 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct State {
-    t: u8,
+    now: u8,
     /// The owner's token, and since when it owns the shard.
     token: u8,
-    since: u8,
+    owner_since: u8,
     /// Since when it has heard nothing of the machine.
-    silent: u8,
+    silent_since: u8,
     /// The token that the worker has seen, and the end of its lease.
-    seen: u8,
-    lease: u8,
+    seen_token: u8,
+    lease_until: u8,
     hangs: bool,
     /// The token of a start on its way, and whether the task is there.
-    start: Option<u8>,
-    there: bool,
-    cancelled: Option<u8>,
+    start_under_way: Option<u8>,
+    task_present: bool,
+    cancelled_at: Option<u8>,
     /// When the machine's release takes effect.
-    released: Option<u8>,
-    /// Changes of owner and hangs left.
-    left: (u8, u8),
-    bad: bool,
+    released_at: Option<u8>,
+    /// Changes of owner left, and hangs.
+    changes_left: u8,
+    hangs_left: u8,
+    violated: bool,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Mutant {
     /// No machine is returned for a cancelled task.
-    never: bool,
+    never_released: bool,
     /// A new owner always waits until machines have found it.
-    always_find: bool,
+    always_waits_for_owner: bool,
     /// It is returned when the time is over.
-    when_over: bool,
+    only_when_over: bool,
 }
 
 fn begin(changes: u8) -> State {
     State {
-        t: 0,
+        now: 0,
         token: 1,
-        since: 0,
-        silent: 0,
-        seen: 1,
-        lease: LEASE,
+        owner_since: 0,
+        silent_since: 0,
+        seen_token: 1,
+        lease_until: LEASE,
         hangs: false,
-        start: Some(1),
-        there: false,
-        cancelled: None,
-        released: None,
-        left: (changes, 1),
-        bad: false,
+        start_under_way: Some(1),
+        task_present: false,
+        cancelled_at: None,
+        released_at: None,
+        changes_left: changes,
+        hangs_left: 1,
+        violated: false,
     }
 }
 
 /// What the owner does by itself: it returns the machine, if it is time.
-fn owner(s: &mut State, mutant: Mutant) {
-    let (Some(at), None) = (s.cancelled, s.released) else {
+fn release_if_due(state: &mut State, mutant: Mutant) {
+    let (Some(at), None) = (state.cancelled_at, state.released_at) else {
         return;
     };
-    let passed = s.t - at;
-    let due = if mutant.when_over { CANCEL } else { DUE };
-    let wait = if passed > LATE && !mutant.always_find {
+    let passed = state.now - at;
+    let due = if mutant.only_when_over { CANCEL } else { DUE };
+    let wait = if passed > LATE && !mutant.always_waits_for_owner {
         SILENT
     } else {
         FIND
     };
-    let unproven = s.start.is_some() || s.there;
-    if !mutant.never && unproven && passed > due && s.t - s.silent > wait {
-        s.released = Some(s.t + RELEASE);
+    let unproven = state.start_under_way.is_some() || state.task_present;
+    if !mutant.never_released && unproven && passed > due && state.now - state.silent_since > wait {
+        state.released_at = Some(state.now + RELEASE);
     }
 }
 
 /// The worker carries out the start, if that still counts.
-fn carry_out(s: &mut State) {
-    if let Some(token) = s.start.take() {
-        s.there |= token >= s.seen;
-        s.bad |= s.there && s.cancelled.is_some_and(|at| s.t > at + CANCEL);
+fn carry_out(state: &mut State) {
+    if let Some(token) = state.start_under_way.take() {
+        state.task_present |= token >= state.seen_token;
+        state.violated |=
+            state.task_present && state.cancelled_at.is_some_and(|at| state.now > at + CANCEL);
     }
 }
 
-fn next(s: &State, mutant: Mutant) -> Vec<State> {
+fn next(state: &State, mutant: Mutant) -> Vec<State> {
     let mut all = Vec::new();
-    if s.bad || s.released.is_some_and(|at| at <= s.t) {
+    if state.violated || state.released_at.is_some_and(|at| at <= state.now) {
         return all;
     }
     let mut add = |may: bool, work: &dyn Fn(&mut State)| {
         if may {
-            let mut n = *s;
-            work(&mut n);
-            all.push(n);
+            let mut after = *state;
+            work(&mut after);
+            all.push(after);
         }
     };
-    add(s.t < END, &|n| {
-        n.t += 1;
-        if !n.hangs && n.t > n.lease {
+    add(state.now < END, &|after| {
+        after.now += 1;
+        if !after.hangs && after.now > after.lease_until {
             // Its incarnation is over, and what was sent to it.
-            (n.there, n.start, n.lease) = (false, None, n.t + LEASE);
+            (after.task_present, after.start_under_way, after.lease_until) =
+                (false, None, after.now + LEASE);
         }
         // What is too old to matter is all alike.
-        n.silent = n.silent.max(n.t.saturating_sub(FIND + 1));
-        n.since = n.since.max(n.t.saturating_sub(APART));
-        n.lease = n.lease.max(n.t.saturating_sub(1));
-        n.there &= n.t <= n.lease;
-        n.bad |= n.there && n.cancelled.is_some_and(|at| n.t > at + CANCEL);
-        owner(n, mutant);
+        after.silent_since = after.silent_since.max(after.now.saturating_sub(FIND + 1));
+        after.owner_since = after.owner_since.max(after.now.saturating_sub(APART));
+        after.lease_until = after.lease_until.max(after.now.saturating_sub(1));
+        after.task_present &= after.now <= after.lease_until;
+        after.violated |=
+            after.task_present && after.cancelled_at.is_some_and(|at| after.now > at + CANCEL);
+        release_if_due(after, mutant);
     });
-    add(s.cancelled.is_none() && s.t <= CANCELLED, &|n| {
-        n.cancelled = Some(n.t)
+    add(
+        state.cancelled_at.is_none() && state.now <= CANCELLED,
+        &|after| after.cancelled_at = Some(after.now),
+    );
+    add(
+        state.changes_left > 0 && state.now - state.owner_since >= APART,
+        &|after| {
+            (after.token, after.owner_since, after.silent_since) =
+                (after.token + 1, after.now, after.now);
+            after.changes_left -= 1;
+        },
+    );
+    add(state.hangs_left > 0 && !state.hangs, &|after| {
+        after.hangs = true;
+        after.hangs_left -= 1;
     });
-    add(s.left.0 > 0 && s.t - s.since >= APART, &|n| {
-        (n.token, n.since, n.silent) = (n.token + 1, n.t, n.t);
-        n.left.0 -= 1;
-    });
-    add(s.left.1 > 0 && !s.hangs, &|n| {
-        (n.hangs, n.left.1) = (true, n.left.1 - 1);
-    });
-    add(s.hangs, &|n| {
+    add(state.hangs, &|after| {
         // What was sent comes first, or the end of its incarnation does.
-        n.hangs = false;
-        carry_out(n);
+        after.hangs = false;
+        carry_out(after);
     });
-    add(!s.hangs && s.start.is_some(), &carry_out);
-    add(!s.hangs, &|n| {
-        (n.silent, n.seen, n.lease) = (n.t, n.token, n.t + LEASE);
-        if n.start.is_some_and(|token| token < n.seen) {
-            n.start = None;
+    add(!state.hangs && state.start_under_way.is_some(), &carry_out);
+    add(!state.hangs, &|after| {
+        (after.silent_since, after.seen_token, after.lease_until) =
+            (after.now, after.token, after.now + LEASE);
+        if after
+            .start_under_way
+            .is_some_and(|token| token < after.seen_token)
+        {
+            after.start_under_way = None;
         }
-        if n.cancelled.is_some() {
-            n.there = false;
+        if after.cancelled_at.is_some() {
+            after.task_present = false;
             // Of a start that may be on its way the owner gets rid by a higher token.
-            n.token += u8::from(n.start.is_some() && n.token < 6);
+            after.token += u8::from(after.start_under_way.is_some() && after.token < 6);
         }
     });
     all
@@ -160,9 +175,9 @@
 
 fn explore(changes: u8, mutant: Mutant) -> (usize, bool) {
     let mut count = 0;
-    let bad = bfs_reach(begin(changes), |s| next(s, mutant))
+    let bad = bfs_reach(begin(changes), |state| next(state, mutant))
         .inspect(|_| count += 1)
-        .any(|s| s.bad);
+        .any(|state| state.violated);
     (count, bad)
 }
 
@@ -176,19 +191,22 @@
         assert!(!bad, "{changes} changes");
         assert!(count > 1000, "{count} states are too few");
     }
-    let never = Mutant {
-        never: true,
+    let never_released = Mutant {
+        never_released: true,
         ..rules
     };
-    let find = Mutant {
-        always_find: true,
+    let always_waits = Mutant {
+        always_waits_for_owner: true,
         ..rules
     };
-    let over = Mutant {
-        when_over: true,
+    let only_when_over = Mutant {
+        only_when_over: true,
         ..rules
     };
-    assert!(explore(0, never).1, "nothing is returned");
-    assert!(explore(2, find).1, "a new owner waits too long");
-    assert!(explore(0, over).1, "it is returned when the time is over");
+    assert!(explore(0, never_released).1, "nothing is returned");
+    assert!(explore(2, always_waits).1, "a new owner waits too long");
+    assert!(
+        explore(0, only_when_over).1,
+        "it is returned when the time is over"
+    );
 }
--- a/crates/cherryyard-core/tests/lease_model.rs
+++ b/crates/cherryyard-core/tests/lease_model.rs
@@ -5,8 +5,9 @@
 //! checked: the task is never given to another machine while it is there, and is gone
 //! `CANCEL` after its job's user was told.
 //!
-//! The rules are those of `Controller::answering`, `may_extend_lease`, `told_of_cancellations`,
-//! `may_tell_cancelled` and `expire`; each mutant leaves one out and must be caught.
+//! The rules are those of `Controller::answering_token`, `may_extend_lease`,
+//! `told_of_cancellations`, `may_tell_cancelled` and `expire_leases`; each mutant leaves one out
+//! and must be caught.
 
 use pathfinding::directed::bfs::bfs_reach;
 
