--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -1,29 +1,71 @@
 //! What has become of submissions, by flow: at every controller, and over all.
 
-use super::flows::Flow;
-use crate::controller::Controller;
+use super::flows::{Flow, Flows};
+use crate::names::Names;
 use cherryyard_wire::peer::DemandReport;
 use lru::LruCache;
 use std::collections::{BTreeMap, HashMap};
 use std::num::NonZeroUsize;
 
 /// Jobs that were lately submitted, so that one is counted once, not once a try.
-const LATELY: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+const RECENT_JOBS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+
+/// Submissions of a flow, since a process began.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct Counts {
+    offered: u64,
+    taken: u64,
+    refused: u64,
+}
+
+impl Counts {
+    fn of(report: &DemandReport) -> Self {
+        Self {
+            offered: report.offered,
+            taken: report.taken,
+            refused: report.refused,
+        }
+    }
+
+    /// What has come since `before`; all of it, if the process that counts has started
+    /// anew.
+    fn since(self, before: Self) -> Self {
+        let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
+        Self {
+            offered: grown(self.offered, before.offered),
+            taken: grown(self.taken, before.taken),
+            refused: grown(self.refused, before.refused),
+        }
+    }
+
+    fn add(&mut self, other: Self) {
+        self.offered += other.offered;
+        self.taken += other.taken;
+        self.refused += other.refused;
+    }
+}
+
+/// A flow's counts at one controller.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ReportedFlow {
+    controller: usize,
+    team: u32,
+    class: String,
+}
 
 /// What has become of submissions, by flow, since this process began.
 #[derive(Debug)]
 pub(crate) struct Demand {
-    lately: LruCache<u64, ()>,
-    /// Offered, taken, refused.
-    counts: BTreeMap<Flow, [u64; 3]>,
-    /// What each controller had told when it was last reported.
-    reported: HashMap<(usize, u32, String), [u64; 3]>,
+    recent_jobs: LruCache<u64, ()>,
+    counts: BTreeMap<Flow, Counts>,
+    /// What each controller had counted at the last report.
+    reported: HashMap<ReportedFlow, Counts>,
 }
 
 impl Demand {
     pub(crate) fn new() -> Self {
         Self {
-            lately: LruCache::new(LATELY),
+            recent_jobs: LruCache::new(RECENT_JOBS),
             counts: BTreeMap::new(),
             reported: HashMap::new(),
         }
@@ -31,68 +73,63 @@
 
     /// A job was submitted, perhaps again.
     pub(crate) fn offered(&mut self, flow: Flow, job: u64) {
-        let known = self.lately.put(job, ()).is_some();
-        self.counts.entry(flow).or_default()[0] += u64::from(!known);
+        let is_known = self.recent_jobs.put(job, ()).is_some();
+        self.counts.entry(flow).or_default().offered += u64::from(!is_known);
     }
-}
 
-impl Demand {
     /// A job was taken.
     pub(crate) fn taken(&mut self, flow: Flow) {
-        self.counts.entry(flow).or_default()[1] += 1;
+        self.counts.entry(flow).or_default().taken += 1;
     }
 
     /// A user was sent away.
     pub(crate) fn refused(&mut self, flow: Flow) {
-        self.counts.entry(flow).or_default()[2] += 1;
+        self.counts.entry(flow).or_default().refused += 1;
     }
-}
 
-impl Controller {
-    /// What has become of submissions at all controllers since the last call, by class
-    /// and team: offered, taken, refused. What is counted is totals, so a heartbeat that is
-    /// lost or comes twice changes nothing, and a controller that starts anew begins at
-    /// nought.
-    pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
-        let ours = self.demand_out();
-        let peers = self.peers.iter().enumerate();
-        let theirs =
-            peers.filter_map(|(i, peer)| Some((i, peer.as_ref()?.heartbeat.demand.as_slice())));
-        let mut sums: BTreeMap<(u32, &str), [u64; 3]> = BTreeMap::new();
+    /// What has become of submissions here, in the heartbeat's form.
+    pub(crate) fn reports(&self, flows: &Flows) -> Vec<DemandReport> {
+        let report = |(&flow, counts): (&Flow, &Counts)| DemandReport {
+            class: flows.class(flow).into(),
+            team: flows.team(flow),
+            offered: counts.offered,
+            taken: counts.taken,
+            refused: counts.refused,
+        };
+        self.counts.iter().map(report).collect()
+    }
+
+    /// What has come since the last call, by class and team: offered, taken, refused; of
+    /// what each controller (by its place among all) has counted.
+    pub(crate) fn since_last_report<'a>(
+        &mut self,
+        counted: impl Iterator<Item = (usize, &'a [DemandReport])>,
+        teams: &Names,
+    ) -> Vec<(String, String, [u64; 3])> {
+        let mut sums: BTreeMap<(u32, &str), Counts> = BTreeMap::new();
         let mut reported = HashMap::new();
-        for (i, told) in theirs.chain([(self.config.me, ours.as_slice())]) {
-            for one in told {
-                let now = [one.offered, one.taken, one.refused];
-                let key = (i, one.team, one.class.clone());
-                let before = self.demand.reported.get(&key).copied();
-                let before = before.unwrap_or_default();
-                let sum = sums.entry((one.team, one.class.as_str())).or_default();
-                for k in 0..3 {
-                    sum[k] += now[k].checked_sub(before[k]).unwrap_or(now[k]);
-                }
+        for (controller, reports) in counted {
+            for report in reports {
+                let now = Counts::of(report);
+                let key = ReportedFlow {
+                    controller,
+                    team: report.team,
+                    class: report.class.clone(),
+                };
+                let before = self.reported.get(&key).copied().unwrap_or_default();
+                let sum = sums.entry((report.team, report.class.as_str()));
+                sum.or_default().add(now.since(before));
                 reported.insert(key, now);
             }
         }
-        let teams = &self.config.team_names;
+        self.reported = reported;
         let known = sums.iter().filter(|s| (s.0.0 as usize) < teams.len());
-        let report = known
-            .map(|(&(team, class), &sum)| (class.to_string(), teams.name(team).to_string(), sum));
-        let report = report.filter(|r| r.2 != [0; 3]).collect();
-        self.demand.reported = reported;
-        report
-    }
-
-    /// What has become of submissions here.
-    pub(crate) fn demand_out(&self) -> Vec<DemandReport> {
-        let flows = &self.mirror.flows;
-        let all = self.demand.counts.iter();
-        all.map(|(&flow, &[offered, taken, refused])| DemandReport {
-            class: flows.class(flow).into(),
-            team: flows.team(flow),
-            offered,
-            taken,
-            refused,
-        })
-        .collect()
+        let changed = known.filter(|s| *s.1 != Counts::default());
+        changed
+            .map(|(&(team, class), sum)| {
+                let counts = [sum.offered, sum.taken, sum.refused];
+                (class.to_string(), teams.name(team).to_string(), counts)
+            })
+            .collect()
     }
 }
--- a/crates/cherryyard-core/src/admission/fair_share_status.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_status.rs
@@ -1,68 +1,72 @@
-//! Where a flow stands: whether it has what is its due.
+//! Whether a flow has its fair-share guarantee.
 
 use crate::Millis;
 
-/// Part of its floor that a flow may lack without being short of it: what runs changes
+/// Part of its guarantee that a flow may lack without being short of it: what runs changes
 /// all the time.
-const SLACK: f64 = 0.05;
+const TOLERANCE: f64 = 0.05;
+/// What a flow has to run, in times of its guarantee, to have ample.
+const AMPLE: f64 = 1.2;
 
-/// Where a flow stands.
+/// Whether a flow has its fair-share guarantee, and since when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FairShareStatus {
-    /// It has its floor, or asks for nothing.
+    /// It has its guarantee, or asks for nothing.
     Served,
     /// It has had less since this time.
     Short(Millis),
-    /// It has had less for as long as counts: up to its floor it goes ahead of rank,
+    /// It has had less for as long as counts: up to its guarantee it goes ahead of rank,
     /// and nothing of that is stopped for others.
     Ahead,
-    /// It has its floor, and since this time plenty: it keeps its place until that has
-    /// lasted as long. While it has no more than its floor it would lose that again at
+    /// It has its guarantee, and since this time ample: it keeps its place until that has
+    /// lasted as long. While it has no more than its guarantee it would lose that again at
     /// once, and wait anew.
     Easing(Millis),
 }
 
-/// What a flow has.
+/// How far what a flow runs covers its guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Has {
-    /// Less than its floor.
-    Less,
-    /// Its floor.
-    Enough,
-    /// More than that by a fifth, or all that it asks for.
-    Plenty,
+pub enum Coverage {
+    /// It runs less.
+    Below,
+    /// It runs as much.
+    Met,
+    /// It runs a fifth more, or all that it asks for.
+    Ample,
 }
 
-impl Has {
-    /// What a flow has that runs so much, has so much waiting, and this floor.
-    pub fn of(running: f64, waiting: f64, floor: f64) -> Self {
-        if waiting <= 0.0 || floor <= 0.0 || running >= floor * 1.2 {
-            Self::Plenty
-        } else if running >= floor * (1.0 - SLACK) {
-            Self::Enough
+impl Coverage {
+    /// The coverage of a flow that runs so many cores, and has so many waiting.
+    pub fn of(running: f64, waiting: f64, guarantee: f64) -> Self {
+        if waiting <= 0.0 || guarantee <= 0.0 || running >= guarantee * AMPLE {
+            Self::Ample
+        } else if running >= guarantee * (1.0 - TOLERANCE) {
+            Self::Met
         } else {
-            Self::Less
+            Self::Below
         }
     }
 }
 
 impl FairShareStatus {
-    /// The one place where a flow's standing changes: by what it has now.
-    pub fn after(self, has: Has, window_ms: f64, now: Millis) -> Self {
+    /// The one place where a flow's status changes: by what it has now.
+    pub fn after(self, coverage: Coverage, window_ms: f64, now: Millis) -> Self {
         let over = |since: Millis| now - since >= window_ms;
-        match (self, has) {
-            (Self::Served, Has::Less) => Self::Short(now),
-            (Self::Short(since), Has::Less) if over(since) => Self::Ahead,
-            (Self::Short(_), Has::Enough | Has::Plenty) => Self::Served,
-            (Self::Ahead, Has::Enough | Has::Plenty) => Self::Easing(now),
-            (Self::Easing(_), Has::Less) => Self::Ahead,
-            (Self::Easing(_), Has::Enough) => Self::Easing(now),
-            (Self::Easing(since), Has::Plenty) if over(since) => Self::Served,
-            (same, _) => same,
+        match (self, coverage) {
+            (Self::Served, Coverage::Below) => Self::Short(now),
+            (Self::Short(since), Coverage::Below) if over(since) => Self::Ahead,
+            (Self::Short(_), Coverage::Met | Coverage::Ample) => Self::Served,
+            (Self::Ahead, Coverage::Met | Coverage::Ample) => Self::Easing(now),
+            (Self::Easing(_), Coverage::Below) => Self::Ahead,
+            (Self::Easing(_), Coverage::Met) => Self::Easing(now),
+            (Self::Easing(since), Coverage::Ample) if over(since) => Self::Served,
+            (Self::Served, Coverage::Met | Coverage::Ample)
+            | (Self::Short(_) | Self::Ahead, Coverage::Below)
+            | (Self::Easing(_), Coverage::Ample) => self,
         }
     }
 
-    /// Whether the flow goes ahead up to its floor.
+    /// Whether the flow goes ahead up to its guarantee.
     pub fn ahead(self) -> bool {
         matches!(self, Self::Ahead | Self::Easing(_))
     }
--- a/crates/cherryyard-core/src/admission/fair_share_status/tests.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_status/tests.rs
@@ -15,7 +15,7 @@
         };
         let before = status.name();
         let now = f64::from(s) * 1000.0;
-        status = status.after(Has::of(running, 500.0, 100.0), 30_000.0, now);
+        status = status.after(Coverage::of(running, 500.0, 100.0), 30_000.0, now);
         if status.name() != before {
             story.push(format!("{s} {}", status.name()));
         }
@@ -32,8 +32,8 @@
     ];
     assert_eq!(story, expected);
     assert_eq!(
-        Has::of(10.0, 0.0, 100.0),
-        Has::Plenty,
+        Coverage::of(10.0, 0.0, 100.0),
+        Coverage::Ample,
         "it asks for no more"
     );
 }
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -1,6 +1,6 @@
 //! What the core wants done, and how it came out.
 
-use crate::admission::intake::Verdict;
+use crate::admission::submission::Verdict;
 use cherryyard_wire::cloud::ProvisionRequest;
 use cherryyard_wire::history::Level;
 use cherryyard_wire::state::Commit;
--- a/crates/cherryyard-core/tests/share_model.rs
+++ b/crates/cherryyard-core/tests/share_model.rs
@@ -1,13 +1,14 @@
-//! A model of how floors are divided, checked over every interleaving: a leader and its
+//! A model of how fair-share guarantees are divided, checked over every interleaving: a leader and its
 //! successor, two owners, messages that come at once, late or never, a leader that goes
 //! on without knowing that it is none any more. What is checked: what the two owners may
-//! act on at any time is together never more than the floor.
+//! act on at any time is together never more than the guarantee.
 //!
-//! The rules are the ones in use (`admission::ledger`); each mutant leaves one out and
+//! The rules are the ones in use (`admission::allowance`); each mutant leaves one out and
 //! must be caught.
 
-use cherryyard_core::admission::ledger::{
-    Account, LIFE, Level, Time, Under, is_over, left, may_give,
+use cherryyard_core::admission::allowance::{
+    ALLOWANCE_LIFETIME_MS, Allowance, AllowanceAccount, GrantLeases, Time, has_lapsed, may_grant,
+    remaining,
 };
 use pathfinding::directed::bfs::bfs_reach;
 
@@ -17,11 +18,11 @@
 
 impl Time for T {
     fn is_after(self, earlier: Self, span: u32) -> bool {
-        u32::from(self.0.saturating_sub(earlier.0)) * LIFE >= span
+        u32::from(self.0.saturating_sub(earlier.0)) * ALLOWANCE_LIFETIME_MS >= span
     }
 }
 
-const FLOOR: u64 = 2;
+const GUARANTEE: u64 = 2;
 const SHARD: u64 = 9;
 /// The first leader has led for long; the second may begin to lead at any time.
 const START: u8 = 4;
@@ -31,7 +32,7 @@
 
 #[derive(Clone, Copy, Default)]
 struct Mutant {
-    unnamed: bool,
+    unacknowledged: bool,
     no_wait: bool,
     no_seen: bool,
     from_receipt: bool,
@@ -41,12 +42,12 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Leader {
-    /// Its claim, and whether it believes that it leads.
+    /// Its lease, and whether it believes that it leads.
     revision: u64,
     leads: bool,
     since: T,
     seen: T,
-    accounts: [Account; 2],
+    accounts: [AllowanceAccount; 2],
     number: u64,
     /// The last message heard of each owner, and when.
     heard: [(u64, T); 2],
@@ -54,7 +55,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Owner {
-    level: Option<Level<T>>,
+    allowance: Option<Allowance<T>>,
     number: u64,
     /// When its last messages went.
     sent: [T; 4],
@@ -64,16 +65,16 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Message {
-    /// From a leader: its number, claim and level, and which of the owner's it has heard.
-    Told(usize, usize, u64, u64, u64, u64),
-    /// From an owner: its number, and which of the leader's it has heard.
-    Named(usize, usize, u64, u64),
+    /// From a leader: its number, lease and grant, and which of the owner's it has received.
+    Granted(usize, usize, u64, u64, u64, u64),
+    /// From an owner: its number, and which of the leader's it has received.
+    Acknowledged(usize, usize, u64, u64),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct State {
     t: T,
-    /// The claim in the state service.
+    /// The lease in the state service.
     lead: u64,
     leaders: [Leader; 2],
     owners: [Owner; 2],
@@ -93,7 +94,7 @@
         heard: [(0, T(START)); 2],
     };
     let owner = Owner {
-        level: None,
+        allowance: None,
         number: 0,
         sent: [T(START); 4],
         heard: [0; 2],
@@ -114,71 +115,71 @@
         let levels = self
             .owners
             .iter()
-            .filter_map(|o| o.level?.now(SHARD, self.t));
+            .filter_map(|o| o.allowance?.in_force(SHARD, self.t));
         levels.sum()
     }
 
-    /// A leader's look: it wants these levels, and gives what it may.
-    fn look(&mut self, i: usize, want: [u64; 2], m: Mutant) {
+    /// A leader's review: it wants these allowances, and grants what it may.
+    fn review(&mut self, i: usize, want: [u64; 2], m: Mutant) {
         let t = self.t;
         let l = &mut self.leaders[i];
         let since = if m.no_wait { T(0) } else { l.since };
         let seen = if m.no_seen { t } else { l.seen };
         for p in 0..2 {
-            l.accounts[p].meet(Under {
+            l.accounts[p].switch_leases(GrantLeases {
                 leader_token: l.revision,
-                shard: SHARD,
+                shard_token: SHARD,
             });
-            if is_over(l.heard[p].1, t) && !m.never_over {
+            if has_lapsed(l.heard[p].1, t) && !m.never_over {
                 l.accounts[p].lapse();
             }
         }
-        if !may_give(since, seen, t) {
+        if !may_grant(since, seen, t) {
             return;
         }
         let mut order = [0, 1];
-        order.sort_by_key(|&p| want[p] > l.accounts[p].level());
+        order.sort_by_key(|&p| want[p] > l.accounts[p].current());
         for p in order {
-            if is_over(l.heard[p].1, t) && !m.never_over {
+            if has_lapsed(l.heard[p].1, t) && !m.never_over {
                 continue;
             }
-            let more = if m.unnamed {
-                FLOOR.saturating_sub(l.accounts.iter().map(Account::level).sum())
+            let more = if m.unacknowledged {
+                GUARANTEE.saturating_sub(l.accounts.iter().map(AllowanceAccount::current).sum())
             } else {
-                left(FLOOR, l.accounts.iter())
+                remaining(GUARANTEE, l.accounts.iter())
             };
-            let base = if m.unnamed {
-                l.accounts[p].level()
+            let base = if m.unacknowledged {
+                l.accounts[p].current()
             } else {
-                l.accounts[p].level().max(l.accounts[p].high())
+                l.accounts[p].current().max(l.accounts[p].highest())
             };
-            l.accounts[p].set(l.number + 1, want[p].min(base + more));
+            l.accounts[p].grant(l.number + 1, want[p].min(base + more));
         }
     }
 
-    fn tell(&mut self, i: usize, p: usize) -> Message {
+    fn grant(&mut self, i: usize, p: usize) -> Message {
         let l = &mut self.leaders[i];
         l.number += 1;
-        Message::Told(
+        Message::Granted(
             i,
             p,
             l.number,
             l.revision,
-            l.accounts[p].level(),
+            l.accounts[p].current(),
             l.heard[p].0,
         )
     }
 
-    fn name(&mut self, p: usize, i: usize) -> Message {
+    fn acknowledge(&mut self, p: usize, i: usize) -> Message {
         let o = &mut self.owners[p];
         o.number += 1;
         o.sent[o.number as usize % 4] = self.t;
-        Message::Named(p, i, o.number, o.heard[i])
+        Message::Acknowledged(p, i, o.number, o.heard[i])
     }
 
     fn deliver(&mut self, message: &Message, m: Mutant) {
         match *message {
-            Message::Told(i, p, number, lead, level, heard) => {
+            Message::Granted(i, p, number, lead, amount, heard) => {
                 let o = &mut self.owners[p];
                 // Numbers that went too long ago are not remembered.
                 if heard + 3 < o.number {
@@ -189,36 +190,36 @@
                 } else {
                     o.sent[heard as usize % 4]
                 };
-                let under = Under {
+                let leases = GrantLeases {
                     leader_token: lead,
-                    shard: SHARD,
+                    shard_token: SHARD,
                 };
-                let new = Level {
-                    under,
+                let new = Allowance {
+                    leases,
                     number,
-                    level,
+                    amount,
                     from,
                 };
-                o.level = Some(if m.any_order {
+                o.allowance = Some(if m.any_order {
                     new
                 } else {
-                    Level::told(o.level, new)
+                    Allowance::newer(o.allowance, new)
                 });
                 o.heard[i] = o.heard[i].max(number);
             }
-            Message::Named(p, i, number, named) => {
+            Message::Acknowledged(p, i, number, named) => {
                 let l = &mut self.leaders[i];
                 if number > l.heard[p].0 {
                     l.heard[p] = (number, self.t);
                 }
-                l.accounts[p].named(named);
+                l.accounts[p].acknowledged(named);
             }
         }
     }
 
     fn next(&self, m: Mutant) -> Vec<State> {
         let mut all = Vec::new();
-        if self.in_force() > FLOOR {
+        if self.in_force() > GUARANTEE {
             return all;
         }
         let mut add = |work: &dyn Fn(&mut State)| {
@@ -232,7 +233,7 @@
             add(&|s| s.t.0 += 1);
         }
         for i in 0..2 {
-            // It reads the state service, and sees whose claim there is.
+            // It reads the state service, and sees whose lease there is.
             if self.leaders[i].leads {
                 add(&|s| {
                     let t = s.t;
@@ -255,16 +256,16 @@
                 if self.leaders[i].leads && self.left.0 > 0 {
                     for want in [[2, 0], [0, 2]] {
                         add(&|s| {
-                            s.look(i, want, m);
+                            s.review(i, want, m);
                             s.left.0 -= 1;
-                            let message = s.tell(i, p);
+                            let message = s.grant(i, p);
                             s.deliver(&message, m);
                         });
                         if self.left.2 > 0 && self.held.is_none() {
                             add(&|s| {
-                                s.look(i, want, m);
+                                s.review(i, want, m);
                                 (s.left.0, s.left.2) = (s.left.0 - 1, s.left.2 - 1);
-                                s.held = Some(s.tell(i, p));
+                                s.held = Some(s.grant(i, p));
                             });
                         }
                     }
@@ -272,13 +273,13 @@
                 if self.left.1 > 0 {
                     add(&|s| {
                         s.left.1 -= 1;
-                        let message = s.name(p, i);
+                        let message = s.acknowledge(p, i);
                         s.deliver(&message, m);
                     });
                     if self.left.2 > 0 && self.held.is_none() {
                         add(&|s| {
                             (s.left.1, s.left.2) = (s.left.1 - 1, s.left.2 - 1);
-                            s.held = Some(s.name(p, i));
+                            s.held = Some(s.acknowledge(p, i));
                         });
                     }
                 }
@@ -300,14 +301,14 @@
     for state in bfs_reach(start(left), |s| s.next(m)) {
         count += 1;
         assert!(count < MOST, "too many states");
-        if state.in_force() > FLOOR {
+        if state.in_force() > GUARANTEE {
             return (true, count);
         }
     }
     (false, count)
 }
 
-/// No interleaving gives the owners more than the floor.
+/// No interleaving gives the owners more than the guarantee.
 #[test]
 fn levels_never_exceed_the_floor() {
     let (broken, states) = explore((2, 1, 1), Mutant::default());
@@ -331,9 +332,9 @@
     let none = Mutant::default();
     let mutants = [
         (
-            "raised before the lowered was named",
+            "raised before the lowered was acknowledged",
             Mutant {
-                unnamed: true,
+                unacknowledged: true,
                 ..none
             },
         ),
@@ -345,7 +346,7 @@
             },
         ),
         (
-            "a leader that goes by an old look",
+            "a leader that goes by an old read",
             Mutant {
                 no_seen: true,
                 ..none
