--- a/crates/cherryyard-core/src/admission/flows.rs
+++ b/crates/cherryyard-core/src/admission/flows.rs
@@ -6,77 +6,89 @@
 /// A flow's index.
 pub type Flow = u16;
 
-/// Classes that have flows of their own; what comes under further names goes by its
-/// team alone, so that invented names cost no memory and gain no share.
-const MOST_CLASSES: usize = 64;
+/// Classes that have flows of their own; jobs of further classes go by their team alone,
+/// so that invented names cost no memory and gain no share.
+const MAX_CLASSES: usize = 64;
 
-/// The flows known so far. Each team has one for what has none of its own.
+/// The class and team of a flow.
+#[derive(Clone, Debug)]
+struct FlowKey {
+    team: u32,
+    /// Empty for a team's jobs whose class has no flow of its own.
+    class: Arc<str>,
+}
+
+/// The flows known so far. Each team has one for jobs whose class has none of its own.
 #[derive(Clone, Debug, Default)]
 pub struct Flows {
+    /// By class and team.
     index: HashMap<Arc<str>, Vec<Option<Flow>>>,
-    list: Vec<(u32, Arc<str>)>,
+    /// By flow.
+    keys: Vec<FlowKey>,
     teams: usize,
 }
 
 impl Flows {
     /// The flows of so many teams, before any job has come.
     pub fn new(teams: usize) -> Self {
-        let rest: Arc<str> = "".into();
+        let class: Arc<str> = "".into();
+        let key = |team: usize| FlowKey {
+            team: team as u32,
+            class: class.clone(),
+        };
         Self {
             index: HashMap::new(),
-            list: (0..teams).map(|t| (t as u32, rest.clone())).collect(),
+            keys: (0..teams).map(key).collect(),
             teams,
         }
     }
 
     /// The flow of a team's jobs of a class.
     pub fn intern(&mut self, team: u32, class: &str) -> Flow {
-        let t = team as usize;
-        let rest = team.min(self.teams.saturating_sub(1) as u32) as Flow;
-        if t >= self.teams || class.is_empty() {
-            return rest;
+        let team_index = team as usize;
+        let by_team_alone = team.min(self.teams.saturating_sub(1) as u32) as Flow;
+        if team_index >= self.teams || class.is_empty() {
+            return by_team_alone;
         }
         if !self.index.contains_key(class) {
-            if self.index.len() >= MOST_CLASSES {
-                return rest;
+            if self.index.len() >= MAX_CLASSES {
+                return by_team_alone;
             }
             self.index.insert(class.into(), vec![None; self.teams]);
         }
-        let next = self.list.len() as Flow;
-        let Some((class, flows)) = self
-            .index
-            .get_key_value(class)
-            .map(|(k, v)| (k.clone(), v[t]))
-        else {
-            return rest;
+        let Some((class, flows)) = self.index.get_key_value(class) else {
+            return by_team_alone;
         };
-        flows.unwrap_or_else(|| {
-            self.list.push((team, class.clone()));
-            if let Some(flows) = self.index.get_mut(&class) {
-                flows[t] = Some(next);
-            }
-            next
-        })
+        if let Some(flow) = flows[team_index] {
+            return flow;
+        }
+        let class = class.clone();
+        let flow = self.keys.len() as Flow;
+        if let Some(flows) = self.index.get_mut(&class) {
+            flows[team_index] = Some(flow);
+        }
+        self.keys.push(FlowKey { team, class });
+        flow
     }
 
     /// A flow's team.
     pub fn team(&self, flow: Flow) -> u32 {
-        self.list.get(flow as usize).map_or(0, |f| f.0)
+        self.keys.get(flow as usize).map_or(0, |key| key.team)
     }
 
     /// A flow's class; empty for what has no flow of its own.
     pub fn class(&self, flow: Flow) -> &str {
-        self.list.get(flow as usize).map_or("", |f| &f.1)
+        self.keys.get(flow as usize).map_or("", |key| &key.class)
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.list.len()
+        self.keys.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.list.is_empty()
+        self.keys.is_empty()
     }
 }
 
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -1,250 +1,169 @@
 //! What waits in a shard: a queue for each flow, in order, changed by what changed.
 //!
-//! The order over all is that of the places; a scheduling cycle takes from it until nothing more
-//! finds room. Of a flow that finds none, a bounded number of jobs is looked at, and
-//! of the rest a few others each time: so a scheduling cycle's cost doesn't grow with what waits.
+//! The order over all is that of the jobs' places ([`Place`]); a scheduling cycle takes from
+//! it ([`ServiceOrder`]) until nothing more finds room. Of a flow that finds none, a bounded
+//! number of jobs is looked at, and of the rest a few others each time: so a scheduling
+//! cycle's cost doesn't grow with what waits. Two rules keep jobs from starving: part of
+//! what a flow starts is due to its late jobs ([`late_jobs`]), and its oldest job that has
+//! not begun goes first once it is old enough ([`oldest_job`]).
+
+mod late_jobs;
+mod oldest_job;
+mod place;
+mod service_order;
 
 use super::flows::Flow;
 use crate::Millis;
-use cherryyard_wire::job::Rank;
-use std::cmp::{Ordering, Reverse};
-use std::collections::{BTreeSet, HashMap, btree_set};
+pub use late_jobs::LATE_SHARE;
+use late_jobs::LateJobs;
+use oldest_job::OldestJob;
+pub use place::Place;
+pub use service_order::ServiceOrder;
+use std::collections::{BTreeSet, HashMap};
 
 /// Jobs of a flow that may find no room before the rest of it is passed over.
 pub const WINDOW: u32 = 48;
 /// Jobs behind them that are looked at instead, others each time.
 pub const OTHERS: usize = 16;
 
-/// Part of what a flow starts that is kept for its jobs that are late anyway.
-pub const LATE_SHARE: f64 = 0.1;
+/// Jobs that [`Queues::turned`] names at a time.
+const MOST_TURNED: usize = 256;
+/// For a job whose place doesn't change by itself.
+const NEVER: u64 = u64::MAX;
 
-/// A job's place in the order of service.
-#[derive(Clone, Copy, Debug)]
-pub struct Place {
-    /// By rank, the most important first.
-    pub rank: Rank,
-    /// Services before arrays.
-    pub is_array: bool,
-    /// Which of its deadline's multiples it can still make.
-    pub hope: usize,
-    /// What is left of it, in core-seconds.
-    pub work: f64,
-    /// When it is due, in milliseconds of the day's clock.
-    pub due: f64,
-    /// When it was submitted.
-    pub at: u64,
-    /// Its number.
-    pub job: u64,
-}
-
-impl Ord for Place {
-    fn cmp(&self, other: &Self) -> Ordering {
-        let key = |place: &Self| (Reverse(place.rank), place.is_array, place.hope);
-        key(self)
-            .cmp(&key(other))
-            .then(self.work.total_cmp(&other.work))
-            .then(self.due.total_cmp(&other.due))
-            .then(self.at.cmp(&other.at))
-            .then(self.job.cmp(&other.job))
-    }
-}
-
-impl PartialOrd for Place {
-    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl PartialEq for Place {
-    fn eq(&self, other: &Self) -> bool {
-        self.cmp(other) == Ordering::Equal
-    }
-}
-
-impl Eq for Place {}
+/// When a job was submitted, and its number: the oldest comes first.
+type ByAge = (u64, u64);
 
+/// A job that waits.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     flow: Flow,
     place: Place,
     /// When its place changes by itself, in milliseconds of the day's clock.
-    turns: u64,
+    changes_at: u64,
     since: Millis,
 }
 
+/// What waits of a flow.
+#[derive(Clone, Debug, Default)]
+struct FlowQueue {
+    places: BTreeSet<Place>,
+    /// Where the look at others than the first goes on.
+    cursor: Option<Place>,
+    late: LateJobs,
+    oldest: OldestJob,
+}
+
 /// A shard's queues.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
-    flows: Vec<BTreeSet<Place>>,
+    flows: Vec<FlowQueue>,
     jobs: HashMap<u64, Waiting>,
-    turns: BTreeSet<(u64, u64)>,
-    /// Services that no round has looked at yet.
+    /// When places change by themselves, and whose.
+    changes: BTreeSet<(u64, u64)>,
+    /// Services that no scheduling cycle has looked at yet.
     unseen: BTreeSet<u64>,
-    /// Where each flow's look at others goes on.
-    cursors: Vec<Option<Place>>,
-    late: Vec<Late>,
-    /// What waits, by age, as far as it may not have begun, and whose turn it is for
-    /// that, by flow.
-    ages: Vec<BTreeSet<(u64, u64)>>,
-    oldest: Vec<Option<u64>>,
-}
-
-/// A flow's jobs that cannot make any multiple of their deadlines. They come after all
-/// that can, so while those keep coming they would wait for ever: the oldest one goes
-/// before them whenever enough has been started of the flow to pay for it.
-#[derive(Clone, Debug, Default)]
-struct Late {
-    /// By age.
-    jobs: BTreeSet<(u64, u64)>,
-    /// Whose turn has come: they keep it until they are done here.
-    turn: BTreeSet<u64>,
-    /// Cores that are due to them.
-    owed: f64,
 }
 
 impl Queues {
-    /// Puts a job in its place, or moves it there; `turns` is when that place changes
-    /// by itself. A late one is to be noted as such first.
-    pub fn set(&mut self, flow: Flow, mut place: Place, turns: f64, now: Millis) {
-        if let Some(late) = self.late.get(flow as usize)
-            && late.turn.contains(&place.job)
-        {
-            (place.hope, place.work) = (0, 0.0);
+    fn flow_mut(&mut self, flow: Flow) -> &mut FlowQueue {
+        let index = flow as usize;
+        if self.flows.len() <= index {
+            self.flows.resize_with(index + 1, FlowQueue::default);
         }
-        if self.turn(flow) == Some(place.job) {
-            (place.hope, place.work) = (0, 0.0);
-        }
-        let turns = if turns.is_finite() {
-            turns.max(0.0) as u64
+        &mut self.flows[index]
+    }
+
+    /// Puts a job in its place, or moves it there; `changes_at` is when that place changes
+    /// by itself. A late one is to be noted as such first.
+    pub fn set(&mut self, flow: Flow, mut place: Place, changes_at: f64, now: Millis) {
+        let changes_at = if changes_at.is_finite() {
+            changes_at.max(0.0) as u64
         } else {
-            u64::MAX
+            NEVER
         };
         let before = self.take(place.job);
-        let came = before.is_none();
-        let since = match before {
-            Some(before) => before.since,
-            None => {
-                if !place.is_array {
-                    self.unseen.insert(place.job);
-                }
-                now
-            }
-        };
-        let at = flow as usize;
-        if self.flows.len() <= at {
-            self.flows.resize_with(at + 1, BTreeSet::new);
-            self.cursors.resize(at + 1, None);
-            self.ages.resize_with(at + 1, BTreeSet::new);
-            self.oldest.resize(at + 1, None);
+        if before.is_none() && !place.is_array {
+            self.unseen.insert(place.job);
+        }
+        let queue = self.flow_mut(flow);
+        if queue.late.is_due(place.job) || queue.oldest.goes_first(place.job) {
+            (place.hope, place.work) = (0, 0.0);
         }
-        if came {
-            self.ages[at].insert((place.at, place.job));
+        if before.is_none() {
+            queue.oldest.insert((place.at, place.job));
         }
-        self.flows[at].insert(place);
-        if turns != u64::MAX {
-            self.turns.insert((turns, place.job));
+        queue.places.insert(place);
+        if changes_at != NEVER {
+            self.changes.insert((changes_at, place.job));
         }
         let waiting = Waiting {
             flow,
             place,
-            turns,
-            since,
+            changes_at,
+            since: before.map_or(now, |before| before.since),
         };
         self.jobs.insert(place.job, waiting);
     }
 
     fn take(&mut self, job: u64) -> Option<Waiting> {
-        let w = self.jobs.remove(&job)?;
-        self.flows[w.flow as usize].remove(&w.place);
-        self.turns.remove(&(w.turns, job));
-        Some(w)
+        let waiting = self.jobs.remove(&job)?;
+        self.flows[waiting.flow as usize]
+            .places
+            .remove(&waiting.place);
+        self.changes.remove(&(waiting.changes_at, job));
+        Some(waiting)
     }
 
     /// A job waits no longer.
     pub fn remove(&mut self, job: u64) {
-        if let Some(w) = self.take(job) {
-            let f = w.flow as usize;
-            if let Some(late) = self.late.get_mut(f) {
-                late.jobs.remove(&(w.place.at, job));
-                late.turn.remove(&job);
-            }
-            self.ages[f].remove(&(w.place.at, job));
-            self.oldest[f].take_if(|oldest| *oldest == job);
+        if let Some(waiting) = self.take(job) {
+            let queue = &mut self.flows[waiting.flow as usize];
+            let by_age = (waiting.place.at, job);
+            queue.late.remove(by_age);
+            queue.oldest.remove(by_age);
         }
         self.unseen.remove(&job);
     }
 
     /// A job of a flow, submitted then, cannot make its deadline any more.
     pub fn is_late(&mut self, flow: Flow, at: u64, job: u64) {
-        let f = flow as usize;
-        if self.late.len() <= f {
-            self.late.resize_with(f + 1, Late::default);
-        }
-        if !self.late[f].turn.contains(&job) {
-            self.late[f].jobs.insert((at, job));
-        }
+        self.flow_mut(flow).late.insert((at, job));
     }
 
     /// So many cores of a flow have been started: a part of that is due to its late
     /// jobs.
     pub fn started(&mut self, flow: Flow, cores: f64) {
-        if let Some(late) = self.late.get_mut(flow as usize)
-            && !late.jobs.is_empty()
-        {
-            late.owed += cores * LATE_SHARE;
+        if let Some(queue) = self.flows.get_mut(flow as usize) {
+            queue.late.started(cores);
         }
     }
 
-    /// Late jobs whose turn has come, given what each takes here: they are to be set
+    /// Late jobs that have become due, given what each takes here: they are to be set
     /// anew.
     pub fn late_share_due(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
-        let mut all = Vec::new();
-        for late in &mut self.late {
-            while let Some(&(at, job)) = late.jobs.first() {
-                let cost = cores(job);
-                if late.owed + 1e-6 < cost {
-                    // What is saved up is worth one job.
-                    late.owed = late.owed.min(cost);
-                    break;
-                }
-                late.owed -= cost;
-                late.jobs.remove(&(at, job));
-                late.turn.insert(job);
-                all.push(job);
-            }
+        let mut due = Vec::new();
+        for queue in &mut self.flows {
+            queue.late.take_due(&cores, &mut due);
         }
-        all
+        due
     }
 
-    /// Whose turn it is of a flow's jobs that have not begun.
+    /// The job of a flow that goes first as the oldest that has not begun.
     pub fn turn(&self, flow: Flow) -> Option<u64> {
-        self.oldest.get(flow as usize).copied().flatten()
+        self.flows.get(flow as usize)?.oldest.first()
     }
 
-    /// Gives each flow's turn to its oldest job, if it is old enough, that has not
-    /// `begun`; says which jobs are to be set anew.
+    /// Lets each flow's oldest job that has not `begun` go first, if it is `old` enough;
+    /// says which jobs are to be set anew.
     pub fn reserve_for_oldest(
         &mut self,
         old: impl Fn(u64) -> bool,
         begun: impl Fn(u64) -> bool,
     ) -> Vec<u64> {
         let mut changed = Vec::new();
-        for (ages, turn) in self.ages.iter_mut().zip(&mut self.oldest) {
-            let mut next = None;
-            while let Some(&(at, job)) = ages.first() {
-                if !old(at) {
-                    break;
-                }
-                if !begun(job) {
-                    next = Some(job);
-                    break;
-                }
-                ages.remove(&(at, job));
-            }
-            if next != *turn {
-                changed.extend(turn.take().into_iter().chain(next));
-                *turn = next;
-            }
+        for queue in &mut self.flows {
+            queue.oldest.update(&old, &begun, &mut changed);
         }
         changed
     }
@@ -257,16 +176,16 @@
     /// Jobs whose places have changed by themselves, a few at a time.
     pub fn turned(&self, wall: f64) -> Vec<u64> {
         let wall = wall.max(0.0) as u64;
-        let due = self.turns.range(..(wall, 0)).take(256);
-        due.map(|t| t.1).collect()
+        let due = self.changes.range(..(wall, 0)).take(MOST_TURNED);
+        due.map(|&(_, job)| job).collect()
     }
 
     /// Since when a job waits here.
     pub fn since(&self, job: u64) -> Option<Millis> {
-        self.jobs.get(&job).map(|w| w.since)
+        self.jobs.get(&job).map(|waiting| waiting.since)
     }
 
-    /// Whether a service waits that no round has looked at.
+    /// Whether a service waits that no scheduling cycle has looked at.
     pub fn any_unseen(&self) -> bool {
         !self.unseen.is_empty()
     }
@@ -288,114 +207,17 @@
 
     /// The jobs in the order of service.
     pub fn service_order(&self) -> ServiceOrder<'_> {
-        let runs = self.flows.iter().map(|set| Run::Whole(set.iter()));
-        let mut service_order = ServiceOrder {
-            queues: self,
-            heads: Vec::new(),
-            runs: runs.collect(),
-            first: vec![false; self.flows.len()],
-        };
-        service_order.heads = (0..service_order.runs.len())
-            .map(|f| service_order.runs[f].next())
-            .collect();
-        service_order
+        ServiceOrder::new(&self.flows)
     }
 
     /// Notes how many of a flow's others have been looked at, and the last of them;
     /// after the end of the queue it begins anew.
     pub fn inspected_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
-        if let Some(cursor) = self.cursors.get_mut(flow as usize) {
-            *cursor = last.filter(|_| others >= OTHERS);
-        }
-    }
-}
-
-#[derive(Debug)]
-enum Run<'a> {
-    Whole(btree_set::Iter<'a, Place>),
-    Rest(btree_set::Range<'a, Place>),
-    Others(std::iter::Take<btree_set::Range<'a, Place>>),
-    Closed,
-}
-
-impl<'a> Run<'a> {
-    fn next(&mut self) -> Option<&'a Place> {
-        match self {
-            Self::Whole(i) => i.next(),
-            Self::Rest(i) => i.next(),
-            Self::Others(i) => i.next(),
-            Self::Closed => None,
+        if let Some(queue) = self.flows.get_mut(flow as usize) {
+            queue.cursor = last.filter(|_| others >= OTHERS);
         }
     }
 }
 
-/// What waits, as one service_order: the flows' queues merged.
-#[derive(Debug)]
-pub struct ServiceOrder<'a> {
-    queues: &'a Queues,
-    heads: Vec<Option<&'a Place>>,
-    runs: Vec<Run<'a>>,
-    /// Flows that go ahead of all others.
-    first: Vec<bool>,
-}
-
-impl ServiceOrder<'_> {
-    /// From here on a flow goes ahead of those that do not, whatever its rank; or not
-    /// any more.
-    pub fn ahead(&mut self, flow: Flow, ahead: bool) {
-        if let Some(first) = self.first.get_mut(flow as usize) {
-            *first = ahead;
-        }
-    }
-
-    /// The next job and its flow.
-    pub fn step(&mut self) -> Option<(Flow, Place)> {
-        let heads = self.heads.iter().enumerate();
-        let waiting = heads.filter_map(|(f, head)| Some((!self.first[f], (*head)?, f)));
-        let (_, &place, f) = waiting.min()?;
-        self.heads[f] = self.runs[f].next();
-        Some((f as Flow, place))
-    }
-
-    /// Puts back a flow's job that was taken last: its turn comes later.
-    pub fn back(&mut self, flow: Flow, place: Place) {
-        let f = flow as usize;
-        if let Some(set) = self.queues.flows.get(f)
-            && let Some(known) = set.get(&place)
-            && matches!(self.runs[f], Run::Whole(_) | Run::Rest(_))
-        {
-            self.heads[f] = Some(known);
-            let mut rest = set.range(known..);
-            rest.next();
-            self.runs[f] = Run::Rest(rest);
-        }
-    }
-
-    /// Enough of a flow has found no room: of its rest only a few others are looked
-    /// at, and the second time none. Says whether this was the second.
-    pub fn close(&mut self, flow: Flow) -> bool {
-        let f = flow as usize;
-        let Some(head) = self.heads.get(f).copied() else {
-            return true;
-        };
-        if !matches!(self.runs[f], Run::Whole(_) | Run::Rest(_)) {
-            (self.heads[f], self.runs[f]) = (None, Run::Closed);
-            return true;
-        }
-        let set = &self.queues.flows[f];
-        // Go on after those of the last time, if these still lie behind the window.
-        let from = match (self.queues.cursors[f], head) {
-            (Some(cursor), Some(head)) if cursor > *head => Some(cursor),
-            (_, head) => head.copied(),
-        };
-        self.runs[f] = match from {
-            Some(from) => Run::Others(set.range(from..).take(OTHERS)),
-            None => Run::Closed,
-        };
-        self.heads[f] = self.runs[f].next();
-        false
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/cherryyard-core/src/admission/queue/tests.rs
+++ b/crates/cherryyard-core/src/admission/queue/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use cherryyard_wire::job::Rank;
 
 fn place(job: u64, rank: Rank, work: f64) -> Place {
     Place {
