--- a/crates/cherryyard-core/src/admission/entitlements/division.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/division.rs
@@ -2,15 +2,18 @@
 //! flow runs, and what is left of its guarantee where it waits.
 
 use super::usage::FlowUse;
-use super::{Entitlements, FlowShard};
-use crate::Millis;
-use crate::admission::allowance::{Allowance, AllowanceAccount, Amount, GrantLeases, remaining};
+use crate::admission::allowance::{AllowanceAccount, Amount, GrantLeases, remaining};
 use crate::admission::flows::Flow;
 use std::collections::BTreeMap;
 
-/// Changes of an allowance below this part of the flow's guarantee are not made: each has
+/// A flow's allowance in a shard.
+pub(super) type FlowShard = (Flow, usize);
+/// The leader's accounts of what it has granted.
+pub(super) type Accounts = BTreeMap<FlowShard, AllowanceAccount>;
+
+/// An allowance is changed only by more than the flow's guarantee over this: each change has
 /// to be acknowledged before the next.
-const LEAST_CHANGE: Amount = 50;
+const LEAST_CHANGE_DIVISOR: Amount = 50;
 
 /// What the leader knows of a shard's owner.
 #[derive(Clone, Copy, Debug)]
@@ -29,57 +32,10 @@
     (cores.max(0.0) * 1000.0).round() as Amount
 }
 
-impl Entitlements {
-    /// Divides the guarantees of flows that are ahead of rank into allowances; `may_grant`:
-    /// whether this leader may change any.
-    pub(crate) fn divide_guarantees(
-        &mut self,
-        usage: &[FlowUse],
-        leader_token: u64,
-        owners: &[ShardOwner],
-        may_grant: bool,
-        now: Millis,
-    ) {
-        let number = self.heartbeats.next();
-        for (index, used) in usage.iter().enumerate() {
-            let flow = index as Flow;
-            if !self.status(flow).ahead() {
-                self.accounts.retain(|key, _| key.0 != flow);
-                self.allowances.retain(|key, _| key.0 != flow);
-                continue;
-            }
-            update_leases(&mut self.accounts, flow, leader_token, owners);
-            if may_grant {
-                let guarantee = self.fair_shares[index].guarantee;
-                let wanted = wanted_allowances(used, guarantee, owners);
-                grant_wanted(&mut self.accounts, flow, wanted, amount(guarantee), number);
-            }
-        }
-        self.grant_ours(owners, number, now);
-    }
-
-    /// Our own shards need no heartbeat to have their allowances.
-    fn grant_ours(&mut self, owners: &[ShardOwner], number: u64, now: Millis) {
-        for (&key, account) in &mut self.accounts {
-            if !owners[key.1].is_ours {
-                continue;
-            }
-            let allowance = Allowance {
-                leases: account.leases,
-                number,
-                amount: account.current(),
-                from: now,
-            };
-            self.allowances.insert(key, allowance);
-            account.acknowledged(number);
-        }
-    }
-}
-
 /// Moves a flow's accounts to the leases that are in force, and ends those of owners that
 /// have not been heard of for too long.
-fn update_leases(
-    accounts: &mut BTreeMap<FlowShard, AllowanceAccount>,
+pub(super) fn update_leases(
+    accounts: &mut Accounts,
     flow: Flow,
     leader_token: u64,
     owners: &[ShardOwner],
@@ -124,18 +80,21 @@
     .collect()
 }
 
-/// Grants a flow's wanted allowances, as far as their sum stays within the guarantee
-/// whatever the owners have received.
-fn grant_wanted(
-    accounts: &mut BTreeMap<FlowShard, AllowanceAccount>,
+/// Divides a flow's guarantee into allowances, as far as their sum stays within it
+/// whatever the owners have received; they go with heartbeat `number`.
+pub(super) fn divide_guarantee(
+    accounts: &mut Accounts,
     flow: Flow,
-    mut wanted: Vec<WantedAllowance>,
-    guarantee: Amount,
+    used: &FlowUse,
+    guarantee: f64,
+    owners: &[ShardOwner],
     number: u64,
 ) {
+    let mut wanted = wanted_allowances(used, guarantee, owners);
     // Lower allowances first: what they leave can be granted only once that has been
     // acknowledged.
     wanted.sort_by_key(|want| want.amount > accounts[&(flow, want.shard_id)].current());
+    let guarantee = amount(guarantee);
     for want in wanted {
         let of_flow = accounts.range((flow, 0)..=(flow, usize::MAX));
         let more = remaining(guarantee, of_flow.map(|(_, account)| account));
@@ -143,7 +102,7 @@
             continue;
         };
         let current = account.current();
-        if want.amount.abs_diff(current) > guarantee / LEAST_CHANGE {
+        if want.amount.abs_diff(current) > guarantee / LEAST_CHANGE_DIVISOR {
             let most = current.max(account.highest()) + more;
             account.grant(number, want.amount.min(most));
         }
--- a/crates/cherryyard-core/src/admission/entitlements/mod.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/mod.rs
@@ -11,12 +11,13 @@
 mod heartbeat_numbers;
 pub(crate) mod usage;
 
-use super::allowance::{Allowance, AllowanceAccount, GrantLeases};
+use super::allowance::{Allowance, GrantLeases};
 use super::fair_share_status::{Coverage, FairShareStatus};
 use super::flows::{Flow, Flows};
 use crate::Millis;
 use cherryyard_wire::peer::{FlowShare, Heartbeat, LevelGrant};
 pub(crate) use division::ShardOwner;
+use division::{Accounts, FlowShard, divide_guarantee, update_leases};
 use heartbeat_numbers::HeartbeatNumbers;
 use std::collections::{BTreeMap, HashMap};
 use usage::FlowUse;
@@ -25,9 +26,6 @@
 const REVIEW_MS: f64 = 1000.0;
 const REVIEW_AHEAD_MS: f64 = 500.0;
 
-/// A flow's allowance in a shard.
-type FlowShard = (Flow, usize);
-
 /// A flow's fair-share guarantee, and whether it has that.
 #[derive(Clone, Copy, Debug)]
 struct FairShare {
@@ -87,7 +85,7 @@
     updated_at: Option<Millis>,
     reviewed_at: Option<Millis>,
     /// The leader's accounts of what it has granted.
-    accounts: BTreeMap<FlowShard, AllowanceAccount>,
+    accounts: Accounts,
     /// What our own shards have been granted.
     allowances: BTreeMap<FlowShard, Allowance<Millis>>,
     heartbeats: HeartbeatNumbers,
@@ -167,6 +165,50 @@
         changes
     }
 
+    /// Divides the guarantees of flows that are ahead of rank into allowances; `may_grant`:
+    /// whether this leader may change any.
+    pub(crate) fn divide_guarantees(
+        &mut self,
+        usage: &[FlowUse],
+        leader_token: u64,
+        owners: &[ShardOwner],
+        may_grant: bool,
+        now: Millis,
+    ) {
+        let number = self.heartbeats.next();
+        for (index, used) in usage.iter().enumerate() {
+            let flow = index as Flow;
+            if !self.status(flow).ahead() {
+                self.accounts.retain(|key, _| key.0 != flow);
+                self.allowances.retain(|key, _| key.0 != flow);
+                continue;
+            }
+            update_leases(&mut self.accounts, flow, leader_token, owners);
+            if may_grant {
+                let guarantee = self.fair_shares[index].guarantee;
+                divide_guarantee(&mut self.accounts, flow, used, guarantee, owners, number);
+            }
+        }
+        self.grant_ours(owners, number, now);
+    }
+
+    /// Our own shards need no heartbeat to have their allowances.
+    fn grant_ours(&mut self, owners: &[ShardOwner], number: u64, now: Millis) {
+        for (&key, account) in &mut self.accounts {
+            if !owners[key.1].is_ours {
+                continue;
+            }
+            let allowance = Allowance {
+                leases: account.leases,
+                number,
+                amount: account.current(),
+                from: now,
+            };
+            self.allowances.insert(key, allowance);
+            account.acknowledged(number);
+        }
+    }
+
     /// What the owner of a shard of ours may start and stop of flows that are ahead of
     /// rank and run so many cores there.
     pub(crate) fn owner_entitlement(
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -7,6 +7,7 @@
 //! what a flow starts is due to its late jobs ([`late_jobs`]), and its oldest job that has
 //! not begun goes first once it is old enough ([`oldest_job`]).
 
+mod flow_queue;
 mod late_jobs;
 mod oldest_job;
 mod place;
@@ -14,26 +15,20 @@
 
 use super::flows::Flow;
 use crate::Millis;
+use flow_queue::FlowQueue;
 pub use late_jobs::LATE_SHARE;
-use late_jobs::LateJobs;
-use oldest_job::OldestJob;
 pub use place::Place;
-pub use service_order::ServiceOrder;
+pub use service_order::{OTHERS, ServiceOrder};
 use std::collections::{BTreeSet, HashMap};
 
 /// Jobs of a flow that may find no room before the rest of it is passed over.
 pub const WINDOW: u32 = 48;
-/// Jobs behind them that are looked at instead, others each time.
-pub const OTHERS: usize = 16;
 
 /// Jobs that [`Queues::turned`] names at a time.
 const MOST_TURNED: usize = 256;
 /// For a job whose place doesn't change by itself.
 const NEVER: u64 = u64::MAX;
 
-/// When a job was submitted, and its number: the oldest comes first.
-type ByAge = (u64, u64);
-
 /// A job that waits.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
@@ -44,16 +39,6 @@
     since: Millis,
 }
 
-/// What waits of a flow.
-#[derive(Clone, Debug, Default)]
-struct FlowQueue {
-    places: BTreeSet<Place>,
-    /// Where the look at others than the first goes on.
-    cursor: Option<Place>,
-    late: LateJobs,
-    oldest: OldestJob,
-}
-
 /// A shard's queues.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
--- a/crates/cherryyard-core/src/admission/queue/late_jobs.rs
+++ b/crates/cherryyard-core/src/admission/queue/late_jobs.rs
@@ -2,7 +2,7 @@
 //! that can, so while those keep coming they would wait for ever: the oldest one goes
 //! before them whenever enough has been started of the flow to pay for it.
 
-use super::ByAge;
+use super::place::ByAge;
 use std::collections::BTreeSet;
 
 /// Part of what a flow starts that is kept for its jobs that are late anyway.
--- a/crates/cherryyard-core/src/admission/queue/oldest_job.rs
+++ b/crates/cherryyard-core/src/admission/queue/oldest_job.rs
@@ -1,6 +1,6 @@
 //! Aging: a flow's oldest job that has not begun goes first once it is old enough.
 
-use super::ByAge;
+use super::place::ByAge;
 use std::collections::BTreeSet;
 
 /// A flow's jobs by age, and the one that goes first for it.
--- a/crates/cherryyard-core/src/admission/queue/place.rs
+++ b/crates/cherryyard-core/src/admission/queue/place.rs
@@ -1,8 +1,11 @@
-//! A job's place in the order of service.
+//! A job's place in the order of service, and by age.
 
 use cherryyard_wire::job::Rank;
 use std::cmp::{Ordering, Reverse};
 
+/// When a job was submitted, and its number: the oldest comes first.
+pub(super) type ByAge = (u64, u64);
+
 /// A job's place in the order of service.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
--- a/crates/cherryyard-core/src/admission/queue/service_order.rs
+++ b/crates/cherryyard-core/src/admission/queue/service_order.rs
@@ -1,10 +1,14 @@
 //! The order of service over all flows: their queues merged.
 
-use super::{FlowQueue, OTHERS, Place};
+use super::flow_queue::FlowQueue;
+use super::place::Place;
 use crate::admission::flows::Flow;
 use std::collections::btree_set;
 use std::iter::Take;
 
+/// Jobs of a flow that are looked at once enough of it has found no room, others each time.
+pub const OTHERS: usize = 16;
+
 /// What is still to come of a flow.
 #[derive(Debug)]
 enum Rest<'a> {
