--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -225,7 +225,7 @@
         let usage = usage_by_flow(&self.mirror, self.shards.len());
         let demands = demand_by_flow(&usage, &self.mirror, &self.config);
         let team_guarantees: Vec<f64> = self.config.teams.iter().map(|team| team.cores).collect();
-        let cores = self.all_cores();
+        let cores = self.leader.total_cores(&self.mirror.machine_types);
         let guarantees = fair_share_guarantees(&demands, &team_guarantees, cores);
         let window_ms = self.fair_share_window_ms();
         let changes = self
@@ -237,24 +237,6 @@
         self.divide_guarantees(&usage, now);
     }
 
-    /// Cores of all machines that their owners can use.
-    fn all_cores(&self) -> f64 {
-        let capacities = self.leader.capacities.iter().flatten();
-        let sizes = capacities.flat_map(|capacity| {
-            let pools = capacity.report.pools.iter();
-            let cores = pools.map(|s| {
-                self.mirror
-                    .machine_types
-                    .iter()
-                    .find(|k| k.sku == s.machine_type)
-            });
-            let cores: Vec<f64> = cores.map(|k| k.map_or(0.0, |k| k.cores)).collect();
-            let machines = capacity.report.machines.iter();
-            machines.map(move |m| cores.get(usize::from(m.pool)).copied().unwrap_or(0.0))
-        });
-        sizes.sum()
-    }
-
     fn fair_share_window_ms(&self) -> f64 {
         self.config.tuning.admission.window_s * 1000.0
     }
@@ -278,7 +260,7 @@
             .map(|shard_id| self.shard_owner(shard_id, now))
             .collect();
         let leader_token = self.mirror.revision(Key::Leader);
-        let may_grant = may_grant(self.leader.since, self.state_read_at, now);
+        let may_grant = may_grant(self.leader.since(), self.state_read_at, now);
         self.entitlements
             .divide_guarantees(usage, leader_token, &owners, may_grant, now);
     }
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -1,15 +1,23 @@
-//! Pages of new jobs: the leader begins them, divides what came undivided, tidies.
+//! Pages of the admission log, by which new jobs come: the leader begins them, divides
+//! what came undivided, and compacts them.
 
-use super::*;
-use cherryyard_wire::record::{ADMISSION_LOG, FORMAT, FormatRecord};
+use crate::Millis;
+use crate::controller::Controller;
+use crate::mirror::OpenJob;
+use cherryyard_wire::record::{ADMISSION_LOG, FORMAT, FormatRecord, Key};
+use cherryyard_wire::state::{Apply, Commit};
 use std::collections::BTreeMap;
 
 /// Least time between two looks for pages to compact.
 const COMPACT_MS: f64 = 1000.0;
-/// For how long what a controller has said of its build counts.
-const SAID_MS: f64 = 3000.0;
+/// For how long counts what a controller has told of its build in frames.
+const FORMAT_LIFETIME_MS: f64 = 3000.0;
 /// Pages that are left alone.
-const FEW: usize = 3;
+const FEW_PAGES: usize = 3;
+/// Users' writes that must be left for a compaction.
+const SPARE_WRITES: f64 = 2.0;
+/// Bytes of a transaction beyond which no further page is divided.
+const TRANSACTION_BYTES: usize = 32 * 1024;
 
 impl Controller {
     /// Whether every controller runs a build that can work with a format. An earlier one
@@ -24,10 +32,12 @@
         if i == self.config.me {
             return self.config.format >= format;
         }
-        let holder = self.mirror.shards[i].as_ref();
-        let acquired = holder.filter(|c| c.label == self.config.labels[i]);
-        let said = self.peer_formats[i].filter(|said| self.clock - said.at <= SAID_MS);
-        acquired.is_some_and(|c| c.format >= format) || said.is_some_and(|s| s.format >= format)
+        let lease = self.mirror.shards[i].as_ref();
+        let lease = lease.filter(|lease| lease.label == self.config.labels[i]);
+        let told = self.peer_formats[i];
+        let told = told.filter(|told| self.clock - told.at <= FORMAT_LIFETIME_MS);
+        lease.is_some_and(|lease| lease.format >= format)
+            || told.is_some_and(|told| told.format >= format)
     }
 
     /// New jobs come by pages from now on, once every controller can read them.
@@ -50,8 +60,28 @@
     /// Divides jobs that came undivided, page by page: as long as they are, no assignment
     /// depends on them.
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
+        let mut commit = Commit::default();
+        for (page, jobs) in self.undivided_by_page() {
+            if commit.apply.len() >= self.config.txn_ops || commit.bytes() > TRANSACTION_BYTES {
+                break;
+            }
+            let mut divided = Vec::new();
+            for job in jobs {
+                let mut open = self.mirror.open[&job].clone();
+                if self.fill_division(&mut open, now) {
+                    divided.push((job, open));
+                }
+            }
+            self.write_divided(&mut commit, page, &divided);
+        }
+        (!commit.apply.is_empty()).then_some(commit)
+    }
+
+    /// Undivided jobs that stand on pages, by page.
+    fn undivided_by_page(&self) -> BTreeMap<u64, Vec<u64>> {
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        let last = self.mirror.admission_log.last_key_value().map(|l| *l.0);
+        let last = self.mirror.admission_log.last_key_value();
+        let last = last.map(|(&page, _)| page);
         for &job in &self.mirror.undivided {
             if self.mirror.in_page(job)
                 && let Some(page) = self.mirror.page_of(job)
@@ -61,51 +91,43 @@
                 pages.entry(page).or_default().push(job);
             }
         }
-        let mut commit = Commit::default();
-        for (page, jobs) in pages {
-            if commit.apply.len() >= self.config.txn_ops || commit.bytes() > 32 * 1024 {
+        pages
+    }
+
+    /// Adds divided jobs of a page to a transaction.
+    fn write_divided(&self, commit: &mut Commit, page: u64, divided: &[(u64, OpenJob)]) {
+        let (mirror, config) = (&self.mirror, &self.config);
+        if divided.is_empty()
+            || mirror.rewrite_page(commit, page, divided, config)
+            || !commit.apply.is_empty()
+        {
+            return;
+        }
+        // Divisions take room that the page may not have: records of their own.
+        let records = divided.iter().map(|(job, open)| (*job, open.record()));
+        let records: Vec<_> = records.take(config.txn_ops).collect();
+        for count in (1..=records.len()).rev() {
+            let some = records[..count].to_vec();
+            if mirror.write_jobs(commit, some, config) {
+                // On the page too: carried out late, after they have been divided
+                // there, it would find no records of them and divide them again.
+                mirror.require(commit, Key::AdmissionPage(page));
                 break;
             }
-            let mut changed = Vec::new();
-            for job in jobs {
-                let mut open = self.mirror.open[&job].clone();
-                if self.fill_division(&mut open, now) {
-                    changed.push((job, open));
-                }
-            }
-            if !changed.is_empty()
-                && !self
-                    .mirror
-                    .rewrite_page(&mut commit, page, &changed, &self.config)
-                && commit.apply.is_empty()
-            {
-                // Divisions take room that the page may not have: records of their own.
-                let records = changed.iter().map(|(job, open)| (*job, open.record()));
-                let records: Vec<_> = records.take(self.config.txn_ops).collect();
-                for n in (1..=records.len()).rev() {
-                    let some = records[..n].to_vec();
-                    if self.mirror.write_jobs(&mut commit, some, &self.config) {
-                        // On the page too: carried out late, after they have been divided
-                        // there, it would find no records of them and divide them again.
-                        self.mirror.require(&mut commit, Key::AdmissionPage(page));
-                        break;
-                    }
-                }
-            }
         }
-        (!commit.apply.is_empty()).then_some(commit)
     }
 
-    /// Tidies pages now and then, where users leave room for it.
+    /// Compacts pages now and then, where users leave room for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
-        let idle = self.intake.waiting() == 0 && self.user_write_budget.left(now) >= 2.0;
-        if self.mirror.admission_log.len() <= FEW
-            || !idle
-            || now - self.leader.compacted_at < COMPACT_MS
+        let is_idle =
+            self.intake.waiting() == 0 && self.user_write_budget.left(now) >= SPARE_WRITES;
+        if self.mirror.admission_log.len() <= FEW_PAGES
+            || !is_idle
+            || now - self.leader.pages_compacted_at < COMPACT_MS
         {
             return None;
         }
-        self.leader.compacted_at = now;
+        self.leader.pages_compacted_at = now;
         let commit = self.mirror.compact_pages(&self.config)?;
         self.user_write_budget.spend(commit.apply.len() as f64);
         Some(commit)
--- /dev/null
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -0,0 +1,131 @@
+//! Capacities of shards whose owners' reports do not arrive, assumed from the cloud's list
+//! of machines and from what is assigned.
+
+use super::capacity_reports::CapacitySource;
+use crate::Millis;
+use crate::controller::Controller;
+use crate::mirror::{Mirror, OpenJob};
+use crate::needs::Needs;
+use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType};
+use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
+use cherryyard_wire::record::Key;
+
+/// Time without an owner's report after which its capacity is assumed.
+const ASSUME_AFTER_MS: f64 = 2500.0;
+/// Time for which an assumed capacity counts.
+const ASSUMED_MS: f64 = 1000.0;
+
+impl Controller {
+    /// Where an owner's reports do not arrive (connections between controllers
+    /// are refused), what the cloud lists and what is assigned stand for them:
+    /// else every job went to the leader's own shard.
+    pub(crate) fn assume_capacities(&mut self, now: Millis) {
+        if now - self.leader.since() < ASSUME_AFTER_MS {
+            return;
+        }
+        for shard_id in 0..self.shards.len() {
+            let token = self.mirror.revision(Key::Shard(shard_id));
+            if token != 0
+                && !self.has_capacity_of(shard_id, token, now)
+                && self.owned(shard_id).is_none()
+            {
+                let report = self.assumed_report(shard_id, token);
+                self.leader.capacities.assume(shard_id, report, now);
+            }
+        }
+    }
+
+    /// Whether something is known of a shard's capacity under its owner's lease.
+    fn has_capacity_of(&self, shard_id: usize, token: u64, now: Millis) -> bool {
+        self.leader
+            .capacities
+            .last(shard_id)
+            .is_some_and(|capacity| {
+                let lifetime_ms = match capacity.source {
+                    CapacitySource::Assumed => ASSUMED_MS,
+                    CapacitySource::Reported => {
+                        self.config.tuning.capacity_report_s * 1000.0 + ASSUME_AFTER_MS
+                    }
+                };
+                capacity.report.revision == token && now - capacity.at < lifetime_ms
+            })
+    }
+
+    fn assumed_report(&self, shard_id: usize, token: u64) -> CapacityReport {
+        let stored = &self.mirror.images[shard_id];
+        let mut report = CapacityReport {
+            shard: shard_id as u32,
+            revision: token,
+            pools: Vec::new(),
+            images: stored.record.i.iter().map(|i| i.0.clone()).collect(),
+            machines: Vec::new(),
+            waiting: Vec::new(),
+            wants: Vec::new(),
+        };
+        for (name, instance) in &self.listed {
+            if instance.status != InstanceStatus::Running
+                || self.config.shard_map.shard(&instance.zone, name) != shard_id
+            {
+                continue;
+            }
+            let mut machine_types = self.mirror.machine_types.iter();
+            let machine_type = machine_types.find(|known| known.sku == instance.machine_type);
+            let Some(machine_type) = machine_type else {
+                continue;
+            };
+            let (free, yielding) = free_capacity(&self.mirror, name, machine_type);
+            let images = stored.held.get(name);
+            let images = images.map(|images| images.iter().map(|&i| i as u16).collect());
+            let pool = pool_index(&mut report.pools, instance);
+            report.machines.push(MachineCapacity {
+                pool,
+                free: reported(&free),
+                yielding: reported(&yielding),
+                images: images.unwrap_or_default(),
+            });
+        }
+        report
+    }
+}
+
+/// What is free on a machine by what is assigned to it, and what would be if arrays of
+/// ordinary rank made way.
+fn free_capacity(mirror: &Mirror, name: &str, machine_type: &MachineType) -> (Needs, Needs) {
+    let mut free = Needs {
+        cores: machine_type.cores,
+        acc: machine_type.accelerators,
+        ram: machine_type.ram_gb,
+    };
+    let mut yielding = free;
+    let machine = mirror.hosts.get(name);
+    let assigned = machine.into_iter().flat_map(|host| mirror.on_host(host));
+    for ((job, _), _) in assigned {
+        let Some((_, needs)) = mirror.uses(job) else {
+            continue;
+        };
+        free.take(&needs);
+        if !mirror.open.get(&job).is_some_and(OpenJob::makes_way) {
+            yielding.take(&needs);
+        }
+    }
+    (free, yielding)
+}
+
+/// The index of a machine's pool in a report, to which it is added if it is new.
+fn pool_index(pools: &mut Vec<MachinePool>, instance: &Instance) -> u16 {
+    let pool = MachinePool {
+        machine_type: instance.machine_type.clone(),
+        zone: instance.zone.clone(),
+        spot: instance.spot,
+    };
+    let known = pools.iter().position(|known| *known == pool);
+    let index = known.unwrap_or_else(|| {
+        pools.push(pool);
+        pools.len() - 1
+    });
+    index as u16
+}
+
+fn reported(needs: &Needs) -> (f32, f32, f32) {
+    (needs.cores as f32, needs.acc as f32, needs.ram as f32)
+}
--- /dev/null
+++ b/crates/cherryyard-core/src/leader/bulk_creation/chunk.rs
@@ -0,0 +1,64 @@
+//! A chunk of a submission whose jobs are being created.
+
+use cherryyard_wire::condor::{Chunk, Template};
+use cherryyard_wire::record::job_hash;
+
+/// A job that a chunk describes.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ChunkJob {
+    /// Its number.
+    pub(super) job: u64,
+    /// Its template's place in the chunk.
+    pub(super) template: u32,
+    pub(super) task_count: u32,
+}
+
+/// A chunk's jobs.
+#[derive(Debug)]
+pub(super) struct ChunkJobs {
+    pub(super) submission: u64,
+    chunk: u32,
+    templates: Vec<Template>,
+    /// In the order of their hashes: neighbours stand in one bucket, so one write creates
+    /// several.
+    pub(super) jobs: Vec<ChunkJob>,
+}
+
+impl ChunkJobs {
+    /// The jobs of a chunk, numbered from `first` on.
+    pub(super) fn new(submission: u64, chunk: u32, first: u64, read: Chunk) -> Self {
+        let mut jobs = Vec::new();
+        let mut job = first;
+        for (template, task_count, count) in read.r {
+            for _ in 0..count {
+                jobs.push(ChunkJob {
+                    job,
+                    template,
+                    task_count,
+                });
+                job += 1;
+            }
+        }
+        jobs.sort_by_cached_key(|chunk_job| job_hash(chunk_job.job));
+        Self {
+            submission,
+            chunk,
+            templates: read.t,
+            jobs,
+        }
+    }
+
+    /// Whether this is a chunk of a submission.
+    pub(super) fn is_of(&self, submission: u64, chunk: u32) -> bool {
+        self.submission == submission && self.chunk == chunk
+    }
+
+    /// The jobs that are not created yet, after so many.
+    pub(super) fn from(&self, created: u64) -> &[ChunkJob] {
+        self.jobs.get(created as usize..).unwrap_or_default()
+    }
+
+    pub(super) fn template(&self, job: &ChunkJob) -> Option<&Template> {
+        self.templates.get(job.template as usize)
+    }
+}
--- /dev/null
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -0,0 +1,262 @@
+//! The leader's cycle: how a controller becomes the leader, and what it does then, in
+//! order.
+
+use crate::Millis;
+use crate::controller::Controller;
+use crate::effects::{Effect, Outcome, Ticket};
+use cherryyard_wire::record::{self, Key, LeaseRecord};
+use cherryyard_wire::state::{Apply, Commit, Json};
+
+/// Time without a heartbeat after which a leader is replaced, and the time more for each
+/// controller that comes first in its succession.
+const LEADER_SILENCE_MS: f64 = 1800.0;
+const SUCCESSION_STEP_MS: f64 = 500.0;
+/// Time within which a controller has been heard that counts as there.
+const PEER_SILENCE_MS: f64 = 1500.0;
+/// Time after the start during which no leader is replaced for its silence.
+const START_MS: f64 = 4000.0;
+/// Time between the attempts of two controllers where none leads.
+const LEADERLESS_STEP_MS: f64 = 150.0;
+/// Time after a conflict before the next transaction.
+const CONFLICT_MS: f64 = 30.0;
+
+/// Leadership.
+impl Controller {
+    /// Sends a lease on the leadership, if this controller should lead.
+    pub(crate) fn acquire_leadership(&mut self, now: Millis) {
+        let Some(lease_id) = self.lease_id else {
+            return;
+        };
+        if !self.leader.leadership.may_acquire(now) {
+            return;
+        }
+        let is_wanted = self.wants_leadership(now);
+        if self.mirror.leader_lease.is_some() {
+            self.leader.leadership.has_leader();
+        }
+        if !is_wanted || !self.state_fresh(now) {
+            return;
+        }
+        let mut commit = Commit::default();
+        self.mirror.require(&mut commit, Key::Leader);
+        let label = &self.config.labels[self.config.me];
+        let holder = LeaseRecord::of(label, self.process, self.config.format);
+        commit.apply.push(Apply::Set {
+            set: record::LEADER_KEY.into(),
+            v: Json::of(&holder),
+            lease_id: Some(lease_id),
+        });
+        self.leader.leadership.sent();
+        self.effects
+            .push(Effect::Commit(Ticket::AcquireLeadership, commit));
+    }
+
+    /// Whether this controller should try for the leadership.
+    fn wants_leadership(&mut self, now: Millis) -> bool {
+        match &self.mirror.leader_lease {
+            Some(lease) if lease.label == self.config.labels[self.config.me] => {
+                !self.leader.leadership.leads_by(lease.revision)
+            }
+            Some(lease) => self.should_replace_leader(&lease.label, now),
+            None => {
+                let controllers = self.shards.len();
+                let first = self.mirror.store_revision as usize % controllers;
+                let rank = (self.config.me + controllers - first) % controllers;
+                let leaderless_ms = self.leader.leadership.leaderless_ms(now);
+                leaderless_ms >= LEADERLESS_STEP_MS * rank as f64
+            }
+        }
+    }
+
+    /// Whether a leader has been silent for so long that this controller follows it. It is
+    /// replaced before its lease is over; that is safe, as its writes carry its lease's
+    /// token.
+    fn should_replace_leader(&self, label: &str, now: Millis) -> bool {
+        let up_ms = now - self.started_at;
+        let mut labels = self.config.labels.iter();
+        let leader = labels.position(|known| known == label);
+        let peer = leader.and_then(|index| self.peers[index].as_ref());
+        let silence_ms = peer.map(|peer| now - peer.last_heard_at);
+        let rank = self.successor_rank(label, now);
+        let limit_ms = LEADER_SILENCE_MS + SUCCESSION_STEP_MS * rank as f64;
+        // Who hears nobody at all cannot tell a dead leader from a partition
+        // between controllers; the state service tells, by its lease.
+        // Without this the leadership went from one to the next, again and again.
+        let hears_any = self
+            .peers
+            .iter()
+            .flatten()
+            .any(|peer| now - peer.last_heard_at < PEER_SILENCE_MS);
+        hears_any
+            && match silence_ms {
+                Some(silence_ms) => silence_ms > limit_ms && up_ms > START_MS,
+                None => up_ms > START_MS + limit_ms,
+            }
+    }
+
+    /// This controller's place among those that could follow `gone`.
+    pub(crate) fn successor_rank(&self, gone: &str, now: Millis) -> usize {
+        let controllers = self.config.labels.len();
+        let mut labels = self.config.labels.iter();
+        let from = labels.position(|label| label == gone).unwrap_or(0);
+        let is_heard = |index: &usize| {
+            let peer = self.peers[*index].as_ref();
+            peer.is_some_and(|peer| now - peer.last_heard_at < PEER_SILENCE_MS)
+        };
+        (1..controllers)
+            .map(|step| (from + step) % controllers)
+            .take_while(|&index| index != self.config.me)
+            .filter(is_heard)
+            .count()
+    }
+
+    /// Takes how the lease on the leadership came out.
+    pub(crate) fn leadership_committed(&mut self, outcome: Outcome, now: Millis) {
+        if let Outcome::Applied(token) = outcome {
+            self.become_leader(token, now);
+        } else {
+            let acquire_after = now + self.jitter(300.0, 900.0);
+            self.leader.leadership.failed(acquire_after);
+        }
+        self.leader.dirty = true;
+    }
+
+    /// We lead by this lease. Each lease counts once only: provisioning requests are
+    /// numbered under it.
+    pub(crate) fn become_leader(&mut self, token: u64, now: Millis) {
+        if !self.leader.leadership.acquired(token, now) {
+            return;
+        }
+        tracing::info!(token, "leadership acquired");
+        self.leader.scale_out.lead(now);
+        self.effects.push(Effect::Heartbeat);
+    }
+
+    /// The lease's token that a division at submission depends on.
+    pub fn leadership_token(&self) -> Option<u64> {
+        let leads = self.leader.leads(&self.mirror);
+        leads.then(|| self.mirror.revision(Key::Leader))
+    }
+}
+
+/// The cycle.
+impl Controller {
+    /// One scheduling cycle of the leader.
+    pub(crate) fn plan_leader(&mut self, now: Millis) {
+        self.leader.planned_at = now;
+        let store_revision = self.mirror.store_revision;
+        let transaction = &self.leader.cycle_transaction;
+        if !self.leader.leads(&self.mirror)
+            || !transaction.may_begin(store_revision, now)
+            || !self.state_fresh(now)
+        {
+            return;
+        }
+        self.leader.dirty = false;
+        for shard_id in 0..self.shards.len() {
+            let is_current = self.current_capacity(shard_id, now).is_some();
+            self.leader
+                .capacities
+                .note_current(shard_id, is_current, now);
+        }
+        self.assume_capacities(now);
+        self.review(now);
+        if let Some(mut commit) = self.next_leader_transaction(now) {
+            self.mirror.require(&mut commit, Key::Leader);
+            self.leader.cycle_transaction.sent(now);
+            self.effects
+                .push(Effect::Commit(Ticket::LeaderCycle, commit));
+        }
+        self.scale_out(now);
+    }
+
+    /// The first of the leader's tasks that has something to write.
+    fn next_leader_transaction(&mut self, now: Millis) -> Option<Commit> {
+        self.store_machine_types()
+            .or_else(|| self.store_attributes())
+            .or_else(|| self.begin_pages())
+            .or_else(|| self.begin_dependencies(now))
+            .or_else(|| self.divide_new(now))
+            .or_else(|| self.hand_out_grants(now))
+            .or_else(|| self.move_waiting(now))
+            .or_else(|| self.end_dependents(now))
+            .or_else(|| self.compact_pages(now))
+    }
+
+    /// Takes how a cycle's transaction came out.
+    pub(crate) fn leader_committed(&mut self, outcome: Outcome, now: Millis) {
+        let sent_at = self.leader.cycle_transaction.answered();
+        self.leader.dirty = true;
+        match outcome {
+            Outcome::Applied(_) | Outcome::NoLease | Outcome::Unknown => {}
+            // What it divided was not: the next try would find less capacity.
+            Outcome::Conflict(_) | Outcome::Refused | Outcome::Malformed => {
+                self.leader.capacities.revoke_debits(sent_at);
+            }
+        }
+        match outcome {
+            Outcome::Applied(_) => {
+                for shard in &mut self.shards {
+                    shard.dirty = true;
+                }
+            }
+            Outcome::Conflict(store_revision) => {
+                let transaction = &mut self.leader.cycle_transaction;
+                transaction.await_revision(store_revision);
+                transaction.retry_after(now + CONFLICT_MS);
+            }
+            Outcome::NoLease | Outcome::Refused | Outcome::Malformed | Outcome::Unknown => {
+                let retry_after = now + self.jitter(150.0, 400.0);
+                self.leader.cycle_transaction.retry_after(retry_after);
+            }
+        }
+    }
+}
+
+/// Settings that all controllers read from the state service.
+impl Controller {
+    /// Stores the machine types that the cloud has last listed, if they have changed.
+    fn store_machine_types(&mut self) -> Option<Commit> {
+        let mut machine_types = self.machine_types_from_cloud.take()?;
+        for machine_type in &mut machine_types {
+            // Prices move all the time, and nothing here depends on them.
+            (machine_type.price, machine_type.low_price) = (0.0, 0.0);
+        }
+        let is_stored = self.mirror.machine_types_revision != 0;
+        if is_stored && self.mirror.machine_types == machine_types {
+            return None;
+        }
+        let value = Json::of(&machine_types);
+        if value.text().len() > self.config.value_bytes {
+            tracing::warn!("the machine types are too many to keep in the state service");
+            return None;
+        }
+        let mut commit = Commit::default();
+        self.mirror.require(&mut commit, Key::MachineTypes);
+        let put = Apply::put(record::MACHINE_TYPES_KEY, value);
+        commit.apply.push(put);
+        Some(commit)
+    }
+
+    /// Operators' attributes of machines, if they are not as this leader's file has
+    /// them: all controllers decide by what is stored.
+    fn store_attributes(&mut self) -> Option<Commit> {
+        let attributes = &self.config.tuning.attributes;
+        if !self.config.tuning.condor || self.mirror.attributes == *attributes {
+            return None;
+        }
+        let value = Json::of(attributes);
+        if value.text().len() > self.config.value_bytes {
+            if !self.leader.attributes_warning_logged {
+                self.leader.attributes_warning_logged = true;
+                tracing::warn!("operators' attributes are too many to keep, and do not count");
+            }
+            return None;
+        }
+        tracing::info!("operators' attributes of machines are stored");
+        let mut commit = Commit::default();
+        self.mirror.require(&mut commit, Key::Attributes);
+        commit.apply.push(Apply::put(record::ATTRIBUTES, value));
+        Some(commit)
+    }
+}
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -1,11 +1,13 @@
 //! Jobs that wait for others: when they are accepted, and the ends of those that are
 //! cancelled with a job that they need.
 
-use super::*;
-use cherryyard_wire::record::{DEPENDENCIES, FORMAT, FormatRecord};
+use crate::Millis;
+use crate::controller::Controller;
+use cherryyard_wire::record::{DEPENDENCIES, FORMAT, FormatRecord, Key};
+use cherryyard_wire::state::{Apply, Commit};
 
 /// Time for which every controller has to be able to work with dependencies before the
-/// leader says so: one that is being replaced by an earlier build is noticed by then.
+/// leader stores that: one that is being replaced by an earlier build is noticed by then.
 const ABLE_MS: f64 = 3000.0;
 
 impl Controller {
@@ -41,9 +43,9 @@
         Some(commit)
     }
 
-    /// Writes down the ends of jobs that are cancelled with one that they need, as many
-    /// as fit, where users leave room for it. Every controller tells so already; with its
-    /// end a job leaves the open ones.
+    /// Stores the ends of jobs that are cancelled with one that they need, as many as fit,
+    /// where users' writes leave room for it. Every controller answers so already; with its
+    /// end stored a job is not open any more.
     pub(super) fn end_dependents(&mut self, now: Millis) -> Option<Commit> {
         if self.user_write_budget.left(now) < 1.0 {
             return None;
--- /dev/null
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -0,0 +1,214 @@
+//! The controller's handlers of what concerns the leader's division of jobs, rebalancing
+//! and scale out: they pass to the types of this module what these need of the rest, and
+//! carry out what comes of it.
+
+use super::capacity_reports::ShardCapacity;
+use super::current_capacities::CurrentCapacities;
+use super::division::MissingReports;
+use super::provisioning_times::ProvisioningProgress;
+use super::rebalancing::HandOver;
+use super::scale_out::{Fleet, ready_s};
+use crate::Millis;
+use crate::controller::Controller;
+use crate::effects::Effect;
+use crate::mirror::OpenJob;
+use cherryyard_wire::RangeSet;
+use cherryyard_wire::cloud::{Instance, ProvisionRequest};
+use cherryyard_wire::dependencies::Dependencies;
+use cherryyard_wire::record::Key;
+use cherryyard_wire::state::Commit;
+use std::cmp::Reverse;
+use std::collections::HashSet;
+
+/// Time for which a new leader waits for the owners' reports.
+const REPORTS_MS: f64 = 2500.0;
+/// Most bytes of a transaction with divisions.
+const TRANSACTION_BYTES: usize = 40 * 1024;
+
+/// Capacities and division.
+impl Controller {
+    /// The shards' capacities as far as they are current.
+    fn current_capacities(&self, now: Millis) -> CurrentCapacities<'_> {
+        CurrentCapacities::new(&self.leader.capacities, &self.mirror, &self.config, now)
+    }
+
+    /// A shard's capacity, if its owner has lately reported it.
+    pub(crate) fn current_capacity(&self, shard_id: usize, now: Millis) -> Option<&ShardCapacity> {
+        self.current_capacities(now).of(shard_id)
+    }
+
+    /// How many of the job's tasks fit on machines of other shards that hold its
+    /// image, arrays making way if its rank allows.
+    pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob, now: Millis) -> f64 {
+        self.current_capacities(now).held_elsewhere(shard_id, open)
+    }
+
+    /// Divides one job; false if nothing is known to divide by.
+    pub(crate) fn fill_division(&mut self, open: &mut OpenJob, now: Millis) -> bool {
+        let missing = if now - self.leader.since() < REPORTS_MS {
+            MissingReports::Awaited
+        } else {
+            MissingReports::TakenAsEqual
+        };
+        if !self.current_capacities(now).divide(open, missing) {
+            return false;
+        }
+        let shares: Vec<u32> = open.div.iter().map(RangeSet::len).collect();
+        self.leader.capacities.debit(&shares, &open.needs(), now);
+        if !open.after.jobs.is_empty() {
+            // All that it waited for is done: what it needed is of no use any more.
+            let ready_at = (now + self.wall_offset).max(open.at as f64) as u64;
+            open.after = Dependencies {
+                ready_at: Some(ready_at),
+                ..Dependencies::default()
+            };
+        }
+        true
+    }
+
+    /// Divides jobs that came undivided.
+    pub(crate) fn divide_new(&mut self, now: Millis) -> Option<Commit> {
+        if let Some(commit) = self.divide_pages(now) {
+            return Some(commit);
+        }
+        let mut commit = Commit::default();
+        let mut records = Vec::new();
+        for job in self.undivided_with_records() {
+            if records.len() >= self.config.txn_ops {
+                break;
+            }
+            let mut open = self.mirror.open[&job].clone();
+            if !self.fill_division(&mut open, now) {
+                continue;
+            }
+            records.push((job, open.record()));
+            let mut more = Commit::default();
+            let fits = self
+                .mirror
+                .write_jobs(&mut more, records.clone(), &self.config);
+            if !fits || more.bytes() > TRANSACTION_BYTES {
+                break;
+            }
+            commit = more;
+        }
+        (!commit.apply.is_empty()).then_some(commit)
+    }
+
+    /// Undivided jobs that stand in records of their own, by rank and age.
+    fn undivided_with_records(&self) -> Vec<u64> {
+        let undivided = self.mirror.undivided.iter().copied();
+        let mut jobs: Vec<u64> = undivided.filter(|&job| !self.mirror.in_page(job)).collect();
+        jobs.sort_by_cached_key(|job| {
+            let open = &self.mirror.open[job];
+            (Reverse(open.rank()), open.at, *job)
+        });
+        jobs
+    }
+}
+
+/// Rebalancing.
+impl Controller {
+    /// Moves tasks that have waited for too long to shards with capacity for them.
+    pub(crate) fn move_waiting(&mut self, now: Millis) -> Option<Commit> {
+        let hand_overs = self.hand_overs();
+        let leader = &mut self.leader;
+        leader.rebalancing.expire(now);
+        let reports = leader.capacities.received();
+        if !leader.rebalancing.is_due(&hand_overs, reports, now) {
+            return None;
+        }
+        let (mirror, config) = (&self.mirror, &self.config);
+        leader
+            .rebalancing
+            .step(&hand_overs, &mut leader.capacities, mirror, config, now)
+    }
+
+    /// Services that their shards would rather see elsewhere.
+    fn hand_overs(&self) -> HashSet<HandOver> {
+        let peers = self.peers.iter().flatten();
+        let theirs = peers.flat_map(|peer| &peer.heartbeat.handing);
+        let theirs = theirs.map(|&(shard_id, job)| HandOver {
+            shard_id: shard_id as usize,
+            job,
+        });
+        let shards = self.shards.iter().enumerate();
+        let ours = shards.flat_map(|(shard_id, shard)| {
+            let jobs = shard.handing.iter();
+            jobs.map(move |&job| HandOver { shard_id, job })
+        });
+        theirs.chain(ours).collect()
+    }
+}
+
+/// Scale out.
+impl Controller {
+    /// Provisions machines ahead of need.
+    pub(crate) fn scale_out(&mut self, now: Millis) {
+        if !self.leader.scale_out.is_due(now) || self.listed_at < 0.0 {
+            return;
+        }
+        let list_lag_ms = self.config.list_lag_ms;
+        self.leader.scale_out.begin(list_lag_ms, now);
+        let fleet = Fleet {
+            current: self.current_capacities(now),
+            listed: &self.listed,
+            scale_out: &self.leader.scale_out,
+        };
+        let Some(lacking) = fleet.lacking() else {
+            return;
+        };
+        let label = &self.config.labels[self.config.me];
+        let token = self.mirror.revision(Key::Leader);
+        let request = self.leader.scale_out.request(lacking, (label, token));
+        self.effects.push(Effect::Provision(request));
+    }
+
+    /// Takes the answer to a provisioning request: the machines, a refusal (`Err(true)`), or
+    /// neither.
+    pub fn provisioned(
+        &mut self,
+        request: &ProvisionRequest,
+        answer: Result<Vec<String>, bool>,
+        now: Millis,
+    ) {
+        let scale_out = &mut self.leader.scale_out;
+        let zone = &request.zone;
+        match answer {
+            Ok(machines) => {
+                let count = machines.len();
+                tracing::info!(count, %zone, spot = request.spot, "machines provisioned");
+                scale_out.granted(request, machines, now);
+            }
+            Err(true) => {
+                tracing::debug!(%zone, spot = request.spot, "provisioning refused");
+                scale_out.refused(request, now);
+            }
+            // Unknown: the same name again gets the same machines.
+            Err(false) => {
+                if scale_out.is_pending(request) && self.leader.leads(&self.mirror) {
+                    self.effects.push(Effect::Provision(request.clone()));
+                }
+            }
+        }
+    }
+
+    /// The published time of a type until a machine is up, in seconds.
+    pub(crate) fn ready_s(&self, sku: &str) -> f64 {
+        ready_s(&self.mirror.machine_types, sku)
+    }
+
+    /// Learns from the next list which machines have come up.
+    pub(crate) fn learn_provisioning_times(&mut self, instances: &[Instance]) {
+        let machine_types = &self.mirror.machine_types;
+        let ready_s = |sku: &str| ready_s(machine_types, sku);
+        let times = &mut self.leader.scale_out.provisioning_times;
+        times.learn(instances, &self.listed, ready_s);
+    }
+
+    /// Where a listed machine stands that is not up yet.
+    pub(crate) fn provisioning_progress(&self, instance: &Instance) -> ProvisioningProgress {
+        let ready_s = self.ready_s(&instance.machine_type);
+        let times = &self.leader.scale_out.provisioning_times;
+        times.progress_of(instance, ready_s)
+    }
+}
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -1,187 +1,288 @@
-//! Overflow: waiting numbers move to shards with room.
+//! Rebalancing: tasks that have waited for too long in one shard move to shards with free
+//! capacity.
 
-use super::*;
+use super::capacity_reports::CapacityReports;
+use super::current_capacities::CurrentCapacities;
+use crate::divide::divide;
+use crate::mirror::{Mirror, OpenJob};
+use crate::{Config, Millis};
 use cherryyard_wire::RangeSet;
-use std::collections::BTreeSet;
+use cherryyard_wire::record::JobRecord;
+use cherryyard_wire::state::Commit;
+use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// Least time between two hand-overs of one service.
-const HANDED_MS: f64 = 5000.0;
+const HANDED_OVER_MS: f64 = 5000.0;
 /// Time after which overdue tasks are looked at again where none could be moved and no
-/// shard's room has been reported since.
-const AGAIN_MS: f64 = 500.0;
-/// Jobs of which one transaction moves numbers.
+/// shard's capacity has been reported since.
+const RETRY_MS: f64 = 500.0;
+/// Jobs of which one transaction moves tasks.
 const MOST_MOVED: usize = 8;
+/// Most bytes of a transaction.
+const TRANSACTION_BYTES: usize = 40 * 1024;
 
-/// A job of which a shard has kept numbers waiting for too long.
-type Overdue = (u64, usize, bool);
-
-impl Controller {
-    /// Overflow: a shard that has kept tasks waiting for the delay loses its
-    /// unassigned numbers to shards with room for them.
-    pub(crate) fn move_waiting(&mut self, now: Millis) -> Option<Commit> {
-        // A replica whose image only other shards hold is not kept waiting for
-        // the delay: fetching it would take longer than moving it.
-        self.leader.handed.retain(|_, at| now - *at < HANDED_MS);
-        let handed = self.handed_over();
-        let reported = self.leader.capacity_reports_received;
-        let (then, at) = self.leader.overflowed;
-        if handed.is_empty() && then == reported && now - at < AGAIN_MS {
-            return None;
+/// A service that its shard would rather see elsewhere.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct HandOver {
+    pub(crate) shard_id: usize,
+    pub(crate) job: u64,
+}
+
+/// A job of which a shard has kept tasks waiting for too long, or that it hands over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Overdue {
+    job: u64,
+    shard_id: usize,
+    is_handed_over: bool,
+}
+
+/// Tasks of a job that leave a shard, and how many go to each other one.
+#[derive(Clone, Debug)]
+struct Move {
+    tasks: RangeSet,
+    shares: Vec<u32>,
+}
+
+/// A look at overdue tasks that found none to move.
+#[derive(Clone, Copy, Debug)]
+struct FruitlessLook {
+    at: Millis,
+    /// How many capacity reports had been received.
+    reports: u64,
+}
+
+/// What the leader remembers of its moves.
+#[derive(Debug)]
+pub(crate) struct Rebalancing {
+    last_fruitless: FruitlessLook,
+    /// Services lately handed over: not again at once, or one would go from shard to shard
+    /// by reports that are a moment old.
+    handed_over: HashMap<u64, Millis>,
+}
+
+impl Rebalancing {
+    pub(crate) fn new() -> Self {
+        Self {
+            last_fruitless: FruitlessLook {
+                at: f64::NEG_INFINITY,
+                reports: 0,
+            },
+            handed_over: HashMap::new(),
         }
-        let mut commit = Commit::default();
-        let mut records = Vec::new();
-        let mut from = None;
-        for (job, shard_id, handed) in self.overdue(&handed, now) {
-            // From one shard at a time: its owner's assignments, which the transaction
-            // depends on, come all the time.
-            if from.is_some_and(|f| f != shard_id) || records.iter().any(|r: &(u64, _)| r.0 == job)
-            {
+    }
+
+    /// Forgets old hand-overs. A replica whose image only other shards hold is not kept
+    /// waiting for the delay: fetching the image would take longer than moving the replica.
+    pub(crate) fn expire(&mut self, now: Millis) {
+        self.handed_over.retain(|_, at| now - *at < HANDED_OVER_MS);
+    }
+
+    /// Whether a look at what is overdue may find something.
+    pub(crate) fn is_due(&self, hand_overs: &HashSet<HandOver>, reports: u64, now: Millis) -> bool {
+        let last = self.last_fruitless;
+        !hand_overs.is_empty() || last.reports != reports || now - last.at >= RETRY_MS
+    }
+
+    /// The transaction that moves overdue tasks of some jobs from one shard to others with
+    /// free capacity, which is debited.
+    pub(crate) fn step(
+        &mut self,
+        hand_overs: &HashSet<HandOver>,
+        reports: &mut CapacityReports,
+        mirror: &Mirror,
+        config: &Config,
+        now: Millis,
+    ) -> Option<Commit> {
+        let overdue = {
+            let current = CurrentCapacities::new(reports, mirror, config, now);
+            let handed_over = self.handed_over(hand_overs, &current);
+            with_delayed(handed_over, reports, &current, now)
+        };
+        let mut batch = MoveBatch::default();
+        for overdue in overdue {
+            if !batch.takes(&overdue) {
                 continue;
             }
-            let Some((moving, shares)) = self.shares_of_overflow(job, shard_id, now) else {
+            let Overdue { job, shard_id, .. } = overdue;
+            let current = CurrentCapacities::new(reports, mirror, config, now);
+            let Some(moving) = current.overflow(job, shard_id) else {
                 continue;
             };
-            let new = self.moved(job, shard_id, &moving, &shares);
-            let mut more = records.clone();
-            more.push((job, new.record()));
-            let mut attempt = Commit::default();
-            // A number that its owner assigns meanwhile is in one of these.
-            self.mirror.require_last_page(&mut attempt, shard_id);
-            if !self
-                .mirror
-                .write_jobs(&mut attempt, more.clone(), &self.config)
-                || attempt.bytes() > 40 * 1024
-            {
+            let moved = moving.applied_to(&mirror.open[&job], shard_id);
+            if !batch.add(&overdue, &moved, mirror, config) {
                 continue;
             }
-            (commit, records, from) = (attempt, more, Some(shard_id));
-            self.give(&shares, &new.needs(), now);
-            if handed {
-                self.leader.handed.insert(job, now);
+            reports.debit(&moving.shares, &moved.needs(), now);
+            if overdue.is_handed_over {
+                self.handed_over.insert(job, now);
             }
-            let count = moving.len();
-            tracing::debug!(job, handed, from = shard_id, count, "move waiting tasks");
-            if records.len() >= MOST_MOVED {
+            tracing::debug!(
+                job,
+                handed_over = overdue.is_handed_over,
+                from = shard_id,
+                count = moving.tasks.len(),
+                "waiting tasks moved"
+            );
+            if batch.records.len() >= MOST_MOVED {
                 break;
             }
         }
-        if records.is_empty() {
-            self.leader.overflowed = (reported, now);
+        if batch.records.is_empty() {
+            self.last_fruitless = FruitlessLook {
+                at: now,
+                reports: reports.received(),
+            };
+            return None;
         }
-        (!records.is_empty()).then_some(commit)
+        Some(batch.commit)
     }
 
-    /// Services that their shards would rather see elsewhere.
-    fn handed_over(&self) -> HashSet<(usize, u64)> {
-        let told = self
-            .peers
+    /// Jobs that their shards hand over, and for which there is room where their images
+    /// are.
+    fn handed_over(
+        &self,
+        hand_overs: &HashSet<HandOver>,
+        current: &CurrentCapacities<'_>,
+    ) -> BTreeSet<Overdue> {
+        let mirror = current.mirror;
+        let can_move = |&&HandOver { shard_id, job }: &&HandOver| {
+            let is_held_elsewhere = |open: &OpenJob| current.held_elsewhere(shard_id, open) >= 1.0;
+            mirror.waiting(shard_id, job).is_some()
+                && !self.handed_over.contains_key(&job)
+                && mirror.open.get(&job).is_some_and(is_held_elsewhere)
+        };
+        hand_overs
             .iter()
-            .flatten()
-            .flat_map(|s| &s.heartbeat.handing);
-        let ours = self.shards.iter().enumerate();
-        let ours = ours
-            .flat_map(|(shard_id, shard)| shard.handing.iter().map(move |&job| (shard_id, job)));
-        told.map(|h| (h.0 as usize, h.1)).chain(ours).collect()
+            .filter(can_move)
+            .map(|&HandOver { shard_id, job }| Overdue {
+                job,
+                shard_id,
+                is_handed_over: true,
+            })
+            .collect()
     }
+}
 
-    /// What has waited for the delay, or is handed over, by job and part.
-    fn overdue(&self, handed: &HashSet<(usize, u64)>, now: Millis) -> BTreeSet<Overdue> {
-        let delay = self.config.tuning.autoscale_multi_cluster_delay_s;
-        let mut all = BTreeSet::new();
-        for &(shard_id, job) in handed {
-            let open = self.mirror.open.get(&job);
-            if self.mirror.waiting(shard_id, job).is_some()
-                && !self.leader.handed.contains_key(&job)
-                && open.is_some_and(|o| self.held_elsewhere(shard_id, o, now) >= 1.0)
-            {
-                all.insert((job, shard_id, true));
-            }
-        }
-        for shard_id in 0..self.shards.len() {
-            let mut add = |job: u64| {
-                let here = self.mirror.waiting(shard_id, job).is_some();
-                if here && !all.contains(&(job, shard_id, true)) {
-                    all.insert((job, shard_id, false));
-                }
+/// The jobs that are handed over with those that have waited for the delay.
+fn with_delayed(
+    mut all: BTreeSet<Overdue>,
+    reports: &CapacityReports,
+    current: &CurrentCapacities<'_>,
+    now: Millis,
+) -> BTreeSet<Overdue> {
+    let mirror = current.mirror;
+    let delay_s = current.config.tuning.autoscale_multi_cluster_delay_s;
+    for shard_id in current.shards() {
+        let mut add = |job: u64| {
+            let overdue = |is_handed_over: bool| Overdue {
+                job,
+                shard_id,
+                is_handed_over,
             };
-            match self.leader.ownerless.get(&shard_id) {
-                // Nobody reports for the shard, so nobody starts its numbers.
-                Some(&since) if now - since >= delay * 1000.0 => {
-                    self.mirror.waiting[shard_id]
-                        .keys()
-                        .for_each(|&job| add(job));
-                }
-                Some(_) => {}
-                None => {
-                    let Some(r) = self.current_capacity(shard_id, now) else {
-                        continue;
-                    };
-                    let passed = (now - r.at) / 1000.0;
-                    let waiting = r.report.waiting.iter();
-                    waiting
-                        .filter(|w| f64::from(w.2) + passed >= delay)
-                        .for_each(|w| add(w.0));
+            let waits_here = mirror.waiting(shard_id, job).is_some();
+            if waits_here && !all.contains(&overdue(true)) {
+                all.insert(overdue(false));
+            }
+        };
+        match reports.ownerless_since(shard_id) {
+            // Nobody reports for the shard, so nobody starts its tasks.
+            Some(since) if now - since >= delay_s * 1000.0 => {
+                mirror.waiting[shard_id].keys().for_each(|&job| add(job));
+            }
+            Some(_) => {}
+            None => {
+                let Some(capacity) = current.of(shard_id) else {
+                    continue;
+                };
+                let passed_s = (now - capacity.at) / 1000.0;
+                for &(job, _, waited_s) in &capacity.report.waiting {
+                    if f64::from(waited_s) + passed_s >= delay_s {
+                        add(job);
+                    }
                 }
             }
         }
-        all
     }
+    all
+}
 
-    /// Which numbers of a job leave a shard, and how many go to each other one.
-    fn shares_of_overflow(
-        &self,
-        job: u64,
-        shard_id: usize,
-        now: Millis,
-    ) -> Option<(RangeSet, Vec<u32>)> {
-        let open = self.mirror.open.get(&job).filter(|o| o.divided())?;
+/// Moves that go in one transaction.
+#[derive(Debug, Default)]
+struct MoveBatch {
+    commit: Commit,
+    records: Vec<(u64, JobRecord)>,
+    from: Option<usize>,
+}
+
+impl MoveBatch {
+    /// Whether a job's tasks may be moved in this transaction. That is from one shard at a
+    /// time: its owner's assignments, which the transaction depends on, come all the time.
+    fn takes(&self, overdue: &Overdue) -> bool {
+        let is_other_shard = self.from.is_some_and(|from| from != overdue.shard_id);
+        !is_other_shard && !self.records.iter().any(|record| record.0 == overdue.job)
+    }
+
+    /// Adds a job with its tasks moved, if it fits.
+    fn add(
+        &mut self,
+        overdue: &Overdue,
+        moved: &OpenJob,
+        mirror: &Mirror,
+        config: &Config,
+    ) -> bool {
+        self.records.push((overdue.job, moved.record()));
+        let mut attempt = Commit::default();
+        // A task that its owner assigns meanwhile is on one of these pages.
+        mirror.require_last_page(&mut attempt, overdue.shard_id);
+        let fits = mirror.write_jobs(&mut attempt, self.records.clone(), config)
+            && attempt.bytes() <= TRANSACTION_BYTES;
+        if fits {
+            (self.commit, self.from) = (attempt, Some(overdue.shard_id));
+        } else {
+            self.records.pop();
+        }
+        fits
+    }
+}
+
+impl CurrentCapacities<'_> {
+    /// Which tasks of a job leave a shard where they wait, and where they go.
+    fn overflow(&self, job: u64, shard_id: usize) -> Option<Move> {
+        let open = self.mirror.open.get(&job).filter(|open| open.divided())?;
         let unassigned = self.mirror.waiting(shard_id, job)?;
-        let mut w = self.weights(open, now);
-        w[shard_id] = 0.0;
+        let mut weights = self.weights(open);
+        weights[shard_id] = 0.0;
         if open.spec.apart && open.spec.task_count > 1 {
             // The caps of the first division stay, so that no zone can
             // ever hold more than its half.
-            for (q, weight) in w.iter_mut().enumerate() {
-                let cap: u32 = open.caps.get(q).map_or(0, |c| c.iter().sum());
-                let has = open.div[q].len();
+            for (other, weight) in weights.iter_mut().enumerate() {
+                let cap: u32 = open.caps.get(other).map_or(0, |zones| zones.iter().sum());
+                let has = open.div[other].len();
                 *weight = weight.min(f64::from(cap.saturating_sub(has)));
             }
         }
-        let capacity: f64 = w.iter().sum();
+        let capacity: f64 = weights.iter().sum();
         if capacity < 1.0 {
             return None;
         }
         // From the end, so that both shards keep few ranges.
-        let moving = unassigned.last(capacity as u32);
-        let shares = divide(moving.len(), &w);
-        Some((moving, shares))
-    }
-
-    /// The job with these numbers moved.
-    fn moved(&self, job: u64, from: usize, moving: &RangeSet, shares: &[u32]) -> OpenJob {
-        let mut new = self.mirror.open[&job].clone();
-        new.div[from] = new.div[from].minus(moving);
-        let mut left = moving.clone();
-        for (q, &n) in shares.iter().enumerate() {
-            let set = left.first(n);
-            left = left.minus(&set);
-            new.div[q] = new.div[q].union(&set);
-        }
-        new
+        let tasks = unassigned.last(capacity as u32);
+        let shares = divide(tasks.len(), &weights);
+        Some(Move { tasks, shares })
     }
+}
 
-    /// Notes what has been given out, until the shards report it.
-    pub(crate) fn give(&mut self, shares: &[u32], needs: &Needs, now: Millis) {
-        for (capacity, &n) in self.leader.capacities.iter_mut().zip(shares) {
-            if let Some(capacity) = capacity.as_mut().filter(|_| n > 0) {
-                let n = f64::from(n);
-                let needs = Needs {
-                    cores: needs.cores * n,
-                    acc: needs.acc * n,
-                    ram: needs.ram * n,
-                };
-                capacity.debits.push((now, needs));
-            }
+impl Move {
+    /// The job with its tasks moved.
+    fn applied_to(&self, open: &OpenJob, from: usize) -> OpenJob {
+        let mut moved = open.clone();
+        moved.div[from] = moved.div[from].minus(&self.tasks);
+        let mut left = self.tasks.clone();
+        for (shard_id, &share) in self.shares.iter().enumerate() {
+            let tasks = left.first(share);
+            left = left.minus(&tasks);
+            moved.div[shard_id] = moved.div[shard_id].union(&tasks);
         }
+        moved
     }
 }
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -3,7 +3,6 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Ticket};
-use crate::leader::state::LeadershipPhase;
 use crate::machine::MachineState;
 use crate::mirror::LeaseHolder;
 use crate::shard_lease::{ShardLease, ShardLeaseEvent};
@@ -36,7 +35,7 @@
             }
         }
         if let Some(token) = leader_lease
-            && self.leader.phase != LeadershipPhase::Leading(token)
+            && !self.leader.leadership.leads_by(token)
         {
             self.become_leader(token, self.clock);
         }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -74,7 +74,7 @@
         let me = self.config.me;
         let rate = if self.leader.leads(&self.mirror) {
             let reported = now - self.state_read_at <= LEADS_MS && self.caught_up();
-            let waited = now - self.leader.since >= LEADS_MS * 1.01;
+            let waited = now - self.leader.since() >= LEADS_MS * 1.01;
             let lends = |i: &usize| self.named_at(*i).is_some_and(|at| now - at <= LENT_MS);
             let lenders = (0..self.shards.len()).filter(|&i| i != me).filter(lends);
             let lenders = if reported && waited {
