--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -7,7 +7,7 @@
 use super::division::MissingReports;
 use super::provisioning_times::ProvisioningProgress;
 use super::rebalancing::HandOver;
-use super::scale_out::{Fleet, ready_s};
+use super::scale_out::{Fleet, ProvisionError, ready_s};
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::Effect;
@@ -163,12 +163,11 @@
         self.effects.push(Effect::Provision(request));
     }
 
-    /// Takes the answer to a provisioning request: the machines, a refusal (`Err(true)`), or
-    /// neither.
+    /// Takes the answer to a provisioning request.
     pub fn provisioned(
         &mut self,
         request: &ProvisionRequest,
-        answer: Result<Vec<String>, bool>,
+        answer: Result<Vec<String>, ProvisionError>,
         now: Millis,
     ) {
         let scale_out = &mut self.leader.scale_out;
@@ -179,12 +178,12 @@
                 tracing::info!(count, %zone, spot = request.spot, "machines provisioned");
                 scale_out.granted(request, machines, now);
             }
-            Err(true) => {
+            Err(ProvisionError::Refused) => {
                 tracing::debug!(%zone, spot = request.spot, "provisioning refused");
                 scale_out.refused(request, now);
             }
-            // Unknown: the same name again gets the same machines.
-            Err(false) => {
+            // The same name again gets the same machines.
+            Err(ProvisionError::NoAnswer) => {
                 if scale_out.is_pending(request) && self.leader.leads(&self.mirror) {
                     self.effects.push(Effect::Provision(request.clone()));
                 }
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -24,3 +24,4 @@
 pub(crate) mod state;
 
 pub use history_compaction::HistoryCounts;
+pub use scale_out::ProvisionError;
--- a/crates/cherryyard-core/src/leader/scale_out/mod.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/mod.rs
@@ -7,4 +7,5 @@
 mod requests;
 
 pub(crate) use fleet::{Fleet, ready_s};
+pub use requests::ProvisionError;
 pub(crate) use requests::ScaleOut;
--- a/crates/cherryyard-core/src/leader/scale_out/requests.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/requests.rs
@@ -18,6 +18,17 @@
 /// Time after which a machine is in the cloud's list, beyond twice the list's lag.
 const LISTING_MS: f64 = 2000.0;
 
+/// Why a provisioning request brought no machines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProvisionError {
+    /// The cloud has none, or will never carry out this request.
+    #[error("the cloud refused the request")]
+    Refused,
+    /// No answer: the cloud may have provisioned them, or may yet.
+    #[error("no answer from the cloud")]
+    NoAnswer,
+}
+
 /// Machines to be provisioned.
 #[derive(Clone, Debug)]
 pub(crate) struct Provision {
--- a/crates/cherryyard-simulation/src/world.rs
+++ b/crates/cherryyard-simulation/src/world.rs
@@ -4,6 +4,7 @@
 use crate::{StateStandIn, WorkerStandIn, draws};
 use cherryyard_core::account::CoreSeconds;
 use cherryyard_core::admission::intake::{Offer, Verdict};
+use cherryyard_core::leader::ProvisionError;
 use cherryyard_core::mirror::over;
 use cherryyard_core::{Config, Controller, Effect, Outcome, PushOutcome, Reply, Ticket, Tuning};
 use cherryyard_history::Leaf;
@@ -704,7 +705,7 @@
                         }
                     }
                     Effect::Provision(request) => {
-                        let hosts = self.provision(&request).ok_or(true);
+                        let hosts = self.provision(&request).ok_or(ProvisionError::Refused);
                         if self.provisions_unanswered {
                             let life = self.lives[i];
                             self.provisions_lost.push((now + 2500.0, i, life, request));
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -12,7 +12,7 @@
                 .as_mut()
                 .filter(|_| self.lives[i] == life)
             {
-                n.provisioned(&request, Err(false), now);
+                n.provisioned(&request, Err(ProvisionError::NoAnswer), now);
                 self.effects(i);
             }
         }
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -15,6 +15,7 @@
 use cherryyard_clients::state::{Committed, State, StateError};
 use cherryyard_clients::worker;
 use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::leader::ProvisionError;
 use cherryyard_core::{Controller, Effect, Outcome, PushOutcome, Ticket};
 use cherryyard_wire::peer::{ForwardResponse, Sender};
 use cherryyard_wire::state::Commit;
@@ -168,10 +169,12 @@
                 tokio::spawn(async move {
                     let answer = match app.cloud.provision(&request).await {
                         Ok(hosts) => Ok(hosts),
-                        Err(CloudError::NoCapacity | CloudError::Malformed) => Err(true),
+                        Err(CloudError::NoCapacity | CloudError::Malformed) => {
+                            Err(ProvisionError::Refused)
+                        }
                         Err(CloudError::Unavailable) => {
                             tokio::time::sleep(jittered(2500)).await;
-                            Err(false)
+                            Err(ProvisionError::NoAnswer)
                         }
                     };
                     app.with(|n, now| n.provisioned(&request, answer, now));
