--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -3,6 +3,7 @@
 use super::World;
 use crate::WorkerStandIn;
 use cherryyard_core::account::CoreSeconds;
+use cherryyard_core::leader::ProvisionError;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, ProvisionRequest};
 use std::collections::BTreeMap;
 
@@ -123,7 +124,7 @@
         let due = self.cloud.lost_responses.extract_if(.., |l| l.due <= now);
         for lost in due.collect::<Vec<_>>() {
             if let Some(controller) = self.same_controller(lost.controller, lost.incarnation) {
-                controller.provisioned(&lost.request, Err(false), now);
+                controller.provisioned(&lost.request, Err(ProvisionError::NoAnswer), now);
                 self.apply_effects(lost.controller);
             }
         }
--- a/crates/cherryyard-simulation/src/world/effects.rs
+++ b/crates/cherryyard-simulation/src/world/effects.rs
@@ -2,6 +2,7 @@
 
 use super::World;
 use cherryyard_core::Effect;
+use cherryyard_core::leader::ProvisionError;
 use cherryyard_wire::cloud::ProvisionRequest;
 use cherryyard_wire::condor::chunk_key;
 use cherryyard_wire::history::Level;
@@ -64,7 +65,7 @@
     }
 
     fn request_provision(&mut self, i: usize, request: ProvisionRequest) {
-        let machines = self.provision(&request).ok_or(true);
+        let machines = self.provision(&request).ok_or(ProvisionError::Refused);
         if self.cloud.provisions_unanswered {
             let incarnation = self.processes.incarnation(i);
             self.cloud.lose_response(i, incarnation, request, self.now);
