--- a/crates/cherryyard-simulation/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -40,7 +40,7 @@
 
 fn main() {
     let args = Args::parse();
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
         rps: args.rps,
         write_rps: args.write_rps,
@@ -49,17 +49,17 @@
         history: (!args.plain).then_some(8192),
         ..Setup::default()
     });
-    w.run(10.0);
-    let (since, before) = (w.now, w.state.writes);
-    let (number, _) = w.queue("measured", &[chunk(&args)]);
-    run_until_created(&mut w, &args, number);
+    world.run(10.0);
+    let (since, before) = (world.now, world.state.writes);
+    let (number, _) = world.queue("measured", &[chunk(&args)]);
+    run_until_created(&mut world, &args, number);
     println!(
         "{} jobs of {}: created after {:.1} s, {} writes, {} in the largest transaction",
         args.jobs,
         args.tasks,
-        (w.now - since) / 1000.0,
-        w.state.writes - before,
-        w.state.most_ops,
+        (world.now - since) / 1000.0,
+        world.state.writes - before,
+        world.state.most_ops,
     );
 }
 
@@ -75,24 +75,24 @@
 }
 
 /// Lets time pass until all jobs have been created; the leader ends midway, if it is to.
-fn run_until_created(w: &mut World, args: &Args, number: u64) {
-    let deadline = w.now + DEADLINE_MS;
+fn run_until_created(world: &mut World, args: &Args, number: u64) {
+    let deadline = world.now + DEADLINE_MS;
     let mut has_ended = false;
     loop {
-        w.run(0.5);
-        let record = w.submission(number).expect("the submission");
+        world.run(0.5);
+        let record = world.submission(number).expect("the submission");
         let created = record.created();
         if let Some(share) = args.end_at.filter(|_| !has_ended)
             && created as f64 >= share * f64::from(args.jobs)
         {
             has_ended = true;
-            let leader = w.leader().expect("a leader");
-            w.kill(leader);
-            w.start(leader);
+            let leader = world.leader().expect("a leader");
+            world.kill(leader);
+            world.start(leader);
         }
         if record.phase == Phase::Created {
             return;
         }
-        assert!(w.now < deadline, "not within two hours: {created}");
+        assert!(world.now < deadline, "not within two hours: {created}");
     }
 }
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -241,7 +241,7 @@
 }
 
 impl Polled {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Self::Old => "old",
             Self::Unknown => "unknown",
@@ -276,7 +276,7 @@
     let reads = service.requests().reads - before;
     println!(
         "{polls} polls of {} jobs: {good} answered, {reads} reads, worst {:.0} ms",
-        polled.word(),
+        polled.name(),
         worst.as_secs_f64() * 1000.0
     );
 }
--- a/crates/cherryyard-simulation/src/fault.rs
+++ b/crates/cherryyard-simulation/src/fault.rs
@@ -87,24 +87,24 @@
 pub const NEWER: [Fault; 10] = *Fault::VARIANTS.last_chunk().expect("10 further faults");
 
 /// Who leads, or the first controller.
-pub fn leader(w: &World) -> usize {
-    w.leader().unwrap_or(0)
+pub fn leader(world: &World) -> usize {
+    world.leader().unwrap_or(0)
 }
 
 /// Some of the machines: each is drawn with a chance of one in so many.
-fn draw_machines(w: &World, one_in: u64, draw: &mut dyn FnMut(u64) -> u64) -> Vec<String> {
-    let machines = w.workers.keys();
+fn draw_machines(world: &World, one_in: u64, draw: &mut dyn FnMut(u64) -> u64) -> Vec<String> {
+    let machines = world.workers.keys();
     machines.filter(|_| draw(one_in) == 0).cloned().collect()
 }
 
 /// One of the controllers.
-fn draw_controller(w: &World, draw: &mut dyn FnMut(u64) -> u64) -> usize {
-    draw(w.controllers.len() as u64) as usize
+fn draw_controller(world: &World, draw: &mut dyn FnMut(u64) -> u64) -> usize {
+    draw(world.controllers.len() as u64) as usize
 }
 
 /// Users cancel some of the jobs that run, and machines that run them hang.
-fn cancel_running_jobs(w: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
-    let running = w.workers.values().flat_map(|worker| {
+fn cancel_running_jobs(world: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
+    let running = world.workers.values().flat_map(|worker| {
         let tasks = worker.running_tasks();
         tasks.map(|name| (job_of(name).to_string(), worker.host.clone()))
     });
@@ -112,144 +112,164 @@
         if draw(3) != 0 {
             continue;
         }
-        if w.machines.hung.len() < MOST_HUNG && !w.cloud.down {
-            w.machines.hung.insert(machine);
+        if world.machines.hung.len() < MOST_HUNG && !world.cloud.down {
+            world.machines.hung.insert(machine);
         }
-        if !w.asked_to_cancel(&id) {
-            let controller = draw_controller(w, draw);
-            w.insist(controller, &id, Question::Cancel);
+        if !world.asked_to_cancel(&id) {
+            let controller = draw_controller(world, draw);
+            world.insist(controller, &id, Question::Cancel);
         }
     }
 }
 
 /// A zone's machines and controllers reach none of another zone, nor the state service.
-fn cut_zone(w: &mut World, zone: &str) {
-    w.network.partitioned_zones.insert(zone.into());
-    let controllers = (0..w.controllers.len()).filter(|&i| w.zone_of(i) == zone);
+fn cut_zone(world: &mut World, zone: &str) {
+    world.network.partitioned_zones.insert(zone.into());
+    let controllers = (0..world.controllers.len()).filter(|&i| world.zone_of(i) == zone);
     let controllers: Vec<usize> = controllers.collect();
-    w.state_link.refused.extend(controllers);
+    world.state_link.refused.extend(controllers);
 }
 
-fn machines_of_zone(w: &World, zone: &str) -> Vec<String> {
-    let there = w.workers.values().filter(|worker| worker.zone == zone);
+fn machines_of_zone(world: &World, zone: &str) -> Vec<String> {
+    let there = world.workers.values().filter(|worker| worker.zone == zone);
     there.map(|worker| worker.host.clone()).collect()
 }
 
 impl Fault {
     /// Begins it.
-    pub fn begin(self, w: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
-        let leader = leader(w);
-        let count = w.controllers.len();
+    pub fn begin(self, world: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
+        let leader = leader(world);
+        let count = world.controllers.len();
         match self {
-            Self::LeaderDown => w.kill(leader),
-            Self::AllDown => (0..count).for_each(|i| w.kill(i)),
-            Self::SuccessorDown => w.kill((leader + 1) % count),
-            Self::LeadersEnd => w.processes.leader_ends_every_ms = Some(LEADER_ENDS_EVERY_MS),
-            Self::Frozen => drop(w.processes.frozen.insert(leader)),
+            Self::LeaderDown => world.kill(leader),
+            Self::AllDown => (0..count).for_each(|i| world.kill(i)),
+            Self::SuccessorDown => world.kill((leader + 1) % count),
+            Self::LeadersEnd => world.processes.leader_ends_every_ms = Some(LEADER_ENDS_EVERY_MS),
+            Self::Frozen => drop(world.processes.frozen.insert(leader)),
             Self::Behind => {
-                let controller = draw_controller(w, draw);
+                let controller = draw_controller(world, draw);
                 let lag_ms = 800.0 + draw(2000) as f64;
-                w.processes.lag_ms.insert(controller, lag_ms);
+                world.processes.lag_ms.insert(controller, lag_ms);
             }
             Self::LeaderAlone => {
-                w.state_link.refused.insert(leader);
-                w.network.isolated.insert(leader);
+                world.state_link.refused.insert(leader);
+                world.network.isolated.insert(leader);
             }
-            Self::Alone => drop(w.network.isolated.insert(draw_controller(w, draw))),
-            Self::Deaf => drop(w.network.cut_from_workers.insert(draw_controller(w, draw))),
-            Self::Unreachable => w.network.unreachable.extend(draw_machines(w, 3, draw)),
-            Self::OneWay => w.network.inbound_lost.extend(draw_machines(w, 3, draw)),
-            Self::OneWaySilence => w.network.outbound_lost.extend(draw_machines(w, 3, draw)),
-            Self::ZoneSilent => w.network.unreachable.extend(machines_of_zone(w, "b")),
-            Self::ZoneCut => cut_zone(w, ["a", "b", "c"][draw(3) as usize]),
-            Self::SlowCommands => w.machines.slow_commands.extend(draw_machines(w, 2, draw)),
+            Self::Alone => drop(world.network.isolated.insert(draw_controller(world, draw))),
+            Self::Deaf => drop(
+                world
+                    .network
+                    .cut_from_workers
+                    .insert(draw_controller(world, draw)),
+            ),
+            Self::Unreachable => world
+                .network
+                .unreachable
+                .extend(draw_machines(world, 3, draw)),
+            Self::OneWay => world
+                .network
+                .inbound_lost
+                .extend(draw_machines(world, 3, draw)),
+            Self::OneWaySilence => world
+                .network
+                .outbound_lost
+                .extend(draw_machines(world, 3, draw)),
+            Self::ZoneSilent => world
+                .network
+                .unreachable
+                .extend(machines_of_zone(world, "b")),
+            Self::ZoneCut => cut_zone(world, ["a", "b", "c"][draw(3) as usize]),
+            Self::SlowCommands => world
+                .machines
+                .slow_commands
+                .extend(draw_machines(world, 2, draw)),
             Self::Reborn => {
-                let machines = draw_machines(w, 5, draw);
-                machines.iter().for_each(|name| w.reborn(name));
+                let machines = draw_machines(world, 5, draw);
+                machines.iter().for_each(|name| world.reborn(name));
             }
-            Self::LeaderRefused => drop(w.state_link.refused.insert(leader)),
-            Self::Outage => w.state_link.refused.extend(0..count),
-            Self::SlowState => w.state_link.latency_ms = 200.0 + draw(4000) as f64,
-            Self::LateWrites => w.state_link.delayed_percent = 10 + draw(40),
-            Self::LostAnswers => w.state_link.lost_response_percent = 10 + draw(40),
-            Self::Copies => w.duplicates.delay_ms = Some(500.0 + draw(40_000) as f64),
-            Self::CopiesForNext => w.duplicates.for_next_leader = true,
+            Self::LeaderRefused => drop(world.state_link.refused.insert(leader)),
+            Self::Outage => world.state_link.refused.extend(0..count),
+            Self::SlowState => world.state_link.latency_ms = 200.0 + draw(4000) as f64,
+            Self::LateWrites => world.state_link.delayed_percent = 10 + draw(40),
+            Self::LostAnswers => world.state_link.lost_response_percent = 10 + draw(40),
+            Self::Copies => world.duplicates.delay_ms = Some(500.0 + draw(40_000) as f64),
+            Self::CopiesForNext => world.duplicates.for_next_leader = true,
             Self::CloudDown => {
                 // Without a release nothing can be done about a machine that hangs beyond
                 // the time of a cancellation with a start on its way (docs/restart.md).
-                Self::CancelNow.finish(w);
-                w.cloud.down = true;
+                Self::CancelNow.finish(world);
+                world.cloud.down = true;
             }
             Self::FastBoots => {
-                w.cloud.provisioning_ms = Some(draw(2000) as f64);
-                w.cloud.provisions_unanswered = draw(2) == 0;
+                world.cloud.provisioning_ms = Some(draw(2000) as f64);
+                world.cloud.provisions_unanswered = draw(2) == 0;
             }
-            Self::CancelNow => cancel_running_jobs(w, draw),
-            Self::CancelAtEnd => w.submissions.cancel_at_end_percent = 50,
-            Self::OddRequests => w.requests.odd = true,
-            Self::CloseLooks => w.requests.close_looks = true,
+            Self::CancelNow => cancel_running_jobs(world, draw),
+            Self::CancelAtEnd => world.submissions.cancel_at_end_percent = 50,
+            Self::OddRequests => world.requests.odd = true,
+            Self::CloseLooks => world.requests.close_looks = true,
         }
     }
 
     /// Ends it.
-    pub fn finish(self, w: &mut World) {
+    pub fn finish(self, world: &mut World) {
         match self {
-            Self::LeaderDown | Self::AllDown | Self::SuccessorDown => start_all(w),
-            Self::LeadersEnd => w.processes.leader_ends_every_ms = None,
-            Self::Frozen => w.processes.frozen.clear(),
-            Self::Behind => w.processes.lag_ms.clear(),
+            Self::LeaderDown | Self::AllDown | Self::SuccessorDown => start_all(world),
+            Self::LeadersEnd => world.processes.leader_ends_every_ms = None,
+            Self::Frozen => world.processes.frozen.clear(),
+            Self::Behind => world.processes.lag_ms.clear(),
             Self::LeaderAlone => {
-                w.state_link.refused.clear();
-                w.network.isolated.clear();
+                world.state_link.refused.clear();
+                world.network.isolated.clear();
             }
-            Self::Alone => w.network.isolated.clear(),
-            Self::Deaf => w.network.cut_from_workers.clear(),
-            Self::Unreachable | Self::ZoneSilent => w.network.unreachable.clear(),
-            Self::OneWay => w.network.inbound_lost.clear(),
-            Self::OneWaySilence => w.network.outbound_lost.clear(),
+            Self::Alone => world.network.isolated.clear(),
+            Self::Deaf => world.network.cut_from_workers.clear(),
+            Self::Unreachable | Self::ZoneSilent => world.network.unreachable.clear(),
+            Self::OneWay => world.network.inbound_lost.clear(),
+            Self::OneWaySilence => world.network.outbound_lost.clear(),
             Self::ZoneCut => {
-                w.network.partitioned_zones.clear();
-                w.state_link.refused.clear();
+                world.network.partitioned_zones.clear();
+                world.state_link.refused.clear();
             }
             Self::SlowCommands => {
-                w.machines.slow_commands.clear();
-                w.deliver_direct();
+                world.machines.slow_commands.clear();
+                world.deliver_direct();
             }
             Self::Reborn => {}
-            Self::LeaderRefused | Self::Outage => w.state_link.refused.clear(),
-            Self::SlowState => w.state_link.latency_ms = 0.0,
-            Self::LateWrites => w.state_link.delayed_percent = 0,
-            Self::LostAnswers => w.state_link.lost_response_percent = 0,
-            Self::Copies => w.duplicates.delay_ms = None,
-            Self::CopiesForNext => w.duplicates.for_next_leader = false,
-            Self::CloudDown => w.cloud.down = false,
+            Self::LeaderRefused | Self::Outage => world.state_link.refused.clear(),
+            Self::SlowState => world.state_link.latency_ms = 0.0,
+            Self::LateWrites => world.state_link.delayed_percent = 0,
+            Self::LostAnswers => world.state_link.lost_response_percent = 0,
+            Self::Copies => world.duplicates.delay_ms = None,
+            Self::CopiesForNext => world.duplicates.for_next_leader = false,
+            Self::CloudDown => world.cloud.down = false,
             Self::FastBoots => {
-                w.cloud.provisioning_ms = Some(PROVISIONING_MS);
-                w.cloud.provisions_unanswered = false;
+                world.cloud.provisioning_ms = Some(PROVISIONING_MS);
+                world.cloud.provisions_unanswered = false;
             }
             Self::CancelNow => {
-                w.deliver_direct();
-                w.machines.hung.clear();
+                world.deliver_direct();
+                world.machines.hung.clear();
             }
-            Self::CancelAtEnd => w.submissions.cancel_at_end_percent = 0,
-            Self::OddRequests => w.requests.odd = false,
-            Self::CloseLooks => w.requests.close_looks = false,
+            Self::CancelAtEnd => world.submissions.cancel_at_end_percent = 0,
+            Self::OddRequests => world.requests.odd = false,
+            Self::CloseLooks => world.requests.close_looks = false,
         }
     }
 
     /// Ends all that may be going on: nothing fails any more.
-    pub fn finish_all(w: &mut World) {
+    pub fn finish_all(world: &mut World) {
         for fault in OLDER.into_iter().chain(NEWER) {
-            fault.finish(w);
+            fault.finish(world);
         }
     }
 }
 
 /// All controllers that are down start.
-fn start_all(w: &mut World) {
-    for i in 0..w.controllers.len() {
-        if w.controllers[i].is_none() {
-            w.start(i);
+fn start_all(world: &mut World) {
+    for i in 0..world.controllers.len() {
+        if world.controllers[i].is_none() {
+            world.start(i);
         }
     }
 }
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -76,46 +76,46 @@
 
 impl Users {
     /// Submits a job, which is accepted.
-    pub fn submit(&mut self, w: &mut World, spec: &JobSpec) {
-        w.submit(spec);
-        self.accepted(w, spec);
+    pub fn submit(&mut self, world: &mut World, spec: &JobSpec) {
+        world.submit(spec);
+        self.accepted(world, spec);
     }
 
     /// Asks controller `i` to take a job, and the next one if that does not answer, until
     /// one has taken it.
-    pub fn ask(&mut self, w: &mut World, i: usize, spec: &JobSpec) {
-        let ticket = w.offer(i, spec, None);
+    pub fn ask(&mut self, world: &mut World, i: usize, spec: &JobSpec) {
+        let ticket = world.offer(i, spec, None);
         self.pending.push(PendingSubmission {
             spec: spec.clone(),
             controller: i,
             ticket,
-            again_at: w.now + SUBMIT_AGAIN_MS,
+            again_at: world.now + SUBMIT_AGAIN_MS,
         });
     }
 
-    fn submit_again(&mut self, w: &mut World) {
+    fn submit_again(&mut self, world: &mut World) {
         for pending in std::mem::take(&mut self.pending) {
-            match w.submissions.verdicts.get(&pending.ticket) {
-                Some(Verdict::Taken | Verdict::Known) => self.accepted(w, &pending.spec),
-                None if w.now < pending.again_at => self.pending.push(pending),
+            match world.submissions.verdicts.get(&pending.ticket) {
+                Some(Verdict::Taken | Verdict::Known) => self.accepted(world, &pending.spec),
+                None if world.now < pending.again_at => self.pending.push(pending),
                 None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
-                    let next = (pending.controller + 1) % w.controllers.len();
-                    self.ask(w, next, &pending.spec);
+                    let next = (pending.controller + 1) % world.controllers.len();
+                    self.ask(world, next, &pending.spec);
                 }
             }
         }
     }
 
-    fn accepted(&mut self, w: &World, spec: &JobSpec) {
+    fn accepted(&mut self, world: &World, spec: &JobSpec) {
         let job = Job {
             class: spec.job_class.clone(),
             team: spec.team.clone(),
             cores: spec.cores * f64::from(spec.task_count),
             task_count: spec.task_count,
             is_service: spec.shape == Shape::Service,
-            accepted_at: w.now,
-            polled_at: w.now,
-            answered_at: w.now,
+            accepted_at: world.now,
+            polled_at: world.now,
+            answered_at: world.now,
             begun_at: None,
             is_done: false,
             is_cancelled: self.cancelled.contains(&spec.id),
@@ -127,30 +127,30 @@
     }
 
     /// Notes what the users of `World::insist` have been told and have asked.
-    fn note_answers(&mut self, w: &mut World) {
-        for spec in std::mem::take(&mut w.requests.accepted) {
-            self.accepted(w, &spec);
+    fn note_answers(&mut self, world: &mut World) {
+        for spec in std::mem::take(&mut world.requests.accepted) {
+            self.accepted(world, &spec);
         }
         for (id, job) in &mut self.jobs {
-            job.is_cancelled |= w.may_be_cancelled(id);
-            if !w.needs_are_complete(id) {
+            job.is_cancelled |= world.may_be_cancelled(id);
+            if !world.needs_are_complete(id) {
                 // Its times count from then on.
-                job.accepted_at = w.now;
+                job.accepted_at = world.now;
             }
         }
     }
 
     /// Cancels a job through controller `i`.
-    pub fn cancel(&mut self, w: &mut World, i: usize, id: &str) {
-        w.cancel(i, id);
+    pub fn cancel(&mut self, world: &mut World, i: usize, id: &str) {
+        world.cancel(i, id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_cancelled = true;
         }
     }
 
     /// Asks for a job's cancellation, first controller `i`, until one has told.
-    pub fn ask_cancel(&mut self, w: &mut World, i: usize, id: &str) {
-        w.ask_cancel(i, id);
+    pub fn ask_cancel(&mut self, world: &mut World, i: usize, id: &str) {
+        world.ask_cancel(i, id);
         self.cancelled.insert(id.to_string());
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_cancelled = true;
@@ -158,19 +158,19 @@
     }
 
     /// Lets time pass in steps of half a second, and polls.
-    pub fn run(&mut self, w: &mut World, seconds: f64) {
+    pub fn run(&mut self, world: &mut World, seconds: f64) {
         for _ in 0..(seconds * 2.0).round() as usize {
-            w.run(0.5);
-            self.submit_again(w);
-            self.note_answers(w);
-            self.poll_all(w);
-            self.note_waits(w);
+            world.run(0.5);
+            self.submit_again(world);
+            self.note_answers(world);
+            self.poll_all(world);
+            self.note_waits(world);
         }
     }
 
     /// Polls the jobs whose time it is, and notes which have begun.
-    fn poll_all(&mut self, w: &mut World) {
-        let on_machines: BTreeSet<String> = w
+    fn poll_all(&mut self, world: &mut World) {
+        let on_machines: BTreeSet<String> = world
             .workers
             .values()
             .flat_map(|worker| worker.tasks.keys())
@@ -182,23 +182,23 @@
                 continue;
             };
             if job.begun_at.is_none() && on_machines.contains(&id) {
-                job.begun_at = Some(w.now);
+                job.begun_at = Some(world.now);
             }
-            if w.now - job.polled_at >= POLL_MS {
-                job.polled_at = w.now;
-                self.poll(w, &id);
+            if world.now - job.polled_at >= POLL_MS {
+                job.polled_at = world.now;
+                self.poll(world, &id);
             }
         }
     }
 
     /// Polls a job at some controllers, until one answers.
-    fn poll(&mut self, w: &mut World, id: &str) {
+    fn poll(&mut self, world: &mut World, id: &str) {
         self.next += 1;
         if self.never_answers.as_deref() == Some(id) {
             return;
         }
-        match (0..TRIES).find_map(|k| poll_at(w, self.next + k, id)) {
-            Some(Some(view)) => self.note_view(w, id, &view),
+        match (0..TRIES).find_map(|k| poll_at(world, self.next + k, id)) {
+            Some(Some(view)) => self.note_view(world, id, &view),
             Some(None) => self
                 .broken
                 .push(format!("{id} was accepted and is unknown")),
@@ -207,15 +207,15 @@
     }
 
     /// Judges and notes what a poll was answered.
-    fn note_view(&mut self, w: &World, id: &str, view: &JobView) {
+    fn note_view(&mut self, world: &World, id: &str, view: &JobView) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        self.longest = self.longest.max(w.now - job.answered_at);
-        job.answered_at = w.now;
+        self.longest = self.longest.max(world.now - job.answered_at);
+        job.answered_at = world.now;
         let is_done = view.status == JobStatus::Done;
         let is_complete =
-            (0..job.task_count).all(|n| w.checker.completed.contains(&format!("{id}/{n}")));
+            (0..job.task_count).all(|n| world.checker.completed.contains(&format!("{id}/{n}")));
         if is_done && !is_complete {
             self.broken
                 .push(format!("{id} is called done before it is"));
@@ -229,45 +229,47 @@
 
     /// The longest time until a task of a job that was not cancelled was on a machine, in
     /// milliseconds.
-    pub fn longest_wait(&self, w: &World) -> f64 {
+    pub fn longest_wait(&self, world: &World) -> f64 {
         let open = self.jobs.values().filter(|job| !job.is_cancelled);
-        let waits = open.map(|job| job.begun_at.unwrap_or(w.now) - job.accepted_at);
+        let waits = open.map(|job| job.begun_at.unwrap_or(world.now) - job.accepted_at);
         waits.fold(0.0, f64::max)
     }
 
     /// Ends all faults, lets time pass in which everything can recover, and says what is
     /// wrong: rules broken, jobs forgotten, groups left out.
-    pub fn see_out(&mut self, w: &mut World) -> Vec<String> {
-        Fault::finish_all(w);
-        let over = w.now;
+    pub fn see_out(&mut self, world: &mut World) -> Vec<String> {
+        Fault::finish_all(world);
+        let over = world.now;
         for _ in 0..40 {
-            self.run(w, 5.0);
-            w.list_machines();
+            self.run(world, 5.0);
+            world.list_machines();
         }
-        let mut wrong = w.broken.clone();
-        wrong.extend(self.judge(w, over));
+        let mut wrong = world.broken.clone();
+        wrong.extend(self.judge(world, over));
         wrong
     }
 }
 
 /// A poll of a job at the `k`-th controller that can take requests: its answer, if it
 /// gives one.
-fn poll_at(w: &mut World, k: usize, id: &str) -> Option<Option<JobView>> {
-    let now = w.now;
-    let able = |w: &World, i: usize| {
-        let controller = w.controllers[i]
+fn poll_at(world: &mut World, k: usize, id: &str) -> Option<Option<JobView>> {
+    let now = world.now;
+    let able = |world: &World, i: usize| {
+        let controller = world.controllers[i]
             .as_ref()
-            .filter(|_| !w.processes.frozen.contains(&i));
+            .filter(|_| !world.processes.frozen.contains(&i));
         controller.is_some_and(|c| c.ready(now) && !c.refuses_polls(now))
     };
-    let able: Vec<usize> = (0..w.controllers.len()).filter(|&i| able(w, i)).collect();
+    let able: Vec<usize> = (0..world.controllers.len())
+        .filter(|&i| able(world, i))
+        .collect();
     let i = *able.get(k % able.len().max(1))?;
-    if w.state_link.refused.contains(&i) {
+    if world.state_link.refused.contains(&i) {
         // Only a final state needs no barrier.
-        let controller = w.controllers[i].as_ref()?;
+        let controller = world.controllers[i].as_ref()?;
         let view = controller.mirror.view(job_number(id)?)?;
         let over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
         return over.then_some(Some(view));
     }
-    Some(w.find(i, id))
+    Some(world.find(i, id))
 }
--- a/crates/cherryyard-simulation/src/users/capacity.rs
+++ b/crates/cherryyard-simulation/src/users/capacity.rs
@@ -31,12 +31,15 @@
 }
 
 /// What is free on each machine that can take tasks.
-fn free_machines(w: &World) -> Vec<FreeMachine<'_>> {
-    let usable = w.workers.values().filter(|worker| w.in_order(&worker.host));
+fn free_machines(world: &World) -> Vec<FreeMachine<'_>> {
+    let usable = world
+        .workers
+        .values()
+        .filter(|worker| world.is_usable(&worker.host));
     let free = usable.map(|worker| {
-        let (mut cores, mut ram_gb) = w.whole(&worker.machine_type);
+        let (mut cores, mut ram_gb) = world.machine_capacity(&worker.machine_type);
         for task_name in worker.running_tasks() {
-            if let Some(spec) = w.submitted(job_of(task_name)) {
+            if let Some(spec) = world.submitted(job_of(task_name)) {
                 (cores, ram_gb) = (cores - spec.cores, ram_gb - spec.ram_gb);
             }
         }
@@ -52,16 +55,16 @@
 
 /// Whether a task of a job could start now.
 fn has_room(
-    w: &World,
+    world: &World,
     spec: &JobSpec,
     free: &[FreeMachine<'_>],
     used: &BTreeMap<String, f64>,
 ) -> bool {
-    let limit = w.limit_of(&spec.team);
+    let limit = world.limit_of(&spec.team);
     let uses = used.get(&spec.team).copied().unwrap_or(0.0);
     let is_under_limit = limit == 0.0 || uses + spec.cores <= limit + EPSILON;
     is_under_limit
-        && w.needs_are_complete(&spec.id)
+        && world.needs_are_complete(&spec.id)
         && !spec.together
         && !spec.apart
         && free.iter().any(|machine| machine.fits(spec))
@@ -69,11 +72,11 @@
 
 impl Job {
     /// Notes tasks that have started; whether there is a new one.
-    fn note_started(&mut self, w: &World, id: &str) -> bool {
+    fn note_started(&mut self, world: &World, id: &str) -> bool {
         let before = self.started.len();
         for n in 0..self.task_count {
             let name = format!("{id}/{n}");
-            if !self.started.contains(&name) && has_started(w, &name) {
+            if !self.started.contains(&name) && has_started(world, &name) {
                 self.started.insert(name);
             }
         }
@@ -95,23 +98,24 @@
     }
 }
 
-fn has_started(w: &World, task_name: &str) -> bool {
-    w.checker.completed.contains(task_name) || w.workers.values().any(|x| x.runs(task_name))
+fn has_started(world: &World, task_name: &str) -> bool {
+    world.checker.completed.contains(task_name)
+        || world.workers.values().any(|worker| worker.runs(task_name))
 }
 
 impl Users {
     /// Notes for how long tasks wait while a machine that fits has room.
-    pub(super) fn note_waits(&mut self, w: &World) {
-        let used = w.cores_by_team();
-        let free = free_machines(w);
+    pub(super) fn note_waits(&mut self, world: &World) {
+        let used = world.cores_by_team();
+        let free = free_machines(world);
         let open = self.jobs.iter_mut();
         for (id, job) in open.filter(|(_, job)| !job.is_cancelled && !job.is_done) {
-            let Some(spec) = w.submitted(id) else {
+            let Some(spec) = world.submitted(id) else {
                 continue;
             };
-            let has_room = has_room(w, spec, &free, &used);
-            let is_progressing = job.note_started(w, id);
-            job.note_wait(w.now, has_room, is_progressing);
+            let has_room = has_room(world, spec, &free, &used);
+            let is_progressing = job.note_started(world, id);
+            job.note_wait(world.now, has_room, is_progressing);
         }
     }
 }
--- a/crates/cherryyard-simulation/src/users/verdict.rs
+++ b/crates/cherryyard-simulation/src/users/verdict.rs
@@ -20,12 +20,12 @@
 
 impl Users {
     /// What is wrong at the end of a scenario whose faults were over at `over`.
-    pub fn judge(&self, w: &World, over: f64) -> Vec<String> {
+    pub fn judge(&self, world: &World, over: f64) -> Vec<String> {
         let mut wrong = self.broken.clone();
-        wrong.extend(self.forgotten(w, over));
+        wrong.extend(self.forgotten(world, over));
         wrong.extend(self.kept_waiting(over));
-        let mut groups = self.groups(w);
-        groups.extend(self.largest(w));
+        let mut groups = self.groups(world);
+        groups.extend(self.largest(world));
         for (group, Served { served, all }) in groups {
             if served * 2 < all {
                 wrong.push(format!("{group}: {served} of {all} served"));
@@ -39,8 +39,8 @@
         self.jobs.iter().filter(|(_, job)| !job.is_cancelled)
     }
 
-    fn forgotten(&self, w: &World, over: f64) -> Vec<String> {
-        let is_forgotten = |job: &Job| w.now - job.answered_at.max(over) > FORGOTTEN_MS;
+    fn forgotten(&self, world: &World, over: f64) -> Vec<String> {
+        let is_forgotten = |job: &Job| world.now - job.answered_at.max(over) > FORGOTTEN_MS;
         self.open()
             .filter(|(_, job)| is_forgotten(job))
             .map(|(id, _)| format!("{id} is forgotten"))
@@ -61,10 +61,11 @@
     }
 
     /// Jobs of each class and team that were served.
-    fn groups(&self, w: &World) -> BTreeMap<String, Served> {
+    fn groups(&self, world: &World) -> BTreeMap<String, Served> {
         let mut groups: BTreeMap<String, Served> = BTreeMap::new();
         for (id, job) in self.open() {
-            let is_served = job.is_done || (job.is_service && w.copies(&format!("{id}/0")) == 1);
+            let is_served =
+                job.is_done || (job.is_service && world.copies(&format!("{id}/0")) == 1);
             for group in [format!("class {}", job.class), format!("team {}", job.team)] {
                 let group = groups.entry(group).or_default();
                 group.served += usize::from(is_served);
@@ -76,7 +77,7 @@
 
     /// Of each class the largest tenth of the jobs that were accepted early enough: how
     /// many have begun in time.
-    fn largest(&self, w: &World) -> BTreeMap<String, Served> {
+    fn largest(&self, world: &World) -> BTreeMap<String, Served> {
         let mut classes: BTreeMap<&str, Vec<(&String, &Job)>> = BTreeMap::new();
         for (id, job) in self.open() {
             classes.entry(&job.class).or_default().push((id, job));
@@ -84,7 +85,7 @@
         let mut groups = BTreeMap::new();
         for (class, mut jobs) in classes {
             jobs.sort_by(|(a_id, a), (b_id, b)| b.cores.total_cmp(&a.cores).then(a_id.cmp(b_id)));
-            jobs.retain(|(_, job)| w.now - job.accepted_at >= BEGIN_MS);
+            jobs.retain(|(_, job)| world.now - job.accepted_at >= BEGIN_MS);
             let all = jobs.len().div_ceil(10);
             let has_begun = |job: &Job| {
                 let begun_at = job.begun_at;
--- a/crates/cherryyard-simulation/src/world/cancellations.rs
+++ b/crates/cherryyard-simulation/src/world/cancellations.rs
@@ -24,7 +24,7 @@
 }
 
 impl Final {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Self::Cancelled => "cancelled",
             Self::Done => "done",
@@ -60,9 +60,9 @@
             }
             let PendingCancellation { controller, id, .. } = pending;
             if let Some(how) = self.cancel_at(controller, &id) {
-                let word = how.word();
+                let outcome = how.name();
                 self.say(format!(
-                    "{id}: node-{controller} tells its user that it is {word}"
+                    "{id}: node-{controller} tells its user that it is {outcome}"
                 ));
                 if how == Final::Cancelled {
                     self.submissions.cancelled_at.insert(id, now);
--- a/crates/cherryyard-simulation/src/world/checker.rs
+++ b/crates/cherryyard-simulation/src/world/checker.rs
@@ -24,7 +24,7 @@
     /// Submitted services: their tasks end only with their jobs.
     pub(super) services: BTreeSet<String>,
     /// Attempts that have been seen on a machine.
-    seen: BTreeSet<Attempt>,
+    known_attempts: BTreeSet<Attempt>,
     /// Jobs of which all tasks have completed, until they have been taken note of.
     ended: Vec<String>,
     /// Starts after their jobs' users had been told that they are cancelled.
@@ -120,7 +120,7 @@
         }
         for attempt in observed.started {
             self.check_start(&attempt.task_name, &attempt.machine);
-            self.checker.seen.insert(attempt);
+            self.checker.known_attempts.insert(attempt);
         }
         self.check_limits();
         self.note_cores(&observed.running);
@@ -149,7 +149,7 @@
                     number: task.attempt,
                     machine: worker.host.clone(),
                 };
-                if !self.checker.seen.contains(&attempt) {
+                if !self.checker.known_attempts.contains(&attempt) {
                     observed.started.push(attempt);
                 }
             }
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -1,6 +1,7 @@
 //! The cloud: provisioning requests, machines that come up, the list of machines.
 
 use super::World;
+use super::setup::WORKER_LEASE_MS;
 use crate::WorkerStandIn;
 use cherryyard_core::account::CoreSeconds;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, ProvisionRequest};
@@ -8,9 +9,6 @@
 
 /// How long a controller waits for the response to a provisioning request.
 const PROVISION_TIMEOUT_MS: f64 = 2500.0;
-/// How long an answered heartbeat keeps the tasks of a provisioned machine.
-const WORKER_LEASE_MS: f64 = 10_000.0;
-
 /// The cloud.
 #[derive(Debug)]
 pub struct Cloud {
@@ -182,10 +180,16 @@
     /// Every controller reads the cloud's list of machines.
     pub fn list_machines(&mut self) {
         let now = self.now;
-        let running = self.workers.values().map(|w| {
-            let held_s = (now - w.provisioned_at) / 1000.0;
+        let running = self.workers.values().map(|worker| {
+            let held_s = (now - worker.provisioned_at) / 1000.0;
             let status = InstanceStatus::Running;
-            instance(&w.host, &w.machine_type, &w.zone, status, held_s)
+            instance(
+                &worker.host,
+                &worker.machine_type,
+                &worker.zone,
+                status,
+                held_s,
+            )
         });
         let starting = self.cloud.starting_instances(now);
         let instances: Vec<Instance> = running.chain(starting).collect();
@@ -208,8 +212,8 @@
         all
     }
 
-    /// What a machine's type has, in cores and GB.
-    pub fn whole(&self, machine_type: &str) -> (f64, f64) {
+    /// The capacity of a machine type, in cores and GB of memory.
+    pub fn machine_capacity(&self, machine_type: &str) -> (f64, f64) {
         if machine_type == "m8" {
             (8.0, 32.0)
         } else {
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use cherryyard_core::{PushOutcome, Reply};
-use cherryyard_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
+use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a worker waits for the response to a heartbeat.
@@ -144,7 +144,6 @@
                 worker.report_at = now;
             }
             Some(Reply::Answer(response)) => {
-                let response: HeartbeatResponse = response;
                 return worker.answered(&response, sent_at, now);
             }
             Some(Reply::Elsewhere(Some(label))) => {
@@ -231,7 +230,8 @@
 
     /// How many machines run this task.
     pub fn copies(&self, task_name: &str) -> usize {
-        self.workers.values().filter(|w| w.runs(task_name)).count()
+        let running = self.workers.values();
+        running.filter(|worker| worker.runs(task_name)).count()
     }
 
     /// How many tasks run.
--- a/crates/cherryyard-simulation/src/world/network.rs
+++ b/crates/cherryyard-simulation/src/world/network.rs
@@ -66,7 +66,7 @@
     }
 
     /// Whether nothing keeps a machine from taking tasks.
-    pub fn in_order(&self, machine: &str) -> bool {
+    pub fn is_usable(&self, machine: &str) -> bool {
         self.network.carries_commands_to(machine)
             && self.network.carries_heartbeats_of(machine)
             && !self.machines.hung.contains(machine)
--- a/crates/cherryyard-simulation/src/world/pipelines.rs
+++ b/crates/cherryyard-simulation/src/world/pipelines.rs
@@ -13,10 +13,10 @@
         let mut found = BTreeSet::new();
         let mut pending = vec![id.to_string()];
         while let Some(id) = pending.pop() {
-            let needs = self.submitted(&id).map(|spec| spec.waits_on.clone());
-            for need in needs.unwrap_or_default() {
+            let needs = self.submitted(&id).map(|spec| spec.waits_on.iter());
+            for need in needs.into_iter().flatten() {
                 if found.insert(need.clone()) {
-                    pending.push(need);
+                    pending.push(need.clone());
                 }
             }
         }
@@ -31,11 +31,8 @@
 
     /// Whether all that a job needs has completed.
     pub fn needs_are_complete(&self, id: &str) -> bool {
-        let needs = self.submitted(id).map(|spec| spec.waits_on.clone());
-        needs
-            .unwrap_or_default()
-            .iter()
-            .all(|need| self.is_complete(need))
+        let spec = self.submitted(id);
+        spec.is_none_or(|spec| spec.waits_on.iter().all(|need| self.is_complete(need)))
     }
 
     /// Whether a job may be called cancelled: its user has asked for that, or the user of
@@ -75,21 +72,57 @@
 /// Users who submit pipelines: each job as soon as those that it needs are accepted.
 #[derive(Debug, Default)]
 pub struct Pipelines {
-    /// Jobs that are yet to be submitted, and whether only when all that they need is
-    /// complete.
-    pending: Vec<(JobSpec, bool)>,
+    pending: Vec<PendingJob>,
     next: usize,
 }
 
+/// A job that is yet to be submitted.
+#[derive(Debug)]
+struct PendingJob {
+    spec: JobSpec,
+    submitted: When,
+}
+
+/// When a job of a pipeline is submitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum When {
+    /// As soon as all that it needs is accepted.
+    NeedsAccepted,
+    /// When all that it needs is complete, or one of that may be cancelled.
+    NeedsComplete,
+}
+
+impl PendingJob {
+    fn is_due(&self, world: &World) -> bool {
+        let needs = || self.spec.waits_on.iter();
+        if !needs().all(|need| world.is_accepted(need)) {
+            return false;
+        }
+        match self.submitted {
+            When::NeedsAccepted => true,
+            When::NeedsComplete => {
+                needs().any(|need| world.may_be_cancelled(need))
+                    || needs().all(|need| world.is_complete(need))
+            }
+        }
+    }
+}
+
 impl Pipelines {
     /// A job that is to be submitted as soon as those that it needs are accepted.
     pub fn add(&mut self, spec: JobSpec) {
-        self.pending.push((spec, false));
+        self.pending.push(PendingJob {
+            spec,
+            submitted: When::NeedsAccepted,
+        });
     }
 
     /// A job that is to be submitted only when those that it needs are complete.
     pub fn add_late(&mut self, spec: JobSpec) {
-        self.pending.push((spec, true));
+        self.pending.push(PendingJob {
+            spec,
+            submitted: When::NeedsComplete,
+        });
     }
 
     /// Whether all have been submitted.
@@ -98,17 +131,13 @@
     }
 
     /// Submits what is due, each at the next controller.
-    pub fn step(&mut self, w: &mut World) {
-        let due = |(spec, late): &(JobSpec, bool)| {
-            let accepted = spec.waits_on.iter().all(|need| w.is_accepted(need));
-            let cancelled = spec.waits_on.iter().any(|need| w.may_be_cancelled(need));
-            accepted && (!late || cancelled || spec.waits_on.iter().all(|n| w.is_complete(n)))
-        };
-        let (due, later) = std::mem::take(&mut self.pending).into_iter().partition(due);
+    pub fn step(&mut self, world: &mut World) {
+        let pending = std::mem::take(&mut self.pending).into_iter();
+        let (due, later): (Vec<_>, Vec<_>) = pending.partition(|job| job.is_due(world));
         self.pending = later;
-        for (spec, _) in due {
+        for PendingJob { spec, .. } in due {
             self.next += 1;
-            w.submit_at(self.next % w.controllers.len(), &spec);
+            world.submit_at(self.next % world.controllers.len(), &spec);
         }
     }
 }
--- a/crates/cherryyard-simulation/src/world/requests/odd.rs
+++ b/crates/cherryyard-simulation/src/world/requests/odd.rs
@@ -29,7 +29,7 @@
             .filter(|(_, all)| is_taken(all));
         let known: Vec<String> = known.map(|(id, _)| id.clone()).collect();
         let i = self.requests.draw_index(self.controllers.len());
-        let sort = (self.requests.draw)(8);
+        let choice = (self.requests.draw)(8);
         let at = self.requests.draw_index(known.len().max(1));
         let Some(id) = known
             .get(at)
@@ -40,7 +40,7 @@
         let Some(spec) = self.submitted(id).cloned() else {
             return;
         };
-        match sort {
+        match choice {
             0 | 1 => drop(self.ask_once(i, id, Question::Submit(body(&spec)))),
             2 => self.submit_with_other_fields(i, spec),
             3 if self.asked_to_cancel(id) => drop(self.ask_once(i, id, Question::Cancel)),
--- a/crates/cherryyard-simulation/src/world/setup.rs
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -1,6 +1,9 @@
 //! What a simulation starts with, and the settings that its controllers get.
 
-use super::World;
+use super::{
+    Checker, Cloud, HeartbeatDuplicates, Machines, Network, Processes, Requests, StateLink,
+    Submissions, World,
+};
 use crate::state::ServiceLimits;
 use crate::{StateStandIn, WorkerStandIn};
 use cherryyard_core::{Config, Controller, Tuning};
@@ -11,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long an answered heartbeat keeps a worker's tasks.
-const WORKER_LEASE_MS: f64 = 10_000.0;
+pub(super) const WORKER_LEASE_MS: f64 = 10_000.0;
 
 /// What a simulation starts with.
 #[derive(Clone, Debug)]
@@ -166,17 +169,17 @@
             state: StateStandIn::default(),
             controllers: Vec::new(),
             workers: setup.workers(),
-            network: super::Network::default(),
-            processes: super::Processes::default(),
-            state_link: super::StateLink::default(),
-            duplicates: super::HeartbeatDuplicates::default(),
-            machines: super::Machines::default(),
-            cloud: super::Cloud::default(),
-            submissions: super::Submissions::default(),
-            requests: super::Requests::default(),
+            network: Network::default(),
+            processes: Processes::default(),
+            state_link: StateLink::default(),
+            duplicates: HeartbeatDuplicates::default(),
+            machines: Machines::default(),
+            cloud: Cloud::default(),
+            submissions: Submissions::default(),
+            requests: Requests::default(),
             trace: Vec::new(),
             broken: Vec::new(),
-            checker: super::Checker::default(),
+            checker: Checker::default(),
             setup,
         };
         for i in 0..world.setup.zones.len() {
--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether a controller's transaction is held back.
-    fn holds(&self, controller: usize, ticket: Ticket) -> bool {
+    fn holds_back(&self, controller: usize, ticket: Ticket) -> bool {
         (self.hold_owner_commits.contains(&controller) && matches!(ticket, Ticket::OwnerCycle(_)))
             || (self.hold_leader_commits && ticket == Ticket::LeaderCycle)
             || (self.hold_admission_commits.contains(&controller) && ticket == Ticket::Admission)
@@ -269,7 +269,7 @@
         }
         let outcome = if self.state_link.refused.contains(&i) {
             Outcome::Refused
-        } else if self.state_link.holds(i, ticket) {
+        } else if self.state_link.holds_back(i, ticket) {
             self.state_link.held_commits.push(commit.clone());
             Outcome::Unknown
         } else {
