--- a/crates/cherryyard-simulation/tests/common/combinations.rs
+++ b/crates/cherryyard-simulation/tests/common/combinations.rs
@@ -4,6 +4,7 @@
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
+/// A cluster with a guest team, whose tasks run so many seconds.
 pub fn cluster(limit: f64, run_s: f64) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
@@ -21,12 +22,14 @@
     w
 }
 
+/// A job by number, of this shape and so many tasks.
 pub fn job(number: u64, shape: &str, task_count: u32) -> JobSpec {
     let mut spec = World::spec(&format!("j-{number:06}"), shape, task_count);
     spec.expected_s = 4.0;
     spec
 }
 
+/// Ends all faults; nothing may be wrong after time to recover.
 pub fn whole(w: &mut World, users: &mut Users, state: &str) {
     let wrong = users.see_out(w);
     if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
--- /dev/null
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -0,0 +1,66 @@
+//! Clusters of fifteen machines for two and more faults at once, and how such a scenario
+//! ends.
+
+use cherryyard_simulation::{Setup, Users, World};
+use cherryyard_wire::job::JobSpec;
+
+/// A cluster without further teams, whose tasks run so many seconds.
+pub fn cluster(seconds: f64) -> World {
+    cluster_of(seconds, Vec::new(), vec!["a", "b", "c"])
+}
+
+/// The same with further teams, and controllers in these zones.
+pub fn cluster_of(
+    seconds: f64,
+    teams: Vec<(&'static str, f64, f64)>,
+    zones: Vec<&'static str>,
+) -> World {
+    let mut w = World::new(Setup {
+        zones,
+        machines: vec![("a", 5), ("b", 5), ("c", 5)],
+        write_rps: 60.0,
+        limit: 48.0,
+        teams,
+        ..Setup::default()
+    });
+    for worker in w.workers.values_mut() {
+        worker.run_ms = seconds * 1000.0;
+    }
+    w.run(6.0);
+    w
+}
+
+/// An array of so many tasks.
+pub fn sweep(job: u64, task_count: u32) -> JobSpec {
+    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
+    spec.expected_s = 10.0;
+    spec
+}
+
+/// Nothing fails any more; the scenario is judged after time to recover.
+pub fn end(w: &mut World, users: &mut Users, state: &str) {
+    let wrong = users.see_out(w);
+    if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
+        println!("{}", w.trace.join("\n"));
+    }
+    assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
+    if w.limit_of("guests") == w.limit_of("team") {
+        assert!(
+            w.checker.most_cores <= 48.0,
+            "{state}: {} cores",
+            w.checker.most_cores
+        );
+    }
+    if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
+        for i in 0..3 {
+            for j in 1..5 {
+                println!("{:?}", w.view(i, &format!("j-{j:06}")));
+            }
+        }
+        println!("{}", w.trace.join("\n"));
+        for p in w.state.pairs() {
+            println!("{} {}", p.key, p.v.text());
+        }
+    }
+    assert!(wrong.is_empty(), "{state}: {wrong:?}");
+}
--- a/crates/cherryyard-simulation/tests/common/gap.rs
+++ b/crates/cherryyard-simulation/tests/common/gap.rs
@@ -2,6 +2,7 @@
 
 use cherryyard_simulation::{Setup, World};
 
+/// A job's id.
 pub fn id(job: usize) -> String {
     format!("j-{job:06}")
 }
@@ -23,13 +24,12 @@
     (w, leader)
 }
 
+/// Who leads.
 pub fn leader(w: &World) -> Option<usize> {
-    let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
-    w.controllers
-        .iter()
-        .position(|n| n.as_ref().is_some_and(leads))
+    w.leader()
 }
 
+/// No rule has been broken.
 pub fn whole(w: &World, state: &str) {
     assert!(
         w.broken.is_empty(),
@@ -39,7 +39,7 @@
     );
 }
 
-/// Everybody is refused for 63 s; then everything works.
+/// Everybody is refused for so many seconds; then everything works.
 pub fn outage(w: &mut World, seconds: f64) {
     w.say("the state service refuses everybody");
     w.state_link.refused = [0, 1, 2].into();
--- a/crates/cherryyard-simulation/tests/common/mod.rs
+++ b/crates/cherryyard-simulation/tests/common/mod.rs
@@ -6,6 +6,7 @@
 )]
 
 pub mod combinations;
+pub mod concurrent;
 pub mod gap;
 pub mod pipelines;
 pub mod settled;
--- a/crates/cherryyard-simulation/tests/common/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/common/pipelines.rs
@@ -3,6 +3,7 @@
 use cherryyard_simulation::{Question, Response, Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus};
 
+/// A cluster of twelve machines whose tasks run so many seconds.
 pub fn cluster(seconds: f64) -> World {
     cluster_of(
         seconds,
@@ -14,6 +15,7 @@
     )
 }
 
+/// A cluster that accepts jobs that wait for others.
 pub fn cluster_of(seconds: f64, setup: Setup) -> World {
     let mut w = World::new(setup);
     for worker in w.workers.values_mut() {
@@ -28,10 +30,12 @@
     w
 }
 
+/// A job's id.
 pub fn id(job: u64) -> String {
     format!("j-{job:06}")
 }
 
+/// An array of so many tasks that waits for these jobs.
 pub fn sweep(job: u64, task_count: u32, needs: &[u64]) -> JobSpec {
     let mut spec = World::spec(&id(job), "sweep", task_count);
     spec.waits_on = needs.iter().copied().map(id).collect();
@@ -53,12 +57,14 @@
     assert!(taken, "{}: {response:?}", spec.id);
 }
 
+/// Asks a controller once and waits for the answer.
 pub fn ask(w: &mut World, i: usize, id: &str, question: Question) -> Response {
     let request = w.ask_once(i, id, question);
     w.run_until(6.0, |w| w.requests.answers.contains_key(&request));
     w.requests.answers[&request].clone()
 }
 
+/// Cancels a job, which must be confirmed at once.
 pub fn cancel(w: &mut World, i: usize, id: &str) {
     let response = ask(w, i, id, Question::Cancel);
     assert_eq!(
@@ -68,6 +74,7 @@
     );
 }
 
+/// The status in an answer.
 pub fn status(response: &Response) -> Option<JobStatus> {
     match response {
         Response::View(view) => Some(view.status),
@@ -75,11 +82,13 @@
     }
 }
 
+/// A job's status by a poll.
 pub fn status_at(w: &mut World, i: usize, job: u64) -> Option<JobStatus> {
     let response = ask(w, i, &id(job), Question::Poll);
     status(&response)
 }
 
+/// No rule has been broken.
 pub fn whole(w: &World) {
     assert!(
         w.broken.is_empty(),
--- a/crates/cherryyard-simulation/tests/common/settled.rs
+++ b/crates/cherryyard-simulation/tests/common/settled.rs
@@ -21,6 +21,7 @@
         .collect()
 }
 
+/// The trace's lines of a task's starts.
 pub fn starts(w: &World, task_name: &str) -> Vec<String> {
     let needle = format!("starts {task_name} ");
     w.trace
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -1,75 +1,20 @@
-//! Two faults at once: the combinations that broke schedulers, each by itself, and every
-//! pair of faults within each other's span. `docs/restart.md` has the table of
-//! combinations and tests; the gap and late transactions have files of their own.
+//! Two faults at once: the combinations that broke schedulers, each by itself.
+//! `docs/restart.md` has the table of combinations and tests; the gap, late transactions and
+//! random scenarios have files of their own.
 
-use cherryyard_simulation::fault::{NEWER, OLDER, leader};
-use cherryyard_simulation::{Fault, Question, Setup, Users, World, draws, play_seeds};
-use cherryyard_wire::job::{JobSpec, JobStatus, Shape};
-use std::collections::BTreeSet;
-
-fn cluster(seconds: f64) -> World {
-    cluster_of(seconds, Vec::new(), vec!["a", "b", "c"])
-}
-
-fn cluster_of(
-    seconds: f64,
-    teams: Vec<(&'static str, f64, f64)>,
-    zones: Vec<&'static str>,
-) -> World {
-    let mut w = World::new(Setup {
-        zones,
-        machines: vec![("a", 5), ("b", 5), ("c", 5)],
-        write_rps: 60.0,
-        limit: 48.0,
-        teams,
-        ..Setup::default()
-    });
-    for worker in w.workers.values_mut() {
-        worker.run_ms = seconds * 1000.0;
-    }
-    w.run(6.0);
-    w
-}
+mod common;
 
-fn sweep(job: u64, task_count: u32) -> JobSpec {
-    let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
-    spec.expected_s = 10.0;
-    spec
-}
+use cherryyard_simulation::fault::leader;
+use cherryyard_simulation::{Users, World};
+use cherryyard_wire::job::JobStatus;
+use common::concurrent::{cluster, end, sweep};
+use std::collections::BTreeSet;
 
 fn starts(w: &World, task_name: &str) -> usize {
     let needle = format!("starts {task_name} ");
     w.trace.iter().filter(|l| l.contains(&needle)).count()
 }
 
-/// Nothing fails any more; the scenario is judged after time to recover.
-fn end(w: &mut World, users: &mut Users, state: &str) {
-    let wrong = users.see_out(w);
-    if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
-        println!("{}", w.trace.join("\n"));
-    }
-    assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
-    if w.limit_of("guests") == w.limit_of("team") {
-        assert!(
-            w.checker.most_cores <= 48.0,
-            "{state}: {} cores",
-            w.checker.most_cores
-        );
-    }
-    if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
-        for i in 0..3 {
-            for j in 1..5 {
-                println!("{:?}", w.view(i, &format!("j-{j:06}")));
-            }
-        }
-        println!("{}", w.trace.join("\n"));
-        for p in w.state.pairs() {
-            println!("{} {}", p.key, p.v.text());
-        }
-    }
-    assert!(wrong.is_empty(), "{state}: {wrong:?}");
-}
-
 /// Controllers hand over and back, all end, and one returns, within 0, 50, 500 and 1000
 /// ms, at every other step of a home's asking for its shard.
 #[test]
@@ -363,154 +308,3 @@
         end(&mut w, &mut users, &format!("{late_ms} ms"));
     }
 }
-
-/// A pair of faults that begin and end within each other's span, one after the other,
-/// while users submit, cancel, repeat and poll at every controller.
-fn scenario(seed: u64, faults: &[Fault], at_once: usize) {
-    scenario_of(seed, faults, at_once, vec!["a", "b", "c"]);
-}
-
-fn scenario_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
-    let mut draw = draws(seed);
-    let seconds = 4.0 + draw(12) as f64;
-    // With the newer faults users' requests come as in the program, and a guest team is
-    // at its limit.
-    let newer = faults.len() > OLDER.len();
-    let mut w = match newer {
-        false => cluster(seconds),
-        true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
-    };
-    w.requests.seed(seed);
-    w.cloud.list_every_ms = newer.then_some(5000.0);
-    w.seed_late(seed);
-    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
-    let mut users = Users::default();
-    let mut job = 100;
-    let mut open: Vec<String> = Vec::new();
-    let mut some = |w: &mut World, users: &mut Users, draw: &mut dyn FnMut(u64) -> u64| {
-        for _ in 0..draw(4) {
-            job += 1;
-            let mut spec = sweep(job, [1, 2, 3, 10][draw(4) as usize]);
-            if draw(5) == 0 {
-                spec = World::spec(&spec.id, "service", 2);
-            }
-            spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
-            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
-            let at = draw(3) as usize;
-            if newer && spec.shape == Shape::Array && draw(4) == 0 {
-                spec.team = "guests".into();
-            }
-            if newer && draw(2) == 0 {
-                w.submit_at(at, &spec);
-            } else {
-                users.ask(w, at, &spec);
-            }
-            if draw(6) == 0 {
-                // A repeated submission.
-                users.ask(w, (at + 1) % 3, &spec);
-            }
-            open.push(spec.id.clone());
-        }
-        for _ in 0..draw(3) {
-            if !open.is_empty() {
-                let id = open.swap_remove(draw(open.len() as u64) as usize);
-                if newer && draw(2) == 0 {
-                    w.insist(draw(3) as usize, &id, Question::Cancel);
-                } else {
-                    users.ask_cancel(w, draw(3) as usize, &id);
-                }
-            }
-        }
-    };
-    for _ in 0..3 {
-        // The pairs come in turn, so that so many seeds have them all.
-        let (pair, all) = (seed * 3 + draw(3), faults.len() as u64);
-        let fault = |n: u64| faults[(n % all) as usize];
-        let (first, second) = (fault(pair), fault(pair / all));
-        some(&mut w, &mut users, &mut draw);
-        users.run(&mut w, 3.0);
-        w.say(format!("begin {first:?}"));
-        first.begin(&mut w, &mut draw);
-        w.run(draw(80) as f64 / 20.0);
-        some(&mut w, &mut users, &mut draw);
-        let third = (at_once > 2).then(|| fault(draw(all)));
-        for next in [Some(second), third].into_iter().flatten() {
-            w.say(format!("begin {next:?}"));
-            next.begin(&mut w, &mut draw);
-        }
-        for _ in 0..2 {
-            some(&mut w, &mut users, &mut draw);
-            let long = [2, 12, 60][draw(3) as usize];
-            users.run(&mut w, 0.5 + draw(long * 2) as f64 / 2.0);
-        }
-        let order = [[first, second], [second, first]][draw(2) as usize];
-        w.say(format!("finish {:?}", order[0]));
-        order[0].finish(&mut w);
-        w.run(draw(60) as f64 / 20.0);
-        some(&mut w, &mut users, &mut draw);
-        users.run(&mut w, draw(16) as f64 / 2.0);
-        for last in [Some(order[1]), third].into_iter().flatten() {
-            w.say(format!("finish {last:?}"));
-            last.finish(&mut w);
-        }
-        users.run(&mut w, draw(20) as f64);
-        w.list_machines();
-    }
-    end(&mut w, &mut users, &format!("seed {seed}"));
-}
-
-#[test]
-fn random_pairs() {
-    (0..24).for_each(|seed| scenario(seed, &OLDER, 2));
-}
-
-/// All faults, the newer ones first.
-fn every() -> Vec<Fault> {
-    NEWER.into_iter().chain(OLDER).collect()
-}
-
-#[test]
-fn random_pairs_with_the_newer_troubles() {
-    (0..24).for_each(|seed| scenario(seed, &every(), 2));
-}
-
-#[test]
-fn random_threes() {
-    (0..12).for_each(|seed| scenario(seed, &every(), 3));
-}
-
-/// With six controllers, two of them in each zone.
-const SIX: [&str; 6] = ["a", "b", "c", "a", "b", "c"];
-
-#[test]
-fn random_threes_of_six_controllers() {
-    (0..8).for_each(|seed| scenario_of(seed, &every(), 3, SIX.to_vec()));
-}
-
-/// By hand; `SEEDS` and `FROM` choose which.
-#[test]
-#[ignore = "minutes"]
-fn random_pairs_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &OLDER, 2));
-}
-
-/// The same with all faults, two and three at once.
-#[test]
-#[ignore = "minutes"]
-fn random_pairs_of_all_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &every(), 2));
-}
-
-#[test]
-#[ignore = "minutes"]
-fn random_threes_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &every(), 3));
-}
-
-#[test]
-#[ignore = "minutes"]
-fn random_threes_of_six_by_the_thousand() {
-    play_seeds(24, 1000, |seed| {
-        scenario_of(seed, &every(), 3, SIX.to_vec())
-    });
-}
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -98,8 +98,8 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// Connections between controllers are refused, and all else works: the leader_index
-/// stays where it is (it went round among all, every few seconds), and a job is
+/// Connections between controllers are refused, and all else works: the leader
+/// stays who it is (it went round among all, every few seconds), and a job is
 /// still divided over all shards by what the cloud lists and what is assigned (the
 /// leader's own shard got everything).
 #[test]
@@ -135,17 +135,17 @@
     w.cancel(0, "j-000003");
     w.run(10.0);
     let whole = &w.controllers[0].as_ref().unwrap().mirror;
-    let mut task_count = Mirror::new(&w.controllers[0].as_ref().unwrap().config);
+    let mut mirror = Mirror::new(&w.controllers[0].as_ref().unwrap().config);
     let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
-    task_count.begin_load();
+    mirror.begin_load();
     for some in pairs.chunks(2) {
-        task_count.load_some(some);
-        assert!(!task_count.loaded && task_count.store_revision == 0);
+        mirror.load_some(some);
+        assert!(!mirror.loaded && mirror.store_revision == 0);
     }
-    task_count.end_load(store_revision);
-    assert!(task_count.loaded && task_count.store_revision == store_revision);
+    mirror.end_load(store_revision);
+    assert!(mirror.loaded && mirror.store_revision == store_revision);
     for job in 1..=9 {
-        assert_eq!(task_count.view(job), whole.view(job), "{job}");
+        assert_eq!(mirror.view(job), whole.view(job), "{job}");
     }
     // Read again after the page of jobs was deleted; then one in which it is newer.
     let newest = pairs
@@ -153,29 +153,29 @@
         .find(|p| p.key == admission_log_key(0))
         .unwrap()
         .revision;
-    task_count.begin_load();
+    mirror.begin_load();
     for some in pairs.chunks(2) {
         let left: Vec<_> = some
             .iter()
             .filter(|p| p.key != admission_log_key(0))
             .cloned()
             .collect();
-        task_count.load_some(&left);
+        mirror.load_some(&left);
     }
-    assert!(task_count.view(5).is_some());
-    task_count.end_load(store_revision);
-    assert!(task_count.view(5).is_none() && task_count.view(8).is_none());
-    task_count.begin_load();
-    task_count.load_some(&pairs);
-    task_count.end_load(store_revision);
-    task_count.begin_load();
+    assert!(mirror.view(5).is_some());
+    mirror.end_load(store_revision);
+    assert!(mirror.view(5).is_none() && mirror.view(8).is_none());
+    mirror.begin_load();
+    mirror.load_some(&pairs);
+    mirror.end_load(store_revision);
+    mirror.begin_load();
     let old: Vec<_> = pairs
         .iter()
         .filter(|p| p.revision < newest)
         .cloned()
         .collect();
-    task_count.load_some(&old);
-    task_count.store_revision = newest - 1;
-    task_count.end_load(newest - 1);
-    assert!(task_count.view(8).is_some());
+    mirror.load_some(&old);
+    mirror.store_revision = newest - 1;
+    mirror.end_load(newest - 1);
+    assert!(mirror.view(8).is_some());
 }
