--- a/crates/cherryyard-simulation/src/world/checker.rs
+++ b/crates/cherryyard-simulation/src/world/checker.rs
@@ -84,7 +84,7 @@
     }
 
     /// Notes that a rule is broken.
-    pub(super) fn breaks(&mut self, text: String) {
+    pub(super) fn note_violation(&mut self, text: String) {
         if !self.broken.contains(&text) {
             self.say(&text);
             self.broken.push(text);
@@ -116,7 +116,7 @@
             self.note_completed(task_name);
         }
         for text in observed.doubled.into_iter().chain(observed.overdue) {
-            self.breaks(text);
+            self.note_violation(text);
         }
         for attempt in observed.started {
             self.check_start(&attempt.task_name, &attempt.machine);
@@ -169,7 +169,7 @@
         for (team, cores) in self.cores_by_team() {
             let limit = self.limit_of(&team);
             if limit > 0.0 && cores > limit + 1e-6 {
-                self.breaks(format!("{team} uses {cores} of {limit} cores"));
+                self.note_violation(format!("{team} uses {cores} of {limit} cores"));
             }
         }
     }
@@ -195,7 +195,7 @@
             return;
         };
         if let Some(wrong) = wrong_placement(spec, worker, &self.zones_of(id)) {
-            self.breaks(format!("{task_name} starts on {machine}: wrong {wrong}"));
+            self.note_violation(format!("{task_name} starts on {machine}: wrong {wrong}"));
         }
     }
 
--- a/crates/cherryyard-simulation/src/world/pipelines.rs
+++ b/crates/cherryyard-simulation/src/world/pipelines.rs
@@ -57,7 +57,7 @@
     /// Notes a start of a task before all jobs that its job needs are done.
     pub(super) fn check_needs(&mut self, id: &str, task_name: &str) {
         if !self.needs_are_complete(id) {
-            self.breaks(format!(
+            self.note_violation(format!(
                 "{task_name} starts before all that it needs is done"
             ));
         }
--- a/crates/cherryyard-simulation/src/world/requests/judge.rs
+++ b/crates/cherryyard-simulation/src/world/requests/judge.rs
@@ -22,7 +22,7 @@
         wrong.extend(self.wrong_status(request, response));
         wrong.extend(two_ends(&known, response));
         for text in wrong {
-            self.breaks(format!("{id}: {text}"));
+            self.note_violation(format!("{id}: {text}"));
         }
         if response.age().is_some() {
             self.note_answer(id, &known, moment, response);
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -77,7 +77,7 @@
 
 /// What makes a controller's work change hands.
 #[derive(Clone, Copy, Debug)]
-enum WatchEvent {
+enum HandOver {
     Ends,
     Deaf,
     Refused,
@@ -90,10 +90,10 @@
 #[test]
 fn cancelled_while_work_changes_hands() {
     for change in [
-        WatchEvent::Ends,
-        WatchEvent::Deaf,
-        WatchEvent::Refused,
-        WatchEvent::Back,
+        HandOver::Ends,
+        HandOver::Deaf,
+        HandOver::Refused,
+        HandOver::Back,
     ] {
         for step in (0..60).step_by(7) {
             for at in 0..3 {
@@ -105,7 +105,7 @@
                 }
                 users.run(&mut w, 6.0);
                 let i = 1;
-                if matches!(change, WatchEvent::Back) {
+                if matches!(change, HandOver::Back) {
                     w.kill(i);
                     users.run(&mut w, 8.0);
                     w.start(i);
@@ -118,10 +118,10 @@
                 users.submit(&mut w, &job(4, "service", 8));
                 w.run(0.4);
                 match change {
-                    WatchEvent::Ends => w.kill(i),
-                    WatchEvent::Deaf => drop(w.network.cut_from_workers.insert(i)),
-                    WatchEvent::Refused => drop(w.state_link.refused.insert(i)),
-                    WatchEvent::Back => {}
+                    HandOver::Ends => w.kill(i),
+                    HandOver::Deaf => drop(w.network.cut_from_workers.insert(i)),
+                    HandOver::Refused => drop(w.state_link.refused.insert(i)),
+                    HandOver::Back => {}
                 }
                 w.run(f64::from(step) * 0.15);
                 w.insist(at, "j-000001", Question::Cancel);
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -107,7 +107,7 @@
     let mut w = settled(Setup::default());
     w.list_machines();
     w.run(5.0);
-    let leader_index = w.state.get("c/lead").unwrap().1;
+    let leadership = w.state.get("c/lead").unwrap().1;
     w.network.isolated.extend([0, 1, 2]);
     w.run(20.0);
     w.list_machines();
@@ -116,8 +116,8 @@
     w.run(3.0);
     assert_eq!(
         w.state.get("c/lead").unwrap().1,
-        leader_index,
-        "the leader_index moved"
+        leadership,
+        "the lead moved"
     );
     assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty(), "{:?}", w.broken);
