--- a/crates/cherryyard-simulation/src/world/checker.rs
+++ b/crates/cherryyard-simulation/src/world/checker.rs
@@ -24,7 +24,7 @@
     /// Submitted services: their tasks end only with their jobs.
     pub(super) services: BTreeSet<String>,
     /// Attempts that have been seen on a machine.
-    seen: BTreeSet<Attempt>,
+    known_attempts: BTreeSet<Attempt>,
     /// Jobs of which all tasks have completed, until they have been taken note of.
     ended: Vec<String>,
     /// Starts after their jobs' users had been told that they are cancelled.
@@ -84,7 +84,7 @@
     }
 
     /// Notes that a rule is broken.
-    pub(super) fn breaks(&mut self, text: String) {
+    pub(super) fn note_violation(&mut self, text: String) {
         if !self.broken.contains(&text) {
             self.say(&text);
             self.broken.push(text);
@@ -116,11 +116,11 @@
             self.note_completed(task_name);
         }
         for text in observed.doubled.into_iter().chain(observed.overdue) {
-            self.breaks(text);
+            self.note_violation(text);
         }
         for attempt in observed.started {
             self.check_start(&attempt.task_name, &attempt.machine);
-            self.checker.seen.insert(attempt);
+            self.checker.known_attempts.insert(attempt);
         }
         self.check_limits();
         self.note_cores(&observed.running);
@@ -149,7 +149,7 @@
                     number: task.attempt,
                     machine: worker.host.clone(),
                 };
-                if !self.checker.seen.contains(&attempt) {
+                if !self.checker.known_attempts.contains(&attempt) {
                     observed.started.push(attempt);
                 }
             }
@@ -169,7 +169,7 @@
         for (team, cores) in self.cores_by_team() {
             let limit = self.limit_of(&team);
             if limit > 0.0 && cores > limit + 1e-6 {
-                self.breaks(format!("{team} uses {cores} of {limit} cores"));
+                self.note_violation(format!("{team} uses {cores} of {limit} cores"));
             }
         }
     }
@@ -195,7 +195,7 @@
             return;
         };
         if let Some(wrong) = wrong_placement(spec, worker, &self.zones_of(id)) {
-            self.breaks(format!("{task_name} starts on {machine}: wrong {wrong}"));
+            self.note_violation(format!("{task_name} starts on {machine}: wrong {wrong}"));
         }
     }
 
