--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -179,7 +179,7 @@
         let sum = &mut self.sum;
         self.ran.retain(|&(task, attempt), &mut (seconds, cores)| {
             let (job, number) = task;
-            let here = mirror.assignments.get(&(shard_id, job));
+            let here = mirror.tasks.assignments.get(&(shard_id, job));
             let assigned = here.and_then(|here| here.assignments.get(&number));
             if assigned.is_some_and(|(assignment, _)| assignment.attempt == attempt) {
                 return true;
@@ -248,7 +248,7 @@
     }
 
     fn begin_sample(&self, shard_id: usize, now: Millis, seconds: f64) -> Sample<'_> {
-        let waiting = self.mirror.waiting[shard_id].keys();
+        let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| Some((*job, self.mirror.open.get(job)?)));
         let others = (0..self.shards.len()).filter(|&other| other != shard_id);
         let wanted_by_others = others.map(|other| self.wanted(other)).sum::<f64>();
@@ -312,7 +312,7 @@
 
     /// Cores that the waiting tasks of a shard take.
     fn wanted(&self, shard_id: usize) -> f64 {
-        let waiting = self.mirror.waiting[shard_id].iter();
+        let waiting = self.mirror.tasks.waiting[shard_id].iter();
         let cores = waiting.filter_map(|(job, set)| {
             let open = self.mirror.open.get(job)?;
             Some(f64::from(set.len()) * open.spec.cores)
--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -151,7 +151,7 @@
     fn calm(&self) -> bool {
         let overdue =
             self.mirror.ended_count() > OVERDUE_BATCHES * self.config.tuning.history_batch;
-        let waits = self.mirror.waiting.iter().any(|w| !w.is_empty());
+        let waits = self.mirror.tasks.waiting.iter().any(|w| !w.is_empty());
         overdue || !waits && self.mirror.undivided.is_empty()
     }
 
@@ -175,7 +175,7 @@
                     .map(|(job, e)| FinishedJob {
                         job,
                         end: e.end,
-                        done: if e.end == End::Done { e.n } else { 0 },
+                        done: if e.end == End::Done { e.task_count } else { 0 },
                         day,
                     })
                     .collect();
@@ -315,8 +315,8 @@
             open: self.mirror.open.len(),
             recent: self.mirror.ended_count(),
             to_move: self.mirror.own_ends().count(),
-            packed: record.n[0] + record.n[1],
-            runs: record.n,
+            packed: record.jobs_in_runs[0] + record.jobs_in_runs[1],
+            runs: record.jobs_in_runs,
             generation: record.generation(),
             spilling: record.spilling,
             buckets: self.mirror.bucket_count(),
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -73,11 +73,7 @@
 
     /// Services that their shards would rather see elsewhere.
     fn handed_over(&self) -> HashSet<(usize, u64)> {
-        let told = self
-            .peers
-            .iter()
-            .flatten()
-            .flat_map(|s| &s.heartbeat.handing);
+        let told = self.peers.iter().flat_map(|s| &s.heartbeat.handing);
         let ours = self.shards.iter().enumerate();
         let ours = ours
             .flat_map(|(shard_id, shard)| shard.handing.iter().map(move |&job| (shard_id, job)));
@@ -107,7 +103,7 @@
             match self.leader.ownerless.get(&shard_id) {
                 // Nobody reports for the shard, so nobody starts its numbers.
                 Some(&since) if now - since >= delay * 1000.0 => {
-                    self.mirror.waiting[shard_id]
+                    self.mirror.tasks.waiting[shard_id]
                         .keys()
                         .for_each(|&job| add(job));
                 }
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -229,8 +229,8 @@
     pub fn end_of_dependent(&self, job: u64) -> Option<JobRecord> {
         let cancelled_with = self.cancelled_with(job)?;
         let mut record = self.open.get(&job)?.ended(End::Cancelled);
-        if let JobRecord::Ended { by, .. } = &mut record {
-            *by = Some(cancelled_with);
+        if let JobRecord::Ended { cancelled_by, .. } = &mut record {
+            *cancelled_by = Some(cancelled_with);
         }
         Some(record)
     }
@@ -257,10 +257,7 @@
                 }
                 open.urgency = urgency;
             }
-            let shards = (0..self.shards.len())
-                .filter(|&shard_id| self.waiting[shard_id].contains_key(&job));
-            self.waiting_changes
-                .extend(shards.map(|shard_id| (shard_id, job)));
+            self.tasks.note_waiting_change(job);
             pending.extend(needs);
         }
     }
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -96,7 +96,7 @@
             if !self.fits(1, 1) || self.bytes() + self.page_bytes > TXN_BYTES {
                 return None;
             }
-            let stored = mirror.pages[self.shard].get(&number);
+            let stored = mirror.tasks.pages[self.shard].get(&number);
             let mut page = stored.cloned().unwrap_or_default();
             page.jobs
                 .retain(|&job, here| mirror.end(job).is_none() || !here.assignments.is_empty());
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -113,7 +113,7 @@
         if open.is_none_or(|open| open.caps.is_empty()) {
             return counts;
         }
-        if let Some(here) = self.mirror.assignments.get(&(shard_id, job)) {
+        if let Some(here) = self.mirror.tasks.assignments.get(&(shard_id, job)) {
             for (&number, (assignment, _)) in &here.assignments {
                 if !cycle.gone.contains(&(job, number)) {
                     self.count_zone(assignment.host, &mut counts);
--- a/crates/cherryyard-core/src/owner/job_ends.rs
+++ b/crates/cherryyard-core/src/owner/job_ends.rs
@@ -25,7 +25,7 @@
         for &job in &self.mirror.complete {
             let first = (0..self.shards.len()).find(|&shard| {
                 self.mirror.shards[shard].is_some()
-                    && self.mirror.assignments.contains_key(&(shard, job))
+                    && self.mirror.tasks.assignments.contains_key(&(shard, job))
             });
             if first == Some(shard_id) {
                 cycle.end(job);
--- a/crates/cherryyard-core/src/owner/preemptible.rs
+++ b/crates/cherryyard-core/src/owner/preemptible.rs
@@ -81,6 +81,7 @@
         let mut teams_beyond_guarantee = BTreeSet::new();
         let assigned = self
             .mirror
+            .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX));
         for (&(_, job), here) in assigned {
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -63,6 +63,7 @@
         let mut held = vec![Needs::default(); self.config.teams.len()];
         let assigned = self
             .mirror
+            .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX));
         for (&(_, job), here) in assigned {
@@ -95,7 +96,7 @@
 
     /// What one more of a team's waiting tasks takes in a shard, at least.
     pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
-        let waiting = self.mirror.waiting[shard_id].keys();
+        let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
         let of_team = open.filter(|open| open.team as usize == team);
         of_team.map(OpenJob::needs).reduce(|a, b| Needs {
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -4,6 +4,7 @@
 mod queries;
 
 use crate::Millis;
+use crate::config::MAX_MACHINES;
 use crate::controller::Controller;
 use crate::effects::{Effect, PushOutcome, Reply};
 use crate::machine::{Freshness, Machine, MachineState};
@@ -18,9 +19,6 @@
 
 /// Status queries to machines under way at once.
 const MAX_QUERIES: usize = 16;
-/// Machines that a controller keeps: of its own shards, and as many of other controllers'.
-/// It bounds the memory that heartbeats can take; the largest fleets have some 4,000.
-pub const MAX_MACHINES: usize = 20_000;
 /// Longest name of a machine that is taken, in bytes.
 const MAX_HOST_NAME: usize = 100;
 /// Time before commands are sent again of which the last could not be sent.
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -40,7 +40,7 @@
         now: Millis,
     ) {
         self.notice(now);
-        self.note_misdirected_answer(host, answer.is_some());
+        self.misdirected.queried(host, answer.is_some());
         let newest_attempt = self.mirror.store_revision.max(self.newest_revision) + 1;
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
@@ -65,14 +65,4 @@
             self.after_message(host, now);
         }
     }
-
-    /// Takes whether a machine has answered, if it was queried as a misdirected worker.
-    fn note_misdirected_answer(&mut self, host: u32, has_answered: bool) {
-        for (&(_, misdirected), worker) in &mut self.misdirected {
-            if misdirected == host && worker.query_pending {
-                worker.query_pending = false;
-                worker.is_reachable = has_answered;
-            }
-        }
-    }
 }
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -14,7 +14,7 @@
 mod split;
 mod transaction;
 
-pub use phase::Phase;
+pub use phase::{Batch, Phase};
 pub use transaction::{Precondition, ReadFailed, Step, StoredLeaf, StoredLeafKey, Transaction};
 
 use crate::leaf::{FinishedJob, Leaf};
@@ -38,17 +38,6 @@
     pub keep_days: u32,
 }
 
-/// Finished jobs that are archived together.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Batch {
-    /// The generation whose ends, and those of all before, are in the batch.
-    pub generation: u64,
-    /// The revision up to which ends in records of their own are in the batch.
-    pub revision: u64,
-    /// The jobs, sorted by number.
-    pub jobs: Vec<FinishedJob>,
-}
-
 /// What a transaction of the compactor brings about when it is applied.
 #[derive(Clone, Debug)]
 enum Completion {
@@ -213,7 +202,7 @@
         let mut record = self.record;
         record.gen_done = record.gen_done.max(batch.generation);
         record.own = record.own.max(batch.revision);
-        record.spilling = record.n[0] > self.limits.small_run;
+        record.spilling = record.jobs_in_runs[0] > self.limits.small_run;
         record
     }
 
@@ -248,7 +237,7 @@
     /// Prepares the record that says that the small run is empty.
     fn prepare_emptied(&mut self) {
         let mut record = self.record;
-        record.n = [0, record.n[0] + record.n[1]];
+        record.jobs_in_runs = [0, record.jobs_in_runs[0] + record.jobs_in_runs[1]];
         record.spilling = false;
         let transaction = Transaction::of_record(record);
         self.operation = Operation::Prepared(transaction, Completion::Emptied(record));
@@ -365,7 +354,7 @@
             Completion::Archived(count) => {
                 // Jobs that are there already were written by a leader that stopped
                 // before it could count them.
-                self.record.n[0] += count as u64;
+                self.record.jobs_in_runs[0] += count as u64;
                 self.change(Event::Archived(count));
             }
             Completion::Compacted(count) => self.change(Event::Compacted(count)),
--- a/crates/cherryyard-history/src/leaf/tests.rs
+++ b/crates/cherryyard-history/src/leaf/tests.rs
@@ -1,6 +1,7 @@
 use super::codec::FRAME;
 use super::*;
 use cherryyard_wire::history::{LAST, LeafRecord};
+use cherryyard_wire::record::End;
 use proptest::prelude::*;
 
 fn past() -> impl Strategy<Value = FinishedJob> {
@@ -26,7 +27,7 @@
         let leaf = Leaf::new(old.clone());
         let record = leaf.to_record();
         prop_assert_eq!(Leaf::from_record(&record).unwrap(), leaf.clone());
-        let json = record.b.len() + FRAME;
+        let json = record.base64.len() + FRAME;
         prop_assert!(json <= Leaf::size(leaf.jobs()) + 4);
         let new = Leaf::new(new);
         let pieces = leaf.merged_with(new.jobs(), 0, most);
@@ -52,7 +53,7 @@
     /// No record that is damaged does more than fail.
     #[test]
     fn damaged_records_are_refused(n in 0u32..5000, b in "[A-Za-z0-9+/]{0,200}") {
-        let _ = Leaf::from_record(&LeafRecord { n, b });
+        let _ = Leaf::from_record(&LeafRecord { job_count: n, base64: b });
     }
 }
 
@@ -67,7 +68,7 @@
     };
     for (gap, most) in [(1, 4.1), (1_000_000_000_000, 11.0)] {
         let leaf = Leaf::new((0..400).map(|i| job(i, gap)).collect());
-        let bytes = leaf.to_record().b.len() as f64 / 400.0;
+        let bytes = leaf.to_record().base64.len() as f64 / 400.0;
         assert!(bytes < most, "{gap}: {bytes}");
     }
     let old = Leaf::new(vec![job(1, 1)]).merged_with(&[job(2, 1)], 20_424, 1000);
--- a/crates/cherryyard-wire/src/history.rs
+++ b/crates/cherryyard-wire/src/history.rs
@@ -45,9 +45,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafRecord {
     /// How many jobs it holds.
-    pub n: u32,
+    #[serde(rename = "n")]
+    pub job_count: u32,
     /// The jobs, in base64; see `cherryyard_history::Leaf`.
-    pub b: String,
+    #[serde(rename = "b")]
+    pub base64: String,
 }
 
 /// How far the history goes: `c/packed`.
@@ -66,8 +68,8 @@
     #[serde(default)]
     pub own: u64,
     /// About how many jobs the small and the large run hold.
-    #[serde(default)]
-    pub n: [u64; 2],
+    #[serde(default, rename = "n")]
+    pub jobs_in_runs: [u64; 2],
     /// Whether the small run is being spilled into the large one.
     #[serde(default)]
     pub spilling: bool,
@@ -92,21 +94,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Keys sort as their ids do, and the first key after an id's is its leaf's.
-    #[test]
-    fn keys_sort_as_ids() {
-        let ids = [0, 1, 9, 10, 999_999, 1_000_000, LAST];
-        let keys: Vec<String> = ids.iter().map(|&id| leaf_key(Level::Large, id)).collect();
-        assert!(keys.is_sorted());
-        for (id, key) in ids.iter().zip(&keys) {
-            assert_eq!(leaf_of_key(Level::Large, key), Some(*id));
-            assert_eq!(leaf_of_key(Level::Small, key), None);
-            assert!(since_key(Level::Large, *id).is_none_or(|since| since < *key));
-        }
-        assert_eq!(since_key(Level::Small, 0), None);
-        assert_eq!(leaf_of_key(Level::Small, "h/1/12"), None);
-    }
-}
+mod tests;
