--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -8,7 +8,7 @@
 
 use crate::Millis;
 use crate::reachability::{Reachability, ReachabilityEvent};
-use cherryyard_wire::cloud::Instance;
+use cherryyard_wire::cloud::{Instance, MachineType};
 use cherryyard_wire::worker::WorkerHeartbeat;
 pub use images::{Image, ImageState};
 pub use messages::Freshness;
@@ -163,6 +163,11 @@
         Self::new(host, shard, &heartbeat, now)
     }
 
+    /// Its type among those of the cloud, if it is known.
+    pub(crate) fn type_in<'a>(&self, machine_types: &'a [MachineType]) -> Option<&'a MachineType> {
+        machine_types.iter().find(|t| t.sku == self.machine_type)
+    }
+
     /// The one place where a machine's state changes.
     pub fn change(&mut self, event: MachineEvent) {
         match event {
--- a/crates/cherryyard-core/src/machine/messages.rs
+++ b/crates/cherryyard-core/src/machine/messages.rs
@@ -52,7 +52,7 @@
 
     /// Direct commands to an older incarnation, or under a lower token than
     /// the worker has seen, can no longer take effect.
-    /// (One that began anew comes from token 0 to the one that they were sent under.)
+    /// (One that has restarted comes from token 0 to the one that they were sent under.)
     fn drop_outdated_starts(&mut self, message: &WorkerHeartbeat) {
         let (incarnation, token) = (message.incarnation, message.fencing_token);
         if incarnation > self.newest.0 || token > self.token {
@@ -93,7 +93,7 @@
 
     /// Takes the answer to a query, which no late copy can be: the connection
     /// was made for it. The worker numbers it after all that it sent before, so one that
-    /// comes before what was known when it was asked is of a worker that began anew:
+    /// comes before what was known when it was asked is of a worker that has restarted:
     /// whatever was started there before, up to `newest_attempt`, is gone with its
     /// process. Only starts sent directly may yet arrive, if the incarnations' numbers agree.
     pub(crate) fn receive_status(
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -25,8 +25,7 @@
 
     /// A machine's whole size, by its type.
     pub(crate) fn whole(&self, machine: &Machine) -> Option<Needs> {
-        let mut machine_types = self.mirror.machine_types.iter();
-        let machine_type = machine_types.find(|t| t.sku == machine.machine_type)?;
+        let machine_type = machine.type_in(&self.mirror.machine_types)?;
         Some(Needs {
             cores: machine_type.cores,
             acc: machine_type.accelerators,
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -168,7 +168,7 @@
     }
 
     /// Whether an assignment that should go is kept by a start whose answer was lost: its job
-    /// is over, or its worker has begun anew since.
+    /// is over, or its worker has restarted since.
     fn is_kept_by_lost_start(&self, task: Task, assignment: &Assignment, now: Millis) -> bool {
         let Some(machine) = self.machines.get(&assignment.host) else {
             return false;
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -166,9 +166,8 @@
         if machine.image(&open.spec.image) == ImageState::Held {
             return 0.0;
         }
-        let machine_type = self.mirror.machine_types.iter();
-        let mut of_machine = machine_type.filter(|t| t.sku == machine.machine_type);
-        let rate = of_machine.next().map_or(0.0, |t| t.fetch_gb_per_s);
+        let machine_type = machine.type_in(&self.mirror.machine_types);
+        let rate = machine_type.map_or(0.0, |t| t.fetch_gb_per_s);
         if rate > 0.0 {
             open.spec.image_gb / rate
         } else {
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -17,8 +17,7 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let mut machine_types = self.mirror.machine_types.iter();
-        let machine_type = machine_types.find(|t| t.sku == machine.machine_type);
+        let machine_type = machine.type_in(&self.mirror.machine_types);
         let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
         for task in tasks {
             if let Some(open) = self.mirror.open.get(&task.0) {
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -197,7 +197,7 @@
         commands
     }
 
-    /// The commands in the answer to a heartbeat of a worker that began anew, or to a copy
+    /// The commands in the answer to a heartbeat of a worker that has restarted, or to a copy
     /// of one that it sent before: it is queried. Starts are sent directly only, as a
     /// heartbeat without the task would not tell that one in the answer to another has not
     /// arrived.
@@ -287,7 +287,7 @@
     Current,
     /// A newer one came before it.
     Stale,
-    /// Its worker began anew, and only direct answers count of it.
+    /// Its worker has restarted, and only direct answers count of it.
     OfRestartedWorker,
 }
 
