--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -7,9 +7,7 @@
 //! released a machine, and one bad array emptied a shard of its machines.
 
 use crate::Millis;
-use crate::controller::Controller;
 use crate::machine::Machine;
-use rand::RngExt;
 use std::collections::BTreeSet;
 
 /// On so many machines a job that never completed anything has to fail to be quarantined.
@@ -130,7 +128,7 @@
 
     /// A task of a job has failed here; `proven` if others of the job completed
     /// elsewhere, else the job itself may be at fault.
-    fn fails(&mut self, job: u64, proven: bool, now: Millis) {
+    pub(super) fn fails(&mut self, job: u64, proven: bool, now: Millis) {
         if proven {
             self.failures += 1;
         } else {
@@ -141,69 +139,12 @@
     }
 
     /// A job has shown to be at fault itself.
-    fn cleared_of(&mut self, job: u64, now: Millis) {
+    pub(super) fn cleared_of(&mut self, job: u64, now: Millis) {
         if self.suspected.remove(&job) && self.failures() == 0 {
             self.avoid_until = self.avoid_until.min(now);
         }
     }
 }
 
-impl Controller {
-    /// A task of a job has completed on a machine: neither is at fault.
-    pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
-        let failures = self.shards[shard_id].job_failures.remove(&job);
-        if failures.is_some_and(|failures| failures.is_quarantined()) {
-            tracing::info!(job, shard = shard_id, "job left quarantine");
-        }
-        if let Some(machine) = self.machines.get_mut(&host) {
-            machine.failures = 0;
-            machine.suspected.clear();
-        }
-    }
-
-    /// A task of a job has failed on a machine.
-    pub(crate) fn note_failed(&mut self, shard_id: usize, job: u64, host: u32, now: Millis) {
-        let proven = self.mirror.done(job) > 0;
-        let jitter = self.rng.random_range(0.0..1.0);
-        let job_failures = &mut self.shards[shard_id].job_failures;
-        let failures = job_failures
-            .entry(job)
-            .or_insert_with(|| JobFailures::new(now));
-        let verdict = if proven && !failures.is_quarantined() {
-            // Others of it have completed: the machine, unless it fails on many.
-            failures.hosts.insert(host);
-            failures.at = now;
-            Verdict::Machine
-        } else {
-            failures.failed(host, jitter, now)
-        };
-        match verdict {
-            Verdict::Machine => {
-                if let Some(machine) = self.machines.get_mut(&host) {
-                    machine.fails(job, proven, now);
-                }
-            }
-            Verdict::JobNow => {
-                let hosts = std::mem::take(&mut failures.hosts);
-                tracing::info!(job, shard = shard_id, "job quarantined");
-                for host in hosts {
-                    if let Some(machine) = self.machines.get_mut(&host) {
-                        machine.cleared_of(job, now);
-                    }
-                }
-            }
-            Verdict::Job => {}
-        }
-    }
-
-    /// Forgets failures long past.
-    pub(crate) fn forget_job_failures(&mut self, shard_id: usize, now: Millis) {
-        let open = &self.mirror.open;
-        self.shards[shard_id]
-            .job_failures
-            .retain(|job, failures| open.contains_key(job) && !failures.past(now));
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -34,6 +34,7 @@
 mod search;
 mod spot_reclaim;
 pub(crate) mod state;
+mod task_ends;
 mod team_limits;
 mod unresponsive;
 
