--- a/crates/cherryyard-core/src/admission/entitlements.rs
+++ b/crates/cherryyard-core/src/admission/entitlements.rs
@@ -206,7 +206,7 @@
     /// is left of the floor where they wait.
     fn divide_floors(&mut self, uses: &[FlowUse], now: Millis) {
         let leader_token = self.mirror.revision(Key::Leader);
-        let may = may_give(self.leader.since, self.state_read_at, now);
+        let may = may_give(self.leader.since, self.state_contact.read_sent_at(), now);
         let next = self.entitlements.number + 1;
         for (f, used) in uses.iter().enumerate() {
             let flow = f as Flow;
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -397,7 +397,7 @@
     }
 
     fn divide_offers(&mut self, next: &mut [Waiting], commit: &mut Commit) {
-        let now = self.clock;
+        let now = self.state_contact.clock();
         let Some(revision) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in next {
                 waiting.offer.open.div = Vec::new();
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -143,7 +143,7 @@
         let kept = self.cancelled.keep(unread, now);
         if mirror.loaded {
             // What a read since then does not show as open is over, or never was.
-            let reported = self.state_read_at;
+            let reported = self.state_contact.read_sent_at();
             self.cancelled.announced.retain(|job, at| {
                 mirror.end(*job).is_none() && (reported <= *at || mirror.open.contains_key(job))
             });
@@ -166,7 +166,7 @@
         let slack = if before.cut { RESTART_MS } else { 0.0 };
         // No gap between what we knew and where the list begins. A read sent in the same
         // moment may have come before.
-        if kept && (from <= before.to + slack || from < self.state_read_at) {
+        if kept && (from <= before.to + slack || from < self.state_contact.read_sent_at()) {
             Covered {
                 contact,
                 to: before.to.max(made),
@@ -248,7 +248,7 @@
         self.peers.other_states().all(|peer| {
             peer.is_some_and(|p| {
                 let contact = p.covered.contact;
-                contact <= p.covered.to || contact < self.state_read_at
+                contact <= p.covered.to || contact < self.state_contact.read_sent_at()
             })
         })
     }
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -11,11 +11,10 @@
 use crate::misdirected_workers::MisdirectedWorkers;
 use crate::owner::state::Shard;
 use crate::peers::Peers;
-use crate::shard_lease::{ShardLease, ShardLeaseEvent};
+use crate::state_contact::StateContact;
 use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
 use cherryyard_wire::cloud::{Instance, MachineType};
-use cherryyard_wire::record::Key;
 use cherryyard_wire::state::{Commit, WatchResponse};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -24,9 +23,6 @@
 /// Silence after which a machine that is not there any more is forgotten: by then
 /// no packet of it is held back.
 const FORGET_MS: f64 = 600_000.0;
-/// Longer gaps between two events mean that this controller stood still: there is
-/// a tick every tenth of a second.
-const STOOD_STILL_MS: f64 = 2000.0;
 
 /// One controller.
 #[derive(Debug)]
@@ -44,12 +40,7 @@
     pub(crate) lease_id: Option<u64>,
     pub(crate) effects: Vec<Effect>,
     pub(crate) rng: StdRng,
-    /// When a request was sent that the state service has answered.
-    pub(crate) state_ok_at: Millis,
-    /// When an answer of the state service last came.
-    pub(crate) state_answered_at: Millis,
-    /// When the newest read of the state was sent.
-    pub(crate) state_read_at: Millis,
+    pub(crate) state_contact: StateContact,
     pub(crate) started_at: Millis,
     pub(crate) reported_at: Millis,
     pub(crate) capacity_changed: bool,
@@ -58,12 +49,6 @@
     pub(crate) listed_at: Millis,
     /// How far behind this controller is with what waits for it.
     pub(crate) lag: EventLoopLag,
-    /// The newest revision known, from the mirror or from our own transactions.
-    pub(crate) newest_revision: u64,
-    /// The time of the event at hand.
-    pub(crate) clock: Millis,
-    /// When this controller last started, or went on after it had stood still.
-    pub(crate) woke_at: Millis,
     /// Workers of others' shards that reported here, by shard and machine.
     pub(crate) misdirected: MisdirectedWorkers,
     /// Users' writes that this controller may make.
@@ -104,9 +89,7 @@
             lease_id: None,
             effects: Vec::new(),
             rng,
-            state_ok_at: f64::NEG_INFINITY,
-            state_answered_at: f64::NEG_INFINITY,
-            state_read_at: f64::NEG_INFINITY,
+            state_contact: StateContact::new(now),
             started_at: now,
             reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
@@ -114,9 +97,6 @@
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
             lag: EventLoopLag::new(now),
-            newest_revision: 0,
-            clock: now,
-            woke_at: now,
             misdirected: MisdirectedWorkers::default(),
             user_write_budget: TokenBucket::new(
                 config.user_writes_per_s / config.shards() as f64,
@@ -145,18 +125,16 @@
     /// was sent since, or a controller that stood still for a minute took all its
     /// machines for silent, and shards long lost for its own.
     pub(crate) fn notice(&mut self, now: Millis) {
-        if now - self.clock > STOOD_STILL_MS {
-            tracing::info!(ms = now - self.clock, "stood still");
-            self.woke_at = now;
+        if let Some(gap) = self.state_contact.advance(now) {
+            tracing::info!(ms = gap, "stood still");
             self.lag.stood_still(now);
             self.effects.push(Effect::Refresh);
         }
-        self.clock = self.clock.max(now);
     }
 
     /// Whether the state has been read since this controller last stood still.
     pub(crate) fn caught_up(&self) -> bool {
-        self.state_read_at >= self.woke_at
+        self.state_contact.caught_up()
     }
 
     /// Ends a full read of the state whose first page was asked for at `sent_at`
@@ -173,16 +151,14 @@
         self.notice(now);
         let changed = !events.events.is_empty();
         self.mirror.events(events);
-        self.state_answered(sent_at, now);
-        self.state_read_at = self.state_read_at.max(sent_at);
+        self.state_contact.read(sent_at, now);
         if changed {
             self.after_state(sent_at, now);
         }
     }
 
     fn after_state(&mut self, sent_at: Millis, now: Millis) {
-        self.state_answered(sent_at, now);
-        self.state_read_at = self.state_read_at.max(sent_at);
+        self.state_contact.read(sent_at, now);
         for text in self.mirror.complaints() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
@@ -194,55 +170,9 @@
         self.run(now);
     }
 
-    fn check_leases(&mut self) {
-        self.adopt_own_leases();
-        for shard_id in 0..self.shards.len() {
-            if let ShardLease::Held(token) | ShardLease::Superseded(token) =
-                self.shards[shard_id].lease
-                && self.mirror.revision(Key::Shard(shard_id)) != token
-            {
-                tracing::info!(shard = shard_id, token, "lost the claim on a part");
-                self.change_shard_lease(shard_id, ShardLeaseEvent::Lost);
-            }
-        }
-        self.leader.check_leadership(&self.mirror);
-    }
-
-    /// The one place through which a shard's standing changes.
-    pub(crate) fn change_shard_lease(&mut self, shard_id: usize, event: ShardLeaseEvent) {
-        let before = self.shards[shard_id].lease;
-        let after = before.after(event);
-        if before == after {
-            return;
-        }
-        self.shards[shard_id].lease = after;
-        match after {
-            ShardLease::NotHeld => {
-                self.machines.retain(|_, m| m.shard != shard_id);
-                self.shards[shard_id].clear();
-            }
-            ShardLease::Held(token) => {
-                tracing::info!(shard = shard_id, token, "own a part");
-                self.shards[shard_id].dirty = true;
-                self.shards[shard_id].owned_since = self.clock;
-                if !matches!(before, ShardLease::Held(_)) {
-                    self.shards[shard_id].held_since = self.clock;
-                }
-                self.queue_all(shard_id, self.clock);
-                self.capacity_changed = true;
-                for m in self.machines.values_mut().filter(|m| m.shard == shard_id) {
-                    m.change(MachineEvent::TokenChanged);
-                }
-                self.effects.push(Effect::Heartbeat);
-            }
-            ShardLease::Acquiring | ShardLease::Superseded(_) => {}
-        }
-    }
-
     /// Notes that the state service has answered a request sent at `sent_at`.
     pub fn state_answered(&mut self, sent_at: Millis, now: Millis) {
-        self.state_ok_at = self.state_ok_at.max(sent_at);
-        self.state_answered_at = self.state_answered_at.max(now);
+        self.state_contact.answered(sent_at, now);
     }
 
     /// Takes the state lease under which leases are made, or its loss.
@@ -265,7 +195,7 @@
 
     /// Whether the state service has answered lately.
     pub fn state_fresh(&self, now: Millis) -> bool {
-        now - self.state_ok_at <= 3000.0 && self.caught_up()
+        self.state_contact.is_fresh(now)
     }
 
     /// Whether this controller can take requests: it holds a first read, and
@@ -276,26 +206,11 @@
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
-    /// The shard's token, if this controller owns it beyond doubt.
-    pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
-        match self.shards[shard_id].lease {
-            // Before the mirror has caught up with the lease, the last assignments of
-            // the owner before may be missing from it.
-            ShardLease::Held(token)
-                if self.mirror.revision(Key::Shard(shard_id)) == token
-                    && self.mirror.store_revision >= token =>
-            {
-                Some(token)
-            }
-            _ => None,
-        }
-    }
-
     /// Takes how a transaction came out.
     pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
         self.notice(now);
         if let Outcome::Applied(store_revision) = outcome {
-            self.newest_revision = self.newest_revision.max(store_revision);
+            self.state_contact.applied(store_revision);
             self.mirror.committed(commit, store_revision);
         } else {
             if outcome == Outcome::Malformed {
@@ -306,32 +221,11 @@
         }
         match ticket {
             Ticket::AcquireShard(shard_id) => {
-                self.shards[shard_id].acquiring = false;
-                match outcome {
-                    Outcome::Applied(store_revision) => {
-                        self.change_shard_lease(
-                            shard_id,
-                            ShardLeaseEvent::Acquired(store_revision),
-                        );
-                    }
-                    _ => {
-                        self.shards[shard_id].acquire_after = now + self.jitter(200.0, 500.0);
-                        self.change_shard_lease(shard_id, ShardLeaseEvent::AcquireFailed);
-                    }
-                }
+                self.shard_acquire_committed(shard_id, outcome, now);
             }
             Ticket::OwnerCycle(shard_id) => self.owner_committed(shard_id, outcome, now),
             Ticket::ReleaseShard(shard_id) => {
-                self.shards[shard_id].acquiring = false;
-                if now < self.shards[shard_id].away_until {
-                    self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
-                } else if let Outcome::Applied(_) = outcome {
-                    let shard = &mut self.shards[shard_id];
-                    shard.yields += 1;
-                    shard.acquire_after = now + 20_000.0 * f64::from(1u32 << shard.yields.min(3));
-                    shard.away_until = shard.acquire_after;
-                    self.change_shard_lease(shard_id, ShardLeaseEvent::Lost);
-                }
+                self.shard_release_committed(shard_id, outcome, now);
             }
             Ticket::AcquireLeadership => self.leadership_committed(outcome, now),
             Ticket::LeaderCycle => self.leader_committed(outcome, now),
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::Effect;
-use crate::shard_lease::{ShardLease, ShardLeaseEvent};
+use crate::shard_lease::LeaseEvent;
 use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
 
 impl Controller {
@@ -62,16 +62,16 @@
             let shard_id = *shard as usize;
             if shard_id < self.shards.len()
                 && *label != self.config.labels[self.config.me]
-                && let ShardLease::Held(mine) = self.shards[shard_id].lease
+                && let Some(mine) = self.shards[shard_id].lease.held_token()
                 && *token > mine
             {
                 tracing::info!(
                     shard = shard_id,
                     mine,
                     newer = token,
-                    "a peer knows of a newer claim"
+                    "a peer knows of a newer shard lease"
                 );
-                self.change_shard_lease(shard_id, ShardLeaseEvent::NewerTokenSeen);
+                self.change_shard_lease(shard_id, LeaseEvent::NewerTokenSeen);
                 self.effects.push(Effect::Refresh);
             }
         }
@@ -118,9 +118,9 @@
         }
         let gap = self.mirror.has_gap();
         let (cancelled, reach_ms) = self.cancelled.tell(self.mirror.new_cancels(), gap, now);
-        let cut_off = now - self.state_ok_at > 2500.0;
+        let cut_off = self.state_contact.is_cut_off(now);
         // What it took last may have been carried out until it answered.
-        let silent = now - self.state_answered_at;
+        let silent = self.state_contact.silence(now);
         if cut_off {
             self.cancelled.announced_cut_off(now);
         }
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -24,7 +24,7 @@
         }
         let holder = self.mirror.shards[i].as_ref();
         let acquired = holder.filter(|c| c.label == self.config.labels[i]);
-        let said = self.peers.format(i, self.clock);
+        let said = self.peers.format(i, self.state_contact.clock());
         acquired.is_some_and(|c| c.format >= format) || said.is_some_and(|said| said >= format)
     }
 
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -327,7 +327,7 @@
         if blocked {
             // A start of a job that is over may still be on its way, and only
             // a higher token stops it.
-            self.shards[shard_id].bump = true;
+            self.shards[shard_id].lease.want_new_token();
         }
     }
 
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -58,7 +58,7 @@
         // A new owner first hears from all machines: a record of the few that
         // have reported would forget what the others hold.
         let shard = &self.shards[shard_id];
-        if now - shard.images_at < IMAGES_MS || now - shard.owned_since < IMAGES_MS {
+        if now - shard.images_at < IMAGES_MS || now - shard.lease.token_since() < IMAGES_MS {
             return None;
         }
         self.shards[shard_id].images_at = now;
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -27,7 +27,6 @@
 use crate::needs::Needs;
 use crate::pages::{Assignment, Page};
 use crate::reachability::Reachability;
-use crate::shard_lease::ShardLease;
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use cherryyard_wire::job::{Rank, Shape};
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
@@ -132,7 +131,7 @@
         };
         self.keep_shard(shard_id, now);
         if self.shards[shard_id].pending.is_some()
-            || self.shards[shard_id].acquiring
+            || self.shards[shard_id].lease.transaction_pending()
             || now < self.shards[shard_id].retry_after
             || self.mirror.store_revision < self.shards[shard_id].wait_revision
             || !self.cycle_due(shard_id, now)
@@ -154,7 +153,10 @@
         self.finish(shard_id, &mut cycle);
         // Whether anything new could be placed: a search over all waiting jobs
         // and machines for each report costs more than it finds.
-        let events = (self.mirror.store_revision, self.newest_revision);
+        let events = (
+            self.mirror.store_revision,
+            self.state_contact.newest_revision(),
+        );
         if !cycle.gone.is_empty()
             || self.shards[shard_id].placed_as_of != events
             || now - self.shards[shard_id].placed_at >= STUCK_MS
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -145,7 +145,7 @@
     /// Takes over what has changed of what waits in our shards.
     pub(crate) fn requeue_changed(&mut self, now: Millis) {
         for (shard_id, job) in self.mirror.waiting_changes() {
-            if matches!(self.shards[shard_id].lease, ShardLease::Held(_)) {
+            if self.shards[shard_id].lease.held_token().is_some() {
                 self.requeue(shard_id, job, now);
             }
         }
@@ -551,7 +551,11 @@
             incarnation: self.machines[&host].newest.0,
             // Above every attempt before: each of those was at most the revision of its
             // own assignment, which has been seen since.
-            attempt: self.mirror.store_revision.max(self.newest_revision) + 1,
+            attempt: self
+                .mirror
+                .store_revision
+                .max(self.state_contact.newest_revision())
+                + 1,
         };
         let task = (candidate.job, number);
         if !cycle.assign(&self.mirror, task, assignment, candidate.limited) {
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -109,7 +109,7 @@
         let Some(m) = self.machines.get(&host) else {
             return;
         };
-        let ShardLease::Held(token) = self.shards[m.shard].lease else {
+        let Some(token) = self.shards[m.shard].lease.held_token() else {
             return;
         };
         if m.pushing
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -45,7 +45,7 @@
             if self.owned(shard_id).is_none() || release.len() >= 90 {
                 continue;
             }
-            let owned_for = now - self.shards[shard_id].owned_since;
+            let owned_for = now - self.shards[shard_id].lease.token_since();
             let host = self.mirror.hosts.get(name);
             let machine = host.and_then(|h| self.machines.get(&h));
             let ready_ms = self.ready_s(&entry.machine_type) * 1000.0;
@@ -133,7 +133,7 @@
         // Reports that wait because this controller is late are no silence.
         if gain < 2.0
             || !self.state_fresh(now)
-            || now - self.shards[shard_id].owned_since < 2.0 * limit
+            || now - self.shards[shard_id].lease.token_since() < 2.0 * limit
             || self.lag.punctual_for(now) < limit
         {
             return;
@@ -229,7 +229,7 @@
         if !self.state_fresh(now) {
             return;
         }
-        let held_since = self.shards[shard_id].held_since;
+        let held_since = self.shards[shard_id].lease.held_since();
         let punctual_since = now - self.lag.punctual_for(now);
         // Since when nothing has been heard of a machine that should have been.
         let silent_since = |host: u32| match self.machines.get(&host) {
@@ -267,7 +267,7 @@
     /// come, they are with the old owner, or the network is at fault.
     pub(crate) fn release_unreachable(&mut self, shard_id: usize, now: Millis) {
         let limit = self.finding_ms();
-        let owned_for = now - self.shards[shard_id].owned_since;
+        let owned_for = now - self.shards[shard_id].lease.token_since();
         if owned_for < limit
             || owned_for > limit + 60_000.0
             || self.lag.punctual_for(now) < limit
@@ -353,7 +353,7 @@
             };
             // The list is late; a machine that is merely new is not in it yet.
             if self.owned(shard_id).is_none()
-                || now - self.shards[shard_id].owned_since
+                || now - self.shards[shard_id].lease.token_since()
                     < 3.0 * self.config.list_lag_ms + self.config.lease_ms
             {
                 continue;
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -31,11 +31,6 @@
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub(crate) lease: ShardLease,
-    pub(crate) acquiring: bool,
-    pub(crate) acquire_after: Millis,
-    pub(crate) ownerless_since: Option<Millis>,
-    /// Ask for a new token, so that direct starts under this one die.
-    pub(crate) bump: bool,
     pub(crate) dirty: bool,
     /// Machines that the next scheduling cycle looks at.
     pub(crate) touched: BTreeSet<u32>,
@@ -68,13 +63,7 @@
     pub(crate) stuck_grants: HashMap<usize, Millis>,
     /// Teams whose rest of the limit is kept for a job whose turn it is.
     pub(crate) kept_rests: KeptRests,
-    /// Since when it is ours under this token, and under any.
-    pub(crate) owned_since: Millis,
-    pub(crate) held_since: Millis,
     pub(crate) images_at: Millis,
-    pub(crate) yields: u32,
-    /// Until when the shard is left to others after it was given up.
-    pub(crate) away_until: Millis,
     pub(crate) wait_revision: u64,
     /// How many tasks of a job completed here, and how long they ran together.
     pub(crate) ran: HashMap<u64, (u32, Millis)>,
@@ -85,11 +74,7 @@
 impl Shard {
     pub(crate) fn new(writes_per_s: f64, now: Millis) -> Self {
         Self {
-            lease: ShardLease::NotHeld,
-            acquiring: false,
-            acquire_after: now,
-            ownerless_since: None,
-            bump: false,
+            lease: ShardLease::new(now),
             dirty: true,
             touched: BTreeSet::new(),
             inspected_at: f64::NEG_INFINITY,
@@ -110,11 +95,7 @@
             queues: Queues::default(),
             stuck_grants: HashMap::new(),
             kept_rests: KeptRests::default(),
-            owned_since: now,
-            held_since: now,
             images_at: now,
-            yields: 0,
-            away_until: f64::NEG_INFINITY,
             wait_revision: 0,
             ran: HashMap::new(),
             account: Account::default(),
@@ -132,7 +113,6 @@
         self.job_failures.clear();
         self.stuck_grants.clear();
         self.kept_rests = KeptRests::default();
-        self.bump = false;
         self.ran.clear();
         self.account.clear();
     }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -74,7 +74,7 @@
         let even = self.config.user_writes_per_s / self.shards.len() as f64;
         let me = self.config.me;
         let rate = if self.leader.leads(&self.mirror) {
-            let reported = now - self.state_read_at <= LEADS_MS && self.caught_up();
+            let reported = self.state_contact.read_age(now) <= LEADS_MS && self.caught_up();
             let waited = now - self.leader.since >= LEADS_MS * 1.01;
             let lends = |i: &usize| self.named_at(*i).is_some_and(|at| now - at <= LENT_MS);
             let lenders = (0..self.shards.len()).filter(|&i| i != me).filter(lends);
@@ -140,7 +140,7 @@
     /// Takes a user's transaction (a cancellation, or a chunk of a submission).
     pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
         self.notice(now);
-        self.newest_revision = self.newest_revision.max(store_revision);
+        self.state_contact.applied(store_revision);
         self.mirror.committed(commit, store_revision);
         for shard in &mut self.shards {
             shard.dirty = true;
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -7,7 +7,6 @@
 use crate::machine::{Freshness, Machine, MachineState, PushedStart};
 use crate::peers::{KNOWN_LEASES_MS, MISDIRECTED_REPORTS_MS};
 use crate::reachability::{Reachability, ReachabilityEvent};
-use crate::shard_lease::ShardLease;
 use cherryyard_wire::record::End;
 use cherryyard_wire::worker::{
     CommandBatch, HeartbeatResponse, TaskStatus, WorkerCommand, WorkerHeartbeat, parse_task_name,
@@ -23,7 +22,7 @@
 impl Controller {
     /// The token under which reports of shard `shard_id` are answered now, if any.
     fn answering(&self, shard_id: usize, now: Millis) -> Option<u64> {
-        let ShardLease::Held(token) = self.shards[shard_id].lease else {
+        let Some(token) = self.shards[shard_id].lease.held_token() else {
             return None;
         };
         // Guards against a cancellation that this controller cannot see: the
@@ -32,7 +31,7 @@
         // last of them lost it, those who took it have told.
         let bound = self.config.cut_off_bound_ms();
         let outage = || self.all_cut_off(now) && self.knows_cancellations();
-        (now - self.state_read_at <= bound || outage()).then_some(token)
+        (self.state_contact.read_age(now) <= bound || outage()).then_some(token)
     }
 
     /// Who takes reports of shard `shard_id`, if it is someone else.
@@ -141,7 +140,7 @@
         if machine.state == MachineState::Gone {
             return Reply::Unavailable;
         }
-        let blind = now - self.state_read_at > self.config.cut_off_bound_ms() / 2.0;
+        let blind = self.state_contact.read_age(now) > self.config.cut_off_bound_ms() / 2.0;
         let cancelled = |job: u64| {
             self.cancelled.is_announced(job) || self.mirror.end(job) == Some(End::Cancelled)
         };
@@ -229,7 +228,7 @@
             PushOutcome::Answered(report) => {
                 machine.settle_push(request, false);
                 machine.reached(ReachabilityEvent::Reflected, now);
-                let ShardLease::Held(token) = self.shards[shard_id].lease else {
+                let Some(token) = self.shards[shard_id].lease.held_token() else {
                     return;
                 };
                 if machine.hear(&report, token, now) != Freshness::Old {
@@ -273,14 +272,18 @@
     /// Takes the answer to a direct question, or that there was none.
     pub fn queried(&mut self, host: u32, answer: Option<&WorkerHeartbeat>, now: Millis) {
         self.notice(now);
-        let last = self.mirror.store_revision.max(self.newest_revision) + 1;
+        let last = self
+            .mirror
+            .store_revision
+            .max(self.state_contact.newest_revision())
+            + 1;
         self.misdirected.queried(host, answer.is_some());
         let Some(m) = self.machines.get_mut(&host) else {
             return;
         };
         m.query_pending = false;
         let shard_id = m.shard;
-        let ShardLease::Held(token) = self.shards[shard_id].lease else {
+        let Some(token) = self.shards[shard_id].lease.held_token() else {
             return;
         };
         let Some(report) = answer else {
