--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -2,10 +2,10 @@
 //!
 //! While nobody reaches the state service nobody can take a cancellation, so an owner
 //! may go on answering its workers for as long as that lasts. But one may have been
-//! taken just before, by another, and not have been told to this owner: it stood still,
-//! or was cut off alone when the outage began. So every controller tells the others
+//! taken just before, by another controller, and not have been told to this owner: it stood
+//! still, or was cut off alone when the outage began. So every controller tells the others
 //! what it has lately learnt of, and an owner relies on the outage only as far as it
-//! has been told without a gap.
+//! has been told without a gap. `docs/restart.md` has the argument and its model.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -15,61 +15,126 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// For how long a cancellation is announced: longer than a controller stands still.
-const TELL_MS: f64 = 60_000.0;
+const ANNOUNCE_MS: Millis = 60_000.0;
 /// Cancellations that a heartbeat names.
-const MOST: usize = 200;
+const MAX_TOLD: usize = 200;
 /// Time between the last heartbeat of a process that said it was cut off and the start of the
 /// one after it, in which it has told no user of a cancellation: see
 /// [`Controller::may_confirm_cancelled`].
-const RESTART_MS: f64 = 10_000.0;
-/// The same as the one who keeps it counts: clocks drift apart.
-const KEPT_MS: f64 = RESTART_MS * 1.01;
+const RESTART_MS: Millis = 10_000.0;
+/// The same as the controller that waits for it counts: clocks drift apart.
+const RESTART_DRIFT_MS: Millis = RESTART_MS * 1.01;
 /// Jobs that are kept as announced.
 const MAX_ANNOUNCED: usize = 10_000;
+/// How much longer than a worker's lease a peer's list of cancellations must reach back for
+/// the peer to extend that lease.
+const EXTENSION_MARGIN_MS: Millis = 10_000.0;
 
-/// What is told, and what we were announced.
+/// Cancellations that are told, and those that were announced to us.
 #[derive(Clone, Debug)]
 pub(crate) struct Cancelled {
     /// When we learnt of each.
     lately: VecDeque<(Millis, u64)>,
     /// Since when that list has no gap.
     since: Millis,
-    /// Jobs that others know to be cancelled, and we have not read of, and when we were
-    /// first announced. Whatever we know of them: a shard that we have just adopted may run
-    /// tasks of jobs that we have yet to read of.
+    /// Jobs that others know to be cancelled, and we have not read of, and when they were
+    /// first announced to us. Whatever we know of them: a shard that we have just adopted may
+    /// run tasks of jobs that we have yet to read of.
     announced: BTreeMap<u64, Millis>,
     /// When we last told that we were cut off; at first our start, as the process before
     /// may have said so just before.
-    cut_at: Millis,
+    cut_off_told_at: Millis,
 }
 
-/// Up to when a controller's cancellations are known here.
+/// Up to when a peer's cancellations are known here.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Covered {
     /// Until then at least it may have taken some: when the state service last answered
     /// it or, where that is not known, when its process began.
-    pub contact: Millis,
+    contact: Millis,
     /// All that it has learnt up to then is known.
-    pub to: Millis,
-    /// Whether the message that told so said that its sender was cut off: then it, and
+    to: Millis,
+    /// Whether the heartbeat that told so said that its sender was cut off: then it, and
     /// whoever follows it soon, has told no user of a cancellation since.
-    pub cut: bool,
+    cut_off: bool,
+}
+
+/// The time on our clock of what a peer says was `ago_ms` ago. Its clock may be fast.
+fn peer_time(ago_ms: u32, now: Millis) -> Millis {
+    now - f64::from(ago_ms) * 0.999
+}
+
+impl Covered {
+    /// What was known `before` a heartbeat, with the newest contact of its sender with the
+    /// state service that the heartbeat tells of.
+    fn with_contact(before: Option<Self>, heartbeat: &Heartbeat, now: Millis) -> Self {
+        let contact = match (heartbeat.silent_ms, before) {
+            (u32::MAX, Some(before)) => before.contact,
+            (u32::MAX, None) => peer_time(heartbeat.reach_ms, now),
+            (silent, _) => peer_time(silent, now),
+        };
+        let before = before.unwrap_or(Self {
+            contact,
+            to: f64::NEG_INFINITY,
+            cut_off: false,
+        });
+        Self {
+            contact: contact.max(before.contact),
+            ..before
+        }
+    }
+
+    /// Up to when the sender's cancellations are known whatever a list of it leaves out.
+    fn known_to(&self) -> Millis {
+        self.to + if self.cut_off { RESTART_MS } else { 0.0 }
+    }
+
+    /// What is known after a heartbeat whose list follows without a gap.
+    fn extended(self, heartbeat: &Heartbeat, made_at: Millis) -> Self {
+        Self {
+            contact: self.contact,
+            to: self.to.max(made_at),
+            cut_off: if made_at >= self.to {
+                heartbeat.cut_off
+            } else {
+                self.cut_off
+            },
+        }
+    }
+
+    /// What is known after a heartbeat whose list begins at `list_from`, after a gap: what was
+    /// told before the gap, and nothing of what was taken in it. What the next process says of
+    /// itself tells nothing of the one before.
+    fn after_gap(self, list_from: Millis) -> Self {
+        Self {
+            contact: self.contact.max(list_from),
+            ..self
+        }
+    }
+
+    /// Whether the peer can have taken no cancellation that was neither told nor read by a
+    /// read sent at `read_sent_at`.
+    fn is_complete(&self, read_sent_at: Millis) -> bool {
+        self.contact <= self.to || self.contact < read_sent_at
+    }
 }
 
 impl Cancelled {
+    /// Nothing has been told or announced yet.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             lately: VecDeque::new(),
             since: now,
             announced: BTreeMap::new(),
-            cut_at: now,
+            cut_off_told_at: now,
         }
     }
 
-    /// The list for a heartbeat, with what is new in it, and how far back it reaches. `gap`:
-    /// there may be cancellations that we have read past, and they cannot be named.
-    pub(crate) fn tell(&mut self, new: Vec<u64>, gap: bool, now: Millis) -> (Vec<u64>, u32) {
-        if gap {
+    /// The list for a heartbeat, with what is new in it, and how far back it reaches in
+    /// milliseconds. `has_gap`: there may be cancellations that we have read past, and they
+    /// cannot be named.
+    pub(crate) fn tell(&mut self, new: Vec<u64>, has_gap: bool, now: Millis) -> (Vec<u64>, u32) {
+        if has_gap {
             self.since = now;
         }
         for job in new {
@@ -78,141 +143,133 @@
             }
         }
         while let Some(&(at, _)) = self.lately.front()
-            && (now - at > TELL_MS || self.lately.len() > MOST)
+            && (now - at > ANNOUNCE_MS || self.lately.len() > MAX_TOLD)
         {
             self.lately.pop_front();
             self.since = self.since.max(at);
         }
-        let reachability = (now - self.since).clamp(0.0, TELL_MS);
-        (
-            self.lately.iter().map(|c| c.1).collect(),
-            reachability as u32,
-        )
+        let reach_ms = (now - self.since).clamp(0.0, ANNOUNCE_MS);
+        let jobs = self.lately.iter().map(|(_, job)| *job).collect();
+        (jobs, reach_ms as u32)
     }
 
     /// Notes that we tell the others that we are cut off.
     pub(crate) fn announced_cut_off(&mut self, now: Millis) {
-        self.cut_at = now;
+        self.cut_off_told_at = now;
     }
 
     /// When we learnt that a job is cancelled, if that is no longer ago than is announced.
     pub(crate) fn learnt_at(&self, job: u64) -> Option<Millis> {
-        self.lately.iter().find(|l| l.1 == job).map(|l| l.0)
+        let mut lately = self.lately.iter();
+        lately.find(|(_, known)| *known == job).map(|(at, _)| *at)
     }
 
-    /// Whether another has told that a job is cancelled.
+    /// Whether another controller has told that a job is cancelled.
     pub(crate) fn is_announced(&self, job: u64) -> bool {
         self.announced.contains_key(&job)
     }
 
-    /// Keeps what a heartbeat names, and tells it on: whoever told may end, and one that has
-    /// just started goes by what the others say. False if there is no room for all of it.
+    /// Keeps what a heartbeat names, and tells it on: its sender may end, and a controller that
+    /// has just started goes by what the others say. False if there is no room for all of it.
     fn keep(&mut self, jobs: impl Iterator<Item = u64>, now: Millis) -> bool {
-        let mut all = true;
+        let mut kept_all = true;
         for job in jobs {
             if self.announced.contains_key(&job) {
                 continue;
             }
             if self.announced.len() < MAX_ANNOUNCED {
                 self.announced.insert(job, now);
-                if !self.lately.iter().any(|l| l.1 == job) {
+                if self.learnt_at(job).is_none() {
                     self.lately.push_back((now, job));
                 }
             } else {
-                all = false;
+                kept_all = false;
             }
         }
-        all
+        kept_all
+    }
+
+    fn is_full(&self) -> bool {
+        self.announced.len() >= MAX_ANNOUNCED
     }
 }
 
 impl Controller {
-    /// Takes what a heartbeat tells of cancellations, one that was made at `made` or later:
-    /// up to when we know of all that its sender has learnt, until when it may have
-    /// taken some.
+    /// Takes what a heartbeat, made at `made_at` or later, tells of cancellations. Returns up to
+    /// when we know of all that its sender has learnt, and until when it may have taken some.
     pub(crate) fn learn_cancellations(
         &mut self,
         peer: usize,
         heartbeat: &Heartbeat,
-        made: Millis,
+        made_at: Millis,
         now: Millis,
     ) -> Covered {
-        let mirror = &self.mirror;
-        let unread = heartbeat.cancelled.iter().copied();
-        let unread = unread.filter(|&job| mirror.end(job).is_none());
-        let kept = self.cancelled.keep(unread, now);
-        if mirror.loaded {
-            // What a read since then does not show as open is over, or never was.
-            let reported = self.state_contact.read_sent_at();
-            self.cancelled.announced.retain(|job, at| {
-                mirror.end(*job).is_none() && (reported <= *at || mirror.open.contains_key(job))
-            });
-        }
+        let kept_all = self.keep_announced(heartbeat, now);
+        self.forget_announced();
         let before = self.peers.get(peer).map(|state| state.covered);
-        // By the sender's clock, which may be fast.
-        let ago = |ms: u32| now - f64::from(ms) * 0.999;
-        let from = ago(heartbeat.reach_ms);
-        let contact = match (heartbeat.silent_ms, before) {
-            (u32::MAX, Some(before)) => before.contact,
-            (u32::MAX, None) => from,
-            (silent, _) => ago(silent),
-        };
-        let before = before.unwrap_or(Covered {
-            contact,
-            to: f64::NEG_INFINITY,
-            cut: false,
-        });
-        let contact = contact.max(before.contact);
-        let slack = if before.cut { RESTART_MS } else { 0.0 };
+        let covered = Covered::with_contact(before, heartbeat, now);
+        let list_from = peer_time(heartbeat.reach_ms, now);
         // No gap between what we knew and where the list begins. A read sent in the same
         // moment may have come before.
-        if kept && (from <= before.to + slack || from < self.state_contact.read_sent_at()) {
-            Covered {
-                contact,
-                to: before.to.max(made),
-                cut: if made >= before.to {
-                    heartbeat.cut_off
-                } else {
-                    before.cut
-                },
-            }
+        let is_gapless =
+            list_from <= covered.known_to() || list_from < self.state_contact.read_sent_at();
+        if kept_all && is_gapless {
+            covered.extended(heartbeat, made_at)
         } else {
-            // What was told before the gap, and nothing of what was taken in it. What
-            // the next process says of itself tells nothing of the one before.
-            Covered {
-                contact: contact.max(from),
-                ..before
-            }
+            covered.after_gap(list_from)
+        }
+    }
+
+    /// Keeps the cancellations that a heartbeat names and we have not read of; false if there is
+    /// no room for all of them.
+    fn keep_announced(&mut self, heartbeat: &Heartbeat, now: Millis) -> bool {
+        let mirror = &self.mirror;
+        let named = heartbeat.cancelled.iter().copied();
+        let unread = named.filter(|&job| mirror.end(job).is_none());
+        self.cancelled.keep(unread, now)
+    }
+
+    /// Forgets announced jobs that we have read to be over. What a read since the announcement
+    /// does not show as open is over, or never was.
+    fn forget_announced(&mut self) {
+        let mirror = &self.mirror;
+        if !mirror.loaded {
+            return;
         }
+        let read_sent_at = self.state_contact.read_sent_at();
+        self.cancelled.announced.retain(|job, announced_at| {
+            mirror.end(*job).is_none()
+                && (read_sent_at <= *announced_at || mirror.open.contains_key(job))
+        });
     }
 
     /// Whether a user may be told that a job is cancelled.
     ///
-    /// Who has said that it is cut off tells nobody of a cancellation that the others
-    /// may not know: they go on answering workers by that word, and if this process
+    /// A controller that has said that it is cut off tells nobody of a cancellation that the
+    /// others may not know: they go on answering workers by that word, and if this process
     /// ended before its next heartbeat nobody would ever tell them. So each of the others has
     /// to have named a heartbeat of ours from after it was learnt, or one from after we were
     /// last cut off; or so much time has passed that they do not take the process after
     /// this one for one that has stayed cut off.
     pub fn may_confirm_cancelled(&self, job: u64, now: Millis) -> bool {
-        let c = &self.cancelled;
-        let named_by_all = |at: Millis| {
-            self.peers
-                .others()
-                .map(|peer| self.named_at(peer))
-                .all(|named| named.is_some_and(|n| n > at))
-        };
-        let learnt = c.learnt_at(job);
-        now - c.cut_at > KEPT_MS
-            || named_by_all(c.cut_at)
-            || match learnt {
-                Some(at) => named_by_all(at),
+        let cut_off_told_at = self.cancelled.cut_off_told_at;
+        let learnt_at = self.cancelled.learnt_at(job);
+        now - cut_off_told_at > RESTART_DRIFT_MS
+            || self.acknowledged_by_all_since(cut_off_told_at)
+            || match learnt_at {
+                Some(learnt_at) => self.acknowledged_by_all_since(learnt_at),
                 // Told for a minute, or learnt since the last heartbeat.
-                None => now - self.started_at > TELL_MS && !self.mirror.is_new_cancel(job),
+                None => now - self.started_at > ANNOUNCE_MS && !self.mirror.is_new_cancel(job),
             }
     }
 
-    /// Whether a worker's lease may go on under the token that it shows, while its
+    /// Whether every other controller has named a heartbeat of ours that was sent after `at`.
+    fn acknowledged_by_all_since(&self, at: Millis) -> bool {
+        let mut others = self.peers.others();
+        others.all(|peer| self.named_at(peer).is_some_and(|named_at| named_at > at))
+    }
+
+    /// Whether a worker's lease may be extended under the token that it shows, while its
     /// owner's process has ended and the state service is out of everybody's reach.
     ///
     /// Only for tokens of our own leases, of a process before this one: that is dead,
@@ -221,35 +278,49 @@
     /// lived through and knows of every cancellation, and for nothing that it tells to
     /// be cancelled. Cancellations before its list reaches back are older than a lease,
     /// and their tasks have gone.
-    pub(crate) fn may_extend_lease(&self, p: usize, report: &WorkerHeartbeat, now: Millis) -> bool {
-        let me = &self.config.labels[self.config.me];
-        let reachability = self.config.lease_ms + 10_000.0;
-        let knows = |peer: &PeerState| {
-            let holder = (p as u32, report.fencing_token, me.clone());
-            peer.heartbeat.complete
-                && now - peer.made_at <= self.config.relied_ms()
-                && f64::from(peer.heartbeat.reach_ms) >= reachability
-                && peer.heartbeat.leases.contains(&holder)
-        };
-        let cancelled = |reported: &TaskReport| {
-            let job = parse_task_name(&reported.task_name).map(|t| t.0);
-            job.is_none_or(|job| self.cancelled.is_announced(job))
+    pub(crate) fn may_extend_lease(
+        &self,
+        shard_id: usize,
+        report: &WorkerHeartbeat,
+        now: Millis,
+    ) -> bool {
+        let knows_lease = |peer: &PeerState| self.confirms_lease(peer, shard_id, report, now);
+        let may_be_cancelled = |reported: &TaskReport| {
+            let task = parse_task_name(&reported.task_name);
+            task.is_none_or(|(job, _)| self.cancelled.is_announced(job))
         };
         !self.mirror.loaded
             && report.fencing_token > 0
-            && self.cancelled.announced.len() < MAX_ANNOUNCED
+            && !self.cancelled.is_full()
             && self.all_cut_off(now)
-            && self.peers.iter().any(knows)
-            && !report.tasks.iter().any(cancelled)
+            && self.peers.iter().any(knows_lease)
+            && !report.tasks.iter().any(may_be_cancelled)
+    }
+
+    /// Whether a peer knows of every cancellation that matters to a worker's lease, and that
+    /// its token was the last one of ours.
+    fn confirms_lease(
+        &self,
+        peer: &PeerState,
+        shard_id: usize,
+        report: &WorkerHeartbeat,
+        now: Millis,
+    ) -> bool {
+        let label = &self.config.labels[self.config.me];
+        let reach_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
+        let heartbeat = &peer.heartbeat;
+        heartbeat.complete
+            && now - peer.made_at <= self.config.relied_ms()
+            && f64::from(heartbeat.reach_ms) >= reach_ms
+            && heartbeat.leases.iter().any(|(shard, token, holder)| {
+                *shard as usize == shard_id && *token == report.fencing_token && holder == label
+            })
     }
 
     /// Whether there can be no cancellation that we have neither read nor been told of.
     pub(crate) fn knows_cancellations(&self) -> bool {
-        self.peers.other_states().all(|peer| {
-            peer.is_some_and(|p| {
-                let contact = p.covered.contact;
-                contact <= p.covered.to || contact < self.state_contact.read_sent_at()
-            })
-        })
+        let read_sent_at = self.state_contact.read_sent_at();
+        let mut others = self.peers.other_states();
+        others.all(|peer| peer.is_some_and(|peer| peer.covered.is_complete(read_sent_at)))
     }
 }
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -1,4 +1,25 @@
-//! One controller: leases, reports, heartbeats, and what ties the rest together.
+//! One controller, from outside: events go in, effects come out.
+//!
+//! Whoever runs a [`Controller`] calls one of its methods for each event, and afterwards takes
+//! what is to be done from [`Controller::effects`]. An event is handled in three steps:
+//!
+//! 1. `Controller::notice` takes its time, and detects that the process stood still.
+//! 2. The event's own part brings the state up to date: the mirror of the state service
+//!    ([`crate::mirror`]), the machines, the peers, or the submissions.
+//! 3. `Controller::run` lets each concern decide in a fixed order what follows: leases on
+//!    shards, leadership, the scheduling cycles of the shards, that of the leader, and the
+//!    transactions that write submissions and history.
+//!
+//! Where to read on, by event:
+//!
+//! | event | methods | module |
+//! | --- | --- | --- |
+//! | the state service | [`loaded`](Controller::loaded), [`events`](Controller::events), [`committed`](Controller::committed) | here; leases in `lease_acquisition` |
+//! | a worker's heartbeat, or answer | `report`, `pushed`, `queried` | `worker_heartbeats`, then [`crate::owner`] |
+//! | a peer's heartbeat | `heartbeat_in`, `heartbeat_out` | `heartbeats` |
+//! | a user's request | `answer_for`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
+//! | the cloud | [`machine_types`](Controller::machine_types), [`listed`](Controller::listed), [`released`](Controller::released) | here; then [`crate::leader`] and [`crate::owner`] |
+//! | time | [`tick`](Controller::tick), [`queue_passed`](Controller::queue_passed) | here |
 
 use crate::admission::demand::Demand;
 use crate::admission::entitlements::Entitlements;
@@ -22,49 +43,72 @@
 
 /// Silence after which a machine that is not there any more is forgotten: by then
 /// no packet of it is held back.
-const FORGET_MS: f64 = 600_000.0;
+const FORGET_MS: Millis = 600_000.0;
+/// Longest time between two scheduling cycles of a shard, and between two of the leader.
+const SHARD_CYCLE_MS: Millis = 400.0;
+const LEADER_CYCLE_MS: Millis = 500.0;
+/// Time after the answer to a release before the machine may be released again.
+const RELEASE_AGAIN_MS: Millis = 2000.0;
 
-/// One controller.
+/// One controller: all that it knows, by concern.
 #[derive(Debug)]
 pub struct Controller {
     /// What it was configured with.
     pub config: Config,
     /// This process's number, among all that have run under its name.
     pub(crate) process: u64,
+    pub(crate) started_at: Millis,
+    pub(crate) rng: StdRng,
+    /// What is to be done, in order, since [`Controller::effects`] was last called.
+    pub(crate) effects: Vec<Effect>,
+
+    // The state service.
     /// What the state service holds.
     pub mirror: Mirror,
+    /// How fresh that is.
+    pub(crate) state_contact: StateContact,
+    /// The state lease to which our records of leases are bound.
+    pub(crate) lease_id: Option<u64>,
+
+    // This controller as an owner of shards, and as the leader.
     pub(crate) shards: Vec<Shard>,
     pub(crate) machines: BTreeMap<u32, Machine>,
     pub(crate) leader: Leader,
+
+    // The other controllers.
     pub(crate) peers: Peers,
-    pub(crate) lease_id: Option<u64>,
-    pub(crate) effects: Vec<Effect>,
-    pub(crate) rng: StdRng,
-    pub(crate) state_contact: StateContact,
-    pub(crate) started_at: Millis,
+    /// Workers of other controllers' shards that report here.
+    pub(crate) misdirected: MisdirectedWorkers,
+    /// Cancellations that controllers tell each other.
+    pub(crate) cancelled: Cancelled,
+    /// When our shards' free capacity was last reported, and whether it has changed since.
     pub(crate) reported_at: Millis,
     pub(crate) capacity_changed: bool,
+
+    // The cloud.
     pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
+    /// The newest reading of its machine list, by name, and when that was.
     pub(crate) listed: HashMap<String, Instance>,
     pub(crate) listed_at: Millis,
-    /// How far behind this controller is with what waits for it.
-    pub(crate) lag: EventLoopLag,
-    /// Workers of others' shards that reported here, by shard and machine.
-    pub(crate) misdirected: MisdirectedWorkers,
+
+    // Users and admission.
+    /// Submissions on their way into the state service.
+    pub(crate) intake: Intake,
+    /// What has become of submissions here.
+    pub(crate) demand: Demand,
+    /// Fair-share guarantees, and what flows are entitled to by them.
+    pub(crate) entitlements: Entitlements,
     /// Users' writes that this controller may make.
     pub(crate) user_write_budget: TokenBucket,
-    /// Machines whose assignments scheduling cycles have looked at so far: what scheduling cycles cost.
+
+    // How this process itself does.
+    /// How far behind this controller is with what waits for it.
+    pub(crate) lag: EventLoopLag,
+    /// Machines whose assignments scheduling cycles have looked at so far: what scheduling
+    /// cycles cost.
     pub inspected_machines: u64,
     /// Waiting jobs that scheduling cycles have looked at so far.
     pub inspected_jobs: u64,
-    /// Cancellations that are told and were told.
-    pub(crate) cancelled: Cancelled,
-    /// Floors, and rights by them.
-    pub(crate) entitlements: Entitlements,
-    /// Submissions on their way into the state service.
-    pub(crate) intake: Intake,
-    /// What has become of submissions here.
-    pub(crate) demand: Demand,
     /// Whether accounts of core-seconds are kept.
     pub accounting: bool,
     /// Time of day less steady clock, in milliseconds.
@@ -72,116 +116,143 @@
 }
 
 impl Controller {
-    /// A controller that has just started.
+    /// A controller that has just started. `seed` decides all that it draws at random.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
-        let mirror = Mirror::new(&config);
-        let shards = (0..config.shards())
-            .map(|_| Shard::new(config.cycle_writes_per_s, now))
-            .collect();
-        let number = StdRng::seed_from_u64(seed).random();
-        let rng = StdRng::seed_from_u64(seed);
+        let process = StdRng::seed_from_u64(seed).random();
+        let shard_count = config.shards();
         Self {
-            leader: Leader::new(&config, now),
-            mirror,
-            shards,
-            machines: BTreeMap::new(),
-            peers: Peers::new(config.me, config.shards(), now),
-            lease_id: None,
+            process,
+            started_at: now,
+            rng: StdRng::seed_from_u64(seed),
             effects: Vec::new(),
-            rng,
+            mirror: Mirror::new(&config),
             state_contact: StateContact::new(now),
-            started_at: now,
+            lease_id: None,
+            shards: (0..shard_count)
+                .map(|_| Shard::new(config.cycle_writes_per_s, now))
+                .collect(),
+            machines: BTreeMap::new(),
+            leader: Leader::new(&config, now),
+            peers: Peers::new(config.me, shard_count, now),
+            misdirected: MisdirectedWorkers::default(),
+            cancelled: Cancelled::new(now),
             reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
             machine_types_from_cloud: None,
             listed: HashMap::new(),
             listed_at: f64::NEG_INFINITY,
+            intake: Intake::new(&config, now),
+            demand: Demand::new(),
+            entitlements: Entitlements::new(process),
+            user_write_budget: TokenBucket::new(config.user_writes_per_s / shard_count as f64, now),
             lag: EventLoopLag::new(now),
-            misdirected: MisdirectedWorkers::default(),
-            user_write_budget: TokenBucket::new(
-                config.user_writes_per_s / config.shards() as f64,
-                now,
-            ),
             inspected_machines: 0,
             inspected_jobs: 0,
-            cancelled: Cancelled::new(now),
-            entitlements: Entitlements::new(number),
-            process: number,
-            intake: Intake::new(&config, now),
-            demand: Demand::new(),
             accounting: config.tuning.account || tracing::enabled!(tracing::Level::DEBUG),
             wall_offset: 0.0,
             config,
         }
     }
 
-    /// What the core wants done since the last call.
+    /// What is to be done since the last call, in order.
     pub fn effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Notes the time of an event. After a gap all timers are due at once and all
-    /// that is known is old: nothing is decided before a read of the state that
-    /// was sent since, or a controller that stood still for a minute took all its
-    /// machines for silent, and shards long lost for its own.
-    pub(crate) fn notice(&mut self, now: Millis) {
-        if let Some(gap) = self.state_contact.advance(now) {
-            tracing::info!(ms = gap, "stood still");
-            self.lag.stood_still(now);
-            self.effects.push(Effect::Refresh);
-        }
-    }
-
-    /// Whether the state has been read since this controller last stood still.
-    pub(crate) fn caught_up(&self) -> bool {
-        self.state_contact.caught_up()
-    }
+    // Events of the state service.
 
     /// Ends a full read of the state whose first page was asked for at `sent_at`
-    /// and described revision `store_revision`. Its pieces went to the mirror before: a
-    /// long read must not keep reports waiting.
+    /// and described revision `store_revision`. Its pages went to the mirror before: a
+    /// long read must not keep heartbeats waiting.
     pub fn loaded(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
         self.notice(now);
         self.mirror.end_load(store_revision);
-        self.after_state(sent_at, now);
+        self.state_read(sent_at, now);
     }
 
-    /// Takes what a watch or barrier told; its request was sent at `sent_at`.
+    /// Takes the answer to a watch or barrier request that was sent at `sent_at`.
     pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
         self.notice(now);
         let changed = !events.events.is_empty();
         self.mirror.events(events);
-        self.state_contact.read(sent_at, now);
         if changed {
-            self.after_state(sent_at, now);
+            self.state_read(sent_at, now);
+        } else {
+            self.state_contact.read(sent_at, now);
         }
     }
 
-    fn after_state(&mut self, sent_at: Millis, now: Millis) {
+    /// The mirror has changed by a read that was sent at `sent_at`.
+    fn state_read(&mut self, sent_at: Millis, now: Millis) {
         self.state_contact.read(sent_at, now);
         for text in self.mirror.complaints() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
         self.check_leases();
-        for shard in &mut self.shards {
-            shard.dirty = true;
+        self.mark_all_dirty();
+        self.run(now);
+    }
+
+    /// Takes how a transaction of ours came out.
+    pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
+        self.notice(now);
+        match outcome {
+            Outcome::Applied(revision) => self.mirror_commit(commit, revision),
+            Outcome::Conflict(_)
+            | Outcome::NoLease
+            | Outcome::Refused
+            | Outcome::Malformed
+            | Outcome::Unknown => self.commit_not_applied(ticket, commit, outcome),
+        }
+        self.finish_transaction(ticket, outcome, now);
+        if outcome == Outcome::NoLease {
+            self.lease_id = None;
         }
-        self.leader.dirty = true;
         self.run(now);
     }
 
+    /// Takes over into the mirror what a transaction of ours has changed.
+    pub(crate) fn mirror_commit(&mut self, commit: &Commit, revision: u64) {
+        self.state_contact.applied(revision);
+        self.mirror.committed(commit, revision);
+    }
+
+    fn commit_not_applied(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome) {
+        if outcome == Outcome::Malformed {
+            self.commit_refused_as_malformed(commit);
+        }
+        tracing::debug!(?ticket, ?outcome, "a transaction was not applied");
+        self.effects.push(Effect::Refresh);
+    }
+
+    /// Tells the concern that sent a transaction how it came out.
+    fn finish_transaction(&mut self, ticket: Ticket, outcome: Outcome, now: Millis) {
+        match ticket {
+            Ticket::AcquireShard(shard) => self.shard_acquire_committed(shard, outcome, now),
+            Ticket::OwnerCycle(shard) => self.owner_committed(shard, outcome, now),
+            Ticket::ReleaseShard(shard) => self.shard_release_committed(shard, outcome, now),
+            Ticket::AcquireLeadership => self.leadership_committed(outcome, now),
+            Ticket::LeaderCycle => self.leader_committed(outcome, now),
+            Ticket::HistoryCompaction => self.compaction_committed(outcome, now),
+            Ticket::BulkCreation => self.bulk_creation_committed(outcome, now),
+            Ticket::Admission => self.intake_committed(outcome, now),
+        }
+    }
+
     /// Notes that the state service has answered a request sent at `sent_at`.
     pub fn state_answered(&mut self, sent_at: Millis, now: Millis) {
         self.state_contact.answered(sent_at, now);
     }
 
-    /// Takes the state lease under which leases are made, or its loss.
+    /// Takes the state lease to which our records of leases are bound, or its loss.
     pub fn state_lease_changed(&mut self, lease_id: Option<u64>, now: Millis) {
         self.notice(now);
         self.lease_id = lease_id;
         self.run(now);
     }
 
+    // Events of the cloud.
+
     /// Takes machine types from the cloud.
     pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
         self.notice(now);
@@ -193,74 +264,65 @@
         self.run(now);
     }
 
-    /// Whether the state service has answered lately.
-    pub fn state_fresh(&self, now: Millis) -> bool {
-        self.state_contact.is_fresh(now)
+    /// Takes a reading of the cloud's machine list.
+    pub fn listed(&mut self, machines: Vec<Instance>, now: Millis) {
+        self.notice(now);
+        self.learn_provisioning_times(&machines);
+        let by_name = machines.into_iter().map(|entry| (entry.id.clone(), entry));
+        self.listed = by_name.collect();
+        self.listed_at = now;
+        self.forget_machines(now);
+        self.scale_in_listed(now);
     }
 
-    /// Whether this controller can take requests: it holds a first read, and
-    /// either the state service answers it, or it answers nobody.
-    pub fn ready(&self, now: Millis) -> bool {
-        self.mirror.loaded
-            && !self.mirror.machine_types.is_empty()
-            && (self.state_fresh(now) || self.all_cut_off(now))
+    /// Forgets machines that have long been silent, unless something still names them:
+    /// assignments, or the list, which shows a machine until it is gone. What is gone by our
+    /// release or was taken by the cloud is forgotten though it is listed: of the latter a busy
+    /// fleet has some hundreds a day.
+    fn forget_machines(&mut self, now: Millis) {
+        let (mirror, listed) = (&self.mirror, &self.listed);
+        self.machines.retain(|&host, machine| {
+            now - machine.last_heard_at < FORGET_MS
+                || mirror.on_host(host).next().is_some()
+                || (machine.state != MachineState::Gone
+                    && listed.contains_key(mirror.hosts.name(host)))
+        });
     }
 
-    /// Takes how a transaction came out.
-    pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
+    /// Takes the answer to a release of machines: whether the cloud has taken it.
+    pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
         self.notice(now);
-        if let Outcome::Applied(store_revision) = outcome {
-            self.state_contact.applied(store_revision);
-            self.mirror.committed(commit, store_revision);
-        } else {
-            if outcome == Outcome::Malformed {
-                self.commit_refused_as_malformed(commit);
-            }
-            tracing::debug!(?ticket, ?outcome, "a transaction was not applied");
-            self.effects.push(Effect::Refresh);
-        }
-        match ticket {
-            Ticket::AcquireShard(shard_id) => {
-                self.shard_acquire_committed(shard_id, outcome, now);
-            }
-            Ticket::OwnerCycle(shard_id) => self.owner_committed(shard_id, outcome, now),
-            Ticket::ReleaseShard(shard_id) => {
-                self.shard_release_committed(shard_id, outcome, now);
+        for name in names {
+            if let Some(host) = self.mirror.hosts.get(name) {
+                self.machine_released(host, ok, now);
             }
-            Ticket::AcquireLeadership => self.leadership_committed(outcome, now),
-            Ticket::LeaderCycle => self.leader_committed(outcome, now),
-            Ticket::HistoryCompaction => self.compaction_committed(outcome, now),
-            Ticket::BulkCreation => self.bulk_creation_committed(outcome, now),
-            Ticket::Admission => self.intake_committed(outcome, now),
-        }
-        if outcome == Outcome::NoLease {
-            self.lease_id = None;
         }
         self.run(now);
     }
 
-    pub(crate) fn jitter(&mut self, from: f64, to: f64) -> f64 {
-        self.rng.random_range(from..to)
+    fn machine_released(&mut self, host: u32, ok: bool, now: Millis) {
+        let Some(machine) = self.machines.get_mut(&host) else {
+            return;
+        };
+        let shard = &mut self.shards[machine.shard];
+        shard.dirty = true;
+        shard.touched.insert(host);
+        machine.change(if ok {
+            MachineEvent::Released
+        } else {
+            MachineEvent::ReleaseFailed
+        });
+        machine.release_after = now + RELEASE_AGAIN_MS;
     }
 
-    /// Notes that a task which became due at `due` has had its turn now, behind
-    /// all reports and requests that came before.
-    pub fn queue_passed(&mut self, due: Millis, now: Millis) {
-        self.notice(now);
-        self.lag.passed(due, now);
-    }
+    // Time.
 
-    /// The state lease in use.
-    pub fn lease_id(&self) -> Option<u64> {
-        self.lease_id
-    }
-
-    /// Lets time pass.
+    /// Lets time pass: to be called every tenth of a second.
     pub fn tick(&mut self, now: Millis) {
         self.notice(now);
         self.lag.ticked(now);
         for shard in &mut self.shards {
-            if now - shard.planned_at >= 400.0 {
+            if now - shard.planned_at >= SHARD_CYCLE_MS {
                 shard.dirty = true;
             }
         }
@@ -272,6 +334,28 @@
         }
     }
 
+    /// Notes that a task of the event loop which became due at `due` has been run now, behind
+    /// all heartbeats and requests that came before.
+    pub fn queue_passed(&mut self, due: Millis, now: Millis) {
+        self.notice(now);
+        self.lag.passed(due, now);
+    }
+
+    // What is common to all events.
+
+    /// Notes the time of an event. After a gap all timers are due at once and all that is known
+    /// is old: nothing is decided before a read of the state that was sent since. A controller
+    /// that stood still for a minute would take all its machines for silent, and shards long
+    /// lost for its own.
+    pub(crate) fn notice(&mut self, now: Millis) {
+        if let Some(gap) = self.state_contact.advance(now) {
+            tracing::info!(ms = gap, "stood still");
+            self.lag.stood_still(now);
+            self.effects.push(Effect::Refresh);
+        }
+    }
+
+    /// Lets each concern decide what follows from what is known now.
     pub(crate) fn run(&mut self, now: Millis) {
         if !self.mirror.loaded {
             return;
@@ -286,7 +370,7 @@
                 self.plan_shard(shard_id, now);
             }
         }
-        if self.leader.dirty || now - self.leader.planned_at >= 500.0 {
+        if self.leader.dirty || now - self.leader.planned_at >= LEADER_CYCLE_MS {
             self.plan_leader(now);
         }
         self.take_in(now);
@@ -294,44 +378,42 @@
         self.create(now);
     }
 
-    /// Takes a reading of the cloud's machine list.
-    pub fn listed(&mut self, hosts: Vec<Instance>, now: Millis) {
-        self.notice(now);
-        self.learn_provisioning_times(&hosts);
-        self.listed = hosts.into_iter().map(|h| (h.id.clone(), h)).collect();
-        self.listed_at = now;
-        // Machines long gone are forgotten, unless something still names them:
-        // those released, and those that the cloud took (a list shows a machine
-        // until it is gone). Of the latter a busy fleet has some hundreds a day.
-        let (mirror, listed) = (&self.mirror, &self.listed);
-        self.machines.retain(|&host, m| {
-            now - m.last_heard_at < FORGET_MS
-                || mirror.on_host(host).next().is_some()
-                || (m.state != MachineState::Gone && listed.contains_key(mirror.hosts.name(host)))
-        });
-        self.scale_in_listed(now);
+    /// Has all scheduling cycles, the leader's included, look at what has changed.
+    pub(crate) fn mark_all_dirty(&mut self) {
+        for shard in &mut self.shards {
+            shard.dirty = true;
+        }
+        self.leader.dirty = true;
     }
 
-    /// Takes the answer to a release.
-    pub fn released(&mut self, hosts: &[String], ok: bool, now: Millis) {
-        self.notice(now);
-        for name in hosts {
-            let Some(host) = self.mirror.hosts.get(name) else {
-                continue;
-            };
-            if let Some(shard) = self.machines.get(&host).map(|m| m.shard) {
-                self.shards[shard].dirty = true;
-                self.shards[shard].touched.insert(host);
-            }
-            if let Some(m) = self.machines.get_mut(&host) {
-                m.change(if ok {
-                    MachineEvent::Released
-                } else {
-                    MachineEvent::ReleaseFailed
-                });
-                m.release_after = now + 2000.0;
-            }
-        }
-        self.run(now);
+    /// A random time, by which controllers that were refused together do not come back together.
+    pub(crate) fn jitter(&mut self, from: Millis, to: Millis) -> Millis {
+        self.rng.random_range(from..to)
+    }
+
+    // What others ask.
+
+    /// Whether this controller can take requests: it holds a first read, and
+    /// either the state service answers it, or it answers nobody.
+    pub fn ready(&self, now: Millis) -> bool {
+        self.mirror.loaded
+            && !self.mirror.machine_types.is_empty()
+            && (self.state_fresh(now) || self.all_cut_off(now))
+    }
+
+    /// Whether the state service has answered lately, and has been read since this controller
+    /// last stood still.
+    pub fn state_fresh(&self, now: Millis) -> bool {
+        self.state_contact.is_fresh(now)
+    }
+
+    /// Whether the state has been read since this controller last stood still.
+    pub(crate) fn caught_up(&self) -> bool {
+        self.state_contact.caught_up()
+    }
+
+    /// The state lease in use.
+    pub fn lease_id(&self) -> Option<u64> {
+        self.lease_id
     }
 }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -1,4 +1,4 @@
-//! Users' writes and polls: who takes them, when they are refused, and what is told.
+//! Users' writes and polls: who takes them, when they are refused, and what is answered.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -9,16 +9,19 @@
 
 /// Part of its users' writes that a controller lends to the leader.
 const LENT_SHARE: f64 = 0.6;
-/// How long a leader goes by what a controller has last named.
-const LENT_MS: f64 = 2000.0;
+/// How long a leader goes by what a controller has last acknowledged.
+const LENT_MS: Millis = 2000.0;
 /// How long a leader goes by what it last saw of its lease.
-const LEADS_MS: f64 = 3000.0;
+const LEADS_MS: Millis = 3000.0;
+/// How much longer than the other side's a time is waited for: clocks drift apart.
+const LENT_DRIFT: f64 = 1.25;
+const LEADS_DRIFT: f64 = 1.01;
 
-/// Lateness above which polls are refused at once: with the wait for a barrier
+/// Event-loop lag above which polls are refused at once: with the wait for a barrier
 /// they would be answered when nobody waits any more.
-const POLLS_MS: f64 = 600.0;
-/// Lateness above which submissions are.
-const SUBMISSIONS_MS: f64 = 1500.0;
+const MAX_POLL_LAG_MS: Millis = 600.0;
+/// Event-loop lag above which submissions are refused.
+const MAX_SUBMISSION_LAG_MS: Millis = 1500.0;
 
 /// What a user can be told of a job.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,40 +61,50 @@
         let record = self.mirror.open.get(&job)?.ended(End::Cancelled);
         let mut commit = Commit::default();
         let records = vec![(job, record)];
-        let written = self.mirror.write_jobs(&mut commit, records, &self.config);
-        written.then_some(commit)
+        let is_written = self.mirror.write_jobs(&mut commit, records, &self.config);
+        is_written.then_some(commit)
     }
 
     /// Sets the rate at which this controller may make users' writes, which leave room
     /// for leases and assignments. Each has an even part of the budget, and lends most of it to
-    /// the leader, to whom submissions are passed on, while the two hear each other.
+    /// the leader, to whom submissions are forwarded, while the two hear each other.
     ///
     /// No part is used twice. A leader uses what a controller lends for a time after it
-    /// sent the last message that this one has named; the lender takes it back a longer
-    /// time after it heard that message. And a leader uses anything lent only for a time
+    /// sent the last heartbeat that this one has acknowledged; the lender takes it back a longer
+    /// time after it received that heartbeat. And a leader uses anything lent only for a time
     /// after it last saw itself lead, its successor not before that time has passed.
     pub(crate) fn set_user_rate(&mut self, now: Millis) {
-        let even = self.config.user_writes_per_s / self.shards.len() as f64;
-        let me = self.config.me;
-        let rate = if self.leader.leads(&self.mirror) {
-            let reported = self.state_contact.read_age(now) <= LEADS_MS && self.caught_up();
-            let waited = now - self.leader.since >= LEADS_MS * 1.01;
-            let lends = |i: &usize| self.named_at(*i).is_some_and(|at| now - at <= LENT_MS);
-            let lenders = (0..self.shards.len()).filter(|&i| i != me).filter(lends);
-            let lenders = if reported && waited {
-                lenders.count()
-            } else {
-                0
-            };
-            even * (1.0 + LENT_SHARE * lenders as f64)
+        let even_part = self.config.user_writes_per_s / self.shards.len() as f64;
+        let parts = if self.leader.leads(&self.mirror) {
+            1.0 + LENT_SHARE * self.lenders(now) as f64
+        } else if self.lends_to_leader(now) {
+            1.0 - LENT_SHARE
         } else {
-            let label = self.mirror.leader_lease.as_ref().map(|c| &c.label);
-            let leader = self.config.labels.iter().position(|l| Some(l) == label);
-            let silence = leader.and_then(|peer| self.peers.silence(peer, now));
-            let lent = silence.is_some_and(|silence| silence <= LENT_MS * 1.25);
-            even * if lent { 1.0 - LENT_SHARE } else { 1.0 }
+            1.0
         };
-        self.user_write_budget.set_rate(rate, now);
+        self.user_write_budget.set_rate(even_part * parts, now);
+    }
+
+    /// As the leader: how many controllers lend it their users' writes.
+    fn lenders(&self, now: Millis) -> usize {
+        let sees_itself_lead = self.state_contact.read_age(now) <= LEADS_MS && self.caught_up();
+        let predecessor_is_over = now - self.leader.since >= LEADS_MS * LEADS_DRIFT;
+        if !sees_itself_lead || !predecessor_is_over {
+            return 0;
+        }
+        let lends = |peer: &usize| {
+            self.named_at(*peer)
+                .is_some_and(|named_at| now - named_at <= LENT_MS)
+        };
+        self.peers.others().filter(lends).count()
+    }
+
+    /// Whether this controller, which does not lead, lends its users' writes to the leader.
+    fn lends_to_leader(&self, now: Millis) -> bool {
+        let holder = self.mirror.leader_lease.as_ref();
+        let leader = holder.and_then(|holder| self.place_of(&holder.label));
+        let silence = leader.and_then(|leader| self.peers.silence(leader, now));
+        silence.is_some_and(|silence| silence <= LENT_MS * LENT_DRIFT)
     }
 
     /// Whether a chunk of a submission may go to the state service now; if not, after
@@ -115,47 +128,44 @@
         if self.leader.leads(&self.mirror) && self.state_fresh(now) {
             return None;
         }
-        let able =
-            |i: &usize| *i != self.config.me && self.peers.has_state_within(*i, FORWARDING_MS, now);
-        let all = 0..self.config.labels.len();
-        let leader = all
-            .clone()
-            .find(|&i| self.leader.is_label(&self.mirror, &self.config.labels[i]));
-        let whom = match leader.filter(able) {
-            Some(i) => Some(i),
+        let is_able = |peer: &usize| {
+            *peer != self.config.me && self.peers.has_state_within(*peer, FORWARDING_MS, now)
+        };
+        let labels = &self.config.labels;
+        let leader = (0..labels.len())
+            .find(|&place| self.leader.is_label(&self.mirror, &labels[place]))
+            .filter(is_able);
+        let target = match leader {
+            Some(leader) => Some(leader),
             None if self.state_fresh(now) => None,
-            None => all.into_iter().find(able),
+            None => (0..labels.len()).find(is_able),
         };
-        whom.map(|i| self.config.labels[i].as_str())
+        target.map(|place| labels[place].as_str())
     }
 
-    /// How long submissions passed on to a controller may take there, beyond what is
-    /// usual, by what it last told.
+    /// How long, in milliseconds, submissions forwarded to a controller may take there, beyond
+    /// what is usual, by what it last told.
     pub fn intake_ms(&self, label: &str) -> u64 {
-        let i = self.config.labels.iter().position(|l| l == label);
-        let peer = i.and_then(|i| self.peers.get(i));
-        peer.map_or(0, |p| u64::from(p.heartbeat.intake_ms))
+        let peer = self.place_of(label).and_then(|place| self.peers.get(place));
+        peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
     }
 
-    /// Takes a user's transaction (a cancellation, or a chunk of a submission).
+    /// Takes a user's transaction (a cancellation, or a chunk of a submission) that was applied
+    /// at this revision.
     pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
         self.notice(now);
-        self.state_contact.applied(store_revision);
-        self.mirror.committed(commit, store_revision);
-        for shard in &mut self.shards {
-            shard.dirty = true;
-        }
-        self.leader.dirty = true;
+        self.mirror_commit(commit, store_revision);
+        self.mark_all_dirty();
         self.run(now);
     }
 
     /// Whether users' polls are refused for now.
     pub fn refuses_polls(&self, now: Millis) -> bool {
-        self.lag.now(now) > POLLS_MS
+        self.lag.now(now) > MAX_POLL_LAG_MS
     }
 
     /// Whether submissions are refused for now.
     pub fn refuses_submissions(&self, now: Millis) -> bool {
-        self.lag.now(now) > SUBMISSIONS_MS
+        self.lag.now(now) > MAX_SUBMISSION_LAG_MS
     }
 }
