--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the core wants done, and how it came out.
+//! Effects: what the core wants done, and how that came out.
 
 use crate::admission::intake::Verdict;
 use cherryyard_wire::cloud::ProvisionRequest;
@@ -10,21 +10,21 @@
 /// most one of each under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ticket {
-    /// A lease on a shard, or its renewal under a new token.
+    /// Acquires the lease on a shard, or renews it under a new token.
     AcquireShard(usize),
-    /// An owner's round.
+    /// A shard's scheduling cycle.
     OwnerCycle(usize),
-    /// An owner gives its shard up.
+    /// Releases the lease on a shard.
     ReleaseShard(usize),
-    /// A lease on the lead.
+    /// Acquires the leadership lease.
     AcquireLeadership,
-    /// A leader's round.
+    /// The leader's scheduling cycle.
     LeaderCycle,
-    /// The history's packer.
+    /// Compacts jobs that are over into the history.
     HistoryCompaction,
-    /// The creator of submissions' jobs.
+    /// Creates the jobs of bulk submissions.
     BulkCreation,
-    /// Users' submissions.
+    /// Writes users' submissions.
     Admission,
 }
 
@@ -35,7 +35,7 @@
     Applied(u64),
     /// A condition failed, as of this revision.
     Conflict(u64),
-    /// Its lease was over.
+    /// The state lease that it named was over.
     NoLease,
     /// Not executed.
     Refused,
@@ -49,7 +49,7 @@
 /// How a direct command came out.
 #[derive(Clone, Debug)]
 pub enum PushOutcome {
-    /// The worker answered with its report.
+    /// The worker answered with its status.
     Answered(Box<WorkerHeartbeat>),
     /// No connection was made, so the worker never gets it.
     Unsent,
@@ -73,28 +73,29 @@
         /// The commands.
         request: CommandBatch,
     },
-    /// Ask a machine directly for its report.
+    /// Ask a machine directly for its status.
     QueryStatus {
         /// The machine.
         host: u32,
         /// Its address.
         addr: String,
     },
-    /// Tell the other controllers at once.
+    /// Send the other controllers a heartbeat at once.
     Heartbeat,
     /// What has become of the submission with this number.
     Answer(u64, Verdict),
-    /// Return machines.
+    /// Return machines to the cloud.
     Release(Vec<String>),
-    /// Rent machines.
+    /// Provision machines.
     Provision(ProvisionRequest),
-    /// Read the first leaf of a run whose last possible id is this one or later.
+    /// Read the first leaf, at this level of the history, whose last possible id is this one or
+    /// later.
     ReadLeaf(Level, u64),
-    /// Read a chunk of a submission.
+    /// Read a chunk of a bulk submission: its number, and the chunk's.
     ReadChunk(u64, u32),
 }
 
-/// The answer to a worker's report.
+/// The answer to a worker's heartbeat, by the status of the HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// 200.
--- a/crates/cherryyard-core/src/event_loop_lag.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -1,22 +1,24 @@
-//! How far behind a controller is with what waits for it.
+//! Event-loop lag: how long what comes to a controller now will wait before it is handled.
 //!
-//! A task that is woken now and then waits as long as the reports and requests
-//! that came before it.
+//! It is measured by a probe, a task that is woken every [`QUEUE_CHECK_MS`] and then waits as
+//! long as the heartbeats and requests that came before it.
 
 use crate::Millis;
 
-/// Longer waits, or gaps between ticks, are late.
-const LATE_MS: f64 = 700.0;
-/// Time between two such tasks.
-pub const QUEUE_CHECK_MS: f64 = 100.0;
+/// A longer wait, or gap between two ticks, makes the controller late.
+const LATE_MS: Millis = 700.0;
+/// Time between two probes.
+pub const QUEUE_CHECK_MS: Millis = 100.0;
 
-/// What is known of a controller's lateness.
+/// What is known of a controller's event-loop lag.
 #[derive(Clone, Copy, Debug)]
 pub struct EventLoopLag {
-    /// How long the last task waited, and when the next becomes due.
-    last: Millis,
-    due: Millis,
+    /// How long the last probe waited.
+    last_wait: Millis,
+    /// When the next one becomes due.
+    due_at: Millis,
     ticked_at: Millis,
+    /// When the controller was last late.
     late_at: Millis,
 }
 
@@ -24,8 +26,8 @@
     /// A controller that has just started.
     pub fn new(now: Millis) -> Self {
         Self {
-            last: 0.0,
-            due: f64::INFINITY,
+            last_wait: 0.0,
+            due_at: f64::INFINITY,
             ticked_at: now,
             late_at: now,
         }
@@ -39,23 +41,23 @@
         self.ticked_at = now;
     }
 
-    /// The controller stood still until now.
+    /// The process stood still until now.
     pub fn stood_still(&mut self, now: Millis) {
         self.late_at = now;
     }
 
-    /// A task that became due at `due` has had its turn.
+    /// A probe that became due at `due` has been run.
     pub fn passed(&mut self, due: Millis, now: Millis) {
-        self.last = (now - due).max(0.0);
-        self.due = now + QUEUE_CHECK_MS;
-        if self.last > LATE_MS {
+        self.last_wait = (now - due).max(0.0);
+        self.due_at = now + QUEUE_CHECK_MS;
+        if self.last_wait > LATE_MS {
             self.late_at = now;
         }
     }
 
     /// How long what comes now will about wait.
     pub fn now(&self, now: Millis) -> Millis {
-        self.last.max(now - self.due)
+        self.last_wait.max(now - self.due_at)
     }
 
     /// For how long nothing has been late: only what was silent for less than
@@ -70,30 +72,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against silence judged by a clock that goes before the queue in
-    /// which the reports wait.
-    #[test]
-    fn a_queue_that_stands_is_late_before_it_moves() {
-        let mut l = EventLoopLag::new(0.0);
-        for i in 1..=100 {
-            let now = f64::from(i) * 100.0;
-            l.ticked(now);
-            l.passed(now, now);
-        }
-        assert_eq!(l.punctual_for(10_000.0), 10_000.0);
-        // Ticks go on, the queue does not.
-        for i in 101..=120 {
-            l.ticked(f64::from(i) * 100.0);
-        }
-        assert_eq!(l.now(12_000.0), 1900.0);
-        assert_eq!(l.punctual_for(12_000.0), 0.0);
-        l.passed(10_100.0, 12_000.0);
-        l.passed(12_100.0, 12_100.0);
-        l.ticked(12_100.0);
-        assert_eq!(l.now(12_100.0), 0.0);
-        assert_eq!(l.punctual_for(12_100.0), 100.0);
-    }
-}
+mod tests;
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -1,9 +1,11 @@
 //! The scheduling core of cherryyard.
 //!
-//! [`Controller`] is one controller: it takes events (state changes, reports, heartbeats,
-//! answers, the time) and returns effects (transactions, direct commands,
+//! [`Controller`] is one controller: it takes events (state changes, workers' and peers'
+//! heartbeats, answers, the time) and returns effects (transactions, direct commands,
 //! provisioning requests). It does no I/O and reads no clock, so the same events always give
-//! the same effects, which is what the rehearsal crate builds on.
+//! the same effects, which is what the deterministic simulation builds on.
+//!
+//! Read [`controller`] first: it says how an event is handled, and where to read on.
 
 pub mod account;
 pub mod admission;
--- a/crates/cherryyard-core/src/names.rs
+++ b/crates/cherryyard-core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names mapped to dense indices at the door.
+//! Interned names: each gets a dense index where it enters the core.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 }
 
 impl Names {
-    /// The names given, in their order.
+    /// Interns the names given, in their order.
     pub fn of<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut all = Self::default();
         for name in names {
--- a/crates/cherryyard-core/src/needs.rs
+++ b/crates/cherryyard-core/src/needs.rs
@@ -1,4 +1,9 @@
-//! Amounts of a machine's resources.
+//! Amounts of a machine's resources: what a task needs, or what is free.
+
+/// Slack for sums of fractions of resources, which are rounded.
+const ROUNDING: f64 = 1e-6;
+/// How often an amount fits that needs nothing of a resource.
+const UNBOUNDED_TIMES: f64 = 1e6;
 
 /// Amounts of a machine's resources.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -14,18 +19,18 @@
 impl Needs {
     /// Whether `self` fits into `free`, rounding aside.
     pub fn fits(&self, free: &Needs) -> bool {
-        self.cores <= free.cores + 1e-6
-            && self.acc <= free.acc + 1e-6
-            && self.ram <= free.ram + 1e-6
+        self.cores <= free.cores + ROUNDING
+            && self.acc <= free.acc + ROUNDING
+            && self.ram <= free.ram + ROUNDING
     }
 
     /// How many times `self` fits into `free`.
     pub fn times_in(&self, free: &Needs) -> u32 {
         let times = |need: f64, have: f64| {
             if need > 0.0 {
-                ((have + 1e-6) / need).floor().max(0.0)
+                ((have + ROUNDING) / need).floor().max(0.0)
             } else {
-                1e6
+                UNBOUNDED_TIMES
             }
         };
         times(self.cores, free.cores)
--- a/crates/cherryyard-core/src/shard_map.rs
+++ b/crates/cherryyard-core/src/shard_map.rs
@@ -1,8 +1,9 @@
-//! Which shard a machine belongs to: a pure function of its zone and number.
+//! Which shard a machine belongs to: a pure function of its zone and name, so that all
+//! controllers agree on it without asking.
 
 use std::collections::HashMap;
 
-/// The parting of the machines among the controllers.
+/// How the machines are divided among the controllers' shards.
 #[derive(Clone, Debug)]
 pub struct ShardMap {
     by_zone: HashMap<String, Vec<usize>>,
@@ -10,7 +11,8 @@
 }
 
 impl ShardMap {
-    /// One shard per controller, in the order that all controllers agree on.
+    /// One shard per controller, given by name and zone in the order that all controllers agree
+    /// on.
     pub fn new(controllers: &[(String, String)]) -> Self {
         let mut by_zone: HashMap<String, Vec<usize>> = HashMap::new();
         for (i, (_, zone)) in controllers.iter().enumerate() {
@@ -27,18 +29,18 @@
         self.count
     }
 
-    /// The part of machine `host` in `zone`: the controller in its zone; with
-    /// none or several there, the machines are spread by number.
+    /// The shard of machine `host` in `zone`: that of the controller in its zone; with
+    /// none or several there, the machines are spread by the number that ends their names.
     pub fn shard(&self, zone: &str, host: &str) -> usize {
         let digits = host
             .rfind(|c: char| !c.is_ascii_digit())
             .map_or(host, |i| &host[i + 1..]);
         let number = match digits.parse::<u64>() {
-            Ok(n) => n as usize,
-            // A name without a number still needs one fixed part.
-            Err(_) => host
-                .bytes()
-                .fold(0usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into())),
+            Ok(number) => number as usize,
+            // A name without a number still needs one fixed shard.
+            Err(_) => host.bytes().fold(0usize, |hash, byte| {
+                hash.wrapping_mul(31).wrapping_add(byte.into())
+            }),
         };
         match self.by_zone.get(zone) {
             Some(shards) => shards[number % shards.len()],
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -3,8 +3,8 @@
 //!
 //! Every writer plans its transactions within the limits of [`Config`], which are the
 //! smaller of those in force and those that are announced. If the service calls a
-//! transaction malformed all the same, the limits fall below what that transaction had,
-//! so whoever wrote it plans a smaller one: it is divided, waits, or is refused, and is
+//! transaction malformed all the same, the limits are lowered below what that transaction had,
+//! so its writer plans a smaller one: it is divided, waits, or is refused, and is
 //! never sent again unchanged.
 
 use crate::controller::Controller;
@@ -13,15 +13,17 @@
 
 /// Conditions that a transaction may have for each change that it may have.
 pub const CONDITIONS_PER_CHANGE: usize = 4;
-/// Bytes that a transaction may have.
+/// Bytes that a transaction may have, with its conditions.
 pub const MAX_TRANSACTION: usize = 64 * 1024;
-/// Limits do not fall below these: a service with smaller ones cannot be used.
-const LEAST_VALUE_BYTES: usize = 768;
-const LEAST_TXN_OPS: usize = 2;
+/// Limits are not lowered below these: a service with smaller ones cannot be used.
+const MIN_VALUE_BYTES: usize = 768;
+const MIN_TXN_OPS: usize = 2;
+/// About how many bytes a condition or a change takes beside its key and value.
+const OVERHEAD_BYTES: usize = 45;
 
-/// In what a transaction exceeds the limits.
+/// The limit that a transaction exceeds.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RateExcess {
+pub enum LimitExceeded {
     /// A value is too large.
     #[error("{key}: a value of {bytes} bytes, and {most} are allowed")]
     Value {
@@ -67,32 +69,34 @@
 
 /// About how many bytes a transaction has in all.
 fn whole_bytes(commit: &Commit) -> usize {
-    let conditions = commit.when.iter().map(|w| w.key.len() + 45);
-    let changes = commit.apply.iter().map(|a| a.key().len() + 45);
+    let conditions = commit.when.iter();
+    let conditions = conditions.map(|condition| condition.key.len() + OVERHEAD_BYTES);
+    let changes = commit.apply.iter();
+    let changes = changes.map(|change| change.key().len() + OVERHEAD_BYTES);
     commit.bytes() + conditions.sum::<usize>() + changes.sum::<usize>()
 }
 
 impl Config {
     /// Whether a transaction keeps within the limits.
-    pub fn check_commit(&self, commit: &Commit) -> Result<(), RateExcess> {
+    pub fn check_commit(&self, commit: &Commit) -> Result<(), LimitExceeded> {
         if let Some((bytes, key)) = largest_value(commit)
             && bytes > self.value_bytes
         {
             let key = key.to_string();
             let most = self.value_bytes;
-            return Err(RateExcess::Value { key, bytes, most });
+            return Err(LimitExceeded::Value { key, bytes, most });
         }
         let (count, most) = (commit.apply.len(), self.txn_ops);
         if count > most {
-            return Err(RateExcess::Changes { count, most });
+            return Err(LimitExceeded::Changes { count, most });
         }
         let (count, most) = (commit.when.len(), self.max_conditions());
         if count > most {
-            return Err(RateExcess::Conditions { count, most });
+            return Err(LimitExceeded::Conditions { count, most });
         }
         let bytes = whole_bytes(commit);
         if bytes > MAX_TRANSACTION {
-            return Err(RateExcess::Whole { bytes });
+            return Err(LimitExceeded::Whole { bytes });
         }
         Ok(())
     }
@@ -102,17 +106,17 @@
         self.txn_ops * CONDITIONS_PER_CHANGE
     }
 
-    /// Lowers the limits below what a refused transaction had; says whether any fell.
+    /// Lowers the limits below what a refused transaction had; returns whether any has changed.
     fn lower_below(&mut self, refused: &Commit) -> bool {
         let before = (self.value_bytes, self.txn_ops);
         if let Some((bytes, _)) = largest_value(refused) {
-            let less = (bytes * 3 / 4).max(LEAST_VALUE_BYTES);
-            self.set_value_bytes(self.value_bytes.min(less));
+            let lowered = (bytes * 3 / 4).max(MIN_VALUE_BYTES);
+            self.set_value_bytes(self.value_bytes.min(lowered));
         }
         let conditions = refused.when.len().div_ceil(CONDITIONS_PER_CHANGE);
         let used = refused.apply.len().max(conditions);
-        let less = (used * 3 / 4).max(LEAST_TXN_OPS);
-        self.txn_ops = self.txn_ops.min(less);
+        let lowered = (used * 3 / 4).max(MIN_TXN_OPS);
+        self.txn_ops = self.txn_ops.min(lowered);
         before != (self.value_bytes, self.txn_ops)
     }
 }
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -22,9 +22,7 @@
 impl Controller {
     /// The token under which reports of shard `shard_id` are answered now, if any.
     fn answering(&self, shard_id: usize, now: Millis) -> Option<u64> {
-        let Some(token) = self.shards[shard_id].lease.held_token() else {
-            return None;
-        };
+        let token = self.shards[shard_id].lease.held_token()?;
         // Guards against a cancellation that this controller cannot see: the
         // workers' leases must end in time. If nobody can reach the state
         // service, nobody can take a cancellation either; what was taken before the
--- a/crates/cherryyard/src/app/refusals.rs
+++ b/crates/cherryyard/src/app/refusals.rs
@@ -1,7 +1,7 @@
 //! Transactions that the state service has called malformed, or that exceed its limits:
 //! none of them is sent again unchanged.
 
-use cherryyard_core::state_limits::RateExcess;
+use cherryyard_core::state_limits::LimitExceeded;
 use cherryyard_wire::state::Commit;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
@@ -35,7 +35,7 @@
 
     /// Whether a transaction is not to be sent: it has an `excess`, or it has been
     /// refused as it is.
-    pub(crate) fn forbids(&mut self, commit: &Commit, excess: Option<RateExcess>) -> bool {
+    pub(crate) fn forbids(&mut self, commit: &Commit, excess: Option<LimitExceeded>) -> bool {
         if let Some(excess) = excess {
             self.tell(&excess);
             return true;
@@ -46,7 +46,7 @@
         self.hashes.contains(&hash(commit))
     }
 
-    fn tell(&mut self, excess: &RateExcess) {
+    fn tell(&mut self, excess: &LimitExceeded) {
         if std::mem::replace(&mut self.told, true) {
             tracing::debug!("a transaction is not sent: {excess}");
         } else {
