--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -148,7 +148,7 @@
     /// Divides submissions among the shards if this controller leads, in a transaction
     /// that then depends on its lease.
     fn divide_batch(&mut self, batch: &mut [Waiting], commit: &mut Commit) {
-        let now = self.clock;
+        let now = self.state_contact.clock();
         let Some(token) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in batch {
                 waiting.offer.open.div = Vec::new();
@@ -259,7 +259,7 @@
             .map(|shard_id| self.shard_owner(shard_id, now))
             .collect();
         let leader_token = self.mirror.revision(Key::Leader);
-        let may_grant = may_grant(self.leader.since(), self.state_read_at, now);
+        let may_grant = may_grant(self.leader.since(), self.state_contact.read_sent_at(), now);
         self.entitlements
             .divide_guarantees(usage, leader_token, &owners, may_grant, now);
     }
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -32,7 +32,7 @@
         }
         let lease = self.mirror.shards[i].as_ref();
         let lease = lease.filter(|lease| lease.label == self.config.labels[i]);
-        let told = self.peers.format(i, self.clock);
+        let told = self.peers.format(i, self.state_contact.clock());
         lease.is_some_and(|lease| lease.format >= format) || told.is_some_and(|told| told >= format)
     }
 
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -68,7 +68,9 @@
             ..
         } = collection;
         let shard = &mut self.shards[shard_id];
-        shard.bump |= needs_new_token;
+        if needs_new_token {
+            shard.lease.want_new_token();
+        }
         shard.dirty |= !deferred.is_empty();
         shard.touched.extend(deferred);
         for (job, run_ms) in runs {
--- a/crates/cherryyard-core/src/owner/direct_commands.rs
+++ b/crates/cherryyard-core/src/owner/direct_commands.rs
@@ -7,7 +7,6 @@
 use crate::effects::Effect;
 use crate::machine::{Machine, PushedStart};
 use crate::reachability::Reachability;
-use crate::shard_lease::ShardLease;
 use cherryyard_wire::worker::{CommandBatch, WorkerCommand, parse_task_name};
 
 /// Least time between two messages to a machine.
@@ -60,7 +59,7 @@
         let Some(machine) = self.machines.get(&host) else {
             return;
         };
-        let ShardLease::Held(token) = self.shards[machine.shard].lease else {
+        let Some(token) = self.shards[machine.shard].lease.held_token() else {
             return;
         };
         if machine.pushing
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -402,7 +402,11 @@
             incarnation: self.machines[&host].newest.0,
             // Above every attempt before: each of those was at most the revision of its
             // own assignment, which has been seen since.
-            attempt: self.mirror.store_revision.max(self.newest_revision) + 1,
+            attempt: self
+                .mirror
+                .store_revision
+                .max(self.state_contact.newest_revision())
+                + 1,
         };
         let task = (candidate.job, number);
         if !cycle.assign(&self.mirror, task, assignment, candidate.limited_team) {
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -108,7 +108,7 @@
     fn may_plan(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &self.shards[shard_id];
         shard.pending.is_none()
-            && !shard.acquiring
+            && !shard.lease.transaction_pending()
             && now >= shard.retry_after
             && self.mirror.store_revision >= shard.wait_revision
             && self.cycle_due(shard_id, now)
@@ -154,7 +154,10 @@
     /// and machines for each heartbeat costs more than it finds.
     fn placement_due(&mut self, shard_id: usize, cycle: &Cycle, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let events = (self.mirror.store_revision, self.newest_revision);
+        let events = (
+            self.mirror.store_revision,
+            self.state_contact.newest_revision(),
+        );
         let is_due = !cycle.gone.is_empty()
             || shard.placed_as_of != events
             || now - shard.placed_at >= PLACE_AGAIN_MS;
--- a/crates/cherryyard-core/src/owner/queue_upkeep.rs
+++ b/crates/cherryyard-core/src/owner/queue_upkeep.rs
@@ -4,7 +4,6 @@
 use crate::admission::queue::Place;
 use crate::controller::Controller;
 use crate::mirror::OpenJob;
-use crate::shard_lease::ShardLease;
 use cherryyard_wire::job::Shape;
 
 /// How long before its deadline a job has to start to make it, in milliseconds for each second
@@ -73,7 +72,7 @@
     /// Takes over what has changed of what waits in our shards.
     pub(crate) fn requeue_changed(&mut self, now: Millis) {
         for (shard_id, job) in self.mirror.waiting_changes() {
-            if matches!(self.shards[shard_id].lease, ShardLease::Held(_)) {
+            if self.shards[shard_id].lease.held_token().is_some() {
                 self.requeue(shard_id, job, now);
             }
         }
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -158,7 +158,7 @@
                 .then_some(ReleaseReason::NeverUp),
             InstanceStatus::Running | InstanceStatus::Other => {
                 let shard_id = self.config.shard_map.shard(&entry.zone, name);
-                let owned_for = now - self.shards[shard_id].owned_since;
+                let owned_for = now - self.shards[shard_id].lease.token_since();
                 let patience = self.config.lease_ms * 2.0 + FIRST_REPORT_MS;
                 let ready_ms = self.ready_s(&entry.machine_type) * 1000.0;
                 (owned_for > patience && entry.held_s * 1000.0 > ready_ms + patience)
@@ -226,7 +226,7 @@
         let shard_id = self.mirror.shard_of_assignment(host)?;
         self.owned(shard_id)?;
         // The list is late; a machine that is merely new is not in it yet.
-        let owned_for = now - self.shards[shard_id].owned_since;
+        let owned_for = now - self.shards[shard_id].lease.token_since();
         let list_delay = 3.0 * self.config.list_lag_ms + self.config.lease_ms;
         (owned_for >= list_delay).then_some(shard_id)
     }
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -65,7 +65,7 @@
         // Heartbeats that wait because this controller is late are no silence.
         if gain < MIN_GAIN
             || !self.state_fresh(now)
-            || now - self.shards[shard_id].owned_since < 2.0 * limit
+            || now - self.shards[shard_id].lease.token_since() < 2.0 * limit
             || self.lag.punctual_for(now) < limit
         {
             return;
@@ -199,7 +199,7 @@
 
     /// Since when nothing has been heard of a machine that should have been.
     fn silent_since(&self, host: u32, shard_id: usize, now: Millis) -> Millis {
-        let held_since = self.shards[shard_id].held_since;
+        let held_since = self.shards[shard_id].lease.held_since();
         let punctual_since = now - self.lag.punctual_for(now);
         match self.machines.get(&host) {
             Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
@@ -215,7 +215,7 @@
     /// come, they are with the old owner, or the network is at fault.
     pub(crate) fn release_without_owner(&mut self, shard_id: usize, now: Millis) {
         let limit = self.find_owner_ms();
-        let owned_for = now - self.shards[shard_id].owned_since;
+        let owned_for = now - self.shards[shard_id].lease.token_since();
         if owned_for < limit
             || owned_for > limit + NEW_OWNER_MS
             || self.lag.punctual_for(now) < limit
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -10,7 +10,6 @@
 use crate::machine::{Freshness, Machine, MachineState};
 use crate::owner::reconciliation::CommandChannel;
 use crate::reachability::ReachabilityEvent;
-use crate::shard_lease::ShardLease;
 use cherryyard_wire::record::End;
 use cherryyard_wire::worker::{
     CommandBatch, HeartbeatResponse, TaskReport, TaskStatus, WorkerCommand, WorkerHeartbeat,
@@ -69,7 +68,7 @@
 
     /// The token under which heartbeats of a shard are answered now, if any.
     fn answering_token(&self, shard_id: usize, now: Millis) -> Option<u64> {
-        let ShardLease::Held(token) = self.shards[shard_id].lease else {
+        let Some(token) = self.shards[shard_id].lease.held_token() else {
             return None;
         };
         // Guards against a cancellation that this controller cannot see: the
@@ -78,7 +77,7 @@
         // last of them lost it, those who took it have announced.
         let bound = self.config.cut_off_bound_ms();
         let outage = || self.all_cut_off(now) && self.knows_cancellations();
-        (now - self.state_read_at <= bound || outage()).then_some(token)
+        (self.state_contact.read_age(now) <= bound || outage()).then_some(token)
     }
 
     /// Answers a heartbeat of a shard that this controller does not own beyond doubt: it
@@ -119,7 +118,7 @@
         if machine.state == MachineState::Gone {
             return None;
         }
-        let is_blind = now - self.state_read_at > self.config.cut_off_bound_ms() / 2.0;
+        let is_blind = self.state_contact.read_age(now) > self.config.cut_off_bound_ms() / 2.0;
         if is_blind && self.may_start_cancelled(machine) {
             // While the state service does not answer nobody can get the token that would
             // stop the start: the machine's incarnation has to end.
@@ -257,7 +256,7 @@
                 tracing::debug!(machine = %machine.addr, incarnation, answered_by, "direct commands answered");
                 machine.settle_push(request, false);
                 machine.note_reachability(ReachabilityEvent::Reflected, now);
-                let ShardLease::Held(token) = self.shards[shard_id].lease else {
+                let Some(token) = self.shards[shard_id].lease.held_token() else {
                     return;
                 };
                 if machine.receive(&status, token, now) != Freshness::Old {
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -6,7 +6,6 @@
 use crate::effects::Effect;
 use crate::machine::Freshness;
 use crate::reachability::{Reachability, ReachabilityEvent};
-use crate::shard_lease::ShardLease;
 use cherryyard_wire::worker::WorkerHeartbeat;
 
 /// How much longer than its lease a silent machine is still queried.
@@ -41,13 +40,17 @@
     ) {
         self.notice(now);
         self.misdirected.queried(host, answer.is_some());
-        let newest_attempt = self.mirror.store_revision.max(self.newest_revision) + 1;
+        let newest_attempt = self
+            .mirror
+            .store_revision
+            .max(self.state_contact.newest_revision())
+            + 1;
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
         machine.query_pending = false;
         let shard_id = machine.shard;
-        let ShardLease::Held(token) = self.shards[shard_id].lease else {
+        let Some(token) = self.shards[shard_id].lease.held_token() else {
             return;
         };
         let Some(status) = answer else {
