--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -217,7 +217,7 @@
 /// Fair-share entitlements.
 impl Controller {
     /// The leader's review of what every flow has.
-    pub(crate) fn review(&mut self, now: Millis) {
+    pub(crate) fn review_fair_shares(&mut self, now: Millis) {
         let is_leader = self.leader.leads(&self.mirror) && self.state_fresh(now);
         if !is_leader || !self.entitlements.review_due(now) {
             return;
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -160,7 +160,7 @@
                 .note_current(shard_id, is_current, now);
         }
         self.assume_capacities(now);
-        self.review(now);
+        self.review_fair_shares(now);
         if let Some(mut commit) = self.next_leader_transaction(now) {
             self.mirror.require(&mut commit, Key::Leader);
             self.leader.cycle_transaction.sent(now);
