--- a/crates/cherryyard-clients/src/cloud.rs
+++ b/crates/cherryyard-clients/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Client of the cloud's interface.
 
-use crate::http::Http;
+use crate::http::HttpClient;
 use cherryyard_wire::cloud::{
     Instance, InstancePage, MachineNames, MachineType, MachineTypeList, ProvisionRequest,
 };
@@ -8,6 +8,19 @@
 use hyper::Method;
 use std::time::Duration;
 
+/// Timeout of every call.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest response that is read, in bytes.
+const MAX_RESPONSE: usize = 4 * 1024 * 1024;
+/// Largest response to a release, in bytes.
+const MAX_RELEASE_RESPONSE: usize = 1024 * 1024;
+/// Machines that are listed at most.
+const MAX_LISTED: usize = 20_000;
+/// Machines of one page of the list.
+const PAGE_SIZE: usize = 500;
+/// Pause between two pages of the list, to spare the request budget.
+const PAGE_PAUSE: Duration = Duration::from_millis(500);
+
 /// Why a call has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloudError {
@@ -17,21 +30,21 @@
     /// Refused as malformed.
     #[error("malformed")]
     Malformed,
-    /// Not to be had now; whether it took effect is unknown.
+    /// No usable response; whether the call took effect is unknown.
     #[error("unavailable")]
     Unavailable,
 }
 
-/// The cloud.
+/// A client of the cloud's interface.
 #[derive(Clone, Debug)]
-pub struct Cloud {
-    http: Http,
+pub struct CloudClient {
+    http: HttpClient,
     base: String,
 }
 
-impl Cloud {
+impl CloudClient {
     /// The cloud's interface at `addr`.
-    pub fn new(http: Http, addr: &str) -> Self {
+    pub fn new(http: HttpClient, addr: &str) -> Self {
         Self {
             http,
             base: format!("http://{addr}"),
@@ -47,16 +60,16 @@
         let url = format!("{}{path}", self.base);
         let (status, body) = self
             .http
-            .call(method, &url, body, Duration::from_secs(5), 4 * 1024 * 1024)
+            .call(method, &url, body, TIMEOUT, MAX_RESPONSE)
             .await
             .map_err(|_| CloudError::Unavailable)?;
         match status {
             200 => parse_object(&body).map_err(|e| {
-                tracing::warn!(path, "bad answer of the cloud: {e}");
+                tracing::warn!(path, "invalid response from the cloud: {e}");
                 CloudError::Unavailable
             }),
             400 => {
-                tracing::error!(path, "the cloud calls a request malformed");
+                tracing::error!(path, "request rejected by the cloud as malformed");
                 Err(CloudError::Malformed)
             }
             503 if String::from_utf8_lossy(&body).contains("no capacity") => {
@@ -69,17 +82,15 @@
     /// The machine types.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let machine_types: MachineTypeList = self.call(Method::GET, "/machine_types", None).await?;
-        let good = |k: &MachineType| {
-            k.cores > 0.0 && k.ram_gb >= 0.0 && k.accelerators >= 0.0 && !k.sku.is_empty()
-        };
-        let (good, bad): (Vec<_>, Vec<_>) = machine_types.machine_types.into_iter().partition(good);
-        for machine_type in bad {
-            tracing::warn!(machine_type = %machine_type.sku, "ignored a machine type of no size");
+        let all = machine_types.machine_types.into_iter();
+        let (valid, invalid): (Vec<_>, Vec<_>) = all.partition(has_size);
+        for machine_type in invalid {
+            tracing::warn!(machine_type = %machine_type.sku, "machine type without a size ignored");
         }
-        Ok(good)
+        Ok(valid)
     }
 
-    /// All machines.
+    /// All machines, page by page.
     pub async fn list(&self) -> Result<Vec<Instance>, CloudError> {
         let mut all: Vec<Instance> = Vec::new();
         loop {
@@ -87,43 +98,51 @@
                 .last()
                 .map(|h| format!("since={}&", h.id))
                 .unwrap_or_default();
-            let path = format!("/machines?{since}page=500");
+            let path = format!("/machines?{since}page={PAGE_SIZE}");
             let page: InstancePage = self.call(Method::GET, &path, None).await?;
             let empty = page.hosts.is_empty();
             all.extend(page.hosts);
-            if !page.truncated || empty || all.len() >= 20_000 {
+            if !page.truncated || empty || all.len() >= MAX_LISTED {
                 return Ok(all);
             }
-            tokio::time::sleep(Duration::from_millis(500)).await;
+            tokio::time::sleep(PAGE_PAUSE).await;
         }
     }
 
-    /// Rents machines.
+    /// Provisions machines; returns their names.
     pub async fn provision(&self, request: &ProvisionRequest) -> Result<Vec<String>, CloudError> {
         let body = serde_json::to_vec(request).map_err(|_| CloudError::Malformed)?;
-        let hosts: MachineNames = self.call(Method::POST, "/machines", Some(body)).await?;
-        Ok(hosts.hosts)
+        let machines: MachineNames = self.call(Method::POST, "/machines", Some(body)).await?;
+        Ok(machines.hosts)
     }
 
-    /// Returns machines; done when this succeeds.
+    /// Releases machines; done when this succeeds.
     pub async fn release(&self, hosts: &[String]) -> Result<(), CloudError> {
         let body = serde_json::json!({ "hosts": hosts })
             .to_string()
             .into_bytes();
         let url = format!("{}/machines/release", self.base);
-        match self
+        let response = self
             .http
             .call(
                 Method::POST,
                 &url,
                 Some(body),
-                Duration::from_secs(5),
-                1024 * 1024,
+                TIMEOUT,
+                MAX_RELEASE_RESPONSE,
             )
-            .await
-        {
+            .await;
+        match response {
             Ok((200, _)) => Ok(()),
             _ => Err(CloudError::Unavailable),
         }
     }
 }
+
+/// Whether a machine type has a name, cores, and no negative amounts.
+fn has_size(machine_type: &MachineType) -> bool {
+    machine_type.cores > 0.0
+        && machine_type.ram_gb >= 0.0
+        && machine_type.accelerators >= 0.0
+        && !machine_type.sku.is_empty()
+}
--- a/crates/cherryyard-clients/src/http.rs
+++ b/crates/cherryyard-clients/src/http.rs
@@ -7,80 +7,86 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// How a request failed.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Failure {
+pub enum RequestError {
     /// No connection was made, so it has no effect.
     #[error("not sent")]
-    Unsent,
-    /// No whole answer: it may have taken effect, or may yet.
+    NotSent,
+    /// No complete response: the request may have taken effect, or may yet.
     #[error("no answer")]
-    Unknown,
-    /// The answer is larger than what is read; the request has taken effect.
+    NoAnswer,
+    /// The response is larger than the caller's bound; the request has taken effect.
     #[error("too large an answer")]
-    TooLarge,
+    ResponseTooLarge,
 }
 
-/// A client with kept connections.
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// An HTTP/1.1 client that keeps connections open between requests.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Http {
-    /// A client that gives a connection attempt `connect` time.
-    pub fn new(connect: Duration, idle_per_host: usize) -> Self {
+impl HttpClient {
+    /// A client whose connection attempts end after `connect_timeout`, and which keeps at
+    /// most `idle_per_host` idle connections to each host.
+    pub fn new(connect_timeout: Duration, idle_per_host: usize) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(connect));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(Duration::from_secs(20))
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .pool_max_idle_per_host(idle_per_host)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and reads its whole answer of at most `max` bytes.
+    /// Sends a request and reads its whole response of at most `max_bytes`, both within
+    /// `timeout`. Returns the status and the body.
     pub async fn call(
         &self,
         method: hyper::Method,
         url: &str,
         body: Option<Vec<u8>>,
         timeout: Duration,
-        max: usize,
-    ) -> Result<(u16, Bytes), Failure> {
+        max_bytes: usize,
+    ) -> Result<(u16, Bytes), RequestError> {
         let mut request = hyper::Request::builder().method(method).uri(url);
         if body.is_some() {
             request = request.header(hyper::header::CONTENT_TYPE, "application/json");
         }
         let request = request
             .body(Full::new(Bytes::from(body.unwrap_or_default())))
-            .map_err(|_| Failure::Unsent)?;
-        let whole = async {
-            let answer = self.client.request(request).await.map_err(|e| {
-                if e.is_connect() {
-                    Failure::Unsent
-                } else {
-                    Failure::Unknown
-                }
-            })?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), max)
-                .collect()
-                .await
-                .map_err(|e| {
-                    if e.is::<LengthLimitError>() {
-                        Failure::TooLarge
-                    } else {
-                        Failure::Unknown
-                    }
-                })?
-                .to_bytes();
-            Ok((status, body))
-        };
-        tokio::time::timeout(timeout, whole)
-            .await
-            .unwrap_or(Err(Failure::Unknown))
+            .map_err(|_| RequestError::NotSent)?;
+        let response = tokio::time::timeout(timeout, self.exchange(request, max_bytes)).await;
+        response.unwrap_or(Err(RequestError::NoAnswer))
+    }
+
+    async fn exchange(
+        &self,
+        request: hyper::Request<Full<Bytes>>,
+        max_bytes: usize,
+    ) -> Result<(u16, Bytes), RequestError> {
+        let response = self.client.request(request).await.map_err(|e| {
+            if e.is_connect() {
+                RequestError::NotSent
+            } else {
+                RequestError::NoAnswer
+            }
+        })?;
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), max_bytes);
+        let body = body.collect().await.map_err(|e| {
+            if e.is::<LengthLimitError>() {
+                RequestError::ResponseTooLarge
+            } else {
+                RequestError::NoAnswer
+            }
+        })?;
+        Ok((status, body.to_bytes()))
     }
 }
--- a/crates/cherryyard-clients/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -1,6 +1,6 @@
 //! Client of the state service.
 
-use crate::http::{Failure, Http};
+use crate::http::{HttpClient, RequestError};
 use cherryyard_wire::condor::{Chunk, chunk_key};
 use cherryyard_wire::history::{LeafRecord, Level, leaf_of_key, since_key};
 use cherryyard_wire::parse_object;
@@ -9,10 +9,20 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Largest answer that is read: a page of a full read has at most 512 KiB, and
-/// what a watch tells beyond this is read in pages instead. With the values
-/// taken out of it, it is held twice.
-const MAX_ANSWER: usize = 4 * 1024 * 1024;
+/// Largest response that is read, in bytes: a page of a full read has at most 512 KiB, and
+/// a watch response beyond this is replaced by a full read in pages. With the values taken
+/// out of it, it is held twice.
+const MAX_RESPONSE: usize = 4 * 1024 * 1024;
+/// Keys of one page of a full read.
+const PAGE_SIZE: usize = 1000;
+/// Timeout of one page of a full read.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Timeout of a read of one key, and of a lease's renewal.
+const KEY_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of a transaction, and of a lease's grant.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// What a watch may take beyond the time that it waits for changes.
+const WATCH_GRACE: Duration = Duration::from_millis(1500);
 
 /// Why a call has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -26,20 +36,20 @@
     /// What was asked for is gone: an old watch, or an ended lease.
     #[error("gone")]
     Gone,
-    /// No answer; it may yet be executed.
+    /// No response; it may yet be executed.
     #[error("no answer")]
-    Unknown,
-    /// The answer makes no sense.
+    NoAnswer,
+    /// The response cannot be read.
     #[error("a bad answer")]
-    Bad,
+    InvalidResponse,
     /// The request is malformed, or beyond the service's limits: not executed.
     #[error("a malformed request")]
     Malformed,
 }
 
-/// How a transaction came out.
+/// The outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Committed {
+pub enum CommitOutcome {
     /// Applied at this revision.
     Applied(u64),
     /// A condition failed as of this revision.
@@ -48,37 +58,55 @@
     NoLease,
 }
 
-/// A leaf's last possible id, its revision, and its record.
-pub type LeafAt = (u64, u64, LeafRecord);
+/// What a read of a run of the history found.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LeafRead {
+    /// The revision that the read describes.
+    pub store_revision: u64,
+    /// The first leaf from there on, if there is one.
+    pub leaf: Option<StoredLeaf>,
+}
+
+/// A leaf of the history as it is stored.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoredLeaf {
+    /// The last job number that can be in it.
+    pub last_job: u64,
+    /// The revision of its key.
+    pub revision: u64,
+    /// Its record.
+    pub record: LeafRecord,
+}
 
-/// The state service.
+/// A client of the state service.
 #[derive(Clone, Debug)]
-pub struct State {
-    http: Http,
+pub struct StateClient {
+    http: HttpClient,
     base: String,
 }
 
-fn failed(status: u16) -> StateError {
+/// The error that a status stands for.
+fn status_error(status: u16) -> StateError {
     match status {
         429 => StateError::Busy,
         404 | 410 => StateError::Gone,
         500.. => StateError::Unavailable,
-        _ => StateError::Bad,
+        _ => StateError::InvalidResponse,
     }
 }
 
-impl From<Failure> for StateError {
-    fn from(f: Failure) -> Self {
-        match f {
-            Failure::Unsent => Self::Unavailable,
-            Failure::Unknown | Failure::TooLarge => Self::Unknown,
+impl From<RequestError> for StateError {
+    fn from(error: RequestError) -> Self {
+        match error {
+            RequestError::NotSent => Self::Unavailable,
+            RequestError::NoAnswer | RequestError::ResponseTooLarge => Self::NoAnswer,
         }
     }
 }
 
-impl State {
+impl StateClient {
     /// The state service at `addr`.
-    pub fn new(http: Http, addr: &str) -> Self {
+    pub fn new(http: HttpClient, addr: &str) -> Self {
         Self {
             http,
             base: format!("http://{addr}"),
@@ -90,76 +118,83 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        timeout_ms: u64,
+        timeout: Duration,
     ) -> Result<(u16, bytes::Bytes), StateError> {
         let url = format!("{}{path}", self.base);
-        let timeout = Duration::from_millis(timeout_ms);
         Ok(self
             .http
-            .call(method, &url, body, timeout, MAX_ANSWER)
+            .call(method, &url, body, timeout, MAX_RESPONSE)
             .await?)
     }
 
-    fn read<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StateError> {
+    fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StateError> {
         parse_object(body).map_err(|e| {
-            tracing::warn!("bad answer of the state service: {e}");
-            StateError::Bad
+            tracing::warn!("invalid response from the state service: {e}");
+            StateError::InvalidResponse
         })
     }
 
     /// Reads a page of all that is under our prefix, after `since`.
     pub async fn read_page(&self, since: Option<&str>) -> Result<Page, StateError> {
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
-        let path = format!("/store?starts={PREFIX}{since}&page=1000");
-        let (status, body) = self.call(Method::GET, &path, None, 3000).await?;
+        let path = format!("/store?starts={PREFIX}{since}&page={PAGE_SIZE}");
+        let (status, body) = self.call(Method::GET, &path, None, PAGE_TIMEOUT).await?;
         if status != 200 {
-            return Err(failed(status));
+            return Err(status_error(status));
         }
-        Self::read(&body)
+        Self::parse(&body)
     }
 
-    /// Reads the first leaf of a run of the history whose last possible id is `job`
-    /// or later: the revision that this describes, and the leaf's last possible id,
-    /// revision and record, if there is one.
-    pub async fn read_leaf(
-        &self,
-        level: Level,
-        job: u64,
-    ) -> Result<(u64, Option<LeafAt>), StateError> {
+    /// Reads the first leaf of a run of the history whose last possible job is `job` or a
+    /// later one.
+    pub async fn read_leaf(&self, level: Level, job: u64) -> Result<LeafRead, StateError> {
         let since = since_key(level, job);
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
         let path = format!("/store?starts={}{since}&page=1", level.prefix());
-        let (status, body) = self.call(Method::GET, &path, None, 1500).await?;
+        let (status, body) = self.call(Method::GET, &path, None, KEY_TIMEOUT).await?;
         if status != 200 {
-            return Err(failed(status));
+            return Err(status_error(status));
         }
-        let page: Page = Self::read(&body)?;
+        let page: Page = Self::parse(&body)?;
+        let store_revision = page.store_revision;
         let Some(pair) = page.pairs.first() else {
-            return Ok((page.store_revision, None));
+            let leaf = None;
+            return Ok(LeafRead {
+                store_revision,
+                leaf,
+            });
         };
-        let last = leaf_of_key(level, &pair.key).ok_or(StateError::Bad)?;
+        let last_job = leaf_of_key(level, &pair.key).ok_or(StateError::InvalidResponse)?;
         let record = pair.v.read().map_err(|e| {
-            tracing::error!("a bad leaf of the history: {}: {e}", pair.key);
-            StateError::Bad
+            tracing::error!("invalid leaf of the history: {}: {e}", pair.key);
+            StateError::InvalidResponse
         })?;
-        Ok((page.store_revision, Some((last, pair.revision, record))))
+        let leaf = Some(StoredLeaf {
+            last_job,
+            revision: pair.revision,
+            record,
+        });
+        Ok(LeafRead {
+            store_revision,
+            leaf,
+        })
     }
 
     /// Reads a chunk of a submission, if it is there.
     pub async fn read_chunk(&self, number: u64, chunk: u32) -> Result<Option<Chunk>, StateError> {
         let path = format!("/store/{}", chunk_key(number, chunk));
-        let (status, body) = self.call(Method::GET, &path, None, 1500).await?;
+        let (status, body) = self.call(Method::GET, &path, None, KEY_TIMEOUT).await?;
         match status {
             200 => {
-                let pair: Pair = Self::read(&body)?;
+                let pair: Pair = Self::parse(&body)?;
                 let chunk = pair.v.read().map_err(|e| {
-                    tracing::error!("a bad chunk of a submission: {}: {e}", pair.key);
-                    StateError::Bad
+                    tracing::error!("invalid chunk of a submission: {}: {e}", pair.key);
+                    StateError::InvalidResponse
                 })?;
                 Ok(Some(chunk))
             }
             404 => Ok(None),
-            other => Err(failed(other)),
+            other => Err(status_error(other)),
         }
     }
 
@@ -167,42 +202,44 @@
     pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<WatchResponse, StateError> {
         let path = format!("/follow?starts={PREFIX}&since={since}&wait_ms={wait_ms}");
         let url = format!("{}{path}", self.base);
-        let timeout = Duration::from_millis(wait_ms + 1500);
+        let timeout = Duration::from_millis(wait_ms) + WATCH_GRACE;
         let answer = self
             .http
-            .call(Method::GET, &url, None, timeout, MAX_ANSWER)
+            .call(Method::GET, &url, None, timeout, MAX_RESPONSE)
             .await;
         let (status, body) = match answer {
-            // Asked for again, it would be as large, for ever.
-            Err(Failure::TooLarge) => return Err(StateError::Gone),
+            // The same watch would be as large each time.
+            Err(RequestError::ResponseTooLarge) => return Err(StateError::Gone),
             answer => answer?,
         };
         if status != 200 {
-            return Err(failed(status));
+            return Err(status_error(status));
         }
-        Self::read(&body)
+        Self::parse(&body)
     }
 
     /// Sends a transaction.
-    pub async fn commit(&self, commit: &Commit) -> Result<Committed, StateError> {
-        let body = serde_json::to_vec(commit).map_err(|_| StateError::Bad)?;
-        let (status, body) = self.call(Method::POST, "/commit", Some(body), 2000).await?;
+    pub async fn commit(&self, commit: &Commit) -> Result<CommitOutcome, StateError> {
+        let body = serde_json::to_vec(commit).map_err(|_| StateError::InvalidResponse)?;
+        let (status, body) = self
+            .call(Method::POST, "/commit", Some(body), COMMIT_TIMEOUT)
+            .await?;
         match status {
-            200 => Ok(Committed::Applied(
-                Self::read::<StoreRevision>(&body)?.store_revision,
+            200 => Ok(CommitOutcome::Applied(
+                Self::parse::<StoreRevision>(&body)?.store_revision,
             )),
-            409 => Ok(Committed::Conflict(
-                Self::read::<StoreRevision>(&body)?.store_revision,
+            409 => Ok(CommitOutcome::Conflict(
+                Self::parse::<StoreRevision>(&body)?.store_revision,
             )),
             400 => {
                 let text = String::from_utf8_lossy(&body);
                 if text.contains("no such lease") || text.contains("hold") {
-                    return Ok(Committed::NoLease);
+                    return Ok(CommitOutcome::NoLease);
                 }
-                tracing::debug!(%text, "the state service calls a transaction malformed");
+                tracing::debug!(%text, "transaction rejected by the state service as malformed");
                 Err(StateError::Malformed)
             }
-            other => Err(failed(other)),
+            other => Err(status_error(other)),
         }
     }
 
@@ -211,23 +248,25 @@
         let body = serde_json::json!({ "ttl_ms": ttl_ms })
             .to_string()
             .into_bytes();
-        let (status, body) = self.call(Method::POST, "/holds", Some(body), 2000).await?;
+        let (status, body) = self
+            .call(Method::POST, "/holds", Some(body), COMMIT_TIMEOUT)
+            .await?;
         if status != 200 {
-            return Err(failed(status));
+            return Err(status_error(status));
         }
-        Ok(Self::read::<LeaseGrant>(&body)?.lease_id)
+        Ok(Self::parse::<LeaseGrant>(&body)?.lease_id)
     }
 
     /// Renews a lease.
     pub async fn renew_lease(&self, lease_id: u64) -> Result<(), StateError> {
         let path = format!("/holds/{lease_id}/touch");
         let (status, _) = self
-            .call(Method::POST, &path, Some(b"{}".to_vec()), 1500)
+            .call(Method::POST, &path, Some(b"{}".to_vec()), KEY_TIMEOUT)
             .await?;
         if status == 200 {
             Ok(())
         } else {
-            Err(failed(status))
+            Err(status_error(status))
         }
     }
 }
--- a/crates/cherryyard-clients/src/worker.rs
+++ b/crates/cherryyard-clients/src/worker.rs
@@ -1,58 +1,54 @@
 //! Client of the workers' direct interface.
 
-use crate::http::{Failure, Http};
+use crate::http::{HttpClient, RequestError};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use hyper::Method;
 use std::time::Duration;
 
-/// Largest report that is read.
+/// Timeout of a query and of a command batch.
+const TIMEOUT: Duration = Duration::from_millis(2500);
+/// Largest heartbeat that is read, in bytes.
 const MAX_HEARTBEAT: usize = 1024 * 1024;
 
-/// Asks a worker for its report.
-pub async fn query(http: &Http, addr: &str) -> Result<WorkerHeartbeat, Failure> {
+/// Asks a worker for its heartbeat with the status of its tasks.
+pub async fn query(http: &HttpClient, addr: &str) -> Result<WorkerHeartbeat, RequestError> {
     let url = format!("http://{addr}/status");
-    let patience = Duration::from_millis(2500);
     let (status, body) = http
-        .call(Method::GET, &url, None, patience, MAX_HEARTBEAT)
+        .call(Method::GET, &url, None, TIMEOUT, MAX_HEARTBEAT)
         .await?;
     match status {
         200 => parse_object(&body).map_err(|e| {
-            tracing::warn!(addr, "bad answer of a worker: {e}");
-            Failure::Unknown
+            tracing::warn!(addr, "invalid response from a worker: {e}");
+            RequestError::NoAnswer
         }),
         _ => {
-            tracing::warn!(addr, status, "a worker refuses a question");
-            Err(Failure::Unknown)
+            tracing::warn!(addr, status, "status query refused by a worker");
+            Err(RequestError::NoAnswer)
         }
     }
 }
 
-/// Sends direct commands; 200 and 409 both carry the worker's report.
+/// Sends commands outside of a heartbeat's response. 200 and 409 both carry the worker's
+/// heartbeat.
 pub async fn send(
-    http: &Http,
+    http: &HttpClient,
     addr: &str,
     request: &CommandBatch,
-) -> Result<WorkerHeartbeat, Failure> {
-    let body = serde_json::to_vec(request).map_err(|_| Failure::Unsent)?;
+) -> Result<WorkerHeartbeat, RequestError> {
+    let body = serde_json::to_vec(request).map_err(|_| RequestError::NotSent)?;
     let url = format!("http://{addr}/do");
     let (status, body) = http
-        .call(
-            Method::POST,
-            &url,
-            Some(body),
-            Duration::from_millis(2500),
-            MAX_HEARTBEAT,
-        )
+        .call(Method::POST, &url, Some(body), TIMEOUT, MAX_HEARTBEAT)
         .await?;
     match status {
         200 | 409 => parse_object(&body).map_err(|e| {
-            tracing::warn!(addr, "bad answer of a worker: {e}");
-            Failure::Unknown
+            tracing::warn!(addr, "invalid response from a worker: {e}");
+            RequestError::NoAnswer
         }),
         _ => {
-            tracing::warn!(addr, status, "a worker refuses a direct command");
-            Err(Failure::Unknown)
+            tracing::warn!(addr, status, "commands refused by a worker");
+            Err(RequestError::NoAnswer)
         }
     }
 }
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -2,7 +2,7 @@
 //! state service with jobs that are over, starts the real program on it over
 //! loopback, and prints a line.
 
-use cherryyard_clients::http::Http;
+use cherryyard_clients::http::HttpClient;
 use cherryyard_history::{Leaf, Level, Past, fold, leaf_key};
 use cherryyard_simulation::http::{Budgets, HttpState};
 use cherryyard_simulation::process::{self, Process};
@@ -208,7 +208,7 @@
     let born = Instant::now();
     let controller = Process::start(&program, &settings, "history = true\n");
     let public = controller.addr.clone();
-    let http = Http::new(Duration::from_secs(1), 4);
+    let http = HttpClient::new(Duration::from_secs(1), 4);
     let get = async |path: String| {
         let url = format!("http://{public}{path}");
         let second = Duration::from_secs(3);
--- a/crates/cherryyard-simulation/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::StateStandIn;
 use crate::http::{Budgets, HttpState};
-use cherryyard_clients::http::Http;
+use cherryyard_clients::http::HttpClient;
 use serde_json::{Value, json};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -108,7 +108,7 @@
     /// A client of it.
     pub fn client(&self) -> Client {
         Client {
-            http: Http::new(Duration::from_secs(2), 50),
+            http: HttpClient::new(Duration::from_secs(2), 50),
             addr: self.addr.clone(),
         }
     }
@@ -117,7 +117,7 @@
 /// A client of a controller.
 #[derive(Clone, Debug)]
 pub struct Client {
-    http: Http,
+    http: HttpClient,
     addr: String,
 }
 
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -1,7 +1,7 @@
 //! Submissions: passed on to another controller, or handed to the core.
 
 use super::App;
-use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::peer::OutgoingMessage;
 use cherryyard_core::admission::intake::{Offer, Verdict};
 use cherryyard_core::mirror::OpenJob;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission, Message};
@@ -42,7 +42,7 @@
         };
         let (reply_to, reply) = oneshot::channel();
         self.waiting_for_answers().insert(ticket, reply_to);
-        let sent = to.try_send(Outgoing::new(
+        let sent = to.try_send(OutgoingMessage::new(
             Message::ForwardedSubmission(query),
             self.sender.clone(),
         ));
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -182,14 +182,16 @@
                 Answer::Absent(_) | Answer::Unknown => {}
             }
             lock(&self.history.counts).reads += 1;
-            let (store_revision, leaf) = self.state.read_leaf(level, job).await.ok()?;
+            let read = self.state.read_leaf(level, job).await.ok()?;
+            let store_revision = read.store_revision;
             if level == Level::Small {
                 small_epoch = store_revision;
             }
-            let (last, leaf) = match leaf {
-                Some((last, _, record)) => {
-                    let leaf = Leaf::of_record(&record).map_err(|e| {
-                        tracing::error!(last, "a bad leaf of the history: {e}");
+            let (last, leaf) = match read.leaf {
+                Some(stored) => {
+                    let last = stored.last_job;
+                    let leaf = Leaf::of_record(&stored.record).map_err(|e| {
+                        tracing::error!(last, "invalid leaf of the history: {e}");
                     });
                     (last, leaf.ok()?)
                 }
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -2,7 +2,7 @@
 
 use super::repeats::Repeats;
 use super::{App, jittered, wall_ms};
-use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::peer::OutgoingMessage;
 use cherryyard_clients::state::StateError;
 use cherryyard_core::event_loop_lag::QUEUE_CHECK_MS;
 use cherryyard_wire::peer::Message;
@@ -63,7 +63,10 @@
         }
     }
 
-    pub(crate) async fn heartbeats(self: Arc<Self>, out: watch::Sender<Option<Arc<Outgoing>>>) {
+    pub(crate) async fn heartbeats(
+        self: Arc<Self>,
+        out: watch::Sender<Option<Arc<OutgoingMessage>>>,
+    ) {
         loop {
             let wait = tokio::time::sleep(Duration::from_millis(500));
             tokio::select! {
@@ -80,7 +83,7 @@
                 n.heartbeat_out(now)
             });
             let heartbeat =
-                Outgoing::new(Message::Heartbeat(Box::new(heartbeat)), self.sender.clone());
+                OutgoingMessage::new(Message::Heartbeat(Box::new(heartbeat)), self.sender.clone());
             let _ = out.send(Some(heartbeat));
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -9,10 +9,10 @@
 mod repeats;
 mod tell;
 
-use cherryyard_clients::cloud::{Cloud, CloudError};
-use cherryyard_clients::http::{Failure, Http};
-use cherryyard_clients::peer::Outgoing;
-use cherryyard_clients::state::{Committed, State, StateError};
+use cherryyard_clients::cloud::{CloudClient, CloudError};
+use cherryyard_clients::http::{HttpClient, RequestError};
+use cherryyard_clients::peer::OutgoingMessage;
+use cherryyard_clients::state::{CommitOutcome, StateClient, StateError};
 use cherryyard_clients::worker;
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_core::{Controller, Effect, Outcome, PushOutcome, Ticket};
@@ -31,9 +31,9 @@
 pub struct App {
     pub(crate) controller: Mutex<Controller>,
     /// Client of the state service.
-    pub state: State,
-    pub(crate) cloud: Cloud,
-    pub(crate) workers: Http,
+    pub state: StateClient,
+    pub(crate) cloud: CloudClient,
+    pub(crate) workers: HttpClient,
     pub(crate) born: Instant,
     pub(crate) barrier: Mutex<Vec<oneshot::Sender<bool>>>,
     /// How long users' requests took since the last log line, in milliseconds.
@@ -43,7 +43,7 @@
     /// What this controller says of itself to the others.
     pub(crate) sender: Arc<Sender>,
     /// Ways to the other controllers, by name.
-    pub(crate) peers: HashMap<String, mpsc::Sender<Arc<Outgoing>>>,
+    pub(crate) peers: HashMap<String, mpsc::Sender<Arc<OutgoingMessage>>>,
     /// Tells that the connection to one of them is to be made anew.
     pub(crate) anew: HashMap<String, Arc<Notify>>,
     /// Submissions passed on that wait for an answer.
@@ -129,8 +129,10 @@
                 tokio::spawn(async move {
                     let outcome = match worker::send(&app.workers, &addr, &request).await {
                         Ok(report) => PushOutcome::Answered(Box::new(report)),
-                        Err(Failure::Unsent) => PushOutcome::Unsent,
-                        Err(Failure::Unknown | Failure::TooLarge) => PushOutcome::Unknown,
+                        Err(RequestError::NotSent) => PushOutcome::Unsent,
+                        Err(RequestError::NoAnswer | RequestError::ResponseTooLarge) => {
+                            PushOutcome::Unknown
+                        }
                     };
                     app.with(|n, now| n.pushed(host, &request, outcome, now));
                 });
@@ -147,8 +149,11 @@
             }
             Effect::ReadLeaf(level, job) => {
                 tokio::spawn(async move {
-                    let leaf = app.state.read_leaf(level, job).await;
-                    let leaf = leaf.map(|l| l.1).map_err(|_| ());
+                    let read = app.state.read_leaf(level, job).await.map_err(|_| ());
+                    let leaf = read.map(|read| {
+                        let leaf = read.leaf;
+                        leaf.map(|l| (l.last_job, l.revision, l.record))
+                    });
                     app.with(|n, now| n.leaf_read(leaf, now));
                 });
             }
@@ -189,10 +194,10 @@
         }
         let sent_at = self.now();
         let outcome = match self.state.commit(commit).await {
-            Ok(Committed::Applied(store_revision)) => Outcome::Applied(store_revision),
-            Ok(Committed::Conflict(store_revision)) => Outcome::Conflict(store_revision),
-            Ok(Committed::NoLease) => Outcome::NoLease,
-            Err(StateError::Unknown | StateError::Bad) => return Outcome::Unknown,
+            Ok(CommitOutcome::Applied(store_revision)) => Outcome::Applied(store_revision),
+            Ok(CommitOutcome::Conflict(store_revision)) => Outcome::Conflict(store_revision),
+            Ok(CommitOutcome::NoLease) => Outcome::NoLease,
+            Err(StateError::NoAnswer | StateError::InvalidResponse) => return Outcome::Unknown,
             Err(StateError::Malformed) => {
                 self.refusals().note(commit);
                 Outcome::Malformed
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::condor::{self, Condor};
 use crate::{account, operator, run};
-use cherryyard_clients::http::Http;
+use cherryyard_clients::http::HttpClient;
 use cherryyard_core::{Config, Tuning};
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::settings::Settings;
@@ -140,7 +140,7 @@
     path: &str,
     body: Option<Vec<u8>>,
 ) -> Result<(u16, String), String> {
-    let http = Http::new(Duration::from_secs(2), 1);
+    let http = HttpClient::new(Duration::from_secs(2), 1);
     let method = method.parse().map_err(|_| "bad method".to_string())?;
     let url = format!("http://{server}{path}");
     let (status, body) = http
--- a/crates/cherryyard/src/messages.rs
+++ b/crates/cherryyard/src/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::app::{App, wall_ms};
 use crate::routes;
-use cherryyard_clients::peer::Outgoing;
+use cherryyard_clients::peer::OutgoingMessage;
 use cherryyard_wire::peer::{Frame, Message};
 use std::sync::Arc;
 
@@ -40,8 +40,10 @@
                     let reply = routes::answer_forwarded(&app, &query).await;
                     if let Some(to) = app.peers.get(&query.label) {
                         // Full: the other side writes it itself.
-                        let reply =
-                            Outgoing::new(Message::ForwardResponse(reply), app.sender.clone());
+                        let reply = OutgoingMessage::new(
+                            Message::ForwardResponse(reply),
+                            app.sender.clone(),
+                        );
                         let _ = to.try_send(reply);
                     }
                 });
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -210,9 +210,10 @@
                 if reads > MOST_READS {
                     return None;
                 }
-                let (_, leaf) = app.state.read_leaf(level, from).await.ok()?;
-                let Some((last, _, record)) = leaf else { break };
-                let leaf = Leaf::of_record(&record).ok()?;
+                let read = app.state.read_leaf(level, from).await.ok()?;
+                let Some(stored) = read.leaf else { break };
+                let last = stored.last_job;
+                let leaf = Leaf::of_record(&stored.record).ok()?;
                 let block = first..first + jobs;
                 if leaf.jobs().iter().any(|p| block.contains(&p.job)) {
                     first = last + 1;
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -2,10 +2,10 @@
 
 use crate::app::{App, HistoryLookups};
 use crate::routes;
-use cherryyard_clients::cloud::Cloud;
-use cherryyard_clients::http::Http;
+use cherryyard_clients::cloud::CloudClient;
+use cherryyard_clients::http::HttpClient;
 use cherryyard_clients::peer;
-use cherryyard_clients::state::State;
+use cherryyard_clients::state::StateClient;
 use cherryyard_core::{Config, Controller, Tuning};
 use cherryyard_wire::MAX_BODY;
 use cherryyard_wire::peer::Sender;
@@ -55,9 +55,9 @@
     }
     let app = Arc::new(App {
         controller: Mutex::new(Controller::new(Config::new(&settings, tuning), seed, 0.0)),
-        state: State::new(Http::new(connect, 8), &settings.services.state),
-        cloud: Cloud::new(Http::new(connect, 1), &settings.services.cloud),
-        workers: Http::new(Duration::from_millis(1000), 1),
+        state: StateClient::new(HttpClient::new(connect, 8), &settings.services.state),
+        cloud: CloudClient::new(HttpClient::new(connect, 1), &settings.services.cloud),
+        workers: HttpClient::new(Duration::from_millis(1000), 1),
         born: Instant::now(),
         barrier: Mutex::new(Vec::new()),
         latency: Mutex::new(
@@ -88,7 +88,7 @@
     // In the order in which a controller that starts needs them.
     tokio::spawn(app.clone().lease());
     tokio::spawn(app.clone().mirror());
-    tokio::spawn(peer::take(listener, sender, move |frame| {
+    tokio::spawn(peer::receive(listener, sender, move |frame| {
         taker.take_frame(frame);
     }));
     for (addr, others, anew) in ways {
