--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -224,7 +224,10 @@
         }
         Some(Command::Condor(command)) => runtime()?.block_on(condor::execute(command)),
         Some(Command::Account { logs }) => {
-            println!("{}", account::of_logs(logs.iter().map(PathBuf::as_path))?);
+            println!(
+                "{}",
+                account::of_logs(logs.iter().map(PathBuf::as_path)).map_err(|e| e.to_string())?
+            );
             Ok(())
         }
     }
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -1,11 +1,37 @@
-//! Operators' own settings, in HCL.
+//! Operators' own settings: an HCL file beside the platform's settings.
 
 use cherryyard_core::Tuning;
 use cherryyard_core::config::{Admission, ClassShare};
+use cherryyard_wire::error::AttributeError;
 use cherryyard_wire::rules::{Attributes, Group};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
+use thiserror::Error;
+
+/// Why operators' settings are refused.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum OperatorError {
+    /// The file is no HCL, or has other fields or types.
+    #[error("{reason}")]
+    Unreadable {
+        /// What the HCL reader says, on one line.
+        reason: String,
+    },
+    /// A number is out of its range.
+    #[error("{field}: must be from {from} to {to}")]
+    OutOfRange {
+        /// The field's path.
+        field: String,
+        /// The least value.
+        from: f64,
+        /// The largest value.
+        to: f64,
+    },
+    /// An attribute of machines is refused.
+    #[error(transparent)]
+    Attribute(#[from] AttributeError),
+}
 
 /// The file's fields; each may be left out.
 #[derive(Debug, Default, Deserialize)]
@@ -55,18 +81,25 @@
 }
 
 /// A number within its range, or an error that names the field.
-fn within(name: &str, x: f64, range: &RangeInclusive<f64>) -> Result<f64, String> {
-    if range.contains(&x) {
-        return Ok(x);
+fn within(field: &str, number: f64, range: &RangeInclusive<f64>) -> Result<f64, OperatorError> {
+    if range.contains(&number) {
+        return Ok(number);
     }
-    let (from, to) = (range.start(), range.end());
-    Err(format!("{name}: must be from {from} to {to}"))
+    Err(OperatorError::OutOfRange {
+        field: field.into(),
+        from: *range.start(),
+        to: *range.end(),
+    })
 }
 
-fn class_share(name: &str, file: &ClassFile, from: ClassShare) -> Result<ClassShare, String> {
-    let read = |field: &str, x: Option<f64>, otherwise: f64, range: RangeInclusive<f64>| {
-        let x = x.map(|x| within(&format!("{name}.{field}"), x, &range));
-        x.unwrap_or(Ok(otherwise))
+fn class_share(
+    name: &str,
+    file: &ClassFile,
+    from: ClassShare,
+) -> Result<ClassShare, OperatorError> {
+    let read = |field: &str, number: Option<f64>, default: f64, range: RangeInclusive<f64>| {
+        let number = number.map(|number| within(&format!("{name}.{field}"), number, &range));
+        number.unwrap_or(Ok(default))
     };
     Ok(ClassShare {
         weight: read("weight", file.weight, from.weight, 0.01..=100.0)?,
@@ -75,7 +108,7 @@
     })
 }
 
-fn admission(file: AdmissionFile) -> Result<Admission, String> {
+fn admission(file: AdmissionFile) -> Result<Admission, OperatorError> {
     let mut admission = Admission::default();
     let all = ClassFile {
         weight: None,
@@ -98,11 +131,13 @@
 }
 
 /// Reads operators' settings; the error names the field.
-pub fn parse(text: &str) -> Result<Tuning, String> {
-    let file: File = hcl::from_str(text).map_err(|e| e.to_string().replace('\n', " "))?;
+pub fn parse(text: &str) -> Result<Tuning, OperatorError> {
+    let file: File = hcl::from_str(text).map_err(|e| OperatorError::Unreadable {
+        reason: e.to_string().replace('\n', " "),
+    })?;
     let mut tuning = Tuning::default();
     let mut keep_days = 0.0;
-    let fields = [
+    let number_fields = [
         (
             "autoscale_multi_cluster_delay_s",
             file.autoscale_multi_cluster_delay_s,
@@ -134,9 +169,9 @@
             0.0..=36_500.0,
         ),
     ];
-    for (name, value, place, range) in fields {
-        if let Some(x) = value {
-            *place = within(name, x, &range)?;
+    for (name, number, target, range) in number_fields {
+        if let Some(number) = number {
+            *target = within(name, number, &range)?;
         }
     }
     tuning.history_keep_days = keep_days as u32;
@@ -149,82 +184,9 @@
         machine_types: file.machine_type,
         zones: file.zone,
     };
-    tuning.attributes.check().map_err(|e| e.to_string())?;
+    tuning.attributes.check()?;
     Ok(tuning)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::parse;
-
-    /// Attributes by type and zone are blocks with a label.
-    #[test]
-    fn attributes_are_blocks() {
-        let text = r#"
-            condor = true
-            machines { OpSys = "LINUX" }
-            machine_type "g8" {
-              Software = ["ledger-4", "solver"]
-              Licensed = true
-            }
-            zone "lahore-east" { Department = "posting" }
-        "#;
-        let t = parse(text).unwrap();
-        assert!(t.condor && t.attributes.all["OpSys"] == "LINUX");
-        assert_eq!(t.attributes.machine_types["g8"]["Licensed"], true);
-        assert_eq!(t.attributes.zones["lahore-east"]["Department"], "posting");
-        let error = parse("machine_type \"g8\" { Cpus = 3 }").unwrap_err();
-        assert!(error.contains("Cpus of g8"), "{error}");
-    }
-
-    /// Floors and weights are checked, each by its name.
-    #[test]
-    fn admission_is_checked() {
-        let text = r#"
-            admission {
-              least_served = 0.5
-              class "calendar-api" {
-                weight = 2
-                least_served = 0.8
-              }
-              class "street-rebuild" { weight = 3 }
-            }
-        "#;
-        let a = parse(text).unwrap().admission;
-        let of = |class: &str| (a.of(class).weight, a.of(class).least, a.of(class).share);
-        assert_eq!((a.all.least, a.window_s), (0.5, 30.0));
-        assert_eq!(of("calendar-api"), (2.0, 0.8, 0.25));
-        assert_eq!(of("street-rebuild"), (3.0, 0.5, 0.25));
-        assert_eq!(of("another"), (1.0, 0.5, 0.25));
-        let error = |text: &str| parse(text).unwrap_err();
-        assert_eq!(
-            error("admission {\nclass \"x\" {\nweight = 0\n}\n}"),
-            "admission.class.x.weight: must be from 0.01 to 100"
-        );
-        assert!(error("admission { least = 0.5 }").contains("least"));
-        assert!(error("admission { window_s = 0 }").contains("window_s"));
-    }
-
-    /// Errors name the field; what is left out keeps its default.
-    #[test]
-    fn hcl_is_checked() {
-        let t = parse("headroom_share = 0.5\nroom_report_s = 2\n").unwrap();
-        assert_eq!(
-            (t.headroom_share, t.capacity_report_s, t.idle_return_s),
-            (0.5, 2.0, 150.0)
-        );
-        let errors: Vec<String> = [
-            "headroom_share = 2",
-            "headroom_share = \"much\"",
-            "head_room = 1",
-            "headroom_share = = 1",
-        ]
-        .iter()
-        .map(|text| parse(text).unwrap_err())
-        .collect();
-        assert_eq!(errors[0], "headroom_share: must be from 0 to 1");
-        assert!(errors[1].contains("much"), "{}", errors[1]);
-        assert!(errors[2].contains("head_room"), "{}", errors[2]);
-        assert!(!errors[3].contains('\n'), "{}", errors[3]);
-    }
-}
+mod tests;
