--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -1,4 +1,4 @@
-//! Submissions: passed on to another controller, or handed to the core.
+//! Submissions that wait for a verdict: of another controller, or of the core.
 
 use super::App;
 use cherryyard_clients::peer::OutgoingMessage;
@@ -6,34 +6,87 @@
 use cherryyard_core::mirror::OpenJob;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission, Message};
 use std::collections::HashMap;
-use std::sync::atomic::Ordering;
-use std::sync::{Arc, MutexGuard, PoisonError};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest that a submission passed on waits before it is written here.
+/// Longest that a forwarded submission waits before it is written here.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest that a verdict of our own core is waited for.
+/// Longest that the core's verdict is waited for.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Longest that it waits where it cannot be written here.
+/// Longest that a forwarded submission waits where it cannot be written here.
 const FORWARD_ONLY_TIMEOUT: Duration = Duration::from_millis(1500);
 
+/// Whoever waits for a result, by ticket.
+type Waiting<T> = Mutex<HashMap<u64, oneshot::Sender<T>>>;
+
+/// Submissions that wait for a verdict.
+#[derive(Debug)]
+pub(crate) struct PendingSubmissions {
+    /// Forwarded ones, which wait for the other controller's response.
+    forwarded: Waiting<ForwardResponse>,
+    /// Those handed to the core, which wait for its verdict.
+    offered: Waiting<Verdict>,
+    next_ticket: AtomicU64,
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl PendingSubmissions {
+    /// None yet. Tickets begin anywhere: a late response to an earlier process of this
+    /// controller must find nobody waiting.
+    pub(crate) fn new() -> Self {
+        Self {
+            forwarded: Mutex::default(),
+            offered: Mutex::default(),
+            next_ticket: AtomicU64::new(rand::random()),
+        }
+    }
+
+    fn take_ticket(&self) -> u64 {
+        self.next_ticket.fetch_add(1, Ordering::Relaxed)
+    }
+
+    /// Hands another controller's response to whoever waits for it.
+    pub(super) fn receive(&self, response: ForwardResponse) {
+        if let Some(reply_to) = lock(&self.forwarded).remove(&response.ticket) {
+            // The one who waits may have given up.
+            let _ = reply_to.send(response);
+        }
+    }
+
+    /// Hands the core's verdict to whoever waits for it.
+    pub(super) fn reply(&self, ticket: u64, verdict: Verdict) {
+        if let Some(reply_to) = lock(&self.offered).remove(&ticket) {
+            // The one who waits may have given up.
+            let _ = reply_to.send(verdict);
+        }
+    }
+}
+
 impl App {
     /// Has another controller write a submission, if one should; none if it is
     /// to be written here after all.
-    pub async fn query(self: &Arc<Self>, body: &[u8], at: u64) -> Option<ForwardResponse> {
-        let (to, patience, label) = self.with(|n, now| {
-            let whom = n.forwarding_target(now)?;
-            let to = self.peers.get(whom)?;
-            let patience = if n.state_fresh(now) {
+    pub async fn forward(self: &Arc<Self>, body: &[u8], at: u64) -> Option<ForwardResponse> {
+        let (queue, timeout, label) = self.with(|controller, now| {
+            let target = controller.forwarding_target(now)?;
+            let queue = self.peers.queues.get(target)?;
+            let timeout = if controller.state_fresh(now) {
                 // Where many wait there, to write it here too would only be in the way.
-                FORWARD_TIMEOUT + Duration::from_millis(2 * n.intake_ms(whom).min(200))
+                FORWARD_TIMEOUT + Duration::from_millis(2 * controller.intake_ms(target).min(200))
             } else {
                 FORWARD_ONLY_TIMEOUT
             };
-            Some((to, patience, n.config.labels[n.config.me].clone()))
+            Some((
+                queue,
+                timeout,
+                controller.config.labels[controller.config.me].clone(),
+            ))
         })?;
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
+        let ticket = self.pending.take_ticket();
         let query = ForwardedSubmission {
             label,
             ticket,
@@ -41,53 +94,37 @@
             body: body.to_vec(),
         };
         let (reply_to, reply) = oneshot::channel();
-        self.waiting_for_answers().insert(ticket, reply_to);
-        let sent = to.try_send(OutgoingMessage::new(
+        lock(&self.pending.forwarded).insert(ticket, reply_to);
+        let sent = queue.try_send(OutgoingMessage::new(
             Message::ForwardedSubmission(query),
-            self.sender.clone(),
+            self.peers.sender.clone(),
         ));
         let reply = match sent {
-            Ok(()) => tokio::time::timeout(patience, reply)
+            Ok(()) => tokio::time::timeout(timeout, reply)
                 .await
                 .ok()
                 .and_then(Result::ok),
             Err(_) => None,
         };
-        self.waiting_for_answers().remove(&ticket);
+        lock(&self.pending.forwarded).remove(&ticket);
         reply
     }
 
-    /// Hands a new job to the core, and waits for what becomes of it.
+    /// Hands a new job to the core, and waits for its verdict. The job was not in the history
+    /// as of its record's revision `moved`.
     pub async fn offer(self: &Arc<Self>, job: u64, open: OpenJob, moved: u64) -> Verdict {
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
+        let ticket = self.pending.take_ticket();
         let (reply_to, reply) = oneshot::channel();
-        self.offers().insert(ticket, reply_to);
+        lock(&self.pending.offered).insert(ticket, reply_to);
         let offer = Offer {
             ticket,
             job,
             open,
             moved,
         };
-        self.with(|n, now| n.offer(offer, now));
+        self.with(|controller, now| controller.offer(offer, now));
         let reply = tokio::time::timeout(OFFER_TIMEOUT, reply).await;
-        self.offers().remove(&ticket);
+        lock(&self.pending.offered).remove(&ticket);
         reply.ok().and_then(Result::ok).unwrap_or(Verdict::Failed)
     }
-
-    pub(crate) fn reply_verdict(&self, ticket: u64, verdict: Verdict) {
-        if let Some(reply_to) = self.offers().remove(&ticket) {
-            // The one who waits may have given up.
-            let _ = reply_to.send(verdict);
-        }
-    }
-
-    fn offers(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<Verdict>>> {
-        self.offers.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    pub(crate) fn waiting_for_answers(
-        &self,
-    ) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<ForwardResponse>>> {
-        self.queried.lock().unwrap_or_else(PoisonError::into_inner)
-    }
 }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -17,14 +17,14 @@
 /// Look-ups that may wait at once, of either kind.
 const MAX_WAITING: usize = 200;
 /// Longest that one waits.
-const PATIENCE: Duration = Duration::from_millis(1500);
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Share of the request budget that the leader's look-ups may have, and that of all
 /// others together: submissions, which need one each, are passed on to the leader.
-const LEADERS_SHARE: f64 = 0.15;
+const LEADER_SHARE: f64 = 0.15;
 const OTHERS_SHARE: f64 = 0.1;
 
 /// Submissions that are served before a poll is.
-const IN_A_ROW: u32 = 3;
+const MAX_SUBMISSIONS_IN_A_ROW: u32 = 3;
 
 /// For whom a look-up is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -105,8 +105,8 @@
         job: u64,
         by: LookupKind,
     ) -> Option<Found> {
-        if !self.with(|n, _| n.mirror.packed.any()) {
-            let moved = self.with(|n, _| n.mirror.packed_revision);
+        if !self.with(|controller, _| controller.mirror.packed.any()) {
+            let moved = self.with(|controller, _| controller.mirror.packed_revision);
             return Some(Found { past: None, moved });
         }
         lock(&self.history.counts).queried += 1;
@@ -127,13 +127,13 @@
             }
         }
         self.history.wanted.notify_one();
-        let reply = tokio::time::timeout(PATIENCE, reply).await;
+        let reply = tokio::time::timeout(LOOKUP_TIMEOUT, reply).await;
         reply.ok().and_then(Result::ok).flatten()
     }
 
     /// What leaves lately read tell, if that is enough.
     fn cached(self: &Arc<Self>, job: u64) -> Option<Found> {
-        let (moved, spilling) = self.with(|n, _| moved(n));
+        let (moved, spilling) = self.with(|controller, _| moved(controller));
         let mut cache = lock(&self.history.cache);
         let mut absent = 0;
         for level in Controller::LOOKUP_ORDER {
@@ -153,8 +153,8 @@
     /// Looks in the small run, then in the large one: a job is in the large one
     /// before it leaves the small one, so it is missed in neither.
     async fn look(self: &Arc<Self>, job: u64) -> Option<Found> {
-        let (moved_at, spilling) = self.with(|n, _| moved(n));
-        let mut small_epoch = 0;
+        let (moved_at, spilling) = self.with(|controller, _| moved(controller));
+        let mut small_read_at = 0;
         for level in Controller::LOOKUP_ORDER {
             let known = lock(&self.history.cache).look(level, job, moved_at);
             match known {
@@ -165,16 +165,16 @@
                     });
                 }
                 Answer::Absent(store_revision) if level == Level::Small => {
-                    small_epoch = store_revision;
+                    small_read_at = store_revision;
                     continue;
                 }
                 // As good as read now only if nothing has moved up to the time at
                 // which the small run was read.
                 Answer::Absent(_)
                     if !spilling
-                        && self.with(|n, _| {
-                            n.mirror.packed_revision == moved_at
-                                && n.mirror.store_revision >= small_epoch
+                        && self.with(|controller, _| {
+                            controller.mirror.packed_revision == moved_at
+                                && controller.mirror.store_revision >= small_read_at
                         }) =>
                 {
                     continue;
@@ -182,10 +182,10 @@
                 Answer::Absent(_) | Answer::Unknown => {}
             }
             lock(&self.history.counts).reads += 1;
-            let read = self.state.read_leaf(level, job).await.ok()?;
+            let read = self.clients.state.read_leaf(level, job).await.ok()?;
             let store_revision = read.store_revision;
             if level == Level::Small {
-                small_epoch = store_revision;
+                small_read_at = store_revision;
             }
             let (last, leaf) = match read.leaf {
                 Some(stored) => {
@@ -216,7 +216,7 @@
         queues
             .submissions
             .retain(|(_, reply_to)| !reply_to.is_closed());
-        if queues.in_a_row < IN_A_ROW
+        if queues.in_a_row < MAX_SUBMISSIONS_IN_A_ROW
             && let Some((job, reply_to)) = queues.submissions.pop_front()
         {
             queues.in_a_row += 1;
@@ -248,11 +248,11 @@
             }
             let reads = lock(&self.history.counts).reads - before;
             if reads > 0 {
-                let rate = self.with(|n, _| {
-                    if n.leadership_token().is_some() {
-                        LEADERS_SHARE
+                let rate = self.with(|controller, _| {
+                    if controller.leadership_token().is_some() {
+                        LEADER_SHARE
                     } else {
-                        OTHERS_SHARE / n.config.shards() as f64
+                        OTHERS_SHARE / controller.config.shards() as f64
                     }
                 });
                 let pause = reads as f64 / (self.history.rps * rate).max(0.5);
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Tells now and then how look-ups went.
+    /// Logs what came of look-ups since the last line.
     pub(crate) fn log_lookups(&self) {
         let counts = std::mem::take(&mut *lock(&self.history.counts));
         if counts.queried > 0 {
--- /dev/null
+++ b/crates/cherryyard/src/app/mirror_sync.rs
@@ -0,0 +1,94 @@
+//! Keeps the mirror of the state: one full read, then a watch.
+
+use super::repeated_failures::RepeatedFailures;
+use super::{App, jittered};
+use cherryyard_clients::state::StateError;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Keys of a full read that are loaded before other tasks run.
+const LOAD_STEP: usize = 100;
+/// Pause between two pages of a full read.
+const PAGE_PAUSE: Duration = Duration::from_millis(60);
+/// Pause after a failed full read, in milliseconds, before jitter.
+const LOAD_RETRY_MS: u64 = 500;
+/// Pause after a failed watch, in milliseconds, before jitter.
+const WATCH_RETRY_MS: u64 = 400;
+
+impl App {
+    /// Reads all of the state into the mirror, page by page; returns how many keys there
+    /// are, and which revision the first page described. There may be very many keys, as
+    /// jobs that are over stay for ever.
+    async fn load(self: &Arc<Self>) -> Result<(usize, u64), StateError> {
+        let (mut keys, mut first, mut last) = (0, None, None);
+        self.with(|controller, _| controller.mirror.begin_load());
+        loop {
+            let page = self.clients.state.read_page(last.as_deref()).await?;
+            let store_revision = *first.get_or_insert(page.store_revision);
+            for pairs in page.pairs.chunks(LOAD_STEP) {
+                self.with(|controller, _| controller.mirror.load_some(pairs));
+                tokio::task::yield_now().await;
+            }
+            keys += page.pairs.len();
+            last = page.pairs.into_iter().last().map(|p| p.key);
+            if !page.truncated || last.is_none() {
+                return Ok((keys, store_revision));
+            }
+            // A long read would spend the requests that renewals need too.
+            tokio::time::sleep(PAGE_PAUSE).await;
+        }
+    }
+
+    /// Keeps the mirror: one full read, then one watch.
+    pub(crate) async fn sync_mirror(self: Arc<Self>) {
+        let mut failures = RepeatedFailures::default();
+        loop {
+            self.load_until_read(&mut failures).await;
+            self.watch_until_gone().await;
+        }
+    }
+
+    /// Tries a full read until one succeeds.
+    async fn load_until_read(self: &Arc<Self>, failures: &mut RepeatedFailures) {
+        loop {
+            let sent_at = self.now();
+            match self.load().await {
+                Ok((keys, store_revision)) => {
+                    self.with(|controller, now| controller.loaded(store_revision, sent_at, now));
+                    let failed = failures.worked();
+                    tracing::info!(keys, store_revision, failed, "state loaded");
+                    return;
+                }
+                Err(e) => {
+                    if let Some(times) = failures.failed(Instant::now()) {
+                        tracing::info!(times, "state not loaded: {e}");
+                    }
+                    tokio::time::sleep(jittered(LOAD_RETRY_MS)).await;
+                }
+            }
+        }
+    }
+
+    /// Takes changes from a watch until its start is too old for the state service.
+    async fn watch_until_gone(self: &Arc<Self>) {
+        loop {
+            let sent_at = self.now();
+            let since = self.with(|controller, _| controller.mirror.store_revision);
+            let wait_ms = self.intervals.watch_wait_ms;
+            match self.clients.state.follow(since, wait_ms).await {
+                Ok(events) => {
+                    self.with(|controller, now| controller.events(&events, sent_at, now));
+                    tokio::time::sleep(self.intervals.read).await;
+                }
+                Err(StateError::Gone) => {
+                    tracing::info!(since, "watch too old, loading the state again");
+                    return;
+                }
+                Err(e) => {
+                    tracing::debug!("watch failed: {e}");
+                    tokio::time::sleep(jittered(WATCH_RETRY_MS)).await;
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -0,0 +1,143 @@
+//! Tasks that run periodically: the state lease, the clock, heartbeats, the machine list.
+
+use super::repeated_failures::RepeatedFailures;
+use super::{App, jittered, wall_ms};
+use cherryyard_clients::peer::OutgoingMessage;
+use cherryyard_clients::state::StateError;
+use cherryyard_core::event_loop_lag::QUEUE_CHECK_MS;
+use cherryyard_wire::peer::Message;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::watch;
+
+/// Time between two ticks of the core's clock.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Least time between two heartbeats.
+const HEARTBEAT_PAUSE: Duration = Duration::from_millis(50);
+/// Time between two reads of the machine types.
+const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(120);
+
+impl App {
+    /// Keeps the state lease under which leases on shards are acquired.
+    pub(crate) async fn keep_state_lease(self: Arc<Self>) {
+        let renewal_interval = Duration::from_millis(self.intervals.lease_ttl_ms / 4);
+        loop {
+            let sent_at = self.now();
+            match self.with(|controller, _| controller.lease_id()) {
+                None => match self
+                    .clients
+                    .state
+                    .grant_lease(self.intervals.lease_ttl_ms)
+                    .await
+                {
+                    Ok(lease_id) => self.with(|controller, now| {
+                        controller.state_answered(sent_at, now);
+                        controller.state_lease_changed(Some(lease_id), now);
+                    }),
+                    Err(_) => tokio::time::sleep(jittered(400)).await,
+                },
+                Some(lease_id) => {
+                    tokio::time::sleep(renewal_interval).await;
+                    let sent_at = self.now();
+                    match self.clients.state.renew_lease(lease_id).await {
+                        Ok(()) => {
+                            self.with(|controller, now| controller.state_answered(sent_at, now))
+                        }
+                        Err(StateError::Gone) => {
+                            tracing::info!(lease_id, "state lease expired");
+                            self.with(|controller, now| controller.state_lease_changed(None, now));
+                        }
+                        // Tried again at once, but not faster than the budget.
+                        Err(_) => {}
+                    }
+                }
+            }
+        }
+    }
+
+    /// Drives the core's clock.
+    pub(crate) async fn run_clock(self: Arc<Self>) {
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        loop {
+            ticks.tick().await;
+            let wall = wall_ms();
+            self.with(|controller, now| {
+                controller.wall_offset = wall - now;
+                controller.tick(now);
+            });
+        }
+    }
+
+    /// Measures how late the event loop runs a task that is due.
+    pub(crate) async fn measure_event_loop_lag(self: Arc<Self>) {
+        loop {
+            let due = self.now() + QUEUE_CHECK_MS;
+            tokio::time::sleep(Duration::from_secs_f64(QUEUE_CHECK_MS / 1000.0)).await;
+            self.with(|controller, now| controller.queue_passed(due, now));
+        }
+    }
+
+    /// Publishes heartbeats: regularly, and when the core wants one.
+    pub(crate) async fn publish_heartbeats(
+        self: Arc<Self>,
+        out: watch::Sender<Option<Arc<OutgoingMessage>>>,
+    ) {
+        loop {
+            let wait = tokio::time::sleep(HEARTBEAT_INTERVAL);
+            tokio::select! {
+                () = wait => {}
+                () = self.heartbeat_wanted.notified() => {}
+            }
+            let heartbeat = self.with(|controller, now| {
+                for label in controller.deaf_peers(now) {
+                    if let Some(reconnect) = self.peers.reconnect.get(label) {
+                        tracing::debug!(label, "reconnecting to a controller");
+                        reconnect.notify_one();
+                    }
+                }
+                controller.heartbeat_out(now)
+            });
+            let heartbeat = OutgoingMessage::new(
+                Message::Heartbeat(Box::new(heartbeat)),
+                self.peers.sender.clone(),
+            );
+            let _ = out.send(Some(heartbeat));
+            tokio::time::sleep(HEARTBEAT_PAUSE).await;
+        }
+    }
+
+    /// Reads the machine types and the machine list.
+    pub(crate) async fn watch_cloud(self: Arc<Self>) {
+        let mut machine_types_at: Option<Instant> = None;
+        let mut failures = RepeatedFailures::default();
+        loop {
+            if machine_types_at.is_none_or(|at| at.elapsed() > MACHINE_TYPES_INTERVAL) {
+                match self.clients.cloud.machine_types().await {
+                    Ok(machine_types) => {
+                        machine_types_at = Some(Instant::now());
+                        failures.worked();
+                        self.with(|controller, now| controller.machine_types(machine_types, now));
+                    }
+                    Err(e) => {
+                        if let Some(times) = failures.failed(Instant::now()) {
+                            tracing::info!(times, "machine types not read: {e}");
+                        }
+                    }
+                }
+            }
+            if let Ok(hosts) = self.clients.cloud.list().await {
+                self.with(|controller, now| controller.listed(hosts, now));
+            }
+            let unknown = machine_types_at.is_none();
+            tokio::time::sleep(if unknown {
+                jittered(1500)
+            } else {
+                self.intervals.machine_list
+            })
+            .await;
+        }
+    }
+}
--- a/crates/cherryyard/src/app/refusals.rs
+++ b/crates/cherryyard/src/app/rejected_transactions.rs
@@ -6,16 +6,16 @@
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Refused transactions that are remembered.
-const MOST: usize = 64;
+/// Rejected transactions that are remembered.
+const MAX_REMEMBERED: usize = 64;
 
-/// What has been refused lately.
+/// Transactions that were rejected lately.
 #[derive(Debug, Default)]
-pub(crate) struct Refusals {
-    /// Hashes of refused transactions, the oldest first.
+pub(crate) struct RejectedTransactions {
+    /// Their hashes, the oldest first.
     hashes: VecDeque<u64>,
-    /// Whether an excess has been told in the log; later ones are told at debug level.
-    told: bool,
+    /// Whether an excess has been logged; later ones are logged at debug level.
+    excess_logged: bool,
 }
 
 fn hash(commit: &Commit) -> u64 {
@@ -24,10 +24,10 @@
     xxh3_64(&text)
 }
 
-impl Refusals {
+impl RejectedTransactions {
     /// Remembers a transaction that the state service has called malformed.
-    pub(crate) fn note(&mut self, commit: &Commit) {
-        if self.hashes.len() >= MOST {
+    pub(crate) fn remember(&mut self, commit: &Commit) {
+        if self.hashes.len() >= MAX_REMEMBERED {
             self.hashes.pop_front();
         }
         self.hashes.push_back(hash(commit));
@@ -37,7 +37,7 @@
     /// refused as it is.
     pub(crate) fn forbids(&mut self, commit: &Commit, excess: Option<RateExcess>) -> bool {
         if let Some(excess) = excess {
-            self.tell(&excess);
+            self.log_excess(&excess);
             return true;
         }
         if self.hashes.is_empty() {
@@ -46,11 +46,11 @@
         self.hashes.contains(&hash(commit))
     }
 
-    fn tell(&mut self, excess: &RateExcess) {
-        if std::mem::replace(&mut self.told, true) {
-            tracing::debug!("a transaction is not sent: {excess}");
+    fn log_excess(&mut self, excess: &RateExcess) {
+        if std::mem::replace(&mut self.excess_logged, true) {
+            tracing::debug!("transaction beyond the limits not sent: {excess}");
         } else {
-            tracing::error!("a transaction is not sent: {excess}");
+            tracing::error!("transaction beyond the limits not sent: {excess}");
         }
     }
 }
--- a/crates/cherryyard/src/app/repeats/tests.rs
+++ b/crates/cherryyard/src/app/repeated_failures/tests.rs
@@ -3,7 +3,7 @@
 /// An outage of ten minutes with two tries a second is told in seven lines.
 #[test]
 fn an_outage_is_told_in_a_few_lines() {
-    let mut repeats = Repeats::default();
+    let mut repeats = RepeatedFailures::default();
     let start = Instant::now();
     let told: Vec<(u64, u64)> = (0..1200u64)
         .filter_map(|n| {
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -176,7 +176,9 @@
             let config = cli.config.ok_or("--config is missing")?;
             let (settings, tuning) = load(&config, cli.operator.as_deref())?;
             start_log();
-            runtime()?.block_on(run::run(settings, tuning))
+            runtime()?
+                .block_on(run::run(settings, tuning))
+                .map_err(|e| e.to_string())
         }
         Some(Command::Check { config, operator }) => {
             let (settings, tuning) = load(&config, operator.as_deref())?;
--- a/crates/cherryyard/src/main.rs
+++ b/crates/cherryyard/src/main.rs
@@ -4,7 +4,6 @@
 mod app;
 mod cli;
 mod condor;
-mod messages;
 mod operator;
 mod routes;
 mod run;
--- a/crates/cherryyard/src/routes/answer.rs
+++ b/crates/cherryyard/src/routes/answer.rs
@@ -83,7 +83,7 @@
         if rest.len() + data.len() > MAX_BODY {
             return Err(too_large());
         }
-        let capacity = app.bodies.clone();
+        let capacity = app.body_bytes.clone();
         let Ok(capacity) = capacity.try_acquire_many_owned(data.len() as u32) else {
             return Err(Answer::later("too many requests at once"));
         };
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -193,13 +193,17 @@
 /// A block of ids that no job has, and as of which revision of the history's record:
 /// before submissions were turned on, users could choose any id.
 async fn free_block(app: &Arc<App>, jobs: u64) -> Option<(u64, u64)> {
-    let (mut first, moved, any) = app.with(|n, _| {
-        let next = n.mirror.ids.next.max(FIRST_ID);
-        (next, n.mirror.packed_revision, n.mirror.packed.any())
+    let (mut first, moved, any) = app.with(|controller, _| {
+        let next = controller.mirror.ids.next.max(FIRST_ID);
+        (
+            next,
+            controller.mirror.packed_revision,
+            controller.mirror.packed.any(),
+        )
     });
     let mut reads = 0;
     'block: while first + jobs < END_ID {
-        if app.with(|n, _| n.mirror.knows_any(first..first + jobs)) {
+        if app.with(|controller, _| controller.mirror.knows_any(first..first + jobs)) {
             first += jobs;
             continue;
         }
@@ -210,7 +214,7 @@
                 if reads > MOST_READS {
                     return None;
                 }
-                let read = app.state.read_leaf(level, from).await.ok()?;
+                let read = app.clients.state.read_leaf(level, from).await.ok()?;
                 let Some(stored) = read.leaf else { break };
                 let last = stored.last_job;
                 let leaf = Leaf::of_record(&stored.record).ok()?;
@@ -229,7 +233,7 @@
 
 /// Takes a chunk.
 pub(super) async fn receive(app: &Arc<App>, body: &[u8]) -> Answer {
-    if app.with(|n, now| n.refuses_submissions(now)) {
+    if app.with(|controller, now| controller.refuses_submissions(now)) {
         return Answer::later("this controller is behind");
     }
     let mut post = match ChunkPost::parse(body) {
@@ -245,33 +249,42 @@
         }
         let mut free = None;
         if post.chunk + 1 == post.of {
-            let before = app.with(|n, _| n.mirror.submissions.get(&number).map_or(0, |s| s.0.jobs));
+            let before = app.with(|controller, _| {
+                controller
+                    .mirror
+                    .submissions
+                    .get(&number)
+                    .map_or(0, |s| s.0.jobs)
+            });
             free = free_block(app, before + post.jobs.jobs()).await;
         }
-        let (commit, status) = match app.with(|n, _| decide(n, &mut post, at, free)) {
-            Next::UserAnswer(answer) => return answer,
-            Next::GiveUp(commit, answer) => {
-                // If this is lost, it is given up later for its silence.
-                let outcome = app.commit(&commit).await;
-                if let Outcome::Applied(store_revision) = outcome {
-                    app.with(|n, now| n.user_committed(&commit, store_revision, now));
+        let (commit, status) =
+            match app.with(|controller, _| decide(controller, &mut post, at, free)) {
+                Next::UserAnswer(answer) => return answer,
+                Next::GiveUp(commit, answer) => {
+                    // If this is lost, it is given up later for its silence.
+                    let outcome = app.commit(&commit).await;
+                    if let Outcome::Applied(store_revision) = outcome {
+                        app.with(|controller, now| {
+                            controller.user_committed(&commit, store_revision, now)
+                        });
+                    }
+                    return answer;
                 }
-                return answer;
-            }
-            Next::Write(commit, status) => (commit, status),
-        };
-        if !paid && let Err(seconds) = app.with(|n, now| n.take_user_write(now)) {
+                Next::Write(commit, status) => (commit, status),
+            };
+        if !paid && let Err(seconds) = app.with(|controller, now| controller.take_user_write(now)) {
             return Answer::later_in("too many submissions at once", seconds);
         }
         if !paid {
             // The chunk was one write; its submission's record is another.
-            app.with(|n, now| n.spend_user_write(now));
+            app.with(|controller, now| controller.spend_user_write(now));
             paid = true;
         }
         match app.commit(&commit).await {
             Outcome::Applied(store_revision) => {
-                app.with(|n, now| n.user_committed(&commit, store_revision, now));
-                return app.with(|n, _| view(n, number, status));
+                app.with(|controller, now| controller.user_committed(&commit, store_revision, now));
+                return app.with(|controller, _| view(controller, number, status));
             }
             Outcome::Conflict(_) => {}
             Outcome::Refused => {
@@ -291,7 +304,7 @@
     if !app.caught_up().await {
         return Answer::later("the state service cannot be reached");
     }
-    app.with(|n, _| view(n, submission_number(name), StatusCode::OK))
+    app.with(|controller, _| view(controller, submission_number(name), StatusCode::OK))
 }
 
 /// Lists submissions, the newest first.
@@ -299,15 +312,17 @@
     if !app.caught_up().await {
         return Answer::later("the state service cannot be reached");
     }
-    app.with(|n, _| {
-        let all = n.mirror.submissions.iter();
+    app.with(|controller, _| {
+        let all = controller.mirror.submissions.iter();
         let mut all: Vec<(u64, u64)> = all.map(|(&k, (r, _))| (r.at, k)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MOST_LISTED);
         let list = SubmissionList {
             // Admission may lengthen a chunk: it pools and spells out.
-            chunk_bytes: n.config.value_bytes.saturating_sub(64),
-            submissions: views.filter_map(|(_, k)| n.submission_view(k)).collect(),
+            chunk_bytes: controller.config.value_bytes.saturating_sub(64),
+            submissions: views
+                .filter_map(|(_, k)| controller.submission_view(k))
+                .collect(),
         };
         Answer::of(StatusCode::OK, &list)
     })
@@ -320,8 +335,12 @@
         if !app.caught_up().await {
             return Answer::later("the state service cannot be reached");
         }
-        let step = app.with(|n, _| {
-            let record = n.mirror.submissions.get(&number).map(|s| s.0.clone());
+        let step = app.with(|controller, _| {
+            let record = controller
+                .mirror
+                .submissions
+                .get(&number)
+                .map(|s| s.0.clone());
             let mut record = record.ok_or(StatusCode::OK)?;
             let after = record.phase.after(PhaseEvent::Removed);
             if after == record.phase {
@@ -334,7 +353,9 @@
             }
             record.phase = after;
             let mut commit = Commit::default();
-            n.mirror.require(&mut commit, Key::Submission(number));
+            controller
+                .mirror
+                .require(&mut commit, Key::Submission(number));
             commit
                 .apply
                 .push(Apply::set(submission_key(number), &record));
@@ -342,14 +363,14 @@
         });
         let commit = match step {
             Ok(commit) => commit,
-            Err(status) => return app.with(|n, _| view(n, number, status)),
+            Err(status) => return app.with(|controller, _| view(controller, number, status)),
         };
         // Like any cancellation never refused for the read_interval.
-        app.with(|n, now| n.spend_user_write(now));
+        app.with(|controller, now| controller.spend_user_write(now));
         match app.commit(&commit).await {
             Outcome::Applied(store_revision) => {
-                app.with(|n, now| n.user_committed(&commit, store_revision, now));
-                return app.with(|n, _| view(n, number, StatusCode::ACCEPTED));
+                app.with(|controller, now| controller.user_committed(&commit, store_revision, now));
+                return app.with(|controller, _| view(controller, number, StatusCode::ACCEPTED));
             }
             Outcome::Conflict(_) => {}
             Outcome::Refused => {
@@ -372,12 +393,16 @@
     }
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
-    app.with(|n, _| {
-        if n.mirror.machine_types.is_empty() {
+    app.with(|controller, _| {
+        if controller.mirror.machine_types.is_empty() {
             return Answer::later("the machine types are not known yet");
         }
-        let all = &n.mirror.machine_types;
-        match n.mirror.matcher.explain(&template.spec, &rules, all, at) {
+        let all = &controller.mirror.machine_types;
+        match controller
+            .mirror
+            .matcher
+            .explain(&template.spec, &rules, all, at)
+        {
             Ok(explanation) => Answer::of(StatusCode::OK, &explanation),
             Err(e) => bad(e),
         }
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -37,7 +37,7 @@
 
 /// The job's view, as far as its user may be told.
 async fn lookup(app: &Arc<App>, job: u64) -> Result<Option<JobView>, Answer> {
-    let tell = |caught_up| app.with(|n, now| n.answer_for(job, caught_up, now));
+    let tell = |caught_up| app.with(|controller, now| controller.answer_for(job, caught_up, now));
     let told = match tell(false) {
         UserAnswer::Barrier if app.caught_up().await => tell(true),
         told => told,
@@ -53,7 +53,7 @@
         return Err(Answer::later_in(why, LOOKUP_RETRY_S));
     };
     let cancelled = found.past.is_some_and(|p| p.end == End::Cancelled);
-    if cancelled && !app.with(|n, now| n.may_confirm_cancelled(job, now)) {
+    if cancelled && !app.with(|controller, now| controller.may_confirm_cancelled(job, now)) {
         return Err(not_yet());
     }
     Ok(found.past.map(|p| over(job, p.end, p.done)))
@@ -72,7 +72,7 @@
     let bad = |e: String| Answer::error(StatusCode::BAD_REQUEST, e);
     let spec = JobSpec::parse(body).map_err(|e| bad(e.to_string()))?;
     let mut rules = None;
-    if app.with(|n, _| n.config.tuning.condor) {
+    if app.with(|controller, _| controller.config.tuning.condor) {
         rules = parse_object::<Additions>(body)
             .map_err(|e| bad(e.to_string()))?
             .rules;
@@ -81,14 +81,17 @@
     let Some(job) = job_number(&spec.id) else {
         return Err(Answer::error(StatusCode::BAD_REQUEST, "id: not a job id"));
     };
-    if app.with(|n, _| n.mirror.view(job)).is_some() {
+    if app
+        .with(|controller, _| controller.mirror.view(job))
+        .is_some()
+    {
         return Err(match lookup(app, job).await {
             Ok(Some(view)) => Answer::view(StatusCode::OK, &view),
             Ok(None) => Answer::later("the job's state is not known yet"),
             Err(answer) => answer,
         });
     }
-    if !spec.waits_on.is_empty() && !app.with(|n, _| n.accepts_dependencies()) {
+    if !spec.waits_on.is_empty() && !app.with(|controller, _| controller.accepts_dependencies()) {
         let why = "waits_on: not all controllers are of a version that knows it";
         return Err(Answer::later(why));
     }
@@ -106,7 +109,7 @@
     let mut past = PastEnds::new();
     let mut caught_up = false;
     loop {
-        let unknown = match app.with(|n, _| n.resolve_dependencies(spec, &past)) {
+        let unknown = match app.with(|controller, _| controller.resolve_dependencies(spec, &past)) {
             Resolution::Accepted(after) => return Ok(after),
             Resolution::Never(why) => return Err(never(app, job, why).await),
             Resolution::Unknown(need) => need,
@@ -140,7 +143,7 @@
 }
 
 pub(super) async fn submit(app: &Arc<App>, body: &[u8]) -> Answer {
-    if app.with(|n, now| n.refuses_submissions(now)) {
+    if app.with(|controller, now| controller.refuses_submissions(now)) {
         return Answer::later("this controller is behind");
     }
     let submission = match read_submission(app, body).await {
@@ -148,7 +151,7 @@
         Err(answer) => return answer,
     };
     let at = wall_ms() as u64;
-    if let Some(told) = app.query(body, at).await
+    if let Some(told) = app.forward(body, at).await
         && let Ok(status) = StatusCode::from_u16(told.status)
     {
         return Answer(status, told.body.into(), told.retry_after);
@@ -172,9 +175,15 @@
 
 async fn submit_here(app: &Arc<App>, submission: Submission, at: u64) -> Answer {
     let (mut spec, job, rules) = submission;
-    let (verdict, fresh) = app.with(|n, now| {
-        let verdict = admit(&mut spec, rules.as_ref(), at, &n.mirror, &n.config);
-        (verdict, n.state_fresh(now))
+    let (verdict, fresh) = app.with(|controller, now| {
+        let verdict = admit(
+            &mut spec,
+            rules.as_ref(),
+            at,
+            &controller.mirror,
+            &controller.config,
+        );
+        (verdict, controller.state_fresh(now))
     });
     if !fresh {
         return Answer::later("the state service cannot be reached");
@@ -188,7 +197,7 @@
     let id = spec.id.clone();
     let named = spec.clone();
     spec.waits_on.clear();
-    let new = app.with(|n, _| n.mirror.new_job(spec, rules.map(Box::new), at));
+    let new = app.with(|controller, _| controller.mirror.new_job(spec, rules.map(Box::new), at));
     let Some(mut open) = new else {
         return Answer::error(StatusCode::UNPROCESSABLE_ENTITY, "owner: unknown team");
     };
@@ -200,7 +209,7 @@
         if let Some(p) = found.past {
             return Answer::view(StatusCode::OK, &over(job, p.end, p.done));
         }
-        if is_reserved(job) && app.with(|n, _| n.config.tuning.condor) {
+        if is_reserved(job) && app.with(|controller, _| controller.config.tuning.condor) {
             let why = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
             return Answer::error(StatusCode::BAD_REQUEST, why);
         }
@@ -242,7 +251,8 @@
     };
     // Behind with reports: what would be too late is refused at once, but for
     // final states, which cost no more than a refusal.
-    let (view, behind) = app.with(|n, now| (n.mirror.view(job), n.refuses_polls(now)));
+    let (view, behind) =
+        app.with(|controller, now| (controller.mirror.view(job), controller.refuses_polls(now)));
     if behind && !view.as_ref().is_some_and(terminal) {
         return Answer::later_in("this controller is behind", BEHIND_RETRY_S);
     }
@@ -264,15 +274,15 @@
             Ok(Some(view)) if terminal(&view) => return Answer::view(StatusCode::OK, &view),
             Ok(Some(_)) => {}
         }
-        let Some(commit) = app.with(|n, _| n.cancellation(job)) else {
+        let Some(commit) = app.with(|controller, _| controller.cancellation(job)) else {
             continue;
         };
         // Never refused for the read_interval: what runs for a cancelled job is in
         // everybody's way.
-        app.with(|n, now| n.spend_user_write(now));
+        app.with(|controller, now| controller.spend_user_write(now));
         match app.commit(&commit).await {
             Outcome::Applied(store_revision) => {
-                app.with(|n, now| n.user_committed(&commit, store_revision, now))
+                app.with(|controller, now| controller.user_committed(&commit, store_revision, now))
             }
             // Malformed: it is divided as the limits now are.
             Outcome::Conflict(_) | Outcome::Malformed => {}
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -39,7 +39,7 @@
             Ok(body) => condor::receive(&self.0, &body.text).await,
             Err(answer) => answer,
         };
-        self.0.took(since);
+        self.0.record_latency(since);
         answer.write(res);
     }
 }
@@ -86,7 +86,7 @@
             Ok(body) => submit(&self.0, &body.text).await,
             Err(answer) => answer,
         };
-        self.0.took(since);
+        self.0.record_latency(since);
         answer.write(res);
     }
 }
@@ -97,7 +97,7 @@
         let since = Instant::now();
         let id = req.param::<String>("id").unwrap_or_default();
         let answer = poll(&self.0, &id).await;
-        self.0.took(since);
+        self.0.record_latency(since);
         answer.write(res);
     }
 }
@@ -108,7 +108,7 @@
         let since = Instant::now();
         let id = req.param::<String>("id").unwrap_or_default();
         let answer = cancel(&self.0, &id).await;
-        self.0.took(since);
+        self.0.record_latency(since);
         answer.write(res);
     }
 }
@@ -116,7 +116,7 @@
 #[async_trait]
 impl Handler for Ready {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let ready = self.0.with(|n, now| n.ready(now));
+        let ready = self.0.with(|controller, now| controller.ready(now));
         let answer = if ready {
             Answer::of(StatusCode::OK, &serde_json::json!({ "ready": true }))
         } else {
@@ -129,7 +129,7 @@
 #[async_trait]
 impl Handler for History {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let counts = self.0.with(|n, _| n.history_counts());
+        let counts = self.0.with(|controller, _| controller.history_counts());
         Answer::of(StatusCode::OK, &counts).write(res);
     }
 }
@@ -141,7 +141,10 @@
             Err(answer) => answer,
             Ok(body) => match parse_object::<WorkerHeartbeat>(&body.text) {
                 Err(e) => Answer::error(StatusCode::BAD_REQUEST, e.to_string()),
-                Ok(report) => match self.0.with(|n, now| n.report(&report, now)) {
+                Ok(report) => match self
+                    .0
+                    .with(|controller, now| controller.report(&report, now))
+                {
                     Reply::Answer(a) => Answer::of(StatusCode::OK, &a),
                     Reply::Elsewhere(owner) => {
                         Answer::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
@@ -176,7 +179,12 @@
 
 /// Serves until the process is killed.
 pub async fn serve<A: Acceptor + Send + 'static>(acceptor: A, app: Arc<App>, limits: &Limits) {
-    let (history, condor) = app.with(|n, _| (n.config.tuning.history, n.config.tuning.condor));
+    let (history, condor) = app.with(|controller, _| {
+        (
+            controller.config.tuning.history,
+            controller.config.tuning.condor,
+        )
+    });
     let mut router = Router::new()
         .push(Router::with_path("ready").get(Ready(app.clone())))
         .push(Router::with_path("hello").post(Hello(app.clone())))
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -1,10 +1,10 @@
 //! Puts a controller together and runs it.
 
-use crate::app::{App, HistoryLookups};
+use crate::app::{App, Barriers, Clients, HistoryLookups, Intervals, Peers, PendingSubmissions};
 use crate::routes;
 use cherryyard_clients::cloud::CloudClient;
 use cherryyard_clients::http::HttpClient;
-use cherryyard_clients::peer;
+use cherryyard_clients::peer::{self, OutgoingMessage};
 use cherryyard_clients::state::StateClient;
 use cherryyard_core::{Config, Controller, Tuning};
 use cherryyard_wire::MAX_BODY;
@@ -14,102 +14,189 @@
 use hdrhistogram::Histogram;
 use salvo::conn::Listener;
 use std::collections::HashMap;
-use std::sync::atomic::AtomicU64;
+use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use tokio::sync::{Notify, Semaphore, mpsc, watch};
 
 /// Messages that may wait for one other controller.
 const PEER_QUEUE: usize = 64;
 
-/// A sixteenth of the memory, and at least a body of the largest size.
+/// Bytes that all bodies may take at once: a sixteenth of the memory, and at least one body
+/// of the largest size.
 fn body_budget(limits: &Limits) -> usize {
     (limits.memory_bytes() / 16).max(MAX_BODY)
 }
 
-/// Runs a controller until it is killed.
-pub async fn run(settings: Settings, tuning: Tuning) -> Result<(), String> {
-    let c = &settings.cluster;
-    let controllers = (settings.known.len() + 1) as f64;
-    let connect = Duration::from_millis(1200);
-    // A third of the requests each for watch and barrier, the rest for renewals
-    // and transactions.
-    let read_interval = Duration::from_secs_f64((controllers * 3.0 / c.state.rps).clamp(0.02, 2.0));
-    let list_every = Duration::from_secs_f64((controllers * 4.0 / c.cloud.rps).clamp(3.0, 30.0));
-    let seed = rand::random();
-    let (out, heartbeats) = watch::channel(None);
-    let sender = Arc::new(Sender {
-        label: settings.label.clone(),
-        format: NEWEST_FORMAT,
-        build: env!("CARGO_PKG_VERSION").into(),
-    });
-    let (mut peers, mut anew, mut ways) = (HashMap::new(), HashMap::new(), Vec::new());
-    for other in &settings.known {
-        if let Ok(addr) = other.endpoint.parse() {
-            let (to, others) = mpsc::channel(PEER_QUEUE);
-            peers.insert(other.label.clone(), to);
-            let notify = Arc::new(Notify::new());
-            anew.insert(other.label.clone(), notify.clone());
-            ways.push((addr, others, notify));
+/// Timeout of connection attempts to the outside services.
+const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Timeout of connection attempts to workers.
+const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Idle connections that are kept to the state service.
+const STATE_CONNECTIONS: usize = 8;
+/// Longest latency of a request that the histogram tells apart, in milliseconds.
+const MAX_LATENCY_MS: u64 = 60_000;
+/// Significant digits of the latency histogram.
+const LATENCY_DIGITS: u8 = 2;
+
+/// Why a controller cannot start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The latency histogram cannot be made.
+    #[error("cannot start: {0}")]
+    Histogram(#[from] hdrhistogram::CreationError),
+    /// The port for other controllers cannot be bound.
+    #[error("peer_listen: {addr}: {source}")]
+    PeerListen {
+        /// The address in the settings.
+        addr: String,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The port for users and workers cannot be bound.
+    #[error("public_addr: {addr}: {source}")]
+    PublicAddr {
+        /// The address in the settings.
+        addr: String,
+        /// What the server says.
+        source: salvo::Error,
+    },
+}
+
+/// The receiving end of the queue of one other controller.
+struct PeerQueue {
+    addr: SocketAddr,
+    messages: mpsc::Receiver<Arc<OutgoingMessage>>,
+    reconnect: Arc<Notify>,
+}
+
+/// Queues of messages to the other controllers that the settings name.
+fn peer_queues(settings: &Settings) -> (Peers, Vec<PeerQueue>) {
+    let mut peers = Peers {
+        sender: Arc::new(Sender {
+            label: settings.label.clone(),
+            format: NEWEST_FORMAT,
+            build: env!("CARGO_PKG_VERSION").into(),
+        }),
+        queues: HashMap::new(),
+        reconnect: HashMap::new(),
+    };
+    let mut queues = Vec::new();
+    for peer in &settings.known {
+        if let Ok(addr) = peer.endpoint.parse() {
+            let (queue, messages) = mpsc::channel(PEER_QUEUE);
+            let reconnect = Arc::new(Notify::new());
+            peers.queues.insert(peer.label.clone(), queue);
+            peers
+                .reconnect
+                .insert(peer.label.clone(), reconnect.clone());
+            queues.push(PeerQueue {
+                addr,
+                messages,
+                reconnect,
+            });
         }
     }
-    let app = Arc::new(App {
-        controller: Mutex::new(Controller::new(Config::new(&settings, tuning), seed, 0.0)),
-        state: StateClient::new(HttpClient::new(connect, 8), &settings.services.state),
-        cloud: CloudClient::new(HttpClient::new(connect, 1), &settings.services.cloud),
-        workers: HttpClient::new(Duration::from_millis(1000), 1),
-        born: Instant::now(),
-        barrier: Mutex::new(Vec::new()),
-        latency: Mutex::new(
-            Histogram::new_with_bounds(1, 60_000, 2).map_err(|e| format!("cannot start: {e}"))?,
-        ),
-        barrier_wanted: Notify::new(),
+    (peers, queues)
+}
+
+/// How often outside services are asked, so that all controllers together keep to the
+/// request budgets.
+fn intervals(settings: &Settings) -> Intervals {
+    let cluster = &settings.cluster;
+    let controllers = (settings.known.len() + 1) as f64;
+    // A third of the requests each for watch and barrier, the rest for renewals and
+    // transactions.
+    let read_s = (controllers * 3.0 / cluster.state.rps).clamp(0.02, 2.0);
+    let list_s = (controllers * 4.0 / cluster.cloud.rps).clamp(3.0, 30.0);
+    let lease_s = cluster.workers.lease_s;
+    Intervals {
+        read: Duration::from_secs_f64(read_s),
+        machine_list: Duration::from_secs_f64(list_s),
+        lease_ttl_ms: ((lease_s * 500.0) as u64).clamp(1000, 5000),
+        watch_wait_ms: ((lease_s * 300.0) as u64).clamp(500, 4000),
+    }
+}
+
+fn clients(settings: &Settings) -> Clients {
+    let services = &settings.services;
+    let http = |idle_per_host| HttpClient::new(SERVICE_CONNECT_TIMEOUT, idle_per_host);
+    Clients {
+        state: StateClient::new(http(STATE_CONNECTIONS), &services.state),
+        cloud: CloudClient::new(http(1), &services.cloud),
+        workers: HttpClient::new(WORKER_CONNECT_TIMEOUT, 1),
+    }
+}
+
+fn assemble(settings: &Settings, tuning: Tuning, peers: Peers) -> Result<App, StartError> {
+    let limits = &settings.cluster.limits;
+    let seed = rand::random();
+    Ok(App {
+        controller: Mutex::new(Controller::new(Config::new(settings, tuning), seed, 0.0)),
+        clients: clients(settings),
+        started_at: Instant::now(),
+        barriers: Barriers::default(),
+        latency: Mutex::new(Histogram::new_with_bounds(
+            1,
+            MAX_LATENCY_MS,
+            LATENCY_DIGITS,
+        )?),
         heartbeat_wanted: Notify::new(),
-        sender: sender.clone(),
         peers,
-        anew,
-        queried: Mutex::new(HashMap::new()),
-        // A late answer to a process before this one must find nobody waiting.
-        tickets: AtomicU64::new(rand::random()),
-        offers: Mutex::new(HashMap::new()),
-        refusals: Mutex::default(),
-        history: HistoryLookups::new(c.state.rps, c.limits.memory_bytes()),
-        bodies: Arc::new(Semaphore::new(body_budget(&c.limits))),
-        read_interval,
-        list_every,
-        ttl_ms: ((c.workers.lease_s * 500.0) as u64).clamp(1000, 5000),
-        follow_ms: ((c.workers.lease_s * 300.0) as u64).clamp(500, 4000),
-    });
+        pending: PendingSubmissions::new(),
+        rejected: Mutex::default(),
+        history: HistoryLookups::new(settings.cluster.state.rps, limits.memory_bytes()),
+        body_bytes: Arc::new(Semaphore::new(body_budget(limits))),
+        intervals: intervals(settings),
+    })
+}
+
+/// Runs a controller until it is killed.
+pub async fn run(settings: Settings, tuning: Tuning) -> Result<(), StartError> {
+    let (heartbeat_out, heartbeats) = watch::channel(None);
+    let (peers, queues) = peer_queues(&settings);
+    let sender = peers.sender.clone();
+    let app = Arc::new(assemble(&settings, tuning, peers)?);
 
-    let listener = tokio::net::TcpListener::bind(&settings.peer_listen)
-        .await
-        .map_err(|e| format!("peer_listen: {}: {e}", settings.peer_listen))?;
-    let taker = app.clone();
+    let listener = tokio::net::TcpListener::bind(&settings.peer_listen).await;
+    let listener = listener.map_err(|source| StartError::PeerListen {
+        addr: settings.peer_listen.clone(),
+        source,
+    })?;
+    let receiver = app.clone();
     // In the order in which a controller that starts needs them.
-    tokio::spawn(app.clone().lease());
-    tokio::spawn(app.clone().mirror());
+    tokio::spawn(app.clone().keep_state_lease());
+    tokio::spawn(app.clone().sync_mirror());
     tokio::spawn(peer::receive(listener, sender, move |frame| {
-        taker.take_frame(frame);
+        receiver.receive_frame(frame);
     }));
-    for (addr, others, anew) in ways {
-        tokio::spawn(peer::send(addr, heartbeats.clone(), others, anew));
+    for queue in queues {
+        tokio::spawn(peer::send(
+            queue.addr,
+            heartbeats.clone(),
+            queue.messages,
+            queue.reconnect,
+        ));
     }
-    tokio::spawn(app.clone().heartbeats(out));
-    tokio::spawn(app.clone().clock());
+    tokio::spawn(app.clone().publish_heartbeats(heartbeat_out));
+    tokio::spawn(app.clone().run_clock());
     tokio::spawn(app.clone().serve_barriers());
-    tokio::spawn(app.clone().watch_queue());
+    tokio::spawn(app.clone().measure_event_loop_lag());
     tokio::spawn(app.clone().serve_lookups());
     tokio::spawn(app.clone().log_latency());
-    if app.with(|n, _| n.accounting) {
+    if app.with(|controller, _| controller.accounting) {
         tokio::spawn(app.clone().log_account());
     }
     tokio::spawn(app.clone().watch_cloud());
 
-    let acceptor = salvo::conn::TcpListener::new(settings.public_addr.clone())
-        .try_bind()
-        .await
-        .map_err(|e| format!("public_addr: {}: {e}", settings.public_addr))?;
+    let acceptor = salvo::conn::TcpListener::new(settings.public_addr.clone());
+    let acceptor = acceptor.try_bind().await;
+    let acceptor = acceptor.map_err(|source| StartError::PublicAddr {
+        addr: settings.public_addr.clone(),
+        source,
+    })?;
     tracing::info!(label = %settings.label, addr = %settings.public_addr, "serving");
-    routes::serve(acceptor, app, &c.limits).await;
+    routes::serve(acceptor, app, &settings.cluster.limits).await;
     Ok(())
 }
