--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -1,7 +1,7 @@
 //! Submissions of many jobs: their chunks, their state, their removal, and which
 //! machines a job could run on.
 
-use super::answer::Answer;
+use super::response::ApiResponse;
 use crate::app::{App, wall_ms};
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::{Controller, Outcome};
@@ -21,33 +21,29 @@
 /// Tries of a write before the client is told to come back.
 const TRIES: u64 = 4;
 /// Submissions that may be under way at once, and when to come back for others.
-const MOST_UNDER_WAY: usize = 64;
+const MAX_UNDER_WAY: usize = 64;
 const UNDER_WAY_RETRY_S: u32 = 20;
 /// Submissions that a list names.
-const MOST_LISTED: usize = 100;
+const MAX_LISTED: usize = 100;
 /// Leaves of the history that are read to find a block of ids that none uses.
-const MOST_READS: usize = 16;
-
-fn bad(why: impl Into<String>) -> Answer {
-    Answer::error(StatusCode::BAD_REQUEST, why)
-}
+const MAX_READS: usize = 16;
 
 /// A submission's state, with this status.
-fn view(controller: &Controller, number: u64, status: StatusCode) -> Answer {
+fn view(controller: &Controller, number: u64, status: StatusCode) -> ApiResponse {
     match controller.submission_view(number) {
-        Some(view) => Answer::of(status, &view),
-        None => Answer::error(StatusCode::NOT_FOUND, "no such submission"),
+        Some(view) => ApiResponse::of(status, &view),
+        None => ApiResponse::error(StatusCode::NOT_FOUND, "no such submission"),
     }
 }
 
-/// What is to be done with a chunk.
-enum Next {
-    /// Nothing: the answer.
-    UserAnswer(Answer),
-    /// This is to be written, and then answered with the state.
-    Write(Commit, StatusCode),
-    /// This is to be written; whatever becomes of it, this is the answer.
-    GiveUp(Commit, Answer),
+/// What is to be done with a chunk that was received.
+enum ChunkAction {
+    /// Only this response is to be sent.
+    Respond(ApiResponse),
+    /// This is to be committed, and then answered with the submission's state.
+    Commit(Commit, StatusCode),
+    /// This is to be committed; whatever the outcome, this is the response.
+    Drop(Commit, ApiResponse),
 }
 
 /// Checks that all of a chunk's jobs can run.
@@ -72,122 +68,167 @@
     Ok(())
 }
 
-fn decide(
+/// The record that a chunk adds to; or the response, if it is not to be added.
+fn record_of(
     controller: &Controller,
-    post: &mut ChunkPost,
+    post: &ChunkPost,
     at: u64,
-    free: Option<(u64, u64)>,
-) -> Next {
+) -> Result<SubmissionRecord, ApiResponse> {
     let number = submission_number(&post.name);
-    let known = controller
-        .mirror
-        .submissions
-        .get(&number)
-        .map(|s| s.0.clone());
-    let conflict = |why: String| Next::UserAnswer(Answer::error(StatusCode::CONFLICT, why));
-    let mut record = match known {
-        Some(r) if r.name != post.name => {
+    let conflict = |why: String| Err(ApiResponse::error(StatusCode::CONFLICT, why));
+    let known = controller.mirror.submissions.get(&number);
+    let record = match known.map(|submission| submission.0.clone()) {
+        Some(known) if known.name != post.name => {
             return conflict("name: another one has the same number; choose one anew".into());
         }
-        Some(r) if r.phase == Phase::Dropped => {
-            return Next::UserAnswer(Answer::later(
-                "what was sent under this name is being dropped",
-            ));
+        Some(known) if known.phase == Phase::Dropped => {
+            let why = "what was sent under this name is being dropped";
+            return Err(ApiResponse::later(why));
         }
-        Some(r) if r.phase != Phase::Receiving => {
-            return Next::UserAnswer(view(controller, number, StatusCode::OK));
+        Some(known) if known.phase != Phase::Receiving => {
+            return Err(view(controller, number, StatusCode::OK));
         }
-        Some(r) if r.of != post.of => {
-            return conflict(format!("of: the chunks before said {}", r.of));
+        Some(known) if known.of != post.of => {
+            return conflict(format!("of: the chunks before said {}", known.of));
         }
-        Some(r) if post.chunk < r.chunks => {
-            return Next::UserAnswer(view(controller, number, StatusCode::ACCEPTED));
-        }
-        Some(r) => r,
-        None => {
-            let all = controller.mirror.submissions.values();
-            let busy = |r: &SubmissionRecord| matches!(r.phase, Phase::Receiving | Phase::Creating);
-            if all.filter(|s| busy(&s.0)).count() >= MOST_UNDER_WAY {
-                let why = "too many submissions are under way";
-                return Next::UserAnswer(Answer::later_in(why, UNDER_WAY_RETRY_S));
-            }
-            SubmissionRecord {
-                name: post.name.clone(),
-                phase: Phase::Receiving,
-                at,
-                of: post.of,
-                chunks: 0,
-                jobs: 0,
-                first: 0,
-                chunk: (0, 0),
-                next: 0,
-                swept: 0,
-            }
+        Some(known) if post.chunk < known.chunks => {
+            return Err(view(controller, number, StatusCode::ACCEPTED));
         }
+        Some(known) => known,
+        None => new_record(controller, post, at)?,
     };
     if post.chunk != record.chunks {
         return conflict(format!("chunk: {} is the next one", record.chunks));
     }
+    Ok(record)
+}
+
+/// The record of a new submission, unless too many are under way.
+fn new_record(
+    controller: &Controller,
+    post: &ChunkPost,
+    at: u64,
+) -> Result<SubmissionRecord, ApiResponse> {
+    let all = controller.mirror.submissions.values();
+    let under_way = all.filter(|s| matches!(s.0.phase, Phase::Receiving | Phase::Creating));
+    if under_way.count() >= MAX_UNDER_WAY {
+        let why = "too many submissions are under way";
+        return Err(ApiResponse::later_in(why, UNDER_WAY_RETRY_S));
+    }
+    Ok(SubmissionRecord {
+        name: post.name.clone(),
+        phase: Phase::Receiving,
+        at,
+        of: post.of,
+        chunks: 0,
+        jobs: 0,
+        first: 0,
+        chunk: (0, 0),
+        next: 0,
+        swept: 0,
+    })
+}
+
+/// Refuses a chunk: none of its submission's jobs is queued.
+fn refuse(controller: &Controller, before: &SubmissionRecord, answer: ApiResponse) -> ChunkAction {
+    if before.chunks == 0 {
+        return ChunkAction::Respond(answer);
+    }
+    let number = submission_number(&before.name);
+    let mut dropped = before.clone();
+    dropped.phase = dropped.phase.after(PhaseEvent::GivenUp);
     let mut commit = Commit::default();
     controller
         .mirror
         .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
-    let before = record.clone();
-    let refuse = |answer: Answer| {
-        if before.chunks == 0 {
-            return Next::UserAnswer(answer);
-        }
-        // One of its jobs can never run: nothing of it is queued.
-        let mut dropped = before.clone();
-        dropped.phase = dropped.phase.after(PhaseEvent::GivenUp);
-        let mut commit = Commit::default();
-        controller
-            .mirror
-            .require(&mut commit, Key::Submission(number));
-        commit.apply.push(Apply::set(key.clone(), &dropped));
-        Next::GiveUp(commit, answer)
+    commit.apply.push(Apply::set(key, &dropped));
+    ChunkAction::Drop(commit, answer)
+}
+
+/// Why a chunk cannot be added, if so; `jobs` is how many its submission has with it.
+fn chunk_refusal(controller: &Controller, chunk: &Json, jobs: u64) -> Option<ApiResponse> {
+    if chunk.text().len() > controller.config.value_bytes {
+        let why = format!("larger than {} bytes", controller.config.value_bytes);
+        return Some(ApiResponse::error(StatusCode::PAYLOAD_TOO_LARGE, why));
+    }
+    if jobs > MAX_JOBS {
+        let why = format!("r: more than {MAX_JOBS} jobs");
+        return Some(ApiResponse::bad_request(why));
+    }
+    None
+}
+
+/// Decides on a chunk that was received at the time of day `at`; `free` is a block of ids
+/// for its submission, if it is the last one.
+fn decide(
+    controller: &Controller,
+    post: &mut ChunkPost,
+    at: u64,
+    free: Option<(u64, u64)>,
+) -> ChunkAction {
+    let mut record = match record_of(controller, post, at) {
+        Ok(record) => record,
+        Err(answer) => return ChunkAction::Respond(answer),
     };
     match admit_chunk(controller, post, record.at) {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return Next::UserAnswer(Answer::later(why)),
-        Err(Reject::Malformed(why)) => return refuse(bad(why)),
+        Err(Reject::NotYet(why)) => return ChunkAction::Respond(ApiResponse::later(why)),
+        Err(Reject::Malformed(why)) => {
+            return refuse(controller, &record, ApiResponse::bad_request(why));
+        }
         Err(Reject::Never(why)) => {
-            return refuse(Answer::error(StatusCode::UNPROCESSABLE_ENTITY, why));
+            let answer = ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, why);
+            return refuse(controller, &record, answer);
         }
     }
     let chunk = Json::of(&post.jobs);
-    if chunk.text().len() > controller.config.value_bytes {
-        let why = format!("larger than {} bytes", controller.config.value_bytes);
-        return refuse(Answer::error(StatusCode::PAYLOAD_TOO_LARGE, why));
-    }
-    record.jobs += post.jobs.jobs();
-    if record.jobs > MAX_JOBS {
-        return refuse(bad(format!("r: more than {MAX_JOBS} jobs")));
+    let jobs = record.jobs + post.jobs.jobs();
+    if let Some(answer) = chunk_refusal(controller, &chunk, jobs) {
+        return refuse(controller, &record, answer);
     }
+    let number = submission_number(&post.name);
+    let mut commit = Commit::default();
+    controller
+        .mirror
+        .require(&mut commit, Key::Submission(number));
     commit
         .apply
         .push(Apply::put(chunk_key(number, record.chunks), chunk));
+    record.jobs = jobs;
     record.chunks += 1;
     let mut status = StatusCode::ACCEPTED;
     if record.chunks == record.of {
-        let Some((first, moved)) = free else {
-            return Next::UserAnswer(Answer::later("no block of ids could be found"));
+        let Some(free) = free else {
+            return ChunkAction::Respond(ApiResponse::later("no block of ids could be found"));
         };
+        accept(controller, &mut record, free, &mut commit);
         status = StatusCode::CREATED;
-        record.phase = record.phase.after(PhaseEvent::Accepted);
-        record.first = first;
-        record.chunk = (0, first);
-        controller.mirror.require(&mut commit, Key::Ids);
-        let next = first + record.jobs;
-        commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
-        if moved > 0 {
-            // What no leaf named may have come into one since.
-            commit.require(cherryyard_wire::record::PACKED, moved);
-        }
     }
-    commit.apply.push(Apply::set(key, &record));
-    Next::Write(commit, status)
+    commit
+        .apply
+        .push(Apply::set(submission_key(number), &record));
+    ChunkAction::Commit(commit, status)
+}
+
+/// Accepts a submission whose chunks have all come: it gets the block of ids that begins
+/// at `first`, free as of revision `moved` of the history's record.
+fn accept(
+    controller: &Controller,
+    record: &mut SubmissionRecord,
+    (first, moved): (u64, u64),
+    commit: &mut Commit,
+) {
+    record.phase = record.phase.after(PhaseEvent::Accepted);
+    record.first = first;
+    record.chunk = (0, first);
+    controller.mirror.require(commit, Key::Ids);
+    let next = first + record.jobs;
+    commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
+    if moved > 0 {
+        // What no leaf named may have come into one since.
+        commit.require(cherryyard_wire::record::PACKED, moved);
+    }
 }
 
 /// A block of ids that no job has, and as of which revision of the history's record:
@@ -211,7 +252,7 @@
             let mut from = first;
             while from < first + jobs {
                 reads += 1;
-                if reads > MOST_READS {
+                if reads > MAX_READS {
                     return None;
                 }
                 let read = app.clients.state.read_leaf(level, from).await.ok()?;
@@ -231,21 +272,21 @@
     None
 }
 
-/// Takes a chunk.
-pub(super) async fn receive(app: &Arc<App>, body: &[u8]) -> Answer {
+/// Receives a chunk.
+pub(super) async fn receive(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     if app.with(|controller, now| controller.refuses_submissions(now)) {
-        return Answer::later("this controller is behind");
+        return ApiResponse::later("this controller is behind");
     }
     let mut post = match ChunkPost::parse(body) {
         Ok(post) => post,
-        Err(e) => return bad(e.to_string()),
+        Err(e) => return ApiResponse::bad_request(e),
     };
     let number = submission_number(&post.name);
     let at = wall_ms() as u64;
     let mut paid = false;
     for attempt in 0..TRIES {
         if !app.caught_up().await {
-            return Answer::later("the state service cannot be reached");
+            return ApiResponse::later("the state service cannot be reached");
         }
         let mut free = None;
         if post.chunk + 1 == post.of {
@@ -260,8 +301,8 @@
         }
         let (commit, status) =
             match app.with(|controller, _| decide(controller, &mut post, at, free)) {
-                Next::UserAnswer(answer) => return answer,
-                Next::GiveUp(commit, answer) => {
+                ChunkAction::Respond(answer) => return answer,
+                ChunkAction::Drop(commit, answer) => {
                     // If this is lost, it is given up later for its silence.
                     let outcome = app.commit(&commit).await;
                     if let Outcome::Applied(store_revision) = outcome {
@@ -271,10 +312,10 @@
                     }
                     return answer;
                 }
-                Next::Write(commit, status) => (commit, status),
+                ChunkAction::Commit(commit, status) => (commit, status),
             };
         if !paid && let Err(seconds) = app.with(|controller, now| controller.take_user_write(now)) {
-            return Answer::later_in("too many submissions at once", seconds);
+            return ApiResponse::later_in("too many submissions at once", seconds);
         }
         if !paid {
             // The chunk was one write; its submission's record is another.
@@ -293,30 +334,30 @@
             Outcome::NoLease | Outcome::Unknown | Outcome::Malformed => break,
         }
     }
-    Answer::later("the state service did not take the chunk")
+    ApiResponse::later("the state service did not take the chunk")
 }
 
-/// Tells a submission's state.
-pub(super) async fn state(app: &Arc<App>, name: &str) -> Answer {
+/// A submission's state.
+pub(super) async fn state(app: &Arc<App>, name: &str) -> ApiResponse {
     if let Err(e) = check_name(name) {
-        return Answer::error(StatusCode::NOT_FOUND, e.to_string());
+        return ApiResponse::error(StatusCode::NOT_FOUND, e.to_string());
     }
     if !app.caught_up().await {
-        return Answer::later("the state service cannot be reached");
+        return ApiResponse::later("the state service cannot be reached");
     }
     app.with(|controller, _| view(controller, submission_number(name), StatusCode::OK))
 }
 
 /// Lists submissions, the newest first.
-pub(super) async fn list(app: &Arc<App>) -> Answer {
+pub(super) async fn list(app: &Arc<App>) -> ApiResponse {
     if !app.caught_up().await {
-        return Answer::later("the state service cannot be reached");
+        return ApiResponse::later("the state service cannot be reached");
     }
     app.with(|controller, _| {
         let all = controller.mirror.submissions.iter();
         let mut all: Vec<(u64, u64)> = all.map(|(&k, (r, _))| (r.at, k)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
-        let views = all.into_iter().take(MOST_LISTED);
+        let views = all.into_iter().take(MAX_LISTED);
         let list = SubmissionList {
             // Admission may lengthen a chunk: it pools and spells out.
             chunk_bytes: controller.config.value_bytes.saturating_sub(64),
@@ -324,16 +365,16 @@
                 .filter_map(|(_, k)| controller.submission_view(k))
                 .collect(),
         };
-        Answer::of(StatusCode::OK, &list)
+        ApiResponse::of(StatusCode::OK, &list)
     })
 }
 
 /// Removes a submission: 200 once all of its jobs are over, 202 before.
-pub(super) async fn remove(app: &Arc<App>, name: &str) -> Answer {
+pub(super) async fn remove(app: &Arc<App>, name: &str) -> ApiResponse {
     let number = submission_number(name);
     for attempt in 0..TRIES {
         if !app.caught_up().await {
-            return Answer::later("the state service cannot be reached");
+            return ApiResponse::later("the state service cannot be reached");
         }
         let step = app.with(|controller, _| {
             let record = controller
@@ -365,7 +406,7 @@
             Ok(commit) => commit,
             Err(status) => return app.with(|controller, _| view(controller, number, status)),
         };
-        // Like any cancellation never refused for the read_interval.
+        // Like any cancellation never refused for the write budget.
         app.with(|controller, now| controller.spend_user_write(now));
         match app.commit(&commit).await {
             Outcome::Applied(store_revision) => {
@@ -379,23 +420,23 @@
             Outcome::NoLease | Outcome::Unknown | Outcome::Malformed => break,
         }
     }
-    Answer::later("the state service did not take the removal")
+    ApiResponse::later("the state service did not take the removal")
 }
 
-/// Tells which machines a job could run on, and what others lack.
-pub(super) fn explain(app: &Arc<App>, body: &[u8]) -> Answer {
+/// Which machines a job could run on, and what others lack.
+pub(super) fn explain(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     let template = match parse_object::<Template>(body) {
         Ok(template) => template,
-        Err(e) => return bad(e.to_string()),
+        Err(e) => return ApiResponse::bad_request(e),
     };
     if let Err(e) = template.spec.check() {
-        return bad(e.to_string());
+        return ApiResponse::bad_request(e);
     }
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
     app.with(|controller, _| {
         if controller.mirror.machine_types.is_empty() {
-            return Answer::later("the machine types are not known yet");
+            return ApiResponse::later("the machine types are not known yet");
         }
         let all = &controller.mirror.machine_types;
         match controller
@@ -403,8 +444,8 @@
             .matcher
             .explain(&template.spec, &rules, all, at)
         {
-            Ok(explanation) => Answer::of(StatusCode::OK, &explanation),
-            Err(e) => bad(e),
+            Ok(explanation) => ApiResponse::of(StatusCode::OK, &explanation),
+            Err(e) => ApiResponse::bad_request(e),
         }
     })
 }
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -1,17 +1,19 @@
 //! The HTTP interface of users and workers.
 
-mod answer;
+mod body;
 mod condor;
 mod jobs;
+mod response;
 
 use crate::app::App;
-use answer::{Answer, body};
+use body::read_body;
 use cherryyard_core::Reply;
 use cherryyard_wire::parse_object;
 use cherryyard_wire::settings::Limits;
 use cherryyard_wire::worker::{Misdirected, WorkerHeartbeat};
 pub use jobs::answer_forwarded;
 use jobs::{cancel, poll, submit};
+use response::ApiResponse;
 use salvo::conn::Acceptor;
 use salvo::fuse::FuseConfig;
 use salvo::http::StatusCode;
@@ -19,23 +21,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-struct Submit(Arc<App>);
-struct Poll(Arc<App>);
-struct Cancel(Arc<App>);
-struct Ready(Arc<App>);
-struct Hello(Arc<App>);
-struct History(Arc<App>);
-struct Receive(Arc<App>);
-struct Submissions(Arc<App>);
-struct SubmissionState(Arc<App>);
-struct Remove(Arc<App>);
-struct Explain(Arc<App>);
+struct SubmitJob(Arc<App>);
+struct PollJob(Arc<App>);
+struct CancelJob(Arc<App>);
+struct Readiness(Arc<App>);
+struct ReceiveHeartbeat(Arc<App>);
+struct HistoryCounts(Arc<App>);
+struct ReceiveChunk(Arc<App>);
+struct ListSubmissions(Arc<App>);
+struct PollSubmission(Arc<App>);
+struct RemoveSubmission(Arc<App>);
+struct ExplainMatch(Arc<App>);
 
 #[async_trait]
-impl Handler for Receive {
+impl Handler for ReceiveChunk {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let since = Instant::now();
-        let answer = match body(&self.0, req).await {
+        let answer = match read_body(&self.0, req).await {
             Ok(body) => condor::receive(&self.0, &body.text).await,
             Err(answer) => answer,
         };
@@ -45,14 +47,14 @@
 }
 
 #[async_trait]
-impl Handler for Submissions {
+impl Handler for ListSubmissions {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         condor::list(&self.0).await.write(res);
     }
 }
 
 #[async_trait]
-impl Handler for SubmissionState {
+impl Handler for PollSubmission {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let name = req.param::<String>("name").unwrap_or_default();
         condor::state(&self.0, &name).await.write(res);
@@ -60,7 +62,7 @@
 }
 
 #[async_trait]
-impl Handler for Remove {
+impl Handler for RemoveSubmission {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let name = req.param::<String>("name").unwrap_or_default();
         condor::remove(&self.0, &name).await.write(res);
@@ -68,9 +70,9 @@
 }
 
 #[async_trait]
-impl Handler for Explain {
+impl Handler for ExplainMatch {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let answer = match body(&self.0, req).await {
+        let answer = match read_body(&self.0, req).await {
             Ok(body) => condor::explain(&self.0, &body.text),
             Err(answer) => answer,
         };
@@ -79,10 +81,10 @@
 }
 
 #[async_trait]
-impl Handler for Submit {
+impl Handler for SubmitJob {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let since = Instant::now();
-        let answer = match body(&self.0, req).await {
+        let answer = match read_body(&self.0, req).await {
             Ok(body) => submit(&self.0, &body.text).await,
             Err(answer) => answer,
         };
@@ -92,7 +94,7 @@
 }
 
 #[async_trait]
-impl Handler for Poll {
+impl Handler for PollJob {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let since = Instant::now();
         let id = req.param::<String>("id").unwrap_or_default();
@@ -103,7 +105,7 @@
 }
 
 #[async_trait]
-impl Handler for Cancel {
+impl Handler for CancelJob {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let since = Instant::now();
         let id = req.param::<String>("id").unwrap_or_default();
@@ -114,50 +116,52 @@
 }
 
 #[async_trait]
-impl Handler for Ready {
+impl Handler for Readiness {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let ready = self.0.with(|controller, now| controller.ready(now));
         let answer = if ready {
-            Answer::of(StatusCode::OK, &serde_json::json!({ "ready": true }))
+            ApiResponse::of(StatusCode::OK, &serde_json::json!({ "ready": true }))
         } else {
-            Answer::later("not ready: the state service or the machine types are out of reach")
+            ApiResponse::later("not ready: the state service or the machine types are out of reach")
         };
         answer.write(res);
     }
 }
 
 #[async_trait]
-impl Handler for History {
+impl Handler for HistoryCounts {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let counts = self.0.with(|controller, _| controller.history_counts());
-        Answer::of(StatusCode::OK, &counts).write(res);
+        ApiResponse::of(StatusCode::OK, &counts).write(res);
     }
 }
 
 #[async_trait]
-impl Handler for Hello {
+impl Handler for ReceiveHeartbeat {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let answer = match body(&self.0, req).await {
+        let answer = match read_body(&self.0, req).await {
+            Ok(body) => receive_heartbeat(&self.0, &body.text),
             Err(answer) => answer,
-            Ok(body) => match parse_object::<WorkerHeartbeat>(&body.text) {
-                Err(e) => Answer::error(StatusCode::BAD_REQUEST, e.to_string()),
-                Ok(report) => match self
-                    .0
-                    .with(|controller, now| controller.report(&report, now))
-                {
-                    Reply::Answer(a) => Answer::of(StatusCode::OK, &a),
-                    Reply::Elsewhere(owner) => {
-                        Answer::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
-                    }
-                    Reply::Unavailable => Answer::later("this part has no owner yet"),
-                },
-            },
         };
         answer.write(res);
     }
 }
 
-/// Most bytes of a head, or of a piece of a body, that a connection buffers: the
+fn receive_heartbeat(app: &Arc<App>, body: &[u8]) -> ApiResponse {
+    let heartbeat = match parse_object::<WorkerHeartbeat>(body) {
+        Ok(heartbeat) => heartbeat,
+        Err(e) => return ApiResponse::bad_request(e),
+    };
+    match app.with(|controller, now| controller.report(&heartbeat, now)) {
+        Reply::Answer(response) => ApiResponse::of(StatusCode::OK, &response),
+        Reply::Elsewhere(owner) => {
+            ApiResponse::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
+        }
+        Reply::Unavailable => ApiResponse::later("this part has no owner yet"),
+    }
+}
+
+/// Most bytes of a head, or of a part of a body, that a connection buffers: the
 /// least that hyper allows.
 const CONNECTION_BUFFER: usize = 8 * 1024;
 /// What a connection takes with its buffers, as measured with 1,125 of them. Again with
@@ -177,39 +181,47 @@
     (limits.sockets * 3 / 4).min(limits.memory_bytes() / 2 / CONNECTION_BYTES)
 }
 
-/// Serves until the process is killed.
-pub async fn serve<A: Acceptor + Send + 'static>(acceptor: A, app: Arc<App>, limits: &Limits) {
+/// The routes of users and workers; those of the history and of submit files only where the
+/// operators' settings turn them on.
+fn router(app: &Arc<App>) -> Router {
     let (history, condor) = app.with(|controller, _| {
-        (
-            controller.config.tuning.history,
-            controller.config.tuning.condor,
-        )
+        let tuning = &controller.config.tuning;
+        (tuning.history, tuning.condor)
     });
+    let job = Router::with_path("{id}")
+        .get(PollJob(app.clone()))
+        .push(Router::with_path("cancel").post(CancelJob(app.clone())));
     let mut router = Router::new()
-        .push(Router::with_path("ready").get(Ready(app.clone())))
-        .push(Router::with_path("hello").post(Hello(app.clone())))
+        .push(Router::with_path("ready").get(Readiness(app.clone())))
+        .push(Router::with_path("hello").post(ReceiveHeartbeat(app.clone())))
         .push(
-            Router::with_path("v2/runs").post(Submit(app.clone())).push(
-                Router::with_path("{id}")
-                    .get(Poll(app.clone()))
-                    .push(Router::with_path("cancel").post(Cancel(app.clone()))),
-            ),
+            Router::with_path("v2/runs")
+                .post(SubmitJob(app.clone()))
+                .push(job),
         );
     if history {
-        router = router.push(Router::with_path("v2/history").get(History(app.clone())));
+        router = router.push(Router::with_path("v2/history").get(HistoryCounts(app.clone())));
     }
     if condor {
-        let one = Router::with_path("{name}")
-            .get(SubmissionState(app.clone()))
-            .push(Router::with_path("cancel").post(Remove(app.clone())));
-        router = router.push(
-            Router::with_path("v2/condor")
-                .post(Receive(app.clone()))
-                .get(Submissions(app.clone()))
-                .push(Router::with_path("match").post(Explain(app)))
-                .push(Router::with_path("submissions").push(one)),
-        );
+        router = router.push(submit_file_router(app));
     }
+    router
+}
+
+fn submit_file_router(app: &Arc<App>) -> Router {
+    let submission = Router::with_path("{name}")
+        .get(PollSubmission(app.clone()))
+        .push(Router::with_path("cancel").post(RemoveSubmission(app.clone())));
+    Router::with_path("v2/condor")
+        .post(ReceiveChunk(app.clone()))
+        .get(ListSubmissions(app.clone()))
+        .push(Router::with_path("match").post(ExplainMatch(app.clone())))
+        .push(Router::with_path("submissions").push(submission))
+}
+
+/// Serves until the process is killed.
+pub async fn serve<A: Acceptor + Send + 'static>(acceptor: A, app: Arc<App>, limits: &Limits) {
+    let router = router(&app);
     // Slow or idle clients cost a bounded amount.
     let fuse = FuseConfig::default()
         .with_http1_header_timeout(Duration::from_secs(30))
