--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -1,15 +1,20 @@
 //! The command line.
 
-use crate::condor::{self, Condor};
+use crate::account::AccountError;
+use crate::condor::{self, Condor, CondorError};
+use crate::operator::OperatorError;
+use crate::run::StartError;
+use crate::server::{ServerError, query};
 use crate::{account, operator, run};
-use cherryyard_clients::http::HttpClient;
 use cherryyard_core::{Config, Tuning};
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::settings::Settings;
+use cherryyard_wire::{InvalidField, ReadError};
 use clap::{Parser, Subcommand};
+use salvo::http::Method;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Duration;
+use thiserror::Error;
 
 /// A cluster scheduler: runs a controller, or talks to one.
 #[derive(Debug, Parser)]
@@ -85,24 +90,79 @@
     },
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, String> {
-    std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CliError {
+    #[error("--config is missing")]
+    NoConfig,
+    #[error("{path}: {source}")]
+    Unreadable {
+        path: String,
+        source: std::io::Error,
+    },
+    #[error("{path}: not UTF-8")]
+    NotUtf8 { path: String },
+    /// A settings file or a job.
+    #[error("{path}: {source}")]
+    Invalid { path: String, source: ReadError },
+    #[error("{path}: {source}")]
+    NotJson {
+        path: String,
+        source: serde_json::Error,
+    },
+    #[error("{path}: {source}")]
+    Operator { path: String, source: OperatorError },
+    #[error("--waits-on: {0}")]
+    WaitsOn(InvalidField),
+    #[error("id: `{0}` is not a job id such as j-000412")]
+    NotAJobId(String),
+    #[error("cannot start: {0}")]
+    Runtime(std::io::Error),
+    #[error(transparent)]
+    Start(#[from] StartError),
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    #[error(transparent)]
+    Condor(#[from] CondorError),
+    #[error(transparent)]
+    Account(#[from] AccountError),
+}
+
+/// A path as errors name it.
+fn name_of(path: &Path) -> String {
+    path.display().to_string()
+}
+
+fn read(path: &Path) -> Result<Vec<u8>, CliError> {
+    std::fs::read(path).map_err(|source| CliError::Unreadable {
+        path: name_of(path),
+        source,
+    })
 }
 
-fn load(config: &Path, operator_file: Option<&Path>) -> Result<(Settings, Tuning), String> {
-    let settings =
-        Settings::parse(&read(config)?).map_err(|e| format!("{}: {e}", config.display()))?;
+fn load(config: &Path, operator_file: Option<&Path>) -> Result<(Settings, Tuning), CliError> {
+    let settings = Settings::parse(&read(config)?).map_err(|source| CliError::Invalid {
+        path: name_of(config),
+        source,
+    })?;
     let tuning = match operator_file {
         None => Tuning::default(),
-        Some(path) => {
-            let text = String::from_utf8(read(path)?)
-                .map_err(|_| format!("{}: not UTF-8", path.display()))?;
-            operator::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?
-        }
+        Some(path) => load_operator_settings(path)?,
     };
     Ok((settings, tuning))
 }
 
+fn load_operator_settings(path: &Path) -> Result<Tuning, CliError> {
+    let path_name = name_of(path);
+    let Ok(text) = String::from_utf8(read(path)?) else {
+        return Err(CliError::NotUtf8 { path: path_name });
+    };
+    operator::parse(&text).map_err(|source| CliError::Operator {
+        path: path_name,
+        source,
+    })
+}
+
 fn start_log() {
     use tracing_subscriber::filter::{LevelFilter, Targets};
     use tracing_subscriber::layer::SubscriberExt;
@@ -126,135 +186,95 @@
         .init();
 }
 
-fn runtime() -> Result<tokio::runtime::Runtime, String> {
+fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| format!("cannot start: {e}"))
-}
-
-/// A request's status and answer.
-pub async fn query_status(
-    method: &str,
-    server: &str,
-    path: &str,
-    body: Option<Vec<u8>>,
-) -> Result<(u16, String), String> {
-    let http = HttpClient::new(Duration::from_secs(2), 1);
-    let method = method.parse().map_err(|_| "bad method".to_string())?;
-    let url = format!("http://{server}{path}");
-    let (status, body) = http
-        .call(
-            method,
-            &url,
-            body,
-            Duration::from_secs(5),
-            cherryyard_wire::MAX_BODY,
-        )
-        .await
-        .map_err(|e| format!("{server}: {e}"))?;
-    Ok((status, String::from_utf8_lossy(&body).trim().to_string()))
+        .map_err(CliError::Runtime)
 }
 
-async fn query(
-    method: &str,
+/// Sends a request and prints the body of its response.
+fn print_response(
+    method: Method,
     server: &str,
     path: &str,
     body: Option<Vec<u8>>,
-) -> Result<String, String> {
-    let (status, text) = query_status(method, server, path, body).await?;
-    if status < 300 {
-        Ok(text)
-    } else {
-        Err(format!("{server}: {status} {text}"))
-    }
+) -> Result<(), CliError> {
+    let text = runtime()?.block_on(query(method, server, path, body))?;
+    println!("{text}");
+    Ok(())
 }
 
-fn execute(cli: Cli) -> Result<(), String> {
+fn execute(cli: Cli) -> Result<(), CliError> {
     match cli.command {
         None => {
-            let config = cli.config.ok_or("--config is missing")?;
+            let config = cli.config.ok_or(CliError::NoConfig)?;
             let (settings, tuning) = load(&config, cli.operator.as_deref())?;
             start_log();
-            runtime()?
-                .block_on(run::run(settings, tuning))
-                .map_err(|e| e.to_string())
-        }
-        Some(Command::Check { config, operator }) => {
-            let (settings, tuning) = load(&config, operator.as_deref())?;
-            let shards = Config::new(&settings, tuning).shards();
-            println!(
-                "{}: good, controller {} of {shards}",
-                config.display(),
-                settings.label
-            );
-            Ok(())
+            Ok(runtime()?.block_on(run::run(settings, tuning))?)
         }
+        Some(Command::Check { config, operator }) => check(&config, operator.as_deref()),
         Some(Command::Submit {
             server,
             file,
             waits_on,
         }) => {
             let body = submission(&file, waits_on)?;
-            let answer = runtime()?.block_on(query("POST", &server, "/v2/runs", Some(body)))?;
-            println!("{answer}");
-            Ok(())
+            print_response(Method::POST, &server, "/v2/runs", Some(body))
         }
         Some(Command::Status { server, id }) => {
-            let path = format!("/v2/runs/{}", job(&id)?);
-            println!(
-                "{}",
-                runtime()?.block_on(query("GET", &server, &path, None))?
-            );
-            Ok(())
+            let path = format!("/v2/runs/{}", checked_id(&id)?);
+            print_response(Method::GET, &server, &path, None)
         }
         Some(Command::Cancel { server, id }) => {
-            let path = format!("/v2/runs/{}/cancel", job(&id)?);
-            let body = Some(b"{}".to_vec());
-            println!(
-                "{}",
-                runtime()?.block_on(query("POST", &server, &path, body))?
-            );
-            Ok(())
+            let path = format!("/v2/runs/{}/cancel", checked_id(&id)?);
+            print_response(Method::POST, &server, &path, Some(b"{}".to_vec()))
         }
         Some(Command::History { server }) => {
-            println!(
-                "{}",
-                runtime()?.block_on(query("GET", &server, "/v2/history", None))?
-            );
-            Ok(())
+            print_response(Method::GET, &server, "/v2/history", None)
         }
-        Some(Command::Condor(command)) => runtime()?.block_on(condor::execute(command)),
+        Some(Command::Condor(command)) => Ok(runtime()?.block_on(condor::execute(command))?),
         Some(Command::Account { logs }) => {
-            println!(
-                "{}",
-                account::of_logs(logs.iter().map(PathBuf::as_path)).map_err(|e| e.to_string())?
-            );
+            println!("{}", account::of_logs(logs.iter().map(PathBuf::as_path))?);
             Ok(())
         }
     }
 }
 
+fn check(config: &Path, operator_file: Option<&Path>) -> Result<(), CliError> {
+    let (settings, tuning) = load(config, operator_file)?;
+    let shards = Config::new(&settings, tuning).shards();
+    let (path, label) = (config.display(), &settings.label);
+    println!("{path}: good, controller {label} of {shards}");
+    Ok(())
+}
+
 /// The body of a submission: the file's, with further jobs that it waits for.
-fn submission(file: &Path, waits_on: Vec<String>) -> Result<Vec<u8>, String> {
+fn submission(file: &Path, waits_on: Vec<String>) -> Result<Vec<u8>, CliError> {
     let body = read(file)?;
-    let mut spec = JobSpec::parse(&body).map_err(|e| format!("{}: {e}", file.display()))?;
+    let mut spec = JobSpec::parse(&body).map_err(|source| CliError::Invalid {
+        path: name_of(file),
+        source,
+    })?;
     if waits_on.is_empty() {
         return Ok(body);
     }
     spec.waits_on.extend(waits_on);
-    spec.check().map_err(|e| format!("--waits-on: {e}"))?;
-    // What the program does not know of the file stays as it is.
-    let mut value: serde_json::Value =
-        serde_json::from_slice(&body).map_err(|e| format!("{}: {e}", file.display()))?;
+    spec.check().map_err(CliError::WaitsOn)?;
+    // Fields of the file that this program does not know stay as they are.
+    let value: Result<serde_json::Value, _> = serde_json::from_slice(&body);
+    let mut value = value.map_err(|source| CliError::NotJson {
+        path: name_of(file),
+        source,
+    })?;
     value["waits_on"] = spec.waits_on.into();
     Ok(value.to_string().into_bytes())
 }
 
-fn job(id: &str) -> Result<&str, String> {
+fn checked_id(id: &str) -> Result<&str, CliError> {
     match cherryyard_wire::job::job_number(id) {
         Some(_) => Ok(id),
-        None => Err(format!("id: `{id}` is not a job id such as j-000412")),
+        None => Err(CliError::NotAJobId(id.into())),
     }
 }
 
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -1,19 +1,82 @@
 //! `cherryyard condor`: submit files from the command line.
 
-use crate::cli::query_status;
+use crate::server::{ServerError, ServerResponse, request};
 use cherryyard_condor::{Cluster, Options, Source, SubmitError, read};
 use cherryyard_core::pools::Explanation;
+use cherryyard_wire::InvalidField;
 use cherryyard_wire::condor::{Chunk, ChunkPost, SubmissionList, SubmissionView, check_name};
 use cherryyard_wire::job::job_number;
 use clap::Subcommand;
 use comfy_table::{Table, presets};
 use miette::{GraphicalReportHandler, GraphicalTheme};
+use salvo::http::Method;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// How long a request is tried again while the service refuses it.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long a request is retried while the service refuses it.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause before the first retry, in seconds; each further one is longer.
+const FIRST_PAUSE_S: f64 = 1.0;
+/// By how much each pause is longer than the one before.
+const PAUSE_GROWTH: f64 = 1.5;
+/// Longest pause between two retries, in seconds.
+const MAX_PAUSE_S: f64 = 10.0;
+/// Groups of jobs that a table shows.
+const MAX_ROWS: usize = 50;
 
+/// Why a command failed.
+#[derive(Debug, Error)]
+pub enum CondorError {
+    /// A file cannot be read or written.
+    #[error("{path}: {source}")]
+    File {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The submit file is wrong; the text shows its line, with a caret under the place.
+    #[error("{report}")]
+    SubmitFile {
+        /// The text.
+        report: String,
+    },
+    /// A name is not one that a submission can have.
+    #[error(transparent)]
+    Name(#[from] InvalidField),
+    /// There is no response.
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    /// 404.
+    #[error("no such submission, or the service does not serve submit files")]
+    NotFound,
+    /// Another refusal.
+    #[error("{status}: {reason}")]
+    Refused {
+        /// The status.
+        status: u16,
+        /// What the service says.
+        reason: String,
+    },
+    /// A response cannot be read.
+    #[error("a bad answer: {0}")]
+    BadResponse(serde_json::Error),
+    /// A submission's state without its first job.
+    #[error("a bad answer: no first job")]
+    NoFirstJob,
+    /// A request has no JSON form.
+    #[error("{0}")]
+    Encode(serde_json::Error),
+    /// The submit file has no chunks.
+    #[error("nothing was sent")]
+    NothingSent,
+    /// Some jobs could run nowhere.
+    #[error("some of the jobs match no machine")]
+    NoMatch,
+}
+
+/// Commands for HTCondor submit files.
 #[derive(Debug, Subcommand)]
 pub enum Condor {
     /// Queue a submit file's jobs
@@ -69,16 +132,19 @@
 }
 
 /// Files beside the submit file, and this process's environment.
-struct Local(PathBuf);
+struct LocalFiles {
+    /// Where the submit file is.
+    directory: PathBuf,
+}
 
-impl Source for Local {
+impl Source for LocalFiles {
     fn file(&mut self, path: &str) -> Result<String, String> {
-        let path = self.0.join(path);
+        let path = self.directory.join(path);
         std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))
     }
 
     fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, String> {
-        let whole = self.0.join(pattern);
+        let whole = self.directory.join(pattern);
         let found = glob::glob(&whole.to_string_lossy()).map_err(|e| format!("{pattern}: {e}"))?;
         let found = found
             .filter_map(Result::ok)
@@ -86,7 +152,7 @@
         // As the pattern names them, from where it is.
         let bare = |p: PathBuf| {
             let own = p
-                .strip_prefix(&self.0)
+                .strip_prefix(&self.directory)
                 .map(Path::to_path_buf)
                 .unwrap_or(p.clone());
             own.to_string_lossy().into_owned()
@@ -110,84 +176,108 @@
     }
 }
 
-fn load(file: &Path, team: Option<String>, append: Vec<String>) -> Result<Cluster, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
+fn load(file: &Path, team: Option<String>, append: Vec<String>) -> Result<Cluster, CondorError> {
+    let text = std::fs::read_to_string(file).map_err(|source| CondorError::File {
+        path: file.display().to_string(),
+        source,
+    })?;
     let options = Options {
         team,
         before: append,
         seed: rand::random(),
     };
-    let beside = file.parent().map(Path::to_path_buf).unwrap_or_default();
+    let directory = file.parent().map(Path::to_path_buf).unwrap_or_default();
     let name = file.display().to_string();
-    let cluster = read(&name, &text, &options, &mut Local(beside)).map_err(|e| report(&e))?;
-    for w in &cluster.warnings {
-        eprintln!("WARNING: {}:{}: {}", w.file, w.line, w.what);
+    let cluster = read(&name, &text, &options, &mut LocalFiles { directory });
+    let cluster = cluster.map_err(|e| CondorError::SubmitFile { report: report(&e) })?;
+    for warning in &cluster.warnings {
+        let (file, line, what) = (&warning.file, warning.line, &warning.what);
+        eprintln!("WARNING: {file}:{line}: {what}");
     }
     Ok(cluster)
 }
 
-/// A request that is tried again, later each time, while the service refuses it.
-async fn insist(
-    method: &str,
+/// A request that is retried, after longer pauses each time, while the service refuses it.
+async fn request_with_retries(
+    method: Method,
     server: &str,
     path: &str,
     body: Option<Vec<u8>>,
-) -> Result<(u16, String), String> {
+) -> Result<ServerResponse, ServerError> {
     let since = Instant::now();
-    let mut pause = 1.0;
+    let mut pause_s = FIRST_PAUSE_S;
     loop {
-        let answer = query_status(method, server, path, body.clone()).await;
-        let later = match &answer {
-            Ok((status, _)) => matches!(status, 429 | 503 | 504),
+        let response = request(method.clone(), server, path, body.clone()).await;
+        let retry = match &response {
+            Ok(response) => matches!(response.status, 429 | 503 | 504),
             Err(_) => true,
         };
-        if !later || since.elapsed() > PATIENCE {
-            return answer;
+        if !retry || since.elapsed() > RETRY_TIMEOUT {
+            return response;
         }
         let jitter: f64 = rand::random_range(0.7..1.3);
-        tokio::time::sleep(Duration::from_secs_f64(pause * jitter)).await;
-        pause = f64::min(pause * 1.5, 10.0);
+        tokio::time::sleep(Duration::from_secs_f64(pause_s * jitter)).await;
+        pause_s = f64::min(pause_s * PAUSE_GROWTH, MAX_PAUSE_S);
     }
 }
 
-fn good(answer: (u16, String)) -> Result<String, String> {
-    match answer {
-        (200..=299, text) => Ok(text),
-        (404, _) => Err("no such submission, or the service does not serve submit files".into()),
-        (status, text) => {
-            let said: Option<serde_json::Value> = serde_json::from_str(&text).ok();
-            let said = said.and_then(|v| v["error"].as_str().map(str::to_string));
-            Err(format!("{status}: {}", said.unwrap_or(text)))
+/// The body of a response; a refusal is an error.
+fn accepted(response: ServerResponse) -> Result<String, CondorError> {
+    match response.status {
+        200..=299 => Ok(response.text),
+        404 => Err(CondorError::NotFound),
+        status => {
+            let body: Option<serde_json::Value> = serde_json::from_str(&response.text).ok();
+            let reason = body.and_then(|v| v["error"].as_str().map(str::to_string));
+            Err(CondorError::Refused {
+                status,
+                reason: reason.unwrap_or(response.text),
+            })
         }
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, String> {
-    serde_json::from_str(text).map_err(|e| format!("a bad answer: {e}"))
+fn parsed<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, CondorError> {
+    serde_json::from_str(text).map_err(CondorError::BadResponse)
 }
 
-async fn send(server: &str, name: &str, cluster: &Cluster) -> Result<SubmissionView, String> {
-    let list = good(insist("GET", server, "/v2/condor", None).await?)?;
-    let list: SubmissionList = parsed(&list)?;
+/// Reads what is at a path of the service.
+async fn get<T: serde::de::DeserializeOwned>(server: &str, path: &str) -> Result<T, CondorError> {
+    let response = request_with_retries(Method::GET, server, path, None).await?;
+    parsed(&accepted(response)?)
+}
+
+/// Posts a value to a path of the service.
+async fn post(
+    server: &str,
+    path: &str,
+    value: &impl serde::Serialize,
+) -> Result<ServerResponse, CondorError> {
+    let body = serde_json::to_vec(value).map_err(CondorError::Encode)?;
+    Ok(request_with_retries(Method::POST, server, path, Some(body)).await?)
+}
+
+/// Sends a submission chunk by chunk; returns its state.
+async fn send(server: &str, name: &str, cluster: &Cluster) -> Result<SubmissionView, CondorError> {
+    let list: SubmissionList = get(server, "/v2/condor").await?;
     let chunks: Vec<Chunk> = cluster.chunks(list.chunk_bytes);
     let of = chunks.len() as u32;
     let mut last = None;
     for (chunk, jobs) in (0..).zip(chunks) {
-        let post = ChunkPost {
+        let chunk = ChunkPost {
             name: name.into(),
             chunk,
             of,
             jobs,
         };
-        let body = serde_json::to_vec(&post).map_err(|e| e.to_string())?;
-        let answer = insist("POST", server, "/v2/condor", Some(body)).await?;
-        let known = answer.0 == 200;
-        last = Some(parsed::<SubmissionView>(&good(answer)?)?);
+        let response = post(server, "/v2/condor", &chunk).await?;
+        let known = response.status == 200;
+        last = Some(parsed::<SubmissionView>(&accepted(response)?)?);
         if known {
             break;
         }
     }
-    last.ok_or_else(|| "nothing was sent".into())
+    last.ok_or(CondorError::NothingSent)
 }
 
 fn table_of(cluster: &Cluster) -> String {
@@ -202,7 +292,7 @@
         "image",
         "requirements",
     ]);
-    for group in cluster.groups.iter().take(50) {
+    for group in cluster.groups.iter().take(MAX_ROWS) {
         let t = &cluster.templates[group.template];
         let rules = t.rules.as_ref().and_then(|r| r.requirements.clone());
         table.add_row([
@@ -215,7 +305,7 @@
             rules.unwrap_or_else(|| "any".into()),
         ]);
     }
-    let more = cluster.groups.len().saturating_sub(50);
+    let more = cluster.groups.len().saturating_sub(MAX_ROWS);
     let more = if more > 0 {
         format!("\n... and {more} more")
     } else {
@@ -270,7 +360,7 @@
 }
 
 /// Carries out a command.
-pub async fn execute(command: Condor) -> Result<(), String> {
+pub async fn execute(command: Condor) -> Result<(), CondorError> {
     match command {
         Condor::Submit {
             file,
@@ -282,77 +372,102 @@
             describe,
         } => {
             let cluster = load(&file, team, append)?;
-            let Some(server) = server.filter(|_| !dry_run) else {
-                println!("{}", table_of(&cluster));
-                println!(
-                    "{} proc(s) as {} job(s)",
-                    cluster.procs(),
-                    cluster.groups.len()
-                );
-                return Ok(());
-            };
-            if cluster.groups.is_empty() {
-                println!("0 job(s) submitted.");
-                return Ok(());
-            }
-            let name = name.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
-            check_name(&name).map_err(|e| e.to_string())?;
-            println!("Submitting job(s).");
-            let view = send(&server, &name, &cluster).await?;
-            let first = view.first.unwrap_or_default();
-            if let Some(path) = describe {
-                let number = job_number(&first).ok_or("a bad answer: no first job")?;
-                let lines = cluster.descriptions(number).map(|d| format!("{d}\n"));
-                std::fs::write(&path, lines.collect::<String>())
-                    .map_err(|e| format!("{}: {e}", path.display()))?;
-            }
-            println!("{} job(s) submitted to cluster {name}.", cluster.procs());
-            println!("They are {} job(s) from {first} on.", view.jobs);
-            Ok(())
-        }
-        Condor::Q { server, name } => {
-            let views = match name {
-                Some(name) => {
-                    check_name(&name).map_err(|e| e.to_string())?;
-                    let path = format!("/v2/condor/submissions/{name}");
-                    vec![parsed(&good(insist("GET", &server, &path, None).await?)?)?]
-                }
+            match server.filter(|_| !dry_run) {
+                Some(server) => submit(&cluster, &server, name, describe.as_deref()).await,
                 None => {
-                    let list = good(insist("GET", &server, "/v2/condor", None).await?)?;
-                    parsed::<SubmissionList>(&list)?.submissions
+                    print_dry_run(&cluster);
+                    Ok(())
                 }
-            };
-            println!("{}", table_of_views(&views));
-            Ok(())
-        }
-        Condor::Rm { server, name } => {
-            check_name(&name).map_err(|e| e.to_string())?;
-            let path = format!("/v2/condor/submissions/{name}/cancel");
-            let body = Some(b"{}".to_vec());
-            let answer = insist("POST", &server, &path, body).await?;
-            let over = answer.0 == 200;
-            good(answer)?;
-            if over {
-                println!("All jobs of cluster {name} are over.");
-            } else {
-                println!("All jobs of cluster {name} have been marked for removal.");
             }
-            Ok(())
         }
+        Condor::Q { server, name } => print_queue(&server, name).await,
+        Condor::Rm { server, name } => remove(&server, &name).await,
         Condor::Match { file, server, team } => {
             let cluster = load(&file, team, Vec::new())?;
-            let mut none = false;
-            for (i, template) in cluster.templates.iter().enumerate() {
-                let body = serde_json::to_vec(template).map_err(|e| e.to_string())?;
-                let answer = insist("POST", &server, "/v2/condor/match", Some(body)).await?;
-                let explanation: Explanation = parsed(&good(answer)?)?;
-                none |= explanation.matching.is_empty();
-                print!("{}", explained(&cluster, i, &explanation));
-            }
-            if none {
-                return Err("some of the jobs match no machine".into());
-            }
-            Ok(())
+            print_matches(&cluster, &server).await
         }
     }
 }
+
+fn print_dry_run(cluster: &Cluster) {
+    println!("{}", table_of(cluster));
+    let (procs, jobs) = (cluster.procs(), cluster.groups.len());
+    println!("{procs} proc(s) as {jobs} job(s)");
+}
+
+async fn submit(
+    cluster: &Cluster,
+    server: &str,
+    name: Option<String>,
+    describe: Option<&Path>,
+) -> Result<(), CondorError> {
+    if cluster.groups.is_empty() {
+        println!("0 job(s) submitted.");
+        return Ok(());
+    }
+    let name = name.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()));
+    check_name(&name)?;
+    println!("Submitting job(s).");
+    let view = send(server, &name, cluster).await?;
+    let first = view.first.unwrap_or_default();
+    if let Some(path) = describe {
+        write_descriptions(cluster, &first, path)?;
+    }
+    println!("{} job(s) submitted to cluster {name}.", cluster.procs());
+    println!("They are {} job(s) from {first} on.", view.jobs);
+    Ok(())
+}
+
+/// Writes what each job runs, a line of JSON each.
+fn write_descriptions(cluster: &Cluster, first: &str, path: &Path) -> Result<(), CondorError> {
+    let number = job_number(first).ok_or(CondorError::NoFirstJob)?;
+    let lines = cluster.descriptions(number).map(|d| format!("{d}\n"));
+    std::fs::write(path, lines.collect::<String>()).map_err(|source| CondorError::File {
+        path: path.display().to_string(),
+        source,
+    })
+}
+
+async fn print_queue(server: &str, name: Option<String>) -> Result<(), CondorError> {
+    let views = match name {
+        Some(name) => {
+            check_name(&name)?;
+            let path = format!("/v2/condor/submissions/{name}");
+            vec![get(server, &path).await?]
+        }
+        None => {
+            let list: SubmissionList = get(server, "/v2/condor").await?;
+            list.submissions
+        }
+    };
+    println!("{}", table_of_views(&views));
+    Ok(())
+}
+
+async fn remove(server: &str, name: &str) -> Result<(), CondorError> {
+    check_name(name)?;
+    let path = format!("/v2/condor/submissions/{name}/cancel");
+    let response = post(server, &path, &serde_json::json!({})).await?;
+    let all_over = response.status == 200;
+    accepted(response)?;
+    if all_over {
+        println!("All jobs of cluster {name} are over.");
+    } else {
+        println!("All jobs of cluster {name} have been marked for removal.");
+    }
+    Ok(())
+}
+
+async fn print_matches(cluster: &Cluster, server: &str) -> Result<(), CondorError> {
+    let mut all_match = true;
+    for (i, template) in cluster.templates.iter().enumerate() {
+        let response = post(server, "/v2/condor/match", template).await?;
+        let explanation: Explanation = parsed(&accepted(response)?)?;
+        all_match &= !explanation.matching.is_empty();
+        print!("{}", explained(cluster, i, &explanation));
+    }
+    if !all_match {
+        return Err(CondorError::NoMatch);
+    }
+    Ok(())
+}
--- a/crates/cherryyard/src/main.rs
+++ b/crates/cherryyard/src/main.rs
@@ -7,6 +7,7 @@
 mod operator;
 mod routes;
 mod run;
+mod server;
 
 use std::process::ExitCode;
 
