--- a/crates/cherryyard-clients/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -165,7 +165,7 @@
             });
         };
         let last_job = leaf_of_key(level, &pair.key).ok_or(StateError::InvalidResponse)?;
-        let record = pair.v.read().map_err(|e| {
+        let record = pair.value.read().map_err(|e| {
             tracing::error!("invalid leaf of the history: {}: {e}", pair.key);
             StateError::InvalidResponse
         })?;
@@ -187,7 +187,7 @@
         match status {
             200 => {
                 let pair: Pair = Self::parse(&body)?;
-                let chunk = pair.v.read().map_err(|e| {
+                let chunk = pair.value.read().map_err(|e| {
                     tracing::error!("invalid chunk of a submission: {}: {e}", pair.key);
                     StateError::InvalidResponse
                 })?;
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -86,7 +86,7 @@
         let holder = LeaseRecord::of(&self.config.labels[me], self.process, self.config.format);
         commit.apply.push(Apply::Set {
             set: record::LEADER_KEY.into(),
-            v: Json::of(&holder),
+            value: Json::of(&holder),
             lease_id: Some(lease_id),
         });
         if matches!(self.leader.phase, LeadershipPhase::Leading(_)) {
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -104,7 +104,7 @@
             let holder = LeaseRecord::of(&self.config.labels[me], self.process, self.config.format);
             commit.apply.push(Apply::Set {
                 set: record::shard_key(shard_id),
-                v: Json::of(&holder),
+                value: Json::of(&holder),
                 lease_id: Some(lease_id),
             });
             self.shards[shard_id].acquiring = true;
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -221,7 +221,7 @@
     pub fn load_some(&mut self, pairs: &[Pair]) {
         for pair in pairs {
             self.present.extend(Key::parse(&pair.key));
-            self.put(&pair.key, &pair.v, pair.revision);
+            self.put(&pair.key, &pair.value, pair.revision);
         }
     }
 
@@ -253,7 +253,7 @@
                 continue;
             }
             match (&change.set, &change.delete) {
-                (Some(key), _) => self.put(key, &change.v, change.revision),
+                (Some(key), _) => self.put(key, &change.value, change.revision),
                 (None, Some(key)) => self.remove(key, change.revision),
                 (None, None) => {}
             }
@@ -267,7 +267,7 @@
     pub fn committed(&mut self, commit: &Commit, store_revision: u64) {
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, .. } => self.put(set, v, store_revision),
+                Apply::Set { set, value, .. } => self.put(set, value, store_revision),
                 Apply::Delete { delete } => self.remove(delete, store_revision),
             }
         }
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -59,7 +59,7 @@
 /// Bytes of the largest value that a transaction puts, and its key.
 fn largest_value(commit: &Commit) -> Option<(usize, &str)> {
     let sizes = commit.apply.iter().filter_map(|change| match change {
-        Apply::Set { set, v, .. } => Some((v.text().len(), set.as_str())),
+        Apply::Set { set, value, .. } => Some((value.text().len(), set.as_str())),
         Apply::Delete { .. } => None,
     });
     sizes.max_by_key(|size| size.0)
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -218,7 +218,7 @@
                 .filter_map(|a| match (a.set, a.delete) {
                     (Some(set), _) => Some(Apply::Set {
                         set,
-                        v: a.v,
+                        value: a.v,
                         lease_id: a.lease_id,
                     }),
                     (None, Some(delete)) => Some(Apply::Delete { delete }),
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -43,7 +43,7 @@
 impl ServiceLimits {
     fn allow(&self, commit: &Commit) -> bool {
         let fits = |change: &Apply| match change {
-            Apply::Set { v, .. } => v.text().len() <= self.value_bytes,
+            Apply::Set { value, .. } => value.text().len() <= self.value_bytes,
             Apply::Delete { .. } => true,
         };
         commit.apply.len() <= self.txn_ops
@@ -71,7 +71,7 @@
             .filter(|(key, _)| key.starts_with(PREFIX))
             .map(|(key, (v, revision, _))| Pair {
                 key: key.clone(),
-                v: v.clone(),
+                value: v.clone(),
                 revision: *revision,
             })
             .collect()
@@ -101,7 +101,7 @@
             }
             pairs.push(Pair {
                 key: key.clone(),
-                v: v.clone(),
+                value: v.clone(),
                 revision: *revision,
             });
         }
@@ -194,7 +194,7 @@
             self.changes.push(WatchEvent {
                 set: None,
                 delete: Some(key.to_string()),
-                v: Json::default(),
+                value: Json::default(),
                 revision: self.store_revision,
             });
         }
@@ -234,7 +234,11 @@
         self.store_revision += 1;
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, lease_id } => {
+                Apply::Set {
+                    set,
+                    value: v,
+                    lease_id,
+                } => {
                     let size = v.text().len();
                     let largest = self.largest.entry(set.clone()).or_default();
                     *largest = (*largest).max(size);
@@ -243,7 +247,7 @@
                     self.changes.push(WatchEvent {
                         set: Some(set.clone()),
                         delete: None,
-                        v: v.clone(),
+                        value: v.clone(),
                         revision: self.store_revision,
                     });
                 }
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -60,7 +60,7 @@
         }
         println!("{}", w.trace.join("\n"));
         for p in w.state.pairs() {
-            println!("{} {}", p.key, p.v.text());
+            println!("{} {}", p.key, p.value.text());
         }
     }
     assert!(wrong.is_empty(), "{state}: {wrong:?}");
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -130,7 +130,7 @@
         pairs
             .into_iter()
             .filter(|p| p.key.contains("mark"))
-            .map(|p| (p.key, p.v.text().to_string()))
+            .map(|p| (p.key, p.value.text().to_string()))
             .collect()
     };
     let before = assignments(&w);
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -222,7 +222,7 @@
     };
     commit.apply.push(Apply::Set {
         set: shard_key(2),
-        v: cherryyard_wire::state::Json::of(&holder),
+        value: cherryyard_wire::state::Json::of(&holder),
         lease_id: Some(lease_id),
     });
     w.state.commit(&commit);
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -99,7 +99,7 @@
     // It is placed elsewhere: the machine's notice, far ahead, makes it unusable.
     let first = w.held_commits.len();
     let assigned = w.held_commits[0].apply.iter().find_map(|a| match a {
-        Apply::Set { set, v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
+        Apply::Set { set, value: v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
         _ => None,
     });
     let host = assigned.expect("a page").machines[0].clone();
@@ -255,7 +255,7 @@
     late.require("c/part/0", 0);
     late.apply.push(cherryyard_wire::state::Apply::Set {
         set: "c/part/0".into(),
-        v: value,
+        value,
         lease_id,
     });
     assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
@@ -346,7 +346,7 @@
     if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
         println!("{}", w.trace.join("\n"));
         for p in w.state.pairs() {
-            println!("{} {}", p.key, p.v.text());
+            println!("{} {}", p.key, p.value.text());
         }
     }
     assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
--- a/crates/cherryyard-simulation/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -74,7 +74,7 @@
         let now = w.state.pairs();
         // Pages of new jobs of before stay as they are while nothing in them changes.
         let pages = now.iter().filter(|p| p.key.starts_with("c/mark"));
-        let largest = pages.map(|p| (p.v.text().len(), &p.key)).max();
+        let largest = pages.map(|p| (p.value.text().len(), &p.key)).max();
         let bytes = (value_kb * 1024.0) as usize;
         assert!(
             largest.is_some_and(|l| l.0 <= bytes),
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -352,8 +352,8 @@
             assert_eq!(submit(&mut w, i, &sweep(2, 1, &[1])), Response::Later);
         }
         let all = w.state.pairs();
-        assert!(!all.iter().any(|p| p.v.text().contains("dependencies")));
-        assert!(!all.iter().any(|p| p.v.text().contains("\"after\"")));
+        assert!(!all.iter().any(|p| p.value.text().contains("dependencies")));
+        assert!(!all.iter().any(|p| p.value.text().contains("\"after\"")));
         // It ends and is back as it was, then it is upgraded too.
         w.kill(last);
         w.run(1.0);
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -18,10 +18,10 @@
 fn assignments_left(w: &World) -> Vec<String> {
     let pairs = w.state.pairs().into_iter();
     let empty =
-        |p: &cherryyard_wire::state::Pair| p.key.ends_with("/0") && p.v.text() == r#"{"j":[]}"#;
+        |p: &cherryyard_wire::state::Pair| p.key.ends_with("/0") && p.value.text() == r#"{"j":[]}"#;
     pairs
         .filter(|p| p.key.contains("mark") && !empty(p))
-        .map(|p| format!("{}: {}", p.key, p.v.text()))
+        .map(|p| format!("{}: {}", p.key, p.value.text()))
         .collect()
 }
 
@@ -308,12 +308,12 @@
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
         delete: None,
-        v: old
+        value: old
             .events
             .iter()
             .find(|c| c.set == Some(admission_log_key(0)))
             .unwrap()
-            .v
+            .value
             .clone(),
         revision: controller.mirror.store_revision + 5,
     };
@@ -347,7 +347,10 @@
     }
     w.submit(&World::spec("j-000001", "sweep", 40));
     w.run_until(120.0, |w| {
-        w.state.pairs().iter().any(|p| p.v.text().contains("done"))
+        w.state
+            .pairs()
+            .iter()
+            .any(|p| p.value.text().contains("done"))
     });
     assert_eq!(w.most_cores, 12.0);
     w.most_cores = 0.0;
--- a/crates/cherryyard-wire/src/cloud.rs
+++ b/crates/cherryyard-wire/src/cloud.rs
@@ -4,7 +4,7 @@
 
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[allow(missing_docs)]
+#[allow(missing_docs)] // the names tell what and in which unit; the protocol describes them
 pub struct MachineType {
     pub sku: String,
     pub cores: f64,
@@ -33,7 +33,7 @@
     pub machine_types: Vec<MachineType>,
 }
 
-/// A request to rent machines.
+/// A request to provision machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ProvisionRequest {
     /// The request's name, never used again.
@@ -71,7 +71,7 @@
 
 /// One listed machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[allow(missing_docs)]
+#[allow(missing_docs)] // the names tell what; the protocol describes them
 pub struct Instance {
     pub id: String,
     #[serde(default)]
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceStatus {
-    /// Boots, or the list is late.
+    /// Boots, or the list is not up to date yet.
     Starting,
     /// Up.
     Running,
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other: heartbeats, and submissions passed on.
+//! Messages between controllers: heartbeats, and forwarded submissions.
 //!
 //! A frame is a length (4 bytes, big endian), a version byte, and what follows in
 //! `bitcode`. Frames over [`MAX_FRAME`] are refused before they are read.
@@ -48,14 +48,15 @@
     /// Who sent it; none in frames of earlier builds.
     pub sender: Option<Sender>,
 }
-/// Largest frame in bytes: a heartbeat with the room of 4,096 machines in one shard, each
+
+/// Largest frame in bytes: a heartbeat with the free capacity of 4,096 machines in one shard, each
 /// with 24 of 400 images, takes 324 KiB.
 pub const MAX_FRAME: usize = 512 * 1024;
 
 /// One frame's payload.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message {
-    /// What every controller tells every other.
+    /// What every controller sends to every other.
     Heartbeat(Box<Heartbeat>),
     /// A submission for the receiver to write.
     ForwardedSubmission(ForwardedSubmission),
@@ -63,15 +64,15 @@
     ForwardResponse(ForwardResponse),
 }
 
-/// A submission that its receiver passes on.
+/// A submission that the controller which received it forwards to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ForwardedSubmission {
     /// The sender's name.
     pub label: String,
     /// The sender's number for it.
     pub ticket: u64,
-    /// Time of day at the submission, in milliseconds: one that was held back
-    /// on its way is not carried out any more.
+    /// Time of day at the submission, in milliseconds: one that was delayed on its way
+    /// is not carried out any more.
     pub at: u64,
     /// The user's request.
     pub body: Vec<u8>,
@@ -80,7 +81,7 @@
 /// What the user is to be answered.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ForwardResponse {
-    /// The number in the question.
+    /// The number in the forwarded submission.
     pub ticket: u64,
     /// The status.
     pub status: u16,
@@ -90,7 +91,7 @@
     pub body: String,
 }
 
-/// What a controller tells every other, regularly and when it changes.
+/// What a controller sends to every other, regularly and when it changes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Heartbeat {
     /// The sender's name.
@@ -100,8 +101,8 @@
     /// Milliseconds since the state service last answered the sender; the largest
     /// number if it never has since the sender's start.
     pub silent_ms: u32,
-    /// Jobs of which the sender has lately learnt that they are cancelled, for those
-    /// whom the state service did not tell.
+    /// Jobs that the sender has lately learnt are cancelled, for controllers that are cut
+    /// off from the state service.
     pub cancelled: Vec<u64>,
     /// How far back that list reaches without a gap, in milliseconds.
     pub reach_ms: u32,
@@ -110,20 +111,20 @@
     pub complete: bool,
     /// The state revision that the sender has seen.
     pub store_revision: u64,
-    /// Leases that the sender knows: part, revision, and the owner's name.
+    /// Leases that the sender knows: shard, revision, and the owner's name.
     pub leases: Vec<(u32, u64, String)>,
     /// The shards that the sender owns.
     pub shards: Vec<CapacityReport>,
-    /// Teams that are short of their grants, told by the leader.
+    /// From the leader: teams that are short of their grants.
     pub short: Vec<String>,
-    /// Services that the sender would rather not start, as only other shards
-    /// hold their images: part and job's number.
+    /// Services that the sender offers to other shards, which alone hold their images:
+    /// shard and job's number.
     pub handing: Vec<(u32, u64)>,
-    /// Parts of others whose workers have lately reported here: part, how many.
+    /// Shards of other controllers whose workers have lately reported here, and how many.
     pub misdirected: Vec<(u32, u32)>,
     /// The sender's number for this heartbeat; they grow, from anywhere.
     pub number: u64,
-    /// The last number heard of each other controller, by its place among all.
+    /// The last number received from each other controller, by its index among all.
     pub heard: Vec<(u32, u64)>,
     /// From the leader: flows that go ahead up to their floors.
     pub shares: Vec<FlowShare>,
@@ -152,7 +153,7 @@
 pub struct LevelGrant {
     /// The shard.
     pub shard: u32,
-    /// Stamps of the leader's lease and the shard's.
+    /// Revisions of the leader's lease and of the shard's.
     pub under: (u64, u64),
     /// The level, in thousandths of a core.
     pub level: u64,
@@ -180,7 +181,7 @@
     pub shard: u32,
     /// Revision of the lease that the report was made under.
     pub revision: u64,
-    /// Sorts of machine that the shard has.
+    /// Machine pools that the shard has.
     pub pools: Vec<MachinePool>,
     /// Images that its machines hold.
     pub images: Vec<String>,
--- a/crates/cherryyard-wire/src/ranges.rs
+++ b/crates/cherryyard-wire/src/ranges.rs
@@ -79,11 +79,13 @@
     /// Removes `n`.
     pub fn remove(&mut self, n: u32) {
         let i = self.0.partition_point(|r| r.1 < n);
-        let Some(&(a, b)) = self.0.get(i) else { return };
-        if a > n {
+        let Some(&(first, last)) = self.0.get(i) else {
+            return;
+        };
+        if first > n {
             return;
         }
-        match (a == n, b == n) {
+        match (first == n, last == n) {
             (true, true) => {
                 self.0.remove(i);
             }
@@ -91,39 +93,40 @@
             (false, true) => self.0[i].1 = n - 1,
             (false, false) => {
                 self.0[i].1 = n - 1;
-                self.0.insert(i + 1, (n + 1, b));
+                self.0.insert(i + 1, (n + 1, last));
             }
         }
     }
 
     /// The numbers of `self` that are not in `other`.
     pub fn minus(&self, other: &Self) -> Self {
-        let mut out = Vec::new();
-        let mut j = 0;
-        for &(a, b) in &self.0 {
-            let mut from = a;
-            while j < other.0.len() && other.0[j].1 < a {
-                j += 1;
+        let mut left = Vec::new();
+        // The first range of `other` that does not end before the current range of `self`.
+        let mut next_other = 0;
+        for &(first, last) in &self.0 {
+            while next_other < other.0.len() && other.0[next_other].1 < first {
+                next_other += 1;
             }
-            let mut k = j;
-            let mut open = true;
-            while k < other.0.len() && other.0[k].0 <= b {
-                let (c, d) = other.0[k];
-                if c > from {
-                    out.push((from, c - 1));
+            let mut from = first;
+            let mut rest_is_left = true;
+            for &(cut_first, cut_last) in &other.0[next_other..] {
+                if cut_first > last {
+                    break;
+                }
+                if cut_first > from {
+                    left.push((from, cut_first - 1));
                 }
-                if d >= b {
-                    open = false;
+                if cut_last >= last {
+                    rest_is_left = false;
                     break;
                 }
-                from = from.max(d + 1);
-                k += 1;
+                from = from.max(cut_last + 1);
             }
-            if open && from <= b {
-                out.push((from, b));
+            if rest_is_left && from <= last {
+                left.push((from, last));
             }
         }
-        Self(out)
+        Self(left)
     }
 
     /// The numbers in either set.
--- a/crates/cherryyard-wire/src/record/keys.rs
+++ b/crates/cherryyard-wire/src/record/keys.rs
@@ -52,7 +52,7 @@
     format!("c/mark/{shard}/{page}")
 }
 
-/// Key of what part `shard` may use of team `team`'s limit.
+/// Key of what shard `shard` may use of team `team`'s limit.
 pub fn grant_key(team: usize, shard: usize) -> String {
     format!("c/grant/{team}/{shard}")
 }
@@ -64,49 +64,66 @@
 
 /// A parsed key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-#[allow(missing_docs)]
 pub enum Key {
+    /// The lease on leadership.
     Leader,
+    /// The machine types.
     MachineTypes,
+    /// Operators' own attributes of machines.
     Attributes,
+    /// Ids handed out to bulk submissions.
     Ids,
+    /// A bulk submission, by its number.
     Submission(u64),
+    /// The lease on a shard.
     Shard(usize),
+    /// The images in a shard.
     Images(usize),
+    /// A job, by its number.
     Job(u64),
+    /// A bucket of jobs, by the first hash that it holds.
     Bucket(u64),
+    /// A page of the admission log.
     AdmissionPage(u64),
+    /// The formats of records in use.
     Format,
+    /// How far the history goes.
     Packed,
-    Assignment { shard: usize, page: u32 },
-    Grant { team: usize, shard: usize },
+    /// A page of a shard's assignments.
+    Assignment {
+        /// The shard.
+        shard: usize,
+        /// The page's number.
+        page: u32,
+    },
+    /// What a shard may use of a team's limit.
+    Grant {
+        /// The team, by its index in the settings.
+        team: usize,
+        /// The shard.
+        shard: usize,
+    },
 }
 
-fn hex(word: &str) -> Option<u64> {
-    let whole = Some(word).filter(|w| w.len() == 16);
-    whole.and_then(|w| u64::from_str_radix(w, 16).ok())
+/// Reads a number of 16 hexadecimal digits.
+fn hex(digits: &str) -> Option<u64> {
+    if digits.len() != 16 {
+        return None;
+    }
+    u64::from_str_radix(digits, 16).ok()
 }
 
 impl Key {
     /// Reads a key; `None` for one that this version does not know.
     pub fn parse(key: &str) -> Option<Self> {
-        if key == LEADER_KEY {
-            return Some(Self::Leader);
-        }
-        if key == MACHINE_TYPES_KEY {
-            return Some(Self::MachineTypes);
-        }
-        if key == ATTRIBUTES {
-            return Some(Self::Attributes);
-        }
-        if key == IDS {
-            return Some(Self::Ids);
-        }
-        if key == FORMAT {
-            return Some(Self::Format);
-        }
-        if key == PACKED {
-            return Some(Self::Packed);
+        match key {
+            LEADER_KEY => return Some(Self::Leader),
+            MACHINE_TYPES_KEY => return Some(Self::MachineTypes),
+            ATTRIBUTES => return Some(Self::Attributes),
+            IDS => return Some(Self::Ids),
+            FORMAT => return Some(Self::Format),
+            PACKED => return Some(Self::Packed),
+            _ => {}
         }
         let mut words = key.strip_prefix(PREFIX)?.split('/');
         let parsed = match words.next()? {
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A value as text: it is only read where somebody needs it. Most of what a
-/// watch tells is known already, from the reader's own transactions.
+/// A value as text, which is parsed only where it is needed: most changes that a watch
+/// returns are known already, from the reader's own transactions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Json(Box<RawValue>);
@@ -44,7 +44,8 @@
     /// The key.
     pub key: String,
     /// Its value.
-    pub v: Json,
+    #[serde(rename = "v")]
+    pub value: Json,
     /// Revision of its last change.
     #[serde(rename = "stamp")]
     pub revision: u64,
@@ -63,12 +64,12 @@
     pub store_revision: u64,
 }
 
-/// A compared version; 0 means absent.
+/// A condition: the key's revision; 0 means absent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct When {
     /// The key.
     pub key: String,
-    /// The version it must have.
+    /// The revision it must have.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
@@ -82,10 +83,10 @@
         /// The key.
         set: String,
         /// The value.
-        v: Json,
-        /// The lease it hangs on.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        #[serde(rename = "hold")]
+        #[serde(rename = "v")]
+        value: Json,
+        /// The state lease with which the key ends.
+        #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
     /// Deletes a key.
@@ -97,15 +98,15 @@
 
 impl Apply {
     /// A put without a lease.
-    pub fn set(key: impl Into<String>, v: &impl Serialize) -> Self {
-        Self::put(key, Json::of(v))
+    pub fn set(key: impl Into<String>, value: &impl Serialize) -> Self {
+        Self::put(key, Json::of(value))
     }
 
     /// A put without a lease, of a value made before.
-    pub fn put(key: impl Into<String>, v: Json) -> Self {
+    pub fn put(key: impl Into<String>, value: Json) -> Self {
         Self::Set {
             set: key.into(),
-            v,
+            value,
             lease_id: None,
         }
     }
@@ -137,7 +138,7 @@
     /// Bytes of the values that it puts.
     pub fn bytes(&self) -> usize {
         let size = |change: &Apply| match change {
-            Apply::Set { v, .. } => v.text().len(),
+            Apply::Set { value, .. } => value.text().len(),
             Apply::Delete { .. } => 0,
         };
         self.apply.iter().map(size).sum()
@@ -168,10 +169,10 @@
     pub lease_id: u64,
 }
 
-/// What a watch returns.
+/// The response to a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// The revision up to which the changes are told.
+    /// The revision up to which the changes go.
     #[serde(rename = "epoch")]
     pub store_revision: u64,
     /// The changes, in order.
@@ -180,7 +181,7 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// One change that a watch tells.
+/// One change that a watch returns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// The key put, or null.
@@ -190,8 +191,8 @@
     #[serde(default)]
     pub delete: Option<String>,
     /// The value put.
-    #[serde(default)]
-    pub v: Json,
+    #[serde(default, rename = "v")]
+    pub value: Json,
     /// The revision.
     #[serde(rename = "stamp")]
     pub revision: u64,
--- a/crates/cherryyard-wire/src/worker.rs
+++ b/crates/cherryyard-wire/src/worker.rs
@@ -1,8 +1,8 @@
-//! What workers and controllers tell each other.
+//! Messages between workers and controllers.
 
 use serde::{Deserialize, Serialize};
 
-/// A worker's report.
+/// A worker's heartbeat: its machine, and the status of all tasks there.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
     /// The machine's name.
@@ -19,17 +19,17 @@
     #[serde(default)]
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The incarnation; the protocol's word.
+    /// The incarnation of the worker's agent: a new one after each restart.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// The report's place within the incarnation; the protocol's word.
+    /// The heartbeat's number within the incarnation.
     #[serde(rename = "tick")]
     pub sequence: u64,
-    /// The highest token that the worker has seen; the protocol's word.
+    /// The highest fencing token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud reclaims the spot machine.
     #[serde(default)]
     #[serde(rename = "recall_s")]
     pub reclaim_in_s: Option<f64>,
@@ -65,7 +65,7 @@
     Fetching,
     /// Runs.
     Running,
-    /// Was told to stop and saves.
+    /// Is stopping, and saves its progress.
     Saving,
     /// Over, see its cause.
     Ended,
@@ -100,7 +100,7 @@
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-#[allow(missing_docs)]
+#[allow(missing_docs)] // the variants' comments name the fields
 pub enum WorkerCommand {
     /// Start this attempt.
     Start {
@@ -118,7 +118,7 @@
         #[serde(rename = "wind_down_s")]
         grace_period_s: f64,
     },
-    /// Leave this ended attempt out of the reports.
+    /// Leave this ended attempt out of further heartbeats.
     Clear {
         #[serde(rename = "piece")]
         task_name: String,
@@ -127,10 +127,10 @@
     },
 }
 
-/// The answer to a report.
+/// The response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The token.
+    /// The fencing token.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Commands, in order.
@@ -138,19 +138,19 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The body of a 421.
+/// The body of a response 421: the worker is to report to another controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Misdirected {
-    /// Who takes this worker's reports.
+    /// The controller that owns this worker's shard.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "foreman")]
     pub owner: Option<String>,
 }
 
-/// Direct commands.
+/// Commands that a controller sends outside of a heartbeat's response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The token.
+    /// The fencing token.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// The incarnation that the commands are meant for.
