--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -42,7 +42,7 @@
         let holder = LeaseRecord::of(label, self.process, self.config.format);
         commit.apply.push(Apply::Set {
             set: record::LEADER_KEY.into(),
-            v: Json::of(&holder),
+            value: Json::of(&holder),
             lease_id: Some(lease_id),
         });
         self.leader.leadership.sent();
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -2,7 +2,7 @@
 //! state service with jobs that are over, starts the real program on it over
 //! loopback, and prints a line.
 
-use cherryyard_clients::http::Http;
+use cherryyard_clients::http::HttpClient;
 use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
 use cherryyard_simulation::http::{Budgets, HttpState};
 use cherryyard_simulation::process::{self, Process};
@@ -203,14 +203,14 @@
 
 /// A client of the controller, which asks for paths alone.
 struct Client {
-    http: Http,
+    http: HttpClient,
     controller: String,
 }
 
 impl Client {
     fn new(controller: &str) -> Self {
         Self {
-            http: Http::new(CONNECT_TIMEOUT, 4),
+            http: HttpClient::new(CONNECT_TIMEOUT, 4),
             controller: controller.into(),
         }
     }
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -134,7 +134,7 @@
         match (self.set, self.delete) {
             (Some(set), _) => Some(Apply::Set {
                 set,
-                v: self.v,
+                value: self.v,
                 lease_id: self.lease_id,
             }),
             (None, Some(delete)) => Some(Apply::Delete { delete }),
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -33,7 +33,7 @@
     fn pair(&self, key: &str) -> Pair {
         Pair {
             key: key.to_string(),
-            v: self.value.clone(),
+            value: self.value.clone(),
             revision: self.revision,
         }
     }
@@ -78,7 +78,7 @@
 impl ServiceLimits {
     fn allow(&self, commit: &Commit) -> bool {
         let fits = |change: &Apply| match change {
-            Apply::Set { v, .. } => v.text().len() <= self.value_bytes,
+            Apply::Set { value: v, .. } => v.text().len() <= self.value_bytes,
             Apply::Delete { .. } => true,
         };
         commit.apply.len() <= self.txn_ops
@@ -228,7 +228,7 @@
             self.changes.push(WatchEvent {
                 set: None,
                 delete: Some(key.to_string()),
-                v: Json::default(),
+                value: Json::default(),
                 revision: self.store_revision,
             });
         }
@@ -265,7 +265,11 @@
         self.store_revision += 1;
         for change in &commit.apply {
             match change {
-                Apply::Set { set, v, lease_id } => self.set_key(set, v, *lease_id),
+                Apply::Set {
+                    set,
+                    value: v,
+                    lease_id,
+                } => self.set_key(set, v, *lease_id),
                 Apply::Delete { delete } => self.drop_key(delete),
             }
         }
@@ -293,7 +297,7 @@
         self.changes.push(WatchEvent {
             set: Some(key.to_string()),
             delete: None,
-            v: value.clone(),
+            value: value.clone(),
             revision: self.store_revision,
         });
     }
--- a/crates/cherryyard-simulation/tests/common/settled.rs
+++ b/crates/cherryyard-simulation/tests/common/settled.rs
@@ -14,10 +14,10 @@
 pub fn assignments_left(w: &World) -> Vec<String> {
     let pairs = w.state.pairs().into_iter();
     let empty =
-        |p: &cherryyard_wire::state::Pair| p.key.ends_with("/0") && p.v.text() == r#"{"j":[]}"#;
+        |p: &cherryyard_wire::state::Pair| p.key.ends_with("/0") && p.value.text() == r#"{"j":[]}"#;
     pairs
         .filter(|p| p.key.contains("mark") && !empty(p))
-        .map(|p| format!("{}: {}", p.key, p.v.text()))
+        .map(|p| format!("{}: {}", p.key, p.value.text()))
         .collect()
 }
 
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -106,7 +106,7 @@
         .apply
         .iter()
         .find_map(|a| match a {
-            Apply::Set { set, v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
+            Apply::Set { set, value: v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
             _ => None,
         });
     let host = assigned.expect("a page").machines[0].clone();
@@ -262,7 +262,7 @@
     late.require("c/part/0", 0);
     late.apply.push(cherryyard_wire::state::Apply::Set {
         set: "c/part/0".into(),
-        v: value,
+        value,
         lease_id,
     });
     assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
@@ -353,7 +353,7 @@
     if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
         println!("{}", w.trace.join("\n"));
         for p in w.state.pairs() {
-            println!("{} {}", p.key, p.v.text());
+            println!("{} {}", p.key, p.value.text());
         }
     }
     assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -46,12 +46,12 @@
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
         delete: None,
-        v: old
+        value: old
             .events
             .iter()
             .find(|c| c.set == Some(admission_log_key(0)))
             .unwrap()
-            .v
+            .value
             .clone(),
         revision: controller.mirror.store_revision + 5,
     };
--- a/crates/cherryyard-simulation/tests/sharding.rs
+++ b/crates/cherryyard-simulation/tests/sharding.rs
@@ -45,7 +45,10 @@
     }
     w.submit(&World::spec("j-000001", "sweep", 40));
     w.run_until(120.0, |w| {
-        w.state.pairs().iter().any(|p| p.v.text().contains("done"))
+        w.state
+            .pairs()
+            .iter()
+            .any(|p| p.value.text().contains("done"))
     });
     assert_eq!(w.checker.most_cores, 12.0);
     w.checker.most_cores = 0.0;
--- a/crates/cherryyard/src/main.rs
+++ b/crates/cherryyard/src/main.rs
@@ -4,10 +4,10 @@
 mod app;
 mod cli;
 mod condor;
-mod messages;
 mod operator;
 mod routes;
 mod run;
+mod server;
 
 use std::process::ExitCode;
 
