--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -5,7 +5,7 @@
 use cherryyard_wire::{RangeSet, page};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A number assigned started: where, in which incarnation, which attempt.
+/// Where a task runs: the machine, the worker's incarnation, and which attempt it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// The machine.
@@ -36,8 +36,9 @@
     pub jobs: BTreeMap<u64, PageJob>,
 }
 
-fn digits(n: u64) -> usize {
-    n.checked_ilog10().unwrap_or(0) as usize + 1
+/// How many decimal digits a number has.
+fn digits(number: u64) -> usize {
+    number.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
 /// How a page is stored.
@@ -51,7 +52,53 @@
 
 /// Most bytes that a new assignment adds to a packed page: its job and how many entries that
 /// has, its attempt and incarnation, its machine, and its entry, as varints.
-const PACKED_MARK_BYTES: usize = (10 + 2) + (10 + 5) + 3 + (3 + 3 + 2);
+const PACKED_ASSIGNMENT_BYTES: usize = (10 + 2) + (10 + 5) + 3 + (3 + 3 + 2);
+
+/// Bytes that a plain page takes beside its jobs, a job beside its number, groups and
+/// ranges, a group and a range beside their numbers, and a machine beside its name.
+const PAGE_FRAME_BYTES: usize = 20;
+const JOB_FRAME_BYTES: usize = 10;
+const GROUP_FRAME_BYTES: usize = 4;
+const RANGE_FRAME_BYTES: usize = 4;
+const NAME_FRAME_BYTES: usize = 3;
+
+impl PageJob {
+    /// Its assignments by attempt and incarnation, as a record holds them; machines as
+    /// `place_of` numbers them.
+    fn groups(&self, mut place_of: impl FnMut(u32) -> u64) -> Vec<AssignmentGroup> {
+        let mut groups: BTreeMap<(u64, u64), AssignmentGroup> = BTreeMap::new();
+        for (&number, assignment) in &self.assignments {
+            let place = place_of(assignment.host);
+            groups
+                .entry((assignment.attempt, assignment.incarnation))
+                .or_insert_with(|| vec![assignment.attempt, assignment.incarnation])
+                .extend([place, number.into()]);
+        }
+        groups.into_values().collect()
+    }
+
+    /// Reads groups of assignments; none if they make no sense.
+    fn of_groups(groups: Vec<AssignmentGroup>, done: RangeSet, hosts: &[u32]) -> Option<Self> {
+        let mut assignments = BTreeMap::new();
+        for group in groups {
+            let (&[attempt, incarnation], list) = group.split_first_chunk()?;
+            let pairs = list.chunks_exact(2);
+            if !pairs.remainder().is_empty() {
+                return None;
+            }
+            for pair in pairs {
+                let host = *hosts.get(usize::try_from(pair[0]).ok()?)?;
+                let assignment = Assignment {
+                    host,
+                    incarnation,
+                    attempt,
+                };
+                assignments.insert(u32::try_from(pair[1]).ok()?, assignment);
+            }
+        }
+        Some(Self { assignments, done })
+    }
+}
 
 impl Page {
     /// An assignment's machine and number, or the number among those done once it is:
@@ -61,6 +108,11 @@
         (5 + number).max(4 + 2 * number)
     }
 
+    /// The attempt and incarnation that a group begins with.
+    fn group_bytes(assignment: &Assignment) -> usize {
+        GROUP_FRAME_BYTES + digits(assignment.incarnation) + digits(assignment.attempt)
+    }
+
     /// Most bytes that a new assignment adds: its job, group, machine and entry.
     pub fn assignment_bytes(
         job: u64,
@@ -72,11 +124,11 @@
         if format == PageFormat::Packed {
             // Names that do not differ in their number alone are written whole.
             let name = hosts.name(assignment.host).len();
-            return (PACKED_MARK_BYTES + name).div_ceil(3) * 4;
+            return (PACKED_ASSIGNMENT_BYTES + name).div_ceil(3) * 4;
         }
-        let group = 4 + digits(assignment.incarnation) + digits(assignment.attempt);
-        let name = hosts.name(assignment.host).len() + 3;
-        10 + digits(job) + group + name + Self::entry_bytes(number)
+        let group = Self::group_bytes(assignment);
+        let name = hosts.name(assignment.host).len() + NAME_FRAME_BYTES;
+        JOB_FRAME_BYTES + digits(job) + group + name + Self::entry_bytes(number)
     }
 
     /// About how many bytes the record takes, never too few, also when its tasks end.
@@ -93,21 +145,21 @@
 
     fn plain_bytes(&self, hosts: &Names) -> usize {
         let mut named = HashSet::new();
-        let mut bytes = 20;
-        for (&job, j) in &self.jobs {
-            bytes += digits(job) + 10;
+        let mut bytes = PAGE_FRAME_BYTES;
+        for (&job, page_job) in &self.jobs {
+            bytes += digits(job) + JOB_FRAME_BYTES;
             let mut groups = HashSet::new();
-            for (&number, assignment) in &j.assignments {
+            for (&number, assignment) in &page_job.assignments {
                 if named.insert(assignment.host) {
-                    bytes += hosts.name(assignment.host).len() + 3;
+                    bytes += hosts.name(assignment.host).len() + NAME_FRAME_BYTES;
                 }
                 if groups.insert((assignment.attempt, assignment.incarnation)) {
-                    bytes += 4 + digits(assignment.incarnation) + digits(assignment.attempt);
+                    bytes += Self::group_bytes(assignment);
                 }
                 bytes += Self::entry_bytes(number);
             }
-            for r in j.done.ranges() {
-                bytes += 4 + digits(r.0.into()) + digits(r.1.into());
+            for &(first, last) in page_job.done.ranges() {
+                bytes += RANGE_FRAME_BYTES + digits(first.into()) + digits(last.into());
             }
         }
         bytes
@@ -129,24 +181,19 @@
     /// What the page says, with machines by name.
     fn record(&self, hosts: &Names) -> PageRecord {
         let mut places: HashMap<u32, u64> = HashMap::new();
-        let mut record = PageRecord::default();
-        for (&job, j) in &self.jobs {
-            let mut groups: BTreeMap<(u64, u64), AssignmentGroup> = BTreeMap::new();
-            for (&number, assignment) in &j.assignments {
-                let place = *places.entry(assignment.host).or_insert_with(|| {
-                    record.h.push(hosts.name(assignment.host).to_string());
-                    record.h.len() as u64 - 1
-                });
-                groups
-                    .entry((assignment.attempt, assignment.incarnation))
-                    .or_insert_with(|| vec![assignment.attempt, assignment.incarnation])
-                    .extend([place, number.into()]);
-            }
-            record
-                .j
-                .push((job, groups.into_values().collect(), j.done.clone()));
-        }
-        record
+        let mut named: Vec<String> = Vec::new();
+        let mut place_of = |host: u32| {
+            *places.entry(host).or_insert_with(|| {
+                named.push(hosts.name(host).to_string());
+                named.len() as u64 - 1
+            })
+        };
+        let rows = self.jobs.iter().map(|(&job, page_job)| {
+            let groups = page_job.groups(&mut place_of);
+            (job, groups, page_job.done.clone())
+        });
+        let rows = rows.collect();
+        PageRecord { h: named, j: rows }
     }
 
     /// What a stored page says; none if it makes no sense.
@@ -162,7 +209,7 @@
 
     /// What a record says; none if it makes no sense.
     fn of_record(record: PageRecord, revision: u64, hosts: &mut Names) -> Option<Self> {
-        let hosts: Vec<u32> = record.h.iter().map(|h| hosts.intern(h)).collect();
+        let hosts: Vec<u32> = record.h.iter().map(|name| hosts.intern(name)).collect();
         let mut page = Self {
             revision,
             ..Self::default()
@@ -171,24 +218,8 @@
             if !done.is_canonical() {
                 return None;
             }
-            let mut assignments = BTreeMap::new();
-            for group in groups {
-                let (&[attempt, incarnation], list) = group.split_first_chunk()?;
-                let pairs = list.chunks_exact(2);
-                if !pairs.remainder().is_empty() {
-                    return None;
-                }
-                for pair in pairs {
-                    let host = *hosts.get(usize::try_from(pair[0]).ok()?)?;
-                    let assignment = Assignment {
-                        host,
-                        incarnation,
-                        attempt,
-                    };
-                    assignments.insert(u32::try_from(pair[1]).ok()?, assignment);
-                }
-            }
-            page.jobs.insert(job, PageJob { assignments, done });
+            let page_job = PageJob::of_groups(groups, done, &hosts)?;
+            page.jobs.insert(job, page_job);
         }
         Some(page)
     }
