--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -1,10 +1,11 @@
 //! Dependencies of a submission: what has become of the jobs that it names.
 
-use crate::controller::Controller;
+use crate::mirror::Mirror;
 use cherryyard_wire::dependencies::{Dependencies, dependency_numbers};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
 use cherryyard_wire::record::End;
 use std::collections::BTreeMap;
+use thiserror::Error;
 
 /// Ends that were found in the history, by job.
 pub type PastEnds = BTreeMap<u64, End>;
@@ -17,49 +18,60 @@
     /// Nothing is known of this job. It may have been accepted a moment ago, or be over
     /// and only in the history.
     Unknown(u64),
-    /// It could never run, and why.
-    Never(String),
+    /// It could never run.
+    Never(DependencyError),
 }
 
-/// Why a submission is refused that names a job nobody has submitted.
-pub fn never_accepted(job: u64) -> String {
-    format!("waits_on: {} has never been accepted", job_id(job))
+/// Why a submission could never run for the jobs that it names.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum DependencyError {
+    /// The list of jobs is malformed.
+    #[error("{0}")]
+    Malformed(String),
+    /// It names a service.
+    #[error("waits_on: {} is a service, which is never done", job_id(*.0))]
+    IsService(u64),
+    /// It names a job that nobody has submitted.
+    #[error("waits_on: {} has never been accepted", job_id(*.0))]
+    NeverAccepted(u64),
 }
 
-impl Controller {
-    /// What becomes of a submission for the jobs that it names, as this controller knows
-    /// them, and by the ends that were found in the history.
+fn status_of(end: End) -> JobStatus {
+    match end {
+        End::Done => JobStatus::Done,
+        End::Cancelled => JobStatus::Cancelled,
+    }
+}
+
+impl Mirror {
+    /// What becomes of a submission for the jobs that it names, as they are known here, and
+    /// by the ends that were found in the history.
     pub fn resolve_dependencies(&self, spec: &JobSpec, past: &PastEnds) -> Resolution {
         let needs = match dependency_numbers(&spec.waits_on) {
             Ok(needs) => needs,
-            Err(why) => return Resolution::Never(why),
+            Err(error) => return Resolution::Never(DependencyError::Malformed(error.to_string())),
         };
-        let mut after = Dependencies::default();
+        let mut dependencies = Dependencies::default();
         for need in needs {
-            let over = past.get(&need).map(|end| match end {
-                End::Done => JobStatus::Done,
-                End::Cancelled => JobStatus::Cancelled,
-            });
-            let status = self.mirror.view(need).map(|view| view.status).or(over);
+            let past_status = past.get(&need).copied().map(status_of);
+            let status = self.view(need).map(|view| view.status).or(past_status);
             match status {
                 None => return Resolution::Unknown(need),
                 Some(JobStatus::Done) => {}
                 Some(JobStatus::Cancelled) => {
-                    after.cancelled_by.get_or_insert(need);
+                    dependencies.cancelled_by.get_or_insert(need);
                 }
                 Some(JobStatus::Queued | JobStatus::Running) => {
-                    if self.mirror.is_service(need) {
-                        let id = job_id(need);
-                        let why = format!("waits_on: {id} is a service, which is never done");
-                        return Resolution::Never(why);
+                    if self.is_service(need) {
+                        return Resolution::Never(DependencyError::IsService(need));
                     }
-                    after.jobs.push(need);
+                    dependencies.jobs.push(need);
                 }
             }
         }
-        if after.cancelled_by.is_some() {
-            after.jobs.clear();
+        if dependencies.cancelled_by.is_some() {
+            dependencies.jobs.clear();
         }
-        Resolution::Accepted(after)
+        Resolution::Accepted(dependencies)
     }
 }
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -493,6 +493,7 @@
         loop {
             let unknown = match self
                 .controller(r.controller)
+                .mirror
                 .resolve_dependencies(spec, &past)
             {
                 Resolution::Accepted(after) => return Ok(after),
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -3,7 +3,7 @@
 
 use super::answer::Answer;
 use crate::app::{App, wall_ms};
-use cherryyard_core::admit::{Reject, admit};
+use cherryyard_core::admit::{Malformed, Reject, admit};
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::condor::{
@@ -58,16 +58,11 @@
         let Template { spec, rules } = &mut post.jobs.t[i];
         spec.task_count = task_count;
         if !spec.waits_on.is_empty() {
-            let why = format!("t[{i}].waits_on: jobs of a submission cannot wait for others");
-            return Err(Reject::Malformed(why));
+            return Err(Reject::Malformed(Malformed::WaitsInSubmission).in_template(i));
         }
         let rules = rules.as_ref().filter(|r| !r.is_empty());
-        let named = |e: Reject| match e {
-            Reject::Malformed(e) => Reject::Malformed(format!("t[{i}].{e}")),
-            Reject::Never(e) => Reject::Never(format!("t[{i}].{e}")),
-            not_yet => not_yet,
-        };
-        admit(spec, rules, at, &controller.mirror, &controller.config).map_err(named)?;
+        admit(spec, rules, at, &controller.mirror, &controller.config)
+            .map_err(|reject| reject.in_template(i))?;
     }
     Ok(())
 }
@@ -150,10 +145,13 @@
     };
     match admit_chunk(controller, post, record.at) {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return Next::UserAnswer(Answer::later(why)),
-        Err(Reject::Malformed(why)) => return refuse(bad(why)),
+        Err(Reject::NotYet(why)) => return Next::UserAnswer(Answer::later(&why.to_string())),
+        Err(Reject::Malformed(why)) => return refuse(bad(why.to_string())),
         Err(Reject::Never(why)) => {
-            return refuse(Answer::error(StatusCode::UNPROCESSABLE_ENTITY, why));
+            return refuse(Answer::error(
+                StatusCode::UNPROCESSABLE_ENTITY,
+                why.to_string(),
+            ));
         }
     }
     let chunk = Json::of(&post.jobs);
@@ -378,7 +376,7 @@
         let all = &n.mirror.machine_types;
         match n.mirror.matcher.explain(&template.spec, &rules, all, at) {
             Ok(explanation) => Answer::of(StatusCode::OK, &explanation),
-            Err(e) => bad(e),
+            Err(error) => bad(error.to_string()),
         }
     })
 }
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -5,7 +5,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::dependencies::{PastEnds, Resolution, never_accepted};
+use cherryyard_core::dependencies::{DependencyError, PastEnds, Resolution};
 use cherryyard_core::mirror::over;
 use cherryyard_core::users::UserAnswer;
 use cherryyard_wire::condor::{FIRST_ID, is_reserved};
@@ -104,9 +104,9 @@
     let mut past = PastEnds::new();
     let mut caught_up = false;
     loop {
-        let unknown = match app.with(|n, _| n.resolve_dependencies(spec, &past)) {
+        let unknown = match app.with(|n, _| n.mirror.resolve_dependencies(spec, &past)) {
             Resolution::Accepted(after) => return Ok(after),
-            Resolution::Never(why) => return Err(never(app, job, why).await),
+            Resolution::Never(why) => return Err(never(app, job, why.to_string()).await),
             Resolution::Unknown(need) => need,
         };
         if !caught_up {
@@ -122,7 +122,10 @@
         };
         match found.past {
             Some(p) => past.insert(unknown, p.end),
-            None => return Err(never(app, job, never_accepted(unknown)).await),
+            None => {
+                let why = DependencyError::NeverAccepted(unknown);
+                return Err(never(app, job, why.to_string()).await);
+            }
         };
     }
 }
@@ -179,9 +182,11 @@
     }
     match verdict {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return Answer::later(why),
-        Err(Reject::Malformed(why)) => return Answer::error(StatusCode::BAD_REQUEST, why),
-        Err(Reject::Never(why)) => return never(app, job, why).await,
+        Err(Reject::NotYet(why)) => return Answer::later(&why.to_string()),
+        Err(Reject::Malformed(why)) => {
+            return Answer::error(StatusCode::BAD_REQUEST, why.to_string());
+        }
+        Err(Reject::Never(why)) => return never(app, job, why.to_string()).await,
     }
     let id = spec.id.clone();
     let named = spec.clone();
