--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -392,7 +392,7 @@
     /// Whether a submission depends on what is in the history: the job was not found
     /// there and may have come into it since, or ends of jobs that it waits for might.
     fn depends_on_history(&self, waiting: &Waiting) -> bool {
-        let waits = !waiting.offer.open.after.jobs.is_empty();
+        let waits = !waiting.offer.open.dependencies.jobs.is_empty();
         waiting.offer.moved > 0 || (waits && self.mirror.format >= BUCKETS)
     }
 
@@ -400,16 +400,16 @@
         let now = self.clock;
         let Some(revision) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in next {
-                waiting.offer.open.div = Vec::new();
+                waiting.offer.open.division = Vec::new();
                 waiting.divided = None;
             }
             return;
         };
-        let waits_for_none = |w: &&mut Waiting| w.offer.open.after.is_none();
+        let waits_for_none = |w: &&mut Waiting| w.offer.open.dependencies.is_none();
         for waiting in next.iter_mut().filter(waits_for_none) {
             // Not again for another try: it would be counted twice against the room.
             if waiting.divided != Some(revision) {
-                waiting.offer.open.div = Vec::new();
+                waiting.offer.open.division = Vec::new();
                 self.fill_division(&mut waiting.offer.open, now);
                 waiting.divided = Some(revision);
             }
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -275,7 +275,7 @@
             .map(|j| {
                 (
                     std::cmp::Reverse(self.mirror.open[j].rank()),
-                    self.mirror.open[j].at,
+                    self.mirror.open[j].submitted_at,
                     *j,
                 )
             })
@@ -317,9 +317,9 @@
             return false;
         };
         if open.spec.apart && open.spec.task_count > 1 {
-            open.caps = self.zone_caps(open, now);
+            open.zone_caps = self.zone_caps(open, now);
             let weights: Vec<f64> = open
-                .caps
+                .zone_caps
                 .iter()
                 .map(|c| f64::from(c.iter().sum::<u32>()))
                 .collect();
@@ -342,11 +342,11 @@
         }
         let shares: Vec<u32> = sets.iter().map(RangeSet::len).collect();
         self.give(&shares, &open.needs(), now);
-        open.div = sets;
-        if !open.after.jobs.is_empty() {
+        open.division = sets;
+        if !open.dependencies.jobs.is_empty() {
             // All that it waited for is done: what it needed is of no use any more.
-            let ready_at = (now + self.wall_offset).max(open.at as f64) as u64;
-            open.after = Dependencies {
+            let ready_at = (now + self.wall_offset).max(open.submitted_at as f64) as u64;
+            open.dependencies = Dependencies {
                 ready_at: Some(ready_at),
                 ..Dependencies::default()
             };
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -142,8 +142,8 @@
             // The caps of the first division stay, so that no zone can
             // ever hold more than its half.
             for (q, weight) in w.iter_mut().enumerate() {
-                let cap: u32 = open.caps.get(q).map_or(0, |c| c.iter().sum());
-                let has = open.div[q].len();
+                let cap: u32 = open.zone_caps.get(q).map_or(0, |c| c.iter().sum());
+                let has = open.division[q].len();
                 *weight = weight.min(f64::from(cap.saturating_sub(has)));
             }
         }
@@ -160,12 +160,12 @@
     /// The job with these numbers moved.
     fn moved(&self, job: u64, from: usize, moving: &RangeSet, shares: &[u32]) -> OpenJob {
         let mut new = self.mirror.open[&job].clone();
-        new.div[from] = new.div[from].minus(moving);
+        new.division[from] = new.division[from].minus(moving);
         let mut left = moving.clone();
         for (q, &n) in shares.iter().enumerate() {
             let set = left.first(n);
             left = left.minus(&set);
-            new.div[q] = new.div[q].union(&set);
+            new.division[q] = new.division[q].union(&set);
         }
         new
     }
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -162,11 +162,11 @@
     fn add_row(record: &mut AdmissionPageRecord, job: u64, open: &OpenJob) {
         let rest = Rest {
             zone: open.zone.clone(),
-            caps: open.caps.clone(),
+            caps: open.zone_caps.clone(),
             rules: open.rules.as_ref().map(|(rules, _)| rules.clone()),
-            after: open.after.clone(),
+            after: open.dependencies.clone(),
         };
-        record.push(job, &open.spec, open.at, &open.div, rest);
+        record.push(job, &open.spec, open.submitted_at, &open.division, rest);
     }
 
     fn is_empty(&self) -> bool {
@@ -233,16 +233,16 @@
     fn put_arrival(&mut self, arrival: Arrival) {
         let job = arrival.job;
         let known = self.open.get(&job);
-        if known.is_some_and(|open| open.div == arrival.div) {
+        if known.is_some_and(|open| open.division == arrival.div) {
             return;
         }
         let rules = arrival.rest.rules;
         if let Some(new) = self.new_job(arrival.spec, rules, arrival.at) {
             let open = OpenJob {
-                div: arrival.div,
+                division: arrival.div,
                 zone: arrival.rest.zone,
-                caps: arrival.rest.caps,
-                after: arrival.rest.after,
+                zone_caps: arrival.rest.caps,
+                dependencies: arrival.rest.after,
                 ..new
             };
             self.insert_open(job, open);
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -178,7 +178,7 @@
     /// After a change of a job's division or of its assignments in a shard.
     pub(super) fn refresh_waiting(&mut self, shard: usize, job: u64) {
         let open = self.open.get(&job);
-        let share = open.and_then(|open| open.div.get(shard));
+        let share = open.and_then(|open| open.division.get(shard));
         self.tasks.refresh_waiting(shard, job, share);
     }
 
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline {
     /// When it begins to count, in milliseconds of the day's clock.
-    pub from: f64,
+    pub starts_ms: f64,
     /// Milliseconds until it is over.
-    pub allowed: f64,
-    /// Milliseconds that what comes after the job takes.
-    pub after: f64,
+    pub allowed_ms: f64,
+    /// Milliseconds that later stages take, between the job and the one that has it.
+    pub later_stages_ms: f64,
     /// The flow of the job that has it.
     pub flow: Flow,
 }
@@ -36,7 +36,7 @@
     /// When the job has to be complete for a multiple of the deadline to be kept, in
     /// milliseconds of the day's clock.
     pub fn complete_by(&self, multiple: f64) -> f64 {
-        self.from + self.allowed * multiple - self.after
+        self.starts_ms + self.allowed_ms * multiple - self.later_stages_ms
     }
 }
 
@@ -50,16 +50,18 @@
 }
 
 impl Urgency {
-    /// Takes over what is more urgent of what a job has that needs this one and takes
-    /// `takes_ms` itself.
-    fn inherit(&mut self, other: &Self, takes_ms: f64) {
-        self.rank = self.rank.max(other.rank);
-        let inherited = other.deadline.map(|d| Deadline {
-            after: d.after + takes_ms,
-            ..d
+    /// Takes over what is more urgent in a job that needs this one and takes `takes_ms`
+    /// itself.
+    fn inherit(&mut self, dependent: &Self, takes_ms: f64) {
+        self.rank = self.rank.max(dependent.rank);
+        let inherited = dependent.deadline.map(|deadline| Deadline {
+            later_stages_ms: deadline.later_stages_ms + takes_ms,
+            ..deadline
         });
-        let by = |d: &Option<Deadline>| d.map_or(f64::INFINITY, |d| d.complete_by(1.0));
-        if by(&inherited) < by(&self.deadline) {
+        let complete_by = |deadline: &Option<Deadline>| {
+            deadline.map_or(f64::INFINITY, |deadline| deadline.complete_by(1.0))
+        };
+        if complete_by(&inherited) < complete_by(&self.deadline) {
             self.deadline = inherited;
         }
     }
@@ -76,8 +78,8 @@
 
 impl DependencyGraph {
     fn dependents(&self, job: u64) -> Vec<u64> {
-        let all = self.dependents.get(&job).into_iter().flatten();
-        all.copied().collect()
+        let dependents = self.dependents.get(&job).into_iter().flatten();
+        dependents.copied().collect()
     }
 
     fn link(&mut self, job: u64, needs: &[u64]) {
@@ -88,11 +90,12 @@
 
     fn unlink(&mut self, job: u64, needs: &[u64]) {
         for need in needs {
-            if let Some(all) = self.dependents.get_mut(need) {
-                all.remove(&job);
-                if all.is_empty() {
-                    self.dependents.remove(need);
-                }
+            let Some(dependents) = self.dependents.get_mut(need) else {
+                continue;
+            };
+            dependents.remove(&job);
+            if dependents.is_empty() {
+                self.dependents.remove(need);
             }
         }
     }
@@ -109,9 +112,9 @@
         Urgency {
             rank: self.spec.rank,
             deadline: self.spec.due_s.map(|due_s| Deadline {
-                from: self.at as f64,
-                allowed: due_s * 1000.0,
-                after: 0.0,
+                starts_ms: self.submitted_at as f64,
+                allowed_ms: due_s * 1000.0,
+                later_stages_ms: 0.0,
                 flow: self.flow,
             }),
         }
@@ -122,17 +125,18 @@
     /// Puts an open job into the place of an earlier version of it, if there is one;
     /// gives that back.
     pub(super) fn insert_open(&mut self, job: u64, open: OpenJob) -> Option<OpenJob> {
-        let needs = open.after.jobs.clone();
+        let needs = open.dependencies.jobs.clone();
         let before = self.open.insert(job, open);
         if let Some(before) = &before {
-            self.graph.unlink(job, &before.after.jobs);
+            self.graph.unlink(job, &before.dependencies.jobs);
         }
         self.graph.link(job, &needs);
         self.cancel_with_needs(job);
         self.refresh_urgency(job);
         let urgency = self.open.get(&job).map(|open| open.urgency);
-        let as_before = |b: &OpenJob| b.after.jobs == needs && Some(b.urgency) == urgency;
-        if !before.as_ref().is_some_and(as_before) {
+        let is_as_before =
+            |before: &OpenJob| before.dependencies.jobs == needs && Some(before.urgency) == urgency;
+        if !before.as_ref().is_some_and(is_as_before) {
             // A new job's own urgency is there already, so its refresh tells nobody of it.
             for need in needs {
                 self.refresh_urgency(need);
@@ -146,9 +150,9 @@
         let Some(before) = self.open.remove(&job) else {
             return false;
         };
-        self.graph.unlink(job, &before.after.jobs);
+        self.graph.unlink(job, &before.dependencies.jobs);
         self.graph.cancelled.remove(&job);
-        for &need in &before.after.jobs {
+        for &need in &before.dependencies.jobs {
             self.refresh_urgency(need);
         }
         true
@@ -169,10 +173,9 @@
         let is_cancelled = |need: &&u64| {
             self.end(**need) == Some(End::Cancelled) || self.graph.cancelled.contains_key(*need)
         };
-        let needs = &open.after;
-        needs
-            .cancelled_by
-            .or_else(|| needs.jobs.iter().find(is_cancelled).copied())
+        let dependencies = &open.dependencies;
+        let cancelled_need = || dependencies.jobs.iter().find(is_cancelled).copied();
+        dependencies.cancelled_by.or_else(cancelled_need)
     }
 
     /// Notes that a job is cancelled with one that it needs, if it is, and with it all
@@ -216,7 +219,7 @@
 
     /// Jobs that an open job needs and that are not done.
     pub fn unmet_needs<'a>(&'a self, open: &'a OpenJob) -> impl Iterator<Item = u64> + 'a {
-        let needs = open.after.jobs.iter().copied();
+        let needs = open.dependencies.jobs.iter().copied();
         needs.filter(|need| self.end(*need) != Some(End::Done))
     }
 
@@ -235,6 +238,19 @@
         Some(record)
     }
 
+    /// How urgent an open job is, by itself and by those that need it.
+    fn urgency_of(&self, job: u64, open: &OpenJob) -> Urgency {
+        let mut urgency = open.own_urgency();
+        for dependent in self.graph.dependents(job) {
+            if let Some(other) = self.open.get(&dependent)
+                && !self.graph.cancelled.contains_key(&dependent)
+            {
+                urgency.inherit(&other.urgency, other.takes_ms());
+            }
+        }
+        urgency
+    }
+
     /// Works out anew how urgent a job is, and with it those that it needs.
     fn refresh_urgency(&mut self, job: u64) {
         let mut pending = vec![job];
@@ -242,15 +258,8 @@
             let Some(open) = self.open.get(&job) else {
                 continue;
             };
-            let mut urgency = open.own_urgency();
-            for dependent in self.graph.dependents(job) {
-                if let Some(other) = self.open.get(&dependent)
-                    && !self.graph.cancelled.contains_key(&dependent)
-                {
-                    urgency.inherit(&other.urgency, other.takes_ms());
-                }
-            }
-            let needs = open.after.jobs.clone();
+            let urgency = self.urgency_of(job, open);
+            let needs = open.dependencies.jobs.clone();
             if let Some(open) = self.open.get_mut(&job) {
                 if open.urgency == urgency {
                     continue;
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -57,26 +57,26 @@
             }
             JobRecord::Open {
                 spec,
-                at,
-                div,
+                at: submitted_at,
+                div: division,
                 zone,
-                caps,
+                caps: zone_caps,
                 rules,
-                after,
+                after: dependencies,
             } => {
                 // A job's end is final; nothing may bring it back, so a record
                 // that does is older or bad.
                 if self.ended.contains(job) {
                     return Ok(());
                 }
-                self.check_division(&div)?;
-                let new = self.new_job(*spec, rules, at);
+                self.check_division(&division)?;
+                let new = self.new_job(*spec, rules, submitted_at);
                 let open = OpenJob {
                     revision,
-                    div,
+                    division,
                     zone,
-                    caps,
-                    after,
+                    zone_caps,
+                    dependencies,
                     ..new.ok_or(RecordProblem::UnknownTeam)?
                 };
                 self.put_open(job, open);
@@ -99,7 +99,8 @@
         let before = self.insert_open(job, open);
         let now = &self.open[&job];
         // A bucket also names jobs that have not changed.
-        let unchanged = |before: OpenJob| before.div == now.div && before.spec == now.spec;
+        let unchanged =
+            |before: OpenJob| before.division == now.division && before.spec == now.spec;
         if !before.is_some_and(unchanged) {
             self.refresh_job(job);
         }
@@ -123,7 +124,7 @@
         &mut self,
         spec: JobSpec,
         rules: Option<Box<Rules>>,
-        at: u64,
+        submitted_at: u64,
     ) -> Option<OpenJob> {
         let team = self.teams.get(&spec.team)?;
         let rank = spec.rank;
@@ -132,15 +133,15 @@
             team,
             flow: self.flows.intern(team, &spec.job_class),
             rules: rules.map(|rules| {
-                let pools = self.matcher.pools(&rules, at);
+                let pools = self.matcher.pools(&rules, submitted_at);
                 (rules, pools)
             }),
             spec,
-            at,
-            div: Vec::new(),
+            submitted_at,
+            division: Vec::new(),
             zone: None,
-            caps: Vec::new(),
-            after: Dependencies::default(),
+            zone_caps: Vec::new(),
+            dependencies: Dependencies::default(),
             urgency: Urgency {
                 rank,
                 deadline: None,
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -211,7 +211,7 @@
         self.matcher = Matcher::new(&self.machine_types, &self.attributes);
         for open in self.open.values_mut() {
             if let Some((rules, pools)) = &mut open.rules {
-                *pools = self.matcher.pools(rules, open.at);
+                *pools = self.matcher.pools(rules, open.submitted_at);
             }
         }
     }
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -26,18 +26,18 @@
     /// Its class and team.
     pub flow: Flow,
     /// Time of day at its submission, in milliseconds.
-    pub at: u64,
+    pub submitted_at: u64,
     /// Each shard's task numbers; empty before the division.
-    pub div: Vec<RangeSet>,
+    pub division: Vec<RangeSet>,
     /// The zone of all its tasks, if that was asked for.
     pub zone: Option<String>,
     /// Most tasks per shard and zone, if tasks are to be apart.
-    pub caps: Vec<Vec<u32>>,
+    pub zone_caps: Vec<Vec<u32>>,
     /// Where it may run, beyond what the submission's fields say, and the pools that
     /// this comes to now.
     pub rules: Option<(Box<Rules>, Arc<PoolSet>)>,
     /// Jobs that it waits for.
-    pub after: Dependencies,
+    pub dependencies: Dependencies,
     /// Its priority and deadline, with what it inherits from jobs that need it.
     pub urgency: Urgency,
 }
@@ -45,7 +45,7 @@
 impl OpenJob {
     /// Whether the leader has divided it.
     pub fn divided(&self) -> bool {
-        !self.div.is_empty()
+        !self.division.is_empty()
     }
 
     /// How much the job prefers a machine of this type and zone, spot or not, 0 the most;
@@ -93,7 +93,7 @@
     /// When it began to wait for machines, in milliseconds of the day's clock: at its
     /// submission, or when the last job that it needs was done.
     pub fn ready_at(&self) -> u64 {
-        self.after.ready_at.unwrap_or(self.at)
+        self.dependencies.ready_at.unwrap_or(self.submitted_at)
     }
 
     /// What one of its tasks takes.
@@ -130,12 +130,12 @@
     pub fn record(&self) -> JobRecord {
         JobRecord::Open {
             spec: Box::new(self.spec.clone()),
-            at: self.at,
-            div: self.div.clone(),
+            at: self.submitted_at,
+            div: self.division.clone(),
             zone: self.zone.clone(),
-            caps: self.caps.clone(),
+            caps: self.zone_caps.clone(),
             rules: self.rules.as_ref().map(|(rules, _)| rules.clone()),
-            after: self.after.clone(),
+            after: self.dependencies.clone(),
         }
     }
 
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -578,7 +578,7 @@
         let job = candidate.job;
         let open = &self.mirror.open[&job];
         let waited = candidate.since.map(|at| now - at);
-        let age = now + self.wall_offset - open.at as f64;
+        let age = now + self.wall_offset - open.submitted_at as f64;
         let fetch_s = self.fetch_s(open, host);
         tracing::debug!(job, host, fetch_s, ?waited, age, "place a service");
     }
@@ -654,7 +654,12 @@
         cycle: &Cycle,
     ) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
-        if self.mirror.open.get(&job).is_none_or(|o| o.caps.is_empty()) {
+        if self
+            .mirror
+            .open
+            .get(&job)
+            .is_none_or(|o| o.zone_caps.is_empty())
+        {
             return counts;
         }
         let mut count = |host: u32| {
@@ -698,7 +703,7 @@
             return false;
         };
         let cap = o
-            .caps
+            .zone_caps
             .get(shard_id)
             .and_then(|c| c.get(z as usize))
             .copied()
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -467,7 +467,7 @@
             return Some(Response::Never);
         };
         if !self.requests.without_dependencies {
-            open.after = after;
+            open.dependencies = after;
         }
         self.tickets += 1;
         let offer = Offer {
--- a/crates/cherryyard-simulation/src/world/submitting.rs
+++ b/crates/cherryyard-simulation/src/world/submitting.rs
@@ -183,7 +183,7 @@
     pub fn division(&self, job: u64) -> Vec<RangeSet> {
         let controller = self.controllers.iter().flatten().find(|n| n.mirror.loaded);
         let open = controller.and_then(|n| n.mirror.open.get(&job));
-        open.expect("an open job").div.clone()
+        open.expect("an open job").division.clone()
     }
 
     /// What controller `i` would tell a user, after a barrier if it can.
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -207,11 +207,11 @@
             let why = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
             return Answer::error(StatusCode::BAD_REQUEST, why);
         }
-        open.after = match resolve_dependencies(app, &named, job).await {
+        open.dependencies = match resolve_dependencies(app, &named, job).await {
             Ok(after) => after,
             Err(answer) => return answer,
         };
-        let status = if open.after.cancelled_by.is_some() {
+        let status = if open.dependencies.cancelled_by.is_some() {
             JobStatus::Cancelled
         } else {
             JobStatus::Queued
