--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -251,6 +251,7 @@
             {
                 let machine_type = self
                     .mirror
+                    .catalog
                     .machine_types
                     .iter()
                     .find(|k| k.sku == entry.machine_type);
--- a/crates/cherryyard-core/src/admission/entitlements.rs
+++ b/crates/cherryyard-core/src/admission/entitlements.rs
@@ -123,6 +123,7 @@
             let pools = capacity.report.pools.iter();
             let cores = pools.map(|s| {
                 self.mirror
+                    .catalog
                     .machine_types
                     .iter()
                     .find(|k| k.sku == s.machine_type)
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -296,12 +296,12 @@
             // The leader writes pages all the time; the others, to whom few come while
             // there is one, would only get into its way and each other's.
             let few = self.intake.waiting <= FEW && self.leadership_token().is_none();
-            if few && self.mirror.format < BUCKETS {
+            if few && self.mirror.format.jobs < BUCKETS {
                 self.records_of_new(now)
             } else {
                 self.page_of_new()
             }
-        } else if self.mirror.by_pages {
+        } else if self.mirror.format.by_pages {
             // Pages have begun, and what came before is not all known yet.
             self.effects.push(Effect::Refresh);
             return;
@@ -393,7 +393,7 @@
     /// there and may have come into it since, or ends of jobs that it waits for might.
     fn depends_on_history(&self, waiting: &Waiting) -> bool {
         let waits = !waiting.offer.open.dependencies.jobs.is_empty();
-        waiting.offer.moved > 0 || (waits && self.mirror.format >= BUCKETS)
+        waiting.offer.moved > 0 || (waits && self.mirror.format.jobs >= BUCKETS)
     }
 
     fn divide_offers(&mut self, next: &mut [Waiting], commit: &mut Commit) {
@@ -456,7 +456,7 @@
         if !records.is_empty() {
             // Not beside pages or buckets that it does not know of.
             self.mirror.require(&mut written, Key::Format);
-            if self.mirror.by_pages {
+            if self.mirror.format.by_pages {
                 self.mirror.require_pages(&mut written);
             }
             if moved {
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -133,7 +133,7 @@
     mirror: &Mirror,
     config: &Config,
 ) -> Result<(), Reject> {
-    if mirror.machine_types.is_empty() {
+    if mirror.catalog.machine_types.is_empty() {
         return Err(Reject::NotYet(NotYet::NoMachineTypes));
     }
     let Some(team) = config.team_names.get(&spec.team) else {
@@ -144,8 +144,8 @@
     {
         return Err(Reject::Never(NeverRuns::UnknownZone(zone.clone())));
     }
-    drop_unknown_types(spec, &mirror.machine_types);
-    let mut zones = zones_that_fit(spec, &mirror.machine_types);
+    drop_unknown_types(spec, &mirror.catalog.machine_types);
+    let mut zones = zones_that_fit(spec, &mirror.catalog.machine_types);
     if zones.is_empty() {
         return Err(Reject::Never(NeverRuns::NoMachineType));
     }
@@ -186,8 +186,8 @@
     submitted_at: u64,
     mirror: &Mirror,
 ) -> Result<(), Reject> {
-    let machine_types = &mirror.machine_types;
-    let pools = mirror.matcher.evaluate(rules, submitted_at);
+    let machine_types = &mirror.catalog.machine_types;
+    let pools = mirror.catalog.matcher.evaluate(rules, submitted_at);
     let pools = pools.map_err(|error| Reject::Malformed(error.into()))?;
     let runs = |machine_type: &MachineType, zone: &str| {
         let allows = |spot| pools.tier(&machine_type.sku, zone, spot).is_some();
@@ -198,6 +198,7 @@
         return Ok(());
     }
     let explained = mirror
+        .catalog
         .matcher
         .explain(spec, rules, machine_types, submitted_at);
     Err(Reject::Never(match explained {
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -265,7 +265,7 @@
     /// Takes machine types from the cloud.
     pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
         self.notice(now);
-        if self.mirror.machine_types_revision == 0 && !machine_types.is_empty() {
+        if self.mirror.catalog.machine_types_revision == 0 && !machine_types.is_empty() {
             self.mirror.set_machine_types(machine_types.clone());
         }
         self.machine_types_from_cloud = Some(machine_types);
@@ -282,7 +282,7 @@
     /// either the state service answers it, or it answers nobody.
     pub fn ready(&self, now: Millis) -> bool {
         self.mirror.loaded
-            && !self.mirror.machine_types.is_empty()
+            && !self.mirror.catalog.machine_types.is_empty()
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -32,16 +32,16 @@
 
     /// New jobs come by pages from now on, once every controller can read them.
     pub(crate) fn begin_pages(&mut self) -> Option<Commit> {
-        if self.mirror.by_pages || !self.all_able(ADMISSION_LOG) {
+        if self.mirror.format.by_pages || !self.all_able(ADMISSION_LOG) {
             return None;
         }
         tracing::info!("new jobs come by pages");
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
-            jobs: self.mirror.format.max(1),
+            jobs: self.mirror.format.jobs.max(1),
             new: true,
-            dependencies: self.mirror.dependencies,
+            dependencies: self.mirror.format.dependencies,
         };
         commit.apply.push(Apply::set(FORMAT, &record));
         Some(commit)
--- a/crates/cherryyard-core/src/leader/assumed.rs
+++ b/crates/cherryyard-core/src/leader/assumed.rs
@@ -60,6 +60,7 @@
             }
             let Some(machine_type) = self
                 .mirror
+                .catalog
                 .machine_types
                 .iter()
                 .find(|k| k.sku == entry.machine_type)
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -18,7 +18,7 @@
     /// Jobs may wait for others from now on, once every controller knows of that: an
     /// earlier build would start them at once.
     pub(super) fn begin_dependencies(&mut self, now: Millis) -> Option<Commit> {
-        if self.mirror.dependencies {
+        if self.mirror.format.dependencies {
             return None;
         }
         if !self.all_able(DEPENDENCIES) {
@@ -33,8 +33,8 @@
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
-            jobs: self.mirror.format.max(1),
-            new: self.mirror.by_pages,
+            jobs: self.mirror.format.jobs.max(1),
+            new: self.mirror.format.by_pages,
             dependencies: true,
         };
         commit.apply.push(Apply::set(FORMAT, &record));
--- a/crates/cherryyard-core/src/leader/history_compaction.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction.rs
@@ -105,7 +105,7 @@
             self.leader.history_compaction.retry_after = now + BUSY_MS;
             return;
         }
-        if self.mirror.format < BUCKETS {
+        if self.mirror.format.jobs < BUCKETS {
             if self.all_able(BUCKETS) {
                 tracing::info!("jobs go into buckets, and when they are over into the history");
                 let commit = self.mirror.begin_buckets(self.config.txn_ops);
@@ -307,7 +307,7 @@
     pub fn history_counts(&self) -> HistoryCounts {
         let record = self.mirror.packed;
         HistoryCounts {
-            format: self.mirror.format.max(1),
+            format: self.mirror.format.jobs.max(1),
             open: self.mirror.open.len(),
             recent: self.mirror.ended_count(),
             to_move: self.mirror.own_ends().count(),
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -219,7 +219,9 @@
             // Prices move all the time, and nothing here depends on them.
             (machine_type.price, machine_type.low_price) = (0.0, 0.0);
         }
-        if self.mirror.machine_types_revision != 0 && self.mirror.machine_types == named {
+        if self.mirror.catalog.machine_types_revision != 0
+            && self.mirror.catalog.machine_types == named
+        {
             return None;
         }
         let value = Json::of(&named);
@@ -239,7 +241,7 @@
     /// them: all controllers decide by what is stored.
     pub(crate) fn store_attributes(&mut self) -> Option<Commit> {
         let own = &self.config.tuning.attributes;
-        if !self.config.tuning.condor || self.mirror.attributes == *own {
+        if !self.config.tuning.condor || self.mirror.catalog.attributes == *own {
             return None;
         }
         let value = Json::of(own);
--- a/crates/cherryyard-core/src/leader/provisioning_times.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -97,7 +97,12 @@
 impl Controller {
     /// The published time of a type until a machine is up.
     pub(crate) fn ready_s(&self, sku: &str) -> f64 {
-        let machine_type = self.mirror.machine_types.iter().find(|k| k.sku == sku);
+        let machine_type = self
+            .mirror
+            .catalog
+            .machine_types
+            .iter()
+            .find(|k| k.sku == sku);
         machine_type.map_or(60.0, |k| k.ready_s).max(1.0)
     }
 
@@ -125,7 +130,7 @@
 
     /// Cores of provisioned machines that should be up at any time and that a job may use.
     pub(crate) fn cores_coming_for(&self, open: &OpenJob) -> f64 {
-        let machine_types = &self.mirror.machine_types;
+        let machine_types = &self.mirror.catalog.machine_types;
         let cores_of = |sku: &str| {
             machine_types
                 .iter()
@@ -151,7 +156,7 @@
 
     /// Cores of provisioned machines that will come up, as far as is known.
     pub(crate) fn cores_coming(&self, total: f64) -> f64 {
-        let machine_types = &self.mirror.machine_types;
+        let machine_types = &self.mirror.catalog.machine_types;
         let cores_of = |sku: &str| {
             machine_types
                 .iter()
--- a/crates/cherryyard-core/src/leader/scale_out.rs
+++ b/crates/cherryyard-core/src/leader/scale_out.rs
@@ -23,7 +23,7 @@
         let lag = 2.0 * self.config.list_lag_ms + 2000.0;
         let listed = &self.listed;
         self.leader.provisioned.retain(|h| now - h.at < lag);
-        let machine_types = &self.mirror.machine_types;
+        let machine_types = &self.mirror.catalog.machine_types;
         let cores_of = |sku: &str| {
             machine_types
                 .iter()
@@ -116,7 +116,7 @@
         open.rules.is_some()
             || open.spec.zone.is_some()
             || open.zone.is_some()
-            || self.mirror.machine_types.iter().any(excluded)
+            || self.mirror.catalog.machine_types.iter().any(excluded)
     }
 
     /// Waiting jobs that may use only some pools of machine, each with whether it lacks
@@ -160,7 +160,12 @@
             return;
         }
         let takes = |open: &OpenJob, o: &Choice<'_>| {
-            let machine_type = self.mirror.machine_types.iter().find(|k| k.sku == o.3);
+            let machine_type = self
+                .mirror
+                .catalog
+                .machine_types
+                .iter()
+                .find(|k| k.sku == o.3);
             machine_type.is_some_and(|k| admit::fits_machine_type(&open.spec, k))
                 && open.allows(o.3, o.4, o.0).is_some()
         };
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -183,13 +183,13 @@
     /// Whether new jobs come by pages, and all that came before is known: a job that
     /// was added otherwise just before the pages began must not be missed.
     pub fn takes_pages(&self) -> bool {
-        self.by_pages && self.store_revision >= self.format_revision
+        self.format.by_pages && self.store_revision >= self.format.revision
     }
 
     /// Whether jobs may wait for others, and all that came before that was decided is
     /// known.
     pub fn takes_dependencies(&self) -> bool {
-        self.dependencies && self.store_revision >= self.format_revision
+        self.format.dependencies && self.store_revision >= self.format.revision
     }
 
     /// Whether an open job is as its page says.
@@ -290,7 +290,7 @@
         let mut added = 0;
         for (job, open) in jobs {
             let conditions = commit.when.len() + JOB_CONDITIONS;
-            if self.format < BUCKETS && conditions > config.max_conditions() {
+            if self.format.jobs < BUCKETS && conditions > config.max_conditions() {
                 break;
             }
             if !draft.push(job, open) {
@@ -304,7 +304,7 @@
                 }
             }
             added += 1;
-            if self.format < BUCKETS {
+            if self.format.jobs < BUCKETS {
                 self.require(commit, Key::Job(job));
             }
         }
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -110,7 +110,7 @@
 impl Mirror {
     /// The key of the record that a job stands in, or would stand in.
     pub(crate) fn home(&self, job: u64) -> Key {
-        if self.format < BUCKETS || self.has_own_record(job) {
+        if self.format.jobs < BUCKETS || self.has_own_record(job) {
             return Key::Job(job);
         }
         let start = self.buckets.start_covering(job_hash(job));
@@ -223,7 +223,7 @@
         record: JobRecord,
         config: &Config,
     ) -> bool {
-        let added = !self.by_pages
+        let added = !self.format.by_pages
             && self.view(job).is_none()
             && self.write_jobs(commit, vec![(job, record)], config);
         if added {
@@ -287,7 +287,7 @@
         let generation = self.packed.generation();
         for (job, mut record) in records {
             if let JobRecord::Ended { g, .. } = &mut record
-                && self.format >= BUCKETS
+                && self.format.jobs >= BUCKETS
             {
                 *g = generation;
                 plan.has_ends = true;
@@ -339,8 +339,8 @@
         self.require(&mut commit, Key::Format);
         let format = record::FormatRecord {
             jobs: BUCKETS,
-            new: self.by_pages,
-            dependencies: self.dependencies,
+            new: self.format.by_pages,
+            dependencies: self.format.dependencies,
         };
         commit.apply.push(Apply::set(record::FORMAT, &format));
         let count = txn_ops.saturating_sub(1).clamp(1, MAX_FIRST_BUCKETS) as u64;
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -129,7 +129,7 @@
     fn keys(&self) -> Vec<Key> {
         let mut keys = Vec::new();
         keys.extend(self.leader_lease.iter().map(|_| Key::Leader));
-        keys.extend((self.attributes_revision != 0).then_some(Key::Attributes));
+        keys.extend((self.catalog.attributes_revision != 0).then_some(Key::Attributes));
         keys.extend((self.ids_revision != 0).then_some(Key::Ids));
         keys.extend(self.submissions.keys().copied().map(Key::Submission));
         let shards = 0..self.shards.len();
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -133,7 +133,7 @@
             team,
             flow: self.flows.intern(team, &spec.job_class),
             rules: rules.map(|rules| {
-                let pools = self.matcher.pools(&rules, submitted_at);
+                let pools = self.catalog.matcher.pools(&rules, submitted_at);
                 (rules, pools)
             }),
             spec,
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -18,6 +18,7 @@
     pub(crate) fn whole(&self, m: &Machine) -> Option<Needs> {
         let machine_type = self
             .mirror
+            .catalog
             .machine_types
             .iter()
             .find(|k| k.sku == m.machine_type)?;
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -13,6 +13,7 @@
         };
         let machine_type = self
             .mirror
+            .catalog
             .machine_types
             .iter()
             .find(|k| k.sku == m.machine_type);
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -387,7 +387,7 @@
     fn arrives(&mut self, r: &mut Request) -> Option<Response> {
         let now = self.now;
         let controller = self.controller(r.controller);
-        if !controller.mirror.loaded || controller.mirror.machine_types.is_empty() {
+        if !controller.mirror.loaded || controller.mirror.catalog.machine_types.is_empty() {
             return Some(Response::Later);
         }
         let Question::Submit(body) = &r.question else {
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -78,7 +78,7 @@
 #[test]
 fn ends_go_into_the_history() {
     let mut w = cluster(20);
-    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.format, 2);
+    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.format.jobs, 2);
     let mut all = jobs(&mut w, 1..=60);
     w.run(30.0);
     check(&mut w, &all, "after 60");
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -370,11 +370,16 @@
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
     app.with(|n, _| {
-        if n.mirror.machine_types.is_empty() {
+        if n.mirror.catalog.machine_types.is_empty() {
             return Answer::later("the machine types are not known yet");
         }
-        let all = &n.mirror.machine_types;
-        match n.mirror.matcher.explain(&template.spec, &rules, all, at) {
+        let all = &n.mirror.catalog.machine_types;
+        match n
+            .mirror
+            .catalog
+            .matcher
+            .explain(&template.spec, &rules, all, at)
+        {
             Ok(explanation) => Answer::of(StatusCode::OK, &explanation),
             Err(error) => bad(error.to_string()),
         }
