--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -193,7 +193,7 @@
     fn after_state(&mut self, sent_at: Millis, now: Millis) {
         self.state_answered(sent_at, now);
         self.state_read_at = self.state_read_at.max(sent_at);
-        for text in self.mirror.complaints() {
+        for text in self.mirror.take_record_errors() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
         self.check_leases();
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -172,8 +172,10 @@
             // The leader's own shard gives back as the others do.
             self.lower_grants(&short, now);
         }
-        let gap = self.mirror.has_gap();
-        let (cancelled, reach_ms) = self.cancelled.tell(self.mirror.new_cancels(), gap, now);
+        let gap = self.mirror.take_gap();
+        let (cancelled, reach_ms) = self
+            .cancelled
+            .tell(self.mirror.take_new_cancels(), gap, now);
         let cut_off = now - self.state_ok_at > 2500.0;
         // What it took last may have been carried out until it answered.
         let silent = now - self.state_answered_at;
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -244,7 +244,7 @@
     }
 
     /// Shards and jobs of which what waits has changed since the last call.
-    pub fn waiting_changes(&mut self) -> Vec<(usize, u64)> {
+    pub fn take_waiting_changes(&mut self) -> Vec<(usize, u64)> {
         std::mem::take(&mut self.tasks.waiting_changes)
     }
 
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -170,7 +170,7 @@
     }
 
     /// Jobs that have been seen to be cancelled since the last call.
-    pub fn new_cancels(&mut self) -> Vec<u64> {
+    pub fn take_new_cancels(&mut self) -> Vec<u64> {
         self.ended.take_cancelled()
     }
 
@@ -181,7 +181,7 @@
 
     /// Whether jobs may have been cancelled, since the last call, that no longer can be
     /// named.
-    pub(crate) fn has_gap(&mut self) -> bool {
+    pub(crate) fn take_gap(&mut self) -> bool {
         self.ended.take_gap()
     }
 
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -143,7 +143,7 @@
     }
 
     /// Records that could not be used since the last call.
-    pub fn complaints(&mut self) -> Vec<RecordError> {
+    pub fn take_record_errors(&mut self) -> Vec<RecordError> {
         std::mem::take(&mut self.record_errors)
     }
 
--- a/crates/cherryyard-core/src/owner/place.rs
+++ b/crates/cherryyard-core/src/owner/place.rs
@@ -144,7 +144,7 @@
 
     /// Takes over what has changed of what waits in our shards.
     pub(crate) fn requeue_changed(&mut self, now: Millis) {
-        for (shard_id, job) in self.mirror.waiting_changes() {
+        for (shard_id, job) in self.mirror.take_waiting_changes() {
             if matches!(self.shards[shard_id].lease, ShardLease::Held(_)) {
                 self.requeue(shard_id, job, now);
             }
