--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -121,7 +121,7 @@
             if entry.status == InstanceStatus::Starting
                 && self.config.shard_map.shard(&entry.zone, name) == shard_id
             {
-                let mut machine_types = self.mirror.machine_types.iter();
+                let mut machine_types = self.mirror.catalog.machine_types.iter();
                 let machine_type = machine_types.find(|t| t.sku == entry.machine_type);
                 let cores = machine_type.map_or(0.0, |t| t.cores);
                 account.sum.count(CoreUse::Booting, cores * seconds);
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -81,12 +81,12 @@
             // The leader writes pages all the time; the others, to whom few come while
             // there is one, would only get into its way and each other's.
             let few = self.intake.has_few() && self.leadership_token().is_none();
-            if few && self.mirror.format < BUCKETS {
+            if few && self.mirror.format.jobs < BUCKETS {
                 AdmissionForm::Records
             } else {
                 AdmissionForm::Page
             }
-        } else if self.mirror.by_pages {
+        } else if self.mirror.format.by_pages {
             AdmissionForm::NotKnown
         } else {
             AdmissionForm::Records
@@ -151,7 +151,7 @@
         let now = self.state_contact.clock();
         let Some(token) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in batch {
-                waiting.offer.open.div = Vec::new();
+                waiting.offer.open.division = Vec::new();
                 waiting.divided_under = None;
             }
             return;
@@ -159,8 +159,8 @@
         for waiting in batch {
             let open = &mut waiting.offer.open;
             // Not again for another try: it would be counted twice against the capacity.
-            if open.after.is_none() && waiting.divided_under != Some(token) {
-                open.div = Vec::new();
+            if open.dependencies.is_none() && waiting.divided_under != Some(token) {
+                open.division = Vec::new();
                 self.fill_division(open, now);
                 waiting.divided_under = Some(token);
             }
@@ -224,7 +224,7 @@
         let usage = usage_by_flow(&self.mirror, self.shards.len());
         let demands = demand_by_flow(&usage, &self.mirror, &self.config);
         let team_guarantees: Vec<f64> = self.config.teams.iter().map(|team| team.cores).collect();
-        let cores = self.leader.total_cores(&self.mirror.machine_types);
+        let cores = self.leader.total_cores(&self.mirror.catalog.machine_types);
         let guarantees = fair_share_guarantees(&demands, &team_guarantees, cores);
         let window_ms = self.fair_share_window_ms();
         let changes = self
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -291,7 +291,7 @@
         if count > 0 {
             // Not beside pages or buckets that it does not know of.
             mirror.require(&mut written, Key::Format);
-            if mirror.by_pages {
+            if mirror.format.by_pages {
                 mirror.require_pages(&mut written);
             }
             if needs_history {
@@ -375,8 +375,8 @@
 /// Whether a submission depends on what is in the history: the job was not found
 /// there and may have come into it since, or ends of jobs that it waits for might.
 fn depends_on_history(waiting: &Waiting, mirror: &Mirror) -> bool {
-    let waits_for_others = !waiting.offer.open.after.jobs.is_empty();
-    waiting.offer.moved > 0 || (waits_for_others && mirror.format >= BUCKETS)
+    let waits_for_others = !waiting.offer.open.dependencies.jobs.is_empty();
+    waiting.offer.moved > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
 }
 
 /// The transaction with as many of these submissions' records as fit, and how many.
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -185,7 +185,7 @@
     /// The mirror has changed by a read that was sent at `sent_at`.
     fn state_read(&mut self, sent_at: Millis, now: Millis) {
         self.state_contact.read(sent_at, now);
-        for text in self.mirror.complaints() {
+        for text in self.mirror.take_record_errors() {
             tracing::warn!("ignored a bad record in the state service: {text}");
         }
         self.check_leases();
@@ -256,7 +256,7 @@
     /// Takes machine types from the cloud.
     pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
         self.notice(now);
-        if self.mirror.machine_types_revision == 0 && !machine_types.is_empty() {
+        if self.mirror.catalog.machine_types_revision == 0 && !machine_types.is_empty() {
             self.mirror.set_machine_types(machine_types.clone());
         }
         self.machine_types_from_cloud = Some(machine_types);
@@ -397,7 +397,7 @@
     /// either the state service answers it, or it answers nobody.
     pub fn ready(&self, now: Millis) -> bool {
         self.mirror.loaded
-            && !self.mirror.machine_types.is_empty()
+            && !self.mirror.catalog.machine_types.is_empty()
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -82,8 +82,8 @@
         let misdirected = self.misdirected.counts(now);
         let demand = self.demand_out();
         let short = self.teams_short_of_grants(now);
-        let has_gap = self.mirror.has_gap();
-        let new_cancellations = self.mirror.new_cancels();
+        let has_gap = self.mirror.take_gap();
+        let new_cancellations = self.mirror.take_new_cancels();
         let (cancelled, reach_ms) = self.cancelled.tell(new_cancellations, has_gap, now);
         let cut_off = self.state_contact.is_cut_off(now);
         if cut_off {
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -68,7 +68,7 @@
             {
                 continue;
             }
-            let mut machine_types = self.mirror.machine_types.iter();
+            let mut machine_types = self.mirror.catalog.machine_types.iter();
             let machine_type = machine_types.find(|known| known.sku == instance.machine_type);
             let Some(machine_type) = machine_type else {
                 continue;
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -213,8 +213,8 @@
             // Prices move all the time, and nothing here depends on them.
             (machine_type.price, machine_type.low_price) = (0.0, 0.0);
         }
-        let is_stored = self.mirror.machine_types_revision != 0;
-        if is_stored && self.mirror.machine_types == machine_types {
+        let is_stored = self.mirror.catalog.machine_types_revision != 0;
+        if is_stored && self.mirror.catalog.machine_types == machine_types {
             return None;
         }
         let value = Json::of(&machine_types);
@@ -233,7 +233,7 @@
     /// them: all controllers decide by what is stored.
     fn store_attributes(&mut self) -> Option<Commit> {
         let attributes = &self.config.tuning.attributes;
-        if !self.config.tuning.condor || self.mirror.attributes == *attributes {
+        if !self.config.tuning.condor || self.mirror.catalog.attributes == *attributes {
             return None;
         }
         let value = Json::of(attributes);
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -56,9 +56,9 @@
             return false;
         };
         if open.spec.apart && open.spec.task_count > 1 {
-            open.caps = self.zone_caps(open);
+            open.zone_caps = self.zone_caps(open);
             let weights: Vec<f64> = open
-                .caps
+                .zone_caps
                 .iter()
                 .map(|zones| f64::from(zones.iter().sum::<u32>()))
                 .collect();
@@ -66,9 +66,9 @@
             if shares.iter().all(|&share| share == 0) {
                 return false;
             }
-            open.div = consecutive(&shares);
+            open.division = consecutive(&shares);
         } else {
-            open.div = consecutive(&shares);
+            open.division = consecutive(&shares);
         }
         true
     }
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -53,12 +53,12 @@
         if !self.current_capacities(now).divide(open, missing) {
             return false;
         }
-        let shares: Vec<u32> = open.div.iter().map(RangeSet::len).collect();
+        let shares: Vec<u32> = open.division.iter().map(RangeSet::len).collect();
         self.leader.capacities.debit(&shares, &open.needs(), now);
-        if !open.after.jobs.is_empty() {
+        if !open.dependencies.jobs.is_empty() {
             // All that it waited for is done: what it needed is of no use any more.
-            let ready_at = (now + self.wall_offset).max(open.at as f64) as u64;
-            open.after = Dependencies {
+            let ready_at = (now + self.wall_offset).max(open.submitted_at as f64) as u64;
+            open.dependencies = Dependencies {
                 ready_at: Some(ready_at),
                 ..Dependencies::default()
             };
@@ -100,7 +100,7 @@
         let mut jobs: Vec<u64> = undivided.filter(|&job| !self.mirror.in_page(job)).collect();
         jobs.sort_by_cached_key(|job| {
             let open = &self.mirror.open[job];
-            (Reverse(open.rank()), open.at, *job)
+            (Reverse(open.rank()), open.submitted_at, *job)
         });
         jobs
     }
@@ -193,12 +193,12 @@
 
     /// The published time of a type until a machine is up, in seconds.
     pub(crate) fn ready_s(&self, sku: &str) -> f64 {
-        ready_s(&self.mirror.machine_types, sku)
+        ready_s(&self.mirror.catalog.machine_types, sku)
     }
 
     /// Learns from the next list which machines have come up.
     pub(crate) fn learn_provisioning_times(&mut self, instances: &[Instance]) {
-        let machine_types = &self.mirror.machine_types;
+        let machine_types = &self.mirror.catalog.machine_types;
         let ready_s = |sku: &str| ready_s(machine_types, sku);
         let times = &mut self.leader.scale_out.provisioning_times;
         times.learn(instances, &self.listed, ready_s);
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -38,7 +38,7 @@
             compaction.retry_after = now + BUSY_MS;
             return;
         }
-        if self.mirror.format < BUCKETS {
+        if self.mirror.format.jobs < BUCKETS {
             self.begin_buckets();
             return;
         }
@@ -160,7 +160,7 @@
     pub fn history_counts(&self) -> HistoryCounts {
         let record = self.mirror.packed;
         HistoryCounts {
-            format: self.mirror.format.max(1),
+            format: self.mirror.format.jobs.max(1),
             open: self.mirror.open.len(),
             recent: self.mirror.ended_count(),
             to_move: self.mirror.own_ends().count(),
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -258,8 +258,11 @@
             // The caps of the first division stay, so that no zone can
             // ever hold more than its half.
             for (other, weight) in weights.iter_mut().enumerate() {
-                let cap: u32 = open.caps.get(other).map_or(0, |zones| zones.iter().sum());
-                let has = open.div[other].len();
+                let cap: u32 = open
+                    .zone_caps
+                    .get(other)
+                    .map_or(0, |zones| zones.iter().sum());
+                let has = open.division[other].len();
                 *weight = weight.min(f64::from(cap.saturating_sub(has)));
             }
         }
@@ -278,12 +281,12 @@
     /// The job with its tasks moved.
     fn applied_to(&self, open: &OpenJob, from: usize) -> OpenJob {
         let mut moved = open.clone();
-        moved.div[from] = moved.div[from].minus(&self.tasks);
+        moved.division[from] = moved.division[from].minus(&self.tasks);
         let mut left = self.tasks.clone();
         for (shard_id, &share) in self.shares.iter().enumerate() {
             let tasks = left.first(share);
             left = left.minus(&tasks);
-            moved.div[shard_id] = moved.div[shard_id].union(&tasks);
+            moved.division[shard_id] = moved.division[shard_id].union(&tasks);
         }
         moved
     }
--- a/crates/cherryyard-core/src/leader/scale_out/fleet.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/fleet.rs
@@ -94,7 +94,7 @@
 
 impl<'a> Fleet<'a> {
     fn cores_of(&self, sku: &str) -> f64 {
-        cores_of(&self.current.mirror.machine_types, sku)
+        cores_of(&self.current.mirror.catalog.machine_types, sku)
     }
 
     /// The machines that are to be provisioned now, if any are.
@@ -168,7 +168,13 @@
         open.rules.is_some()
             || open.spec.zone.is_some()
             || open.zone.is_some()
-            || self.current.mirror.machine_types.iter().any(excluded)
+            || self
+                .current
+                .mirror
+                .catalog
+                .machine_types
+                .iter()
+                .any(excluded)
     }
 
     fn bound_jobs(&self) -> BoundJobs<'a> {
@@ -198,7 +204,7 @@
         let mirror = self.current.mirror;
         let spot_wanted = mirror.open.values().any(|open| open.spec.spot);
         let mut options = Vec::new();
-        for machine_type in &mirror.machine_types {
+        for machine_type in &mirror.catalog.machine_types {
             for zone in &machine_type.zones {
                 let in_zone = |instance: &&Instance| instance.zone == *zone;
                 let machines_in_zone = self.listed.values().filter(in_zone).count();
@@ -251,7 +257,10 @@
     /// Where a listed machine stands that is not up yet.
     fn progress(&self, instance: &Instance) -> ProvisioningProgress {
         let times = &self.scale_out.provisioning_times;
-        let ready_s = ready_s(&self.current.mirror.machine_types, &instance.machine_type);
+        let ready_s = ready_s(
+            &self.current.mirror.catalog.machine_types,
+            &instance.machine_type,
+        );
         times.progress_of(instance, ready_s)
     }
 
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -162,11 +162,11 @@
     fn add_row(record: &mut AdmissionPageRecord, job: u64, open: &OpenJob) {
         let rest = Rest {
             zone: open.zone.clone(),
-            caps: open.caps.clone(),
+            caps: open.zone_caps.clone(),
             rules: open.rules.as_ref().map(|(rules, _)| rules.clone()),
-            after: open.after.clone(),
+            after: open.dependencies.clone(),
         };
-        record.push(job, &open.spec, open.at, &open.div, rest);
+        record.push(job, &open.spec, open.submitted_at, &open.division, rest);
     }
 
     fn is_empty(&self) -> bool {
@@ -183,13 +183,13 @@
     /// Whether new jobs come by pages, and all that came before is known: a job that
     /// was added otherwise just before the pages began must not be missed.
     pub fn takes_pages(&self) -> bool {
-        self.by_pages && self.store_revision >= self.format_revision
+        self.format.by_pages && self.store_revision >= self.format.revision
     }
 
     /// Whether jobs may wait for others, and all that came before that was decided is
     /// known.
     pub fn takes_dependencies(&self) -> bool {
-        self.dependencies && self.store_revision >= self.format_revision
+        self.format.dependencies && self.store_revision >= self.format.revision
     }
 
     /// Whether an open job is as its page says.
@@ -233,16 +233,16 @@
     fn put_arrival(&mut self, arrival: AdmittedJob) {
         let job = arrival.job;
         let known = self.open.get(&job);
-        if known.is_some_and(|open| open.div == arrival.div) {
+        if known.is_some_and(|open| open.division == arrival.div) {
             return;
         }
         let rules = arrival.rest.rules;
         if let Some(new) = self.new_job(arrival.spec, rules, arrival.at) {
             let open = OpenJob {
-                div: arrival.div,
+                division: arrival.div,
                 zone: arrival.rest.zone,
-                caps: arrival.rest.caps,
-                after: arrival.rest.after,
+                zone_caps: arrival.rest.caps,
+                dependencies: arrival.rest.after,
                 ..new
             };
             self.insert_open(job, open);
@@ -290,7 +290,7 @@
         let mut added = 0;
         for (job, open) in jobs {
             let conditions = commit.when.len() + JOB_CONDITIONS;
-            if self.format < BUCKETS && conditions > config.max_conditions() {
+            if self.format.jobs < BUCKETS && conditions > config.max_conditions() {
                 break;
             }
             if !draft.push(job, open) {
@@ -304,7 +304,7 @@
                 }
             }
             added += 1;
-            if self.format < BUCKETS {
+            if self.format.jobs < BUCKETS {
                 self.require(commit, Key::Job(job));
             }
         }
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -178,7 +178,7 @@
     /// After a change of a job's division or of its assignments in a shard.
     pub(super) fn refresh_waiting(&mut self, shard: usize, job: u64) {
         let open = self.open.get(&job);
-        let share = open.and_then(|open| open.div.get(shard));
+        let share = open.and_then(|open| open.division.get(shard));
         self.tasks.refresh_waiting(shard, job, share);
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Shards and jobs of which what waits has changed since the last call.
-    pub fn waiting_changes(&mut self) -> Vec<(usize, u64)> {
+    pub fn take_waiting_changes(&mut self) -> Vec<(usize, u64)> {
         std::mem::take(&mut self.tasks.waiting_changes)
     }
 
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -25,7 +25,7 @@
 
     /// A machine's whole size, by its type.
     pub(crate) fn whole(&self, machine: &Machine) -> Option<Needs> {
-        let machine_type = machine.type_in(&self.mirror.machine_types)?;
+        let machine_type = machine.type_in(&self.mirror.catalog.machine_types)?;
         Some(Needs {
             cores: machine_type.cores,
             acc: machine_type.accelerators,
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -110,7 +110,7 @@
     ) -> HashMap<String, u32> {
         let mut counts = HashMap::new();
         let open = self.mirror.open.get(&job);
-        if open.is_none_or(|open| open.caps.is_empty()) {
+        if open.is_none_or(|open| open.zone_caps.is_empty()) {
             return counts;
         }
         if let Some(here) = self.mirror.tasks.assignments.get(&(shard_id, job)) {
@@ -155,7 +155,7 @@
         let Some(zone_index) = self.config.zones.get(zone) else {
             return false;
         };
-        let caps = open.caps.get(shard_id);
+        let caps = open.zone_caps.get(shard_id);
         let cap = caps.and_then(|caps| caps.get(zone_index as usize));
         counts.get(zone).copied().unwrap_or(0) < cap.copied().unwrap_or(0)
     }
@@ -166,7 +166,7 @@
         if machine.image(&open.spec.image) == ImageState::Held {
             return 0.0;
         }
-        let machine_type = machine.type_in(&self.mirror.machine_types);
+        let machine_type = machine.type_in(&self.mirror.catalog.machine_types);
         let rate = machine_type.map_or(0.0, |t| t.fetch_gb_per_s);
         if rate > 0.0 {
             open.spec.image_gb / rate
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -17,7 +17,7 @@
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
-        let machine_type = machine.type_in(&self.mirror.machine_types);
+        let machine_type = machine.type_in(&self.mirror.catalog.machine_types);
         let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
         for task in tasks {
             if let Some(open) = self.mirror.open.get(&task.0) {
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -430,7 +430,7 @@
         let job = candidate.job;
         let open = &self.mirror.open[&job];
         let waited = candidate.since.map(|at| now - at);
-        let age = now + self.wall_offset - open.at as f64;
+        let age = now + self.wall_offset - open.submitted_at as f64;
         let fetch_s = self.fetch_s(open, host);
         tracing::debug!(job, host, fetch_s, ?waited, age, "service task placed");
     }
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -24,7 +24,7 @@
     pub(super) fn arrives(&mut self, request: &mut Request) -> Option<Response> {
         let now = self.now;
         let controller = self.controller(request.controller);
-        if !controller.mirror.loaded || controller.mirror.machine_types.is_empty() {
+        if !controller.mirror.loaded || controller.mirror.catalog.machine_types.is_empty() {
             return Some(Response::Later);
         }
         let Question::Submit(body) = &request.question else {
@@ -96,7 +96,7 @@
             return Some(Response::Never);
         };
         if !self.requests.without_dependencies {
-            open.after = after;
+            open.dependencies = after;
         }
         let offer = Offer {
             ticket: self.submissions.next_ticket(),
@@ -149,7 +149,7 @@
         let mut past = PastEnds::new();
         loop {
             let controller = self.controller(request.controller);
-            let unknown = match controller.resolve_dependencies(spec, &past) {
+            let unknown = match controller.mirror.resolve_dependencies(spec, &past) {
                 Resolution::Accepted(after) => return Ok(after),
                 Resolution::Unknown(_)
                     if request.dependency_barrier == DependencyBarrier::NotNeeded =>
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -3,7 +3,7 @@
 
 use super::response::ApiResponse;
 use crate::app::{App, wall_ms};
-use cherryyard_core::admit::{Reject, admit};
+use cherryyard_core::admit::{Malformed, Reject, admit};
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::condor::{
@@ -54,16 +54,11 @@
         let Template { spec, rules } = &mut post.jobs.templates[i];
         spec.task_count = task_count;
         if !spec.waits_on.is_empty() {
-            let why = format!("t[{i}].waits_on: jobs of a submission cannot wait for others");
-            return Err(Reject::Malformed(why));
+            return Err(Reject::Malformed(Malformed::WaitsInSubmission).in_template(i));
         }
         let rules = rules.as_ref().filter(|r| !r.is_empty());
-        let named = |e: Reject| match e {
-            Reject::Malformed(e) => Reject::Malformed(format!("t[{i}].{e}")),
-            Reject::Never(e) => Reject::Never(format!("t[{i}].{e}")),
-            not_yet => not_yet,
-        };
-        admit(spec, rules, at, &controller.mirror, &controller.config).map_err(named)?;
+        admit(spec, rules, at, &controller.mirror, &controller.config)
+            .map_err(|reject| reject.in_template(i))?;
     }
     Ok(())
 }
@@ -173,12 +168,14 @@
     };
     match admit_chunk(controller, post, record.at) {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return ChunkAction::Respond(ApiResponse::later(why)),
+        Err(Reject::NotYet(why)) => {
+            return ChunkAction::Respond(ApiResponse::later(&why.to_string()));
+        }
         Err(Reject::Malformed(why)) => {
             return refuse(controller, &record, ApiResponse::bad_request(why));
         }
         Err(Reject::Never(why)) => {
-            let answer = ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, why);
+            let answer = ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, why.to_string());
             return refuse(controller, &record, answer);
         }
     }
@@ -435,12 +432,13 @@
     let rules: Rules = template.rules.unwrap_or_default();
     let at = wall_ms() as u64;
     app.with(|controller, _| {
-        if controller.mirror.machine_types.is_empty() {
+        if controller.mirror.catalog.machine_types.is_empty() {
             return ApiResponse::later("the machine types are not known yet");
         }
-        let all = &controller.mirror.machine_types;
+        let all = &controller.mirror.catalog.machine_types;
         match controller
             .mirror
+            .catalog
             .matcher
             .explain(&template.spec, &rules, all, at)
         {
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -5,7 +5,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::dependencies::{PastEnds, Resolution, never_accepted};
+use cherryyard_core::dependencies::{DependencyError, PastEnds, Resolution};
 use cherryyard_core::mirror::{OpenJob, over};
 use cherryyard_core::users::UserAnswer;
 use cherryyard_wire::condor::{FIRST_ID, is_reserved};
@@ -114,11 +114,12 @@
     let mut past = PastEnds::new();
     let mut caught_up = false;
     loop {
-        let unknown = match app.with(|controller, _| controller.resolve_dependencies(spec, &past)) {
-            Resolution::Accepted(after) => return Ok(after),
-            Resolution::Never(why) => return Err(never(app, job, why).await),
-            Resolution::Unknown(need) => need,
-        };
+        let unknown =
+            match app.with(|controller, _| controller.mirror.resolve_dependencies(spec, &past)) {
+                Resolution::Accepted(after) => return Ok(after),
+                Resolution::Never(why) => return Err(never(app, job, why.to_string()).await),
+                Resolution::Unknown(need) => need,
+            };
         if !caught_up {
             if !app.caught_up().await {
                 return Err(ApiResponse::later("the state service cannot be reached"));
@@ -132,7 +133,10 @@
         };
         match found.past {
             Some(p) => past.insert(unknown, p.end),
-            None => return Err(never(app, job, never_accepted(unknown)).await),
+            None => {
+                let why = DependencyError::NeverAccepted(unknown);
+                return Err(never(app, job, why.to_string()).await);
+            }
         };
     }
 }
@@ -194,9 +198,9 @@
     }
     match verdict {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return ApiResponse::later(why),
+        Err(Reject::NotYet(why)) => return ApiResponse::later(&why.to_string()),
         Err(Reject::Malformed(why)) => return ApiResponse::bad_request(why),
-        Err(Reject::Never(why)) => return never(app, job, why).await,
+        Err(Reject::Never(why)) => return never(app, job, why.to_string()).await,
     }
     let named = spec.clone();
     spec.waits_on.clear();
@@ -236,11 +240,11 @@
         let why = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
         return Attempt::Answered(ApiResponse::bad_request(why));
     }
-    open.after = match resolve_dependencies(app, named, job).await {
+    open.dependencies = match resolve_dependencies(app, named, job).await {
         Ok(after) => after,
         Err(answer) => return Attempt::Answered(answer),
     };
-    let status = if open.after.cancelled_by.is_some() {
+    let status = if open.dependencies.cancelled_by.is_some() {
         JobStatus::Cancelled
     } else {
         JobStatus::Queued
