--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -1,11 +1,11 @@
-//! Cancellations as controllers tell them to each other.
+//! Cancellations as controllers report them to each other in heartbeats.
 //!
 //! While nobody reaches the state service nobody can take a cancellation, so an owner
 //! may go on answering its workers for as long as that lasts. But one may have been
-//! taken just before, by another controller, and not have been told to this owner: it stood
-//! still, or was cut off alone when the outage began. So every controller tells the others
+//! taken just before, by another controller, and not have been reported to this owner: it stood
+//! still, or was cut off alone when the outage began. So every controller reports to the others
 //! what it has lately learnt of, and an owner relies on the outage only as far as it
-//! has been told without a gap. `docs/restart.md` has the argument and its model.
+//! has received these reports without a gap. `docs/restart.md` has the argument and its model.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -17,9 +17,9 @@
 /// For how long a cancellation is announced: longer than a controller stands still.
 const ANNOUNCE_MS: Millis = 60_000.0;
 /// Cancellations that a heartbeat names.
-const MAX_TOLD: usize = 200;
+const MAX_LISTED: usize = 200;
 /// Time between the last heartbeat of a process that said it was cut off and the start of the
-/// one after it, in which it has told no user of a cancellation: see
+/// one after it, in which it has confirmed no cancellation to a user: see
 /// [`Controller::may_confirm_cancelled`].
 const RESTART_MS: Millis = 10_000.0;
 /// The same as the controller that waits for it counts: clocks drift apart.
@@ -30,32 +30,32 @@
 /// the peer to extend that lease.
 const EXTENSION_MARGIN_MS: Millis = 10_000.0;
 
-/// Cancellations that are told, and those that were announced to us.
+/// Cancellations that we report, and those that were announced to us.
 #[derive(Clone, Debug)]
-pub(crate) struct Cancelled {
+pub(crate) struct Cancellations {
     /// When we learnt of each.
-    lately: VecDeque<(Millis, u64)>,
+    recent: VecDeque<(Millis, u64)>,
     /// Since when that list has no gap.
     since: Millis,
     /// Jobs that others know to be cancelled, and we have not read of, and when they were
     /// first announced to us. Whatever we know of them: a shard that we have just adopted may
     /// run tasks of jobs that we have yet to read of.
     announced: BTreeMap<u64, Millis>,
-    /// When we last told that we were cut off; at first our start, as the process before
-    /// may have said so just before.
-    cut_off_told_at: Millis,
+    /// When we last reported that we were cut off; at first our start, as the process before
+    /// may have done so just before.
+    cut_off_reported_at: Millis,
 }
 
 /// Up to when a peer's cancellations are known here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Covered {
+pub(crate) struct CancellationCoverage {
     /// Until then at least it may have taken some: when the state service last answered
     /// it or, where that is not known, when its process began.
     contact: Millis,
     /// All that it has learnt up to then is known.
     to: Millis,
-    /// Whether the heartbeat that told so said that its sender was cut off: then it, and
-    /// whoever follows it soon, has told no user of a cancellation since.
+    /// Whether the heartbeat that showed this said that its sender was cut off: then it, and
+    /// a process that follows it soon, has confirmed no cancellation to a user since.
     cut_off: bool,
 }
 
@@ -64,9 +64,9 @@
     now - f64::from(ago_ms) * 0.999
 }
 
-impl Covered {
+impl CancellationCoverage {
     /// What was known `before` a heartbeat, with the newest contact of its sender with the
-    /// state service that the heartbeat tells of.
+    /// state service that the heartbeat reports.
     fn with_contact(before: Option<Self>, heartbeat: &Heartbeat, now: Millis) -> Self {
         let contact = match (heartbeat.silent_ms, before) {
             (u32::MAX, Some(before)) => before.contact,
@@ -103,8 +103,8 @@
     }
 
     /// What is known after a heartbeat whose list begins at `list_from`, after a gap: what was
-    /// told before the gap, and nothing of what was taken in it. What the next process says of
-    /// itself tells nothing of the one before.
+    /// reported before the gap, and nothing of what was taken in it. What the next process says
+    /// of itself shows nothing of the one before.
     fn after_gap(self, list_from: Millis) -> Self {
         Self {
             contact: self.contact.max(list_from),
@@ -112,64 +112,69 @@
         }
     }
 
-    /// Whether the peer can have taken no cancellation that was neither told nor read by a
+    /// Whether the peer can have taken no cancellation that was neither reported nor read by a
     /// read sent at `read_sent_at`.
     fn is_complete(&self, read_sent_at: Millis) -> bool {
         self.contact <= self.to || self.contact < read_sent_at
     }
 }
 
-impl Cancelled {
-    /// Nothing has been told or announced yet.
+impl Cancellations {
+    /// Nothing has been reported or announced yet.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
-            lately: VecDeque::new(),
+            recent: VecDeque::new(),
             since: now,
             announced: BTreeMap::new(),
-            cut_off_told_at: now,
+            cut_off_reported_at: now,
         }
     }
 
     /// The list for a heartbeat, with what is new in it, and how far back it reaches in
     /// milliseconds. `has_gap`: there may be cancellations that we have read past, and they
     /// cannot be named.
-    pub(crate) fn tell(&mut self, new: Vec<u64>, has_gap: bool, now: Millis) -> (Vec<u64>, u32) {
+    pub(crate) fn list_for_heartbeat(
+        &mut self,
+        new: Vec<u64>,
+        has_gap: bool,
+        now: Millis,
+    ) -> (Vec<u64>, u32) {
         if has_gap {
             self.since = now;
         }
         for job in new {
             if self.announced.remove(&job).is_none() {
-                self.lately.push_back((now, job));
+                self.recent.push_back((now, job));
             }
         }
-        while let Some(&(at, _)) = self.lately.front()
-            && (now - at > ANNOUNCE_MS || self.lately.len() > MAX_TOLD)
+        while let Some(&(at, _)) = self.recent.front()
+            && (now - at > ANNOUNCE_MS || self.recent.len() > MAX_LISTED)
         {
-            self.lately.pop_front();
+            self.recent.pop_front();
             self.since = self.since.max(at);
         }
         let reach_ms = (now - self.since).clamp(0.0, ANNOUNCE_MS);
-        let jobs = self.lately.iter().map(|(_, job)| *job).collect();
+        let jobs = self.recent.iter().map(|(_, job)| *job).collect();
         (jobs, reach_ms as u32)
     }
 
-    /// Notes that we tell the others that we are cut off.
-    pub(crate) fn announced_cut_off(&mut self, now: Millis) {
-        self.cut_off_told_at = now;
+    /// Notes that we report to the others that we are cut off.
+    pub(crate) fn cut_off_reported(&mut self, now: Millis) {
+        self.cut_off_reported_at = now;
     }
 
     /// When we learnt that a job is cancelled, if that is no longer ago than is announced.
     pub(crate) fn learnt_at(&self, job: u64) -> Option<Millis> {
-        let mut lately = self.lately.iter();
-        lately.find(|(_, known)| *known == job).map(|(at, _)| *at)
+        let mut recent = self.recent.iter();
+        recent.find(|(_, known)| *known == job).map(|(at, _)| *at)
     }
 
-    /// Whether another controller has told that a job is cancelled.
+    /// Whether another controller has reported that a job is cancelled.
     pub(crate) fn is_announced(&self, job: u64) -> bool {
         self.announced.contains_key(&job)
     }
 
-    /// Keeps what a heartbeat names, and tells it on: its sender may end, and a controller that
+    /// Keeps what a heartbeat names, and reports it on: its sender may end, and a controller that
     /// has just started goes by what the others say. False if there is no room for all of it.
     fn keep(&mut self, jobs: impl Iterator<Item = u64>, now: Millis) -> bool {
         let mut kept_all = true;
@@ -180,7 +185,7 @@
             if self.announced.len() < MAX_ANNOUNCED {
                 self.announced.insert(job, now);
                 if self.learnt_at(job).is_none() {
-                    self.lately.push_back((now, job));
+                    self.recent.push_back((now, job));
                 }
             } else {
                 kept_all = false;
@@ -195,7 +200,7 @@
 }
 
 impl Controller {
-    /// Takes what a heartbeat, made at `made_at` or later, tells of cancellations. Returns up to
+    /// Takes what a heartbeat, made at `made_at` or later, reports of cancellations. Returns up to
     /// when we know of all that its sender has learnt, and until when it may have taken some.
     pub(crate) fn learn_cancellations(
         &mut self,
@@ -203,11 +208,11 @@
         heartbeat: &Heartbeat,
         made_at: Millis,
         now: Millis,
-    ) -> Covered {
+    ) -> CancellationCoverage {
         let kept_all = self.keep_announced(heartbeat, now);
         self.forget_announced();
         let before = self.peers.get(peer).map(|state| state.covered);
-        let covered = Covered::with_contact(before, heartbeat, now);
+        let covered = CancellationCoverage::with_contact(before, heartbeat, now);
         let list_from = peer_time(heartbeat.reach_ms, now);
         // No gap between what we knew and where the list begins. A read sent in the same
         // moment may have come before.
@@ -243,22 +248,22 @@
         });
     }
 
-    /// Whether a user may be told that a job is cancelled.
+    /// Whether it may be confirmed to a user that a job is cancelled.
     ///
-    /// A controller that has said that it is cut off tells nobody of a cancellation that the
-    /// others may not know: they go on answering workers by that word, and if this process
-    /// ended before its next heartbeat nobody would ever tell them. So each of the others has
-    /// to have named a heartbeat of ours from after it was learnt, or one from after we were
+    /// A controller that has reported that it is cut off confirms no cancellation that the
+    /// others may not know: they go on answering workers on the strength of that report, and if
+    /// this process ended before its next heartbeat they would never know. So each of the others has
+    /// to have acknowledged a heartbeat of ours from after it was learnt, or one from after we were
     /// last cut off; or so much time has passed that they do not take the process after
     /// this one for one that has stayed cut off.
     pub fn may_confirm_cancelled(&self, job: u64, now: Millis) -> bool {
-        let cut_off_told_at = self.cancelled.cut_off_told_at;
+        let cut_off_reported_at = self.cancelled.cut_off_reported_at;
         let learnt_at = self.cancelled.learnt_at(job);
-        now - cut_off_told_at > RESTART_DRIFT_MS
-            || self.acknowledged_by_all_since(cut_off_told_at)
+        now - cut_off_reported_at > RESTART_DRIFT_MS
+            || self.acknowledged_by_all_since(cut_off_reported_at)
             || match learnt_at {
                 Some(learnt_at) => self.acknowledged_by_all_since(learnt_at),
-                // Told for a minute, or learnt since the last heartbeat.
+                // Reported for a minute, or learnt since the last heartbeat.
                 None => now - self.started_at > ANNOUNCE_MS && !self.mirror.is_new_cancel(job),
             }
     }
@@ -275,7 +280,7 @@
     /// Only for tokens of our own leases, of a process before this one: that is dead,
     /// as there is one at a time, and this one has not read the state, so nobody alive
     /// is that token's owner and counts on the lease. Only by the word of a peer that
-    /// lived through and knows of every cancellation, and for nothing that it tells to
+    /// lived through and knows of every cancellation, and for nothing that it reports to
     /// be cancelled. Cancellations before its list reaches back are older than a lease,
     /// and their tasks have gone.
     pub(crate) fn may_extend_lease(
@@ -317,7 +322,7 @@
             })
     }
 
-    /// Whether there can be no cancellation that we have neither read nor been told of.
+    /// Whether there can be no cancellation that we have neither read nor received a report of.
     pub(crate) fn knows_cancellations(&self) -> bool {
         let read_sent_at = self.state_contact.read_sent_at();
         let mut others = self.peers.other_states();
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -24,7 +24,7 @@
 use crate::admission::demand::Demand;
 use crate::admission::entitlements::Entitlements;
 use crate::admission::intake::Intake;
-use crate::cancelled::Cancelled;
+use crate::cancelled::Cancellations;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::event_loop_lag::EventLoopLag;
 use crate::leader::state::Leader;
@@ -80,7 +80,7 @@
     /// Workers of other controllers' shards that report here.
     pub(crate) misdirected: MisdirectedWorkers,
     /// Cancellations that controllers tell each other.
-    pub(crate) cancelled: Cancelled,
+    pub(crate) cancelled: Cancellations,
     /// When our shards' free capacity was last reported, and whether it has changed since.
     pub(crate) reported_at: Millis,
     pub(crate) capacity_changed: bool,
@@ -135,7 +135,7 @@
             leader: Leader::new(&config, now),
             peers: Peers::new(config.me, shard_count, now),
             misdirected: MisdirectedWorkers::default(),
-            cancelled: Cancelled::new(now),
+            cancelled: Cancellations::new(now),
             reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
             machine_types_from_cloud: None,
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What this controller tells the others now. The admission's part is added last, as it
+    /// The heartbeat that this controller sends the others now. The admission's part is added last, as it
     /// numbers the heartbeat.
     pub fn heartbeat_out(&mut self, now: Millis) -> Heartbeat {
         self.notice(now);
@@ -84,10 +84,12 @@
         let short = self.teams_short_of_grants(now);
         let has_gap = self.mirror.has_gap();
         let new_cancellations = self.mirror.new_cancels();
-        let (cancelled, reach_ms) = self.cancelled.tell(new_cancellations, has_gap, now);
+        let (cancelled, reach_ms) =
+            self.cancelled
+                .list_for_heartbeat(new_cancellations, has_gap, now);
         let cut_off = self.state_contact.is_cut_off(now);
         if cut_off {
-            self.cancelled.announced_cut_off(now);
+            self.cancelled.cut_off_reported(now);
         }
         let mut heartbeat = Heartbeat {
             label: self.config.labels[self.config.me].clone(),
@@ -136,7 +138,7 @@
     }
 
     /// As the leader, the teams that are short of their grants. The leader's own shards give back
-    /// what the other owners give back when they hear of it.
+    /// what the other owners give back when they receive this.
     fn teams_short_of_grants(&mut self, now: Millis) -> Vec<String> {
         if !self.leader.leads(&self.mirror) {
             return Vec::new();
@@ -188,8 +190,8 @@
 
     /// Controllers that have long acknowledged no heartbeat of ours, though we send them one
     /// twice a second: the connection to each is to be made anew. One that was down, or
-    /// behind a cut, may be back and know nothing of the old connection, which tells us
-    /// nothing for a minute or more. Each is named again after the same time.
+    /// behind a cut, may be back and know nothing of the old connection, which shows us
+    /// nothing of that for a minute or more. Each is named again after the same time.
     pub fn deaf_peers(&mut self, now: Millis) -> Vec<&str> {
         let mut deaf = Vec::new();
         for peer in self.peers.others() {
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -60,7 +60,7 @@
                 // Who hears nobody at all cannot tell a dead leader from a cut
                 // between controllers; the state service tells, by its lease.
                 // Else the lead went round among all, again and again.
-                let anyone = self.peers.any_heard_within(SUCCESSION_MS, now);
+                let anyone = self.peers.any_received_within(SUCCESSION_MS, now);
                 match silent.filter(|_| anyone) {
                     Some(ms) => ms > limit && now - self.started_at > 4000.0,
                     None => silent.is_none() && anyone && now - self.started_at > 4000.0 + limit,
@@ -106,7 +106,7 @@
         (1..n)
             .map(|k| (from + k) % n)
             .take_while(|&i| i != self.config.me)
-            .filter(|&i| self.peers.heard_within(i, SUCCESSION_MS, now))
+            .filter(|&i| self.peers.received_within(i, SUCCESSION_MS, now))
             .count()
     }
 
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -282,8 +282,8 @@
         }
     }
 
-    /// The shard's token, if its owner has been able to hear its workers for long enough, and
-    /// nothing else is under way.
+    /// The shard's token, if this controller has owned it for long enough to receive its workers'
+    /// heartbeats, and nothing else is under way.
     fn releasable(&self, shard_id: usize, silence_ms: Millis, now: Millis) -> Option<u64> {
         let token = self.owned(shard_id)?;
         let shard = &self.shards[shard_id];
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -2,7 +2,7 @@
 //! and which formats of stored records its build can work with.
 
 use crate::Millis;
-use crate::cancelled::Covered;
+use crate::cancelled::CancellationCoverage;
 use cherryyard_wire::peer::Heartbeat;
 
 /// Silence after which submissions are no longer forwarded to a peer.
@@ -27,30 +27,30 @@
 #[derive(Clone, Debug)]
 pub(crate) struct PeerState {
     pub(crate) heartbeat: Heartbeat,
-    pub(crate) last_heard_at: Millis,
+    pub(crate) last_received_at: Millis,
     /// When its newest heartbeat was made at the earliest: when ours was sent that it
     /// acknowledges. A heartbeat may have been held back on its way for any time.
     pub(crate) made_at: Millis,
     /// Up to when we know of all cancellations that it has learnt of.
-    pub(crate) covered: Covered,
+    pub(crate) covered: CancellationCoverage,
 }
 
 impl PeerState {
     /// Whether a heartbeat of it came within the last `silence_ms`.
-    pub(crate) fn heard_within(&self, silence_ms: Millis, now: Millis) -> bool {
-        now - self.last_heard_at < silence_ms
+    pub(crate) fn received_within(&self, silence_ms: Millis, now: Millis) -> bool {
+        now - self.last_received_at < silence_ms
     }
 
     /// The same, and it can reach the state service.
     pub(crate) fn has_state_within(&self, silence_ms: Millis, now: Millis) -> bool {
-        self.heard_within(silence_ms, now) && !self.heartbeat.cut_off
+        self.received_within(silence_ms, now) && !self.heartbeat.cut_off
     }
 
     /// Whether a heartbeat that now comes is older than the newest one.
     fn supersedes(&self, heartbeat: &Heartbeat, made_at: Millis, now: Millis) -> bool {
         heartbeat.number < self.heartbeat.number
             && made_at <= self.made_at
-            && self.heard_within(DELAYED_MS, now)
+            && self.received_within(DELAYED_MS, now)
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Peers {
-    /// None of `count` controllers has been heard yet; `me` is our own place.
+    /// None of `count` controllers has sent anything yet; `me` is our own place.
     pub(crate) fn new(me: usize, count: usize, now: Millis) -> Self {
         Self {
             me,
@@ -88,12 +88,12 @@
         self.states[peer].as_ref()
     }
 
-    /// The peers that have been heard, in order.
+    /// The peers of which a heartbeat has come, in order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &PeerState> {
         self.states.iter().flatten()
     }
 
-    /// The peers that have been heard, in order, with their places.
+    /// The peers of which a heartbeat has come, in order, with their places.
     pub(crate) fn enumerate(&self) -> impl Iterator<Item = (usize, &PeerState)> {
         let states = self.states.iter().enumerate();
         states.filter_map(|(peer, state)| Some((peer, state.as_ref()?)))
@@ -105,20 +105,20 @@
         (0..self.states.len()).filter(move |&peer| peer != me)
     }
 
-    /// What each other controller last sent, those that were never heard included.
+    /// What each other controller last sent, those that never sent anything included.
     pub(crate) fn other_states(&self) -> impl Iterator<Item = Option<&PeerState>> {
         self.others().map(|peer| self.get(peer))
     }
 
-    /// For how long a peer has been silent, if it was ever heard.
+    /// For how long a peer has been silent, if a heartbeat of it ever came.
     pub(crate) fn silence(&self, peer: usize, now: Millis) -> Option<Millis> {
-        self.get(peer).map(|state| now - state.last_heard_at)
+        self.get(peer).map(|state| now - state.last_received_at)
     }
 
     /// Whether a heartbeat of a peer came within the last `silence_ms`.
-    pub(crate) fn heard_within(&self, peer: usize, silence_ms: Millis, now: Millis) -> bool {
+    pub(crate) fn received_within(&self, peer: usize, silence_ms: Millis, now: Millis) -> bool {
         self.get(peer)
-            .is_some_and(|state| state.heard_within(silence_ms, now))
+            .is_some_and(|state| state.received_within(silence_ms, now))
     }
 
     /// The same, and it can reach the state service.
@@ -127,9 +127,10 @@
             .is_some_and(|state| state.has_state_within(silence_ms, now))
     }
 
-    /// Whether any peer was heard within the last `silence_ms`.
-    pub(crate) fn any_heard_within(&self, silence_ms: Millis, now: Millis) -> bool {
-        self.iter().any(|state| state.heard_within(silence_ms, now))
+    /// Whether a heartbeat of any peer came within the last `silence_ms`.
+    pub(crate) fn any_received_within(&self, silence_ms: Millis, now: Millis) -> bool {
+        self.iter()
+            .any(|state| state.received_within(silence_ms, now))
     }
 
     /// Whether every other controller has said, in a heartbeat made within the last
@@ -147,7 +148,7 @@
             .filter(|peer| peer.has_state_within(MISDIRECTED_REPORTS_MS, now))
             .flat_map(|peer| &peer.heartbeat.misdirected)
             .filter(|(shard, _)| *shard as usize == shard_id)
-            // Each goes from one controller to the next: none hears them all.
+            // Each goes from one controller to the next: none gets the reports of all.
             .map(|(_, count)| count)
             .sum()
     }
@@ -170,14 +171,14 @@
         peer: usize,
         heartbeat: Heartbeat,
         made_at: Millis,
-        covered: Covered,
+        covered: CancellationCoverage,
         now: Millis,
     ) {
         let before = self.get(peer);
         self.states[peer] = Some(PeerState {
             made_at: before.map_or(made_at, |state| state.made_at.max(made_at)),
             heartbeat,
-            last_heard_at: now,
+            last_received_at: now,
             covered,
         });
     }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -42,7 +42,7 @@
     pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
-            // Other controllers may count on our having told nobody.
+            // Other controllers may count on our having confirmed it to nobody.
             // One that never had a task is in nobody's way.
             Some((JobStatus::Cancelled, view))
                 if view.cancelled_by.is_none() && !self.may_confirm_cancelled(job, now) =>
@@ -67,7 +67,7 @@
 
     /// Sets the rate at which this controller may make users' writes, which leave room
     /// for leases and assignments. Each has an even part of the budget, and lends most of it to
-    /// the leader, to whom submissions are forwarded, while the two hear each other.
+    /// the leader, to whom submissions are forwarded, while the two receive each other's heartbeats.
     ///
     /// No part is used twice. A leader uses what a controller lends for a time after it
     /// sent the last heartbeat that this one has acknowledged; the lender takes it back a longer
@@ -144,7 +144,7 @@
     }
 
     /// How long, in milliseconds, submissions forwarded to a controller may take there, beyond
-    /// what is usual, by what it last told.
+    /// what is usual, by its last heartbeat.
     pub fn intake_ms(&self, label: &str) -> u64 {
         let peer = self.place_of(label).and_then(|place| self.peers.get(place));
         peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -38,7 +38,7 @@
             .as_ref()
             .map(|c| (c.revision, c.label.clone()));
         let peers = self.peers.iter();
-        for peer in peers.filter(|peer| peer.heard_within(KNOWN_LEASES_MS, now)) {
+        for peer in peers.filter(|peer| peer.received_within(KNOWN_LEASES_MS, now)) {
             for (shard, token, label) in &peer.heartbeat.leases {
                 if *shard as usize == shard_id && best.as_ref().is_none_or(|b| b.0 < *token) {
                     best = Some((*token, label.clone()));
@@ -61,8 +61,10 @@
         }
         let owner = self.owner_elsewhere(shard_id, now);
         let owner = owner.and_then(|label| self.config.labels.iter().position(|l| *l == label));
-        let owner_alive =
-            owner.is_some_and(|owner| self.peers.heard_within(owner, MISDIRECTED_REPORTS_MS, now));
+        let owner_alive = owner.is_some_and(|owner| {
+            self.peers
+                .received_within(owner, MISDIRECTED_REPORTS_MS, now)
+        });
         let host = self.mirror.hosts.intern(&report.host);
         if self.misdirected.reported(shard_id, host, owner_alive, now) {
             let addr = report.addr.clone();
