--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -192,19 +192,19 @@
     /// twice a second: the connection to each is to be made anew. One that was down, or
     /// behind a cut, may be back and know nothing of the old connection, which shows us
     /// nothing of that for a minute or more. Each is named again after the same time.
-    pub fn deaf_peers(&mut self, now: Millis) -> Vec<&str> {
-        let mut deaf = Vec::new();
+    pub fn peers_to_reconnect(&mut self, now: Millis) -> Vec<&str> {
+        let mut unacknowledging = Vec::new();
         for peer in self.peers.others() {
             let acknowledged_at = self.named_at(peer).unwrap_or(self.started_at);
             if self.peers.reconnect_due(peer, acknowledged_at, now) {
-                deaf.push(self.config.labels[peer].as_str());
+                unacknowledging.push(self.config.labels[peer].as_str());
             }
         }
-        deaf
+        unacknowledging
     }
 
     /// Takes what another controller says of its build.
-    pub fn peer_runs(&mut self, sender: &Sender, now: Millis) {
+    pub fn note_peer_build(&mut self, sender: &Sender, now: Millis) {
         let Some(peer) = self.place_of(&sender.label) else {
             return;
         };
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -338,7 +338,7 @@
         let now = w.now;
         let controller = w.controllers[0].as_mut().expect("running");
         controller
-            .deaf_peers(now)
+            .peers_to_reconnect(now)
             .into_iter()
             .map(Into::into)
             .collect()
--- a/crates/cherryyard/src/app/loops.rs
+++ b/crates/cherryyard/src/app/loops.rs
@@ -71,7 +71,7 @@
                 () = self.heartbeat_wanted.notified() => {}
             }
             let heartbeat = self.with(|n, now| {
-                for label in n.deaf_peers(now) {
+                for label in n.peers_to_reconnect(now) {
                     if let Some(anew) = self.anew.get(label) {
                         tracing::debug!(label, "connect to a controller anew");
                         anew.notify_one();
--- a/crates/cherryyard/src/messages.rs
+++ b/crates/cherryyard/src/messages.rs
@@ -13,7 +13,7 @@
     /// Takes another controller's frame.
     pub fn take_frame(self: &Arc<Self>, frame: Frame) {
         if let Some(sender) = frame.sender {
-            self.with(|n, now| n.peer_runs(&sender, now));
+            self.with(|n, now| n.note_peer_build(&sender, now));
         }
         if let Some(message) = frame.message {
             self.take_message(message);
