--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -80,7 +80,7 @@
         // Who hears nobody at all cannot tell a dead leader from a partition
         // between controllers; the state service tells, by its lease.
         // Without this the leadership went from one to the next, again and again.
-        let hears_any = self.peers.any_heard_within(SUCCESSION_MS, now);
+        let hears_any = self.peers.any_received_within(SUCCESSION_MS, now);
         hears_any
             && match silence_ms {
                 Some(silence_ms) => silence_ms > limit_ms && up_ms > START_MS,
@@ -93,7 +93,7 @@
         let controllers = self.config.labels.len();
         let mut labels = self.config.labels.iter();
         let from = labels.position(|label| label == gone).unwrap_or(0);
-        let is_heard = |index: &usize| self.peers.heard_within(*index, SUCCESSION_MS, now);
+        let is_heard = |index: &usize| self.peers.received_within(*index, SUCCESSION_MS, now);
         (1..controllers)
             .map(|step| (from + step) % controllers)
             .take_while(|&index| index != self.config.me)
--- a/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
@@ -14,7 +14,7 @@
         let stored = self.mirror.shards[shard_id].as_ref();
         let mut newest = stored.map(|lease| (lease.revision, lease.label.clone()));
         let peers = self.peers.iter();
-        for peer in peers.filter(|peer| peer.heard_within(KNOWN_LEASES_MS, now)) {
+        for peer in peers.filter(|peer| peer.received_within(KNOWN_LEASES_MS, now)) {
             for (shard, token, label) in &peer.heartbeat.leases {
                 if *shard as usize == shard_id && newest.as_ref().is_none_or(|n| n.0 < *token) {
                     newest = Some((*token, label.clone()));
@@ -56,6 +56,9 @@
             return false;
         };
         let position = self.config.labels.iter().position(|label| *label == owner);
-        position.is_some_and(|owner| self.peers.heard_within(owner, MISDIRECTED_REPORTS_MS, now))
+        position.is_some_and(|owner| {
+            self.peers
+                .received_within(owner, MISDIRECTED_REPORTS_MS, now)
+        })
     }
 }
--- a/crates/cherryyard/src/app/peer_messages.rs
+++ b/crates/cherryyard/src/app/peer_messages.rs
@@ -13,7 +13,7 @@
     /// Takes another controller's frame.
     pub fn receive_frame(self: &Arc<Self>, frame: Frame) {
         if let Some(sender) = frame.sender {
-            self.with(|controller, now| controller.peer_runs(&sender, now));
+            self.with(|controller, now| controller.note_peer_build(&sender, now));
         }
         if let Some(message) = frame.message {
             self.receive_message(message);
--- a/crates/cherryyard/src/app/periodic_tasks.rs
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -92,7 +92,7 @@
                 () = self.heartbeat_wanted.notified() => {}
             }
             let heartbeat = self.with(|controller, now| {
-                for label in controller.deaf_peers(now) {
+                for label in controller.peers_to_reconnect(now) {
                     if let Some(reconnect) = self.peers.reconnect.get(label) {
                         tracing::debug!(label, "reconnecting to a controller");
                         reconnect.notify_one();
