--- a/crates/cherryyard/src/app/effects.rs
+++ b/crates/cherryyard/src/app/effects.rs
@@ -141,6 +141,15 @@
         self.with(|controller, now| controller.state_answered(sent_at, now));
         outcome
     }
+    /// Sends a user's transaction; the core hears of one that was applied.
+    pub async fn commit_for_user(self: &Arc<Self>, commit: &Commit) -> Outcome {
+        let outcome = self.commit(commit).await;
+        if let Outcome::Applied(store_revision) = outcome {
+            self.with(|controller, now| controller.user_committed(commit, store_revision, now));
+        }
+        outcome
+    }
+
     fn rejected_transactions(&self) -> MutexGuard<'_, RejectedTransactions> {
         self.rejected.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -152,7 +152,7 @@
 
     /// Looks in the small run, then in the large one: a job is in the large one
     /// before it leaves the small one, so it is missed in neither.
-    async fn look(self: &Arc<Self>, job: u64) -> Option<Found> {
+    async fn look_up(self: &Arc<Self>, job: u64) -> Option<Found> {
         let (moved_at, spilling) = self.with(|controller, _| moved(controller));
         let mut small_read_at = 0;
         for level in Controller::LOOKUP_ORDER {
@@ -181,24 +181,10 @@
                 }
                 Answer::Absent(_) | Answer::Unknown => {}
             }
-            lock(&self.history.counts).reads += 1;
-            let read = self.clients.state.read_leaf(level, job).await.ok()?;
-            let store_revision = read.store_revision;
+            let (read_at, past) = self.read_leaf_of(level, job).await?;
             if level == Level::Small {
-                small_read_at = store_revision;
+                small_read_at = read_at;
             }
-            let (last, leaf) = match read.leaf {
-                Some(stored) => {
-                    let last = stored.last_job;
-                    let leaf = Leaf::of_record(&stored.record).map_err(|e| {
-                        tracing::error!(last, "invalid leaf of the history: {e}");
-                    });
-                    (last, leaf.ok()?)
-                }
-                None => (LAST, Leaf::default()),
-            };
-            let past = leaf.find(job).copied();
-            lock(&self.history.cache).put(level, job, last, store_revision, leaf);
             if past.is_some() {
                 let moved = moved_at;
                 return Some(Found { past, moved });
@@ -210,6 +196,27 @@
         })
     }
 
+    /// Reads the leaf of a run that would hold a job, and keeps it in the cache; returns
+    /// the revision that the read describes, and the job if the leaf holds it.
+    async fn read_leaf_of(self: &Arc<Self>, level: Level, job: u64) -> Option<(u64, Option<Past>)> {
+        lock(&self.history.counts).reads += 1;
+        let read = self.clients.state.read_leaf(level, job).await.ok()?;
+        let (last, leaf) = match read.leaf {
+            Some(stored) => {
+                let last = stored.last_job;
+                let leaf = Leaf::of_record(&stored.record).map_err(|e| {
+                    tracing::error!(last, "invalid leaf of the history: {e}");
+                });
+                (last, leaf.ok()?)
+            }
+            None => (LAST, Leaf::default()),
+        };
+        let past = leaf.find(job).copied();
+        let mut cache = lock(&self.history.cache);
+        cache.put(level, job, last, read.store_revision, leaf);
+        Some((read.store_revision, past))
+    }
+
     /// Whose look-up is next: mostly a submission's, but polls are not starved.
     fn next_lookup(&self) -> Option<(u64, Vec<oneshot::Sender<Option<Found>>>)> {
         let mut queues = lock(&self.history.queues);
@@ -240,7 +247,7 @@
             let before = lock(&self.history.counts).reads;
             let found = match self.cached(job) {
                 Some(found) => Some(found),
-                None => self.look(job).await,
+                None => self.look_up(job).await,
             };
             for reply_to in waiting {
                 // The one who asked may have given up.
--- a/crates/cherryyard/src/app/periodic_tasks.rs
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -16,6 +16,10 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Least time between two heartbeats.
 const HEARTBEAT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a state lease was not granted, in milliseconds, before jitter.
+const LEASE_RETRY_MS: u64 = 400;
+/// Pause while the machine types are unknown, in milliseconds, before jitter.
+const UNKNOWN_TYPES_RETRY_MS: u64 = 1500;
 /// Time between two reads of the machine types.
 const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(120);
 
@@ -24,39 +28,41 @@
     pub(crate) async fn keep_state_lease(self: Arc<Self>) {
         let renewal_interval = Duration::from_millis(self.intervals.lease_ttl_ms / 4);
         loop {
-            let sent_at = self.now();
             match self.with(|controller, _| controller.lease_id()) {
-                None => match self
-                    .clients
-                    .state
-                    .grant_lease(self.intervals.lease_ttl_ms)
-                    .await
-                {
-                    Ok(lease_id) => self.with(|controller, now| {
-                        controller.state_answered(sent_at, now);
-                        controller.state_lease_changed(Some(lease_id), now);
-                    }),
-                    Err(_) => tokio::time::sleep(jittered(400)).await,
-                },
+                None => self.acquire_state_lease().await,
                 Some(lease_id) => {
                     tokio::time::sleep(renewal_interval).await;
-                    let sent_at = self.now();
-                    match self.clients.state.renew_lease(lease_id).await {
-                        Ok(()) => {
-                            self.with(|controller, now| controller.state_answered(sent_at, now))
-                        }
-                        Err(StateError::Gone) => {
-                            tracing::info!(lease_id, "state lease expired");
-                            self.with(|controller, now| controller.state_lease_changed(None, now));
-                        }
-                        // Tried again at once, but not faster than the budget.
-                        Err(_) => {}
-                    }
+                    self.renew_state_lease(lease_id).await;
                 }
             }
         }
     }
 
+    async fn acquire_state_lease(self: &Arc<Self>) {
+        let sent_at = self.now();
+        let ttl_ms = self.intervals.lease_ttl_ms;
+        match self.clients.state.grant_lease(ttl_ms).await {
+            Ok(lease_id) => self.with(|controller, now| {
+                controller.state_answered(sent_at, now);
+                controller.state_lease_changed(Some(lease_id), now);
+            }),
+            Err(_) => tokio::time::sleep(jittered(LEASE_RETRY_MS)).await,
+        }
+    }
+
+    /// Renews the state lease once; after a failure the next renewal follows in its time.
+    async fn renew_state_lease(self: &Arc<Self>, lease_id: u64) {
+        let sent_at = self.now();
+        match self.clients.state.renew_lease(lease_id).await {
+            Ok(()) => self.with(|controller, now| controller.state_answered(sent_at, now)),
+            Err(StateError::Gone) => {
+                tracing::info!(lease_id, "state lease expired");
+                self.with(|controller, now| controller.state_lease_changed(None, now));
+            }
+            Err(_) => {}
+        }
+    }
+
     /// Drives the core's clock.
     pub(crate) async fn run_clock(self: Arc<Self>) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
@@ -133,7 +139,7 @@
             }
             let unknown = machine_types_at.is_none();
             tokio::time::sleep(if unknown {
-                jittered(1500)
+                jittered(UNKNOWN_TYPES_RETRY_MS)
             } else {
                 self.intervals.machine_list
             })
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -2,6 +2,7 @@
 //! machines a job could run on.
 
 use super::response::ApiResponse;
+use super::retry::{MAX_ATTEMPTS, pause_after_refusal};
 use crate::app::{App, wall_ms};
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::{Controller, Outcome};
@@ -16,10 +17,7 @@
 use cherryyard_wire::state::{Apply, Commit, Json};
 use salvo::http::StatusCode;
 use std::sync::Arc;
-use std::time::Duration;
 
-/// Tries of a write before the client is told to come back.
-const TRIES: u64 = 4;
 /// Submissions that may be under way at once, and when to come back for others.
 const MAX_UNDER_WAY: usize = 64;
 const UNDER_WAY_RETRY_S: u32 = 20;
@@ -284,59 +282,54 @@
     let number = submission_number(&post.name);
     let at = wall_ms() as u64;
     let mut paid = false;
-    for attempt in 0..TRIES {
+    for attempt in 0..MAX_ATTEMPTS {
         if !app.caught_up().await {
             return ApiResponse::later("the state service cannot be reached");
         }
-        let mut free = None;
-        if post.chunk + 1 == post.of {
-            let before = app.with(|controller, _| {
-                controller
-                    .mirror
-                    .submissions
-                    .get(&number)
-                    .map_or(0, |s| s.0.jobs)
-            });
-            free = free_block(app, before + post.jobs.jobs()).await;
-        }
-        let (commit, status) =
-            match app.with(|controller, _| decide(controller, &mut post, at, free)) {
-                ChunkAction::Respond(answer) => return answer,
-                ChunkAction::Drop(commit, answer) => {
-                    // If this is lost, it is given up later for its silence.
-                    let outcome = app.commit(&commit).await;
-                    if let Outcome::Applied(store_revision) = outcome {
-                        app.with(|controller, now| {
-                            controller.user_committed(&commit, store_revision, now)
-                        });
-                    }
-                    return answer;
-                }
-                ChunkAction::Commit(commit, status) => (commit, status),
-            };
-        if !paid && let Err(seconds) = app.with(|controller, now| controller.take_user_write(now)) {
-            return ApiResponse::later_in("too many submissions at once", seconds);
-        }
+        let free = free_block_for(app, &post).await;
+        let action = app.with(|controller, _| decide(controller, &mut post, at, free));
+        let (commit, status) = match action {
+            ChunkAction::Respond(answer) => return answer,
+            ChunkAction::Drop(commit, answer) => {
+                // If this is lost, it is given up later, as no chunk follows.
+                app.commit_for_user(&commit).await;
+                return answer;
+            }
+            ChunkAction::Commit(commit, status) => (commit, status),
+        };
         if !paid {
+            if let Err(seconds) = app.with(|controller, now| controller.take_user_write(now)) {
+                return ApiResponse::later_in("too many submissions at once", seconds);
+            }
             // The chunk was one write; its submission's record is another.
             app.with(|controller, now| controller.spend_user_write(now));
             paid = true;
         }
-        match app.commit(&commit).await {
-            Outcome::Applied(store_revision) => {
-                app.with(|controller, now| controller.user_committed(&commit, store_revision, now));
+        match app.commit_for_user(&commit).await {
+            Outcome::Applied(_) => {
                 return app.with(|controller, _| view(controller, number, status));
             }
             Outcome::Conflict(_) => {}
-            Outcome::Refused => {
-                tokio::time::sleep(Duration::from_millis(60 + 60 * attempt)).await;
-            }
+            Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown | Outcome::Malformed => break,
         }
     }
     ApiResponse::later("the state service did not take the chunk")
 }
 
+/// A block of ids for the submission whose last chunk this is.
+async fn free_block_for(app: &Arc<App>, post: &ChunkPost) -> Option<(u64, u64)> {
+    if post.chunk + 1 != post.of {
+        return None;
+    }
+    let number = submission_number(&post.name);
+    let before = app.with(|controller, _| {
+        let known = controller.mirror.submissions.get(&number);
+        known.map_or(0, |submission| submission.0.jobs)
+    });
+    free_block(app, before + post.jobs.jobs()).await
+}
+
 /// A submission's state.
 pub(super) async fn state(app: &Arc<App>, name: &str) -> ApiResponse {
     if let Err(e) = check_name(name) {
@@ -372,57 +365,54 @@
 /// Removes a submission: 200 once all of its jobs are over, 202 before.
 pub(super) async fn remove(app: &Arc<App>, name: &str) -> ApiResponse {
     let number = submission_number(name);
-    for attempt in 0..TRIES {
+    for attempt in 0..MAX_ATTEMPTS {
         if !app.caught_up().await {
             return ApiResponse::later("the state service cannot be reached");
         }
-        let step = app.with(|controller, _| {
-            let record = controller
-                .mirror
-                .submissions
-                .get(&number)
-                .map(|s| s.0.clone());
-            let mut record = record.ok_or(StatusCode::OK)?;
-            let after = record.phase.after(PhaseEvent::Removed);
-            if after == record.phase {
-                let under_way = after == Phase::Cancelling;
-                return Err(if under_way {
-                    StatusCode::ACCEPTED
-                } else {
-                    StatusCode::OK
-                });
-            }
-            record.phase = after;
-            let mut commit = Commit::default();
-            controller
-                .mirror
-                .require(&mut commit, Key::Submission(number));
-            commit
-                .apply
-                .push(Apply::set(submission_key(number), &record));
-            Ok(commit)
-        });
-        let commit = match step {
+        let commit = match app.with(|controller, _| removal(controller, number)) {
             Ok(commit) => commit,
             Err(status) => return app.with(|controller, _| view(controller, number, status)),
         };
         // Like any cancellation never refused for the write budget.
         app.with(|controller, now| controller.spend_user_write(now));
-        match app.commit(&commit).await {
-            Outcome::Applied(store_revision) => {
-                app.with(|controller, now| controller.user_committed(&commit, store_revision, now));
+        match app.commit_for_user(&commit).await {
+            Outcome::Applied(_) => {
                 return app.with(|controller, _| view(controller, number, StatusCode::ACCEPTED));
             }
             Outcome::Conflict(_) => {}
-            Outcome::Refused => {
-                tokio::time::sleep(Duration::from_millis(60 + 60 * attempt)).await;
-            }
+            Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown | Outcome::Malformed => break,
         }
     }
     ApiResponse::later("the state service did not take the removal")
 }
 
+/// The transaction that removes a submission; or the status of the response, if there is
+/// nothing to be written.
+fn removal(controller: &Controller, number: u64) -> Result<Commit, StatusCode> {
+    let known = controller.mirror.submissions.get(&number);
+    let mut record = known.map(|s| s.0.clone()).ok_or(StatusCode::OK)?;
+    let after = record.phase.after(PhaseEvent::Removed);
+    if after == record.phase {
+        return Err(match after {
+            Phase::Cancelling => StatusCode::ACCEPTED,
+            Phase::Receiving
+            | Phase::Creating
+            | Phase::Created
+            | Phase::Cancelled
+            | Phase::Dropped => StatusCode::OK,
+        });
+    }
+    record.phase = after;
+    let mut commit = Commit::default();
+    controller
+        .mirror
+        .require(&mut commit, Key::Submission(number));
+    let key = submission_key(number);
+    commit.apply.push(Apply::set(key, &record));
+    Ok(commit)
+}
+
 /// Which machines a job could run on, and what others lack.
 pub(super) fn explain(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     let template = match parse_object::<Template>(body) {
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -1,6 +1,7 @@
 //! Submissions, polls and cancellations.
 
 use super::response::ApiResponse;
+use super::retry::{MAX_ATTEMPTS, pause_after_refusal};
 use crate::app::{App, LookupKind, wall_ms};
 use cherryyard_core::Outcome;
 use cherryyard_core::admission::intake::Verdict;
@@ -17,10 +18,6 @@
 use cherryyard_wire::rules::{Additions, Rules};
 use salvo::http::StatusCode;
 use std::sync::Arc;
-use std::time::Duration;
-
-/// Tries of one user's write before the user is told to come back.
-const TRIES: u64 = 4;
 
 /// `Retry-After` in seconds of a poll of an old or unknown job that is not looked up.
 const LOOKUP_RETRY_S: u32 = 3;
@@ -205,7 +202,7 @@
     let Some(mut open) = new else {
         return ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, "owner: unknown team");
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match offer_once(app, job, &named, &mut open).await {
             Attempt::Answered(answer) => return answer,
             Attempt::Retry => {}
@@ -287,7 +284,7 @@
     let Some(job) = job_number(id) else {
         return ApiResponse::error(StatusCode::NOT_FOUND, "no such job");
     };
-    for attempt in 0..TRIES {
+    for attempt in 0..MAX_ATTEMPTS {
         match lookup(app, job).await {
             Err(answer) => return answer,
             Ok(None) => return ApiResponse::error(StatusCode::NOT_FOUND, "no such job"),
@@ -302,15 +299,11 @@
         // Never refused for the write budget: what runs for a cancelled job is in
         // everybody's way.
         app.with(|controller, now| controller.spend_user_write(now));
-        match app.commit(&commit).await {
-            Outcome::Applied(store_revision) => {
-                app.with(|controller, now| controller.user_committed(&commit, store_revision, now))
-            }
-            // Malformed: it is divided as the limits now are.
-            Outcome::Conflict(_) | Outcome::Malformed => {}
-            Outcome::Refused => {
-                tokio::time::sleep(Duration::from_millis(60 + 60 * attempt)).await;
-            }
+        match app.commit_for_user(&commit).await {
+            // Applied: the next look-up says so. Malformed: it is divided as the limits now
+            // are.
+            Outcome::Applied(_) | Outcome::Conflict(_) | Outcome::Malformed => {}
+            Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown => break,
         }
     }
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -4,6 +4,7 @@
 mod condor;
 mod jobs;
 mod response;
+mod retry;
 
 use crate::app::App;
 use body::read_body;
