--- a/crates/cherryyard-clients/src/lib.rs
+++ b/crates/cherryyard-clients/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of everything outside one controller.
 //!
-//! Each call is bounded in time and size, and tells what matters about a
-//! failure: whether the request can still take effect.
+//! Each call is bounded in time and size. Errors distinguish what matters after a failure:
+//! whether the request can still take effect.
 
 pub mod cloud;
 pub mod http;
--- a/crates/cherryyard-clients/src/peer/tests.rs
+++ b/crates/cherryyard-clients/src/peer/tests.rs
@@ -27,8 +27,8 @@
         let first = OutgoingMessage::new(message.clone(), sender.clone());
         let (heartbeats, heartbeat) = watch::channel(Some(first));
         let (_others, other) = mpsc::channel(1);
-        let anew = Arc::new(Notify::new());
-        tokio::spawn(send(addr, heartbeat, other, anew.clone()));
+        let reconnect = Arc::new(Notify::new());
+        tokio::spawn(send(addr, heartbeat, other, reconnect.clone()));
         let mut held = Vec::new();
         for _ in 0..3 {
             let (stream, _) = listener.accept().await.expect("a connection");
@@ -50,7 +50,7 @@
             let read = decode(&next).expect("a known version");
             assert_eq!(read.sender.as_ref(), Some(&*sender), "greeted");
             held.push(frames);
-            anew.notify_one();
+            reconnect.notify_one();
         }
     });
 }
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -8,7 +8,7 @@
 //! kinds that it does not know, so a later build adds fields and messages as sections of
 //! their own. Who accepts a connection greets with a frame of version 9, which the other
 //! end of an earlier build never reads; only who has been greeted writes version 9 on
-//! that connection. So what a controller is told always is of a version that the process
+//! that connection. So what a controller receives always is of a version that the process
 //! at the other end can read, whichever build that is.
 
 use bitcode::{Decode, Encode};
--- a/crates/cherryyard-wire/src/settings.rs
+++ b/crates/cherryyard-wire/src/settings.rs
@@ -263,7 +263,7 @@
 }
 
 impl Limits {
-    /// Memory in bytes, as much as a small machine has if no limit is told.
+    /// Memory in bytes, as much as a small machine has if there is no limit.
     pub fn memory_bytes(&self) -> usize {
         let mb = if self.memory_mb > 0.0 {
             self.memory_mb
--- a/crates/cherryyard/src/app/barriers.rs
+++ b/crates/cherryyard/src/app/barriers.rs
@@ -13,7 +13,7 @@
 /// Requests that wait for the next read of the state.
 #[derive(Debug, Default)]
 pub(crate) struct Barriers {
-    /// Each is told whether the read succeeded.
+    /// Each receives whether the read succeeded.
     waiting: Mutex<Vec<oneshot::Sender<bool>>>,
     read_wanted: Notify,
 }
--- a/crates/cherryyard/src/app/effects.rs
+++ b/crates/cherryyard/src/app/effects.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Pause before a writer hears that its transaction is not sent.
+/// Pause before the outcome of a transaction that is not sent is returned.
 const MALFORMED_PAUSE: Duration = Duration::from_millis(250);
 /// Pause after the cloud was unavailable, in milliseconds, before jitter.
 const CLOUD_PAUSE_MS: u64 = 2500;
@@ -141,7 +141,7 @@
         self.with(|controller, now| controller.state_answered(sent_at, now));
         outcome
     }
-    /// Sends a user's transaction; the core hears of one that was applied.
+    /// Sends a user's transaction, and reports it to the core if it was applied.
     pub async fn commit_for_user(self: &Arc<Self>, commit: &Commit) -> Outcome {
         let outcome = self.commit(commit).await;
         if let Outcome::Applied(store_revision) = outcome {
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -1,8 +1,8 @@
 //! Look-ups of jobs in the history, which is in the state service only.
 //!
-//! A look-up costs at most two reads. They go one after another, within a share of
-//! the request budget that leaves the rest to assignments, leases and barriers; whoever
-//! asks for a job that a leaf read for another covers is answered by it.
+//! A look-up costs at most two reads. Reads go one after another, within a share of the
+//! request budget that leaves the rest to assignments, leases and barriers; a look-up of a
+//! job in a leaf that was read for another one is answered from the cache.
 
 use super::App;
 use super::lookup_queue::LookupQueue;
@@ -98,8 +98,8 @@
 }
 
 impl App {
-    /// Looks for a job that the mirror does not know, as of now; none if that
-    /// cannot be told, or not in time.
+    /// Looks for a job that the mirror does not know, as of now; none if the look-up
+    /// fails, or takes too long.
     pub(crate) async fn find_in_history(
         self: &Arc<Self>,
         job: u64,
@@ -131,7 +131,7 @@
         reply.ok().and_then(Result::ok).flatten()
     }
 
-    /// What leaves lately read tell, if that is enough.
+    /// The result by leaves in the cache, if they suffice.
     fn cached(self: &Arc<Self>, job: u64) -> Option<Found> {
         let (moved, spilling) = self.with(|controller, _| moved(controller));
         let mut cache = lock(&self.history.cache);
@@ -217,7 +217,7 @@
         Some((read.store_revision, past))
     }
 
-    /// Whose look-up is next: mostly a submission's, but polls are not starved.
+    /// The next look-up: mostly a submission's, but polls are not starved.
     fn next_lookup(&self) -> Option<(u64, Vec<oneshot::Sender<Option<Found>>>)> {
         let mut queues = lock(&self.history.queues);
         queues
--- a/crates/cherryyard/src/app/lookup_queue.rs
+++ b/crates/cherryyard/src/app/lookup_queue.rs
@@ -1,30 +1,32 @@
-//! Polls of old jobs that wait for a look-up: who first asked longest ago is next.
+//! Polls of old jobs that wait for a look-up: the job that was first polled longest ago is
+//! next.
 //!
-//! There may be more of them than can be looked up. In a plain queue it is luck who is
-//! served before giving up, and a job could be refused again and again while others are
-//! answered. Here a job keeps its place from when it was first asked for, also when
-//! whoever asked has given up: what is looked up then is there for the next one.
+//! There may be more polls than can be looked up. In a plain queue a poll could time out
+//! before its turn, again and again. Here a job keeps its place from its first poll, also
+//! after that poll has timed out: the result is cached for the next one.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs whose first asking is remembered.
-const MOST: usize = 1000;
-/// For how long a job that nobody asks for again keeps its place, in milliseconds: it is
-/// asked for every five seconds.
+/// Jobs that may wait at once.
+const MAX_JOBS: usize = 1000;
+/// For how long a job keeps its place after its last poll, in milliseconds. Users poll every
+/// five seconds.
 const KEEP_MS: u64 = 15_000;
 
 /// A job that waits.
 #[derive(Debug)]
-struct Place<T> {
-    first: u64,
-    last: u64,
+struct WaitingJob<T> {
+    /// Times of its first and last poll, in milliseconds of the steady clock.
+    first_poll: u64,
+    last_poll: u64,
     waiting: Vec<T>,
 }
 
 /// Jobs that wait for a look-up, and who waits for each.
 #[derive(Debug)]
 pub(super) struct LookupQueue<T> {
-    jobs: HashMap<u64, Place<T>>,
+    jobs: HashMap<u64, WaitingJob<T>>,
+    /// The same jobs by the time of their first poll.
     order: BTreeSet<(u64, u64)>,
 }
 
@@ -38,32 +40,32 @@
 }
 
 impl<T> LookupQueue<T> {
-    /// A job is asked for. Where too many wait, the one that came last makes way; its
-    /// waiting are dropped.
+    /// Adds a poll of a job at the time `now`. Beyond the bound the job that was polled
+    /// first last is dropped, with whoever waits for it.
     pub(super) fn query(&mut self, job: u64, waiting: T, now: u64) {
-        let place = self.jobs.entry(job).or_insert_with(|| Place {
-            first: now,
-            last: now,
+        let waiting_job = self.jobs.entry(job).or_insert_with(|| WaitingJob {
+            first_poll: now,
+            last_poll: now,
             waiting: Vec::new(),
         });
-        place.last = now;
-        place.waiting.push(waiting);
-        self.order.insert((place.first, job));
-        while self.jobs.len() > MOST {
+        waiting_job.last_poll = now;
+        waiting_job.waiting.push(waiting);
+        self.order.insert((waiting_job.first_poll, job));
+        while self.jobs.len() > MAX_JOBS {
             if let Some((_, last)) = self.order.pop_last() {
                 self.jobs.remove(&last);
             }
         }
     }
 
-    /// The job whose turn it is, and who waits for it; none may wait any more.
+    /// The job to look up next, and who waits for it; they may all have given up.
     pub(super) fn next(&mut self, now: u64) -> Option<(u64, Vec<T>)> {
         while let Some((_, job)) = self.order.pop_first() {
-            let Some(place) = self.jobs.remove(&job) else {
+            let Some(waiting_job) = self.jobs.remove(&job) else {
                 continue;
             };
-            if now.saturating_sub(place.last) <= KEEP_MS {
-                return Some((job, place.waiting));
+            if now.saturating_sub(waiting_job.last_poll) <= KEEP_MS {
+                return Some((job, waiting_job.waiting));
             }
         }
         None
--- a/crates/cherryyard/src/app/lookup_queue/tests.rs
+++ b/crates/cherryyard/src/app/lookup_queue/tests.rs
@@ -30,7 +30,7 @@
     for job in 0..5000 {
         lookup_queue.query(job, (), job);
     }
-    assert_eq!(lookup_queue.jobs.len(), MOST);
+    assert_eq!(lookup_queue.jobs.len(), MAX_JOBS);
     assert_eq!(lookup_queue.next(5000).map(|n| n.0), Some(0));
     assert_eq!(lookup_queue.next(90_000), None, "nobody asks any more");
 }
--- a/crates/cherryyard/src/routes/retry.rs
+++ b/crates/cherryyard/src/routes/retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Attempts of one user's write before the user is told to come back.
+/// Attempts of one user's write before the user gets a 503.
 pub(super) const MAX_ATTEMPTS: u64 = 4;
 
 /// Waits after the state service refused an attempt, longer after each; they count from 0.
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -35,7 +35,7 @@
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Idle connections that are kept to the state service.
 const STATE_CONNECTIONS: usize = 8;
-/// Longest latency of a request that the histogram tells apart, in milliseconds.
+/// Longest latency of a request that the histogram distinguishes, in milliseconds.
 const MAX_LATENCY_MS: u64 = 60_000;
 /// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 2;
@@ -60,7 +60,7 @@
         /// The address in the settings.
         addr: String,
         /// What the server says.
-        source: salvo::Error,
+        source: Box<salvo::Error>,
     },
 }
 
@@ -194,7 +194,7 @@
     let acceptor = acceptor.try_bind().await;
     let acceptor = acceptor.map_err(|source| StartError::PublicAddr {
         addr: settings.public_addr.clone(),
-        source,
+        source: Box::new(source),
     })?;
     tracing::info!(label = %settings.label, addr = %settings.public_addr, "serving");
     routes::serve(acceptor, app, &settings.cluster.limits).await;
