--- a/crates/cherryyard/src/app/effects.rs
+++ b/crates/cherryyard/src/app/effects.rs
@@ -15,7 +15,7 @@
 use std::sync::{Arc, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Pause before a writer hears that its transaction is not sent.
+/// Pause before the outcome of a transaction that is not sent is returned.
 const MALFORMED_PAUSE: Duration = Duration::from_millis(250);
 /// Pause after the cloud was unavailable, in milliseconds, before jitter.
 const CLOUD_PAUSE_MS: u64 = 2500;
@@ -142,6 +142,15 @@
         self.with(|controller, now| controller.state_answered(sent_at, now));
         outcome
     }
+    /// Sends a user's transaction, and reports it to the core if it was applied.
+    pub async fn commit_for_user(self: &Arc<Self>, commit: &Commit) -> Outcome {
+        let outcome = self.commit(commit).await;
+        if let Outcome::Applied(store_revision) = outcome {
+            self.with(|controller, now| controller.user_committed(commit, store_revision, now));
+        }
+        outcome
+    }
+
     fn rejected_transactions(&self) -> MutexGuard<'_, RejectedTransactions> {
         self.rejected.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -1,8 +1,8 @@
 //! Look-ups of jobs in the history, which is in the state service only.
 //!
-//! A look-up costs at most two reads. They go one after another, within a share of
-//! the request budget that leaves the rest to assignments, leases and barriers; whoever
-//! asks for a job that a leaf read for another covers is answered by it.
+//! A look-up costs at most two reads. Reads go one after another, within a share of the
+//! request budget that leaves the rest to assignments, leases and barriers; a look-up of a
+//! job in a leaf that was read for another one is answered from the cache.
 
 use super::App;
 use super::lookup_queue::LookupQueue;
@@ -98,8 +98,8 @@
 }
 
 impl App {
-    /// Looks for a job that the mirror does not know, as of now; none if that
-    /// cannot be told, or not in time.
+    /// Looks for a job that the mirror does not know, as of now; none if the look-up
+    /// fails, or takes too long.
     pub(crate) async fn find_in_history(
         self: &Arc<Self>,
         job: u64,
@@ -131,7 +131,7 @@
         reply.ok().and_then(Result::ok).flatten()
     }
 
-    /// What leaves lately read tell, if that is enough.
+    /// The result by leaves in the cache, if they suffice.
     fn cached(self: &Arc<Self>, job: u64) -> Option<Found> {
         let (moved, spilling) = self.with(|controller, _| moved(controller));
         let mut cache = lock(&self.history.cache);
@@ -152,7 +152,7 @@
 
     /// Looks in the small run, then in the large one: a job is in the large one
     /// before it leaves the small one, so it is missed in neither.
-    async fn look(self: &Arc<Self>, job: u64) -> Option<Found> {
+    async fn look_up(self: &Arc<Self>, job: u64) -> Option<Found> {
         let (moved_at, spilling) = self.with(|controller, _| moved(controller));
         let mut small_read_at = 0;
         for level in Controller::LOOKUP_ORDER {
@@ -181,24 +181,10 @@
                 }
                 Lookup::Absent(_) | Lookup::Unknown => {}
             }
-            lock(&self.history.counts).reads += 1;
-            let read = self.clients.state.read_leaf(level, job).await.ok()?;
-            let store_revision = read.store_revision;
+            let (read_at, past) = self.read_leaf_of(level, job).await?;
             if level == Level::Small {
-                small_read_at = store_revision;
+                small_read_at = read_at;
             }
-            let (last, leaf) = match read.leaf {
-                Some(stored) => {
-                    let last = stored.last_job;
-                    let leaf = Leaf::from_record(&stored.record).map_err(|e| {
-                        tracing::error!(last, "invalid leaf of the history: {e}");
-                    });
-                    (last, leaf.ok()?)
-                }
-                None => (LAST, Leaf::default()),
-            };
-            let past = leaf.find(job).copied();
-            lock(&self.history.cache).put(level, job, last, store_revision, leaf);
             if past.is_some() {
                 let moved = moved_at;
                 return Some(Found { past, moved });
@@ -210,7 +196,32 @@
         })
     }
 
-    /// Whose look-up is next: mostly a submission's, but polls are not starved.
+    /// Reads the leaf of a run that would hold a job, and keeps it in the cache; returns
+    /// the revision that the read describes, and the job if the leaf holds it.
+    async fn read_leaf_of(
+        self: &Arc<Self>,
+        level: Level,
+        job: u64,
+    ) -> Option<(u64, Option<FinishedJob>)> {
+        lock(&self.history.counts).reads += 1;
+        let read = self.clients.state.read_leaf(level, job).await.ok()?;
+        let (last, leaf) = match read.leaf {
+            Some(stored) => {
+                let last = stored.last_job;
+                let leaf = Leaf::from_record(&stored.record).map_err(|e| {
+                    tracing::error!(last, "invalid leaf of the history: {e}");
+                });
+                (last, leaf.ok()?)
+            }
+            None => (LAST, Leaf::default()),
+        };
+        let past = leaf.find(job).copied();
+        let mut cache = lock(&self.history.cache);
+        cache.put(level, job, last, read.store_revision, leaf);
+        Some((read.store_revision, past))
+    }
+
+    /// The next look-up: mostly a submission's, but polls are not starved.
     fn next_lookup(&self) -> Option<(u64, Vec<oneshot::Sender<Option<Found>>>)> {
         let mut queues = lock(&self.history.queues);
         queues
@@ -240,7 +251,7 @@
             let before = lock(&self.history.counts).reads;
             let found = match self.cached(job) {
                 Some(found) => Some(found),
-                None => self.look(job).await,
+                None => self.look_up(job).await,
             };
             for reply_to in waiting {
                 // The one who asked may have given up.
