--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -62,7 +62,7 @@
     #[error("kinds_of_host: a task fits no allowed machine type")]
     NoMachineType,
     /// Its rules allow no pool in which a task of it fits.
-    #[error("{}", .0.told())]
+    #[error("{}", .0.summary())]
     NoPool(Box<Explanation>),
     /// The same, and why cannot be explained.
     #[error(transparent)]
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -17,15 +17,16 @@
 //! record is as its page says, and whoever depends on that depends on the record's
 //! absence (or on the bucket, where there are buckets).
 
+use super::job_containers::{JobContainer, JobContainers};
 use super::record_error::RecordProblem;
 use super::{Mirror, OpenJob};
 use crate::Config;
 use cherryyard_wire::admission_log::{AdmissionPageRecord, Arrival, Rest};
 use cherryyard_wire::record::{BUCKETS, Key, admission_log_key};
 use cherryyard_wire::state::{Apply, Commit, Json};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest page, whatever the value limit: each is told to all controllers whenever a
+/// Largest page, whatever the value limit: each goes to all controllers whenever a
 /// job is added to it.
 const MAX_PAGE_BYTES: usize = 4096;
 /// Most jobs of a page.
@@ -48,78 +49,47 @@
     pub(super) foreign: bool,
 }
 
-/// Which job came by which page.
+impl JobContainer for AdmissionPage {
+    fn jobs(&self) -> &BTreeSet<u64> {
+        &self.jobs
+    }
+}
+
+/// Which job came by which page. Written by this module alone.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionLog {
-    pages: BTreeMap<u64, AdmissionPage>,
-    page_by_job: HashMap<u64, u64>,
+    pages: JobContainers<AdmissionPage>,
 }
 
 impl AdmissionLog {
     /// How many pages there are.
     pub fn len(&self) -> usize {
-        self.pages.len()
+        self.pages().len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.pages.is_empty()
+        self.pages().is_empty()
     }
 
     /// The number of the last page.
     pub fn last_page(&self) -> Option<u64> {
-        self.pages.last_key_value().map(|(&page, _)| page)
+        self.pages().last_key_value().map(|(&page, _)| page)
     }
 
     /// A page.
     pub(super) fn get(&self, page: u64) -> Option<&AdmissionPage> {
-        self.pages.get(&page)
+        self.pages.get(page)
     }
 
     /// A page that may be written anew.
-    pub(super) fn writable(&self, page: u64) -> Option<&AdmissionPage> {
-        self.pages.get(&page).filter(|known| !known.foreign)
+    fn writable(&self, page: u64) -> Option<&AdmissionPage> {
+        self.get(page).filter(|known| !known.foreign)
     }
 
     /// All pages, in order.
     pub(super) fn pages(&self) -> &BTreeMap<u64, AdmissionPage> {
-        &self.pages
-    }
-
-    fn page_of(&self, job: u64) -> Option<u64> {
-        self.page_by_job.get(&job).copied()
-    }
-
-    fn assign(&mut self, job: u64, page: u64) {
-        self.page_by_job.insert(job, page);
-    }
-
-    /// Puts a page into the place of an earlier version; gives back the jobs that no page
-    /// names any more.
-    fn replace(&mut self, page: u64, new: AdmissionPage) -> Vec<u64> {
-        let old = self.pages.insert(page, new).unwrap_or_default();
-        self.unlist(page, old.jobs)
-    }
-
-    /// Removes a page; gives back the jobs that no page names any more.
-    fn remove(&mut self, page: u64) -> Vec<u64> {
-        let old = self.pages.remove(&page).unwrap_or_default();
-        self.unlist(page, old.jobs)
-    }
-
-    /// Of a page's jobs before, takes out those that it does not name any more and that
-    /// have not gone to another.
-    fn unlist(&mut self, page: u64, before: BTreeSet<u64>) -> Vec<u64> {
-        let named = self.pages.get(&page).map(|known| &known.jobs);
-        let mut gone = Vec::new();
-        for job in before {
-            let is_named = named.is_some_and(|jobs| jobs.contains(&job));
-            if !is_named && self.page_by_job.get(&job) == Some(&page) {
-                self.page_by_job.remove(&job);
-                gone.push(job);
-            }
-        }
-        gone
+        self.pages.all()
     }
 }
 
@@ -200,7 +170,7 @@
 
     /// The page that names a job, if any does.
     pub fn page_of(&self, job: u64) -> Option<u64> {
-        self.admission_log.page_of(job)
+        self.admission_log.pages.number_of(job)
     }
 
     pub(super) fn put_admission_page(
@@ -219,13 +189,13 @@
             let job = arrival.job;
             new.jobs.insert(job);
             new.foreign |= self.teams.get(&arrival.spec.team).is_none();
-            self.admission_log.assign(job, page);
+            self.admission_log.pages.assign(job, page);
             // What has been stored of it since counts.
             if !self.ended.contains(job) && (!self.open.contains_key(&job) || self.in_page(job)) {
                 self.put_arrival(arrival);
             }
         }
-        let gone = self.admission_log.replace(page, new);
+        let gone = self.admission_log.pages.replace(page, new);
         self.drop_unnamed(&gone);
         Ok(())
     }
@@ -251,7 +221,7 @@
     }
 
     pub(super) fn drop_admission_page(&mut self, page: u64) {
-        let gone = self.admission_log.remove(page);
+        let gone = self.admission_log.pages.remove(page);
         self.drop_unnamed(&gone);
     }
 
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -10,13 +10,14 @@
 use super::Mirror;
 use super::bucket_division::{BucketItem, divide};
 use super::ended::{EndedJob, TaskDemand};
+use super::job_containers::{JobContainer, JobContainers};
 use super::record_error::{RecordError, RecordProblem};
 use crate::Config;
 use cherryyard_wire::record::{
     self, BUCKETS, BucketRecord, JobRecord, Key, Use, bucket_key, job_hash, job_key,
 };
 use cherryyard_wire::state::{Apply, Commit, Json};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Most buckets that the format begins with.
 const MAX_FIRST_BUCKETS: usize = 16;
@@ -30,70 +31,31 @@
     jobs: BTreeSet<u64>,
 }
 
-/// Which job stands in which bucket.
-#[derive(Clone, Debug, Default)]
-pub(super) struct BucketIndex {
-    /// Buckets by the hash at which each starts.
-    by_start: BTreeMap<u64, Bucket>,
-    /// The start of each job's bucket.
-    start_by_job: HashMap<u64, u64>,
+impl JobContainer for Bucket {
+    fn jobs(&self) -> &BTreeSet<u64> {
+        &self.jobs
+    }
 }
 
+/// Which job stands in which bucket; a bucket's number is the hash at which it starts.
+pub(super) type BucketIndex = JobContainers<Bucket>;
+
 impl BucketIndex {
     /// Whether the job stands in a bucket.
     pub fn holds(&self, job: u64) -> bool {
-        self.start_by_job.contains_key(&job)
-    }
-
-    /// The starts of all buckets, in order.
-    pub fn starts(&self) -> impl Iterator<Item = u64> + '_ {
-        self.by_start.keys().copied()
+        self.number_of(job).is_some()
     }
 
     /// The revision of a bucket's key, 0 if there is no such bucket.
     pub fn revision(&self, start: u64) -> u64 {
-        self.by_start
-            .get(&start)
-            .map_or(0, |bucket| bucket.revision)
+        self.get(start).map_or(0, |bucket| bucket.revision)
     }
 
     /// The start of the bucket that a job of this hash belongs to.
     fn start_covering(&self, hash: u64) -> Option<u64> {
-        let mut below = self.by_start.range(..=hash);
+        let mut below = self.all().range(..=hash);
         below.next_back().map(|(&start, _)| start)
     }
-
-    fn assign(&mut self, job: u64, start: u64) {
-        self.start_by_job.insert(job, start);
-    }
-
-    /// Puts a bucket into the place of an earlier version; gives back the jobs that stand
-    /// in no bucket any more.
-    fn replace(&mut self, start: u64, new: Bucket) -> Vec<u64> {
-        let old = self.by_start.insert(start, new).unwrap_or_default();
-        self.unlist(start, old.jobs)
-    }
-
-    /// Removes a bucket; gives back the jobs that stand in no bucket any more.
-    fn remove(&mut self, start: u64) -> Vec<u64> {
-        let old = self.by_start.remove(&start).unwrap_or_default();
-        self.unlist(start, old.jobs)
-    }
-
-    /// Of a bucket's jobs before, takes out those that it does not name any more and that
-    /// have not gone to another bucket.
-    fn unlist(&mut self, start: u64, before: BTreeSet<u64>) -> Vec<u64> {
-        let named = self.by_start.get(&start).map(|bucket| &bucket.jobs);
-        let mut gone = Vec::new();
-        for job in before {
-            let is_named = named.is_some_and(|jobs| jobs.contains(&job));
-            if !is_named && self.start_by_job.get(&job) == Some(&start) {
-                self.start_by_job.remove(&job);
-                gone.push(job);
-            }
-        }
-        gone
-    }
 }
 
 /// Records to be written, by where they go.
@@ -125,7 +87,7 @@
 
     /// How many buckets there are.
     pub fn bucket_count(&self) -> usize {
-        self.buckets.by_start.len()
+        self.buckets.all().len()
     }
 
     pub(super) fn put_bucket(&mut self, start: u64, record: BucketRecord, revision: u64) {
@@ -312,7 +274,7 @@
         mut items: BTreeMap<u64, BucketItem>,
         value_bytes: usize,
     ) -> Option<Vec<Apply>> {
-        let bucket = self.buckets.by_start.get(&start)?;
+        let bucket = self.buckets.get(start)?;
         for &job in &bucket.jobs {
             if !items.contains_key(&job)
                 && !self.may_leave(job)
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -142,7 +142,7 @@
         let admission_pages = self.admission_log.pages().keys().copied();
         keys.extend(admission_pages.map(Key::AdmissionPage));
         keys.extend(self.ended.numbers().filter(own).map(Key::Job));
-        keys.extend(self.buckets.starts().map(Key::Bucket));
+        keys.extend(self.buckets.all().keys().copied().map(Key::Bucket));
         for (shard, pages) in self.tasks.pages.iter().enumerate() {
             keys.extend(pages.keys().map(|&page| Key::Assignment { shard, page }));
         }
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -15,6 +15,7 @@
 mod ended;
 mod format;
 mod images;
+mod job_containers;
 mod jobs;
 mod lease_holder;
 mod open_job;
@@ -50,7 +51,7 @@
 pub use record_error::{RecordError, RecordProblem};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the state service holds, as far as this controller has heard.
+/// What the state service holds, as far as this controller has read it.
 #[derive(Clone, Debug)]
 pub struct Mirror {
     /// Everything up to this revision has been seen. Written by `changes`, as is `loaded`.
--- a/crates/cherryyard-core/src/pools/explanation.rs
+++ b/crates/cherryyard-core/src/pools/explanation.rs
@@ -24,7 +24,7 @@
 
 impl Explanation {
     /// In a line, for an answer that refuses the job.
-    pub fn told(&self) -> String {
+    pub fn summary(&self) -> String {
         let mut text = String::from("rules: no machine matches");
         if !self.unknown.is_empty() {
             text += &format!("; no machine advertises {}", self.unknown.join(", "));
--- a/crates/cherryyard-core/src/pools/tests.rs
+++ b/crates/cherryyard-core/src/pools/tests.rs
@@ -103,7 +103,7 @@
     let none = why("HasGluster && Department == \"posting\" && OpSys == \"LINUX\"");
     assert_eq!(none.matching, Vec::<String>::new());
     assert_eq!(
-        none.told(),
+        none.summary(),
         "rules: no machine matches; no machine advertises HasGluster; nearest: \
          m8 in b (ordinary), but `HasGluster` is undefined"
     );
