--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -1,8 +1,21 @@
 //! The mirror: what the state service holds under our prefix.
 //!
-//! Changes arrive from one watch, from barriers and from our own answered
-//! transactions, in any order between these; each key keeps the change with
-//! the highest revision.
+//! `changes` is where records come in: from one watch, from barriers and from our own
+//! answered transactions, in any order between these; each key keeps the change with the
+//! highest revision. `Mirror::put_record` and `Mirror::forget` hand each record to the
+//! type that owns what it says, and what follows from it for jobs is worked out at once:
+//!
+//! | records | read by | what follows |
+//! | --- | --- | --- |
+//! | jobs, of their own or in `buckets` | `jobs`, `open_job`, `ended` | which are undivided or complete |
+//! | what jobs need (`dependencies`) | `dependencies` | which wait, are cancelled with others, their urgency |
+//! | pages of new jobs | `admission_log`, `admission_compaction` | jobs that nothing else is stored of |
+//! | pages of assignments | `assignments` | what is left to be started, what each machine runs |
+//! | machine types, attributes | `catalog` | the pools of jobs' rules |
+//! | leases, images, grants, submissions, formats | `lease_holder`, `images`, `format`, here | |
+//!
+//! The same modules plan the transactions that change these records, each with the
+//! conditions under which what the mirror knows still holds (`Mirror::require`).
 
 mod admission_compaction;
 mod admission_log;
--- a/crates/cherryyard-core/src/pools.rs
+++ b/crates/cherryyard-core/src/pools.rs
@@ -310,7 +310,7 @@
         }
         let pools = self.evaluate(rules, submitted_at);
         let pools = Arc::new(pools.unwrap_or_else(|error| {
-            tracing::warn!("a job's rules cannot be read, and it runs nowhere: {error}");
+            tracing::warn!(%error, "job rules cannot be evaluated, job runs nowhere");
             PoolSet::default()
         }));
         if !depends_on_time(rules) {
