--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -68,9 +68,7 @@
 
     /// The token under which heartbeats of a shard are answered now, if any.
     fn answering_token(&self, shard_id: usize, now: Millis) -> Option<u64> {
-        let Some(token) = self.shards[shard_id].lease.held_token() else {
-            return None;
-        };
+        let token = self.shards[shard_id].lease.held_token()?;
         // Guards against a cancellation that this controller cannot see: the
         // workers' leases must end in time. If nobody can reach the state
         // service, nobody can take a cancellation either; what was taken before the
