--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine as its shard's owner sees it.
+//! State of one machine as its shard's owner sees it.
 
 mod images;
 mod messages;
@@ -16,96 +16,101 @@
 use std::collections::{BTreeMap, BTreeSet};
 pub use tasks::{PushedStart, ReportedTask, Task};
 
-/// How long after the time that was announced a reclaimed machine counts as taken.
+/// Time after the announced reclaim at which a machine counts as taken by the cloud.
 const TAKEN_MS: f64 = 1000.0;
-/// Least time before it is taken at which something is still started on a machine.
+/// Minimum time left before a reclaim for starting another task on a machine.
 const LAST_START_MS: f64 = 60_000.0;
-/// Messages in a row older than one before them after which a machine is queried.
+/// Number of consecutive out-of-order messages after which a machine is queried.
 const STALE_BEFORE_QUERY: u32 = 2;
-/// Time between two queries after such messages: of a worker that has restarted, and of others.
+/// Minimum time between two queries that follow out-of-order messages: to a worker that has
+/// restarted, and to any other.
 const RESTARTED_QUERY_MS: f64 = 300.0;
 const STALE_QUERY_MS: f64 = 1000.0;
 
-/// One machine.
+/// A machine with its last report, its lease, and the commands in flight to it.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its index among machine names.
+    /// Index of the machine's name in the interned machine names.
     pub host: u32,
-    /// Where it takes direct commands.
+    /// Address at which the worker accepts direct commands and status queries.
     pub addr: String,
-    /// Its type.
+    /// SKU of the machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone in which the machine runs.
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether this is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// Its shard.
+    /// Index of the shard that the machine belongs to.
     pub shard: usize,
-    /// Where it stands.
+    /// Lifecycle state under the current owner.
     pub state: MachineState,
     /// Incarnation and sequence number of the newest message.
     pub newest: (u64, u64),
-    /// The token in the newest message.
+    /// Fencing token in the newest message.
     pub token: u64,
-    /// The owner's token when the newest message came; 0 before any.
+    /// Fencing token that the owner held when the newest message arrived; 0 before the first
+    /// message and after a change of the token.
     pub confirmed_token: u64,
-    /// Its tasks in the newest message.
+    /// Tasks in the newest message.
     pub reported: BTreeMap<Task, ReportedTask>,
-    /// The same as the message listed it, to compare the next with.
+    /// Tasks of the newest message in their original order, for comparison with the next message.
     last_reported: Vec<(Task, ReportedTask)>,
-    /// Since when its tasks have been seen to run, by attempt.
+    /// Running attempt of each task, and the time at which it was first seen running.
     pub runs: BTreeMap<Task, (u64, Millis)>,
-    /// Whether its lease has run out with nobody but us able to renew it.
+    /// Whether the machine's lease has expired while only this owner could have renewed it.
     pub lease_over: bool,
-    /// When it will be taken away, if it has said so.
+    /// Time at which the cloud will reclaim the machine, if the machine has announced one.
     pub reclaim_at: Option<Millis>,
-    /// When a message last came.
+    /// Time at which the newest message arrived.
     pub last_heard_at: Millis,
-    /// When a heartbeat of it was last answered 200.
+    /// Time from which the machine's lease is counted: that of the last answer to one of its
+    /// heartbeats, or of the first message from a newer incarnation or a restarted worker.
     pub answered_at: Millis,
-    /// Whether what we send it arrives.
+    /// Whether messages to the machine are known to arrive.
     pub reachability: Reachability,
-    /// When it became unreachable: its incarnation, and the last attempt up to then. Whatever
-    /// was assigned here before and is not there is given up, also if it is reachable again.
+    /// Incarnation in which the machine last became unreachable, and the highest attempt up to
+    /// then. Assignments up to these that are not on the machine are abandoned, even if the machine
+    /// becomes reachable again.
     pub(crate) given_up: (u64, u64),
-    /// When it was last queried, and what was the newest message then.
+    /// Time of the last query, and the newest message known when it was sent.
     pub(crate) queried: (Millis, (u64, u64)),
-    /// Whether a query is under way.
+    /// Whether a query is in flight.
     pub(crate) query_pending: bool,
-    /// Messages in a row that were older than one before them.
+    /// Number of consecutive messages that were older than the newest one.
     pub(crate) stale_in_a_row: u32,
-    /// Attempts up to this one are from before the worker's last restart within a lease.
+    /// Highest attempt from before the worker's last restart within a lease; 0 if there was none.
     pub(crate) restarted_after: u64,
-    /// It has restarted under our present token. Copies of messages from before may
-    /// still come, and would look newer than its own: only its direct answers count.
+    /// Whether the worker has restarted under the present token. Delayed copies of messages from
+    /// before the restart may still arrive and would look newer than the worker's new messages, so
+    /// only direct answers are evaluated.
     pub(crate) has_restarted: bool,
-    /// Starts sent directly whose outcome is not known.
+    /// Directly sent starts whose outcome is unknown.
     pub pushed: Vec<PushedStart>,
-    /// Starts in the answer to the newest heartbeat.
+    /// Task and attempt of the starts in the answer to the newest heartbeat.
     pub offered: Vec<(Task, u64)>,
-    /// Whether a direct command is under way.
+    /// Whether a direct command is in flight.
     pub pushing: bool,
-    /// No direct command before this time.
+    /// Time before which no direct command is sent.
     pub push_after: Millis,
-    /// Images it has or fetches, the most recently used last.
+    /// Images that the machine holds or fetches, in order of use with the most recently used last.
     pub images: Vec<Image>,
-    /// Not used for new tasks before this time, after failures.
+    /// Time until which no new tasks are placed on the machine, because tasks have failed on it.
     pub avoid_until: Millis,
-    /// Failures without a completion in between of jobs that complete elsewhere.
+    /// Number of failures since the last completed task, of jobs that complete on other machines.
     pub failures: u32,
-    /// Jobs that have failed here and have yet to complete anything: they or the
-    /// machine may be at fault.
+    /// Jobs that have failed on this machine and have not completed any task yet: either the job or
+    /// the machine may be at fault.
     pub(crate) suspected: BTreeSet<u64>,
-    /// When it last had a task.
+    /// Time at which the machine last had a task.
     pub busy_at: Millis,
-    /// When it may be released again after a failed try.
+    /// Time before which no release of the machine is requested again.
     pub release_after: Millis,
-    /// When we first heard of it.
+    /// Time at which this controller first learned of the machine.
     pub since: Millis,
 }
 
 impl Machine {
-    /// A machine of which nothing is known but what `heartbeat` says it is.
+    /// Creates a machine with the identity that `heartbeat` gives and no other known state.
     pub fn new(host: u32, shard: usize, heartbeat: &WorkerHeartbeat, now: Millis) -> Self {
         Self {
             host,
@@ -146,7 +151,7 @@
         }
     }
 
-    /// A machine that has not reported, as the cloud lists it.
+    /// Creates a machine that has not reported, from its entry in the cloud's list.
     pub fn unheard(host: u32, shard: usize, entry: &Instance, now: Millis) -> Self {
         let heartbeat = WorkerHeartbeat {
             host: entry.id.clone(),
@@ -163,12 +168,12 @@
         Self::new(host, shard, &heartbeat, now)
     }
 
-    /// Its type among those of the cloud, if it is known.
+    /// Returns the machine's type among `machine_types`, if it is listed there.
     pub(crate) fn type_in<'a>(&self, machine_types: &'a [MachineType]) -> Option<&'a MachineType> {
         machine_types.iter().find(|t| t.sku == self.machine_type)
     }
 
-    /// The one place where a machine's state changes.
+    /// Applies an event to the machine's state. No other function changes the state.
     pub fn change(&mut self, event: MachineEvent) {
         match event {
             MachineEvent::LeaseOver => self.lease_over = self.shows_our_token(),
@@ -176,7 +181,8 @@
             MachineEvent::TokenChanged => {
                 self.lease_over = false;
                 self.confirmed_token = 0;
-                // No copy of an earlier message shows the new one.
+                // Messages sent before this change carry older tokens, so delayed copies of them
+                // cannot be mistaken for messages under the new token.
                 self.has_restarted = false;
             }
             MachineEvent::ReleaseAsked | MachineEvent::ReleaseFailed | MachineEvent::Released => {}
@@ -184,7 +190,7 @@
         self.state = self.state.after(event);
     }
 
-    /// The one place where its reachability changes.
+    /// Applies an event to the machine's reachability. No other function changes the reachability.
     pub(crate) fn note_reachability(&mut self, event: ReachabilityEvent, now: Millis) {
         let after = self.reachability.after(event, now);
         match (self.reachability, after) {
@@ -199,13 +205,15 @@
         self.reachability = after;
     }
 
-    /// Whether it is to be queried now. One that has been silent for `lost_ms` is not.
+    /// Returns whether a query to the machine is due. A machine whose reachability is in doubt is
+    /// not queried once it has been silent for `lost_ms`.
     pub(crate) fn query_due(&self, lost_ms: f64, now: Millis) -> bool {
         let since = now - self.queried.0;
         let interval = self.reachability.query_interval_ms();
         let is_doubted = interval.is_some_and(|interval| since >= interval)
             && now - self.last_heard_at < lost_ms;
-        // A copy that came late, or a worker that has restarted: only it can tell.
+        // The messages are either delayed copies or come from a worker that has restarted; only a
+        // direct answer of the worker distinguishes the two.
         let stale_interval = if self.has_restarted {
             RESTARTED_QUERY_MS
         } else {
@@ -220,24 +228,24 @@
             )
     }
 
-    /// Has its worker queried as soon as that is possible.
+    /// Makes a query to the worker due as soon as the minimum time since the last query has passed.
     pub(crate) fn request_query(&mut self) {
         self.stale_in_a_row = self.stale_in_a_row.max(STALE_BEFORE_QUERY);
     }
 
-    /// Whether the cloud takes the machine so soon that nothing more is started there.
+    /// Returns whether the cloud reclaims the machine so soon that no task is started on it.
     pub fn is_reclaimed_soon(&self, now: Millis) -> bool {
         self.reclaim_at.is_some_and(|at| at - now <= LAST_START_MS)
     }
 
-    /// Whether the cloud has said it would take the machine by now, and nothing
-    /// has been heard of it for longer than a heartbeat takes.
+    /// Returns whether the announced reclaim time has passed and no message has arrived for longer
+    /// than `silence_ms`.
     pub fn is_taken_by_now(&self, now: Millis, silence_ms: f64) -> bool {
         self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS)
             && now - self.last_heard_at > silence_ms
     }
 
-    /// Whether new tasks may be placed here.
+    /// Returns whether new tasks may be placed on the machine.
     pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
         self.state == MachineState::Ready
             && self.reachability.is_reachable()
--- a/crates/cherryyard-core/src/machine/images.rs
+++ b/crates/cherryyard-core/src/machine/images.rs
@@ -1,31 +1,32 @@
-//! The images that a machine is believed to have.
+//! Container images that a machine is assumed to hold or to fetch.
 
 use super::Machine;
 
 /// An image on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Image {
-    /// Its name.
+    /// Name of the image.
     pub name: String,
-    /// Its size.
+    /// Size of the image in GB.
     pub gb: f64,
-    /// Whether it is there, not on its way.
+    /// Whether the fetch of the image has completed.
     pub whole: bool,
 }
 
-/// How near an image is to being on a machine.
+/// Progress of an image on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ImageState {
-    /// It would have to be fetched.
+    /// The image would have to be fetched.
     Absent,
-    /// It is being fetched.
+    /// The image is being fetched.
     Fetching,
-    /// It is there.
+    /// The image is on the machine.
     Held,
 }
 
 impl Machine {
-    /// Notes that an image was used, and drops what no longer fits the cache.
+    /// Marks an image as the most recently used, and evicts the least recently used images until
+    /// the rest fit into `cache_gb`. The image itself is never evicted.
     pub fn use_image(&mut self, name: &str, gb: f64, whole: bool, cache_gb: f64) {
         let known = self.images.iter().position(|image| image.name == name);
         let before = known.map(|i| self.images.remove(i));
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Whether the machine holds or fetches an image.
+    /// Returns whether the machine holds or fetches an image.
     pub fn image(&self, name: &str) -> ImageState {
         match self.images.iter().find(|image| image.name == name) {
             Some(image) if image.whole => ImageState::Held,
--- a/crates/cherryyard-core/src/machine/messages.rs
+++ b/crates/cherryyard-core/src/machine/messages.rs
@@ -1,26 +1,28 @@
-//! Messages of a machine: its heartbeats, and its answers to queries and direct commands.
+//! Processing of a machine's messages: its heartbeats, and its answers to queries and direct
+//! commands.
 
 use super::{Machine, MachineEvent, MachineState, ReportedTask, Task};
 use crate::Millis;
 use crate::reachability::ReachabilityEvent;
 use cherryyard_wire::worker::{TaskStatus, WorkerHeartbeat, parse_task_name};
 
-/// How a message stands to the one before it.
+/// Order and content of a message relative to the newest message before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// A newer one came before it.
+    /// The message is not newer.
     Old,
-    /// It is newer, and all is as before.
+    /// The message is newer and reports the same state.
     Same,
-    /// It is newer, and something has changed.
+    /// The message is newer and reports a change.
     New,
 }
 
 impl Machine {
-    /// Takes a message if it is newer than what is known.
+    /// Applies a message if it is newer than the newest one known.
     ///
-    /// Most messages report that all is as before: they are compared, and leave
-    /// the list of tasks as it is (a fifth of all processor time, before).
+    /// Most messages report no change. They are compared with the last message and leave the task
+    /// list as it is, because rebuilding the list for each message took a fifth of all processor
+    /// time.
     pub fn receive(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) -> Freshness {
         let order = (message.incarnation, message.sequence);
         if order <= self.newest {
@@ -39,10 +41,10 @@
         self.drop_outdated_starts(message);
         self.note_reflected(message, own_token, now);
         if message.incarnation > self.newest.0 {
-            // An incarnation has its whole lease from when it began, which was at the latest
-            // now: a direct answer was its first message though no heartbeat was answered for
-            // long, and what was then started there was taken for lost at once, by the lease
-            // before.
+            // A new incarnation has a whole lease, counted from its start, which was at the latest
+            // now. Its first message may be a direct answer long after the last answered heartbeat;
+            // without this update a task started there would be taken for lost at once, because the
+            // previous incarnation's lease has expired.
             self.answered_at = now;
         }
         self.newest = order;
@@ -50,9 +52,9 @@
         Freshness::New
     }
 
-    /// Direct commands to an older incarnation, or under a lower token than
-    /// the worker has seen, can no longer take effect.
-    /// (One that has restarted comes from token 0 to the one that they were sent under.)
+    /// Removes direct starts to an older incarnation, or under a lower token than the worker has
+    /// seen, because they can no longer take effect. (The token of a worker that has restarted
+    /// rises from 0 to the token under which the starts were sent, so those starts are kept.)
     fn drop_outdated_starts(&mut self, message: &WorkerHeartbeat) {
         let (incarnation, token) = (message.incarnation, message.fencing_token);
         if incarnation > self.newest.0 || token > self.token {
@@ -61,19 +63,21 @@
         }
     }
 
-    /// Takes what a newer message shows of the answers that we have sent.
+    /// Updates reachability from what a newer message shows of earlier answers.
     fn note_reflected(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) {
         if message.fencing_token == own_token && self.token < own_token {
             self.note_reachability(ReachabilityEvent::Reflected, now);
         } else if message.fencing_token < own_token && self.confirmed_token == own_token {
-            // The last one was answered with our token.
+            // The previous message was answered with the owner's token, and this one does not show
+            // it.
             self.note_reachability(ReachabilityEvent::Missed, now);
         } else if message.incarnation > self.newest.0 && self.newest.0 > 0 {
             self.note_reachability(ReachabilityEvent::NewIncarnation, now);
         }
     }
 
-    /// Takes what a newer message shows of the starts in the last answer.
+    /// Updates reachability from whether the newest message reports the starts that were offered in
+    /// the last answer.
     pub(crate) fn check_offered(&mut self, now: Millis) {
         let offered = std::mem::take(&mut self.offered);
         if offered.is_empty() {
@@ -91,11 +95,13 @@
         self.note_reachability(event, now);
     }
 
-    /// Takes the answer to a query, which no late copy can be: the connection
-    /// was made for it. The worker numbers it after all that it sent before, so one that
-    /// comes before what was known when it was asked is of a worker that has restarted:
-    /// whatever was started there before, up to `newest_attempt`, is gone with its
-    /// process. Only starts sent directly may yet arrive, if the incarnations' numbers agree.
+    /// Applies the answer to a query.
+    ///
+    /// The answer is never a delayed copy, because its connection was made for this query. A worker
+    /// numbers the answer after everything that it sent before, so an answer numbered below the
+    /// newest message known at the time of the query shows that the worker has restarted:
+    /// everything started before, up to attempt `newest_attempt`, ended with the old process. Only
+    /// direct starts may still arrive, if they name the new incarnation or a later one.
     pub(crate) fn receive_status(
         &mut self,
         status: &WorkerHeartbeat,
@@ -130,14 +136,14 @@
         Freshness::New
     }
 
-    /// Takes over what a message reports.
+    /// Copies what a message reports into the machine.
     fn take(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) {
         self.token = message.fencing_token;
         self.confirmed_token = own_token;
         self.last_heard_at = now;
         self.addr.clone_from(&message.addr);
-        // Only ever nearer: an assignment that a late transaction takes back for it must not be
-        // started again meanwhile.
+        // The reclaim time only moves closer. A pending transaction may withdraw an assignment
+        // because of the reclaim, and that task must not be started again in the meantime.
         let reclaim_at = message.reclaim_in_s.map(|s| now + s.max(0.0) * 1000.0);
         self.reclaim_at = match (reclaim_at, self.reclaim_at) {
             (Some(new), Some(old)) => Some(new.min(old)),
@@ -160,7 +166,7 @@
             if let Some(task) = parse_task_name(&report.task_name) {
                 let reported = ReportedTask::of(report);
                 self.last_reported.push((task, reported));
-                // The same task twice: the one still there counts.
+                // If a message lists a task twice, the attempt that has not ended is kept.
                 let known = self.reported.entry(task).or_insert(reported);
                 if known.ended() {
                     *known = reported;
@@ -169,7 +175,8 @@
         }
     }
 
-    /// Keeps the times of tasks that go on running, or have just ended.
+    /// Records the first time at which each reported attempt was seen running, and removes attempts
+    /// that are no longer reported.
     fn note_runs(&mut self, now: Millis) {
         let reported = &self.reported;
         self.runs.retain(|task, (attempt, _)| {
@@ -183,14 +190,15 @@
         }
     }
 
-    /// For how long an attempt has been seen to run.
+    /// Returns for how long an attempt has been seen running.
     pub fn ran_ms(&self, task: Task, attempt: u64, now: Millis) -> Option<Millis> {
         let run = self.runs.get(&task).filter(|run| run.0 == attempt);
         run.map(|(_, since)| now - since)
     }
 
-    /// Whether a message differs in nothing that matters from the last one. It
-    /// matters while a start may be on its way that it shows or does not show.
+    /// Returns whether a message repeats the last one in everything that affects decisions. While
+    /// starts are in flight every message counts as a change, because it shows whether they have
+    /// arrived.
     fn reports_the_same(&self, message: &WorkerHeartbeat, own_token: u64) -> bool {
         self.state == MachineState::Ready
             && !self.lease_over
@@ -206,7 +214,7 @@
             && self.lists_the_same(message)
     }
 
-    /// Whether a message lists the same tasks as the last one, in the same order.
+    /// Returns whether a message lists the same tasks as the last one, in the same order.
     fn lists_the_same(&self, message: &WorkerHeartbeat) -> bool {
         let mut pairs = message.tasks.iter().zip(&self.last_reported);
         message.tasks.len() == self.last_reported.len()
--- a/crates/cherryyard-core/src/machine/state.rs
+++ b/crates/cherryyard-core/src/machine/state.rs
@@ -1,52 +1,52 @@
-//! The states of a machine, and what moves it from one to another.
+//! State machine of a machine's lifecycle under its owner.
 
-/// Where a machine stands with its owner.
+/// Lifecycle state of a machine under its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Has not reported under our token: nothing is known of it that counts.
+    /// No message under the current token yet: earlier reports prove nothing.
     Unconfirmed,
-    /// Reports under our token.
+    /// The machine reports under the current token.
     Ready,
-    /// Its last answered heartbeat is older than its lease: its tasks are gone.
+    /// The machine's lease has expired since its last answered heartbeat: its tasks have ended.
     Expired,
-    /// A release has been requested.
+    /// The machine's release has been requested.
     Returning,
-    /// The cloud has answered the release: it and all on it are gone.
+    /// The cloud has confirmed the release: the machine and everything on it are gone.
     Gone,
 }
 
-/// What moves a machine from one state to another.
+/// Event that changes the lifecycle state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineEvent {
-    /// A message that carries our token.
+    /// A message with the current token arrived.
     Confirmed,
-    /// Its lease has run out.
+    /// The machine's lease has expired.
     LeaseOver,
-    /// We have asked the cloud to take it back.
+    /// The owner has requested the machine's release from the cloud.
     ReleaseAsked,
-    /// The cloud has refused or not answered.
+    /// The cloud refused the release request or did not answer it.
     ReleaseFailed,
-    /// The cloud has answered 200.
+    /// The cloud answered the release request with 200.
     Released,
-    /// Our token has changed, so nothing reported under the old one counts.
+    /// The owner's token has changed, which invalidates everything reported under the previous one.
     TokenChanged,
 }
 
 impl MachineState {
-    /// The state after an event.
+    /// Returns the state that follows this one after an event.
     pub(super) fn after(self, event: MachineEvent) -> Self {
         use MachineEvent::*;
         use MachineState::*;
         match (self, event) {
             (Gone, _) | (_, Released) => Gone,
             (_, ReleaseAsked) => Returning,
-            // Never back to Ready by itself: the release may yet take effect.
+            // Never returns to Ready by itself: the requested release may still take effect.
             (Returning, Confirmed | LeaseOver | ReleaseFailed | TokenChanged) => Returning,
             (Unconfirmed | Ready | Expired, TokenChanged) => Unconfirmed,
             (Unconfirmed | Ready | Expired, Confirmed) => Ready,
             (Ready | Expired, LeaseOver) => Expired,
-            // Silence of a machine that has never shown our token proves
-            // nothing: its old owner may still be answering it.
+            // Silence of a machine that has never shown the current token proves nothing, because
+            // its previous owner may still be renewing its lease.
             (Unconfirmed, LeaseOver) => Unconfirmed,
             (Unconfirmed | Ready | Expired, ReleaseFailed) => self,
         }
--- a/crates/cherryyard-core/src/machine/tasks.rs
+++ b/crates/cherryyard-core/src/machine/tasks.rs
@@ -1,18 +1,18 @@
-//! Tasks as a machine reports them, and starts on their way to it.
+//! Tasks reported by a machine, and starts in flight to it.
 
 use cherryyard_wire::worker::{ExitCause, TaskReport, TaskStatus};
 
-/// A task: its job's number and its own.
+/// A task, identified by the number of its job and its own number within the job.
 pub type Task = (u64, u32);
 
-/// A task as a worker last reported it.
+/// State of a task in a worker's last report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedTask {
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Its state.
+    /// Status of the attempt.
     pub status: TaskStatus,
-    /// Why it ended.
+    /// Reason why the attempt ended, if it has.
     pub cause: Option<ExitCause>,
 }
 
@@ -25,24 +25,24 @@
         }
     }
 
-    /// Whether the task is over.
+    /// Returns whether the attempt has ended.
     pub fn ended(&self) -> bool {
         self.status == TaskStatus::Ended
     }
 }
 
-/// A start that was sent directly and may yet take effect.
+/// A directly sent start that may still take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PushedStart {
-    /// The task.
+    /// The task to start.
     pub task: Task,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The incarnation it was sent to.
+    /// Incarnation of the worker that the start is addressed to.
     pub incarnation: u64,
-    /// The token it was sent under.
+    /// Fencing token under which the start was sent.
     pub token: u64,
-    /// Whether its answer was lost. It may arrive at any later time, also after the same
-    /// start was sent again and answered.
+    /// Whether the answer to the command was lost. A start without an answer may arrive at any
+    /// later time, even after the same start was sent again and answered.
     pub lost: bool,
 }
--- a/crates/cherryyard-core/src/misdirected_workers.rs
+++ b/crates/cherryyard-core/src/misdirected_workers.rs
@@ -1,33 +1,33 @@
-//! Workers of other controllers' shards that report here.
+//! Workers of other controllers' shards that report to this controller.
 //!
-//! Such a worker may have lost the way to its owner, or it receives nothing from anybody and
-//! goes from one controller to the next: then no other owner would do better. So a sample of
-//! them is queried directly, and heartbeats tell the other controllers how many of each
-//! shard's workers can be reached here.
+//! Such a worker either cannot reach its owner, or receives nothing from any controller and tries
+//! one after the other, in which case a change of owner would not help. To distinguish the two, a
+//! sample of these workers is queried directly, and heartbeats report to the other controllers how
+//! many of each shard's workers can be reached from here.
 
 use crate::Millis;
 use crate::config::MAX_MACHINES;
 use crate::names::Names;
 use std::collections::BTreeMap;
 
-/// How long a report counts: a worker that cannot reach its owner waits 4 s there, 1 s more,
-/// and is sent there again.
+/// Time for which a report counts. A worker that cannot reach its owner waits there for 4 s, waits
+/// 1 s more, and is then redirected to the owner again.
 const COUNTED_MS: Millis = 6000.0;
-/// Time between two queries to a worker that has not been reached.
+/// Time before an unanswered query to a worker is repeated.
 const QUERY_AGAIN_MS: Millis = 3000.0;
-/// Queries under way at once.
+/// Maximum number of queries in flight at once.
 const MAX_QUERIES: usize = 16;
 
-/// What is known of whether a misdirected worker can be reached from here.
+/// Result of querying a misdirected worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Query {
-    /// It has not been queried.
+    /// No query has been sent.
     NotSent,
-    /// A query, sent then, is under way.
+    /// A query is in flight; holds the time at which it was sent.
     Pending(Millis),
-    /// The last query, sent then, was not answered.
+    /// The last query was not answered; holds the time at which it was sent.
     Unanswered(Millis),
-    /// It has answered; a later query, if any, is not needed.
+    /// The worker has answered a query, so no further query is sent.
     Answered,
 }
 
@@ -47,26 +47,27 @@
     query: Query,
 }
 
-/// A shard's misdirected workers.
+/// Number of a shard's misdirected workers by the result of their queries.
 #[derive(Clone, Copy, Debug, Default)]
 struct ShardCount {
     reporting: u32,
-    /// Of them, those whose query has come out.
+    /// Number of reporting workers whose query has been answered or has failed.
     queried: u32,
-    /// Of those, the ones that answered.
+    /// Number of queried workers that answered.
     reachable: u32,
 }
 
-/// The misdirected workers that have reported lately, by shard and machine.
+/// Misdirected workers that have reported recently, by shard and machine.
 #[derive(Debug, Default)]
 pub(crate) struct MisdirectedWorkers {
     workers: BTreeMap<(usize, u32), MisdirectedWorker>,
-    /// Whether the log says that further ones are not counted.
+    /// Whether the warning about workers that are not counted has been logged.
     full_logged: bool,
 }
 
 impl MisdirectedWorkers {
-    /// Whether a worker is known or may become so; says in the log once that it may not.
+    /// Returns whether a worker is tracked or there is space to track it. Logs a warning the first
+    /// time there is none.
     pub(crate) fn can_track(&mut self, shard_id: usize, name: &str, machines: &Names) -> bool {
         if self.workers.len() < MAX_MACHINES {
             return true;
@@ -81,8 +82,8 @@
         machine.is_some_and(|machine| self.workers.contains_key(&(shard_id, machine)))
     }
 
-    /// Takes a report of a worker; returns whether to query it directly, which is of use only
-    /// while its owner is alive.
+    /// Records a report of a worker, and returns whether to query the worker directly. Queries are
+    /// useful only while the worker's owner is alive.
     pub(crate) fn reported(
         &mut self,
         shard_id: usize,
@@ -93,7 +94,8 @@
         let key = (shard_id, machine);
         let known = self.workers.get(&key).map(|worker| worker.query);
         let before = known.unwrap_or(Query::NotSent);
-        // Pending queries are counted only where that decides: there may be thousands of workers.
+        // The pending queries are counted last, because that iterates over all workers, of which
+        // there may be thousands.
         let sends = owner_alive && before.is_due(now) && self.pending_queries() < MAX_QUERIES;
         let worker = MisdirectedWorker {
             last_report_at: now,
@@ -110,7 +112,7 @@
             .count()
     }
 
-    /// Takes how a query to a machine came out.
+    /// Records whether a query to a machine was answered.
     pub(crate) fn queried(&mut self, machine: u32, answered: bool) {
         for (&(_, queried), worker) in &mut self.workers {
             if queried == machine
@@ -125,8 +127,9 @@
         }
     }
 
-    /// How many misdirected workers of each shard can be reached from here. Not all are
-    /// queried, as they may come by the hundred at once: those that were stand for them.
+    /// Returns how many misdirected workers of each shard can be reached from here. Hundreds of
+    /// workers may report at once and not all are queried, so the number is extrapolated from those
+    /// that were.
     pub(crate) fn counts(&mut self, now: Millis) -> Vec<(u32, u32)> {
         self.workers
             .retain(|_, worker| now - worker.last_report_at < COUNTED_MS);
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -1,11 +1,11 @@
-//! Aging: the oldest job of each flow that has not begun goes first, and where no machine has
-//! room for it one is kept.
+//! Aging: the oldest job of each flow that has not started goes first, and if no machine has
+//! capacity for it, one machine is kept for it.
 //!
-//! Within a flow the least work goes first, so while small jobs keep coming a large one
-//! would never begin. All controllers see which jobs have begun, so they agree without a
-//! message on which is the oldest; only its first task goes ahead of the others, and then it
-//! is the next one's turn. A task belongs to one shard, so one owner at the most keeps a
-//! machine for it.
+//! Within a flow the job with the least work goes first, so a steady supply of small jobs would
+//! keep a large one from ever starting. All controllers see which jobs have started, so they agree
+//! on the oldest without exchanging messages. Only the first task of that job goes ahead of the
+//! others; after that the next job becomes the oldest one. A task belongs to one shard, so at most
+//! one owner keeps a machine for it.
 
 use super::state::KeptMachine;
 use crate::Millis;
@@ -16,21 +16,24 @@
 use cherryyard_wire::job::Shape;
 use std::collections::HashMap;
 
-/// Of so many machines of a shard one may be kept.
+/// Number of a shard's machines for each one that may be kept; at least one machine may be kept in
+/// any shard.
 const MACHINES_PER_KEPT: usize = 10;
 
 impl Controller {
-    /// Whether any task of a job has been started, anywhere.
+    /// Returns whether any task of a job has been assigned or completed in any shard.
     pub(super) fn begun(&self, job: u64) -> bool {
         self.mirror.assigned(job) + self.mirror.done(job) > 0
     }
 
-    /// Puts each flow's oldest job that has not begun first.
+    /// Moves the oldest job of each flow that has not started to the front of its flow, and
+    /// requeues the jobs whose place has changed.
     pub(super) fn reserve_for_oldest(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
         let turn_ms = self.config.tuning.admission.turn_s * 1000.0;
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
-        // While a job that fails everywhere came first, none other ever would.
+        // A quarantined job is passed over: it fails wherever it runs, so at the front it would
+        // keep every other job from going first.
         let is_over = |job: u64| {
             let failures = self.shards[shard_id].job_failures.get(&job);
             self.begun(job) || failures.is_some_and(|failures| failures.is_quarantined())
@@ -43,7 +46,8 @@
         self.drop_kept_machines(shard_id, now);
     }
 
-    /// Drops machines that are of no use, or whose task is not the first of its flow any more.
+    /// Drops kept machines that are unusable, and those whose task no longer waits or no longer
+    /// belongs to the first job of its flow.
     fn drop_kept_machines(&mut self, shard_id: usize, now: Millis) {
         let lost_ms = self.config.lease_ms;
         let (mirror, machines) = (&self.mirror, &self.machines);
@@ -59,7 +63,7 @@
         });
     }
 
-    /// Whether a machine is kept for another job that is at least as important.
+    /// Returns whether a machine is kept for another job that is at least as important.
     pub(super) fn kept_from(&self, shard_id: usize, host: u32, open: &OpenJob) -> bool {
         let kept_machines = self.shards[shard_id].kept_machines.values();
         let mut kept_here = kept_machines.filter(|kept| kept.host == host);
@@ -69,9 +73,10 @@
         })
     }
 
-    /// Keeps a machine for the first task of a flow's oldest job, if no machine has room for
-    /// it but one would have once its arrays are done: the one with the most free. One a
-    /// flow, and a tenth of the shard's machines in all.
+    /// Keeps a machine for the first task of a flow's oldest job. Called when no machine has
+    /// capacity for the task now: of the machines that would have the capacity once their arrays
+    /// are done, the one with the most free cores is kept. Each flow keeps one machine at most, and
+    /// all flows of the shard together a tenth of its machines.
     pub(super) fn keep_machine(
         &mut self,
         shard_id: usize,
@@ -111,7 +116,7 @@
         }
     }
 
-    /// Whether a machine may run a job and is not kept for another.
+    /// Returns whether a machine may run a job and is neither reserved nor kept for another.
     fn may_be_kept(
         &self,
         shard_id: usize,
@@ -127,7 +132,8 @@
             && self.zone_open(shard_id, open, &machine.zone, zones)
     }
 
-    /// Cores free on a machine now, if it has room for a job's task once its arrays are done.
+    /// Returns the cores that are free on a machine now, or `None` if the machine would be too
+    /// small for a task of the job even once its arrays are done.
     fn free_cores_if_enough_later(&self, machine: &Machine, open: &OpenJob) -> Option<f64> {
         let mut free = self.free_on(machine, None)?;
         let free_cores = free.cores;
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity of a shard's machines, and the capacity report that the leader gets.
+//! Free capacity of a shard's machines, and the capacity report for the leader.
 
 use super::cycle::Cycle;
 use crate::Millis;
@@ -10,20 +10,20 @@
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::Key;
 
-/// Waiting jobs that the leader is told of, in the order of service.
+/// Maximum number of waiting jobs in a capacity report, taken in the order of service.
 const MAX_REPORTED_JOBS: usize = 500;
-/// Intervals between heartbeats, and what one may take to arrive, after which a machine is
-/// silent.
+/// Silence limit of a machine: a number of heartbeat intervals, plus the time that a heartbeat may
+/// take to arrive.
 const SILENT_HEARTBEATS: f64 = 1.25;
 const SILENT_MS: f64 = 700.0;
 
 impl Controller {
-    /// Silence after which a machine gets nothing new.
+    /// Returns the silence in milliseconds after which a machine gets no new tasks.
     pub(crate) fn silence_ms(&self) -> f64 {
         self.config.report_ms * SILENT_HEARTBEATS + SILENT_MS
     }
 
-    /// A machine's whole size, by its type.
+    /// Returns a machine's total capacity according to its type, or `None` if the type is unknown.
     pub(crate) fn whole(&self, machine: &Machine) -> Option<Needs> {
         let machine_type = machine.type_in(&self.mirror.catalog.machine_types)?;
         Some(Needs {
@@ -33,8 +33,8 @@
         })
     }
 
-    /// What is left on a machine, after assignments (as the scheduling cycle leaves them) and
-    /// tasks without one.
+    /// Returns the free capacity of a machine, after its assignments (as `cycle` will leave them)
+    /// and the tasks on it that have no assignment.
     pub(crate) fn free_on(&self, machine: &Machine, cycle: Option<&Cycle>) -> Option<Needs> {
         let mut free = self.whole(machine)?;
         let is_gone = |task: &Task| cycle.is_some_and(|cycle| cycle.gone.contains(task));
@@ -46,7 +46,8 @@
         for (task, reported) in &machine.reported {
             let is_assigned = || self.mirror.assignment_on(machine.host, *task).is_some();
             if !reported.ended() && (is_gone(task) || !is_assigned()) {
-                // Not ours, or not any more: it takes room until it is gone.
+                // The task has no assignment, or is losing it, and uses capacity until the machine
+                // no longer runs it.
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
@@ -60,7 +61,8 @@
         Some(free)
     }
 
-    /// Free capacity (cores, accelerators, RAM) if arrays of ordinary rank or below made way.
+    /// Returns the free capacity (cores, accelerators, RAM) if all preemptible arrays on the
+    /// machine were stopped.
     fn free_if_preempted(&self, machine: &Machine, mut free: Needs) -> (f32, f32, f32) {
         for ((job, _), _) in self.mirror.on_host(machine.host) {
             let open = self.mirror.open.get(&job);
@@ -71,7 +73,7 @@
         as_reported(&free)
     }
 
-    /// Free capacity and waiting tasks, for the leader.
+    /// Returns the shard's free capacity and waiting tasks, as reported to the leader.
     pub(crate) fn capacity_report(&self, shard_id: usize, now: Millis) -> CapacityReport {
         let silence = self.silence_ms();
         let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Jobs that wait in a shard, in the order of service: how many of their tasks, and for
-    /// how many seconds.
+    /// Returns the jobs that wait in a shard in the order of service, each with the number of its
+    /// waiting tasks and the seconds for which it has waited.
     fn reported_jobs(&self, shard_id: usize, now: Millis) -> Vec<(u64, u32, f32)> {
         let queues = &self.shards[shard_id].queues;
         let mut service_order = queues.service_order();
@@ -118,8 +120,9 @@
         reported.collect()
     }
 
-    /// What each team uses and waits for. A shard cannot use more of a limit than its
-    /// machines have; what it holds beyond that is another shard's to use.
+    /// Returns the capacity that each team uses and waits for, but beyond what it uses no more than
+    /// the shard's machines have: a shard cannot use more of a team's limit than that, and the rest
+    /// of the limit is of use to other shards.
     fn wants(
         &self,
         waiting: &[(u64, u32, f32)],
@@ -147,7 +150,8 @@
         wants
     }
 
-    /// A machine's free capacity as it is reported, with its pool's and images' indices.
+    /// Returns a machine's free capacity in the form of the report. Adds its pool and images to the
+    /// report's lists and refers to them by index.
     fn machine_capacity(
         &self,
         machine: &Machine,
@@ -168,7 +172,7 @@
     }
 }
 
-/// The index of a machine's pool, which is added if it is new.
+/// Returns the index of a machine's pool, which is added to `pools` if it is missing.
 fn index_of_pool(machine: &Machine, pools: &mut Vec<MachinePool>) -> usize {
     let known = pools.iter().position(|pool| {
         pool.machine_type == machine.machine_type
@@ -185,7 +189,7 @@
     })
 }
 
-/// Cores, accelerators and RAM, as they are reported.
+/// Converts an amount to the report's cores, accelerators and RAM.
 fn as_reported(needs: &Needs) -> (f32, f32, f32) {
     (needs.cores as f32, needs.acc as f32, needs.ram as f32)
 }
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -1,5 +1,5 @@
-//! Collection: what machines' messages prove of assigned tasks is taken into a scheduling
-//! cycle.
+//! Collection: the part of a scheduling cycle that withdraws assignments whose attempts are proven
+//! to have ended by machines' messages.
 
 use super::cycle::Cycle;
 use super::state::Pending;
@@ -10,36 +10,38 @@
 use cherryyard_wire::worker::ExitCause;
 use std::collections::BTreeSet;
 
-/// Time after which a scheduling cycle looks at all of a shard's machines, in case that
-/// something has changed without a message.
+/// Time between two scheduling cycles that inspect all machines of a shard, in case something has
+/// changed without a message.
 const INSPECT_MS: f64 = 5000.0;
 
-/// How an assigned attempt is proven to have ended.
+/// Proven outcome of an assigned attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProvenEnd {
-    /// It has completed.
+    /// The attempt has completed.
     Done,
-    /// It has failed.
+    /// The attempt has failed.
     Failed,
-    /// It was stopped or is gone with its machine; that is nobody's fault.
+    /// The attempt was stopped or is gone with its machine, and counts as a failure of neither the
+    /// job nor the machine.
     Lost,
 }
 
-/// What messages prove, as it is taken into a cycle.
+/// Collection in progress: the cycle that is being filled, and what is applied to the shard
+/// afterwards.
 struct Collection<'a> {
     cycle: &'a mut Cycle,
     pending: &'a mut Pending,
-    /// A start of a job that is over may still be on its way, and only a higher token
-    /// stops it.
+    /// Whether a start that should not take effect may still be in flight, so that only a higher
+    /// token can invalidate it.
     needs_new_token: bool,
-    /// Machines for whose assignments the cycle has no room.
+    /// Machines with ended assignments that do not fit into this cycle's transaction.
     deferred: BTreeSet<u32>,
-    /// For how long completed tasks have run, with their jobs.
+    /// Run times of completed tasks, with their jobs.
     runs: Vec<(u64, Millis)>,
 }
 
 impl Controller {
-    /// Takes what messages prove into the scheduling cycle.
+    /// Adds to a scheduling cycle what machines' messages prove of the shard's assignments.
     pub(super) fn collect(
         &mut self,
         shard_id: usize,
@@ -82,7 +84,7 @@
         shard.ran.retain(|job, _| open.contains_key(job));
     }
 
-    /// Machines whose assignments the cycle looks at.
+    /// Returns the machines whose assignments the cycle inspects.
     fn hosts_to_inspect(&mut self, shard_id: usize, now: Millis) -> BTreeSet<u32> {
         let shard = &mut self.shards[shard_id];
         let touched = std::mem::take(&mut shard.touched);
@@ -95,7 +97,7 @@
         of_shard.map(|m| m.host).collect()
     }
 
-    /// Takes what is proven of one assigned task.
+    /// Adds to the cycle what is proven of one assigned task.
     fn collect_task(
         &self,
         shard_id: usize,
@@ -136,7 +138,7 @@
         collection.pending.hosts.insert(host);
     }
 
-    /// How messages prove an assigned task to have ended, if they do.
+    /// Returns the proven outcome of an assigned attempt, or `None` if none is proven.
     fn proven_end(&self, task: Task, assignment: &Assignment, now: Millis) -> Option<ProvenEnd> {
         let machine = self.machines.get(&assignment.host)?;
         if machine.shows_our_token()
@@ -158,8 +160,9 @@
         if !machine.proven_gone(task, assignment.incarnation, assignment.attempt) {
             return None;
         }
-        // Absent in the same incarnation means that the start has not arrived. It
-        // is sent again, as the same attempt, unless nothing should start.
+        // A task that is absent from the same incarnation was never started: the start has not
+        // arrived. It is sent again, as the same attempt, unless the machine must not start
+        // anything.
         let may_start = machine.state == MachineState::Ready
             && machine.newest.0 == assignment.incarnation
             && !machine.lease_over
@@ -169,8 +172,9 @@
         (!is_open || !may_start).then_some(ProvenEnd::Lost)
     }
 
-    /// Whether an assignment that should go is kept by a start whose answer was lost: its job
-    /// is over, or its worker has restarted since.
+    /// Returns whether an assignment that should be withdrawn is held by a start whose answer was
+    /// lost. An assignment should be withdrawn if its job is over or its worker has restarted
+    /// since.
     fn is_kept_by_lost_start(&self, task: Task, assignment: &Assignment, now: Millis) -> bool {
         let Some(machine) = self.machines.get(&assignment.host) else {
             return false;
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -1,9 +1,9 @@
-//! A scheduling cycle in the making: the transaction that it writes.
+//! Construction of a scheduling cycle's transaction.
 //!
-//! A shard's assignments stand in pages, each with assignments of many jobs, so that one
-//! cycle costs a write or two however many jobs it touches. New assignments go into
-//! the last page, or a new one after it: the leader's moves depend on these two
-//! alone. What is done stays in its page until its job is over.
+//! A shard's assignments are stored in pages that each hold assignments of many jobs, so that one
+//! cycle costs a write or two however many jobs it touches. New assignments go into the last page
+//! or into a new one after it: the leader's moves depend on these two pages alone. The numbers of
+//! completed tasks stay in their page until their job is over.
 
 mod commit;
 mod compaction;
@@ -14,17 +14,18 @@
 use crate::{Config, Mirror};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// Conditions of each cycle: the lease, and the history's record for what is over.
+/// Number of conditions in every cycle's transaction: the shard's lease, and the history record for
+/// jobs that end.
 const FIXED_CONDITIONS: usize = 2;
 
-/// A page as it will be written.
+/// A page with the cycle's changes.
 struct EditedPage {
     page: Page,
-    /// About how many bytes it takes.
+    /// Estimated size of the page in bytes.
     bytes: usize,
 }
 
-/// A scheduling cycle in the making.
+/// A scheduling cycle under construction.
 pub(crate) struct Cycle {
     shard: usize,
     max_ops: usize,
@@ -32,20 +33,20 @@
     page_bytes: usize,
     format: PageFormat,
     edits: BTreeMap<u32, EditedPage>,
-    /// The page that new assignments go into.
+    /// Number of the page that takes new assignments.
     last_page: Option<u32>,
-    /// Jobs that get new assignments, and their teams with limits.
+    /// Jobs that get new assignments, and those of their teams that have limits.
     jobs: BTreeSet<u64>,
     teams: BTreeSet<u32>,
-    /// Whether any of these jobs' rules depend on machines' attributes.
+    /// Whether the rules of any of these jobs depend on machine attributes.
     has_rules: bool,
     /// Jobs that the cycle ends.
     ends: BTreeSet<u64>,
-    /// Tasks that the cycle proves done, by job.
+    /// Number of tasks that the cycle proves completed, by job.
     gained: BTreeMap<u64, u32>,
-    /// Tasks whose assignments go.
+    /// Tasks whose assignments the cycle withdraws.
     pub(crate) gone: HashSet<Task>,
-    /// Tasks that get assignments, by machine.
+    /// Tasks that the cycle assigns, by machine.
     pub(crate) put: BTreeMap<u32, Vec<Task>>,
 }
 
@@ -69,7 +70,7 @@
         }
     }
 
-    /// About how many bytes the pages take.
+    /// Returns the estimated size of the edited pages in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.edits.values().map(|edited| edited.bytes).sum()
     }
@@ -78,7 +79,7 @@
         self.edits.is_empty() && self.ends.is_empty()
     }
 
-    /// Whether the transaction has room for so many changes and conditions more.
+    /// Returns whether the transaction can take a number of further changes and conditions.
     fn fits(&self, ops: usize, conditions: usize) -> bool {
         let conditions = conditions
             + FIXED_CONDITIONS
@@ -90,7 +91,7 @@
             && conditions <= self.max_conditions
     }
 
-    /// The page to edit, if the transaction has room for it.
+    /// Returns a page for editing, or `None` if the transaction cannot take another page.
     fn edit(&mut self, mirror: &Mirror, number: u32) -> Option<&mut EditedPage> {
         if !self.edits.contains_key(&number) {
             if !self.fits(1, 1) || self.bytes() + self.page_bytes > TXN_BYTES {
@@ -106,7 +107,8 @@
         self.edits.get_mut(&number)
     }
 
-    /// Takes an assignment out of its page; false if that must wait for another cycle.
+    /// Removes an assignment from its page; returns false if the removal has to wait for another
+    /// cycle.
     pub(super) fn unassign(
         &mut self,
         mirror: &Mirror,
@@ -135,8 +137,8 @@
         true
     }
 
-    /// Puts an assignment into the last page, or a new one; false if that must wait for
-    /// another cycle. `limited_team` is the job's team if that has a limit.
+    /// Adds an assignment to the last page or to a new one; returns false if the assignment has to
+    /// wait for another cycle. `limited_team` is the job's team if that has a limit.
     pub(super) fn assign(
         &mut self,
         mirror: &Mirror,
@@ -157,7 +159,7 @@
         let Some(page_number) = self.page_with_room(mirror, more) else {
             return false;
         };
-        // The conditions once more: a new page took one.
+        // Checked again, because a new page has added a condition.
         if !self.fits(0, new_conditions) {
             return false;
         }
@@ -175,17 +177,18 @@
         true
     }
 
-    /// The page that has room for an assignment of so many bytes: the last or a new one,
-    /// which is edited then; none if the transaction has no room for it.
+    /// Returns the number of the page that can take an assignment of `more` bytes, which is the
+    /// last page or a new one, and opens that page for editing. Returns `None` if the transaction
+    /// cannot take the page.
     fn page_with_room(&mut self, mirror: &Mirror, more: usize) -> Option<u32> {
         let (format, most) = (self.format, self.page_bytes);
         let number = self.last_page.unwrap_or(0);
         let EditedPage { page, bytes } = self.edit(mirror, number)?;
         if *bytes + more > most {
-            // Assignments that went in this cycle have made room.
+            // The size is an estimate; assignments removed in this cycle may have freed bytes.
             *bytes = page.bytes(&mirror.hosts, format);
         }
-        // A page of a single assignment is written however small the limit is.
+        // An empty page takes an assignment even if that alone exceeds the size limit.
         if *bytes + more <= most || page.jobs.is_empty() {
             return Some(number);
         }
@@ -193,24 +196,24 @@
         Some(number + 1)
     }
 
-    /// How many of a job's assignments this cycle takes out.
+    /// Returns how many assignments of a job this cycle withdraws.
     pub(super) fn gone_of(&self, job: u64) -> usize {
         self.gone.iter().filter(|task| task.0 == job).count()
     }
 
-    /// Tasks that the cycle proves done, by job; taken out.
+    /// Returns the number of tasks proven completed, by job, and clears it.
     pub(super) fn take_gained(&mut self) -> BTreeMap<u64, u32> {
         std::mem::take(&mut self.gained)
     }
 
-    /// Ends a job, if the transaction has room for that.
+    /// Ends a job, unless the transaction cannot take the change.
     pub(super) fn end(&mut self, job: u64) {
         if self.fits(1, 1) {
             self.ends.insert(job);
         }
     }
 
-    /// Jobs that the cycle ends.
+    /// Returns the jobs that the cycle ends.
     pub(super) fn ends(&self) -> &BTreeSet<u64> {
         &self.ends
     }
--- a/crates/cherryyard-core/src/owner/cycle/commit.rs
+++ b/crates/cherryyard-core/src/owner/cycle/commit.rs
@@ -1,4 +1,4 @@
-//! The transaction that a scheduling cycle has come to.
+//! Conversion of a scheduling cycle into its transaction.
 
 use super::Cycle;
 use crate::controller::Controller;
@@ -6,7 +6,7 @@
 use cherryyard_wire::state::{Apply, Commit};
 
 impl Controller {
-    /// The transaction of a cycle, under the shard's token.
+    /// Returns the transaction of a cycle, which depends on the shard's token.
     pub(in crate::owner) fn cycle_commit(
         &self,
         shard_id: usize,
@@ -21,8 +21,8 @@
             let open = self.mirror.open.get(&job)?;
             Some((job, open.ended(End::Done)))
         });
-        // Ends are smaller than the records that they replace, and each was counted
-        // as a change of its own: they fit.
+        // Ended records are smaller than the open records that they replace, and each was counted
+        // as a change of its own, so they fit into the transaction.
         self.mirror
             .write_jobs(&mut commit, ends.collect(), &self.config);
         commit
@@ -45,21 +45,22 @@
         }
     }
 
-    /// New assignments depend on what they were placed by. What is proven done or gone is so
+    /// Adds the conditions of new assignments: the records by which they were placed must not have
+    /// changed. Proofs that tasks have completed or are gone need no condition, because they hold
     /// whatever has become of the job.
     fn require_as_placed(&self, commit: &mut Commit, shard_id: usize, cycle: &Cycle) {
-        // On the division, and on the job's being open.
+        // The job must still be open and divided among the shards in the same way.
         for &job in &cycle.jobs {
             self.mirror.require(commit, Key::Job(job));
         }
         if cycle.has_rules {
-            // Placed by attributes as they were: if an operator has changed them
-            // meanwhile, it is decided anew.
+            // The rules were evaluated with these attributes: if an operator has changed them
+            // meanwhile, the transaction fails and the tasks are placed again.
             self.mirror.require(commit, Key::Attributes);
         }
         for &team in &cycle.teams {
-            // A lowering of the grant whose answer was lost may have been
-            // applied; assignments made by the old grant must then die.
+            // A transaction that lowers the grant may have been applied although its answer was
+            // lost. Assignments based on the old grant must then fail.
             let grant = Key::Grant {
                 team: team as usize,
                 shard: shard_id,
--- a/crates/cherryyard-core/src/owner/cycle/compaction.rs
+++ b/crates/cherryyard-core/src/owner/cycle/compaction.rs
@@ -1,11 +1,11 @@
-//! Compaction of a shard's pages, when its cycle has nothing else to write.
+//! Compaction of a shard's pages, in cycles that have nothing else to write.
 
 use super::{Cycle, EditedPage};
 use crate::Mirror;
 
 impl Cycle {
-    /// Drops a page of which nothing is needed any more, or moves what is left of one into
-    /// the last.
+    /// Deletes one page without any needed entries, or moves the remaining entries of one small
+    /// page into the last page.
     pub(in crate::owner) fn compact_pages(&mut self, mirror: &Mirror) {
         let Some(last) = mirror.last_page(self.shard) else {
             return;
@@ -16,7 +16,7 @@
             };
             let bytes = *bytes;
             if number == 0 && stored.jobs.is_empty() {
-                // The first page stays, empty.
+                // The first page is kept even if it is empty.
                 self.edits.clear();
                 continue;
             }
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Moves what a page holds into the last one, if it is little and there is room.
+    /// Moves the entries of a page into the last one, if they take less than a quarter of a page
+    /// and fit there. Returns whether they were moved.
     fn move_into_last(&mut self, mirror: &Mirror, number: u32, bytes: usize, last: u32) -> bool {
         if bytes * 4 >= self.page_bytes {
             return false;
--- a/crates/cherryyard-core/src/owner/direct_commands.rs
+++ b/crates/cherryyard-core/src/owner/direct_commands.rs
@@ -1,5 +1,5 @@
-//! Direct commands: what a machine is due is sent to it at once, without waiting for its next
-//! heartbeat.
+//! Direct commands: a machine's due commands are sent to its worker at once, without waiting for
+//! its next heartbeat.
 
 use super::reconciliation::CommandChannel;
 use crate::Millis;
@@ -9,11 +9,11 @@
 use crate::reachability::Reachability;
 use cherryyard_wire::worker::{CommandBatch, WorkerCommand, parse_task_name};
 
-/// Least time between two messages to a machine.
+/// Minimum time between two batches of direct commands to a machine.
 const PUSH_INTERVAL_MS: f64 = 50.0;
 
 impl Machine {
-    /// Notes the starts of direct commands: they are on their way.
+    /// Records the starts of a batch of direct commands as in flight.
     fn note_pushed_starts(&mut self, request: &CommandBatch) {
         for command in &request.commands {
             if let WorkerCommand::Start { task_name, attempt } = command
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Settles the starts of a direct command. Of an answered or unsent one they are no
-    /// longer on their way; of one whose answer was lost they may be, until the incarnation
-    /// or the token has changed.
+    /// Settles the starts of a batch of direct commands. Starts of an answered or unsent batch are
+    /// no longer in flight. Starts of a batch whose answer was lost (`lost`) may be, until the
+    /// incarnation or the token changes.
     pub(crate) fn settle_push(&mut self, request: &CommandBatch, lost: bool) {
         for command in &request.commands {
             if let WorkerCommand::Start { task_name, attempt } = command
@@ -93,7 +93,7 @@
         });
     }
 
-    /// Sends direct commands to every machine of the shard that is due any.
+    /// Sends direct commands to each machine of the shard that has commands due.
     pub(crate) fn push_due(&mut self, shard_id: usize, now: Millis) {
         let due = |m: &&Machine| m.shard == shard_id && !m.pushing && now >= m.push_after;
         let hosts: Vec<u32> = self.machines.values().filter(due).map(|m| m.host).collect();
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -1,4 +1,5 @@
-//! Which work is stopped to make room for a waiting task, and on which machine.
+//! Search for the machine on which a waiting task's preemption costs least, and for the tasks to
+//! stop there.
 
 use super::cycle::Cycle;
 use super::preemptible::{CORES_ROUNDING, EvictionScope, Preemption};
@@ -12,9 +13,10 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// What stopping a task costs, less what its late start saves.
+/// Cost of stopping a task, from which its attempt number is subtracted, because a task that
+/// started later has lost less work.
 const VICTIM_COST: f64 = 1e6;
-/// What it costs that the image has to be fetched.
+/// Cost of a machine on which the image first has to be fetched.
 const IMAGE_FETCH_COST: f64 = 1.5e6;
 
 /// An attempt that could be stopped.
@@ -26,7 +28,7 @@
     flow: Flow,
 }
 
-/// What is stopped on a machine to make room for a waiting task.
+/// The tasks to stop on one machine so that a waiting task fits.
 pub(super) struct Eviction {
     pub(super) beneficiary: Task,
     pub(super) host: u32,
@@ -34,7 +36,7 @@
     cost: f64,
 }
 
-/// The search for the machine on which making room costs least.
+/// Search for the cheapest eviction for waiting tasks of one job.
 pub(super) struct EvictionSearch<'a> {
     pub(super) controller: &'a Controller,
     pub(super) shard_id: usize,
@@ -42,14 +44,15 @@
     pub(super) open: &'a OpenJob,
     pub(super) needs: Needs,
     pub(super) scope: EvictionScope,
-    /// Tasks of the job by zone.
+    /// Number of the job's tasks by zone.
     pub(super) zones: HashMap<String, u32>,
     pub(super) cycle: &'a Cycle,
     pub(super) now: Millis,
 }
 
 impl EvictionSearch<'_> {
-    /// The cheapest eviction for a waiting task, on another machine than those before.
+    /// Returns the cheapest eviction for a waiting task, on a machine that none of the `earlier`
+    /// evictions uses.
     pub(super) fn cheapest(
         &self,
         number: u32,
@@ -76,7 +79,7 @@
         best
     }
 
-    /// Whether the waiting task may run on a machine.
+    /// Returns whether the waiting task may run on a machine.
     fn is_eligible(&self, machine: &Machine, number: u32) -> bool {
         let holds_image = || machine.image(&self.open.spec.image) == ImageState::Held;
         self.controller.allowed(self.open, machine)
@@ -87,7 +90,8 @@
                 .zone_open(self.shard_id, self.open, &machine.zone, &self.zones)
     }
 
-    /// Whether a machine is kept for others, or work is being stopped on it already.
+    /// Returns whether a machine is reserved or kept for others, or a task is already being
+    /// preempted on it.
     fn is_spoken_for(&self, machine: &Machine) -> bool {
         let shard = &self.controller.shards[self.shard_id];
         let mut tasks = self.controller.mirror.on_host(machine.host);
@@ -98,7 +102,8 @@
             || tasks.any(|(task, _)| shard.preempted.contains_key(&task))
     }
 
-    /// What has to be stopped on a machine for the waiting task to fit, if that is enough.
+    /// Returns the tasks to stop on a machine for the waiting task to fit, or `None` if it fits
+    /// without that or not even then.
     fn eviction_on(
         &self,
         machine: &Machine,
@@ -108,7 +113,8 @@
         let mut free = self.controller.free_on(machine, Some(self.cycle))?;
         let mut victims = Vec::new();
         let mut cost = 0.0;
-        // Of flows that have long had too little, no more is stopped than is allowed.
+        // Flows that are entitled to start ahead of the order of ranks lose no more cores than
+        // their allowance permits.
         let mut stoppable = preemption.stoppable_cores.clone();
         for victim in self.possible_victims(machine, preemption) {
             if self.needs.fits(&free) {
@@ -138,8 +144,8 @@
         })
     }
 
-    /// Work on a machine that makes way for the job: the least important first, then what
-    /// began last, which has lost least.
+    /// Returns the attempts on a machine that the job may preempt: the least important first, and
+    /// among equals the most recently started, which has lost the least work.
     fn possible_victims(&self, machine: &Machine, preemption: &Preemption) -> Vec<Victim> {
         let mirror = &self.controller.mirror;
         let mut victims: Vec<Victim> = mirror
@@ -159,8 +165,8 @@
         victims
     }
 
-    /// Whether another job makes way: it is less important, or its team uses more than its
-    /// guarantee while this job's team stays within its own.
+    /// Returns whether this job may preempt another: the other is less important, or the other's
+    /// team uses more than its guarantee while this job's team stays within its own.
     fn makes_way(&self, other: &OpenJob, preemption: &Preemption) -> bool {
         if self.open.goes_before(other) {
             return true;
--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -1,63 +1,64 @@
-//! Failure attribution: whether a failure is the machine's fault or the job's.
+//! Failure attribution: whether a failed task is the machine's fault or the job's.
 //!
-//! A faulty machine fails whatever it gets; a job that was submitted with a mistake
-//! fails wherever it runs. One failure tells neither. So a job's failures count against
-//! the machines it failed on only until it has failed on several of them: then they are
-//! taken back, and the job is quarantined. Before, four failures of any job
-//! released a machine, and one bad array emptied a shard of its machines.
+//! A faulty machine fails every task it gets, and a job that was submitted with a mistake fails
+//! wherever it runs. One failure does not distinguish the two. So a job's failures count against
+//! the machines on which it failed only until it has failed on several of them; then these failures
+//! are withdrawn and the job is quarantined. Counting every failure against its machine is not
+//! enough: with a limit of four failures, a single faulty array caused all machines of a shard to
+//! be released.
 
 use crate::Millis;
 use crate::machine::Machine;
 use std::collections::BTreeSet;
 
-/// On so many machines a job that never completed anything has to fail to be quarantined.
+/// Number of machines on which a job that has not completed any task must fail to be quarantined.
 const QUARANTINE_MACHINES: usize = 3;
-/// So many failures without a completion in between show that a machine is faulty.
+/// Number of failures without a completed task in between at which a machine counts as faulty.
 pub(super) const FAULTY_MACHINE_FAILURES: u32 = 3;
-/// How long a quarantined job is first held off; twice as long after each further strike.
+/// Duration of a job's first quarantine hold; it doubles with each further strike.
 const FIRST_HOLD_MS: f64 = 1000.0;
-/// Longest that it is held off, before jitter of a quarter either way.
+/// Maximum duration of a hold, before a jitter of up to a quarter in either direction.
 const LONGEST_HOLD_MS: f64 = 32_000.0;
-/// How long a job's failures are remembered when none has followed.
+/// Time after its last failure for which a job's failures are remembered.
 const FORGET_MS: f64 = 180_000.0;
-/// Half of how long a machine is left alone after its first failure; twice as long after each
-/// further one.
+/// Base of the time for which a machine gets no new tasks after failures: it is doubled once for
+/// each failure, `MAX_AVOID_DOUBLINGS` times at most, so the first failure costs twice this time.
 const AVOID_MS: f64 = 5000.0;
 const MAX_AVOID_DOUBLINGS: u32 = 6;
 
-/// Where a job that has failed stands in a shard.
+/// Attribution of a job's failures in a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FailureAttribution {
-    /// It has failed, on too few machines to tell.
+    /// The job has failed on too few machines to attribute the failures.
     Open,
-    /// It fails wherever it runs: one of its tasks at a time is tried.
+    /// The job fails wherever it runs: only one of its tasks at a time is tried.
     Quarantined {
-        /// How often it was held off in a row.
+        /// Number of further holds after the first.
         strikes: u32,
-        /// When it is tried again.
+        /// Time at which the job is tried again.
         until: Millis,
     },
 }
 
-/// A job's failures in a shard.
+/// Failures of a job in a shard.
 #[derive(Clone, Debug)]
 pub(crate) struct JobFailures {
-    /// Whose fault they are.
+    /// Whether the failures are attributed to the job.
     pub(crate) attribution: FailureAttribution,
-    /// Machines on which it has failed, as far as they are needed.
+    /// Machines on which the job has failed; cleared when the job is quarantined.
     pub(crate) hosts: BTreeSet<u32>,
-    /// When it last failed.
+    /// Time of the last failure.
     pub(crate) at: Millis,
 }
 
-/// What became of a failure.
+/// Attribution of a single failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It counts against the machine, for now.
+    /// The failure counts against the machine for now.
     Machine,
-    /// It is the job's fault, as was known.
+    /// The failure is the job's fault, as established before.
     Job,
-    /// It is the job's fault, and has just shown to be.
+    /// The failure is the job's fault, which this failure establishes.
     JobNow,
 }
 
@@ -70,8 +71,8 @@
         }
     }
 
-    /// The one place where the attribution changes: the job has failed on a machine. `jitter`
-    /// is between 0 and 1.
+    /// Records a failure of the job on a machine and returns its attribution. No other function
+    /// changes the attribution. `jitter` is between 0 and 1.
     pub(crate) fn failed(&mut self, host: u32, jitter: f64, now: Millis) -> Verdict {
         self.at = now;
         let wait = |strikes: u32| {
@@ -91,8 +92,8 @@
                 Verdict::JobNow
             }
             FailureAttribution::Quarantined { strikes, until } => {
-                // What was started before counts as one with the last strike: a large
-                // array fails by the hundred.
+                // Tasks that were started before the hold count toward the last strike, because a
+                // large array fails by the hundred.
                 if now >= until {
                     self.attribution = FailureAttribution::Quarantined {
                         strikes: strikes + 1,
@@ -104,30 +105,30 @@
         }
     }
 
-    /// Whether the job fails wherever it runs.
+    /// Returns whether the job is quarantined because it fails wherever it runs.
     pub(crate) fn is_quarantined(&self) -> bool {
         matches!(self.attribution, FailureAttribution::Quarantined { .. })
     }
 
-    /// Whether none of its tasks is tried for now.
+    /// Returns whether the job is quarantined and on hold, so that none of its tasks is tried now.
     pub(crate) fn held_off(&self, now: Millis) -> bool {
         matches!(self.attribution, FailureAttribution::Quarantined { until, .. } if now < until)
     }
 
-    /// Whether it is long past.
+    /// Returns whether the last failure is long enough ago to be forgotten.
     pub(crate) fn past(&self, now: Millis) -> bool {
         now - self.at > FORGET_MS
     }
 }
 
 impl Machine {
-    /// Failures that count against it.
+    /// Returns the number of failures that count against the machine.
     pub(crate) fn failures(&self) -> u32 {
         self.failures + self.suspected.len() as u32
     }
 
-    /// A task of a job has failed here; `proven` if others of the job completed
-    /// elsewhere, else the job itself may be at fault.
+    /// Records a failure of a job's task on the machine. `proven` means that other tasks of the job
+    /// have completed elsewhere; otherwise the job itself may be at fault.
     pub(super) fn fails(&mut self, job: u64, proven: bool, now: Millis) {
         if proven {
             self.failures += 1;
@@ -138,7 +139,7 @@
         self.avoid_until = now + AVOID_MS * f64::from(1u32 << doublings);
     }
 
-    /// A job has shown to be at fault itself.
+    /// Withdraws the failures of a job that turned out to be at fault itself.
     pub(super) fn cleared_of(&mut self, job: u64, now: Millis) {
         if self.suspected.remove(&job) && self.failures() == 0 {
             self.avoid_until = self.avoid_until.min(now);
--- a/crates/cherryyard-core/src/owner/failure_attribution/tests.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
 
-/// One bad array of a hundred tasks on four machines is one strike, not a hundred,
-/// and is known after three machines; waits are bounded and jittered.
+/// A faulty array of a hundred tasks on four machines must be attributed to the job after three
+/// machines and count as one strike, not a hundred. Holds must double up to a bound, with jitter.
+/// Guards against a faulty job being held against its machines, or being held off for too long
+/// because many of its tasks fail at once.
 #[test]
 fn a_job_is_blamed_after_three_machines() {
     let mut t = JobFailures::new(0.0);
@@ -25,7 +27,8 @@
     assert_eq!(waits, [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 24.0, 40.0]);
 }
 
-/// The same machine again and again says nothing of the job.
+/// Repeated failures on a single machine must not quarantine the job, because they may be the
+/// machine's fault.
 #[test]
 fn one_machine_blames_no_job() {
     let mut t = JobFailures::new(0.0);
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -1,4 +1,5 @@
-//! On which machines a task may run, and which of those with room is best.
+//! Rules for the machines on which a task may run, and the choice of the best one with enough free
+//! capacity.
 
 use super::cycle::Cycle;
 use crate::controller::Controller;
@@ -15,23 +16,24 @@
     pub(super) task: Task,
     pub(super) open: &'a OpenJob,
     pub(super) needs: Needs,
-    /// Machines on which its job has failed.
+    /// Machines on which the task's job has failed.
     pub(super) failed_on: Option<&'a BTreeSet<u32>>,
-    /// The machine that is reserved for it: no other is taken.
+    /// Machine that is reserved for the task. If there is one, no other is considered.
     pub(super) reserved_host: Option<u32>,
-    /// Tasks of its job by zone.
+    /// Number of the job's tasks by zone.
     pub(super) zones: &'a HashMap<String, u32>,
 }
 
-/// What makes a machine better for a task than another; the first that differs decides.
+/// Ranking of a machine for a task. Fields are compared in order, and the first difference decides.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// Its job has not failed there, as far as that may tell whose fault it is.
+    /// Whether the job has no failures on the machine that may be the machine's fault.
     has_not_failed: bool,
-    /// How much the job's rules prefer the machine's pool.
+    /// Preference tier of the machine's pool in the job's rules.
     tier: Reverse<Option<u16>>,
     image: ImageState,
-    /// A spot machine may be taken with its work: only for what finds no other room.
+    /// Whether the cloud cannot reclaim the machine. A spot machine may be lost with its tasks, so
+    /// it is only used if no other machine has capacity.
     is_on_demand: bool,
 }
 
@@ -49,7 +51,8 @@
             ),
             image: match self.open.spec.shape {
                 Shape::Service => machine.image(image),
-                // For arrays one that is being fetched is as good as one that is there.
+                // For arrays an image that is being fetched is as good as one that is on the
+                // machine.
                 Shape::Array => machine.image(image).min(ImageState::Fetching),
             },
             is_on_demand: !machine.spot,
@@ -58,8 +61,8 @@
 }
 
 impl Controller {
-    /// The best of the machines with room for a task, by its place among `capacities`. Of
-    /// machines that are alike the one with the most room is the best.
+    /// Returns the index in `capacities` of the best machine with enough free capacity for a task.
+    /// Among equally preferred machines the one with the most free capacity is the best.
     pub(super) fn best_fit(
         &self,
         request: &FitRequest,
@@ -80,7 +83,7 @@
         best.map(|(capacity, _)| capacity)
     }
 
-    /// Whether a task may start on a machine now.
+    /// Returns whether a task may start on a machine now.
     fn is_possible(&self, request: &FitRequest, machine: &Machine) -> bool {
         let (shard_id, open, host) = (request.shard_id, request.open, machine.host);
         let reserved = self.shards[shard_id].reserved.get(&host);
@@ -92,7 +95,7 @@
             && self.zone_open(shard_id, open, &machine.zone, request.zones)
     }
 
-    /// Whether the job's rules allow this machine.
+    /// Returns whether the job's rules allow a machine.
     pub(crate) fn allowed(&self, open: &OpenJob, machine: &Machine) -> bool {
         (!open.spec.together || open.zone.is_some())
             && open
@@ -100,8 +103,8 @@
                 .is_some()
     }
 
-    /// How many tasks of a job are in each zone, as the cycle leaves them; counted only for
-    /// jobs with caps by zone.
+    /// Returns the number of a job's tasks in each zone after the cycle. The tasks are counted only
+    /// for jobs with caps by zone.
     pub(super) fn zone_counts(
         &self,
         shard_id: usize,
@@ -128,7 +131,8 @@
         counts
     }
 
-    /// Counts a task in its machine's zone. A machine that is not known may be in any.
+    /// Counts a task in its machine's zone. An unknown machine may be in any zone and is counted in
+    /// all of them.
     fn count_zone(&self, host: u32, counts: &mut HashMap<String, u32>) {
         match self.machines.get(&host) {
             Some(machine) => *counts.entry(machine.zone.clone()).or_default() += 1,
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Whether the shard may start one more task of a job in a zone.
+    /// Returns whether the shard may start one more task of a job in a zone.
     pub(super) fn zone_open(
         &self,
         shard_id: usize,
@@ -160,7 +164,8 @@
         counts.get(zone).copied().unwrap_or(0) < cap.copied().unwrap_or(0)
     }
 
-    /// Seconds until the job's image would be on a machine.
+    /// Returns the seconds that a machine needs to fetch the job's image; 0 if the image is there
+    /// or the rate is unknown.
     pub(super) fn fetch_s(&self, open: &OpenJob, host: u32) -> f64 {
         let machine = &self.machines[&host];
         if machine.image(&open.spec.image) == ImageState::Held {
--- a/crates/cherryyard-core/src/owner/hand_over.rs
+++ b/crates/cherryyard-core/src/owner/hand_over.rs
@@ -1,5 +1,5 @@
-//! Services that had better not start where they are: less important work is stopped where
-//! their image is, or the leader moves them to a shard that holds it.
+//! Services whose image would have to be fetched: less important tasks are stopped on machines that
+//! hold the image, or the leader moves the service to a shard that does.
 
 use super::cycle::Cycle;
 use super::placement::{Candidate, Placement};
@@ -7,16 +7,18 @@
 use super::preemptible::EvictionScope;
 use crate::controller::Controller;
 
-/// A fetch of an image for which other work makes way elsewhere, in seconds.
+/// Fetch time of an image above which a service's task preempts others on a machine that holds the
+/// image, in seconds.
 const PREEMPT_FETCH_S: f64 = 1.5;
-/// A fetch of an image for which a service is handed over to another shard, in seconds.
+/// Fetch time of an image above which a service is handed over to another shard, in seconds.
 const HAND_OVER_FETCH_S: f64 = 4.0;
-/// Longest that a service is kept back for another shard.
+/// Maximum time for which a service is held back so that the leader can move it.
 const HAND_OVER_MS: f64 = 1500.0;
 
 impl Controller {
-    /// Whether a service's task that would have to fetch its image on the best machine is not
-    /// started there: arrays make way where the image is, or another shard gets it.
+    /// Returns whether a service's task should not start on `host`, the best machine with free
+    /// capacity, because that would have to fetch the image first: either less important tasks are
+    /// being stopped on a machine that holds the image, or the job is offered to another shard.
     pub(super) fn better_elsewhere(
         &mut self,
         placement: &mut Placement,
@@ -29,8 +31,8 @@
         let open = &self.mirror.open[&job];
         let fetch_s = self.fetch_s(open, host);
         if fetch_s > PREEMPT_FETCH_S && placement.preemption.is_possible_for(open) {
-            // Where the image is, the task runs at once; the arrays there can make
-            // way more easily than it can wait.
+            // On a machine that holds the image the task runs at once. Less important tasks there
+            // can be stopped more easily than the service can wait.
             let request = PreemptionRequest {
                 shard_id,
                 job,
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -1,4 +1,4 @@
-//! What is known of the images on a shard's machines.
+//! Tracking and persistence of which images a shard's machines hold.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -7,11 +7,11 @@
 use cherryyard_wire::state::{Apply, Json};
 use cherryyard_wire::worker::{ExitCause, TaskStatus, WorkerHeartbeat};
 
-/// Least time between two records of a shard's images.
+/// Minimum time between two records of a shard's images.
 const IMAGES_MS: f64 = 10_000.0;
 
 impl Controller {
-    /// Notes which images a machine's assigned tasks use.
+    /// Records the images of a machine's assigned tasks as used.
     pub(crate) fn note_images(&mut self, host: u32) {
         let tasks: Vec<Task> = self.mirror.on_host(host).map(|(task, _)| task).collect();
         let Some(machine) = self.machines.get_mut(&host) else {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Takes note of a machine that reports for the first time, with the images
-    /// that its owner before knew it to hold.
+    /// Registers a machine that reports for the first time, with the images that the previous owner
+    /// recorded for it.
     pub(crate) fn register_machine(
         &mut self,
         host: u32,
@@ -50,12 +50,13 @@
         self.machines.insert(host, machine);
     }
 
-    /// The record of the shard's images, if it is due and has changed. It costs
-    /// a write that others may need more, so it is a rare one; but it goes with
-    /// a busy shard's scheduling cycles too, or a restart there forgets every image.
+    /// Returns the change that stores the record of the shard's images, if a record is due, has
+    /// changed, and is not too large. The record is rarely written, because it uses write budget
+    /// that others may need more. It is nevertheless also added to the transactions of a busy
+    /// shard, whose owner would otherwise lose all image information in a restart.
     pub(super) fn images_change(&mut self, shard_id: usize, now: Millis) -> Option<Apply> {
-        // A new owner first hears from all machines: a record of the few that
-        // have reported would forget what the others hold.
+        // A new owner first waits for reports of all machines: a record of the few that have
+        // reported would drop the images of the others.
         let shard = &mut self.shards[shard_id];
         if now - shard.images_at < IMAGES_MS || now - shard.lease.token_since() < IMAGES_MS {
             return None;
@@ -71,7 +72,7 @@
         Some(Apply::put(record::images_key(shard_id), value))
     }
 
-    /// Which images the shard's machines hold, as it is stored.
+    /// Returns the record of the images that the shard's machines hold.
     fn images_record(&self, shard_id: usize) -> ImagesRecord {
         let mut images: Vec<(String, f64)> = Vec::new();
         let mut held_by_machine = Vec::new();
@@ -93,7 +94,8 @@
     }
 }
 
-/// Whether a task shows that its image is there: it runs, or has completed, only then.
+/// Returns whether a task's report shows that its image is on the machine: a task only runs, and so
+/// only saves or completes, with the whole image.
 fn shows_whole_image(reported: &ReportedTask) -> bool {
     matches!(reported.status, TaskStatus::Running | TaskStatus::Saving)
         || reported.cause == Some(ExitCause::Done)
--- a/crates/cherryyard-core/src/owner/job_ends.rs
+++ b/crates/cherryyard-core/src/owner/job_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of jobs: the owner that proves a job's last tasks done ends it.
+//! Ends of jobs: the owner that proves a job's last tasks completed ends the job.
 
 use super::cycle::Cycle;
 use crate::Millis;
@@ -6,14 +6,14 @@
 use cherryyard_wire::job::Shape;
 
 impl Controller {
-    /// Ends the jobs whose last tasks this cycle proves done, and those whose
-    /// tasks are all done but which are not over: two shards that wrote their
-    /// last done numbers at once did not see each other's. The first shard with
-    /// assignments writes that end.
+    /// Ends the jobs whose last tasks this cycle proves completed. Also ends jobs whose tasks are
+    /// all completed but which are still open: two shards that wrote their last completed numbers
+    /// at the same time did not see each other's. The lowest-numbered shard with assignments of
+    /// such a job ends it.
     pub(super) fn end_jobs(&self, shard_id: usize, cycle: &mut Cycle) {
         for (job, gained) in cycle.take_gained() {
-            // All shards' done numbers only ever grow while the job is open, so
-            // an old view of the others is enough.
+            // The completed numbers of each shard only grow while the job is open, so an outdated
+            // view of other shards cannot end a job too early.
             let done = self.mirror.done(job) + gained;
             if let Some(open) = self.mirror.open.get(&job)
                 && open.spec.shape == Shape::Array
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Logs how long the jobs took that a scheduling cycle ends.
+    /// Logs the age and lateness of the jobs that a scheduling cycle ends.
     pub(super) fn log_ends(&self, cycle: &Cycle, now: Millis) {
         let wall = now + self.wall_offset;
         for job in cycle.ends() {
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -1,14 +1,14 @@
-//! The owner of a shard: scheduling cycles of assignments, placement, preemption, commands.
+//! The owner of a shard: scheduling cycles with assignment, placement and preemption, and commands
+//! to workers.
 //!
-//! What a machine should run follows from the durable assignments alone. A scheduling cycle
-//! collects what messages prove, places waiting tasks, and writes both in one
-//! transaction; commands are then the difference between assignments and messages.
+//! The tasks that a machine should run follow from the durable assignments alone. A scheduling
+//! cycle collects what messages prove, places waiting tasks, and writes both in one transaction.
+//! Commands are then the difference between assignments and messages.
 //!
-//! To be read in this order: [`planning`] (what an owner does when), [`collection`] and
-//! [`job_ends`] (what is proven), [`placement`] with [`fit`], [`preempt`] and [`team_limits`]
-//! (what is assigned), [`cycle`] (the transaction), [`reconciliation`] and
-//! [`direct_commands`] (commands), [`scale_in`], [`unresponsive`] and [`spot_reclaim`]
-//! (machines that are released).
+//! Suggested reading order: [`planning`] (when an owner acts), [`collection`] and [`job_ends`]
+//! (proven ends of tasks and jobs), [`placement`] with [`fit`], [`preempt`] and [`team_limits`]
+//! (assignments), [`cycle`] (the transaction), [`reconciliation`] and [`direct_commands`]
+//! (commands), [`scale_in`], [`unresponsive`] and [`spot_reclaim`] (releases of machines).
 
 mod aging;
 mod capacity;
@@ -38,5 +38,5 @@
 mod team_limits;
 mod unresponsive;
 
-/// Bytes that a transaction's values may have together.
+/// Maximum total size of a transaction's values, in bytes.
 const TXN_BYTES: usize = 48 * 1024;
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -1,13 +1,13 @@
-//! Division of pages of assignments that are larger than the state service allows now.
+//! Division of assignment pages that are larger than the state service's current limit.
 //!
-//! A page that was written under a larger limit is read as it is, but cannot be written
-//! anew, and to divide it may take more changes than one transaction may have. So it is
-//! divided in steps: first what it holds is copied into new pages, as many at a time as
-//! a transaction may write, and when all of it has a copy the page is deleted.
+//! A page that was written under a larger limit can still be read but not rewritten, and dividing
+//! it may take more changes than fit into one transaction. So it is divided in steps: first its
+//! entries are copied into new pages, as many at a time as a transaction can write, and once every
+//! entry has a copy the page is deleted.
 //!
-//! While the page is there nothing of the shard is assigned or given up, so a copy is as
-//! good as the original whoever owns the shard next. Every step depends on the page's
-//! revision, so none is carried out late, after the page has gone.
+//! While the page exists, nothing of the shard is assigned or withdrawn, so the copies stay equal
+//! to the originals whichever controller owns the shard next. Every step depends on the page's
+//! revision, so no delayed step can be applied after the page is deleted.
 
 use super::TXN_BYTES;
 use crate::controller::Controller;
@@ -18,8 +18,8 @@
 use cherryyard_wire::state::{Apply, Commit};
 
 impl Controller {
-    /// The transaction that brings the division of a shard's first page that is too large
-    /// one step further; none if no page is.
+    /// Returns the transaction for the next step of dividing a shard's first oversized page, or
+    /// `None` if no page is oversized.
     pub(super) fn divide_oversized_page(&self, shard_id: usize, token: u64) -> Option<Commit> {
         let (number, page) = self.oversized_page(shard_id)?;
         let mut commit = Commit::default();
@@ -50,15 +50,16 @@
         Some(commit)
     }
 
-    /// The shard's first page that has too many bytes to be written anew, less what is
-    /// over.
+    /// Returns the shard's first page that is too large to be rewritten, without the ended jobs
+    /// that have no assignments in it.
     fn oversized_page(&self, shard_id: usize) -> Option<(u32, Page)> {
         let most = self.config.page_bytes;
         let format = self.mirror.page_format();
         self.mirror.tasks.pages[shard_id]
             .iter()
             .find_map(|(&number, page)| {
-                // Most pages are small enough with all that they hold.
+                // Skips pages whose upper bound or exact size is within the limit, which are almost
+                // all.
                 if page.bytes_at_most <= most || page.bytes(&self.mirror.hosts, format) <= most {
                     return None;
                 }
@@ -70,7 +71,7 @@
             })
     }
 
-    /// What a page holds that none of the shard's other pages does.
+    /// Returns the entries of a page that none of the shard's other pages holds.
     fn without_copies(&self, shard_id: usize, number: u32, mut page: Page) -> Page {
         let others = || {
             let all = self.mirror.tasks.pages[shard_id].iter();
@@ -88,7 +89,7 @@
         page
     }
 
-    /// As many pages with a part of this as one transaction may write.
+    /// Returns new pages with as many of a page's entries as one transaction can write.
     fn copies(&self, shard_id: usize, page: &Page) -> Vec<Page> {
         let most_pages = self.config.txn_ops.min(TXN_BYTES / self.config.page_bytes);
         let mut plan = PagePlan {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Deletes a page; the first one stays, empty.
+/// Returns the change that deletes a page; the first page is replaced by an empty one.
 fn delete_page(shard_id: usize, number: u32) -> Apply {
     let key = record::assignments_key(shard_id, number);
     if number == 0 {
@@ -130,21 +131,21 @@
     Apply::delete(key)
 }
 
-/// Pages that are being filled one after the other.
+/// New pages that are filled one after the other.
 struct PagePlan<'a> {
     hosts: &'a Names,
     format: PageFormat,
     most_bytes: usize,
     most_pages: usize,
     pages: Vec<Page>,
-    /// About how many bytes the last page has.
+    /// Estimated size of the last page in bytes.
     bytes: usize,
 }
 
 impl PagePlan<'_> {
-    /// Bytes of a page that holds nothing.
+    /// Size of an empty page in bytes.
     const EMPTY_BYTES: usize = 20;
-    /// Most bytes that a range of completed numbers adds: its job and both ends.
+    /// Maximum number of bytes that a range of completed task numbers adds: its job and both ends.
     const RANGE_BYTES: usize = 60;
 
     fn push_done(&mut self, job: u64, range: (u32, u32)) -> bool {
@@ -166,7 +167,8 @@
         true
     }
 
-    /// The page that has room for so many bytes more; none if all are full.
+    /// Returns the page that can take `bytes` more, which is the last one or a new one, or `None`
+    /// if all pages are full.
     fn capacity_for(&mut self, bytes: usize) -> Option<&mut Page> {
         if self.pages.is_empty() || self.bytes + bytes > self.most_bytes {
             let exact = self
@@ -174,7 +176,8 @@
                 .last()
                 .map(|page| page.bytes(self.hosts, self.format));
             match exact.filter(|exact| exact + bytes <= self.most_bytes) {
-                // Entries of one job or machine take less than was counted.
+                // The estimate counts the job and the machine for each entry; entries that share
+                // them take fewer bytes.
                 Some(exact) => self.bytes = exact,
                 None if self.pages.len() >= self.most_pages => return None,
                 None => {
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: one scheduling cycle assigns waiting tasks to machines, in the order of service.
+//! Placement: the part of a scheduling cycle that assigns waiting tasks to machines, in the order
+//! of service.
 
 use super::cycle::Cycle;
 use super::failure_attribution::JobFailures;
@@ -20,40 +21,42 @@
 use cherryyard_wire::job::Shape;
 use std::collections::{BTreeSet, HashMap};
 
-/// Tasks that one scheduling cycle places.
+/// Maximum number of tasks that one scheduling cycle places.
 const MAX_PLACED: usize = 300;
-/// Tasks of a job that may find no room before the rest of it is passed over.
+/// Number of a job's tasks without a suitable machine after which the rest of the job is skipped.
 const MAX_UNPLACED: usize = 8;
-/// Tasks of a job for which preemption is tried where no machine has room for any of them.
+/// Number of a job's tasks for which preemption is tried if no machine has capacity for any of
+/// them.
 const PREEMPTED_FOR: usize = 4;
 
-/// What a scheduling cycle's placement goes by, and what it has come to.
+/// State of the placement in one scheduling cycle.
 pub(super) struct Placement {
     pub(super) shard_id: usize,
     pub(super) now: Millis,
-    /// Free capacity by machine, as it is used up.
+    /// Remaining free capacity by machine.
     pub(super) capacities: Vec<(u32, Needs)>,
-    /// What each team uses in the shard.
+    /// Capacity that each team uses in the shard.
     pub(super) used: Vec<Needs>,
     pub(super) preemption: Preemption,
     unmet_needs: UnmetNeeds,
-    /// Services that another shard should get.
+    /// Services that are held back for another shard.
     pub(super) handed_over: BTreeSet<u64>,
-    /// How many tasks have been placed.
+    /// Number of tasks placed so far.
     placed: usize,
-    /// Cores that flows may start ahead of rank.
+    /// Cores that flows may still start ahead of the order of ranks.
     ahead_cores: HashMap<Flow, f64>,
     search_budget: SearchBudget,
-    /// Cores started, by flow.
+    /// Cores started in this cycle, by flow.
     started_cores: HashMap<Flow, f64>,
-    /// Teams whose rest of the limit here is kept for a job.
+    /// Jobs for which the remainders of teams' grants in this shard are kept, by team.
     pub(super) limit_kept_for: HashMap<usize, u64>,
-    /// Of jobs that were put back, up to which number placement has gone.
+    /// Number of the last task tried of each job that was put back into the order of service.
     last_tried: HashMap<u64, u32>,
 }
 
 impl Placement {
-    /// Whether a flow goes ahead of rank, and what is left of that is too little.
+    /// Returns whether a flow goes ahead of the order of ranks but has too few cores left of that
+    /// allowance. The flow then loses the rest of the allowance.
     fn is_beyond_allowance(&mut self, flow: Flow, needs: &Needs) -> bool {
         let left = self.ahead_cores.get(&flow);
         let is_beyond = left.is_some_and(|left| *left < needs.cores);
@@ -63,8 +66,8 @@
         is_beyond
     }
 
-    /// Takes cores from what a flow may start ahead of rank; whether too little is left
-    /// for as much again.
+    /// Takes cores from a flow's allowance to start ahead of the order of ranks. Returns whether
+    /// the rest is too small for another task of the same size; the flow then loses it.
     fn use_allowance(&mut self, flow: Flow, cores: f64) -> bool {
         let Some(left) = self.ahead_cores.get_mut(&flow) else {
             return false;
@@ -77,7 +80,8 @@
         is_used_up
     }
 
-    /// Whether no machine has room for so much, as there is then none for the next task.
+    /// Returns whether no machine has enough free capacity, and records that, so that no machine is
+    /// sought for the next task of this size or larger.
     fn is_hopeless(&mut self, needs: &Needs) -> bool {
         let is_hopeless = !self.capacities.iter().any(|(_, free)| needs.fits(free));
         if is_hopeless {
@@ -87,31 +91,31 @@
     }
 }
 
-/// A waiting job as a scheduling cycle sees it.
+/// A waiting job in a scheduling cycle.
 pub(super) struct Candidate {
     pub(super) job: u64,
     pub(super) flow: Flow,
     pub(super) team: u32,
-    /// Its team, if that has a limit.
+    /// Team of the job, if it has a limit.
     limited_team: Option<u32>,
     pub(super) needs: Needs,
     is_service: bool,
-    /// Since when it waits here.
+    /// Time since which the job has waited in this shard.
     pub(super) since: Option<Millis>,
     waiting: RangeSet,
-    /// Whether it fails wherever it runs.
+    /// Whether the job is quarantined because it fails wherever it runs.
     is_quarantined: bool,
-    /// Machines that it has failed on, while that may tell whose fault it is.
+    /// Machines on which the job has failed, unless it is quarantined.
     failed_on: Option<BTreeSet<u32>>,
 }
 
-/// How placement goes on after a job.
+/// Next step after a job has been tried.
 enum Next {
-    /// With the next job.
+    /// Continue with the next job.
     Job,
-    /// With the next job; this one comes once more, in its own place.
+    /// Continue with the next job, and try this one again at its regular place.
     JobAgain,
-    /// It has no room for more.
+    /// Stop, because the cycle takes no more assignments.
     Nothing,
 }
 
@@ -135,13 +139,14 @@
         shard.queues.mark_seen();
         self.requeue_late_share(shard_id, now);
         self.reserve_for_oldest(shard_id, now);
-        // Back in its place at the end: nothing in between looks for it there.
+        // The queues are taken out so that `self` can be borrowed meanwhile, and put back at the
+        // end. Nothing in between uses those of the shard.
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
         self.place_queued(shard_id, now, &mut queues, cycle, pending);
         self.shards[shard_id].queues = queues;
     }
 
-    /// Drops what has been preempted long ago, and reservations that no task waits for.
+    /// Drops expired preemptions, and reservations that have expired or whose task no longer waits.
     fn drop_old_reservations(&mut self, shard_id: usize, now: Millis) {
         let shard = &mut self.shards[shard_id];
         shard.preempted.retain(|_, stopped| stopped.until > now);
@@ -168,7 +173,7 @@
         }
         while let Some((flow, at)) = service_order.step() {
             self.inspected_jobs += 1;
-            // Counted as stuck until one of its tasks is placed.
+            // The job counts as stuck until one of its tasks is placed.
             if placement.search_budget.look(flow, at) {
                 service_order.close(flow);
             }
@@ -176,7 +181,8 @@
                 continue;
             };
             if placement.is_beyond_allowance(flow, &needs) {
-                // Not all of it goes ahead now; what is next in its own place may.
+                // The allowance is too small for a task of this job, so the rest of the flow goes
+                // on at its regular place.
                 service_order.ahead(flow, false);
                 service_order.back(flow, at);
                 continue;
@@ -220,7 +226,7 @@
         }
     }
 
-    /// Free capacity of a shard's usable machines, in the machines' order.
+    /// Returns the free capacity of a shard's usable machines, in the order of the machines.
     fn free_capacities(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Vec<(u32, Needs)> {
         let silence = self.silence_ms();
         let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
@@ -229,8 +235,8 @@
         usable_machines.filter_map(free).collect()
     }
 
-    /// What each team uses in a shard, less what the cycle proves gone: that makes room
-    /// under the limit too.
+    /// Returns what each team uses in a shard, without the tasks that the cycle withdraws, since
+    /// their capacity counts as free under the team's limit too.
     fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Needs> {
         let mut used = self.mirror.usage(shard_id);
         for task in &cycle.gone {
@@ -243,13 +249,15 @@
         used
     }
 
-    /// What a task of a job takes that waits in the shard.
+    /// Returns the capacity that a task of a job needs, or `None` if the job does not wait in the
+    /// shard.
     fn needs_of_waiting(&self, shard_id: usize, job: u64) -> Option<Needs> {
         self.mirror.waiting(shard_id, job)?;
         self.mirror.open.get(&job).map(OpenJob::needs)
     }
 
-    /// A waiting job as this cycle sees it; none if nothing of it may be tried now.
+    /// Returns a waiting job with its state for this cycle, or `None` if none of its tasks may be
+    /// tried now.
     fn candidate(
         &self,
         placement: &Placement,
@@ -290,14 +298,14 @@
         })
     }
 
-    /// Whether tasks of a job are assigned in a shard that the cycle does not prove gone: of a
-    /// job that fails everywhere one at a time is tried.
+    /// Returns whether a job has assignments in a shard that the cycle does not withdraw. Tasks of
+    /// a quarantined job are tried one at a time.
     fn has_assigned_tasks(&self, shard_id: usize, job: u64, cycle: &Cycle) -> bool {
         let here = self.mirror.tasks.assignments.get(&(shard_id, job));
         here.is_some_and(|here| here.assignments.len() > cycle.gone_of(job))
     }
 
-    /// Places what waits of a job, as far as there is room.
+    /// Places the waiting tasks of a job as far as there is capacity.
     fn place_job(
         &mut self,
         placement: &mut Placement,
@@ -357,7 +365,7 @@
         Next::Job
     }
 
-    /// The machine that is reserved for a task, because others were stopped there for it.
+    /// Returns the machine that is reserved for a task because others were preempted there for it.
     fn reserved_host(&self, shard_id: usize, task: Task) -> Option<u32> {
         let mut reserved = self.shards[shard_id].reserved.iter();
         reserved
@@ -365,7 +373,7 @@
             .map(|(host, _)| *host)
     }
 
-    /// What is sought for a task of a candidate.
+    /// Returns the search criteria for a task of a candidate.
     fn fit_request<'a>(
         &'a self,
         placement: &Placement,
@@ -385,7 +393,8 @@
         }
     }
 
-    /// Assigns a task to a machine; false if the scheduling cycle has no room for more.
+    /// Assigns a task to a machine; returns false if the scheduling cycle takes no more
+    /// assignments.
     fn assign(
         &mut self,
         placement: &mut Placement,
@@ -400,8 +409,8 @@
         let assignment = Assignment {
             host,
             incarnation: self.machines[&host].newest.0,
-            // Above every attempt before: each of those was at most the revision of its
-            // own assignment, which has been seen since.
+            // Higher than every earlier attempt: each of those was at most the revision of its own
+            // assignment, and that revision has been seen since.
             attempt: self
                 .mirror
                 .store_revision
@@ -435,8 +444,8 @@
         tracing::debug!(job, host, fetch_s, ?waited, age, "service task placed");
     }
 
-    /// Makes room for what has found none: a machine is kept for the oldest job of its flow,
-    /// less important work is stopped.
+    /// Frees capacity for tasks that no machine could take: keeps a machine for the oldest job of
+    /// its flow, and preempts less important tasks.
     fn make_room(
         &mut self,
         placement: &mut Placement,
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -1,4 +1,4 @@
-//! When an owner does what: scheduling cycles, their outcomes, and what time alone brings about.
+//! Schedule of an owner's work: scheduling cycles, their outcomes, and timed maintenance.
 
 use super::TXN_BYTES;
 use super::cycle::Cycle;
@@ -10,31 +10,32 @@
 use cherryyard_wire::record;
 use cherryyard_wire::state::Commit;
 
-/// Least time between two scheduling cycles of a shard.
+/// Minimum time between two scheduling cycles of a shard.
 const CYCLE_MS: f64 = 100.0;
-/// The same where nothing waits.
+/// Minimum time between two scheduling cycles of a shard without waiting tasks.
 const QUIET_CYCLE_MS: f64 = 700.0;
-/// Least time between two looks at leases and due commands.
+/// Minimum time between two checks of worker leases and due commands.
 const MAINTENANCE_MS: f64 = 400.0;
-/// Least time between two looks at all assignments for machines not heard of.
+/// Minimum time between two scans of all assignments for silent machines.
 const UNHEARD_MS: f64 = 1200.0;
-/// Time before placement is tried again where nothing found room and nothing
-/// has changed since.
+/// Time before placement is tried again if nothing could be placed and nothing has changed since.
 const PLACE_AGAIN_MS: f64 = 400.0;
-/// Least time between two looks for pages that can go.
+/// Minimum time between two searches for pages to compact.
 const COMPACT_MS: f64 = 1000.0;
-/// Changes of the write budget that a compaction leaves at least.
+/// Minimum write budget for starting a compaction, in changes.
 const COMPACT_BUDGET: f64 = 2.0;
-/// How much longer than by our clock a worker's lease may last: the worker counts from when
-/// it sent the heartbeat, on a clock that may be slow while ours is fast.
+/// Factor and margin by which a worker's lease may last longer than by this controller's clock: the
+/// worker counts from when it sent the heartbeat, on a clock that may be slow while this one is
+/// fast.
 const CLOCK_DRIFT: f64 = 1.001;
 const LEASE_MARGIN_MS: f64 = 50.0;
-/// Time before the next cycle after a failed condition, and without the state lease.
+/// Delay before the next cycle after a failed condition, and after a refusal because the state
+/// lease that the transaction named had ended.
 const CONFLICT_RETRY_MS: f64 = 30.0;
 const NO_LEASE_RETRY_MS: f64 = 100.0;
 
 impl Controller {
-    /// One scheduling cycle of a shard, if one is due: collects, places, writes.
+    /// Runs a scheduling cycle of a shard if one is due: collects, places and writes.
     pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
         let Some(token) = self.owned(shard_id) else {
             return;
@@ -69,8 +70,8 @@
         self.send_cycle(shard_id, commit, pending);
     }
 
-    /// What time alone brings about: leases that end, commands that are due, machines to
-    /// release.
+    /// Runs the timed maintenance of a shard: expires leases, releases machines, and sends due
+    /// queries and commands.
     fn maintain_shard(&mut self, shard_id: usize, now: Millis) {
         if now - self.shards[shard_id].kept_at < MAINTENANCE_MS || !self.caught_up() {
             return;
@@ -88,7 +89,8 @@
         self.push_due(shard_id, now);
     }
 
-    /// Lets workers' leases run out.
+    /// Expires the leases of workers whose heartbeats have not been answered for the length of a
+    /// lease.
     fn expire_leases(&mut self, shard_id: usize, now: Millis) {
         let lease = self.config.lease_ms * CLOCK_DRIFT + LEASE_MARGIN_MS;
         let shard = &mut self.shards[shard_id];
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Whether a scheduling cycle can be planned now.
+    /// Returns whether a scheduling cycle may be planned now.
     fn may_plan(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &self.shards[shard_id];
         shard.pending.is_none()
@@ -114,14 +116,14 @@
             && self.cycle_due(shard_id, now)
     }
 
-    /// Whether a shard's share of the write budget has room for a scheduling cycle. Many
-    /// heartbeats are served by one scheduling cycle: a write for each, from every owner,
-    /// would leave none for users and leases.
+    /// Returns whether the shard's share of the write budget and the time since the last cycle
+    /// permit a scheduling cycle. One cycle serves many heartbeats: a write for each heartbeat from
+    /// every owner would leave no writes for users and leases.
     fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let left = shard.budget.left(now);
-        // Where nothing waits, completions can wait a moment for each other;
-        // what that saves is there when something comes.
+        // Without waiting tasks the completions of several tasks can share one cycle, and the
+        // budget that this saves is available once tasks wait.
         let spacing = if self.mirror.tasks.waiting[shard_id].is_empty() {
             QUIET_CYCLE_MS
         } else {
@@ -130,12 +132,13 @@
         if now - shard.planned_at < spacing {
             return false;
         }
-        // A service that no cycle has seen yet need not wait for the budget of
-        // completions; what it takes is missing later.
+        // A service that no cycle has looked at yet may overdraw the budget instead of waiting for
+        // it; the overdraft is made up by later cycles.
         left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
     }
 
-    /// Plans a cycle: what is proven, what is placed, and if that is nothing, a compaction.
+    /// Plans a cycle: collects proven ends, places tasks, and compacts pages if there is nothing
+    /// else to write.
     fn plan_cycle(&mut self, shard_id: usize, now: Millis) -> (Cycle, Pending) {
         let mut cycle = Cycle::new(&self.config, &self.mirror, shard_id);
         let mut pending = Pending::default();
@@ -150,8 +153,8 @@
         (cycle, pending)
     }
 
-    /// Whether anything new could be placed: a search over all waiting jobs
-    /// and machines for each heartbeat costs more than it finds.
+    /// Returns whether placement may find something new. A search over all waiting jobs and
+    /// machines for each heartbeat would cost more than it finds.
     fn placement_due(&mut self, shard_id: usize, cycle: &Cycle, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let events = (
@@ -168,7 +171,8 @@
         is_due
     }
 
-    /// Whether pages may be compacted, with a cycle that has nothing else to write.
+    /// Returns whether a cycle without other changes may compact pages, and if so restarts the
+    /// interval.
     fn compaction_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let is_due =
@@ -179,7 +183,7 @@
         is_due
     }
 
-    /// Writes the record of the shard's images alone, if it is due.
+    /// Writes the record of the shard's images in a transaction of its own, if it is due.
     fn send_images(&mut self, shard_id: usize, token: u64, now: Millis) {
         if let Some(images) = self.images_change(shard_id, now) {
             let mut commit = Commit::default();
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Sends a scheduling cycle's transaction; the shard's next cycle waits for its outcome.
+    /// Sends a scheduling cycle's transaction. The shard's next cycle waits for the outcome.
     fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
         let shard = &mut self.shards[shard_id];
         shard.budget.spend(commit.apply.len() as f64);
@@ -198,7 +202,7 @@
             .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
     }
 
-    /// Takes the outcome of an owner's scheduling cycle.
+    /// Handles the outcome of an owner's scheduling cycle.
     pub(crate) fn owner_committed(&mut self, shard_id: usize, outcome: Outcome, now: Millis) {
         let shard = &mut self.shards[shard_id];
         let Some(pending) = shard.pending.take() else {
@@ -211,8 +215,8 @@
         match outcome {
             Outcome::Applied(_) => self.cycle_applied(shard_id, pending, now),
             Outcome::Conflict(store_revision) => {
-                // Each failed condition costs write budget too, so the next
-                // try waits for the change that made it fail.
+                // A failed condition uses write budget too, so the next attempt waits for the
+                // change that made the condition fail.
                 shard.wait_revision = store_revision;
                 shard.retry_after = now + CONFLICT_RETRY_MS;
             }
@@ -226,7 +230,7 @@
         }
     }
 
-    /// What a cycle proved and assigned is durable: failures are attributed, commands sent.
+    /// Handles a durable cycle: attributes failures, records images, and sends commands.
     fn cycle_applied(&mut self, shard_id: usize, pending: Pending, now: Millis) {
         self.capacity_changed = true;
         for (job, host) in pending.done {
@@ -242,7 +246,8 @@
         }
     }
 
-    /// After any message of a machine: the owner's scheduling cycle is due.
+    /// Handles the arrival of a machine's message: marks its shard for a scheduling cycle, and
+    /// plans the cycle if one is due.
     pub(crate) fn after_message(&mut self, host: u32, now: Millis) {
         let Some(machine) = self.machines.get(&host) else {
             return;
--- a/crates/cherryyard-core/src/owner/preempt.rs
+++ b/crates/cherryyard-core/src/owner/preempt.rs
@@ -1,8 +1,8 @@
-//! Preemption: less important work is stopped to make room for waiting tasks.
+//! Preemption: less important tasks are stopped to free capacity for waiting ones.
 //!
-//! First the machine is chosen, for each waiting task, on which the least work is lost
-//! ([`EvictionSearch`]). Then all victims are recorded and their machines reserved, and only
-//! then are commands sent.
+//! First the machine on which the least work is lost is chosen for each waiting task
+//! ([`EvictionSearch`]). Then all victims are recorded and their machines reserved, and only then
+//! are commands sent.
 
 use super::cycle::Cycle;
 use super::eviction::{Eviction, EvictionSearch};
@@ -13,12 +13,12 @@
 use crate::machine::Task;
 use std::collections::{BTreeSet, HashSet};
 
-/// Waiting tasks of one job for which room is made at a time.
+/// Maximum number of a job's waiting tasks for which preemption is tried at a time.
 const MAX_BENEFICIARIES: usize = 4;
-/// For how long a preempted task may take to stop, and its machine stays reserved.
+/// Time that a preempted task may take to stop, and for which its machine stays reserved.
 const RESERVATION_MS: f64 = 4000.0;
 
-/// The waiting tasks of a job for which room is to be made.
+/// Waiting tasks of a job for which others are to be preempted.
 pub(crate) struct PreemptionRequest<'a> {
     pub(crate) shard_id: usize,
     pub(crate) job: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Controller {
-    /// Stops less important work so that waiting tasks of a job fit. Says whether a machine
+    /// Preempts less important tasks so that waiting tasks of a job fit. Returns whether a machine
     /// is now reserved for any of them.
     pub(crate) fn preempt(
         &mut self,
@@ -46,7 +46,8 @@
         any_reserved
     }
 
-    /// Chooses what to stop for the waiting tasks of a job, one machine for each.
+    /// Chooses the tasks to stop for the waiting tasks of a job, on a different machine for each
+    /// waiting task.
     fn choose_evictions(
         &self,
         request: &PreemptionRequest,
@@ -90,7 +91,7 @@
         evictions
     }
 
-    /// Waiting tasks for which room is being made in a shard.
+    /// Returns the waiting tasks of a shard for which others are being preempted.
     fn beneficiaries(&self, shard_id: usize) -> HashSet<Task> {
         let shard = &self.shards[shard_id];
         let stopped_for = shard.preempted.values().map(|stopped| stopped.for_task);
@@ -98,11 +99,11 @@
         stopped_for.chain(reserved_for).collect()
     }
 
-    /// Records what is stopped and reserves the machines; returns these.
+    /// Records the victims, reserves their machines, and returns these machines.
     ///
-    /// All victims of a machine are recorded before the first is stopped, and the machine
-    /// is reserved for whom they make room: else the first freed cores went to a waiting
-    /// task of less importance, over and over.
+    /// All victims of a machine are recorded before the first is stopped, and the machine is
+    /// reserved for the waiting task. Otherwise the first cores to become free would go to a less
+    /// important waiting task, over and over.
     fn record_evictions(
         &mut self,
         shard_id: usize,
--- a/crates/cherryyard-core/src/owner/preemptible.rs
+++ b/crates/cherryyard-core/src/owner/preemptible.rs
@@ -1,4 +1,4 @@
-//! Which work of a shard could be stopped to make room, as one scheduling cycle sees it.
+//! Summary of which of a shard's tasks could be preempted, for one scheduling cycle.
 
 use crate::admission::flows::Flow;
 use crate::controller::Controller;
@@ -7,37 +7,38 @@
 use cherryyard_wire::job::Rank;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Differences of cores below this are rounding.
+/// Tolerance for rounding in comparisons of cores.
 pub(super) const CORES_ROUNDING: f64 = 1e-6;
 
-/// On which machines room may be made.
+/// Machines on which a task may be preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum EvictionScope {
-    /// On all.
+    /// Any machine.
     AnyMachine,
-    /// Only where the job's image is.
+    /// Machines that hold the waiting job's image.
     HoldingImage,
 }
 
-/// Jobs that are alike in what preemption goes by: signature, rank, team and scope.
+/// Properties that decide whether a job finds victims: signature, rank, team and scope.
 type JobProfile = (u64, Rank, u32, EvictionScope);
 
-/// What preemption goes by in one scheduling cycle.
+/// State of preemption in one scheduling cycle.
 pub(crate) struct Preemption {
-    /// The lowest rank with work in the shard.
+    /// Lowest rank of any job with assignments in the shard.
     lowest_rank: Option<Rank>,
-    /// Teams with work in the shard that use more than their guarantee.
+    /// Teams with assignments in the shard that use more than their guarantee.
     teams_beyond_guarantee: BTreeSet<u32>,
-    /// What each team uses in all shards.
+    /// Capacity that each team uses in all shards.
     pub(super) team_totals: Vec<Needs>,
-    /// Cores that may be stopped of flows which have long had too little.
+    /// Cores that may be preempted of each flow that is ahead of the order of ranks. Tasks of other
+    /// flows may be preempted as their rank permits.
     pub(super) stoppable_cores: HashMap<Flow, f64>,
-    /// Jobs for which a search has found nothing to stop.
+    /// Jobs for which a search has found no victims.
     without_victims: HashSet<JobProfile>,
 }
 
 impl Preemption {
-    /// Whether anything could make way for a job.
+    /// Returns whether any task might be preempted for a job.
     pub(crate) fn is_possible_for(&self, open: &OpenJob) -> bool {
         self.lowest_rank.is_some_and(|rank| rank < open.rank())
             || self.teams_beyond_guarantee.iter().any(|&t| t != open.team)
@@ -47,20 +48,21 @@
         (open.signature(), open.rank(), open.team, scope)
     }
 
-    /// Whether a search for a job like this one has found nothing in this cycle.
+    /// Returns whether a search in this cycle has found no victims for a job with the same profile.
     pub(super) fn is_known_without_victims(&self, open: &OpenJob, scope: EvictionScope) -> bool {
         self.without_victims.contains(&Self::profile(open, scope))
     }
 
-    /// Notes that nothing makes way. A job whose tasks are to be apart may have found the
-    /// room in the wrong zone: that says nothing of others.
+    /// Records that a search has found no victims for a job. Jobs whose tasks must be in different
+    /// zones are left out: the search may have found victims in the wrong zones, which proves
+    /// nothing for other jobs.
     pub(super) fn note_without_victims(&mut self, open: &OpenJob, scope: EvictionScope) {
         if !open.spec.apart {
             self.without_victims.insert(Self::profile(open, scope));
         }
     }
 
-    /// Takes the victim's cores from what may be stopped of its flow.
+    /// Deducts a victim's cores from those that may be preempted of its flow.
     pub(super) fn take_stoppable_cores(&mut self, victim: &OpenJob) {
         if let Some(left) = self.stoppable_cores.get_mut(&victim.flow) {
             *left -= victim.spec.cores;
@@ -69,8 +71,8 @@
 }
 
 impl Controller {
-    /// What preemption goes by in a scheduling cycle. Where nothing could make way, no
-    /// machine need be searched for each job that waits.
+    /// Prepares the preemption of a scheduling cycle. If nothing can be preempted, the cycle need
+    /// not search the machines for each waiting job.
     pub(crate) fn begin_preemption(
         &self,
         shard_id: usize,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// What each team uses in all shards.
+    /// Returns the capacity that each team uses in all shards.
     fn team_totals(&self) -> Vec<Needs> {
         let mut totals = vec![Needs::default(); self.config.teams.len()];
         for shard_id in 0..self.shards.len() {
--- a/crates/cherryyard-core/src/owner/queue_upkeep.rs
+++ b/crates/cherryyard-core/src/owner/queue_upkeep.rs
@@ -1,4 +1,4 @@
-//! Upkeep of a shard's queues: jobs are put in their places as what they go by changes.
+//! Maintenance of a shard's queues: jobs are requeued when the inputs of their order change.
 
 use crate::Millis;
 use crate::admission::queue::Place;
@@ -6,23 +6,23 @@
 use crate::mirror::OpenJob;
 use cherryyard_wire::job::Shape;
 
-/// How long before its deadline a job has to start to make it, in milliseconds for each second
-/// that its tasks are expected to take.
+/// Time before its deadline by which a job must start to meet it, in milliseconds per second of the
+/// expected run time of its tasks.
 const START_MS_PER_EXPECTED_S: f64 = 800.0;
 
-/// Which of its deadline's multiples a job can still make.
+/// Earliest multiple of its deadline that a job can still meet.
 struct DeadlineClass {
-    /// Its index among the objectives' multiples; their number if it can make none.
+    /// Index among the objectives' multiples, or their number if the job can meet none.
     multiple: usize,
-    /// Until when it can, in milliseconds of the day's clock.
+    /// Latest start for that multiple, in milliseconds of the wall clock.
     until: f64,
 }
 
 impl Controller {
-    /// Which of the deadline's multiples the job can still make if its waiting
-    /// tasks start now, and when that is over, by the day's clock; the later ones only
-    /// come after all that can still make an earlier one, so that a job that is late
-    /// anyway delays no other.
+    /// Returns the earliest multiple of the deadline that the job meets if its waiting tasks start
+    /// now, and until when this is so on the wall clock. Jobs that can only meet a later multiple
+    /// come after all that can still meet an earlier one, so that a job that is late anyway delays
+    /// no other.
     fn deadline_class(&self, open: &OpenJob, wall: f64) -> DeadlineClass {
         let Some(deadline) = open.urgency.deadline else {
             return DeadlineClass {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Puts a job in its place among what waits in a shard, or takes it out.
+    /// Updates a job's place in a shard's queues, or removes the job if it does not wait there.
     pub(super) fn requeue(&mut self, shard_id: usize, job: u64, now: Millis) {
         let is_waiting = self.mirror.tasks.waiting[shard_id].contains_key(&job);
         let Some(open) = self.mirror.open.get(&job).filter(|_| is_waiting) else {
@@ -69,7 +69,7 @@
         queues.set(open.flow, place, class.until, now);
     }
 
-    /// Takes over what has changed of what waits in our shards.
+    /// Requeues the waiting jobs of owned shards that have changed.
     pub(crate) fn requeue_changed(&mut self, now: Millis) {
         for (shard_id, job) in self.mirror.take_waiting_changes() {
             if self.shards[shard_id].lease.held_token().is_some() {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Queues all that waits in a shard that has just become ours.
+    /// Queues all waiting jobs of a shard that this controller has just acquired.
     pub(crate) fn queue_all(&mut self, shard_id: usize, now: Millis) {
         self.shards[shard_id].queues.clear();
         let jobs: Vec<u64> = self.mirror.tasks.waiting[shard_id]
@@ -90,14 +90,15 @@
         }
     }
 
-    /// Requeues jobs whose places change by time alone.
+    /// Requeues jobs whose place changes with time alone.
     pub(super) fn requeue_turned(&mut self, shard_id: usize, now: Millis) {
         for job in self.shards[shard_id].queues.turned(now + self.wall_offset) {
             self.requeue(shard_id, job, now);
         }
     }
 
-    /// Requeues late jobs that have come to their share of what their flows start.
+    /// Requeues late jobs that have become due. A fixed share of the cores that a flow starts is
+    /// reserved for its late jobs.
     pub(super) fn requeue_late_share(&mut self, shard_id: usize, now: Millis) {
         let mirror = &self.mirror;
         let waiting_cores = |job| {
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -1,7 +1,7 @@
-//! Reconciliation: the commands that bring a machine to what its assignments say.
+//! Reconciliation: computation of the commands that bring a machine in line with its assignments.
 //!
-//! Commands are the difference between a machine's durable assignments and the tasks in its
-//! newest message, so every command is repeatable and every owner replaceable.
+//! Commands are the difference between a machine's durable assignments and the tasks in its newest
+//! message, so commands can be repeated and a new owner can continue for the previous one.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -9,14 +9,15 @@
 use crate::mirror::OpenJob;
 use cherryyard_wire::worker::{TaskStatus, WorkerCommand, task_name_of};
 
-/// Commands in one message to a worker.
+/// Maximum number of commands in one message to a worker.
 const MAX_COMMANDS: usize = 300;
-/// Intervals between heartbeats before a reclaim at which a task begins to save its snapshot.
+/// Time left before a reclaim, beyond the time that saving the snapshot takes, at which a task
+/// begins to save it, in heartbeat intervals.
 const SAVE_MARGIN_HEARTBEATS: f64 = 2.5;
-/// Seconds that a task may take to stop beyond what its snapshot takes.
+/// Time that a task may take to stop in addition to saving its snapshot, in seconds.
 const SAVE_MARGIN_S: f64 = 1.0;
 
-/// How commands get to a machine.
+/// Path by which commands reach a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandChannel {
     /// In the answer to a heartbeat.
@@ -25,19 +26,20 @@
     Direct,
 }
 
-/// A machine that is being reconciled.
+/// Reconciliation of one machine.
 struct Reconciliation<'a> {
     controller: &'a Controller,
     machine: &'a Machine,
     channel: CommandChannel,
-    /// Whether the mirror's assignments are those that count: the state service answers, and
-    /// the shard is ours beyond doubt. Else a missing one may only mean an old mirror.
+    /// Whether the assignments in the mirror are current: the state service answers, and this
+    /// controller certainly owns the shard. Otherwise a missing assignment may only mean that the
+    /// mirror is outdated.
     assignments_are_current: bool,
     now: Millis,
 }
 
 impl Reconciliation<'_> {
-    /// The command for a task that the machine reports, if it is due one.
+    /// Returns the command that is due for a task that the machine reports, if any.
     fn command_for_reported(&self, task: Task, reported: &ReportedTask) -> Option<WorkerCommand> {
         let assignment = self
             .controller
@@ -51,7 +53,7 @@
             return self.clear_ended(task, reported, is_assigned);
         }
         let job = task.0;
-        // Others may know that it is cancelled before the state service tells us.
+        // Another controller may announce a cancellation before the state service shows it.
         let is_cancelled = self.controller.cancelled.is_announced(job);
         let open = self.controller.mirror.open.get(&job);
         match open.filter(|_| is_assigned && !is_cancelled) {
@@ -60,8 +62,8 @@
         }
     }
 
-    /// An ended task is cleared only once its end is durable, and only when no start of it is
-    /// on its way: it would start a second time.
+    /// Clears an ended task only once its end is durable and no start of it is in flight; otherwise
+    /// the worker could start the task a second time.
     fn clear_ended(
         &self,
         task: Task,
@@ -78,7 +80,8 @@
         })
     }
 
-    /// A task that should run is stopped if it makes way, or would be lost with its machine.
+    /// Stops a task that should run if it is preempted, must save its snapshot before the machine
+    /// is reclaimed, or can restart elsewhere instead of being lost with the machine.
     fn stop_assigned(
         &self,
         task: Task,
@@ -107,7 +110,8 @@
         preempted.is_some_and(|p| p.attempt == attempt && p.until > self.now)
     }
 
-    /// Whether there is just time to save a snapshot before the cloud takes the machine.
+    /// Returns whether the time until the cloud reclaims the machine is only just enough to save a
+    /// snapshot.
     fn must_save_before_reclaim(&self, open: &OpenJob) -> bool {
         let margin_ms = self.controller.config.report_ms * SAVE_MARGIN_HEARTBEATS;
         self.machine.reclaim_at.is_some_and(|at| {
@@ -123,8 +127,8 @@
                 .should_restart_elsewhere(self.machine, task, attempt, open, self.now)
     }
 
-    /// A task is killed whose job is over, or for which no assignment accounts. While cut
-    /// off, a missing assignment may only mean an old mirror.
+    /// Kills a task whose job is over or that has no assignment. While the mirror may be outdated,
+    /// a missing assignment alone is no reason to kill.
     fn kill_unassigned(
         &self,
         task: Task,
@@ -136,8 +140,9 @@
             .then(|| kill(task, reported, 0.0))
     }
 
-    /// Starts of assigned tasks that the machine does not report. Of what was given up no
-    /// start is sent: only then a message without the task proves that it is not there.
+    /// Returns the starts of assigned tasks that the machine does not report. Abandoned attempts
+    /// are not started again: only if no start of theirs is sent does a message without the task
+    /// prove that it is absent.
     fn missing_starts(&self) -> impl Iterator<Item = WorkerCommand> {
         let may_start = self.machine.state == MachineState::Ready
             && self.assignments_are_current
@@ -166,7 +171,7 @@
 }
 
 impl Controller {
-    /// The commands that bring a machine to what its assignments say.
+    /// Returns the commands that bring a machine in line with its assignments.
     pub(crate) fn reconcile(
         &self,
         host: u32,
@@ -177,8 +182,8 @@
         let Some(machine) = self.machines.get(&host) else {
             return commands;
         };
-        // A machine that is being released is answered for as long as the cloud has not
-        // taken it: what is cancelled there must be stopped all the same.
+        // A machine whose release is requested still gets commands until the cloud has taken it,
+        // because cancelled tasks on it must be stopped in any case.
         let is_commanded = matches!(machine.state, MachineState::Ready | MachineState::Returning);
         if !machine.shows_our_token() || !is_commanded {
             return commands;
--- a/crates/cherryyard-core/src/owner/release.rs
+++ b/crates/cherryyard-core/src/owner/release.rs
@@ -1,4 +1,4 @@
-//! Release requests: machines that are handed back to the cloud, and why.
+//! Release requests: machines that are returned to the cloud, and the reasons.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -6,60 +6,62 @@
 use crate::machine::{Machine, MachineEvent};
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
-/// Machines in one release request.
+/// Maximum number of machines in one release request.
 pub(super) const MAX_RELEASED: usize = 90;
 /// Time after which the release of a machine may be requested again.
 pub(super) const RELEASE_RETRY_MS: f64 = 10_000.0;
 
-/// Why a machine is released.
+/// Reason for releasing a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 pub(super) enum ReleaseReason {
-    /// A release that was requested before has not been answered.
+    /// An earlier release request has not been answered.
     #[strum(serialize = "requested before")]
     RequestedBefore,
     #[strum(serialize = "failed")]
     Failed,
     #[strum(serialize = "silent")]
     Silent,
-    /// Tasks fail on it that complete elsewhere.
+    /// Tasks fail on the machine and complete elsewhere.
     #[strum(serialize = "failing")]
     Failing,
-    /// It has long received nothing of what is sent to it.
+    /// Messages to the machine have not arrived for a long time.
     #[strum(serialize = "unreachable")]
     Unreachable,
     #[strum(serialize = "idle")]
     Idle,
-    /// It was provisioned, and is not up long after it should be.
+    /// The machine was provisioned but is still not up long after it should be.
     #[strum(serialize = "never up")]
     NeverUp,
-    /// It is up, and has never reported.
+    /// The machine is up but has never reported.
     #[strum(serialize = "never heard of")]
     NeverHeardOf,
-    /// It has services' tasks, which run elsewhere sooner with the proof of its release.
+    /// The machine is silent with tasks of services, which restart elsewhere sooner with the proof
+    /// of its release.
     #[strum(serialize = "silent with services")]
     SilentWithServices,
     #[strum(serialize = "silent with cancelled tasks")]
     SilentWithCancelledTasks,
-    /// It has assignments, and has not found the shard's new owner.
+    /// The machine has assignments but has not reached the shard's new owner.
     #[strum(serialize = "has not found its new owner")]
     HasNotFoundOwner,
-    /// The cloud was to take it by now.
+    /// The announced time of the cloud's reclaim has passed.
     #[strum(serialize = "reclaimed by the cloud")]
     Reclaimed,
-    /// It has assignments, and the cloud does not list it.
+    /// The machine has assignments but is not in the cloud's list.
     #[strum(serialize = "not listed")]
     NotListed,
 }
 
 impl ReleaseReason {
-    /// The reason as the log names it.
+    /// Returns the reason as it appears in the log.
     pub(super) fn text(self) -> &'static str {
         self.into()
     }
 }
 
 impl Machine {
-    /// Notes that its release is requested, and from when on it may be again.
+    /// Records that the release of the machine is requested, and the time from which it may be
+    /// requested again.
     pub(super) fn request_release(&mut self, retry_at: Millis) {
         self.change(MachineEvent::ReleaseAsked);
         self.release_after = retry_at;
@@ -67,7 +69,7 @@
 }
 
 impl Controller {
-    /// Requests the release of machines of a shard, whether they have reported or not.
+    /// Requests the release of machines of a shard, including machines that have never reported.
     pub(super) fn release_hosts(
         &mut self,
         hosts: Vec<u32>,
@@ -89,7 +91,8 @@
         }
     }
 
-    /// Notes that the release of a machine, known or not, is requested; returns its name.
+    /// Records that the release of a machine is requested, registers the machine if it is unknown,
+    /// and returns its name.
     pub(super) fn note_release_request(
         &mut self,
         host: u32,
@@ -108,7 +111,7 @@
     }
 }
 
-/// A machine of which nothing but the name is known.
+/// Returns a list entry for a machine of which only the name is known.
 fn unlisted_instance(name: &str) -> Instance {
     Instance {
         id: name.to_string(),
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale in: listed machines that are dead, never came up, are silent or of no use.
+//! Scale-in: releases of listed machines that are dead, never came up, are silent, or are idle.
 
 use super::failure_attribution::FAULTY_MACHINE_FAILURES;
 use super::release::{MAX_RELEASED, RELEASE_RETRY_MS, ReleaseReason};
@@ -9,19 +9,19 @@
 use crate::reachability::Reachability;
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
-/// How much longer than its lease a machine may be unreachable before it is released.
+/// Time beyond its lease for which a machine may be unreachable before it is released.
 const UNREACHABLE_MS: f64 = 30_000.0;
-/// How much longer than its lease a machine may be silent before it is released.
+/// Time beyond its lease for which a machine may be silent before it is released.
 const SILENT_MS: f64 = 15_000.0;
-/// How much longer than two leases a listed machine may take to report to its owner.
+/// Time beyond two leases that a listed machine may take to report to its owner.
 const FIRST_REPORT_MS: f64 = 20_000.0;
-/// Share of a shard's cores that stay free when idle machines are released.
+/// Share of a shard's cores that must stay free when idle machines are released.
 const IDLE_SHARE: f64 = 0.6;
 
-/// What a shard's machines are used for, before and while idle ones are released.
+/// Capacity and reachability of a shard's machines, updated as idle ones are chosen for release.
 #[derive(Clone, Copy, Debug, Default)]
 struct ShardUsage {
-    /// Cores of usable machines: those free, and all.
+    /// Free and total cores of the usable machines.
     free_cores: f64,
     cores: f64,
     unreachable_machines: usize,
@@ -29,18 +29,19 @@
 }
 
 impl ShardUsage {
-    /// Whether few enough machines are unreachable for it to be their fault: where many are,
-    /// the fault is between us and them.
+    /// Returns whether few enough machines are unreachable for the machines to be at fault. If many
+    /// are, the fault is in the network between this controller and the machines.
     fn few_unreachable(&self) -> bool {
         self.machines > 0 && self.unreachable_machines <= (self.machines / 5).max(1)
     }
 }
 
 impl Controller {
-    /// Releases listed machines that are dead, never came up, are silent or of no use, and
-    /// machines with assignments that are not listed.
+    /// Releases listed machines that are dead, never came up, are silent or are idle, and machines
+    /// with assignments that are not listed.
     pub(crate) fn scale_in_listed(&mut self, now: Millis) {
-        // What is owned may be an old belief.
+        // If this process has stalled, other controllers may own its shards until it has read the
+        // state again.
         if !self.caught_up() {
             return;
         }
@@ -52,7 +53,7 @@
         self.release_unlisted(now);
     }
 
-    /// Names of the listed machines to release.
+    /// Returns the names of the listed machines to release.
     fn choose_releases(&self, now: Millis) -> Vec<String> {
         let mut usage = self.shard_usage(now);
         let mut names: Vec<&String> = self.listed.keys().collect();
@@ -93,7 +94,7 @@
         usage
     }
 
-    /// Why a listed machine of ours is released now, if it is.
+    /// Returns the reason to release a listed machine of an owned shard now, if there is one.
     fn release_reason(
         &self,
         name: &str,
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Why a machine is released that has reported, or whose release was requested before.
+    /// Returns the reason to release a machine that has reported or whose release was requested
+    /// before, if there is one.
     fn release_reason_of_known(
         &self,
         machine: &Machine,
@@ -144,7 +146,8 @@
         None
     }
 
-    /// Why a machine is released that is listed and has never reported.
+    /// Returns the reason to release a machine that is listed and has never reported, if there is
+    /// one.
     fn release_reason_of_unheard(
         &self,
         name: &str,
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Whether a machine has been unreachable for so long that it is of no use.
+    /// Returns whether a machine has been unreachable for so long that it should be released.
     fn is_long_unreachable(&self, machine: &Machine, now: Millis) -> bool {
         match machine.reachability {
             Reachability::Unreachable(since) => now - since > self.config.lease_ms + UNREACHABLE_MS,
@@ -175,15 +178,15 @@
         }
     }
 
-    /// Whether a machine has long had neither tasks nor assignments.
+    /// Returns whether a machine has had neither tasks nor assignments for a long time.
     fn is_idle(&self, machine: &Machine, now: Millis) -> bool {
         now - machine.busy_at > self.config.tuning.idle_return_s * 1000.0
             && machine.reported.is_empty()
             && self.mirror.on_host(machine.host).next().is_none()
     }
 
-    /// Notes that the release of a listed machine is requested. One that never reported
-    /// becomes known by it, so that its assignments can be resolved by the answer.
+    /// Records that the release of a listed machine is requested. A machine that has never reported
+    /// is registered, so that the answer to the request can resolve its assignments.
     fn note_listed_release(&mut self, name: &str, now: Millis) {
         let entry = &self.listed[name];
         let shard_id = self.config.shard_map.shard(&entry.zone, name);
@@ -195,9 +198,9 @@
         machine.request_release(now + RELEASE_RETRY_MS);
     }
 
-    /// Assignments may name machines that neither report nor are listed (they were
-    /// taken, or died and were dropped from the list); only a release proves
-    /// that nothing of them is left.
+    /// Releases machines that have assignments but neither report nor are listed, because they were
+    /// reclaimed, or died and were dropped from the list. Only a release proves that none of their
+    /// tasks remain.
     fn release_unlisted(&mut self, now: Millis) {
         let mut released: Vec<String> = Vec::new();
         for host in self.mirror.assigned_hosts().collect::<Vec<_>>() {
@@ -212,8 +215,8 @@
         self.send_release(released);
     }
 
-    /// The shard of a machine with assignments that is not listed and should be, if it is
-    /// ours and its release can be requested.
+    /// Returns the owned shard of a machine that has assignments and is unexpectedly missing from
+    /// the list, if its release can be requested.
     fn shard_of_unlisted(&self, host: u32, now: Millis) -> Option<usize> {
         let is_known = self.machines.get(&host).is_some_and(|machine| {
             machine.state == MachineState::Gone
@@ -225,7 +228,7 @@
         }
         let shard_id = self.mirror.shard_of_assignment(host)?;
         self.owned(shard_id)?;
-        // The list is late; a machine that is merely new is not in it yet.
+        // The list is delayed, so a new machine may not be listed yet.
         let owned_for = now - self.shards[shard_id].lease.token_since();
         let list_delay = 3.0 * self.config.list_lag_ms + self.config.lease_ms;
         (owned_for >= list_delay).then_some(shard_id)
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -1,4 +1,4 @@
-//! What one scheduling cycle has looked for in vain: what is alike is not searched for again.
+//! Failed searches of one scheduling cycle, so that equivalent searches are not repeated.
 
 use crate::admission::flows::Flow;
 use crate::admission::queue::{Place, WINDOW};
@@ -10,12 +10,12 @@
 pub(crate) struct UnmetNeeds(Vec<Needs>);
 
 impl UnmetNeeds {
-    /// Whether it is known that no machine has room for so much.
+    /// Returns whether no machine is known to have capacity for an amount.
     pub(crate) fn too_large(&self, needs: &Needs) -> bool {
         self.0.iter().any(|unmet| unmet.fits(needs))
     }
 
-    /// Notes that no machine has room for so much.
+    /// Records that no machine has capacity for an amount.
     pub(crate) fn none_fits(&mut self, needs: Needs) {
         if !self.too_large(&needs) {
             self.0.retain(|unmet| !needs.fits(unmet));
@@ -24,24 +24,25 @@
     }
 }
 
-/// Jobs of a flow that have been looked at since it was closed.
+/// Jobs of a closed flow that were inspected after the flow was closed.
 #[derive(Debug)]
 struct ClosedFlow {
     inspected: usize,
     last: Place,
 }
 
-/// How many of each flow's jobs a scheduling cycle has looked at in vain.
+/// Number of each flow's jobs that a scheduling cycle has inspected in vain. A flow with too many
+/// of them is closed: only a few more of its jobs are inspected in the cycle.
 #[derive(Debug, Default)]
 pub(crate) struct SearchBudget {
-    /// Jobs in a row of which no task found room.
+    /// Number of consecutive jobs without a placed task, by flow.
     stuck: HashMap<Flow, u32>,
     closed: HashMap<Flow, ClosedFlow>,
 }
 
 impl SearchBudget {
-    /// Counts a job that is looked at. Says whether enough of its flow has been stuck for the
-    /// flow to be closed.
+    /// Counts an inspected job as stuck. Returns whether this makes enough stuck jobs to close the
+    /// flow.
     pub(crate) fn look(&mut self, flow: Flow, at: Place) -> bool {
         if let Some(closed) = self.closed.get_mut(&flow) {
             closed.inspected += 1;
@@ -61,12 +62,13 @@
         close
     }
 
-    /// A task of the flow has found room.
+    /// Resets a flow's count of stuck jobs after one of its tasks was placed.
     pub(crate) fn found(&mut self, flow: Flow) {
         self.stuck.insert(flow, 0);
     }
 
-    /// Closed flows: how many of their other jobs were looked at, and the last.
+    /// Returns each closed flow with the number of its jobs that were inspected after it was
+    /// closed, and the last of them.
     pub(crate) fn others(self) -> impl Iterator<Item = (Flow, usize, Option<Place>)> {
         self.closed
             .into_iter()
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -1,4 +1,4 @@
-//! Spot reclaims: machines that the cloud takes back, and what to do with their tasks.
+//! Spot reclaims: machines that the cloud takes back, and the handling of their tasks.
 
 use super::release::{MAX_RELEASED, ReleaseReason};
 use crate::Millis;
@@ -8,17 +8,18 @@
 use crate::needs::Needs;
 use cherryyard_wire::job::Shape;
 
-/// Least tasks of a job that must have completed for their run time to count.
+/// Minimum number of a job's completed tasks for their run time to be used.
 const KNOWN_RUNS: u32 = 3;
-/// Share of the estimate that completed tasks shorten it to at most: those that complete
-/// first are short.
+/// Lower bound for the expected run time, as a share of the estimate: the tasks that complete first
+/// are short, so their average may be too low.
 const LEAST_SHARE_OF_ESTIMATE: f64 = 0.5;
-/// Share of its run time that a task is expected to run on, whatever the estimate.
+/// Lower bound for the remaining run time, as a share of the time that a task has run.
 const LEAST_SHARE_LEFT: f64 = 0.2;
 
 impl Controller {
-    /// How long a task of the job takes: as its completed tasks did, or as its
-    /// owner estimates, whichever is longer (those that complete first are short).
+    /// Returns the expected run time of a job's tasks: the average of the completed ones, but at
+    /// least half of the job's estimate (the tasks that complete first are short); the estimate
+    /// while too few have completed.
     fn expected_run_ms(&self, shard_id: usize, job: u64, open: &OpenJob) -> Millis {
         let estimate = open.spec.expected_s * 1000.0;
         match self.shards[shard_id].ran.get(&job) {
@@ -29,9 +30,9 @@
         }
     }
 
-    /// Whether a task on a machine that the cloud takes back cannot complete there and can
-    /// start anew elsewhere at once. Left alone, it is lost with the machine, and then
-    /// waits until that is proven: the longest of all delays on calm days.
+    /// Returns whether a task on a machine that is being reclaimed cannot complete there and can
+    /// start again elsewhere at once. Otherwise the task would be lost with the machine and wait
+    /// until the loss is proven, which is the longest delay of all when nothing else goes wrong.
     pub(crate) fn should_restart_elsewhere(
         &self,
         machine: &Machine,
@@ -50,14 +51,14 @@
             return false;
         }
         let ran = machine.ran_ms(task, attempt, now).unwrap_or(0.0);
-        // Almost there by the estimate may as well be over at any moment.
+        // A task close to or beyond its expected run time may still run for a while.
         let expected = self.expected_run_ms(machine.shard, task.0, open);
         let left = (expected - ran).max(ran * LEAST_SHARE_LEFT);
         left > reclaim_at - now && self.has_room_for_tasks_of(machine, open, now)
     }
 
-    /// Whether the shard's other machines have room for as many tasks of a job as a machine
-    /// has tasks.
+    /// Returns whether the shard's other machines have capacity for as many tasks of a job as there
+    /// are tasks on `machine`.
     fn has_room_for_tasks_of(&self, machine: &Machine, open: &OpenJob, now: Millis) -> bool {
         let tasks = self.mirror.on_host(machine.host).count() as u32;
         let mut room = 0;
@@ -74,7 +75,7 @@
         false
     }
 
-    /// What is free on a machine that may run a job and is not reserved.
+    /// Returns the free capacity of a machine, or `None` if it may not run the job or is reserved.
     fn unreserved_room(&self, machine: &Machine, open: &OpenJob, now: Millis) -> Option<Needs> {
         let reserved = &self.shards[machine.shard].reserved;
         if !machine.usable(now, self.silence_ms())
@@ -86,9 +87,8 @@
         self.free_on(machine, None)
     }
 
-    /// Machines that the cloud was to take by now, and that have fallen silent, are
-    /// released: the answer proves gone what was on them, three quarters of a
-    /// lease before it ends.
+    /// Releases silent machines whose announced reclaim time has passed. The answer proves the loss
+    /// of their tasks three quarters of a lease before the lease ends.
     pub(crate) fn release_reclaimed(&mut self, shard_id: usize, now: Millis) {
         let silence = self.silence_ms();
         let taken: Vec<u32> = self
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,4 +1,4 @@
-//! What an owner remembers of a shard.
+//! In-memory state of an owner for each shard.
 
 use super::failure_attribution::JobFailures;
 use super::kept_rests::KeptRests;
@@ -11,7 +11,7 @@
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A task that is being stopped to make room for another.
+/// A task that is being stopped in favour of another.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Preempted {
     pub(crate) attempt: u64,
@@ -19,7 +19,7 @@
     pub(crate) until: Millis,
 }
 
-/// A machine kept for a task that others were stopped for.
+/// A machine reserved for a task for which others were preempted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) for_task: Task,
@@ -33,7 +33,7 @@
     pub(crate) host: u32,
 }
 
-/// What a scheduling cycle will do once its transaction is durable.
+/// Follow-up work of a scheduling cycle once its transaction is durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pending {
     pub(crate) hosts: BTreeSet<u32>,
@@ -41,47 +41,48 @@
     pub(crate) done: Vec<(u64, u32)>,
 }
 
-/// One shard, as this controller sees it.
+/// State of one shard in this controller.
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub(crate) lease: ShardLease,
     pub(crate) dirty: bool,
-    /// Machines that the next scheduling cycle looks at.
+    /// Machines that the next scheduling cycle inspects.
     pub(crate) touched: BTreeSet<u32>,
-    /// When a scheduling cycle last looked at all of them.
+    /// Time of the last scheduling cycle that inspected all machines.
     pub(crate) inspected_at: Millis,
     pub(crate) compacted_at: Millis,
-    /// When the last scheduling cycle was planned, and when the last look at leases was.
+    /// Times of the last planned scheduling cycle and of the last timed maintenance.
     pub(crate) planned_at: Millis,
     pub(crate) kept_at: Millis,
     pub(crate) unheard_at: Millis,
-    /// When placement was last tried, and what was known of the state then.
+    /// Time of the last placement, and the newest revisions of the state known then.
     pub(crate) placed_at: Millis,
     pub(crate) placed_as_of: (u64, u64),
-    /// Changes that the shard's scheduling cycles may write.
+    /// Budget of the changes that the shard's scheduling cycles may write.
     pub(crate) budget: TokenBucket,
     pub(crate) pending: Option<Pending>,
     pub(crate) retry_after: Millis,
     pub(crate) preempted: HashMap<Task, Preempted>,
-    /// Machines kept for a task that others were stopped for.
+    /// Machines reserved for a task for which others were preempted.
     pub(crate) reserved: BTreeMap<u32, Reservation>,
-    /// Machines kept for the oldest jobs that have not begun, by flow.
+    /// Machines kept for the oldest jobs that have not started, by flow.
     pub(crate) kept_machines: BTreeMap<Flow, KeptMachine>,
     pub(crate) job_failures: HashMap<u64, JobFailures>,
-    /// Services kept back for a moment, for the leader to move.
+    /// Services that are held back for a short time so that the leader can move them to another
+    /// shard.
     pub(crate) handing: BTreeSet<u64>,
-    /// What waits, in the order of service.
+    /// Waiting jobs in the order of service.
     pub(crate) queues: Queues,
-    /// Teams with waiting tasks here of which none can use what is left of the grant, and
-    /// since when.
+    /// Teams with waiting tasks of which none fits into the remainder of the grant, and the time
+    /// since which this is so.
     pub(crate) stuck_grants: HashMap<usize, Millis>,
-    /// Teams whose rest of the limit is kept for a job whose turn it is.
+    /// Remainders of teams' grants that are kept for the oldest waiting jobs.
     pub(crate) kept_rests: KeptRests,
     pub(crate) images_at: Millis,
     pub(crate) wait_revision: u64,
-    /// How many tasks of a job completed here, and how long they ran together.
+    /// Number of each job's tasks that completed here, and the sum of their run times.
     pub(crate) ran: HashMap<u64, (u32, Millis)>,
-    /// What the shard's cores did.
+    /// Account of how the shard's cores were used.
     pub(crate) account: Account,
 }
 
--- a/crates/cherryyard-core/src/owner/task_ends.rs
+++ b/crates/cherryyard-core/src/owner/task_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of tasks, once they are durable: failures are attributed to machines and jobs.
+//! Durable ends of tasks: failures are attributed to machines and jobs.
 
 use super::failure_attribution::{JobFailures, Verdict};
 use crate::Millis;
@@ -6,7 +6,8 @@
 use rand::RngExt;
 
 impl Controller {
-    /// A task of a job has completed on a machine: neither is at fault.
+    /// Records that a task of a job has completed on a machine, which clears both of earlier
+    /// failures.
     pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
         let failures = self.shards[shard_id].job_failures.remove(&job);
         if failures.is_some_and(|failures| failures.is_quarantined()) {
@@ -18,7 +19,7 @@
         }
     }
 
-    /// A task of a job has failed on a machine.
+    /// Records that a task of a job has failed on a machine, and attributes the failure.
     pub(crate) fn note_failed(&mut self, shard_id: usize, job: u64, host: u32, now: Millis) {
         let proven = self.mirror.done(job) > 0;
         let jitter = self.rng.random_range(0.0..1.0);
@@ -27,7 +28,7 @@
             .entry(job)
             .or_insert_with(|| JobFailures::new(now));
         let verdict = if proven && !failures.is_quarantined() {
-            // Others of it have completed: the machine, unless it fails on many.
+            // Other tasks of the job have completed, so the failure counts against the machine.
             failures.hosts.insert(host);
             failures.at = now;
             Verdict::Machine
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Forgets failures long past.
+    /// Forgets the failures of ended jobs, and failures that are long past.
     pub(crate) fn forget_job_failures(&mut self, shard_id: usize, now: Millis) {
         let open = &self.mirror.open;
         self.shards[shard_id]
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -1,5 +1,5 @@
-//! Teams' limits: a shard starts tasks only within its grants of them, and gives back what it
-//! does not need.
+//! Team limits: a shard starts tasks only within its grants of the teams' limits, and returns the
+//! parts of the grants that it does not need.
 
 use super::placement::{Candidate, Placement};
 use super::state::Pending;
@@ -14,16 +14,18 @@
 use cherryyard_wire::record::{self, Grant};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
+/// Time for which a shard keeps the remainder of a grant that none of its waiting tasks fits into.
 const STUCK_GRANT_MS: f64 = 2000.0;
-/// Differences of cores and accelerators below this are rounding.
+/// Tolerance for rounding in comparisons of cores and accelerators.
 const ROUNDING: f64 = 1e-6;
-/// Conditions that giving a grant back may need: the grant, the last page and the one after it.
+/// Maximum number of conditions for lowering a grant: the grant, the last page and the one after
+/// it.
 const CONDITIONS_OF_GRANT: usize = 3;
 
 impl Controller {
-    /// Whether the team's limit lets a task of the job start. The oldest job of its flow that
-    /// has not begun keeps what is left of the limit here.
+    /// Returns whether the team's limit permits starting a task of the job. If it does not and the
+    /// job is the oldest of its flow that has not started, the remainder of the grant in this shard
+    /// is kept for that job.
     pub(super) fn may_start(
         &mut self,
         placement: &mut Placement,
@@ -39,7 +41,8 @@
         if !self.beyond_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
             return true;
         }
-        // Smaller tasks would take what comes free, each before it is enough.
+        // Otherwise smaller tasks would take each released part of the grant before it adds up to
+        // enough for this job.
         if queues.turn(candidate.flow) == Some(job)
             && !self.begun(job)
             && self.fits_beside_services(shard_id, candidate)
@@ -52,13 +55,14 @@
         false
     }
 
-    /// Whether a task would be within its team's limit once the shard's arrays are done.
+    /// Returns whether a task would be within its team's grant once the shard's arrays are done.
     fn fits_beside_services(&self, shard_id: usize, candidate: &Candidate) -> bool {
         let held = self.held_by_services(shard_id);
         !self.beyond_grant(shard_id, candidate.team, &held, &candidate.needs)
     }
 
-    /// What each team's services use of the shard, which does not come free by itself.
+    /// Returns the capacity that each team's services use in the shard, which is not released by
+    /// itself.
     fn held_by_services(&self, shard_id: usize) -> Vec<Needs> {
         let mut held = vec![Needs::default(); self.config.teams.len()];
         let assigned = self
@@ -77,8 +81,8 @@
         held
     }
 
-    /// Whether one more task would take its team beyond what the shard may use of
-    /// its limit, with what each team uses there now.
+    /// Returns whether one more task would exceed the team's grant in the shard, given what each
+    /// team uses there now.
     pub(crate) fn beyond_grant(
         &self,
         shard_id: usize,
@@ -94,7 +98,8 @@
             || limits.acc_max.is_finite() && used.acc + more.acc > grant.acc + ROUNDING
     }
 
-    /// What one more of a team's waiting tasks takes in a shard, at least.
+    /// Returns the smallest amount of each resource that any of a team's waiting tasks in a shard
+    /// needs.
     pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
         let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
@@ -106,8 +111,9 @@
         })
     }
 
-    /// Whether tasks of a team wait in the shard, and what is left of its grant has for some
-    /// time been too little for any of them: shards' rests are of use only together.
+    /// Returns whether tasks of a team wait in the shard while the remainder of its grant has for
+    /// some time been too small for any of them. Such remainders of several shards are only useful
+    /// if they are combined.
     fn rest_is_stuck(&mut self, shard_id: usize, team: usize, used: &[Needs], now: Millis) -> bool {
         let least = self.least_waiting(shard_id, team);
         let is_stuck =
@@ -120,7 +126,8 @@
         now - *stuck_since.entry(team).or_insert(now) >= STUCK_GRANT_MS
     }
 
-    /// Gives back what our shards do not need of teams that are short.
+    /// Lowers the grants of owned shards for teams of which another shard wants more than its
+    /// grant, by the parts that these shards do not need.
     pub(crate) fn lower_grants(&mut self, short_teams: &[String], now: Millis) {
         for shard_id in 0..self.shards.len() {
             let Some(token) = self.owned(shard_id) else {
@@ -131,11 +138,12 @@
             }
             let mut commit = self.lowered_grants(shard_id, token, short_teams, now);
             if !commit.apply.is_empty() {
-                // On no assignment having been made since, as the leader's moves are: where the
-                // answer is lost this may be carried out after later scheduling cycles, which count
-                // on the grant as it was and do not change it.
+                // Requires that no assignment has been made since, as the leader's moves do: if the
+                // answer is lost, this transaction may be applied after later scheduling cycles,
+                // which rely on the old grant and do not change it.
                 self.mirror.require_last_page(&mut commit, shard_id);
-                // In place of a scheduling cycle, so that no assignment is under way meanwhile.
+                // Takes the place of a scheduling cycle, so that no assignment is in flight at the
+                // same time.
                 self.shards[shard_id].pending = Some(Pending::default());
                 self.effects
                     .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
@@ -143,8 +151,8 @@
         }
     }
 
-    /// The transaction that lowers a shard's grants of teams that are short; without changes
-    /// if it needs all that it has.
+    /// Returns the transaction that lowers a shard's grants of the teams in `short_teams`; it has
+    /// no changes if the shard needs all of its grants.
     fn lowered_grants(
         &mut self,
         shard_id: usize,
@@ -186,8 +194,8 @@
     }
 }
 
-/// What a shard keeps of a grant: what it wants, which is never below what is assigned, and
-/// half of the rest, so that its next job need not wait for the leader.
+/// Returns the part of a grant that a shard keeps: what it wants, which is never below what is
+/// assigned, and half of the rest, so that its next job need not wait for the leader.
 fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
     let (cores, acc) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
     let kept = |have: f64, want: f64| {
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -1,5 +1,5 @@
-//! Machines that are released before their leases prove their tasks gone, or because no lease
-//! can: those that are silent with services or cancelled tasks, and those that have not found
+//! Releases of unresponsive machines before their leases prove their tasks gone, or because no
+//! lease can: silent machines with services or cancelled tasks, and machines that have not reached
 //! a shard's new owner.
 
 use super::release::{MAX_RELEASED, ReleaseReason};
@@ -10,41 +10,43 @@
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::record::End;
 
-/// Which share of the time that a cancelled job's tasks have may pass before a machine is
-/// released that may have one and is silent.
+/// Share of the time limit for stopping a cancelled job's tasks after which a silent machine that
+/// may run one is released.
 const CANCELLED_SHARE: f64 = 0.7;
-/// The share from which on a new owner waits no longer for such a machine than for one that
-/// it has heard of.
+/// Share of that time limit after which a new owner waits no longer for such a machine than for one
+/// that has reported.
 const CANCELLED_LATE: f64 = 0.8;
-/// Intervals between heartbeats after which the next is overdue.
+/// Number of heartbeat intervals after which the next heartbeat is overdue.
 const OVERDUE_HEARTBEATS: f64 = 1.25;
-/// What a heartbeat may take to arrive before its machine counts as overdue, and as silent.
+/// Time that a heartbeat may take to arrive before its machine counts as overdue, and as silent.
 const OVERDUE_MS: f64 = 250.0;
 const SILENT_MS: f64 = 2000.0;
-/// Least heartbeats that a release must come sooner than the end of the lease to be worth it.
+/// Minimum gain of a release over waiting for the end of the lease, in heartbeat intervals.
 const MIN_GAIN: f64 = 2.0;
-/// The same where not only services would be lost if the machine merely hangs.
+/// Minimum gain of a release that, if the machine merely hangs, would lose tasks other than
+/// services'.
 const MIN_GAIN_WITH_ARRAYS: f64 = 3.0;
 /// Time after which the release of a silent machine with services may be requested again.
 const SERVICES_RETRY_MS: f64 = 3000.0;
-/// What a machine may take to find a new owner, beyond a heartbeat that gets no answer.
+/// Time that a machine may take to reach a new owner, in addition to a heartbeat that gets no
+/// answer.
 const FIND_OWNER_MS: f64 = 8000.0;
-/// For how long after that a new owner releases machines that have not found it.
+/// Time after that limit during which a new owner releases machines that have not reached it.
 const NEW_OWNER_MS: f64 = 60_000.0;
 
-/// A shard's machines by when they were last heard of.
+/// Number of a shard's machines by the time of their last message.
 #[derive(Clone, Copy, Debug, Default)]
 struct Contact {
     machines: usize,
-    /// Whose heartbeat is overdue, and whose lease is not over.
+    /// Machines whose heartbeat is overdue but whose lease has not expired.
     overdue: usize,
-    /// Heard of lately.
+    /// Machines with a recent message.
     recent: usize,
 }
 
 impl Contact {
-    /// Whether silence is that of a few: when many are silent, the fault is between us and
-    /// them.
+    /// Returns whether only a few machines are silent. If many are, the fault is in the network
+    /// between this controller and the machines.
     fn is_good(&self) -> bool {
         let others = self.machines.saturating_sub(self.overdue);
         self.overdue <= (self.machines / 5).max(1) && self.recent * 4 >= others
@@ -52,17 +54,18 @@
 }
 
 impl Controller {
-    /// A machine that has fallen silent with services' tasks on it is released at
-    /// once: the answer proves them gone well before the lease would, if the
-    /// machine is dead. Arrays wait for the lease, as their machine may come
-    /// back with its work. When many are silent, nothing is released.
+    /// Releases silent machines with tasks of services at once: if such a machine is dead, the
+    /// answer proves the tasks gone well before the lease would. Arrays wait for the end of the
+    /// lease, because their machine may come back with its work. If many machines are silent, none
+    /// is released.
     pub(crate) fn release_silent(&mut self, shard_id: usize, now: Millis) {
         let limit = self.config.report_ms * OVERDUE_HEARTBEATS + SILENT_MS;
-        // A machine that merely hangs loses what is left of its lease by this:
-        // worth it only where the lease would be waited for much longer, or
-        // somewhat longer if there are only services to lose.
+        // A release costs a machine that merely hangs the rest of its lease. This is worthwhile
+        // only if the end of the lease is much later, or somewhat later if only services would be
+        // lost.
         let gain = (self.config.lease_ms - limit) / self.config.report_ms;
-        // Heartbeats that wait because this controller is late are no silence.
+        // Heartbeats that are processed late because this controller is delayed do not count as
+        // silence.
         if gain < MIN_GAIN
             || !self.state_fresh(now)
             || now - self.shards[shard_id].lease.token_since() < 2.0 * limit
@@ -100,22 +103,24 @@
         self.send_release(released);
     }
 
-    /// A shard's machines whose newest message carried our token.
+    /// Returns a shard's machines whose newest message carries the current token.
     fn confirmed_machines(&self, shard_id: usize) -> impl Iterator<Item = &Machine> {
         self.machines
             .values()
             .filter(move |m| m.shard == shard_id && m.shows_our_token())
     }
 
-    /// Machines fall silent one after the other, as each heartbeat would have been
-    /// due: of those that a partition takes together the first few look like a few. So
-    /// those just overdue count too, and most others must have been heard of
-    /// lately: an owner that had lost its workers released 37 machines with their
-    /// services before it saw that all were silent.
+    /// Counts a shard's overdue machines and those with a recent message.
+    ///
+    /// Machines become silent one after the other, as each misses its next heartbeat, so the first
+    /// few of a group that a partition cuts off look like isolated failures. Therefore machines
+    /// that are just overdue count as well, and most others must have reported recently. Without
+    /// this, an owner cut off from its workers released 37 machines with their services before it
+    /// saw that all were silent.
     fn contact(&self, shard_id: usize, now: Millis) -> Contact {
         let machines = self.confirmed_machines(shard_id).count();
         let overdue_ms = self.config.report_ms * OVERDUE_HEARTBEATS + OVERDUE_MS;
-        // Of a few machines none may report for half of that time, by chance.
+        // With few machines it may happen by chance that none reports for half of the interval.
         let recent_ms = self.config.report_ms * if machines > 8 { 0.5 } else { 0.9 };
         let mut contact = Contact {
             machines,
@@ -129,7 +134,8 @@
         contact
     }
 
-    /// Whether a machine has services' tasks, and no others unless the release gains enough.
+    /// Returns whether a machine has tasks of services, and no arrays unless the release gains
+    /// enough time.
     fn loses_services(&self, host: u32, gain: f64) -> bool {
         let (mut services, mut others) = (0, 0);
         for ((job, _), _) in self.mirror.on_host(host) {
@@ -142,19 +148,20 @@
         services > 0 && (others == 0 || gain >= MIN_GAIN_WITH_ARRAYS)
     }
 
-    /// How long a machine with assignments may take to find a new owner: a heartbeat that
-    /// gets no answer, a try or two elsewhere, and the next.
+    /// Returns the time that a machine with assignments may take to reach a new owner: a heartbeat
+    /// without an answer, one or two attempts at other controllers, and the next heartbeat.
     fn find_owner_ms(&self) -> f64 {
         self.config.report_ms * OVERDUE_HEARTBEATS + FIND_OWNER_MS
     }
 
-    /// For how long a machine has to be silent to be released for a task of this job, if
-    /// it is cancelled and its time is running out.
+    /// Returns the silence after which a machine is released because of a task of this job, or
+    /// `None` if the job is not cancelled or enough time is left.
     fn silence_for_cancelled(&self, job: u64, now: Millis) -> Option<Millis> {
         if self.mirror.end(job) != Some(End::Cancelled) || self.mirror.is_new_cancel(job) {
             return None;
         }
-        // Where that is no longer known it is long ago, or nobody knows.
+        // If the time of the cancellation is no longer known, it was long ago or no controller
+        // knows it.
         let learnt_at = self.cancelled.learnt_at(job);
         match learnt_at.map(|at| (now - at) / self.config.cancel_ms) {
             Some(passed) if passed <= CANCELLED_SHARE => None,
@@ -163,12 +170,14 @@
         }
     }
 
-    /// A machine that hangs may carry out, when it goes on and before it sees that its
-    /// incarnation is over, a start that was sent to it before, by an owner before us too. If
-    /// its job has been cancelled meanwhile only the machine's release stops that, as no
-    /// token of ours gets there. So a silent machine whose assignment of a cancelled job is not
-    /// proven gone is released before that job's time is over. (Where the owner stays the
-    /// same the end of the lease proves it, but for such a start.)
+    /// Releases silent machines whose assignment of a cancelled job is not proven gone, before the
+    /// time limit for stopping the job's tasks is over.
+    ///
+    /// A machine that hangs may, when it resumes and before it notices that its incarnation is
+    /// over, execute a start that it received earlier, possibly from a previous owner. If the
+    /// start's job has been cancelled meanwhile, only the release of the machine stops it, because
+    /// no newer token reaches the machine. (Under the same owner the end of the lease is proof
+    /// enough, except for such a start.)
     pub(crate) fn release_with_cancelled_tasks(&mut self, shard_id: usize, now: Millis) {
         if !self.state_fresh(now) {
             return;
@@ -184,7 +193,7 @@
         self.release_hosts(hosts, shard_id, reason, now);
     }
 
-    /// Whether a machine has been silent for too long for a cancelled task that it may have.
+    /// Returns whether a machine has been silent for too long for a cancelled task that it may run.
     fn is_silent_with_cancelled(&self, host: u32, shard_id: usize, now: Millis) -> bool {
         let silent = now - self.silent_since(host, shard_id, now);
         if silent <= 0.0 {
@@ -197,7 +206,9 @@
         limits.any(|limit| silent > limit)
     }
 
-    /// Since when nothing has been heard of a machine that should have been.
+    /// Returns the time since which no message of a machine has arrived, but not from before this
+    /// controller acquired the shard or was last delayed. Returns `now` for a machine that needs no
+    /// release request.
     fn silent_since(&self, host: u32, shard_id: usize, now: Millis) -> Millis {
         let held_since = self.shards[shard_id].lease.held_since();
         let punctual_since = now - self.lag.punctual_for(now);
@@ -208,11 +219,12 @@
         }
     }
 
-    /// A machine that was lost while its shard had no owner, or just before, has
-    /// never shown the new owner its token: no lease of it can be waited for.
-    /// Once all others have found the new owner, the few that have not are
-    /// released, as only that proves what was on them gone. While many have not
-    /// come, they are with the old owner, or the network is at fault.
+    /// Releases the few machines that have not reached a new owner once all others have.
+    ///
+    /// A machine that was lost while its shard had no owner, or just before, has never shown the
+    /// new owner's token, so there is no lease whose end would prove its tasks gone; only the
+    /// release does. While many machines are missing, they still report to the previous owner or
+    /// the network is at fault.
     pub(crate) fn release_without_owner(&mut self, shard_id: usize, now: Millis) {
         let limit = self.find_owner_ms();
         let owned_for = now - self.shards[shard_id].lease.token_since();
@@ -245,9 +257,9 @@
     }
 }
 
-/// Whether a machine has shown our token or may yet, or is being released.
+/// Returns whether a machine has shown the current token, may still do so, or is being released.
 fn has_found_owner(machine: &Machine, limit: Millis, now: Millis) -> bool {
-    // One that reports but is unreachable will never show our token.
+    // An unreachable machine that reports will never show the current token.
     let may_yet = now - machine.last_heard_at < limit
         && !matches!(machine.reachability, Reachability::Unreachable(_));
     machine.shows_our_token()
--- a/crates/cherryyard-core/src/reachability.rs
+++ b/crates/cherryyard-core/src/reachability.rs
@@ -1,50 +1,52 @@
-//! Reachability: whether what we send a machine arrives there.
+//! Reachability: whether messages from the owner arrive at a machine.
 //!
-//! A machine's heartbeats say that it lives, not that it receives anything: a partition may
-//! cut one direction only. What they *reflect* of our answers and commands says that: a
-//! token it did not have, a start that we sent, an incarnation that goes on. One that fails
-//! to reflect something is queried; one that does not answer is unreachable.
-//! Nothing new is placed on such a machine: each time its lease runs out its next
-//! incarnation looks like an empty machine, the roomiest of all.
+//! A machine's heartbeats show that it runs, not that it receives anything, because a network
+//! partition may cut one direction only. Reception shows in what the heartbeats reflect: a token
+//! that the machine did not have before, a start that was sent to it, an incarnation that
+//! continues. A machine that fails to reflect these is queried, and one that does not answer is
+//! unreachable. No new tasks are placed on an unreachable machine: each time its lease expires, its
+//! next incarnation looks like an empty machine with the most free capacity of all, so it would
+//! attract every new task.
 
 use crate::Millis;
 
-/// How often what we sent was not reflected before the machine is queried.
+/// Number of unreflected messages in a row after which the machine is queried.
 const MAX_MISSES: u32 = 2;
-/// How often it is queried in vain before it counts as unreachable.
+/// Number of unanswered queries in a row after which the machine counts as unreachable.
 const MAX_QUERIES: u32 = 2;
-/// Time between two queries to a doubted machine.
+/// Time between two queries to a machine whose reachability is in doubt.
 const DOUBTED_QUERY_MS: f64 = 1000.0;
 /// Time between two queries to an unreachable machine.
 const UNREACHABLE_QUERY_MS: f64 = 4000.0;
 
-/// Whether what we send a machine arrives there.
+/// Whether messages to a machine are known to arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reachability {
-    /// As far as is known. How much in a row was not reflected.
+    /// Nothing shows the contrary; holds the number of messages in a row that were not reflected.
     Reachable(u32),
-    /// Something was not reflected: it is queried, so often in vain so far.
+    /// A message was not reflected, so the machine is being queried; holds the number of queries
+    /// that it has not answered.
     Doubted(u32),
-    /// It does not answer, since then.
+    /// The machine does not answer queries; holds the time since which this is so.
     Unreachable(Millis),
 }
 
-/// What shows it.
+/// Evidence for or against a machine's reachability.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReachabilityEvent {
-    /// A message shows that something of ours has arrived.
+    /// A message of the machine shows that something sent to it has arrived.
     Reflected,
-    /// Something that we sent and that it should show by now is not there.
+    /// Something sent to the machine should show in its messages by now and does not.
     Missed,
-    /// Its lease ran out though we answered it, or while nothing came from it: its
-    /// new incarnation has yet to show that it receives anything.
+    /// The machine has a new incarnation: its lease expired although its heartbeats were answered,
+    /// or while no message arrived. The new incarnation has yet to show that it receives anything.
     NewIncarnation,
-    /// It was queried, and did not answer.
+    /// A query to the machine was not answered.
     NoAnswer,
 }
 
 impl Reachability {
-    /// The one place where it changes.
+    /// Returns the reachability that follows this one after an event.
     pub fn after(self, event: ReachabilityEvent, now: Millis) -> Self {
         use ReachabilityEvent::*;
         match (self, event) {
@@ -59,12 +61,12 @@
         }
     }
 
-    /// Whether something new may be placed there.
+    /// Returns whether new tasks may be placed on the machine.
     pub fn is_reachable(self) -> bool {
         matches!(self, Self::Reachable(_))
     }
 
-    /// How long after a query the next is due, if one is.
+    /// Returns the time between two queries in this state, or `None` if none are sent.
     pub fn query_interval_ms(self) -> Option<Millis> {
         match self {
             Self::Reachable(_) => None,
--- a/crates/cherryyard-core/src/reachability/tests.rs
+++ b/crates/cherryyard-core/src/reachability/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 
-/// One lost answer is none, two are asked for; a question answered ends all doubt.
+/// A machine must not be doubted after a single lost answer, must be queried after two in a row,
+/// and must be reachable again as soon as it answers a query. Guards against a one-way partition
+/// that leaves heartbeats intact while commands do not arrive.
 #[test]
 fn silence_of_one_direction() {
     use ReachabilityEvent::*;
