--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats and the outcomes of direct commands, as a controller handles them.
+//! Handling of workers' heartbeats and of the outcomes of direct commands in a controller.
 
 mod misdirected;
 mod queries;
@@ -16,13 +16,14 @@
     parse_task_name,
 };
 
-/// Status queries to machines under way at once.
+/// Maximum number of status queries to machines in flight at once.
 const MAX_QUERIES: usize = 16;
-/// Longest name of a machine that is taken, in bytes.
+/// Maximum length of a machine name in a heartbeat, in bytes; heartbeats with longer names are
+/// refused.
 const MAX_HOST_NAME: usize = 100;
-/// Time before commands are sent again of which the last could not be sent.
+/// Delay before the next direct commands to a machine after a batch that could not be sent.
 const UNSENT_RETRY_MS: f64 = 500.0;
-/// Time before commands are sent again of which the last got no answer.
+/// Delay before the next direct commands to a machine after a batch that got no answer.
 const UNANSWERED_RETRY_MS: f64 = 1000.0;
 
 impl Controller {
@@ -47,8 +48,8 @@
             return self.answer_as_non_owner(shard_id, heartbeat, now);
         };
         if heartbeat.fencing_token > token {
-            // Somebody has a newer token; an answer of ours would be dropped
-            // and only hold the worker here.
+            // Another controller holds a newer token. The worker would drop an answer under this
+            // older token and would keep reporting to this controller instead of the owner.
             self.effects.push(Effect::Refresh);
             return Reply::Elsewhere(self.owner_elsewhere(shard_id, now));
         }
@@ -66,20 +67,22 @@
         })
     }
 
-    /// The token under which heartbeats of a shard are answered now, if any.
+    /// Returns the token under which heartbeats of a shard are answered now, or `None` if this
+    /// controller must not answer them.
     fn answering_token(&self, shard_id: usize, now: Millis) -> Option<u64> {
         let token = self.shards[shard_id].lease.held_token()?;
-        // Guards against a cancellation that this controller cannot see: the
-        // workers' leases must end in time. If nobody can reach the state
-        // service, nobody can take a cancellation either; what was taken before the
-        // last of them lost it, those who took it have announced.
+        // A cancellation that this controller cannot read must still take effect in time, so while
+        // it has not read the state service for too long it stops answering and lets the workers'
+        // leases expire. In an outage of the state service for every controller no new cancellation
+        // can be accepted; those accepted before the last controller lost contact have been
+        // announced by the controllers that accepted them.
         let bound = self.config.cut_off_bound_ms();
         let outage = || self.all_cut_off(now) && self.knows_cancellations();
         (self.state_contact.read_age(now) <= bound || outage()).then_some(token)
     }
 
-    /// Answers a heartbeat of a shard that this controller does not own beyond doubt: it
-    /// extends the worker's lease for the owner if it may, and else names the owner.
+    /// Answers a heartbeat of a shard that this controller does not certainly own: extends the
+    /// worker's lease on behalf of the owner where that is safe, and otherwise names the owner.
     fn answer_as_non_owner(
         &mut self,
         shard_id: usize,
@@ -100,7 +103,8 @@
         }
     }
 
-    /// The machine that a heartbeat comes from, if it may be answered now.
+    /// Returns the machine that sent a heartbeat, or `None` if the heartbeat must not be answered
+    /// now. Registers machines that report for the first time.
     fn reporting_machine(
         &mut self,
         shard_id: usize,
@@ -118,15 +122,15 @@
         }
         let is_blind = self.state_contact.read_age(now) > self.config.cut_off_bound_ms() / 2.0;
         if is_blind && self.may_start_cancelled(machine) {
-            // While the state service does not answer nobody can get the token that would
-            // stop the start: the machine's incarnation has to end.
+            // During an outage of the state service no controller can acquire the newer token that
+            // would invalidate the pending start, so the machine's incarnation has to end instead.
             return None;
         }
         Some(host)
     }
 
-    /// Whether a start of a cancelled job may yet take effect on a machine. Where the attempt
-    /// is known it has none.
+    /// Returns whether a start of a cancelled job may still take effect on a machine. A start whose
+    /// attempt the machine has already reported cannot.
     fn may_start_cancelled(&self, machine: &Machine) -> bool {
         machine.pushed.iter().any(|start| {
             let reported = machine.reported.get(&start.task);
@@ -135,12 +139,14 @@
         })
     }
 
-    /// Whether a job is known to be cancelled, by the state service or by another controller.
+    /// Returns whether a job is known to be cancelled, from the state service or from another
+    /// controller.
     fn is_cancelled(&self, job: u64) -> bool {
         self.cancelled.is_announced(job) || self.mirror.end(job) == Some(End::Cancelled)
     }
 
-    /// Takes over what a heartbeat reports, and plans by it.
+    /// Applies what a heartbeat reports to its machine, and plans a scheduling cycle if anything
+    /// has changed.
     fn take_heartbeat(
         &mut self,
         host: u32,
@@ -158,20 +164,21 @@
         }
         let before = (machine.state, machine.reachability.is_reachable());
         let freshness = machine.receive(heartbeat, token, now);
-        // The answer to an older heartbeat renews the lease, if at all, from when that was
-        // sent, before the newest message: a late copy keeps no dead machine alive.
+        // An answer to an older heartbeat renews the worker's lease at most from the time when that
+        // heartbeat was sent, which is before the newest message arrived. Counting it from now
+        // would let a delayed copy keep a dead machine's lease alive.
         machine.answered_at = match freshness {
             Freshness::Old => machine.answered_at.max(machine.last_heard_at),
             Freshness::Same | Freshness::New => now,
         };
-        // A new owner's machines are reported to the leader as they come, or it gives
-        // the shard nothing until its next regular report.
+        // Machines of a new owner are reported to the leader as soon as they appear; otherwise the
+        // leader would assign nothing to the shard until its next regular report.
         self.capacity_changed |= (machine.state, machine.reachability.is_reachable()) != before;
         if freshness == Freshness::Old {
             return Taken::Stale;
         }
-        // The worker has one heartbeat under way at a time, so a newer one shows
-        // that the last answer was executed or dropped.
+        // A worker has one heartbeat in flight at a time, so a newer heartbeat shows that the
+        // previous answer was either executed or dropped.
         machine.check_offered(now);
         if freshness == Freshness::New {
             self.after_message(host, now);
@@ -179,7 +186,8 @@
         Taken::Current
     }
 
-    /// The commands in the answer to a heartbeat; their starts are noted.
+    /// Returns the commands for the answer to a heartbeat, and records the starts among them as
+    /// offered.
     fn commands_in_answer(&mut self, host: u32, now: Millis) -> Vec<WorkerCommand> {
         let commands = self.reconcile(host, now, CommandChannel::HeartbeatResponse);
         if let Some(machine) = self.machines.get_mut(&host) {
@@ -194,10 +202,10 @@
         commands
     }
 
-    /// The commands in the answer to a heartbeat of a worker that has restarted, or to a copy
-    /// of one that it sent before: it is queried. Starts are sent directly only, as a
-    /// heartbeat without the task would not tell that one in the answer to another has not
-    /// arrived.
+    /// Returns the commands for the answer to a heartbeat of a worker that has restarted, or to a
+    /// late copy of a heartbeat from before the restart, and has the worker queried. Starts are
+    /// left out and sent as direct commands only: a heartbeat without the task would not prove that
+    /// a start in the answer to another heartbeat has not arrived.
     fn commands_for_restarted_worker(&mut self, host: u32, now: Millis) -> Vec<WorkerCommand> {
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.request_query();
@@ -211,10 +219,11 @@
 
     /// Adds kills of cancelled tasks to an answer.
     ///
-    /// An answer renews the lease of all that is on the machine, whatever its state and
-    /// whichever token it shows: so it stops what is known to be over. An owner that has
-    /// just acquired its shard answered, without commands, a machine that showed the token
-    /// before, and ended; the cancelled task had a lease more.
+    /// An answer renews the lease of everything on the machine, whatever the machine's state and
+    /// token, so every answer also stops the tasks of jobs that are known to be cancelled. Without
+    /// these kills, an owner that had just acquired its shard could answer, without commands, a
+    /// machine that still showed the previous token, and then exit: the cancelled task would run
+    /// for one more lease.
     fn kill_cancelled(&self, heartbeat: &WorkerHeartbeat, response: &mut HeartbeatResponse) {
         for reported in &heartbeat.tasks {
             let is_cancelled = || {
@@ -233,7 +242,7 @@
         }
     }
 
-    /// Handles the outcome of direct commands.
+    /// Handles the outcome of a batch of direct commands.
     pub fn handle_push_outcome(
         &mut self,
         host: u32,
@@ -278,17 +287,18 @@
     }
 }
 
-/// How a heartbeat was taken.
+/// Result of applying a heartbeat to its machine.
 enum Taken {
-    /// It is the newest of its machine.
+    /// The heartbeat is the newest message of its machine.
     Current,
-    /// A newer one came before it.
+    /// A newer message of the machine was received before this heartbeat.
     Stale,
-    /// Its worker has restarted, and only direct answers count of it.
+    /// The worker has restarted, so only its direct answers are evaluated and this heartbeat is
+    /// not.
     OfRestartedWorker,
 }
 
-/// Whether commands kill a reported attempt.
+/// Returns whether `commands` contain a kill of the reported attempt.
 fn is_killed(reported: &TaskReport, commands: &[WorkerCommand]) -> bool {
     commands.iter().any(|command| match command {
         WorkerCommand::Kill {
--- a/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
@@ -1,4 +1,4 @@
-//! Workers that report to a controller which does not own their shard.
+//! Heartbeats of workers that report to a controller which does not own their shard.
 
 use super::MAX_HOST_NAME;
 use crate::Millis;
@@ -8,8 +8,8 @@
 use cherryyard_wire::worker::WorkerHeartbeat;
 
 impl Controller {
-    /// Who answers heartbeats of a shard, if it is another controller: the holder of the
-    /// newest lease that is known.
+    /// Returns the label of the controller that holds the newest known lease on a shard, or `None`
+    /// if that is this controller or no lease is known.
     pub(super) fn owner_elsewhere(&self, shard_id: usize, now: Millis) -> Option<String> {
         let stored = self.mirror.shards[shard_id].as_ref();
         let mut newest = stored.map(|lease| (lease.revision, lease.label.clone()));
@@ -27,8 +27,8 @@
             .filter(|label| label != own_label)
     }
 
-    /// Notes that a worker of another controller's shard reports here, and queries it if that
-    /// tells more.
+    /// Records that a worker of another controller's shard reports here, and sends the worker a
+    /// status query if one is due.
     pub(super) fn note_misdirected_worker(
         &mut self,
         shard_id: usize,
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Whether the shard's owner is another controller that has been heard of lately.
+    /// Returns whether the shard's owner is another controller from which a heartbeat was received
+    /// within `MISDIRECTED_REPORTS_MS`.
     fn owner_is_alive(&self, shard_id: usize, now: Millis) -> bool {
         let Some(owner) = self.owner_elsewhere(shard_id, now) else {
             return false;
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -1,4 +1,5 @@
-//! Status queries: machines are asked directly where their heartbeats leave something open.
+//! Status queries: direct requests to machines whose heartbeats do not show whether commands arrive
+//! or whether the worker has restarted.
 
 use super::MAX_QUERIES;
 use crate::Millis;
@@ -8,11 +9,12 @@
 use crate::reachability::{Reachability, ReachabilityEvent};
 use cherryyard_wire::worker::WorkerHeartbeat;
 
-/// How much longer than its lease a silent machine is still queried.
+/// Time beyond its lease during which a silent machine is still queried.
 const LOST_MS: f64 = 15_000.0;
 
 impl Controller {
-    /// Queries the machines of a shard for which that is due.
+    /// Sends status queries to the machines of a shard that are due one, within the limit of
+    /// queries in flight.
     pub(crate) fn query_machines(&mut self, shard_id: usize, now: Millis) {
         let lost_ms = self.config.lease_ms + LOST_MS;
         let pending = self.machines.values().filter(|m| m.query_pending).count();
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Handles the answer to a status query, or that there was none.
+    /// Handles the answer to a status query; `None` means that the query was not answered.
     pub fn handle_status_answer(
         &mut self,
         host: u32,
