--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -17,11 +17,11 @@
 pub use tasks::{PushedStart, ReportedTask, Task};
 
 /// Time after the announced reclaim at which a machine counts as taken by the cloud.
-const TAKEN_MS: f64 = 1000.0;
+const RECLAIMED_AFTER_MS: f64 = 1000.0;
 /// Minimum time left before a reclaim for starting another task on a machine.
-const LAST_START_MS: f64 = 60_000.0;
+const MIN_LEFT_FOR_START_MS: f64 = 60_000.0;
 /// Number of consecutive out-of-order messages after which a machine is queried.
-const STALE_BEFORE_QUERY: u32 = 2;
+const STALE_MESSAGES_BEFORE_QUERY: u32 = 2;
 /// Minimum time between two queries that follow out-of-order messages: to a worker that has
 /// restarted, and to any other.
 const RESTARTED_QUERY_MS: f64 = 300.0;
@@ -71,15 +71,15 @@
     /// Incarnation in which the machine last became unreachable, and the highest attempt up to
     /// then. Assignments up to these that are not on the machine are abandoned, even if the machine
     /// becomes reachable again.
-    pub(crate) given_up: (u64, u64),
+    pub(crate) abandoned_up_to: (u64, u64),
     /// Time of the last query, and the newest message known when it was sent.
-    pub(crate) queried: (Millis, (u64, u64)),
+    pub(crate) last_query: (Millis, (u64, u64)),
     /// Whether a query is in flight.
     pub(crate) query_pending: bool,
     /// Number of consecutive messages that were older than the newest one.
-    pub(crate) stale_in_a_row: u32,
+    pub(crate) consecutive_stale: u32,
     /// Highest attempt from before the worker's last restart within a lease; 0 if there was none.
-    pub(crate) restarted_after: u64,
+    pub(crate) last_attempt_before_restart: u64,
     /// Whether the worker has restarted under the present token. Delayed copies of messages from
     /// before the restart may still arrive and would look newer than the worker's new messages, so
     /// only direct answers are evaluated.
@@ -87,7 +87,7 @@
     /// Directly sent starts whose outcome is unknown.
     pub pushed: Vec<PushedStart>,
     /// Task and attempt of the starts in the answer to the newest heartbeat.
-    pub offered: Vec<(Task, u64)>,
+    pub offered_starts: Vec<(Task, u64)>,
     /// Whether a direct command is in flight.
     pub pushing: bool,
     /// Time before which no direct command is sent.
@@ -100,7 +100,7 @@
     pub failures: u32,
     /// Jobs that have failed on this machine and have not completed any task yet: either the job or
     /// the machine may be at fault.
-    pub(crate) suspected: BTreeSet<u64>,
+    pub(crate) unattributed_jobs: BTreeSet<u64>,
     /// Time at which the machine last had a task.
     pub busy_at: Millis,
     /// Time before which no release of the machine is requested again.
@@ -131,20 +131,20 @@
             last_heard_at: now,
             answered_at: now,
             reachability: Reachability::Reachable(0),
-            given_up: (0, 0),
-            queried: (f64::NEG_INFINITY, (0, 0)),
+            abandoned_up_to: (0, 0),
+            last_query: (f64::NEG_INFINITY, (0, 0)),
             query_pending: false,
-            stale_in_a_row: 0,
-            restarted_after: 0,
+            consecutive_stale: 0,
+            last_attempt_before_restart: 0,
             has_restarted: false,
             pushed: Vec::new(),
-            offered: Vec::new(),
+            offered_starts: Vec::new(),
             pushing: false,
             push_after: now,
             images: Vec::new(),
             avoid_until: 0.0,
             failures: 0,
-            suspected: BTreeSet::new(),
+            unattributed_jobs: BTreeSet::new(),
             busy_at: now,
             release_after: now,
             since: now,
@@ -152,7 +152,7 @@
     }
 
     /// Creates a machine that has not reported, from its entry in the cloud's list.
-    pub fn unheard(host: u32, shard: usize, entry: &Instance, now: Millis) -> Self {
+    pub fn from_listing(host: u32, shard: usize, entry: &Instance, now: Millis) -> Self {
         let heartbeat = WorkerHeartbeat {
             host: entry.id.clone(),
             addr: entry.addr.clone(),
@@ -176,7 +176,7 @@
     /// Applies an event to the machine's state. No other function changes the state.
     pub fn change(&mut self, event: MachineEvent) {
         match event {
-            MachineEvent::LeaseOver => self.lease_over = self.shows_our_token(),
+            MachineEvent::LeaseExpired => self.lease_over = self.shows_current_token(),
             MachineEvent::Confirmed => self.lease_over = false,
             MachineEvent::TokenChanged => {
                 self.lease_over = false;
@@ -185,7 +185,9 @@
                 // cannot be mistaken for messages under the new token.
                 self.has_restarted = false;
             }
-            MachineEvent::ReleaseAsked | MachineEvent::ReleaseFailed | MachineEvent::Released => {}
+            MachineEvent::ReleaseRequested
+            | MachineEvent::ReleaseFailed
+            | MachineEvent::Released => {}
         }
         self.state = self.state.after(event);
     }
@@ -194,7 +196,7 @@
     pub(crate) fn note_reachability(&mut self, event: ReachabilityEvent, now: Millis) {
         let after = self.reachability.after(event, now);
         match (self.reachability, after) {
-            (Reachability::Doubted(_), Reachability::Unreachable(_)) => {
+            (Reachability::Suspected(_), Reachability::Unreachable(_)) => {
                 tracing::info!(machine = %self.addr, "machine reports but is unreachable");
             }
             (Reachability::Unreachable(since), Reachability::Reachable(_)) => {
@@ -205,13 +207,13 @@
         self.reachability = after;
     }
 
-    /// Returns whether a query to the machine is due. A machine whose reachability is in doubt is
-    /// not queried once it has been silent for `lost_ms`.
-    pub(crate) fn query_due(&self, lost_ms: f64, now: Millis) -> bool {
-        let since = now - self.queried.0;
+    /// Returns whether a query to the machine is due. A machine that is only suspected or known to
+    /// be unreachable is not queried once it has been silent for `silence_limit_ms`.
+    pub(crate) fn query_due(&self, silence_limit_ms: f64, now: Millis) -> bool {
+        let since = now - self.last_query.0;
         let interval = self.reachability.query_interval_ms();
-        let is_doubted = interval.is_some_and(|interval| since >= interval)
-            && now - self.last_heard_at < lost_ms;
+        let is_suspected = interval.is_some_and(|interval| since >= interval)
+            && now - self.last_heard_at < silence_limit_ms;
         // The messages are either delayed copies or come from a worker that has restarted; only a
         // direct answer of the worker distinguishes the two.
         let stale_interval = if self.has_restarted {
@@ -219,9 +221,10 @@
         } else {
             STALE_QUERY_MS
         };
-        let is_stale = self.stale_in_a_row >= STALE_BEFORE_QUERY && since >= stale_interval;
+        let is_stale =
+            self.consecutive_stale >= STALE_MESSAGES_BEFORE_QUERY && since >= stale_interval;
         !self.query_pending
-            && (is_doubted || is_stale)
+            && (is_suspected || is_stale)
             && matches!(
                 self.state,
                 MachineState::Unconfirmed | MachineState::Ready | MachineState::Expired
@@ -230,18 +233,20 @@
 
     /// Makes a query to the worker due as soon as the minimum time since the last query has passed.
     pub(crate) fn request_query(&mut self) {
-        self.stale_in_a_row = self.stale_in_a_row.max(STALE_BEFORE_QUERY);
+        self.consecutive_stale = self.consecutive_stale.max(STALE_MESSAGES_BEFORE_QUERY);
     }
 
     /// Returns whether the cloud reclaims the machine so soon that no task is started on it.
     pub fn is_reclaimed_soon(&self, now: Millis) -> bool {
-        self.reclaim_at.is_some_and(|at| at - now <= LAST_START_MS)
+        self.reclaim_at
+            .is_some_and(|at| at - now <= MIN_LEFT_FOR_START_MS)
     }
 
     /// Returns whether the announced reclaim time has passed and no message has arrived for longer
     /// than `silence_ms`.
-    pub fn is_taken_by_now(&self, now: Millis, silence_ms: f64) -> bool {
-        self.reclaim_at.is_some_and(|at| now > at + TAKEN_MS)
+    pub fn is_past_reclaim(&self, now: Millis, silence_ms: f64) -> bool {
+        self.reclaim_at
+            .is_some_and(|at| now > at + RECLAIMED_AFTER_MS)
             && now - self.last_heard_at > silence_ms
     }
 
--- a/crates/cherryyard-core/src/machine/messages.rs
+++ b/crates/cherryyard-core/src/machine/messages.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// The message is not newer.
-    Old,
+    Stale,
     /// The message is newer and reports the same state.
-    Same,
+    Unchanged,
     /// The message is newer and reports a change.
-    New,
+    Changed,
 }
 
 impl Machine {
@@ -26,20 +26,20 @@
     pub fn receive(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) -> Freshness {
         let order = (message.incarnation, message.sequence);
         if order <= self.newest {
-            self.stale_in_a_row += 1;
-            return Freshness::Old;
+            self.consecutive_stale += 1;
+            return Freshness::Stale;
         }
-        self.stale_in_a_row = 0;
-        if self.reports_the_same(message, own_token) {
+        self.consecutive_stale = 0;
+        if self.reports_no_change(message, own_token) {
             self.newest = order;
             self.last_heard_at = now;
             if !self.reported.is_empty() {
                 self.busy_at = now;
             }
-            return Freshness::Same;
+            return Freshness::Unchanged;
         }
         self.drop_outdated_starts(message);
-        self.note_reflected(message, own_token, now);
+        self.update_reachability(message, own_token, now);
         if message.incarnation > self.newest.0 {
             // A new incarnation has a whole lease, counted from its start, which was at the latest
             // now. Its first message may be a direct answer long after the last answered heartbeat;
@@ -48,8 +48,8 @@
             self.answered_at = now;
         }
         self.newest = order;
-        self.take(message, own_token, now);
-        Freshness::New
+        self.apply_report(message, own_token, now);
+        Freshness::Changed
     }
 
     /// Removes direct starts to an older incarnation, or under a lower token than the worker has
@@ -64,13 +64,13 @@
     }
 
     /// Updates reachability from what a newer message shows of earlier answers.
-    fn note_reflected(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) {
+    fn update_reachability(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) {
         if message.fencing_token == own_token && self.token < own_token {
             self.note_reachability(ReachabilityEvent::Reflected, now);
         } else if message.fencing_token < own_token && self.confirmed_token == own_token {
             // The previous message was answered with the owner's token, and this one does not show
             // it.
-            self.note_reachability(ReachabilityEvent::Missed, now);
+            self.note_reachability(ReachabilityEvent::NotReflected, now);
         } else if message.incarnation > self.newest.0 && self.newest.0 > 0 {
             self.note_reachability(ReachabilityEvent::NewIncarnation, now);
         }
@@ -78,8 +78,8 @@
 
     /// Updates reachability from whether the newest message reports the starts that were offered in
     /// the last answer.
-    pub(crate) fn check_offered(&mut self, now: Millis) {
-        let offered = std::mem::take(&mut self.offered);
+    pub(crate) fn check_offered_starts(&mut self, now: Millis) {
+        let offered = std::mem::take(&mut self.offered_starts);
         if offered.is_empty() {
             return;
         }
@@ -90,7 +90,7 @@
         let event = if offered.iter().all(is_reported) {
             ReachabilityEvent::Reflected
         } else {
-            ReachabilityEvent::Missed
+            ReachabilityEvent::NotReflected
         };
         self.note_reachability(event, now);
     }
@@ -111,7 +111,7 @@
     ) -> Freshness {
         self.note_reachability(ReachabilityEvent::Reflected, now);
         let order = (status.incarnation, status.sequence);
-        let (_, newest_when_queried) = self.queried;
+        let (_, newest_when_queried) = self.last_query;
         if order >= newest_when_queried {
             return self.receive(status, own_token, now);
         }
@@ -123,21 +123,21 @@
         );
         self.pushed
             .retain(|start| start.incarnation >= status.incarnation);
-        self.offered.clear();
+        self.offered_starts.clear();
         self.runs.clear();
         self.images.clear();
-        self.restarted_after = newest_attempt;
+        self.last_attempt_before_restart = newest_attempt;
         self.answered_at = now;
         self.newest = order;
-        self.stale_in_a_row = 0;
+        self.consecutive_stale = 0;
         self.change(MachineEvent::TokenChanged);
         self.has_restarted = true;
-        self.take(status, own_token, now);
-        Freshness::New
+        self.apply_report(status, own_token, now);
+        Freshness::Changed
     }
 
     /// Copies what a message reports into the machine.
-    fn take(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) {
+    fn apply_report(&mut self, message: &WorkerHeartbeat, own_token: u64, now: Millis) {
         self.token = message.fencing_token;
         self.confirmed_token = own_token;
         self.last_heard_at = now;
@@ -149,8 +149,8 @@
             (Some(new), Some(old)) => Some(new.min(old)),
             (new, _) => new,
         };
-        self.take_tasks(message);
-        self.note_runs(now);
+        self.replace_tasks(message);
+        self.update_run_times(now);
         if !self.reported.is_empty() {
             self.busy_at = now;
         }
@@ -159,7 +159,7 @@
         }
     }
 
-    fn take_tasks(&mut self, message: &WorkerHeartbeat) {
+    fn replace_tasks(&mut self, message: &WorkerHeartbeat) {
         self.reported.clear();
         self.last_reported.clear();
         for report in &message.tasks {
@@ -177,7 +177,7 @@
 
     /// Records the first time at which each reported attempt was seen running, and removes attempts
     /// that are no longer reported.
-    fn note_runs(&mut self, now: Millis) {
+    fn update_run_times(&mut self, now: Millis) {
         let reported = &self.reported;
         self.runs.retain(|task, (attempt, _)| {
             let reported = reported.get(task);
@@ -199,7 +199,7 @@
     /// Returns whether a message repeats the last one in everything that affects decisions. While
     /// starts are in flight every message counts as a change, because it shows whether they have
     /// arrived.
-    fn reports_the_same(&self, message: &WorkerHeartbeat, own_token: u64) -> bool {
+    fn reports_no_change(&self, message: &WorkerHeartbeat, own_token: u64) -> bool {
         self.state == MachineState::Ready
             && !self.lease_over
             && message.incarnation == self.newest.0
@@ -209,13 +209,13 @@
             && message.reclaim_in_s.is_none()
             && self.reclaim_at.is_none()
             && self.pushed.iter().all(|start| start.lost)
-            && self.offered.is_empty()
+            && self.offered_starts.is_empty()
             && message.addr == self.addr
-            && self.lists_the_same(message)
+            && self.lists_same_tasks(message)
     }
 
     /// Returns whether a message lists the same tasks as the last one, in the same order.
-    fn lists_the_same(&self, message: &WorkerHeartbeat) -> bool {
+    fn lists_same_tasks(&self, message: &WorkerHeartbeat) -> bool {
         let mut pairs = message.tasks.iter().zip(&self.last_reported);
         message.tasks.len() == self.last_reported.len()
             && pairs.all(|(report, (task, last))| {
--- a/crates/cherryyard-core/src/machine/proofs.rs
+++ b/crates/cherryyard-core/src/machine/proofs.rs
@@ -4,7 +4,7 @@
 
 impl Machine {
     /// Returns whether the newest message carries the owner's current token.
-    pub fn shows_our_token(&self) -> bool {
+    pub fn shows_current_token(&self) -> bool {
         self.confirmed_token != 0 && self.token == self.confirmed_token
     }
 
@@ -12,13 +12,13 @@
     pub fn start_pending(&self, task: Task, attempt: u64) -> bool {
         let mut pushed = self.pushed.iter();
         pushed.any(|start| start.task == task && start.attempt == attempt)
-            || self.offered.contains(&(task, attempt))
+            || self.offered_starts.contains(&(task, attempt))
     }
 
     /// Returns whether starts of this attempt are no longer sent. This is permanent: the scheduling
     /// cycle that withdraws the assignment may be applied at any later time.
-    pub(crate) fn has_given_up(&self, incarnation: u64, attempt: u64) -> bool {
-        incarnation == self.given_up.0 && attempt <= self.given_up.1
+    pub(crate) fn is_abandoned(&self, incarnation: u64, attempt: u64) -> bool {
+        incarnation == self.abandoned_up_to.0 && attempt <= self.abandoned_up_to.1
     }
 
     /// Returns whether an assigned attempt is proven to be absent from the machine and unable to
@@ -30,7 +30,9 @@
         if self.lease_over && incarnation <= self.newest.0 && !self.start_pending(task, attempt) {
             return true;
         }
-        if self.restarted_after > 0 && self.is_from_before_restart(task, incarnation, attempt) {
+        if self.last_attempt_before_restart > 0
+            && self.is_from_before_restart(task, incarnation, attempt)
+        {
             return true;
         }
         match self.state {
@@ -39,7 +41,7 @@
             // Returning may follow Unconfirmed, so only a message that carries the current token is
             // a proof.
             MachineState::Ready | MachineState::Returning => {
-                self.shows_our_token() && self.is_absent(task, incarnation, attempt)
+                self.shows_current_token() && self.is_absent(task, incarnation, attempt)
             }
         }
     }
@@ -63,8 +65,8 @@
     /// remains. The worker has shown the current token, so it refuses commands of earlier owners.
     fn is_from_before_restart(&self, task: Task, incarnation: u64, attempt: u64) -> bool {
         matches!(self.state, MachineState::Ready | MachineState::Returning)
-            && self.shows_our_token()
-            && (incarnation > self.newest.0 || attempt <= self.restarted_after)
+            && self.shows_current_token()
+            && (incarnation > self.newest.0 || attempt <= self.last_attempt_before_restart)
             && !self.start_pending(task, attempt)
             && !self.is_reported_running(task, attempt)
     }
--- a/crates/cherryyard-core/src/machine/state.rs
+++ b/crates/cherryyard-core/src/machine/state.rs
@@ -21,9 +21,9 @@
     /// A message with the current token arrived.
     Confirmed,
     /// The machine's lease has expired.
-    LeaseOver,
+    LeaseExpired,
     /// The owner has requested the machine's release from the cloud.
-    ReleaseAsked,
+    ReleaseRequested,
     /// The cloud refused the release request or did not answer it.
     ReleaseFailed,
     /// The cloud answered the release request with 200.
@@ -39,15 +39,15 @@
         use MachineState::*;
         match (self, event) {
             (Gone, _) | (_, Released) => Gone,
-            (_, ReleaseAsked) => Returning,
+            (_, ReleaseRequested) => Returning,
             // Never returns to Ready by itself: the requested release may still take effect.
-            (Returning, Confirmed | LeaseOver | ReleaseFailed | TokenChanged) => Returning,
+            (Returning, Confirmed | LeaseExpired | ReleaseFailed | TokenChanged) => Returning,
             (Unconfirmed | Ready | Expired, TokenChanged) => Unconfirmed,
             (Unconfirmed | Ready | Expired, Confirmed) => Ready,
-            (Ready | Expired, LeaseOver) => Expired,
+            (Ready | Expired, LeaseExpired) => Expired,
             // Silence of a machine that has never shown the current token proves nothing, because
             // its previous owner may still be renewing its lease.
-            (Unconfirmed, LeaseOver) => Unconfirmed,
+            (Unconfirmed, LeaseExpired) => Unconfirmed,
             (Unconfirmed | Ready | Expired, ReleaseFailed) => self,
         }
     }
--- a/crates/cherryyard-core/src/misdirected_workers.rs
+++ b/crates/cherryyard-core/src/misdirected_workers.rs
@@ -3,7 +3,7 @@
 //! Such a worker either cannot reach its owner, or receives nothing from any controller and tries
 //! one after the other, in which case a change of owner would not help. To distinguish the two, a
 //! sample of these workers is queried directly, and heartbeats report to the other controllers how
-//! many of each shard's workers can be reached from here.
+//! many of each shard's workers can be reached from this controller.
 
 use crate::Millis;
 use crate::config::MAX_MACHINES;
@@ -12,11 +12,11 @@
 
 /// Time for which a report counts. A worker that cannot reach its owner waits there for 4 s, waits
 /// 1 s more, and is then redirected to the owner again.
-const COUNTED_MS: Millis = 6000.0;
+const REPORT_VALID_MS: Millis = 6000.0;
 /// Time before an unanswered query to a worker is repeated.
-const QUERY_AGAIN_MS: Millis = 3000.0;
+const QUERY_RETRY_MS: Millis = 3000.0;
 /// Maximum number of queries in flight at once.
-const MAX_QUERIES: usize = 16;
+const MAX_QUERIES_IN_FLIGHT: usize = 16;
 
 /// Result of querying a misdirected worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,7 +35,7 @@
     fn is_due(self, now: Millis) -> bool {
         match self {
             Self::NotSent => true,
-            Self::Unanswered(sent_at) => now - sent_at > QUERY_AGAIN_MS,
+            Self::Unanswered(sent_at) => now - sent_at > QUERY_RETRY_MS,
             Self::Pending(_) | Self::Answered => false,
         }
     }
@@ -49,7 +49,7 @@
 
 /// Number of a shard's misdirected workers by the result of their queries.
 #[derive(Clone, Copy, Debug, Default)]
-struct ShardCount {
+struct ShardCounts {
     reporting: u32,
     /// Number of reporting workers whose query has been answered or has failed.
     queried: u32,
@@ -62,7 +62,7 @@
 pub(crate) struct MisdirectedWorkers {
     workers: BTreeMap<(usize, u32), MisdirectedWorker>,
     /// Whether the warning about workers that are not counted has been logged.
-    full_logged: bool,
+    limit_logged: bool,
 }
 
 impl MisdirectedWorkers {
@@ -72,10 +72,10 @@
         if self.workers.len() < MAX_MACHINES {
             return true;
         }
-        if !std::mem::replace(&mut self.full_logged, true) {
+        if !std::mem::replace(&mut self.limit_logged, true) {
             tracing::warn!(
                 most = MAX_MACHINES,
-                "too many workers of other shards report here; further ones are not counted"
+                "too many workers of other controllers' shards report to this controller; further ones are not counted"
             );
         }
         let machine = machines.get(name);
@@ -84,7 +84,7 @@
 
     /// Records a report of a worker, and returns whether to query the worker directly. Queries are
     /// useful only while the worker's owner is alive.
-    pub(crate) fn reported(
+    pub(crate) fn record_report(
         &mut self,
         shard_id: usize,
         machine: u32,
@@ -96,7 +96,8 @@
         let before = known.unwrap_or(Query::NotSent);
         // The pending queries are counted last, because that iterates over all workers, of which
         // there may be thousands.
-        let sends = owner_alive && before.is_due(now) && self.pending_queries() < MAX_QUERIES;
+        let sends =
+            owner_alive && before.is_due(now) && self.pending_queries() < MAX_QUERIES_IN_FLIGHT;
         let worker = MisdirectedWorker {
             last_report_at: now,
             query: if sends { Query::Pending(now) } else { before },
@@ -113,7 +114,7 @@
     }
 
     /// Records whether a query to a machine was answered.
-    pub(crate) fn queried(&mut self, machine: u32, answered: bool) {
+    pub(crate) fn record_query_result(&mut self, machine: u32, answered: bool) {
         for (&(_, queried), worker) in &mut self.workers {
             if queried == machine
                 && let Query::Pending(sent_at) = worker.query
@@ -127,13 +128,13 @@
         }
     }
 
-    /// Returns how many misdirected workers of each shard can be reached from here. Hundreds of
+    /// Returns how many misdirected workers of each shard can be reached from this controller. Hundreds of
     /// workers may report at once and not all are queried, so the number is extrapolated from those
     /// that were.
     pub(crate) fn counts(&mut self, now: Millis) -> Vec<(u32, u32)> {
         self.workers
-            .retain(|_, worker| now - worker.last_report_at < COUNTED_MS);
-        let mut counts: BTreeMap<usize, ShardCount> = BTreeMap::new();
+            .retain(|_, worker| now - worker.last_report_at < REPORT_VALID_MS);
+        let mut counts: BTreeMap<usize, ShardCounts> = BTreeMap::new();
         for (&(shard_id, _), worker) in &self.workers {
             let count = counts.entry(shard_id).or_default();
             count.reporting += 1;
@@ -147,7 +148,7 @@
             }
         }
         let sampled = counts.into_iter().filter(|(_, count)| count.queried > 0);
-        let estimate = |count: ShardCount| count.reporting * count.reachable / count.queried;
+        let estimate = |count: ShardCounts| count.reporting * count.reachable / count.queried;
         sampled
             .map(|(shard_id, count)| (shard_id as u32, estimate(count)))
             .collect()
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -22,7 +22,7 @@
 
 impl Controller {
     /// Returns whether any task of a job has been assigned or completed in any shard.
-    pub(super) fn begun(&self, job: u64) -> bool {
+    pub(super) fn has_started(&self, job: u64) -> bool {
         self.mirror.assigned(job) + self.mirror.done(job) > 0
     }
 
@@ -30,15 +30,16 @@
     /// requeues the jobs whose place has changed.
     pub(super) fn reserve_for_oldest(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
-        let turn_ms = self.config.tuning.admission.turn_s * 1000.0;
+        let min_wait_ms = self.config.tuning.admission.turn_s * 1000.0;
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
         // A quarantined job is passed over: it fails wherever it runs, so at the front it would
         // keep every other job from going first.
-        let is_over = |job: u64| {
+        let is_passed_over = |job: u64| {
             let failures = self.shards[shard_id].job_failures.get(&job);
-            self.begun(job) || failures.is_some_and(|failures| failures.is_quarantined())
+            self.has_started(job) || failures.is_some_and(|failures| failures.is_quarantined())
         };
-        let changed = queues.reserve_for_oldest(|at| wall - at as f64 >= turn_ms, is_over);
+        let changed =
+            queues.reserve_for_oldest(|at| wall - at as f64 >= min_wait_ms, is_passed_over);
         self.shards[shard_id].queues = queues;
         for job in changed {
             self.requeue(shard_id, job, now);
@@ -49,7 +50,7 @@
     /// Drops kept machines that are unusable, and those whose task no longer waits or no longer
     /// belongs to the first job of its flow.
     fn drop_kept_machines(&mut self, shard_id: usize, now: Millis) {
-        let lost_ms = self.config.lease_ms;
+        let max_silence_ms = self.config.lease_ms;
         let (mirror, machines) = (&self.mirror, &self.machines);
         let shard = &mut self.shards[shard_id];
         let queues = &shard.queues;
@@ -58,13 +59,13 @@
             let machine = machines.get(&kept.host);
             let waiting = mirror.waiting(shard_id, job);
             queues.turn(flow) == Some(job)
-                && machine.is_some_and(|m| m.usable(now, lost_ms))
+                && machine.is_some_and(|m| m.usable(now, max_silence_ms))
                 && waiting.is_some_and(|waiting| waiting.contains(number))
         });
     }
 
     /// Returns whether a machine is kept for another job that is at least as important.
-    pub(super) fn kept_from(&self, shard_id: usize, host: u32, open: &OpenJob) -> bool {
+    pub(super) fn is_kept_for_other(&self, shard_id: usize, host: u32, open: &OpenJob) -> bool {
         let kept_machines = self.shards[shard_id].kept_machines.values();
         let mut kept_here = kept_machines.filter(|kept| kept.host == host);
         kept_here.any(|kept| {
@@ -100,7 +101,7 @@
         }
         let best = machines
             .filter(|m| self.may_be_kept(shard_id, m, open, zones))
-            .filter_map(|m| Some((self.free_cores_if_enough_later(m, open)?, m.host)))
+            .filter_map(|m| Some((self.free_cores_if_fits_after_arrays(m, open)?, m.host)))
             .max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
         if let Some((free, host)) = best {
             let machine = self.mirror.hosts.name(host);
@@ -129,12 +130,12 @@
         self.allowed(open, machine)
             && !shard.reserved.contains_key(&machine.host)
             && kept_machines.all(|kept| kept.host != machine.host)
-            && self.zone_open(shard_id, open, &machine.zone, zones)
+            && self.is_within_zone_cap(shard_id, open, &machine.zone, zones)
     }
 
     /// Returns the cores that are free on a machine now, or `None` if the machine would be too
     /// small for a task of the job even once its arrays are done.
-    fn free_cores_if_enough_later(&self, machine: &Machine, open: &OpenJob) -> Option<f64> {
+    fn free_cores_if_fits_after_arrays(&self, machine: &Machine, open: &OpenJob) -> Option<f64> {
         let mut free = self.free_on(machine, None)?;
         let free_cores = free.cores;
         for ((job, _), _) in self.mirror.on_host(machine.host) {
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns a machine's total capacity according to its type, or `None` if the type is unknown.
-    pub(crate) fn whole(&self, machine: &Machine) -> Option<Needs> {
+    pub(crate) fn total_capacity(&self, machine: &Machine) -> Option<Needs> {
         let machine_type = machine.type_in(&self.mirror.catalog.machine_types)?;
         Some(Needs {
             cores: machine_type.cores,
@@ -36,8 +36,8 @@
     /// Returns the free capacity of a machine, after its assignments (as `cycle` will leave them)
     /// and the tasks on it that have no assignment.
     pub(crate) fn free_on(&self, machine: &Machine, cycle: Option<&Cycle>) -> Option<Needs> {
-        let mut free = self.whole(machine)?;
-        let is_gone = |task: &Task| cycle.is_some_and(|cycle| cycle.gone.contains(task));
+        let mut free = self.total_capacity(machine)?;
+        let is_gone = |task: &Task| cycle.is_some_and(|cycle| cycle.withdrawn.contains(task));
         for (task, _) in self.mirror.on_host(machine.host) {
             if !is_gone(&task) {
                 free.take(&self.mirror.uses(task.0)?.1);
@@ -51,8 +51,8 @@
                 free.take(&self.mirror.uses(task.0)?.1);
             }
         }
-        let put = cycle.and_then(|cycle| cycle.put.get(&machine.host));
-        for task in put.into_iter().flatten() {
+        let assigned = cycle.and_then(|cycle| cycle.assigned.get(&machine.host));
+        for task in assigned.into_iter().flatten() {
             let reported = machine.reported.get(task);
             if reported.is_none_or(|reported| reported.ended()) {
                 free.take(&self.mirror.uses(task.0)?.1);
@@ -139,13 +139,13 @@
                 wanted.acc += needs.acc * tasks;
             }
         }
-        let mut whole = Needs::default();
+        let mut total = Needs::default();
         for machine in machines {
-            whole.give(&self.whole(machine).unwrap_or_default());
+            total.give(&self.total_capacity(machine).unwrap_or_default());
         }
         for (wanted, used) in wants.iter_mut().zip(used) {
-            wanted.cores = wanted.cores.min(whole.cores).max(used.cores);
-            wanted.acc = wanted.acc.min(whole.acc).max(used.acc);
+            wanted.cores = wanted.cores.min(total.cores).max(used.cores);
+            wanted.acc = wanted.acc.min(total.acc).max(used.acc);
         }
         wants
     }
@@ -160,7 +160,7 @@
     ) -> Option<MachineCapacity> {
         let free = self.free_on(machine, None)?;
         let pool = index_of_pool(machine, pools);
-        let held = machine.images.iter().filter(|image| image.whole);
+        let held = machine.images.iter().filter(|image| image.is_complete);
         Some(MachineCapacity {
             pool: pool.try_into().ok()?,
             free: as_reported(&free),
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -2,7 +2,7 @@
 //! to have ended by machines' messages.
 
 use super::cycle::Cycle;
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::machine::{MachineState, Task};
@@ -30,7 +30,7 @@
 /// afterwards.
 struct Collection<'a> {
     cycle: &'a mut Cycle,
-    pending: &'a mut Pending,
+    pending: &'a mut PendingCycle,
     /// Whether a start that should not take effect may still be in flight, so that only a higher
     /// token can invalidate it.
     needs_new_token: bool,
@@ -47,7 +47,7 @@
         shard_id: usize,
         now: Millis,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) {
         let hosts = self.hosts_to_inspect(shard_id, now);
         self.inspected_machines += hosts.len() as u64;
@@ -76,12 +76,12 @@
         shard.dirty |= !deferred.is_empty();
         shard.touched.extend(deferred);
         for (job, run_ms) in runs {
-            let (tasks, sum) = shard.ran.entry(job).or_default();
+            let (tasks, sum) = shard.completed_runs.entry(job).or_default();
             *tasks += 1;
             *sum += run_ms;
         }
         let open = &self.mirror.open;
-        shard.ran.retain(|job, _| open.contains_key(job));
+        shard.completed_runs.retain(|job, _| open.contains_key(job));
     }
 
     /// Returns the machines whose assignments the cycle inspects.
@@ -108,8 +108,9 @@
     ) {
         let (job, number) = task;
         let host = assignment.host;
-        let here = self.mirror.tasks.assignments.get(&(shard_id, job));
-        let Some(&(_, page)) = here.and_then(|here| here.assignments.get(&number)) else {
+        let job_tasks = self.mirror.tasks.assignments.get(&(shard_id, job));
+        let Some(&(_, page)) = job_tasks.and_then(|job_tasks| job_tasks.assignments.get(&number))
+        else {
             return;
         };
         let Some(end) = self.proven_end(task, assignment, now) else {
@@ -141,7 +142,7 @@
     /// Returns the proven outcome of an assigned attempt, or `None` if none is proven.
     fn proven_end(&self, task: Task, assignment: &Assignment, now: Millis) -> Option<ProvenEnd> {
         let machine = self.machines.get(&assignment.host)?;
-        if machine.shows_our_token()
+        if machine.shows_current_token()
             && machine.newest.0 == assignment.incarnation
             && let Some(reported) = machine.reported.get(&task)
             && reported.attempt == assignment.attempt
@@ -166,7 +167,7 @@
         let may_start = machine.state == MachineState::Ready
             && machine.newest.0 == assignment.incarnation
             && !machine.lease_over
-            && !machine.has_given_up(assignment.incarnation, assignment.attempt)
+            && !machine.is_abandoned(assignment.incarnation, assignment.attempt)
             && !machine.is_reclaimed_soon(now);
         let is_open = self.mirror.open.contains_key(&task.0);
         (!is_open || !may_start).then_some(ProvenEnd::Lost)
@@ -179,14 +180,14 @@
         let Some(machine) = self.machines.get(&assignment.host) else {
             return false;
         };
-        let is_from_before_restart = assignment.attempt <= machine.restarted_after;
+        let is_from_before_restart = assignment.attempt <= machine.last_attempt_before_restart;
         let should_go = is_from_before_restart || !self.mirror.open.contains_key(&task.0);
         let was_pushed = || {
             let mut pushed = machine.pushed.iter();
             pushed.any(|start| start.task == task && start.attempt == assignment.attempt)
         };
         should_go
-            && machine.shows_our_token()
+            && machine.shows_current_token()
             && !machine.pushing
             && now >= machine.push_after
             && was_pushed()
--- a/crates/cherryyard-core/src/owner/cycle.rs
+++ b/crates/cherryyard-core/src/owner/cycle.rs
@@ -43,11 +43,11 @@
     /// Jobs that the cycle ends.
     ends: BTreeSet<u64>,
     /// Number of tasks that the cycle proves completed, by job.
-    gained: BTreeMap<u64, u32>,
+    completed: BTreeMap<u64, u32>,
     /// Tasks whose assignments the cycle withdraws.
-    pub(crate) gone: HashSet<Task>,
+    pub(crate) withdrawn: HashSet<Task>,
     /// Tasks that the cycle assigns, by machine.
-    pub(crate) put: BTreeMap<u32, Vec<Task>>,
+    pub(crate) assigned: BTreeMap<u32, Vec<Task>>,
 }
 
 impl Cycle {
@@ -64,9 +64,9 @@
             teams: BTreeSet::new(),
             has_rules: false,
             ends: BTreeSet::new(),
-            gained: BTreeMap::new(),
-            gone: HashSet::new(),
-            put: BTreeMap::new(),
+            completed: BTreeMap::new(),
+            withdrawn: HashSet::new(),
+            assigned: BTreeMap::new(),
         }
     }
 
@@ -99,8 +99,9 @@
             }
             let stored = mirror.tasks.pages[self.shard].get(&number);
             let mut page = stored.cloned().unwrap_or_default();
-            page.jobs
-                .retain(|&job, here| mirror.end(job).is_none() || !here.assignments.is_empty());
+            page.jobs.retain(|&job, job_tasks| {
+                mirror.end(job).is_none() || !job_tasks.assignments.is_empty()
+            });
             let bytes = page.bytes(&mirror.hosts, self.format);
             self.edits.insert(number, EditedPage { page, bytes });
         }
@@ -121,18 +122,18 @@
         let Some(EditedPage { page, .. }) = self.edit(mirror, page) else {
             return false;
         };
-        if let Some(here) = page.jobs.get_mut(&job) {
-            here.assignments.remove(&number);
+        if let Some(job_tasks) = page.jobs.get_mut(&job) {
+            job_tasks.assignments.remove(&number);
             if is_done && !is_over {
-                here.done.insert(number);
+                job_tasks.done.insert(number);
             }
-            if here.assignments.is_empty() && (here.done.is_empty() || is_over) {
+            if job_tasks.assignments.is_empty() && (job_tasks.done.is_empty() || is_over) {
                 page.jobs.remove(&job);
             }
         }
-        self.gone.insert(task);
+        self.withdrawn.insert(task);
         if is_done && !is_over {
-            *self.gained.entry(job).or_default() += 1;
+            *self.completed.entry(job).or_default() += 1;
         }
         true
     }
@@ -155,8 +156,9 @@
         if !self.fits(0, new_conditions) {
             return false;
         }
-        let more = Page::assignment_bytes(job, number, &assignment, &mirror.hosts, self.format);
-        let Some(page_number) = self.page_with_room(mirror, more) else {
+        let more_bytes =
+            Page::assignment_bytes(job, number, &assignment, &mirror.hosts, self.format);
+        let Some(page_number) = self.page_with_capacity(mirror, more_bytes) else {
             return false;
         };
         // Checked again, because a new page has added a condition.
@@ -167,29 +169,29 @@
         let Some(EditedPage { page, bytes }) = self.edits.get_mut(&page_number) else {
             return false;
         };
-        *bytes += more;
-        let here = page.jobs.entry(job).or_default();
-        here.assignments.insert(number, assignment);
+        *bytes += more_bytes;
+        let job_tasks = page.jobs.entry(job).or_default();
+        job_tasks.assignments.insert(number, assignment);
         self.jobs.insert(job);
         self.teams.extend(limited_team);
         self.has_rules |= has_rules;
-        self.put.entry(assignment.host).or_default().push(task);
+        self.assigned.entry(assignment.host).or_default().push(task);
         true
     }
 
-    /// Returns the number of the page that can take an assignment of `more` bytes, which is the
+    /// Returns the number of the page that can take an assignment of `more_bytes`, which is the
     /// last page or a new one, and opens that page for editing. Returns `None` if the transaction
     /// cannot take the page.
-    fn page_with_room(&mut self, mirror: &Mirror, more: usize) -> Option<u32> {
-        let (format, most) = (self.format, self.page_bytes);
+    fn page_with_capacity(&mut self, mirror: &Mirror, more_bytes: usize) -> Option<u32> {
+        let (format, max_bytes) = (self.format, self.page_bytes);
         let number = self.last_page.unwrap_or(0);
         let EditedPage { page, bytes } = self.edit(mirror, number)?;
-        if *bytes + more > most {
+        if *bytes + more_bytes > max_bytes {
             // The size is an estimate; assignments removed in this cycle may have freed bytes.
             *bytes = page.bytes(&mirror.hosts, format);
         }
         // An empty page takes an assignment even if that alone exceeds the size limit.
-        if *bytes + more <= most || page.jobs.is_empty() {
+        if *bytes + more_bytes <= max_bytes || page.jobs.is_empty() {
             return Some(number);
         }
         self.edit(mirror, number + 1)?;
@@ -197,13 +199,13 @@
     }
 
     /// Returns how many assignments of a job this cycle withdraws.
-    pub(super) fn gone_of(&self, job: u64) -> usize {
-        self.gone.iter().filter(|task| task.0 == job).count()
+    pub(super) fn withdrawn_of(&self, job: u64) -> usize {
+        self.withdrawn.iter().filter(|task| task.0 == job).count()
     }
 
     /// Returns the number of tasks proven completed, by job, and clears it.
-    pub(super) fn take_gained(&mut self) -> BTreeMap<u64, u32> {
-        std::mem::take(&mut self.gained)
+    pub(super) fn take_completed(&mut self) -> BTreeMap<u64, u32> {
+        std::mem::take(&mut self.completed)
     }
 
     /// Ends a job, unless the transaction cannot take the change.
--- a/crates/cherryyard-core/src/owner/cycle/compaction.rs
+++ b/crates/cherryyard-core/src/owner/cycle/compaction.rs
@@ -35,11 +35,11 @@
         if bytes * 4 >= self.page_bytes {
             return false;
         }
-        let most = self.page_bytes;
-        let has_room = self
+        let max_bytes = self.page_bytes;
+        let has_capacity = self
             .edit(mirror, last)
-            .is_some_and(|into| into.bytes + bytes <= most);
-        if !has_room {
+            .is_some_and(|into| into.bytes + bytes <= max_bytes);
+        if !has_capacity {
             return false;
         }
         let Some(from) = self.edits.get_mut(&number) else {
@@ -50,9 +50,9 @@
             return false;
         };
         for (job, moved) in jobs {
-            let here = into.page.jobs.entry(job).or_default();
-            here.assignments.extend(moved.assignments);
-            here.done = here.done.union(&moved.done);
+            let job_tasks = into.page.jobs.entry(job).or_default();
+            job_tasks.assignments.extend(moved.assignments);
+            job_tasks.done = job_tasks.done.union(&moved.done);
         }
         into.bytes += bytes;
         true
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -66,7 +66,7 @@
                 || !machine.usable(self.now, silence)
                 || !self.is_eligible(machine, number)
                 || earlier.iter().any(|e| e.host == machine.host)
-                || self.is_spoken_for(machine)
+                || self.is_unavailable(machine)
             {
                 continue;
             }
@@ -85,20 +85,23 @@
         self.controller.allowed(self.open, machine)
             && (self.scope == EvictionScope::AnyMachine || holds_image())
             && !machine.reported.contains_key(&(self.job, number))
-            && self
-                .controller
-                .zone_open(self.shard_id, self.open, &machine.zone, &self.zones)
+            && self.controller.is_within_zone_cap(
+                self.shard_id,
+                self.open,
+                &machine.zone,
+                &self.zones,
+            )
     }
 
     /// Returns whether a machine is reserved or kept for others, or a task is already being
     /// preempted on it.
-    fn is_spoken_for(&self, machine: &Machine) -> bool {
+    fn is_unavailable(&self, machine: &Machine) -> bool {
         let shard = &self.controller.shards[self.shard_id];
         let mut tasks = self.controller.mirror.on_host(machine.host);
         shard.reserved.contains_key(&machine.host)
             || self
                 .controller
-                .kept_from(self.shard_id, machine.host, self.open)
+                .is_kept_for_other(self.shard_id, machine.host, self.open)
             || tasks.any(|(task, _)| shard.preempted.contains_key(&task))
     }
 
@@ -113,7 +116,7 @@
         let mut free = self.controller.free_on(machine, Some(self.cycle))?;
         let mut victims = Vec::new();
         let mut cost = 0.0;
-        // Flows that are entitled to start ahead of the order of ranks lose no more cores than
+        // Flows that are entitled to go ahead of others regardless of rank lose no more cores than
         // their allowance permits.
         let mut stoppable = preemption.stoppable_cores.clone();
         for victim in self.possible_victims(machine, preemption) {
@@ -152,7 +155,7 @@
             .on_host(machine.host)
             .filter_map(|(task, assignment)| {
                 let open = mirror.open.get(&task.0)?;
-                self.makes_way(open, preemption).then(|| Victim {
+                self.may_preempt(open, preemption).then(|| Victim {
                     task,
                     attempt: assignment.attempt,
                     rank: open.rank(),
@@ -167,7 +170,7 @@
 
     /// Returns whether this job may preempt another: the other is less important, or the other's
     /// team uses more than its guarantee while this job's team stays within its own.
-    fn makes_way(&self, other: &OpenJob, preemption: &Preemption) -> bool {
+    fn may_preempt(&self, other: &OpenJob, preemption: &Preemption) -> bool {
         if self.open.goes_before(other) {
             return true;
         }
--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -23,14 +23,14 @@
 const FORGET_MS: f64 = 180_000.0;
 /// Base of the time for which a machine gets no new tasks after failures: it is doubled once for
 /// each failure, `MAX_AVOID_DOUBLINGS` times at most, so the first failure costs twice this time.
-const AVOID_MS: f64 = 5000.0;
+const AVOID_BASE_MS: f64 = 5000.0;
 const MAX_AVOID_DOUBLINGS: u32 = 6;
 
 /// Attribution of a job's failures in a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum FailureAttribution {
     /// The job has failed on too few machines to attribute the failures.
-    Open,
+    Undecided,
     /// The job fails wherever it runs: only one of its tasks at a time is tried.
     Quarantined {
         /// Number of further holds after the first.
@@ -48,7 +48,7 @@
     /// Machines on which the job has failed; cleared when the job is quarantined.
     pub(crate) hosts: BTreeSet<u32>,
     /// Time of the last failure.
-    pub(crate) at: Millis,
+    pub(crate) last_failed_at: Millis,
 }
 
 /// Attribution of a single failure.
@@ -59,28 +59,28 @@
     /// The failure is the job's fault, as established before.
     Job,
     /// The failure is the job's fault, which this failure establishes.
-    JobNow,
+    JobEstablished,
 }
 
 impl JobFailures {
     pub(crate) fn new(now: Millis) -> Self {
         Self {
-            attribution: FailureAttribution::Open,
+            attribution: FailureAttribution::Undecided,
             hosts: BTreeSet::new(),
-            at: now,
+            last_failed_at: now,
         }
     }
 
     /// Records a failure of the job on a machine and returns its attribution. No other function
     /// changes the attribution. `jitter` is between 0 and 1.
-    pub(crate) fn failed(&mut self, host: u32, jitter: f64, now: Millis) -> Verdict {
-        self.at = now;
+    pub(crate) fn record(&mut self, host: u32, jitter: f64, now: Millis) -> Verdict {
+        self.last_failed_at = now;
         let wait = |strikes: u32| {
             let hold_ms = FIRST_HOLD_MS * f64::from(1u32 << strikes.min(5));
             now + hold_ms.min(LONGEST_HOLD_MS) * (0.75 + 0.5 * jitter)
         };
         match self.attribution {
-            FailureAttribution::Open => {
+            FailureAttribution::Undecided => {
                 self.hosts.insert(host);
                 if self.hosts.len() < QUARANTINE_MACHINES {
                     return Verdict::Machine;
@@ -89,7 +89,7 @@
                     strikes: 0,
                     until: wait(0),
                 };
-                Verdict::JobNow
+                Verdict::JobEstablished
             }
             FailureAttribution::Quarantined { strikes, until } => {
                 // Tasks that were started before the hold count toward the last strike, because a
@@ -116,32 +116,32 @@
     }
 
     /// Returns whether the last failure is long enough ago to be forgotten.
-    pub(crate) fn past(&self, now: Millis) -> bool {
-        now - self.at > FORGET_MS
+    pub(crate) fn is_forgotten(&self, now: Millis) -> bool {
+        now - self.last_failed_at > FORGET_MS
     }
 }
 
 impl Machine {
     /// Returns the number of failures that count against the machine.
     pub(crate) fn failures(&self) -> u32 {
-        self.failures + self.suspected.len() as u32
+        self.failures + self.unattributed_jobs.len() as u32
     }
 
     /// Records a failure of a job's task on the machine. `proven` means that other tasks of the job
     /// have completed elsewhere; otherwise the job itself may be at fault.
-    pub(super) fn fails(&mut self, job: u64, proven: bool, now: Millis) {
+    pub(super) fn record_failure(&mut self, job: u64, proven: bool, now: Millis) {
         if proven {
             self.failures += 1;
         } else {
-            self.suspected.insert(job);
+            self.unattributed_jobs.insert(job);
         }
         let doublings = self.failures().clamp(1, MAX_AVOID_DOUBLINGS);
-        self.avoid_until = now + AVOID_MS * f64::from(1u32 << doublings);
+        self.avoid_until = now + AVOID_BASE_MS * f64::from(1u32 << doublings);
     }
 
     /// Withdraws the failures of a job that turned out to be at fault itself.
-    pub(super) fn cleared_of(&mut self, job: u64, now: Millis) {
-        if self.suspected.remove(&job) && self.failures() == 0 {
+    pub(super) fn withdraw_failures_of(&mut self, job: u64, now: Millis) {
+        if self.unattributed_jobs.remove(&job) && self.failures() == 0 {
             self.avoid_until = self.avoid_until.min(now);
         }
     }
--- a/crates/cherryyard-core/src/owner/failure_attribution/tests.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution/tests.rs
@@ -5,21 +5,21 @@
 /// Guards against a faulty job being held against its machines, or being held off for too long
 /// because many of its tasks fail at once.
 #[test]
-fn a_job_is_blamed_after_three_machines() {
-    let mut t = JobFailures::new(0.0);
+fn job_is_quarantined_after_failures_on_three_machines() {
+    let mut failures = JobFailures::new(0.0);
     let verdicts: Vec<Verdict> = (0..100)
-        .map(|i| t.failed(i % 4, 0.5, f64::from(i)))
+        .map(|i| failures.record(i % 4, 0.5, f64::from(i)))
         .collect();
     assert_eq!(verdicts[..2], [Verdict::Machine, Verdict::Machine]);
-    assert_eq!(verdicts[2], Verdict::JobNow);
+    assert_eq!(verdicts[2], Verdict::JobEstablished);
     assert!(verdicts[3..].iter().all(|v| *v == Verdict::Job));
-    assert!(t.held_off(1001.0) && !t.held_off(1002.0));
+    assert!(failures.held_off(1001.0) && !failures.held_off(1002.0));
     let mut now = 1002.0;
     let mut waits = Vec::new();
     for jitter in [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.0, 0.999] {
-        t.failed(9, jitter, now);
-        let FailureAttribution::Quarantined { until, .. } = t.attribution else {
-            panic!("not blamed")
+        failures.record(9, jitter, now);
+        let FailureAttribution::Quarantined { until, .. } = failures.attribution else {
+            panic!("not quarantined")
         };
         waits.push(((until - now) / 1000.0).round());
         now = until;
@@ -30,10 +30,10 @@
 /// Repeated failures on a single machine must not quarantine the job, because they may be the
 /// machine's fault.
 #[test]
-fn one_machine_blames_no_job() {
-    let mut t = JobFailures::new(0.0);
+fn failures_on_one_machine_do_not_quarantine_a_job() {
+    let mut failures = JobFailures::new(0.0);
     for i in 0..50 {
-        assert_eq!(t.failed(7, 0.5, f64::from(i)), Verdict::Machine);
+        assert_eq!(failures.record(7, 0.5, f64::from(i)), Verdict::Machine);
     }
-    assert!(!t.is_quarantined());
+    assert!(!failures.is_quarantined());
 }
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -91,8 +91,8 @@
             && self.allowed(open, machine)
             && !machine.reported.contains_key(&request.task)
             && reserved.is_none_or(|reservation| reservation.for_task == request.task)
-            && !self.kept_from(shard_id, host, open)
-            && self.zone_open(shard_id, open, &machine.zone, request.zones)
+            && !self.is_kept_for_other(shard_id, host, open)
+            && self.is_within_zone_cap(shard_id, open, &machine.zone, request.zones)
     }
 
     /// Returns whether the job's rules allow a machine.
@@ -116,14 +116,14 @@
         if open.is_none_or(|open| open.zone_caps.is_empty()) {
             return counts;
         }
-        if let Some(here) = self.mirror.tasks.assignments.get(&(shard_id, job)) {
-            for (&number, (assignment, _)) in &here.assignments {
-                if !cycle.gone.contains(&(job, number)) {
+        if let Some(job_tasks) = self.mirror.tasks.assignments.get(&(shard_id, job)) {
+            for (&number, (assignment, _)) in &job_tasks.assignments {
+                if !cycle.withdrawn.contains(&(job, number)) {
                     self.count_zone(assignment.host, &mut counts);
                 }
             }
         }
-        for (&host, tasks) in &cycle.put {
+        for (&host, tasks) in &cycle.assigned {
             for _ in tasks.iter().filter(|task| task.0 == job) {
                 self.count_zone(host, &mut counts);
             }
@@ -146,7 +146,7 @@
     }
 
     /// Returns whether the shard may start one more task of a job in a zone.
-    pub(super) fn zone_open(
+    pub(super) fn is_within_zone_cap(
         &self,
         shard_id: usize,
         open: &OpenJob,
--- a/crates/cherryyard-core/src/owner/hand_over.rs
+++ b/crates/cherryyard-core/src/owner/hand_over.rs
@@ -9,17 +9,17 @@
 
 /// Fetch time of an image above which a service's task preempts others on a machine that holds the
 /// image, in seconds.
-const PREEMPT_FETCH_S: f64 = 1.5;
+const MIN_FETCH_TO_PREEMPT_S: f64 = 1.5;
 /// Fetch time of an image above which a service is handed over to another shard, in seconds.
-const HAND_OVER_FETCH_S: f64 = 4.0;
+const MIN_FETCH_TO_HAND_OVER_S: f64 = 4.0;
 /// Maximum time for which a service is held back so that the leader can move it.
-const HAND_OVER_MS: f64 = 1500.0;
+const MAX_HAND_OVER_WAIT_MS: f64 = 1500.0;
 
 impl Controller {
     /// Returns whether a service's task should not start on `host`, the best machine with free
     /// capacity, because that would have to fetch the image first: either less important tasks are
     /// being stopped on a machine that holds the image, or the job is offered to another shard.
-    pub(super) fn better_elsewhere(
+    pub(super) fn is_better_elsewhere(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
@@ -30,7 +30,7 @@
         let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let open = &self.mirror.open[&job];
         let fetch_s = self.fetch_s(open, host);
-        if fetch_s > PREEMPT_FETCH_S && placement.preemption.is_possible_for(open) {
+        if fetch_s > MIN_FETCH_TO_PREEMPT_S && placement.preemption.is_possible_for(open) {
             // On a machine that holds the image the task runs at once. Less important tasks there
             // can be stopped more easily than the service can wait.
             let request = PreemptionRequest {
@@ -44,9 +44,9 @@
             }
         }
         let open = &self.mirror.open[&job];
-        let waited_ms = now - candidate.since.unwrap_or(now);
-        let hand_over = fetch_s > HAND_OVER_FETCH_S
-            && waited_ms < HAND_OVER_MS
+        let waited_ms = now - candidate.waiting_since.unwrap_or(now);
+        let hand_over = fetch_s > MIN_FETCH_TO_HAND_OVER_S
+            && waited_ms < MAX_HAND_OVER_WAIT_MS
             && self.held_elsewhere(shard_id, open, now) >= 1.0;
         if hand_over {
             placement.handed_over.insert(job);
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -8,11 +8,11 @@
 use cherryyard_wire::worker::{ExitCause, TaskStatus, WorkerHeartbeat};
 
 /// Minimum time between two records of a shard's images.
-const IMAGES_MS: f64 = 10_000.0;
+const IMAGES_RECORD_INTERVAL_MS: f64 = 10_000.0;
 
 impl Controller {
     /// Records the images of a machine's assigned tasks as used.
-    pub(crate) fn note_images(&mut self, host: u32) {
+    pub(crate) fn record_image_use(&mut self, host: u32) {
         let tasks: Vec<Task> = self.mirror.on_host(host).map(|(task, _)| task).collect();
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
@@ -54,14 +54,16 @@
     /// changed, and is not too large. The record is rarely written, because it uses write budget
     /// that others may need more. It is nevertheless also added to the transactions of a busy
     /// shard, whose owner would otherwise lose all image information in a restart.
-    pub(super) fn images_change(&mut self, shard_id: usize, now: Millis) -> Option<Apply> {
+    pub(super) fn images_record_change(&mut self, shard_id: usize, now: Millis) -> Option<Apply> {
         // A new owner first waits for reports of all machines: a record of the few that have
         // reported would drop the images of the others.
         let shard = &mut self.shards[shard_id];
-        if now - shard.images_at < IMAGES_MS || now - shard.lease.token_since() < IMAGES_MS {
+        if now - shard.images_recorded_at < IMAGES_RECORD_INTERVAL_MS
+            || now - shard.lease.token_since() < IMAGES_RECORD_INTERVAL_MS
+        {
             return None;
         }
-        shard.images_at = now;
+        shard.images_recorded_at = now;
         let record = self.images_record(shard_id);
         let value = Json::of(&record);
         if record == self.mirror.images[shard_id].record
@@ -77,11 +79,11 @@
         let mut images: Vec<(String, f64)> = Vec::new();
         let mut held_by_machine = Vec::new();
         for machine in self.machines.values() {
-            if machine.shard != shard_id || !machine.shows_our_token() {
+            if machine.shard != shard_id || !machine.shows_current_token() {
                 continue;
             }
             let mut held = Vec::new();
-            for image in machine.images.iter().filter(|image| image.whole) {
+            for image in machine.images.iter().filter(|image| image.is_complete) {
                 let known = images.iter().position(|(name, _)| *name == image.name);
                 held.push(known.unwrap_or_else(|| {
                     images.push((image.name.clone(), image.gb));
--- a/crates/cherryyard-core/src/owner/job_ends.rs
+++ b/crates/cherryyard-core/src/owner/job_ends.rs
@@ -11,10 +11,10 @@
     /// at the same time did not see each other's. The lowest-numbered shard with assignments of
     /// such a job ends it.
     pub(super) fn end_jobs(&self, shard_id: usize, cycle: &mut Cycle) {
-        for (job, gained) in cycle.take_gained() {
+        for (job, completed) in cycle.take_completed() {
             // The completed numbers of each shard only grow while the job is open, so an outdated
             // view of other shards cannot end a job too early.
-            let done = self.mirror.done(job) + gained;
+            let done = self.mirror.done(job) + completed;
             if let Some(open) = self.mirror.open.get(&job)
                 && open.spec.shape == Shape::Array
                 && done >= open.spec.task_count
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -53,21 +53,23 @@
     /// Returns the shard's first page that is too large to be rewritten, without the ended jobs
     /// that have no assignments in it.
     fn oversized_page(&self, shard_id: usize) -> Option<(u32, Page)> {
-        let most = self.config.page_bytes;
+        let max_bytes = self.config.page_bytes;
         let format = self.mirror.page_format();
         self.mirror.tasks.pages[shard_id]
             .iter()
             .find_map(|(&number, page)| {
                 // Skips pages whose upper bound or exact size is within the limit, which are almost
                 // all.
-                if page.bytes_at_most <= most || page.bytes(&self.mirror.hosts, format) <= most {
+                if page.bytes_at_most <= max_bytes
+                    || page.bytes(&self.mirror.hosts, format) <= max_bytes
+                {
                     return None;
                 }
                 let mut page = page.clone();
-                page.jobs.retain(|&job, here| {
-                    self.mirror.end(job).is_none() || !here.assignments.is_empty()
+                page.jobs.retain(|&job, job_tasks| {
+                    self.mirror.end(job).is_none() || !job_tasks.assignments.is_empty()
                 });
-                (page.bytes(&self.mirror.hosts, format) > most).then_some((number, page))
+                (page.bytes(&self.mirror.hosts, format) > max_bytes).then_some((number, page))
             })
     }
 
@@ -84,29 +86,30 @@
                 mine.done = mine.done.minus(&copy.done);
             }
         }
-        page.jobs
-            .retain(|_, here| !(here.assignments.is_empty() && here.done.is_empty()));
+        page.jobs.retain(|_, job_tasks| {
+            !(job_tasks.assignments.is_empty() && job_tasks.done.is_empty())
+        });
         page
     }
 
     /// Returns new pages with as many of a page's entries as one transaction can write.
     fn copies(&self, shard_id: usize, page: &Page) -> Vec<Page> {
-        let most_pages = self.config.txn_ops.min(TXN_BYTES / self.config.page_bytes);
+        let max_pages = self.config.txn_ops.min(TXN_BYTES / self.config.page_bytes);
         let mut plan = PagePlan {
             hosts: &self.mirror.hosts,
             format: self.mirror.page_format(),
-            most_bytes: self.config.page_bytes,
-            most_pages: most_pages.max(1),
+            max_bytes: self.config.page_bytes,
+            max_pages: max_pages.max(1),
             pages: Vec::new(),
             bytes: 0,
         };
-        for (&job, here) in &page.jobs {
-            for range in here.done.ranges() {
+        for (&job, job_tasks) in &page.jobs {
+            for range in job_tasks.done.ranges() {
                 if !plan.push_done(job, *range) {
                     return plan.pages;
                 }
             }
-            for (&number, &assignment) in &here.assignments {
+            for (&number, &assignment) in &job_tasks.assignments {
                 if !plan.push_assignment(job, number, assignment) {
                     return plan.pages;
                 }
@@ -135,8 +138,8 @@
 struct PagePlan<'a> {
     hosts: &'a Names,
     format: PageFormat,
-    most_bytes: usize,
-    most_pages: usize,
+    max_bytes: usize,
+    max_pages: usize,
     pages: Vec<Page>,
     /// Estimated size of the last page in bytes.
     bytes: usize,
@@ -152,8 +155,8 @@
         let Some(page) = self.capacity_for(Self::RANGE_BYTES) else {
             return false;
         };
-        let here = page.jobs.entry(job).or_default();
-        here.done = here.done.union(&RangeSet::span(range.0, range.1));
+        let job_tasks = page.jobs.entry(job).or_default();
+        job_tasks.done = job_tasks.done.union(&RangeSet::span(range.0, range.1));
         true
     }
 
@@ -162,24 +165,24 @@
         let Some(page) = self.capacity_for(bytes) else {
             return false;
         };
-        let here = page.jobs.entry(job).or_default();
-        here.assignments.insert(number, assignment);
+        let job_tasks = page.jobs.entry(job).or_default();
+        job_tasks.assignments.insert(number, assignment);
         true
     }
 
-    /// Returns the page that can take `bytes` more, which is the last one or a new one, or `None`
+    /// Returns the page that can take `bytes` more bytes, which is the last one or a new one, or `None`
     /// if all pages are full.
     fn capacity_for(&mut self, bytes: usize) -> Option<&mut Page> {
-        if self.pages.is_empty() || self.bytes + bytes > self.most_bytes {
+        if self.pages.is_empty() || self.bytes + bytes > self.max_bytes {
             let exact = self
                 .pages
                 .last()
                 .map(|page| page.bytes(self.hosts, self.format));
-            match exact.filter(|exact| exact + bytes <= self.most_bytes) {
+            match exact.filter(|exact| exact + bytes <= self.max_bytes) {
                 // The estimate counts the job and the machine for each entry; entries that share
                 // them take fewer bytes.
                 Some(exact) => self.bytes = exact,
-                None if self.pages.len() >= self.most_pages => return None,
+                None if self.pages.len() >= self.max_pages => return None,
                 None => {
                     self.pages.push(Page::default());
                     self.bytes = Self::EMPTY_BYTES;
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -7,7 +7,7 @@
 use super::preempt::PreemptionRequest;
 use super::preemptible::{EvictionScope, Preemption};
 use super::search::{SearchBudget, UnmetNeeds};
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::admission::flows::Flow;
 use crate::admission::queue::Queues;
@@ -27,7 +27,7 @@
 const MAX_UNPLACED: usize = 8;
 /// Number of a job's tasks for which preemption is tried if no machine has capacity for any of
 /// them.
-const PREEMPTED_FOR: usize = 4;
+const MAX_TASKS_TO_PREEMPT_FOR: usize = 4;
 
 /// State of the placement in one scheduling cycle.
 pub(super) struct Placement {
@@ -43,20 +43,20 @@
     pub(super) handed_over: BTreeSet<u64>,
     /// Number of tasks placed so far.
     placed: usize,
-    /// Cores that flows may still start ahead of the order of ranks.
+    /// Cores that flows may still start ahead of other flows, regardless of rank.
     ahead_cores: HashMap<Flow, f64>,
     search_budget: SearchBudget,
     /// Cores started in this cycle, by flow.
     started_cores: HashMap<Flow, f64>,
     /// Jobs for which the remainders of teams' grants in this shard are kept, by team.
-    pub(super) limit_kept_for: HashMap<usize, u64>,
+    pub(super) remainder_kept_for: HashMap<usize, u64>,
     /// Number of the last task tried of each job that was put back into the order of service.
     last_tried: HashMap<u64, u32>,
 }
 
 impl Placement {
-    /// Returns whether a flow goes ahead of the order of ranks but has too few cores left of that
-    /// allowance. The flow then loses the rest of the allowance.
+    /// Returns whether a flow has an allowance to start ahead of others regardless of rank, but too
+    /// little of it is left for a task. The flow then loses the rest of the allowance.
     fn is_beyond_allowance(&mut self, flow: Flow, needs: &Needs) -> bool {
         let left = self.ahead_cores.get(&flow);
         let is_beyond = left.is_some_and(|left| *left < needs.cores);
@@ -66,8 +66,8 @@
         is_beyond
     }
 
-    /// Takes cores from a flow's allowance to start ahead of the order of ranks. Returns whether
-    /// the rest is too small for another task of the same size; the flow then loses it.
+    /// Takes cores from a flow's allowance to start ahead of others. Returns whether the rest is
+    /// too small for another task of the same size; the flow then loses it.
     fn use_allowance(&mut self, flow: Flow, cores: f64) -> bool {
         let Some(left) = self.ahead_cores.get_mut(&flow) else {
             return false;
@@ -82,12 +82,12 @@
 
     /// Returns whether no machine has enough free capacity, and records that, so that no machine is
     /// sought for the next task of this size or larger.
-    fn is_hopeless(&mut self, needs: &Needs) -> bool {
-        let is_hopeless = !self.capacities.iter().any(|(_, free)| needs.fits(free));
-        if is_hopeless {
-            self.unmet_needs.none_fits(*needs);
+    fn fits_nowhere(&mut self, needs: &Needs) -> bool {
+        let fits_nowhere = !self.capacities.iter().any(|(_, free)| needs.fits(free));
+        if fits_nowhere {
+            self.unmet_needs.add(*needs);
         }
-        is_hopeless
+        fits_nowhere
     }
 }
 
@@ -101,7 +101,7 @@
     pub(super) needs: Needs,
     is_service: bool,
     /// Time since which the job has waited in this shard.
-    pub(super) since: Option<Millis>,
+    pub(super) waiting_since: Option<Millis>,
     waiting: RangeSet,
     /// Whether the job is quarantined because it fails wherever it runs.
     is_quarantined: bool,
@@ -110,13 +110,13 @@
 }
 
 /// Next step after a job has been tried.
-enum Next {
+enum NextStep {
     /// Continue with the next job.
-    Job,
+    NextJob,
     /// Continue with the next job, and try this one again at its regular place.
-    JobAgain,
+    RetryJob,
     /// Stop, because the cycle takes no more assignments.
-    Nothing,
+    Stop,
 }
 
 impl Controller {
@@ -126,10 +126,10 @@
         shard_id: usize,
         now: Millis,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) {
         self.requeue_changed(now);
-        self.requeue_turned(shard_id, now);
+        self.requeue_changed_by_time(shard_id, now);
         self.drop_old_reservations(shard_id, now);
         let shard = &mut self.shards[shard_id];
         if shard.queues.is_empty() {
@@ -164,49 +164,49 @@
         now: Millis,
         queues: &mut Queues,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) {
         let mut placement = self.begin_placement(shard_id, cycle, now);
         let mut service_order = queues.service_order();
         for &flow in placement.ahead_cores.keys() {
             service_order.ahead(flow, true);
         }
-        while let Some((flow, at)) = service_order.step() {
+        while let Some((flow, place)) = service_order.step() {
             self.inspected_jobs += 1;
             // The job counts as stuck until one of its tasks is placed.
-            if placement.search_budget.look(flow, at) {
+            if placement.search_budget.count_inspected(flow, place) {
                 service_order.close(flow);
             }
-            let Some(needs) = self.needs_of_waiting(shard_id, at.job) else {
+            let Some(needs) = self.needs_of_waiting_job(shard_id, place.job) else {
                 continue;
             };
             if placement.is_beyond_allowance(flow, &needs) {
                 // The allowance is too small for a task of this job, so the rest of the flow goes
                 // on at its regular place.
                 service_order.ahead(flow, false);
-                service_order.back(flow, at);
+                service_order.back(flow, place);
                 continue;
             }
-            let Some(candidate) = self.candidate(&placement, flow, at.job, queues, cycle) else {
+            let Some(candidate) = self.candidate(&placement, flow, place.job, queues, cycle) else {
                 continue;
             };
             if !self.may_start(&mut placement, &candidate, queues) {
                 continue;
             }
             match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
-                Next::Job => {}
-                Next::JobAgain => {
+                NextStep::NextJob => {}
+                NextStep::RetryJob => {
                     service_order.ahead(flow, false);
-                    service_order.back(flow, at);
+                    service_order.back(flow, place);
                 }
-                Next::Nothing => break,
+                NextStep::Stop => break,
             }
         }
         self.end_placement(placement, queues);
     }
 
     fn begin_placement(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Placement {
-        let allowances = self.allowances(shard_id, &cycle.gone, now);
+        let allowances = self.allowances(shard_id, &cycle.withdrawn, now);
         let mut ahead_cores = allowances.start;
         ahead_cores.retain(|_, cores| *cores > 0.0);
         Placement {
@@ -221,7 +221,7 @@
             ahead_cores,
             search_budget: SearchBudget::default(),
             started_cores: HashMap::new(),
-            limit_kept_for: HashMap::new(),
+            remainder_kept_for: HashMap::new(),
             last_tried: HashMap::new(),
         }
     }
@@ -239,7 +239,7 @@
     /// their capacity counts as free under the team's limit too.
     fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Needs> {
         let mut used = self.mirror.usage(shard_id);
-        for task in &cycle.gone {
+        for task in &cycle.withdrawn {
             if let Some((team, needs)) = self.mirror.uses(task.0)
                 && let Some(used) = used.get_mut(team as usize)
             {
@@ -251,7 +251,7 @@
 
     /// Returns the capacity that a task of a job needs, or `None` if the job does not wait in the
     /// shard.
-    fn needs_of_waiting(&self, shard_id: usize, job: u64) -> Option<Needs> {
+    fn needs_of_waiting_job(&self, shard_id: usize, job: u64) -> Option<Needs> {
         self.mirror.waiting(shard_id, job)?;
         self.mirror.open.get(&job).map(OpenJob::needs)
     }
@@ -289,7 +289,7 @@
             limited_team: is_limited.then_some(team),
             needs: open.needs(),
             is_service: open.spec.shape == Shape::Service,
-            since: queues.since(job),
+            waiting_since: queues.since(job),
             waiting,
             is_quarantined,
             failed_on: failures
@@ -301,8 +301,8 @@
     /// Returns whether a job has assignments in a shard that the cycle does not withdraw. Tasks of
     /// a quarantined job are tried one at a time.
     fn has_assigned_tasks(&self, shard_id: usize, job: u64, cycle: &Cycle) -> bool {
-        let here = self.mirror.tasks.assignments.get(&(shard_id, job));
-        here.is_some_and(|here| here.assignments.len() > cycle.gone_of(job))
+        let job_tasks = self.mirror.tasks.assignments.get(&(shard_id, job));
+        job_tasks.is_some_and(|job_tasks| job_tasks.assignments.len() > cycle.withdrawn_of(job))
     }
 
     /// Places the waiting tasks of a job as far as there is capacity.
@@ -312,31 +312,31 @@
         candidate: &Candidate,
         queues: &Queues,
         cycle: &mut Cycle,
-        pending: &mut Pending,
-    ) -> Next {
+        pending: &mut PendingCycle,
+    ) -> NextStep {
         let (shard_id, job, needs) = (placement.shard_id, candidate.job, &candidate.needs);
         let waiting = &candidate.waiting;
         let mut zones = self.zone_counts(shard_id, job, cycle);
         let mut unplaced = Vec::new();
         for number in waiting.iter() {
             if placement.placed >= MAX_PLACED {
-                return Next::Nothing;
+                return NextStep::Stop;
             }
             if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
-                return Next::Job;
+                return NextStep::NextJob;
             }
-            if placement.unmet_needs.too_large(needs) {
+            if placement.unmet_needs.is_unmet(needs) {
                 let rest = waiting.iter().filter(|n| *n >= number);
-                unplaced.extend(rest.take(PREEMPTED_FOR));
+                unplaced.extend(rest.take(MAX_TASKS_TO_PREEMPT_FOR));
                 break;
             }
             let reserved_host = self.reserved_host(shard_id, (job, number));
             let request = self.fit_request(placement, candidate, number, reserved_host, &zones);
             let Some(capacity) = self.best_fit(&request, &placement.capacities) else {
                 unplaced.push(number);
-                if placement.is_hopeless(needs) || unplaced.len() >= MAX_UNPLACED {
+                if placement.fits_nowhere(needs) || unplaced.len() >= MAX_UNPLACED {
                     let rest = waiting.iter().filter(|n| *n > number);
-                    unplaced.extend(rest.take(PREEMPTED_FOR - 1));
+                    unplaced.extend(rest.take(MAX_TASKS_TO_PREEMPT_FOR - 1));
                     break;
                 }
                 continue;
@@ -344,25 +344,25 @@
             let host = placement.capacities[capacity].0;
             if candidate.is_service
                 && reserved_host.is_none()
-                && self.better_elsewhere(placement, candidate, number, host, cycle)
+                && self.is_better_elsewhere(placement, candidate, number, host, cycle)
             {
                 continue;
             }
             let zone = self.machines[&host].zone.clone();
             *zones.entry(zone).or_default() += 1;
             if !self.assign(placement, candidate, number, capacity, cycle, pending) {
-                return Next::Nothing;
+                return NextStep::Stop;
             }
             if placement.use_allowance(candidate.flow, needs.cores) {
                 placement.last_tried.insert(job, number);
-                return Next::JobAgain;
+                return NextStep::RetryJob;
             }
             if candidate.is_quarantined {
-                return Next::Job;
+                return NextStep::NextJob;
             }
         }
-        self.make_room(placement, candidate, &unplaced, queues, &zones, cycle);
-        Next::Job
+        self.free_capacity_for(placement, candidate, &unplaced, queues, &zones, cycle);
+        NextStep::NextJob
     }
 
     /// Returns the machine that is reserved for a task because others were preempted there for it.
@@ -402,7 +402,7 @@
         number: u32,
         capacity: usize,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) -> bool {
         let (host, free) = &mut placement.capacities[capacity];
         let host = *host;
@@ -428,7 +428,7 @@
         free.take(&candidate.needs);
         placement.used[candidate.team as usize].give(&candidate.needs);
         placement.placed += 1;
-        placement.search_budget.found(candidate.flow);
+        placement.search_budget.note_placed(candidate.flow);
         let started = placement.started_cores.entry(candidate.flow);
         *started.or_insert(0.0) += candidate.needs.cores;
         pending.hosts.insert(host);
@@ -438,7 +438,7 @@
     fn log_service_placed(&self, candidate: &Candidate, host: u32, now: Millis) {
         let job = candidate.job;
         let open = &self.mirror.open[&job];
-        let waited = candidate.since.map(|at| now - at);
+        let waited = candidate.waiting_since.map(|at| now - at);
         let age = now + self.wall_offset - open.submitted_at as f64;
         let fetch_s = self.fetch_s(open, host);
         tracing::debug!(job, host, fetch_s, ?waited, age, "service task placed");
@@ -446,7 +446,7 @@
 
     /// Frees capacity for tasks that no machine could take: keeps a machine for the oldest job of
     /// its flow, and preempts less important tasks.
-    fn make_room(
+    fn free_capacity_for(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
@@ -478,7 +478,7 @@
         for (flow, cores) in placement.started_cores {
             queues.started(flow, cores);
         }
-        for (flow, others, last) in placement.search_budget.others() {
+        for (flow, others, last) in placement.search_budget.closed_flows() {
             queues.inspected_at(flow, others, last);
         }
         let handed_over = placement.handed_over;
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -2,7 +2,7 @@
 
 use super::TXN_BYTES;
 use super::cycle::Cycle;
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -11,19 +11,19 @@
 use cherryyard_wire::state::Commit;
 
 /// Minimum time between two scheduling cycles of a shard.
-const CYCLE_MS: f64 = 100.0;
+const CYCLE_INTERVAL_MS: f64 = 100.0;
 /// Minimum time between two scheduling cycles of a shard without waiting tasks.
-const QUIET_CYCLE_MS: f64 = 700.0;
+const QUIET_CYCLE_INTERVAL_MS: f64 = 700.0;
 /// Minimum time between two checks of worker leases and due commands.
-const MAINTENANCE_MS: f64 = 400.0;
+const MAINTENANCE_INTERVAL_MS: f64 = 400.0;
 /// Minimum time between two scans of all assignments for silent machines.
-const UNHEARD_MS: f64 = 1200.0;
+const SILENCE_SCAN_MS: f64 = 1200.0;
 /// Time before placement is tried again if nothing could be placed and nothing has changed since.
-const PLACE_AGAIN_MS: f64 = 400.0;
+const PLACEMENT_RETRY_MS: f64 = 400.0;
 /// Minimum time between two searches for pages to compact.
-const COMPACT_MS: f64 = 1000.0;
+const COMPACTION_INTERVAL_MS: f64 = 1000.0;
 /// Minimum write budget for starting a compaction, in changes.
-const COMPACT_BUDGET: f64 = 2.0;
+const MIN_COMPACTION_BUDGET: f64 = 2.0;
 /// Factor and margin by which a worker's lease may last longer than by this controller's clock: the
 /// worker counts from when it sent the heartbeat, on a clock that may be slow while this one is
 /// fast.
@@ -50,7 +50,7 @@
             return;
         }
         if let Some(commit) = self.divide_oversized_page(shard_id, token) {
-            self.send_cycle(shard_id, commit, Pending::default());
+            self.send_cycle(shard_id, commit, PendingCycle::default());
             return;
         }
         let (cycle, pending) = self.plan_cycle(shard_id, now);
@@ -62,7 +62,9 @@
         if commit.apply.len() < self.config.txn_ops
             && cycle.bytes() + self.config.page_bytes < TXN_BYTES
         {
-            commit.apply.extend(self.images_change(shard_id, now));
+            commit
+                .apply
+                .extend(self.images_record_change(shard_id, now));
         }
         let writes = commit.apply.len();
         tracing::debug!(shard = shard_id, writes, "scheduling cycle written");
@@ -73,16 +75,17 @@
     /// Runs the timed maintenance of a shard: expires leases, releases machines, and sends due
     /// queries and commands.
     fn maintain_shard(&mut self, shard_id: usize, now: Millis) {
-        if now - self.shards[shard_id].kept_at < MAINTENANCE_MS || !self.caught_up() {
+        if now - self.shards[shard_id].maintained_at < MAINTENANCE_INTERVAL_MS || !self.caught_up()
+        {
             return;
         }
-        self.shards[shard_id].kept_at = now;
+        self.shards[shard_id].maintained_at = now;
         self.expire_leases(shard_id, now);
         self.release_silent(shard_id, now);
         self.release_reclaimed(shard_id, now);
-        if now - self.shards[shard_id].unheard_at >= UNHEARD_MS {
-            self.shards[shard_id].unheard_at = now;
-            self.release_without_owner(shard_id, now);
+        if now - self.shards[shard_id].silence_scanned_at >= SILENCE_SCAN_MS {
+            self.shards[shard_id].silence_scanned_at = now;
+            self.release_not_reaching_owner(shard_id, now);
             self.release_with_cancelled_tasks(shard_id, now);
         }
         self.query_machines(shard_id, now);
@@ -97,10 +100,10 @@
         for machine in self.machines.values_mut() {
             if machine.shard == shard_id
                 && !machine.lease_over
-                && machine.shows_our_token()
+                && machine.shows_current_token()
                 && now - machine.answered_at > lease
             {
-                machine.change(MachineEvent::LeaseOver);
+                machine.change(MachineEvent::LeaseExpired);
                 shard.touched.insert(machine.host);
             }
         }
@@ -124,12 +127,12 @@
         let left = shard.budget.left(now);
         // Without waiting tasks the completions of several tasks can share one cycle, and the
         // budget that this saves is available once tasks wait.
-        let spacing = if self.mirror.tasks.waiting[shard_id].is_empty() {
-            QUIET_CYCLE_MS
+        let min_interval_ms = if self.mirror.tasks.waiting[shard_id].is_empty() {
+            QUIET_CYCLE_INTERVAL_MS
         } else {
-            CYCLE_MS
+            CYCLE_INTERVAL_MS
         };
-        if now - shard.planned_at < spacing {
+        if now - shard.planned_at < min_interval_ms {
             return false;
         }
         // A service that no cycle has looked at yet may overdraw the budget instead of waiting for
@@ -139,9 +142,9 @@
 
     /// Plans a cycle: collects proven ends, places tasks, and compacts pages if there is nothing
     /// else to write.
-    fn plan_cycle(&mut self, shard_id: usize, now: Millis) -> (Cycle, Pending) {
+    fn plan_cycle(&mut self, shard_id: usize, now: Millis) -> (Cycle, PendingCycle) {
         let mut cycle = Cycle::new(&self.config, &self.mirror, shard_id);
-        let mut pending = Pending::default();
+        let mut pending = PendingCycle::default();
         self.collect(shard_id, now, &mut cycle, &mut pending);
         self.end_jobs(shard_id, &mut cycle);
         if self.placement_due(shard_id, &cycle, now) {
@@ -161,11 +164,11 @@
             self.mirror.store_revision,
             self.state_contact.newest_revision(),
         );
-        let is_due = !cycle.gone.is_empty()
-            || shard.placed_as_of != events
-            || now - shard.placed_at >= PLACE_AGAIN_MS;
+        let is_due = !cycle.withdrawn.is_empty()
+            || shard.placed_at_revisions != events
+            || now - shard.placed_at >= PLACEMENT_RETRY_MS;
         if is_due {
-            shard.placed_as_of = events;
+            shard.placed_at_revisions = events;
             shard.placed_at = now;
         }
         is_due
@@ -175,8 +178,8 @@
     /// interval.
     fn compaction_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let is_due =
-            shard.budget.left(now) >= COMPACT_BUDGET && now - shard.compacted_at >= COMPACT_MS;
+        let is_due = shard.budget.left(now) >= MIN_COMPACTION_BUDGET
+            && now - shard.compacted_at >= COMPACTION_INTERVAL_MS;
         if is_due {
             shard.compacted_at = now;
         }
@@ -185,16 +188,16 @@
 
     /// Writes the record of the shard's images in a transaction of its own, if it is due.
     fn send_images(&mut self, shard_id: usize, token: u64, now: Millis) {
-        if let Some(images) = self.images_change(shard_id, now) {
+        if let Some(images) = self.images_record_change(shard_id, now) {
             let mut commit = Commit::default();
             commit.require(record::shard_key(shard_id), token);
             commit.apply.push(images);
-            self.send_cycle(shard_id, commit, Pending::default());
+            self.send_cycle(shard_id, commit, PendingCycle::default());
         }
     }
 
     /// Sends a scheduling cycle's transaction. The shard's next cycle waits for the outcome.
-    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
+    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: PendingCycle) {
         let shard = &mut self.shards[shard_id];
         shard.budget.spend(commit.apply.len() as f64);
         shard.pending = Some(pending);
@@ -231,24 +234,24 @@
     }
 
     /// Handles a durable cycle: attributes failures, records images, and sends commands.
-    fn cycle_applied(&mut self, shard_id: usize, pending: Pending, now: Millis) {
+    fn cycle_applied(&mut self, shard_id: usize, pending: PendingCycle, now: Millis) {
         self.capacity_changed = true;
         for (job, host) in pending.done {
-            self.note_done(shard_id, job, host);
+            self.record_completion(shard_id, job, host);
         }
         for (job, host) in pending.failed {
-            self.note_failed(shard_id, job, host, now);
+            self.attribute_failure(shard_id, job, host, now);
         }
         self.forget_job_failures(shard_id, now);
         for host in pending.hosts {
-            self.note_images(host);
+            self.record_image_use(host);
             self.push(host, now);
         }
     }
 
     /// Handles the arrival of a machine's message: marks its shard for a scheduling cycle, and
     /// plans the cycle if one is due.
-    pub(crate) fn after_message(&mut self, host: u32, now: Millis) {
+    pub(crate) fn handle_message_arrival(&mut self, host: u32, now: Millis) {
         let Some(machine) = self.machines.get(&host) else {
             return;
         };
@@ -256,7 +259,7 @@
         self.shards[shard_id].dirty = true;
         self.shards[shard_id].touched.insert(host);
         if !machine.reported.is_empty() {
-            self.note_images(host);
+            self.record_image_use(host);
         }
         self.plan_shard(shard_id, now);
     }
--- a/crates/cherryyard-core/src/owner/preemptible.rs
+++ b/crates/cherryyard-core/src/owner/preemptible.rs
@@ -30,8 +30,8 @@
     teams_beyond_guarantee: BTreeSet<u32>,
     /// Capacity that each team uses in all shards.
     pub(super) team_totals: Vec<Needs>,
-    /// Cores that may be preempted of each flow that is ahead of the order of ranks. Tasks of other
-    /// flows may be preempted as their rank permits.
+    /// Cores that may be preempted of each flow that is entitled to go ahead of others regardless
+    /// of rank. Tasks of other flows may be preempted as their rank permits.
     pub(super) stoppable_cores: HashMap<Flow, f64>,
     /// Jobs for which a search has found no victims.
     without_victims: HashSet<JobProfile>,
@@ -86,8 +86,8 @@
             .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX));
-        for (&(_, job), here) in assigned {
-            if here.assignments.is_empty() {
+        for (&(_, job), job_tasks) in assigned {
+            if job_tasks.assignments.is_empty() {
                 continue;
             }
             let Some(open) = self.mirror.open.get(&job) else {
--- a/crates/cherryyard-core/src/owner/queue_upkeep.rs
+++ b/crates/cherryyard-core/src/owner/queue_upkeep.rs
@@ -91,7 +91,7 @@
     }
 
     /// Requeues jobs whose place changes with time alone.
-    pub(super) fn requeue_turned(&mut self, shard_id: usize, now: Millis) {
+    pub(super) fn requeue_changed_by_time(&mut self, shard_id: usize, now: Millis) {
         for job in self.shards[shard_id].queues.turned(now + self.wall_offset) {
             self.requeue(shard_id, job, now);
         }
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -70,11 +70,11 @@
         reported: &ReportedTask,
         is_assigned: bool,
     ) -> Option<WorkerCommand> {
-        let is_clear = self.channel == CommandChannel::HeartbeatResponse
+        let should_clear = self.channel == CommandChannel::HeartbeatResponse
             && !is_assigned
             && !self.machine.start_pending(task, reported.attempt)
             && self.assignments_are_current;
-        is_clear.then(|| WorkerCommand::Clear {
+        should_clear.then(|| WorkerCommand::Clear {
             task_name: task_name_of(task.0, task.1),
             attempt: reported.attempt,
         })
@@ -151,7 +151,7 @@
         let assigned = may_start.then(|| mirror.on_host(machine.host));
         let missing = assigned.into_iter().flatten().filter(|(task, assignment)| {
             assignment.incarnation == machine.newest.0
-                && !machine.has_given_up(assignment.incarnation, assignment.attempt)
+                && !machine.is_abandoned(assignment.incarnation, assignment.attempt)
                 && !machine.reported.contains_key(task)
                 && mirror.open.contains_key(&task.0)
         });
@@ -185,7 +185,7 @@
         // A machine whose release is requested still gets commands until the cloud has taken it,
         // because cancelled tasks on it must be stopped in any case.
         let is_commanded = matches!(machine.state, MachineState::Ready | MachineState::Returning);
-        if !machine.shows_our_token() || !is_commanded {
+        if !machine.shows_current_token() || !is_commanded {
             return commands;
         }
         let reconciliation = Reconciliation {
--- a/crates/cherryyard-core/src/owner/release.rs
+++ b/crates/cherryyard-core/src/owner/release.rs
@@ -34,7 +34,7 @@
     NeverUp,
     /// The machine is up but has never reported.
     #[strum(serialize = "never heard of")]
-    NeverHeardOf,
+    NeverReported,
     /// The machine is silent with tasks of services, which restart elsewhere sooner with the proof
     /// of its release.
     #[strum(serialize = "silent with services")]
@@ -43,7 +43,7 @@
     SilentWithCancelledTasks,
     /// The machine has assignments but has not reached the shard's new owner.
     #[strum(serialize = "has not found its new owner")]
-    HasNotFoundOwner,
+    HasNotReachedOwner,
     /// The announced time of the cloud's reclaim has passed.
     #[strum(serialize = "reclaimed by the cloud")]
     Reclaimed,
@@ -63,7 +63,7 @@
     /// Records that the release of the machine is requested, and the time from which it may be
     /// requested again.
     pub(super) fn request_release(&mut self, retry_at: Millis) {
-        self.change(MachineEvent::ReleaseAsked);
+        self.change(MachineEvent::ReleaseRequested);
         self.release_after = retry_at;
     }
 }
@@ -102,10 +102,9 @@
     ) -> String {
         let name = self.mirror.hosts.name(host).to_string();
         tracing::info!(machine = %name, shard = shard_id, reason = reason.text(), "instance release requested");
-        let machine = self
-            .machines
-            .entry(host)
-            .or_insert_with(|| Machine::unheard(host, shard_id, &unlisted_instance(&name), now));
+        let machine = self.machines.entry(host).or_insert_with(|| {
+            Machine::from_listing(host, shard_id, &unlisted_instance(&name), now)
+        });
         machine.request_release(now + RELEASE_RETRY_MS);
         name
     }
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -10,13 +10,13 @@
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
 /// Time beyond its lease for which a machine may be unreachable before it is released.
-const UNREACHABLE_MS: f64 = 30_000.0;
+const UNREACHABLE_AFTER_LEASE_MS: f64 = 30_000.0;
 /// Time beyond its lease for which a machine may be silent before it is released.
-const SILENT_MS: f64 = 15_000.0;
+const SILENT_AFTER_LEASE_MS: f64 = 15_000.0;
 /// Time beyond two leases that a listed machine may take to report to its owner.
 const FIRST_REPORT_MS: f64 = 20_000.0;
 /// Share of a shard's cores that must stay free when idle machines are released.
-const IDLE_SHARE: f64 = 0.6;
+const MIN_FREE_SHARE: f64 = 0.6;
 
 /// Capacity and reachability of a shard's machines, updated as idle ones are chosen for release.
 #[derive(Clone, Copy, Debug, Default)]
@@ -84,11 +84,12 @@
             if matches!(machine.reachability, Reachability::Unreachable(_)) {
                 shard.unreachable_machines += 1;
             }
-            if let (Some(whole), Some(free)) = (self.whole(machine), self.free_on(machine, None))
+            if let (Some(total), Some(free)) =
+                (self.total_capacity(machine), self.free_on(machine, None))
                 && machine.usable(now, self.silence_ms())
             {
                 shard.free_cores += free.cores;
-                shard.cores += whole.cores;
+                shard.cores += total.cores;
             }
         }
         usage
@@ -105,7 +106,7 @@
         let host = self.mirror.hosts.get(name);
         match host.and_then(|host| self.machines.get(&host)) {
             Some(machine) => self.release_reason_of_known(machine, entry, usage, now),
-            None => self.release_reason_of_unheard(name, entry, now),
+            None => self.release_reason_of_unreported(name, entry, now),
         }
     }
 
@@ -127,7 +128,7 @@
         if entry.status == InstanceStatus::Failed {
             return Some(ReleaseReason::Failed);
         }
-        let silence_limit = self.config.lease_ms + SILENT_MS;
+        let silence_limit = self.config.lease_ms + SILENT_AFTER_LEASE_MS;
         if now - machine.last_heard_at > silence_limit && self.lag.punctual_for(now) > silence_limit
         {
             return Some(ReleaseReason::Silent);
@@ -138,8 +139,10 @@
         if self.is_long_unreachable(machine, now) && usage.few_unreachable() {
             return Some(ReleaseReason::Unreachable);
         }
-        let cores = self.whole(machine).map_or(0.0, |whole| whole.cores);
-        if self.is_idle(machine, now) && usage.free_cores - cores > IDLE_SHARE * usage.cores {
+        let cores = self
+            .total_capacity(machine)
+            .map_or(0.0, |total| total.cores);
+        if self.is_idle(machine, now) && usage.free_cores - cores > MIN_FREE_SHARE * usage.cores {
             usage.free_cores -= cores;
             return Some(ReleaseReason::Idle);
         }
@@ -148,7 +151,7 @@
 
     /// Returns the reason to release a machine that is listed and has never reported, if there is
     /// one.
-    fn release_reason_of_unheard(
+    fn release_reason_of_unreported(
         &self,
         name: &str,
         entry: &Instance,
@@ -162,10 +165,10 @@
             InstanceStatus::Running | InstanceStatus::Other => {
                 let shard_id = self.config.shard_map.shard(&entry.zone, name);
                 let owned_for = now - self.shards[shard_id].lease.token_since();
-                let patience = self.config.lease_ms * 2.0 + FIRST_REPORT_MS;
+                let max_wait_ms = self.config.lease_ms * 2.0 + FIRST_REPORT_MS;
                 let ready_ms = self.ready_s(&entry.machine_type) * 1000.0;
-                (owned_for > patience && entry.held_s * 1000.0 > ready_ms + patience)
-                    .then_some(ReleaseReason::NeverHeardOf)
+                (owned_for > max_wait_ms && entry.held_s * 1000.0 > ready_ms + max_wait_ms)
+                    .then_some(ReleaseReason::NeverReported)
             }
         }
     }
@@ -173,8 +176,10 @@
     /// Returns whether a machine has been unreachable for so long that it should be released.
     fn is_long_unreachable(&self, machine: &Machine, now: Millis) -> bool {
         match machine.reachability {
-            Reachability::Unreachable(since) => now - since > self.config.lease_ms + UNREACHABLE_MS,
-            Reachability::Reachable(_) | Reachability::Doubted(_) => false,
+            Reachability::Unreachable(since) => {
+                now - since > self.config.lease_ms + UNREACHABLE_AFTER_LEASE_MS
+            }
+            Reachability::Reachable(_) | Reachability::Suspected(_) => false,
         }
     }
 
@@ -194,7 +199,7 @@
         let machine = self
             .machines
             .entry(host)
-            .or_insert_with(|| Machine::unheard(host, shard_id, entry, now));
+            .or_insert_with(|| Machine::from_listing(host, shard_id, entry, now));
         machine.request_release(now + RELEASE_RETRY_MS);
     }
 
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -11,13 +11,13 @@
 
 impl UnmetNeeds {
     /// Returns whether no machine is known to have capacity for an amount.
-    pub(crate) fn too_large(&self, needs: &Needs) -> bool {
+    pub(crate) fn is_unmet(&self, needs: &Needs) -> bool {
         self.0.iter().any(|unmet| unmet.fits(needs))
     }
 
     /// Records that no machine has capacity for an amount.
-    pub(crate) fn none_fits(&mut self, needs: Needs) {
-        if !self.too_large(&needs) {
+    pub(crate) fn add(&mut self, needs: Needs) {
+        if !self.is_unmet(&needs) {
             self.0.retain(|unmet| !needs.fits(unmet));
             self.0.push(needs);
         }
@@ -43,10 +43,10 @@
 impl SearchBudget {
     /// Counts an inspected job as stuck. Returns whether this makes enough stuck jobs to close the
     /// flow.
-    pub(crate) fn look(&mut self, flow: Flow, at: Place) -> bool {
+    pub(crate) fn count_inspected(&mut self, flow: Flow, place: Place) -> bool {
         if let Some(closed) = self.closed.get_mut(&flow) {
             closed.inspected += 1;
-            closed.last = at;
+            closed.last = place;
             return false;
         }
         let stuck = self.stuck.entry(flow).or_default();
@@ -55,7 +55,7 @@
         if close {
             let closed = ClosedFlow {
                 inspected: 0,
-                last: at,
+                last: place,
             };
             self.closed.insert(flow, closed);
         }
@@ -63,13 +63,13 @@
     }
 
     /// Resets a flow's count of stuck jobs after one of its tasks was placed.
-    pub(crate) fn found(&mut self, flow: Flow) {
+    pub(crate) fn note_placed(&mut self, flow: Flow) {
         self.stuck.insert(flow, 0);
     }
 
     /// Returns each closed flow with the number of its jobs that were inspected after it was
     /// closed, and the last of them.
-    pub(crate) fn others(self) -> impl Iterator<Item = (Flow, usize, Option<Place>)> {
+    pub(crate) fn closed_flows(self) -> impl Iterator<Item = (Flow, usize, Option<Place>)> {
         self.closed
             .into_iter()
             .map(|(flow, closed)| (flow, closed.inspected, Some(closed.last)))
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -9,12 +9,12 @@
 use cherryyard_wire::job::Shape;
 
 /// Minimum number of a job's completed tasks for their run time to be used.
-const KNOWN_RUNS: u32 = 3;
+const MIN_COMPLETED_RUNS: u32 = 3;
 /// Lower bound for the expected run time, as a share of the estimate: the tasks that complete first
 /// are short, so their average may be too low.
-const LEAST_SHARE_OF_ESTIMATE: f64 = 0.5;
+const MIN_SHARE_OF_ESTIMATE: f64 = 0.5;
 /// Lower bound for the remaining run time, as a share of the time that a task has run.
-const LEAST_SHARE_LEFT: f64 = 0.2;
+const MIN_SHARE_LEFT: f64 = 0.2;
 
 impl Controller {
     /// Returns the expected run time of a job's tasks: the average of the completed ones, but at
@@ -22,9 +22,9 @@
     /// while too few have completed.
     fn expected_run_ms(&self, shard_id: usize, job: u64, open: &OpenJob) -> Millis {
         let estimate = open.spec.expected_s * 1000.0;
-        match self.shards[shard_id].ran.get(&job) {
-            Some(&(runs, sum)) if runs >= KNOWN_RUNS => {
-                (sum / f64::from(runs)).max(estimate * LEAST_SHARE_OF_ESTIMATE)
+        match self.shards[shard_id].completed_runs.get(&job) {
+            Some(&(runs, sum)) if runs >= MIN_COMPLETED_RUNS => {
+                (sum / f64::from(runs)).max(estimate * MIN_SHARE_OF_ESTIMATE)
             }
             _ => estimate,
         }
@@ -53,21 +53,21 @@
         let ran = machine.ran_ms(task, attempt, now).unwrap_or(0.0);
         // A task close to or beyond its expected run time may still run for a while.
         let expected = self.expected_run_ms(machine.shard, task.0, open);
-        let left = (expected - ran).max(ran * LEAST_SHARE_LEFT);
-        left > reclaim_at - now && self.has_room_for_tasks_of(machine, open, now)
+        let left = (expected - ran).max(ran * MIN_SHARE_LEFT);
+        left > reclaim_at - now && self.has_capacity_for_tasks_of(machine, open, now)
     }
 
     /// Returns whether the shard's other machines have capacity for as many tasks of a job as there
     /// are tasks on `machine`.
-    fn has_room_for_tasks_of(&self, machine: &Machine, open: &OpenJob, now: Millis) -> bool {
+    fn has_capacity_for_tasks_of(&self, machine: &Machine, open: &OpenJob, now: Millis) -> bool {
         let tasks = self.mirror.on_host(machine.host).count() as u32;
-        let mut room = 0;
+        let mut capacity = 0;
         for other in self.machines.values() {
             if other.shard == machine.shard
-                && let Some(free) = self.unreserved_room(other, open, now)
+                && let Some(free) = self.unreserved_capacity(other, open, now)
             {
-                room += open.needs().times_in(&free);
-                if room >= tasks {
+                capacity += open.needs().times_in(&free);
+                if capacity >= tasks {
                     return true;
                 }
             }
@@ -76,7 +76,7 @@
     }
 
     /// Returns the free capacity of a machine, or `None` if it may not run the job or is reserved.
-    fn unreserved_room(&self, machine: &Machine, open: &OpenJob, now: Millis) -> Option<Needs> {
+    fn unreserved_capacity(&self, machine: &Machine, open: &OpenJob, now: Millis) -> Option<Needs> {
         let reserved = &self.shards[machine.shard].reserved;
         if !machine.usable(now, self.silence_ms())
             || !self.allowed(open, machine)
@@ -98,7 +98,7 @@
                 m.shard == shard_id
                     && matches!(m.state, MachineState::Ready | MachineState::Expired)
                     && now >= m.release_after
-                    && m.is_taken_by_now(now, silence)
+                    && m.is_past_reclaim(now, silence)
             })
             .map(|m| m.host)
             .take(MAX_RELEASED)
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,7 +1,7 @@
 //! In-memory state of an owner for each shard.
 
 use super::failure_attribution::JobFailures;
-use super::kept_rests::KeptRests;
+use super::kept_rests::KeptRemainders;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
@@ -35,7 +35,7 @@
 
 /// Follow-up work of a scheduling cycle once its transaction is durable.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pending {
+pub(crate) struct PendingCycle {
     pub(crate) hosts: BTreeSet<u32>,
     pub(crate) failed: Vec<(u64, u32)>,
     pub(crate) done: Vec<(u64, u32)>,
@@ -53,14 +53,14 @@
     pub(crate) compacted_at: Millis,
     /// Times of the last planned scheduling cycle and of the last timed maintenance.
     pub(crate) planned_at: Millis,
-    pub(crate) kept_at: Millis,
-    pub(crate) unheard_at: Millis,
+    pub(crate) maintained_at: Millis,
+    pub(crate) silence_scanned_at: Millis,
     /// Time of the last placement, and the newest revisions of the state known then.
     pub(crate) placed_at: Millis,
-    pub(crate) placed_as_of: (u64, u64),
+    pub(crate) placed_at_revisions: (u64, u64),
     /// Budget of the changes that the shard's scheduling cycles may write.
     pub(crate) budget: TokenBucket,
-    pub(crate) pending: Option<Pending>,
+    pub(crate) pending: Option<PendingCycle>,
     pub(crate) retry_after: Millis,
     pub(crate) preempted: HashMap<Task, Preempted>,
     /// Machines reserved for a task for which others were preempted.
@@ -75,13 +75,13 @@
     pub(crate) queues: Queues,
     /// Teams with waiting tasks of which none fits into the remainder of the grant, and the time
     /// since which this is so.
-    pub(crate) stuck_grants: HashMap<usize, Millis>,
+    pub(crate) unusable_remainders: HashMap<usize, Millis>,
     /// Remainders of teams' grants that are kept for the oldest waiting jobs.
-    pub(crate) kept_rests: KeptRests,
-    pub(crate) images_at: Millis,
+    pub(crate) kept_remainders: KeptRemainders,
+    pub(crate) images_recorded_at: Millis,
     pub(crate) wait_revision: u64,
-    /// Number of each job's tasks that completed here, and the sum of their run times.
-    pub(crate) ran: HashMap<u64, (u32, Millis)>,
+    /// Number of each job's tasks that completed in this shard, and the sum of their run times.
+    pub(crate) completed_runs: HashMap<u64, (u32, Millis)>,
     /// Account of how the shard's cores were used.
     pub(crate) account: Account,
 }
@@ -95,10 +95,10 @@
             inspected_at: f64::NEG_INFINITY,
             compacted_at: now,
             planned_at: f64::NEG_INFINITY,
-            kept_at: f64::NEG_INFINITY,
-            unheard_at: f64::NEG_INFINITY,
+            maintained_at: f64::NEG_INFINITY,
+            silence_scanned_at: f64::NEG_INFINITY,
             placed_at: f64::NEG_INFINITY,
-            placed_as_of: (0, 0),
+            placed_at_revisions: (0, 0),
             budget: TokenBucket::new(writes_per_s, now),
             pending: None,
             retry_after: now,
@@ -108,11 +108,11 @@
             job_failures: HashMap::new(),
             handing: BTreeSet::new(),
             queues: Queues::default(),
-            stuck_grants: HashMap::new(),
-            kept_rests: KeptRests::default(),
-            images_at: now,
+            unusable_remainders: HashMap::new(),
+            kept_remainders: KeptRemainders::default(),
+            images_recorded_at: now,
             wait_revision: 0,
-            ran: HashMap::new(),
+            completed_runs: HashMap::new(),
             account: Account::default(),
         }
     }
@@ -126,9 +126,9 @@
         self.handing.clear();
         self.kept_machines.clear();
         self.job_failures.clear();
-        self.stuck_grants.clear();
-        self.kept_rests = KeptRests::default();
-        self.ran.clear();
+        self.unusable_remainders.clear();
+        self.kept_remainders = KeptRemainders::default();
+        self.completed_runs.clear();
         self.account.clear();
     }
 }
--- a/crates/cherryyard-core/src/owner/task_ends.rs
+++ b/crates/cherryyard-core/src/owner/task_ends.rs
@@ -8,19 +8,19 @@
 impl Controller {
     /// Records that a task of a job has completed on a machine, which clears both of earlier
     /// failures.
-    pub(crate) fn note_done(&mut self, shard_id: usize, job: u64, host: u32) {
+    pub(crate) fn record_completion(&mut self, shard_id: usize, job: u64, host: u32) {
         let failures = self.shards[shard_id].job_failures.remove(&job);
         if failures.is_some_and(|failures| failures.is_quarantined()) {
             tracing::info!(job, shard = shard_id, "job left quarantine");
         }
         if let Some(machine) = self.machines.get_mut(&host) {
             machine.failures = 0;
-            machine.suspected.clear();
+            machine.unattributed_jobs.clear();
         }
     }
 
     /// Records that a task of a job has failed on a machine, and attributes the failure.
-    pub(crate) fn note_failed(&mut self, shard_id: usize, job: u64, host: u32, now: Millis) {
+    pub(crate) fn attribute_failure(&mut self, shard_id: usize, job: u64, host: u32, now: Millis) {
         let proven = self.mirror.done(job) > 0;
         let jitter = self.rng.random_range(0.0..1.0);
         let job_failures = &mut self.shards[shard_id].job_failures;
@@ -30,23 +30,23 @@
         let verdict = if proven && !failures.is_quarantined() {
             // Other tasks of the job have completed, so the failure counts against the machine.
             failures.hosts.insert(host);
-            failures.at = now;
+            failures.last_failed_at = now;
             Verdict::Machine
         } else {
-            failures.failed(host, jitter, now)
+            failures.record(host, jitter, now)
         };
         match verdict {
             Verdict::Machine => {
                 if let Some(machine) = self.machines.get_mut(&host) {
-                    machine.fails(job, proven, now);
+                    machine.record_failure(job, proven, now);
                 }
             }
-            Verdict::JobNow => {
+            Verdict::JobEstablished => {
                 let hosts = std::mem::take(&mut failures.hosts);
                 tracing::info!(job, shard = shard_id, "job quarantined");
                 for host in hosts {
                     if let Some(machine) = self.machines.get_mut(&host) {
-                        machine.cleared_of(job, now);
+                        machine.withdraw_failures_of(job, now);
                     }
                 }
             }
@@ -59,6 +59,6 @@
         let open = &self.mirror.open;
         self.shards[shard_id]
             .job_failures
-            .retain(|job, failures| open.contains_key(job) && !failures.past(now));
+            .retain(|job, failures| open.contains_key(job) && !failures.is_forgotten(now));
     }
 }
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -2,7 +2,7 @@
 //! parts of the grants that it does not need.
 
 use super::placement::{Candidate, Placement};
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::admission::queue::Queues;
 use crate::controller::Controller;
@@ -15,7 +15,7 @@
 use cherryyard_wire::state::{Apply, Commit};
 
 /// Time for which a shard keeps the remainder of a grant that none of its waiting tasks fits into.
-const STUCK_GRANT_MS: f64 = 2000.0;
+const UNUSABLE_REMAINDER_MS: f64 = 2000.0;
 /// Tolerance for rounding in comparisons of cores and accelerators.
 const ROUNDING: f64 = 1e-6;
 /// Maximum number of conditions for lowering a grant: the grant, the last page and the one after
@@ -33,7 +33,7 @@
         queues: &Queues,
     ) -> bool {
         let (job, team) = (candidate.job, candidate.team as usize);
-        let kept_for = placement.limit_kept_for.get(&team);
+        let kept_for = placement.remainder_kept_for.get(&team);
         if kept_for.is_some_and(|other| *other != job) {
             return false;
         }
@@ -44,13 +44,13 @@
         // Otherwise smaller tasks would take each released part of the grant before it adds up to
         // enough for this job.
         if queues.turn(candidate.flow) == Some(job)
-            && !self.begun(job)
+            && !self.has_started(job)
             && self.fits_beside_services(shard_id, candidate)
             && self.shards[shard_id]
-                .kept_rests
+                .kept_remainders
                 .keep(team, job, placement.now)
         {
-            placement.limit_kept_for.insert(team, job);
+            placement.remainder_kept_for.insert(team, job);
         }
         false
     }
@@ -70,12 +70,12 @@
             .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX));
-        for (&(_, job), here) in assigned {
+        for (&(_, job), job_tasks) in assigned {
             if let Some(open) = self.mirror.open.get(&job)
                 && open.spec.shape == Shape::Service
                 && let Some(held) = held.get_mut(open.team as usize)
             {
-                (0..here.assignments.len()).for_each(|_| held.give(&open.needs()));
+                (0..job_tasks.assignments.len()).for_each(|_| held.give(&open.needs()));
             }
         }
         held
@@ -114,16 +114,22 @@
     /// Returns whether tasks of a team wait in the shard while the remainder of its grant has for
     /// some time been too small for any of them. Such remainders of several shards are only useful
     /// if they are combined.
-    fn rest_is_stuck(&mut self, shard_id: usize, team: usize, used: &[Needs], now: Millis) -> bool {
+    fn remainder_is_unusable(
+        &mut self,
+        shard_id: usize,
+        team: usize,
+        used: &[Needs],
+        now: Millis,
+    ) -> bool {
         let least = self.least_waiting(shard_id, team);
-        let is_stuck =
+        let is_unusable =
             least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
-        let stuck_since = &mut self.shards[shard_id].stuck_grants;
-        if !is_stuck {
-            stuck_since.remove(&team);
+        let unusable_since = &mut self.shards[shard_id].unusable_remainders;
+        if !is_unusable {
+            unusable_since.remove(&team);
             return false;
         }
-        now - *stuck_since.entry(team).or_insert(now) >= STUCK_GRANT_MS
+        now - *unusable_since.entry(team).or_insert(now) >= UNUSABLE_REMAINDER_MS
     }
 
     /// Lowers the grants of owned shards for teams of which another shard wants more than its
@@ -144,7 +150,7 @@
                 self.mirror.require_last_page(&mut commit, shard_id);
                 // Takes the place of a scheduling cycle, so that no assignment is in flight at the
                 // same time.
-                self.shards[shard_id].pending = Some(Pending::default());
+                self.shards[shard_id].pending = Some(PendingCycle::default());
                 self.effects
                     .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
             }
@@ -174,8 +180,8 @@
                 continue;
             };
             let (grant, revision) = self.mirror.grants[team][shard_id];
-            let is_stuck = self.rest_is_stuck(shard_id, team, &used, now);
-            let kept = if is_stuck {
+            let is_unusable = self.remainder_is_unusable(shard_id, team, &used, now);
+            let kept = if is_unusable {
                 Grant {
                     cores: used[team].cores.min(grant.cores),
                     acc: used[team].acc.min(grant.acc),
@@ -199,11 +205,11 @@
 fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
     let (cores, acc) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
     let kept = |have: f64, want: f64| {
-        let half_rest = (have - want) / 2.0;
-        if half_rest < 1.0 {
+        let half_of_remainder = (have - want) / 2.0;
+        if half_of_remainder < 1.0 {
             have.min(want)
         } else {
-            want + half_rest
+            want + half_of_remainder
         }
     };
     Grant {
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -12,10 +12,10 @@
 
 /// Share of the time limit for stopping a cancelled job's tasks after which a silent machine that
 /// may run one is released.
-const CANCELLED_SHARE: f64 = 0.7;
+const CANCELLED_RELEASE_SHARE: f64 = 0.7;
 /// Share of that time limit after which a new owner waits no longer for such a machine than for one
 /// that has reported.
-const CANCELLED_LATE: f64 = 0.8;
+const CANCELLED_LATE_SHARE: f64 = 0.8;
 /// Number of heartbeat intervals after which the next heartbeat is overdue.
 const OVERDUE_HEARTBEATS: f64 = 1.25;
 /// Time that a heartbeat may take to arrive before its machine counts as overdue, and as silent.
@@ -30,13 +30,13 @@
 const SERVICES_RETRY_MS: f64 = 3000.0;
 /// Time that a machine may take to reach a new owner, in addition to a heartbeat that gets no
 /// answer.
-const FIND_OWNER_MS: f64 = 8000.0;
+const REACH_OWNER_MS: f64 = 8000.0;
 /// Time after that limit during which a new owner releases machines that have not reached it.
-const NEW_OWNER_MS: f64 = 60_000.0;
+const NEW_OWNER_RELEASE_MS: f64 = 60_000.0;
 
 /// Number of a shard's machines by the time of their last message.
 #[derive(Clone, Copy, Debug, Default)]
-struct Contact {
+struct ContactCounts {
     machines: usize,
     /// Machines whose heartbeat is overdue but whose lease has not expired.
     overdue: usize,
@@ -44,10 +44,10 @@
     recent: usize,
 }
 
-impl Contact {
+impl ContactCounts {
     /// Returns whether only a few machines are silent. If many are, the fault is in the network
     /// between this controller and the machines.
-    fn is_good(&self) -> bool {
+    fn only_few_silent(&self) -> bool {
         let others = self.machines.saturating_sub(self.overdue);
         self.overdue <= (self.machines / 5).max(1) && self.recent * 4 >= others
     }
@@ -82,12 +82,12 @@
             })
             .map(|m| m.host)
             .collect();
-        if silent.is_empty() || !self.contact(shard_id, now).is_good() {
+        if silent.is_empty() || !self.contact_counts(shard_id, now).only_few_silent() {
             return;
         }
         let mut released = Vec::new();
         for host in silent {
-            if !self.loses_services(host, gain) || released.len() >= MAX_RELEASED {
+            if !self.is_release_worthwhile(host, gain) || released.len() >= MAX_RELEASED {
                 continue;
             }
             if let Some(machine) = self.machines.get_mut(&host)
@@ -107,7 +107,7 @@
     fn confirmed_machines(&self, shard_id: usize) -> impl Iterator<Item = &Machine> {
         self.machines
             .values()
-            .filter(move |m| m.shard == shard_id && m.shows_our_token())
+            .filter(move |m| m.shard == shard_id && m.shows_current_token())
     }
 
     /// Counts a shard's overdue machines and those with a recent message.
@@ -117,14 +117,14 @@
     /// that are just overdue count as well, and most others must have reported recently. Without
     /// this, an owner cut off from its workers released 37 machines with their services before it
     /// saw that all were silent.
-    fn contact(&self, shard_id: usize, now: Millis) -> Contact {
+    fn contact_counts(&self, shard_id: usize, now: Millis) -> ContactCounts {
         let machines = self.confirmed_machines(shard_id).count();
         let overdue_ms = self.config.report_ms * OVERDUE_HEARTBEATS + OVERDUE_MS;
         // With few machines it may happen by chance that none reports for half of the interval.
         let recent_ms = self.config.report_ms * if machines > 8 { 0.5 } else { 0.9 };
-        let mut contact = Contact {
+        let mut contact = ContactCounts {
             machines,
-            ..Contact::default()
+            ..ContactCounts::default()
         };
         for machine in self.confirmed_machines(shard_id) {
             let silence = now - machine.last_heard_at;
@@ -136,7 +136,7 @@
 
     /// Returns whether a machine has tasks of services, and no arrays unless the release gains
     /// enough time.
-    fn loses_services(&self, host: u32, gain: f64) -> bool {
+    fn is_release_worthwhile(&self, host: u32, gain: f64) -> bool {
         let (mut services, mut others) = (0, 0);
         for ((job, _), _) in self.mirror.on_host(host) {
             match self.mirror.open.get(&job).map(|open| open.spec.shape) {
@@ -150,8 +150,8 @@
 
     /// Returns the time that a machine with assignments may take to reach a new owner: a heartbeat
     /// without an answer, one or two attempts at other controllers, and the next heartbeat.
-    fn find_owner_ms(&self) -> f64 {
-        self.config.report_ms * OVERDUE_HEARTBEATS + FIND_OWNER_MS
+    fn reach_owner_ms(&self) -> f64 {
+        self.config.report_ms * OVERDUE_HEARTBEATS + REACH_OWNER_MS
     }
 
     /// Returns the silence after which a machine is released because of a task of this job, or
@@ -164,9 +164,9 @@
         // knows it.
         let learnt_at = self.cancelled.learnt_at(job);
         match learnt_at.map(|at| (now - at) / self.config.cancel_ms) {
-            Some(passed) if passed <= CANCELLED_SHARE => None,
-            Some(passed) if passed > CANCELLED_LATE => Some(self.silence_ms()),
-            _ => Some(self.find_owner_ms()),
+            Some(passed) if passed <= CANCELLED_RELEASE_SHARE => None,
+            Some(passed) if passed > CANCELLED_LATE_SHARE => Some(self.silence_ms()),
+            _ => Some(self.reach_owner_ms()),
         }
     }
 
@@ -207,8 +207,8 @@
     }
 
     /// Returns the time since which no message of a machine has arrived, but not from before this
-    /// controller acquired the shard or was last delayed. Returns `now` for a machine that needs no
-    /// release request.
+    /// controller acquired the shard or was last delayed. Returns `now` if the machine is gone or
+    /// its release was requested recently.
     fn silent_since(&self, host: u32, shard_id: usize, now: Millis) -> Millis {
         let held_since = self.shards[shard_id].lease.held_since();
         let punctual_since = now - self.lag.punctual_for(now);
@@ -225,11 +225,11 @@
     /// new owner's token, so there is no lease whose end would prove its tasks gone; only the
     /// release does. While many machines are missing, they still report to the previous owner or
     /// the network is at fault.
-    pub(crate) fn release_without_owner(&mut self, shard_id: usize, now: Millis) {
-        let limit = self.find_owner_ms();
+    pub(crate) fn release_not_reaching_owner(&mut self, shard_id: usize, now: Millis) {
+        let limit = self.reach_owner_ms();
         let owned_for = now - self.shards[shard_id].lease.token_since();
         if owned_for < limit
-            || owned_for > limit + NEW_OWNER_MS
+            || owned_for > limit + NEW_OWNER_RELEASE_MS
             || self.lag.punctual_for(now) < limit
             || !self.state_fresh(now)
         {
@@ -242,7 +242,7 @@
             if machine.is_some_and(|m| m.shard != shard_id) {
                 continue;
             }
-            if machine.is_some_and(|m| has_found_owner(m, limit, now)) {
+            if machine.is_some_and(|m| has_reached_owner(m, limit, now)) {
                 assigned += 1;
             } else if self.mirror.shard_of_assignment(host) == Some(shard_id) {
                 assigned += 1;
@@ -251,19 +251,19 @@
         }
         if missing.len() * 5 <= assigned {
             missing.truncate(MAX_RELEASED);
-            let reason = ReleaseReason::HasNotFoundOwner;
+            let reason = ReleaseReason::HasNotReachedOwner;
             self.release_hosts(missing, shard_id, reason, now);
         }
     }
 }
 
 /// Returns whether a machine has shown the current token, may still do so, or is being released.
-fn has_found_owner(machine: &Machine, limit: Millis, now: Millis) -> bool {
+fn has_reached_owner(machine: &Machine, limit: Millis, now: Millis) -> bool {
     // An unreachable machine that reports will never show the current token.
-    let may_yet = now - machine.last_heard_at < limit
+    let may_show_token = now - machine.last_heard_at < limit
         && !matches!(machine.reachability, Reachability::Unreachable(_));
-    machine.shows_our_token()
+    machine.shows_current_token()
         || machine.state == MachineState::Gone
         || now < machine.release_after
-        || may_yet
+        || may_show_token
 }
--- a/crates/cherryyard-core/src/reachability.rs
+++ b/crates/cherryyard-core/src/reachability.rs
@@ -11,11 +11,11 @@
 use crate::Millis;
 
 /// Number of unreflected messages in a row after which the machine is queried.
-const MAX_MISSES: u32 = 2;
+const MAX_UNREFLECTED: u32 = 2;
 /// Number of unanswered queries in a row after which the machine counts as unreachable.
-const MAX_QUERIES: u32 = 2;
-/// Time between two queries to a machine whose reachability is in doubt.
-const DOUBTED_QUERY_MS: f64 = 1000.0;
+const MAX_UNANSWERED_QUERIES: u32 = 2;
+/// Time between two queries to a machine that is suspected to be unreachable.
+const SUSPECTED_QUERY_MS: f64 = 1000.0;
 /// Time between two queries to an unreachable machine.
 const UNREACHABLE_QUERY_MS: f64 = 4000.0;
 
@@ -24,9 +24,9 @@
 pub enum Reachability {
     /// Nothing shows the contrary; holds the number of messages in a row that were not reflected.
     Reachable(u32),
-    /// A message was not reflected, so the machine is being queried; holds the number of queries
-    /// that it has not answered.
-    Doubted(u32),
+    /// A message was not reflected, so the machine is suspected and queried; holds the number of
+    /// queries that it has not answered.
+    Suspected(u32),
     /// The machine does not answer queries; holds the time since which this is so.
     Unreachable(Millis),
 }
@@ -37,7 +37,7 @@
     /// A message of the machine shows that something sent to it has arrived.
     Reflected,
     /// Something sent to the machine should show in its messages by now and does not.
-    Missed,
+    NotReflected,
     /// The machine has a new incarnation: its lease expired although its heartbeats were answered,
     /// or while no message arrived. The new incarnation has yet to show that it receives anything.
     NewIncarnation,
@@ -51,13 +51,15 @@
         use ReachabilityEvent::*;
         match (self, event) {
             (_, Reflected) => Self::Reachable(0),
-            (Self::Reachable(n), Missed) if n + 1 < MAX_MISSES => Self::Reachable(n + 1),
-            (Self::Reachable(_), Missed | NewIncarnation) => Self::Doubted(0),
-            (Self::Doubted(n), NoAnswer) if n + 1 < MAX_QUERIES => Self::Doubted(n + 1),
-            (Self::Doubted(_), NoAnswer) => Self::Unreachable(now),
+            (Self::Reachable(n), NotReflected) if n + 1 < MAX_UNREFLECTED => Self::Reachable(n + 1),
+            (Self::Reachable(_), NotReflected | NewIncarnation) => Self::Suspected(0),
+            (Self::Suspected(n), NoAnswer) if n + 1 < MAX_UNANSWERED_QUERIES => {
+                Self::Suspected(n + 1)
+            }
+            (Self::Suspected(_), NoAnswer) => Self::Unreachable(now),
             (Self::Reachable(_), NoAnswer)
-            | (Self::Doubted(_), Missed | NewIncarnation)
-            | (Self::Unreachable(_), Missed | NewIncarnation | NoAnswer) => self,
+            | (Self::Suspected(_), NotReflected | NewIncarnation)
+            | (Self::Unreachable(_), NotReflected | NewIncarnation | NoAnswer) => self,
         }
     }
 
@@ -70,7 +72,7 @@
     pub fn query_interval_ms(self) -> Option<Millis> {
         match self {
             Self::Reachable(_) => None,
-            Self::Doubted(_) => Some(DOUBTED_QUERY_MS),
+            Self::Suspected(_) => Some(SUSPECTED_QUERY_MS),
             Self::Unreachable(_) => Some(UNREACHABLE_QUERY_MS),
         }
     }
--- a/crates/cherryyard-core/src/reachability/tests.rs
+++ b/crates/cherryyard-core/src/reachability/tests.rs
@@ -4,25 +4,25 @@
 /// and must be reachable again as soon as it answers a query. Guards against a one-way partition
 /// that leaves heartbeats intact while commands do not arrive.
 #[test]
-fn silence_of_one_direction() {
+fn lost_answers_make_a_machine_suspected_until_it_answers() {
     use ReachabilityEvent::*;
-    let mut r = Reachability::Reachable(0);
+    let mut reachability = Reachability::Reachable(0);
     let mut states = Vec::new();
     for event in [
-        Missed,
+        NotReflected,
         Reflected,
-        Missed,
-        Missed,
+        NotReflected,
+        NotReflected,
         NoAnswer,
-        Missed,
+        NotReflected,
         NoAnswer,
         NewIncarnation,
         Reflected,
         NewIncarnation,
         Reflected,
     ] {
-        r = r.after(event, 9.0);
-        states.push(r);
+        reachability = reachability.after(event, 9.0);
+        states.push(reachability);
     }
     use Reachability::*;
     assert_eq!(
@@ -31,13 +31,13 @@
             Reachable(1),
             Reachable(0),
             Reachable(1),
-            Doubted(0),
-            Doubted(1),
-            Doubted(1),
+            Suspected(0),
+            Suspected(1),
+            Suspected(1),
             Unreachable(9.0),
             Unreachable(9.0),
             Reachable(0),
-            Doubted(0),
+            Suspected(0),
             Reachable(0),
         ]
     );
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -17,10 +17,10 @@
 };
 
 /// Maximum number of status queries to machines in flight at once.
-const MAX_QUERIES: usize = 16;
+const MAX_QUERIES_IN_FLIGHT: usize = 16;
 /// Maximum length of a machine name in a heartbeat, in bytes; heartbeats with longer names are
 /// refused.
-const MAX_HOST_NAME: usize = 100;
+const MAX_MACHINE_NAME_BYTES: usize = 100;
 /// Delay before the next direct commands to a machine after a batch that could not be sent.
 const UNSENT_RETRY_MS: f64 = 500.0;
 /// Delay before the next direct commands to a machine after a batch that got no answer.
@@ -51,15 +51,15 @@
             // Another controller holds a newer token. The worker would drop an answer under this
             // older token and would keep reporting to this controller instead of the owner.
             self.effects.push(Effect::Refresh);
-            return Reply::Elsewhere(self.owner_elsewhere(shard_id, now));
+            return Reply::Elsewhere(self.other_owner_label(shard_id, now));
         }
         let Some(host) = self.reporting_machine(shard_id, heartbeat, now) else {
             return Reply::Unavailable;
         };
-        let commands = match self.take_heartbeat(host, heartbeat, token, now) {
-            Taken::Current => self.commands_in_answer(host, now),
-            Taken::Stale => Vec::new(),
-            Taken::OfRestartedWorker => self.commands_for_restarted_worker(host, now),
+        let commands = match self.apply_heartbeat(host, heartbeat, token, now) {
+            HeartbeatOutcome::Current => self.commands_in_answer(host, now),
+            HeartbeatOutcome::Stale => Vec::new(),
+            HeartbeatOutcome::FromRestartedWorker => self.commands_for_restarted_worker(host, now),
         };
         Reply::Answer(HeartbeatResponse {
             fencing_token: token,
@@ -89,7 +89,7 @@
         heartbeat: &WorkerHeartbeat,
         now: Millis,
     ) -> Reply {
-        self.note_misdirected_worker(shard_id, heartbeat, now);
+        self.record_misdirected_worker(shard_id, heartbeat, now);
         if self.may_extend_lease(shard_id, heartbeat, now) {
             tracing::debug!(machine = %heartbeat.host, "worker lease extended for its owner");
             return Reply::Answer(HeartbeatResponse {
@@ -97,7 +97,7 @@
                 commands: Vec::new(),
             });
         }
-        match self.owner_elsewhere(shard_id, now) {
+        match self.other_owner_label(shard_id, now) {
             Some(label) => Reply::Elsewhere(Some(label)),
             None => Reply::Unavailable,
         }
@@ -111,7 +111,7 @@
         heartbeat: &WorkerHeartbeat,
         now: Millis,
     ) -> Option<u32> {
-        if self.machines.len() >= MAX_MACHINES || heartbeat.host.len() > MAX_HOST_NAME {
+        if self.machines.len() >= MAX_MACHINES || heartbeat.host.len() > MAX_MACHINE_NAME_BYTES {
             return None;
         }
         let host = self.mirror.hosts.intern(&heartbeat.host);
@@ -120,8 +120,9 @@
         if machine.state == MachineState::Gone {
             return None;
         }
-        let is_blind = self.state_contact.read_age(now) > self.config.cut_off_bound_ms() / 2.0;
-        if is_blind && self.may_start_cancelled(machine) {
+        let state_is_outdated =
+            self.state_contact.read_age(now) > self.config.cut_off_bound_ms() / 2.0;
+        if state_is_outdated && self.may_start_cancelled_task(machine) {
             // During an outage of the state service no controller can acquire the newer token that
             // would invalidate the pending start, so the machine's incarnation has to end instead.
             return None;
@@ -131,7 +132,7 @@
 
     /// Returns whether a start of a cancelled job may still take effect on a machine. A start whose
     /// attempt the machine has already reported cannot.
-    fn may_start_cancelled(&self, machine: &Machine) -> bool {
+    fn may_start_cancelled_task(&self, machine: &Machine) -> bool {
         machine.pushed.iter().any(|start| {
             let reported = machine.reported.get(&start.task);
             self.is_cancelled(start.task.0)
@@ -147,20 +148,20 @@
 
     /// Applies what a heartbeat reports to its machine, and plans a scheduling cycle if anything
     /// has changed.
-    fn take_heartbeat(
+    fn apply_heartbeat(
         &mut self,
         host: u32,
         heartbeat: &WorkerHeartbeat,
         token: u64,
         now: Millis,
-    ) -> Taken {
+    ) -> HeartbeatOutcome {
         let Some(machine) = self.machines.get_mut(&host) else {
-            return Taken::Stale;
+            return HeartbeatOutcome::Stale;
         };
         if machine.has_restarted {
             machine.answered_at = now;
             machine.last_heard_at = now;
-            return Taken::OfRestartedWorker;
+            return HeartbeatOutcome::FromRestartedWorker;
         }
         let before = (machine.state, machine.reachability.is_reachable());
         let freshness = machine.receive(heartbeat, token, now);
@@ -168,22 +169,22 @@
         // heartbeat was sent, which is before the newest message arrived. Counting it from now
         // would let a delayed copy keep a dead machine's lease alive.
         machine.answered_at = match freshness {
-            Freshness::Old => machine.answered_at.max(machine.last_heard_at),
-            Freshness::Same | Freshness::New => now,
+            Freshness::Stale => machine.answered_at.max(machine.last_heard_at),
+            Freshness::Unchanged | Freshness::Changed => now,
         };
         // Machines of a new owner are reported to the leader as soon as they appear; otherwise the
         // leader would assign nothing to the shard until its next regular report.
         self.capacity_changed |= (machine.state, machine.reachability.is_reachable()) != before;
-        if freshness == Freshness::Old {
-            return Taken::Stale;
+        if freshness == Freshness::Stale {
+            return HeartbeatOutcome::Stale;
         }
         // A worker has one heartbeat in flight at a time, so a newer heartbeat shows that the
         // previous answer was either executed or dropped.
-        machine.check_offered(now);
-        if freshness == Freshness::New {
-            self.after_message(host, now);
+        machine.check_offered_starts(now);
+        if freshness == Freshness::Changed {
+            self.handle_message_arrival(host, now);
         }
-        Taken::Current
+        HeartbeatOutcome::Current
     }
 
     /// Returns the commands for the answer to a heartbeat, and records the starts among them as
@@ -197,7 +198,7 @@
                 }
                 WorkerCommand::Kill { .. } | WorkerCommand::Clear { .. } => None,
             });
-            machine.offered = starts.collect();
+            machine.offered_starts = starts.collect();
         }
         commands
     }
@@ -266,21 +267,21 @@
                 let Some(token) = self.shards[shard_id].lease.held_token() else {
                     return;
                 };
-                if machine.receive(&status, token, now) != Freshness::Old {
-                    self.after_message(host, now);
+                if machine.receive(&status, token, now) != Freshness::Stale {
+                    self.handle_message_arrival(host, now);
                 }
                 self.push(host, now);
             }
             PushOutcome::Unsent => {
                 tracing::debug!(machine = %machine.addr, incarnation, "direct commands not sent");
                 machine.settle_push(request, false);
-                machine.note_reachability(ReachabilityEvent::Missed, now);
+                machine.note_reachability(ReachabilityEvent::NotReflected, now);
                 machine.push_after = now + UNSENT_RETRY_MS;
             }
             PushOutcome::Unknown => {
                 tracing::debug!(machine = %machine.addr, incarnation, "direct commands not answered");
                 machine.settle_push(request, true);
-                machine.note_reachability(ReachabilityEvent::Missed, now);
+                machine.note_reachability(ReachabilityEvent::NotReflected, now);
                 machine.push_after = now + UNANSWERED_RETRY_MS;
             }
         }
@@ -288,14 +289,14 @@
 }
 
 /// Result of applying a heartbeat to its machine.
-enum Taken {
+enum HeartbeatOutcome {
     /// The heartbeat is the newest message of its machine.
     Current,
     /// A newer message of the machine was received before this heartbeat.
     Stale,
     /// The worker has restarted, so only its direct answers are evaluated and this heartbeat is
     /// not.
-    OfRestartedWorker,
+    FromRestartedWorker,
 }
 
 /// Returns whether `commands` contain a kill of the reported attempt.
--- a/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
@@ -1,6 +1,6 @@
 //! Heartbeats of workers that report to a controller which does not own their shard.
 
-use super::MAX_HOST_NAME;
+use super::MAX_MACHINE_NAME_BYTES;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::Effect;
@@ -10,7 +10,7 @@
 impl Controller {
     /// Returns the label of the controller that holds the newest known lease on a shard, or `None`
     /// if that is this controller or no lease is known.
-    pub(super) fn owner_elsewhere(&self, shard_id: usize, now: Millis) -> Option<String> {
+    pub(super) fn other_owner_label(&self, shard_id: usize, now: Millis) -> Option<String> {
         let stored = self.mirror.shards[shard_id].as_ref();
         let mut newest = stored.map(|lease| (lease.revision, lease.label.clone()));
         let peers = self.peers.iter();
@@ -29,13 +29,13 @@
 
     /// Records that a worker of another controller's shard reports here, and sends the worker a
     /// status query if one is due.
-    pub(super) fn note_misdirected_worker(
+    pub(super) fn record_misdirected_worker(
         &mut self,
         shard_id: usize,
         heartbeat: &WorkerHeartbeat,
         now: Millis,
     ) {
-        if heartbeat.host.len() > MAX_HOST_NAME
+        if heartbeat.host.len() > MAX_MACHINE_NAME_BYTES
             || !self
                 .misdirected
                 .can_track(shard_id, &heartbeat.host, &self.mirror.hosts)
@@ -44,7 +44,10 @@
         }
         let owner_alive = self.owner_is_alive(shard_id, now);
         let host = self.mirror.hosts.intern(&heartbeat.host);
-        if self.misdirected.reported(shard_id, host, owner_alive, now) {
+        if self
+            .misdirected
+            .record_report(shard_id, host, owner_alive, now)
+        {
             let addr = heartbeat.addr.clone();
             self.effects.push(Effect::QueryStatus { host, addr });
         }
@@ -53,7 +56,7 @@
     /// Returns whether the shard's owner is another controller from which a heartbeat was received
     /// within `MISDIRECTED_REPORTS_MS`.
     fn owner_is_alive(&self, shard_id: usize, now: Millis) -> bool {
-        let Some(owner) = self.owner_elsewhere(shard_id, now) else {
+        let Some(owner) = self.other_owner_label(shard_id, now) else {
             return false;
         };
         let position = self.config.labels.iter().position(|label| *label == owner);
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -1,7 +1,7 @@
 //! Status queries: direct requests to machines whose heartbeats do not show whether commands arrive
 //! or whether the worker has restarted.
 
-use super::MAX_QUERIES;
+use super::MAX_QUERIES_IN_FLIGHT;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::Effect;
@@ -10,23 +10,23 @@
 use cherryyard_wire::worker::WorkerHeartbeat;
 
 /// Time beyond its lease during which a silent machine is still queried.
-const LOST_MS: f64 = 15_000.0;
+const QUERIED_AFTER_LEASE_MS: f64 = 15_000.0;
 
 impl Controller {
     /// Sends status queries to the machines of a shard that are due one, within the limit of
     /// queries in flight.
     pub(crate) fn query_machines(&mut self, shard_id: usize, now: Millis) {
-        let lost_ms = self.config.lease_ms + LOST_MS;
+        let query_silence_limit_ms = self.config.lease_ms + QUERIED_AFTER_LEASE_MS;
         let pending = self.machines.values().filter(|m| m.query_pending).count();
-        let mut left = MAX_QUERIES.saturating_sub(pending);
+        let mut queries_left = MAX_QUERIES_IN_FLIGHT.saturating_sub(pending);
         for machine in self.machines.values_mut() {
-            if left == 0 {
+            if queries_left == 0 {
                 return;
             }
-            if machine.shard == shard_id && machine.query_due(lost_ms, now) {
-                left -= 1;
+            if machine.shard == shard_id && machine.query_due(query_silence_limit_ms, now) {
+                queries_left -= 1;
                 machine.query_pending = true;
-                machine.queried = (now, machine.newest);
+                machine.last_query = (now, machine.newest);
                 let (host, addr) = (machine.host, machine.addr.clone());
                 self.effects.push(Effect::QueryStatus { host, addr });
             }
@@ -41,7 +41,7 @@
         now: Millis,
     ) {
         self.notice(now);
-        self.misdirected.queried(host, answer.is_some());
+        self.misdirected.record_query_result(host, answer.is_some());
         let newest_attempt = self
             .mirror
             .store_revision
@@ -60,14 +60,14 @@
             machine.note_reachability(ReachabilityEvent::NoAnswer, now);
             let is_unreachable = matches!(machine.reachability, Reachability::Unreachable(_));
             if machine.reachability != before && is_unreachable {
-                machine.given_up = (machine.newest.0, newest_attempt);
+                machine.abandoned_up_to = (machine.newest.0, newest_attempt);
             }
             self.shards[shard_id].touched.insert(host);
             return;
         };
         self.capacity_changed |= !machine.reachability.is_reachable();
-        if machine.receive_status(status, token, newest_attempt, now) != Freshness::Old {
-            self.after_message(host, now);
+        if machine.receive_status(status, token, newest_attempt, now) != Freshness::Stale {
+            self.handle_message_arrival(host, now);
         }
     }
 }
