--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -20,10 +20,11 @@
 const RECLAIMED_AFTER_MS: f64 = 1000.0;
 /// Minimum time left before a reclaim for starting another task on a machine.
 const MIN_LEFT_FOR_START_MS: f64 = 60_000.0;
-/// Number of consecutive out-of-order messages after which a machine is queried.
+/// Number of consecutive stale messages, which are older than the newest one, after which a machine
+/// is queried.
 const STALE_MESSAGES_BEFORE_QUERY: u32 = 2;
-/// Minimum time between two queries that follow out-of-order messages: to a worker that has
-/// restarted, and to any other.
+/// Minimum time between two queries that follow stale messages: to a worker that has restarted, and
+/// to any other.
 const RESTARTED_QUERY_MS: f64 = 300.0;
 const STALE_QUERY_MS: f64 = 1000.0;
 
@@ -106,7 +107,7 @@
     /// Time before which no release of the machine is requested again.
     pub release_after: Millis,
     /// Time at which this controller first learned of the machine.
-    pub since: Millis,
+    pub first_seen_at: Millis,
 }
 
 impl Machine {
@@ -147,7 +148,7 @@
             unattributed_jobs: BTreeSet::new(),
             busy_at: now,
             release_after: now,
-            since: now,
+            first_seen_at: now,
         }
     }
 
@@ -214,7 +215,7 @@
         let interval = self.reachability.query_interval_ms();
         let is_suspected = interval.is_some_and(|interval| since >= interval)
             && now - self.last_heard_at < silence_limit_ms;
-        // The messages are either delayed copies or come from a worker that has restarted; only a
+        // Stale messages are either delayed copies or come from a worker that has restarted; only a
         // direct answer of the worker distinguishes the two.
         let stale_interval = if self.has_restarted {
             RESTARTED_QUERY_MS
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -26,8 +26,8 @@
         self.mirror.assigned(job) + self.mirror.done(job) > 0
     }
 
-    /// Moves the oldest job of each flow that has not started to the front of its flow, and
-    /// requeues the jobs whose place has changed.
+    /// Moves the oldest job of each flow that has not started, if it has waited long enough, to the
+    /// front of its flow, and requeues the jobs whose place has changed.
     pub(super) fn reserve_for_oldest(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
         let min_wait_ms = self.config.tuning.admission.turn_s * 1000.0;
--- a/crates/cherryyard-core/src/owner/hand_over.rs
+++ b/crates/cherryyard-core/src/owner/hand_over.rs
@@ -16,10 +16,11 @@
 const MAX_HAND_OVER_WAIT_MS: f64 = 1500.0;
 
 impl Controller {
-    /// Returns whether a service's task should not start on `host`, the best machine with free
-    /// capacity, because that would have to fetch the image first: either less important tasks are
-    /// being stopped on a machine that holds the image, or the job is offered to another shard.
-    pub(super) fn is_better_elsewhere(
+    /// Seeks a better machine for a service's task than `host`, the best one with free capacity, if
+    /// `host` would have to fetch the image first: preempts less important tasks on a machine that
+    /// holds the image, or offers the job to another shard. Returns whether the task should
+    /// therefore not start on `host`.
+    pub(super) fn prefer_elsewhere(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -58,12 +58,12 @@
         // A new owner first waits for reports of all machines: a record of the few that have
         // reported would drop the images of the others.
         let shard = &mut self.shards[shard_id];
-        if now - shard.images_recorded_at < IMAGES_RECORD_INTERVAL_MS
+        if now - shard.images_checked_at < IMAGES_RECORD_INTERVAL_MS
             || now - shard.lease.token_since() < IMAGES_RECORD_INTERVAL_MS
         {
             return None;
         }
-        shard.images_recorded_at = now;
+        shard.images_checked_at = now;
         let record = self.images_record(shard_id);
         let value = Json::of(&record);
         if record == self.mirror.images[shard_id].record
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -79,11 +79,12 @@
             let all = self.mirror.tasks.pages[shard_id].iter();
             all.filter(|other| *other.0 != number).map(|other| other.1)
         };
-        for (job, mine) in &mut page.jobs {
+        for (job, job_tasks) in &mut page.jobs {
             for copy in others().filter_map(|other| other.jobs.get(job)) {
-                mine.assignments
+                job_tasks
+                    .assignments
                     .retain(|number, assignment| copy.assignments.get(number) != Some(assignment));
-                mine.done = mine.done.minus(&copy.done);
+                job_tasks.done = job_tasks.done.minus(&copy.done);
             }
         }
         page.jobs.retain(|_, job_tasks| {
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -344,7 +344,7 @@
             let host = placement.capacities[capacity].0;
             if candidate.is_service
                 && reserved_host.is_none()
-                && self.is_better_elsewhere(placement, candidate, number, host, cycle)
+                && self.prefer_elsewhere(placement, candidate, number, host, cycle)
             {
                 continue;
             }
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -10,7 +10,7 @@
 pub(crate) struct UnmetNeeds(Vec<Needs>);
 
 impl UnmetNeeds {
-    /// Returns whether no machine is known to have capacity for an amount.
+    /// Returns whether an earlier search has shown that no machine has capacity for an amount.
     pub(crate) fn is_unmet(&self, needs: &Needs) -> bool {
         self.0.iter().any(|unmet| unmet.fits(needs))
     }
@@ -31,8 +31,8 @@
     last: Place,
 }
 
-/// Number of each flow's jobs that a scheduling cycle has inspected in vain. A flow with too many
-/// of them is closed: only a few more of its jobs are inspected in the cycle.
+/// Limit on the jobs of each flow that a scheduling cycle inspects in vain. A flow that reaches it
+/// is closed: only a few more of its jobs are inspected in the cycle.
 #[derive(Debug, Default)]
 pub(crate) struct SearchBudget {
     /// Number of consecutive jobs without a placed task, by flow.
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -15,7 +15,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Preempted {
     pub(crate) attempt: u64,
+    /// Waiting task in whose favour this one is stopped.
     pub(crate) for_task: Task,
+    /// Time at which the preemption expires.
     pub(crate) until: Millis,
 }
 
@@ -36,8 +38,11 @@
 /// Follow-up work of a scheduling cycle once its transaction is durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingCycle {
+    /// Machines whose assignments the cycle changes.
     pub(crate) hosts: BTreeSet<u32>,
+    /// Job and machine of each failed task.
     pub(crate) failed: Vec<(u64, u32)>,
+    /// Job and machine of each completed task.
     pub(crate) done: Vec<(u64, u32)>,
 }
 
@@ -45,28 +50,36 @@
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub(crate) lease: ShardLease,
+    /// Whether changes since the last planned scheduling cycle call for another one.
     pub(crate) dirty: bool,
     /// Machines that the next scheduling cycle inspects.
     pub(crate) touched: BTreeSet<u32>,
     /// Time of the last scheduling cycle that inspected all machines.
     pub(crate) inspected_at: Millis,
+    /// Time of the last search for pages to compact.
     pub(crate) compacted_at: Millis,
-    /// Times of the last planned scheduling cycle and of the last timed maintenance.
+    /// Time at which the last scheduling cycle was planned.
     pub(crate) planned_at: Millis,
+    /// Time of the last timed maintenance.
     pub(crate) maintained_at: Millis,
+    /// Time of the last scan of all assignments for silent machines.
     pub(crate) silence_scanned_at: Millis,
     /// Time of the last placement, and the newest revisions of the state known then.
     pub(crate) placed_at: Millis,
     pub(crate) placed_at_revisions: (u64, u64),
     /// Budget of the changes that the shard's scheduling cycles may write.
     pub(crate) budget: TokenBucket,
+    /// Scheduling cycle whose transaction is in flight.
     pub(crate) pending: Option<PendingCycle>,
+    /// Time before which no scheduling cycle is planned.
     pub(crate) retry_after: Millis,
+    /// Tasks that are being stopped in favour of others.
     pub(crate) preempted: HashMap<Task, Preempted>,
     /// Machines reserved for a task for which others were preempted.
     pub(crate) reserved: BTreeMap<u32, Reservation>,
     /// Machines kept for the oldest jobs that have not started, by flow.
     pub(crate) kept_machines: BTreeMap<Flow, KeptMachine>,
+    /// Failures of jobs in this shard, by job.
     pub(crate) job_failures: HashMap<u64, JobFailures>,
     /// Services that are held back for a short time so that the leader can move them to another
     /// shard.
@@ -78,7 +91,9 @@
     pub(crate) unusable_remainders: HashMap<usize, Millis>,
     /// Remainders of teams' grants that are kept for the oldest waiting jobs.
     pub(crate) kept_remainders: KeptRemainders,
-    pub(crate) images_recorded_at: Millis,
+    /// Time at which the record of the shard's images was last due.
+    pub(crate) images_checked_at: Millis,
+    /// Revision that the mirror must reach before the next scheduling cycle is planned.
     pub(crate) wait_revision: u64,
     /// Number of each job's tasks that completed in this shard, and the sum of their run times.
     pub(crate) completed_runs: HashMap<u64, (u32, Millis)>,
@@ -110,7 +125,7 @@
             queues: Queues::default(),
             unusable_remainders: HashMap::new(),
             kept_remainders: KeptRemainders::default(),
-            images_recorded_at: now,
+            images_checked_at: now,
             wait_revision: 0,
             completed_runs: HashMap::new(),
             account: Account::default(),
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -55,9 +55,9 @@
 
 impl Controller {
     /// Releases silent machines with tasks of services at once: if such a machine is dead, the
-    /// answer proves the tasks gone well before the lease would. Arrays wait for the end of the
-    /// lease, because their machine may come back with its work. If many machines are silent, none
-    /// is released.
+    /// answer proves the tasks gone well before the lease would. Machines that run only arrays wait
+    /// for the end of the lease, because they may come back with their work. If many machines are
+    /// silent, none is released.
     pub(crate) fn release_silent(&mut self, shard_id: usize, now: Millis) {
         let limit = self.config.report_ms * OVERDUE_HEARTBEATS + SILENT_MS;
         // A release costs a machine that merely hangs the rest of its lease. This is worthwhile
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -71,11 +71,11 @@
     /// controller must not answer them.
     fn answering_token(&self, shard_id: usize, now: Millis) -> Option<u64> {
         let token = self.shards[shard_id].lease.held_token()?;
-        // A cancellation that this controller cannot read must still take effect in time, so while
-        // it has not read the state service for too long it stops answering and lets the workers'
-        // leases expire. In an outage of the state service for every controller no new cancellation
-        // can be accepted; those accepted before the last controller lost contact have been
-        // announced by the controllers that accepted them.
+        // A cancellation that this controller cannot read must still take effect in time, so after
+        // too long without a read of the state service it stops answering and lets the workers'
+        // leases expire. If no controller can reach the state service, no new cancellation can be
+        // accepted; those accepted before the last controller lost contact have been announced by
+        // the controllers that accepted them.
         let bound = self.config.cut_off_bound_ms();
         let outage = || self.all_cut_off(now) && self.knows_cancellations();
         (self.state_contact.read_age(now) <= bound || outage()).then_some(token)
@@ -123,8 +123,9 @@
         let state_is_outdated =
             self.state_contact.read_age(now) > self.config.cut_off_bound_ms() / 2.0;
         if state_is_outdated && self.may_start_cancelled_task(machine) {
-            // During an outage of the state service no controller can acquire the newer token that
-            // would invalidate the pending start, so the machine's incarnation has to end instead.
+            // While the state service does not answer, no controller can acquire the newer token
+            // that would invalidate the pending start, so the machine's incarnation has to end
+            // instead.
             return None;
         }
         Some(host)
