--- a/crates/cherryyard-core/src/owner/hand_over.rs
+++ b/crates/cherryyard-core/src/owner/hand_over.rs
@@ -1,5 +1,5 @@
-//! Services that had better not start where they are: less important work is stopped where
-//! their image is, or the leader moves them to a shard that holds it.
+//! Services whose image would have to be fetched: less important tasks are stopped on machines that
+//! hold the image, or the leader moves the service to a shard that does.
 
 use super::cycle::Cycle;
 use super::placement::{Candidate, Placement};
@@ -7,17 +7,20 @@
 use super::preemptible::EvictionScope;
 use crate::controller::Controller;
 
-/// A fetch of an image for which other work makes way elsewhere, in seconds.
-const PREEMPT_FETCH_S: f64 = 1.5;
-/// A fetch of an image for which a service is handed over to another shard, in seconds.
-const HAND_OVER_FETCH_S: f64 = 4.0;
-/// Longest that a service is kept back for another shard.
-const HAND_OVER_MS: f64 = 1500.0;
+/// Fetch time of an image above which a service's task preempts others on a machine that holds the
+/// image, in seconds.
+const MIN_FETCH_TO_PREEMPT_S: f64 = 1.5;
+/// Fetch time of an image above which a service is handed over to another shard, in seconds.
+const MIN_FETCH_TO_HAND_OVER_S: f64 = 4.0;
+/// Maximum time for which a service is held back so that the leader can move it.
+const MAX_HAND_OVER_WAIT_MS: f64 = 1500.0;
 
 impl Controller {
-    /// Whether a service's task that would have to fetch its image on the best machine is not
-    /// started there: arrays make way where the image is, or another shard gets it.
-    pub(super) fn better_elsewhere(
+    /// Seeks a better machine for a service's task than `host`, the best one with free capacity, if
+    /// `host` would have to fetch the image first: preempts less important tasks on a machine that
+    /// holds the image, or offers the job to another shard. Returns whether the task should
+    /// therefore not start on `host`.
+    pub(super) fn prefer_elsewhere(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
@@ -28,9 +31,9 @@
         let (shard_id, job, now) = (placement.shard_id, candidate.job, placement.now);
         let open = &self.mirror.open[&job];
         let fetch_s = self.fetch_s(open, host);
-        if fetch_s > PREEMPT_FETCH_S && placement.preemption.is_possible_for(open) {
-            // Where the image is, the task runs at once; the arrays there can make
-            // way more easily than it can wait.
+        if fetch_s > MIN_FETCH_TO_PREEMPT_S && placement.preemption.is_possible_for(open) {
+            // On a machine that holds the image the task runs at once. Less important tasks there
+            // can be stopped more easily than the service can wait.
             let request = PreemptionRequest {
                 shard_id,
                 job,
@@ -42,9 +45,9 @@
             }
         }
         let open = &self.mirror.open[&job];
-        let waited_ms = now - candidate.since.unwrap_or(now);
-        let hand_over = fetch_s > HAND_OVER_FETCH_S
-            && waited_ms < HAND_OVER_MS
+        let waited_ms = now - candidate.waiting_since.unwrap_or(now);
+        let hand_over = fetch_s > MIN_FETCH_TO_HAND_OVER_S
+            && waited_ms < MAX_HAND_OVER_WAIT_MS
             && self.held_elsewhere(shard_id, open, now) >= 1.0;
         if hand_over {
             placement.handed_over.insert(job);
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: one scheduling cycle assigns waiting tasks to machines, in the order of service.
+//! Placement: the part of a scheduling cycle that assigns waiting tasks to machines, in the order
+//! of service.
 
 use super::cycle::Cycle;
 use super::failure_attribution::JobFailures;
@@ -6,7 +7,7 @@
 use super::preempt::PreemptionRequest;
 use super::preemptible::{EvictionScope, Preemption};
 use super::search::{SearchBudget, UnmetNeeds};
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::admission::flows::Flow;
 use crate::admission::queue::Queues;
@@ -20,40 +21,42 @@
 use cherryyard_wire::job::Shape;
 use std::collections::{BTreeSet, HashMap};
 
-/// Tasks that one scheduling cycle places.
+/// Maximum number of tasks that one scheduling cycle places.
 const MAX_PLACED: usize = 300;
-/// Tasks of a job that may find no room before the rest of it is passed over.
+/// Number of a job's tasks without a suitable machine after which the rest of the job is skipped.
 const MAX_UNPLACED: usize = 8;
-/// Tasks of a job for which preemption is tried where no machine has room for any of them.
-const PREEMPTED_FOR: usize = 4;
+/// Number of a job's tasks for which preemption is tried if no machine has capacity for any of
+/// them.
+const MAX_TASKS_TO_PREEMPT_FOR: usize = 4;
 
-/// What a scheduling cycle's placement goes by, and what it has come to.
+/// State of the placement in one scheduling cycle.
 pub(super) struct Placement {
     pub(super) shard_id: usize,
     pub(super) now: Millis,
-    /// Free capacity by machine, as it is used up.
+    /// Remaining free capacity by machine.
     pub(super) capacities: Vec<(u32, Needs)>,
-    /// What each team uses in the shard.
+    /// Capacity that each team uses in the shard.
     pub(super) used: Vec<Needs>,
     pub(super) preemption: Preemption,
     unmet_needs: UnmetNeeds,
-    /// Services that another shard should get.
+    /// Services that are held back for another shard.
     pub(super) handed_over: BTreeSet<u64>,
-    /// How many tasks have been placed.
+    /// Number of tasks placed so far.
     placed: usize,
-    /// Cores that flows may start ahead of rank.
+    /// Cores that flows may still start ahead of other flows, regardless of rank.
     ahead_cores: HashMap<Flow, f64>,
     search_budget: SearchBudget,
-    /// Cores started, by flow.
+    /// Cores started in this cycle, by flow.
     started_cores: HashMap<Flow, f64>,
-    /// Teams whose rest of the limit here is kept for a job.
-    pub(super) limit_kept_for: HashMap<usize, u64>,
-    /// Of jobs that were put back, up to which number placement has gone.
+    /// Jobs for which the remainders of teams' grants in this shard are kept, by team.
+    pub(super) remainder_kept_for: HashMap<usize, u64>,
+    /// Number of the last task tried of each job that was put back into the order of service.
     last_tried: HashMap<u64, u32>,
 }
 
 impl Placement {
-    /// Whether a flow goes ahead of rank, and what is left of that is too little.
+    /// Returns whether a flow has an allowance to start ahead of others regardless of rank, but too
+    /// little of it is left for a task. The flow then loses the rest of the allowance.
     fn is_beyond_allowance(&mut self, flow: Flow, needs: &Needs) -> bool {
         let left = self.ahead_cores.get(&flow);
         let is_beyond = left.is_some_and(|left| *left < needs.cores);
@@ -63,8 +66,8 @@
         is_beyond
     }
 
-    /// Takes cores from what a flow may start ahead of rank; whether too little is left
-    /// for as much again.
+    /// Takes cores from a flow's allowance to start ahead of others. Returns whether the rest is
+    /// too small for another task of the same size; the flow then loses it.
     fn use_allowance(&mut self, flow: Flow, cores: f64) -> bool {
         let Some(left) = self.ahead_cores.get_mut(&flow) else {
             return false;
@@ -77,42 +80,43 @@
         is_used_up
     }
 
-    /// Whether no machine has room for so much, as there is then none for the next task.
-    fn is_hopeless(&mut self, needs: &Needs) -> bool {
-        let is_hopeless = !self.capacities.iter().any(|(_, free)| needs.fits(free));
-        if is_hopeless {
-            self.unmet_needs.none_fits(*needs);
+    /// Returns whether no machine has enough free capacity, and records that, so that no machine is
+    /// sought for the next task of this size or larger.
+    fn fits_nowhere(&mut self, needs: &Needs) -> bool {
+        let fits_nowhere = !self.capacities.iter().any(|(_, free)| needs.fits(free));
+        if fits_nowhere {
+            self.unmet_needs.add(*needs);
         }
-        is_hopeless
+        fits_nowhere
     }
 }
 
-/// A waiting job as a scheduling cycle sees it.
+/// A waiting job in a scheduling cycle.
 pub(super) struct Candidate {
     pub(super) job: u64,
     pub(super) flow: Flow,
     pub(super) team: u32,
-    /// Its team, if that has a limit.
+    /// Team of the job, if it has a limit.
     limited_team: Option<u32>,
     pub(super) needs: Needs,
     is_service: bool,
-    /// Since when it waits here.
-    pub(super) since: Option<Millis>,
+    /// Time since which the job has waited in this shard.
+    pub(super) waiting_since: Option<Millis>,
     waiting: RangeSet,
-    /// Whether it fails wherever it runs.
+    /// Whether the job is quarantined because it fails wherever it runs.
     is_quarantined: bool,
-    /// Machines that it has failed on, while that may tell whose fault it is.
+    /// Machines on which the job has failed, unless it is quarantined.
     failed_on: Option<BTreeSet<u32>>,
 }
 
-/// How placement goes on after a job.
-enum Next {
-    /// With the next job.
-    Job,
-    /// With the next job; this one comes once more, in its own place.
-    JobAgain,
-    /// It has no room for more.
-    Nothing,
+/// Next step after a job has been tried.
+enum NextStep {
+    /// Continue with the next job.
+    NextJob,
+    /// Continue with the next job, and try this one again at its regular place.
+    RetryJob,
+    /// Stop, because the cycle takes no more assignments.
+    Stop,
 }
 
 impl Controller {
@@ -122,10 +126,10 @@
         shard_id: usize,
         now: Millis,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) {
         self.requeue_changed(now);
-        self.requeue_turned(shard_id, now);
+        self.requeue_changed_by_time(shard_id, now);
         self.drop_old_reservations(shard_id, now);
         let shard = &mut self.shards[shard_id];
         if shard.queues.is_empty() {
@@ -135,13 +139,14 @@
         shard.queues.mark_seen();
         self.requeue_late_share(shard_id, now);
         self.reserve_for_oldest(shard_id, now);
-        // Back in its place at the end: nothing in between looks for it there.
+        // The queues are taken out so that `self` can be borrowed meanwhile, and put back at the
+        // end. Nothing in between uses those of the shard.
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
         self.place_queued(shard_id, now, &mut queues, cycle, pending);
         self.shards[shard_id].queues = queues;
     }
 
-    /// Drops what has been preempted long ago, and reservations that no task waits for.
+    /// Drops expired preemptions, and reservations that have expired or whose task no longer waits.
     fn drop_old_reservations(&mut self, shard_id: usize, now: Millis) {
         let shard = &mut self.shards[shard_id];
         shard.preempted.retain(|_, stopped| stopped.until > now);
@@ -159,48 +164,49 @@
         now: Millis,
         queues: &mut Queues,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) {
         let mut placement = self.begin_placement(shard_id, cycle, now);
         let mut service_order = queues.service_order();
         for &flow in placement.ahead_cores.keys() {
             service_order.ahead(flow, true);
         }
-        while let Some((flow, at)) = service_order.step() {
+        while let Some((flow, place)) = service_order.step() {
             self.inspected_jobs += 1;
-            // Counted as stuck until one of its tasks is placed.
-            if placement.search_budget.look(flow, at) {
+            // The job counts as stuck until one of its tasks is placed.
+            if placement.search_budget.count_inspected(flow, place) {
                 service_order.close(flow);
             }
-            let Some(needs) = self.needs_of_waiting(shard_id, at.job) else {
+            let Some(needs) = self.needs_of_waiting_job(shard_id, place.job) else {
                 continue;
             };
             if placement.is_beyond_allowance(flow, &needs) {
-                // Not all of it goes ahead now; what is next in its own place may.
+                // The allowance is too small for a task of this job, so the rest of the flow goes
+                // on at its regular place.
                 service_order.ahead(flow, false);
-                service_order.back(flow, at);
+                service_order.back(flow, place);
                 continue;
             }
-            let Some(candidate) = self.candidate(&placement, flow, at.job, queues, cycle) else {
+            let Some(candidate) = self.candidate(&placement, flow, place.job, queues, cycle) else {
                 continue;
             };
             if !self.may_start(&mut placement, &candidate, queues) {
                 continue;
             }
             match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
-                Next::Job => {}
-                Next::JobAgain => {
+                NextStep::NextJob => {}
+                NextStep::RetryJob => {
                     service_order.ahead(flow, false);
-                    service_order.back(flow, at);
+                    service_order.back(flow, place);
                 }
-                Next::Nothing => break,
+                NextStep::Stop => break,
             }
         }
         self.end_placement(placement, queues);
     }
 
     fn begin_placement(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Placement {
-        let allowances = self.allowances(shard_id, &cycle.gone, now);
+        let allowances = self.allowances(shard_id, &cycle.withdrawn, now);
         let mut ahead_cores = allowances.start;
         ahead_cores.retain(|_, cores| *cores > 0.0);
         Placement {
@@ -215,12 +221,12 @@
             ahead_cores,
             search_budget: SearchBudget::default(),
             started_cores: HashMap::new(),
-            limit_kept_for: HashMap::new(),
+            remainder_kept_for: HashMap::new(),
             last_tried: HashMap::new(),
         }
     }
 
-    /// Free capacity of a shard's usable machines, in the machines' order.
+    /// Returns the free capacity of a shard's usable machines, in the order of the machines.
     fn free_capacities(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Vec<(u32, Needs)> {
         let silence = self.silence_ms();
         let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
@@ -229,11 +235,11 @@
         usable_machines.filter_map(free).collect()
     }
 
-    /// What each team uses in a shard, less what the cycle proves gone: that makes room
-    /// under the limit too.
+    /// Returns what each team uses in a shard, without the tasks that the cycle withdraws, since
+    /// their capacity counts as free under the team's limit too.
     fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Needs> {
         let mut used = self.mirror.usage(shard_id);
-        for task in &cycle.gone {
+        for task in &cycle.withdrawn {
             if let Some((team, needs)) = self.mirror.uses(task.0)
                 && let Some(used) = used.get_mut(team as usize)
             {
@@ -243,13 +249,15 @@
         used
     }
 
-    /// What a task of a job takes that waits in the shard.
-    fn needs_of_waiting(&self, shard_id: usize, job: u64) -> Option<Needs> {
+    /// Returns the capacity that a task of a job needs, or `None` if the job does not wait in the
+    /// shard.
+    fn needs_of_waiting_job(&self, shard_id: usize, job: u64) -> Option<Needs> {
         self.mirror.waiting(shard_id, job)?;
         self.mirror.open.get(&job).map(OpenJob::needs)
     }
 
-    /// A waiting job as this cycle sees it; none if nothing of it may be tried now.
+    /// Returns a waiting job with its state for this cycle, or `None` if none of its tasks may be
+    /// tried now.
     fn candidate(
         &self,
         placement: &Placement,
@@ -281,7 +289,7 @@
             limited_team: is_limited.then_some(team),
             needs: open.needs(),
             is_service: open.spec.shape == Shape::Service,
-            since: queues.since(job),
+            waiting_since: queues.since(job),
             waiting,
             is_quarantined,
             failed_on: failures
@@ -290,45 +298,45 @@
         })
     }
 
-    /// Whether tasks of a job are assigned in a shard that the cycle does not prove gone: of a
-    /// job that fails everywhere one at a time is tried.
+    /// Returns whether a job has assignments in a shard that the cycle does not withdraw. Tasks of
+    /// a quarantined job are tried one at a time.
     fn has_assigned_tasks(&self, shard_id: usize, job: u64, cycle: &Cycle) -> bool {
-        let here = self.mirror.tasks.assignments.get(&(shard_id, job));
-        here.is_some_and(|here| here.assignments.len() > cycle.gone_of(job))
+        let job_tasks = self.mirror.tasks.assignments.get(&(shard_id, job));
+        job_tasks.is_some_and(|job_tasks| job_tasks.assignments.len() > cycle.withdrawn_of(job))
     }
 
-    /// Places what waits of a job, as far as there is room.
+    /// Places the waiting tasks of a job as far as there is capacity.
     fn place_job(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
         queues: &Queues,
         cycle: &mut Cycle,
-        pending: &mut Pending,
-    ) -> Next {
+        pending: &mut PendingCycle,
+    ) -> NextStep {
         let (shard_id, job, needs) = (placement.shard_id, candidate.job, &candidate.needs);
         let waiting = &candidate.waiting;
         let mut zones = self.zone_counts(shard_id, job, cycle);
         let mut unplaced = Vec::new();
         for number in waiting.iter() {
             if placement.placed >= MAX_PLACED {
-                return Next::Nothing;
+                return NextStep::Stop;
             }
             if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
-                return Next::Job;
+                return NextStep::NextJob;
             }
-            if placement.unmet_needs.too_large(needs) {
+            if placement.unmet_needs.is_unmet(needs) {
                 let rest = waiting.iter().filter(|n| *n >= number);
-                unplaced.extend(rest.take(PREEMPTED_FOR));
+                unplaced.extend(rest.take(MAX_TASKS_TO_PREEMPT_FOR));
                 break;
             }
             let reserved_host = self.reserved_host(shard_id, (job, number));
             let request = self.fit_request(placement, candidate, number, reserved_host, &zones);
             let Some(capacity) = self.best_fit(&request, &placement.capacities) else {
                 unplaced.push(number);
-                if placement.is_hopeless(needs) || unplaced.len() >= MAX_UNPLACED {
+                if placement.fits_nowhere(needs) || unplaced.len() >= MAX_UNPLACED {
                     let rest = waiting.iter().filter(|n| *n > number);
-                    unplaced.extend(rest.take(PREEMPTED_FOR - 1));
+                    unplaced.extend(rest.take(MAX_TASKS_TO_PREEMPT_FOR - 1));
                     break;
                 }
                 continue;
@@ -336,28 +344,28 @@
             let host = placement.capacities[capacity].0;
             if candidate.is_service
                 && reserved_host.is_none()
-                && self.better_elsewhere(placement, candidate, number, host, cycle)
+                && self.prefer_elsewhere(placement, candidate, number, host, cycle)
             {
                 continue;
             }
             let zone = self.machines[&host].zone.clone();
             *zones.entry(zone).or_default() += 1;
             if !self.assign(placement, candidate, number, capacity, cycle, pending) {
-                return Next::Nothing;
+                return NextStep::Stop;
             }
             if placement.use_allowance(candidate.flow, needs.cores) {
                 placement.last_tried.insert(job, number);
-                return Next::JobAgain;
+                return NextStep::RetryJob;
             }
             if candidate.is_quarantined {
-                return Next::Job;
+                return NextStep::NextJob;
             }
         }
-        self.make_room(placement, candidate, &unplaced, queues, &zones, cycle);
-        Next::Job
+        self.free_capacity_for(placement, candidate, &unplaced, queues, &zones, cycle);
+        NextStep::NextJob
     }
 
-    /// The machine that is reserved for a task, because others were stopped there for it.
+    /// Returns the machine that is reserved for a task because others were preempted there for it.
     fn reserved_host(&self, shard_id: usize, task: Task) -> Option<u32> {
         let mut reserved = self.shards[shard_id].reserved.iter();
         reserved
@@ -365,7 +373,7 @@
             .map(|(host, _)| *host)
     }
 
-    /// What is sought for a task of a candidate.
+    /// Returns the search criteria for a task of a candidate.
     fn fit_request<'a>(
         &'a self,
         placement: &Placement,
@@ -385,7 +393,8 @@
         }
     }
 
-    /// Assigns a task to a machine; false if the scheduling cycle has no room for more.
+    /// Assigns a task to a machine; returns false if the scheduling cycle takes no more
+    /// assignments.
     fn assign(
         &mut self,
         placement: &mut Placement,
@@ -393,15 +402,15 @@
         number: u32,
         capacity: usize,
         cycle: &mut Cycle,
-        pending: &mut Pending,
+        pending: &mut PendingCycle,
     ) -> bool {
         let (host, free) = &mut placement.capacities[capacity];
         let host = *host;
         let assignment = Assignment {
             host,
             incarnation: self.machines[&host].newest.0,
-            // Above every attempt before: each of those was at most the revision of its
-            // own assignment, which has been seen since.
+            // Higher than every earlier attempt: each of those was at most the revision of its own
+            // assignment, and that revision has been seen since.
             attempt: self
                 .mirror
                 .store_revision
@@ -419,7 +428,7 @@
         free.take(&candidate.needs);
         placement.used[candidate.team as usize].give(&candidate.needs);
         placement.placed += 1;
-        placement.search_budget.found(candidate.flow);
+        placement.search_budget.note_placed(candidate.flow);
         let started = placement.started_cores.entry(candidate.flow);
         *started.or_insert(0.0) += candidate.needs.cores;
         pending.hosts.insert(host);
@@ -429,15 +438,15 @@
     fn log_service_placed(&self, candidate: &Candidate, host: u32, now: Millis) {
         let job = candidate.job;
         let open = &self.mirror.open[&job];
-        let waited = candidate.since.map(|at| now - at);
+        let waited = candidate.waiting_since.map(|at| now - at);
         let age = now + self.wall_offset - open.submitted_at as f64;
         let fetch_s = self.fetch_s(open, host);
         tracing::debug!(job, host, fetch_s, ?waited, age, "service task placed");
     }
 
-    /// Makes room for what has found none: a machine is kept for the oldest job of its flow,
-    /// less important work is stopped.
-    fn make_room(
+    /// Frees capacity for tasks that no machine could take: keeps a machine for the oldest job of
+    /// its flow, and preempts less important tasks.
+    fn free_capacity_for(
         &mut self,
         placement: &mut Placement,
         candidate: &Candidate,
@@ -469,7 +478,7 @@
         for (flow, cores) in placement.started_cores {
             queues.started(flow, cores);
         }
-        for (flow, others, last) in placement.search_budget.others() {
+        for (flow, others, last) in placement.search_budget.closed_flows() {
             queues.inspected_at(flow, others, last);
         }
         let handed_over = placement.handed_over;
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,7 +1,7 @@
-//! What an owner remembers of a shard.
+//! In-memory state of an owner for each shard.
 
 use super::failure_attribution::JobFailures;
-use super::kept_rests::KeptRests;
+use super::kept_rests::KeptRemainders;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
@@ -11,15 +11,17 @@
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A task that is being stopped to make room for another.
+/// A task that is being stopped in favour of another.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Preempted {
     pub(crate) attempt: u64,
+    /// Waiting task in whose favour this one is stopped.
     pub(crate) for_task: Task,
+    /// Time at which the preemption expires.
     pub(crate) until: Millis,
 }
 
-/// A machine kept for a task that others were stopped for.
+/// A machine reserved for a task for which others were preempted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) for_task: Task,
@@ -33,55 +35,69 @@
     pub(crate) host: u32,
 }
 
-/// What a scheduling cycle will do once its transaction is durable.
+/// Follow-up work of a scheduling cycle once its transaction is durable.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Pending {
+pub(crate) struct PendingCycle {
+    /// Machines whose assignments the cycle changes.
     pub(crate) hosts: BTreeSet<u32>,
+    /// Job and machine of each failed task.
     pub(crate) failed: Vec<(u64, u32)>,
+    /// Job and machine of each completed task.
     pub(crate) done: Vec<(u64, u32)>,
 }
 
-/// One shard, as this controller sees it.
+/// State of one shard in this controller.
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub(crate) lease: ShardLease,
+    /// Whether changes since the last planned scheduling cycle call for another one.
     pub(crate) dirty: bool,
-    /// Machines that the next scheduling cycle looks at.
+    /// Machines that the next scheduling cycle inspects.
     pub(crate) touched: BTreeSet<u32>,
-    /// When a scheduling cycle last looked at all of them.
+    /// Time of the last scheduling cycle that inspected all machines.
     pub(crate) inspected_at: Millis,
+    /// Time of the last search for pages to compact.
     pub(crate) compacted_at: Millis,
-    /// When the last scheduling cycle was planned, and when the last look at leases was.
+    /// Time at which the last scheduling cycle was planned.
     pub(crate) planned_at: Millis,
-    pub(crate) kept_at: Millis,
-    pub(crate) unheard_at: Millis,
-    /// When placement was last tried, and what was known of the state then.
+    /// Time of the last timed maintenance.
+    pub(crate) maintained_at: Millis,
+    /// Time of the last scan of all assignments for silent machines.
+    pub(crate) silence_scanned_at: Millis,
+    /// Time of the last placement, and the newest revisions of the state known then.
     pub(crate) placed_at: Millis,
-    pub(crate) placed_as_of: (u64, u64),
-    /// Changes that the shard's scheduling cycles may write.
+    pub(crate) placed_at_revisions: (u64, u64),
+    /// Budget of the changes that the shard's scheduling cycles may write.
     pub(crate) budget: TokenBucket,
-    pub(crate) pending: Option<Pending>,
+    /// Scheduling cycle whose transaction is in flight.
+    pub(crate) pending: Option<PendingCycle>,
+    /// Time before which no scheduling cycle is planned.
     pub(crate) retry_after: Millis,
+    /// Tasks that are being stopped in favour of others.
     pub(crate) preempted: HashMap<Task, Preempted>,
-    /// Machines kept for a task that others were stopped for.
+    /// Machines reserved for a task for which others were preempted.
     pub(crate) reserved: BTreeMap<u32, Reservation>,
-    /// Machines kept for the oldest jobs that have not begun, by flow.
+    /// Machines kept for the oldest jobs that have not started, by flow.
     pub(crate) kept_machines: BTreeMap<Flow, KeptMachine>,
+    /// Failures of jobs in this shard, by job.
     pub(crate) job_failures: HashMap<u64, JobFailures>,
-    /// Services kept back for a moment, for the leader to move.
+    /// Services that are held back for a short time so that the leader can move them to another
+    /// shard.
     pub(crate) handing: BTreeSet<u64>,
-    /// What waits, in the order of service.
+    /// Waiting jobs in the order of service.
     pub(crate) queues: Queues,
-    /// Teams with waiting tasks here of which none can use what is left of the grant, and
-    /// since when.
-    pub(crate) stuck_grants: HashMap<usize, Millis>,
-    /// Teams whose rest of the limit is kept for a job whose turn it is.
-    pub(crate) kept_rests: KeptRests,
-    pub(crate) images_at: Millis,
+    /// Teams with waiting tasks of which none fits into the remainder of the grant, and the time
+    /// since which this is so.
+    pub(crate) unusable_remainders: HashMap<usize, Millis>,
+    /// Remainders of teams' grants that are kept for the oldest waiting jobs.
+    pub(crate) kept_remainders: KeptRemainders,
+    /// Time at which the record of the shard's images was last due.
+    pub(crate) images_checked_at: Millis,
+    /// Revision that the mirror must reach before the next scheduling cycle is planned.
     pub(crate) wait_revision: u64,
-    /// How many tasks of a job completed here, and how long they ran together.
-    pub(crate) ran: HashMap<u64, (u32, Millis)>,
-    /// What the shard's cores did.
+    /// Number of each job's tasks that completed in this shard, and the sum of their run times.
+    pub(crate) completed_runs: HashMap<u64, (u32, Millis)>,
+    /// Account of how the shard's cores were used.
     pub(crate) account: Account,
 }
 
@@ -94,10 +110,10 @@
             inspected_at: f64::NEG_INFINITY,
             compacted_at: now,
             planned_at: f64::NEG_INFINITY,
-            kept_at: f64::NEG_INFINITY,
-            unheard_at: f64::NEG_INFINITY,
+            maintained_at: f64::NEG_INFINITY,
+            silence_scanned_at: f64::NEG_INFINITY,
             placed_at: f64::NEG_INFINITY,
-            placed_as_of: (0, 0),
+            placed_at_revisions: (0, 0),
             budget: TokenBucket::new(writes_per_s, now),
             pending: None,
             retry_after: now,
@@ -107,11 +123,11 @@
             job_failures: HashMap::new(),
             handing: BTreeSet::new(),
             queues: Queues::default(),
-            stuck_grants: HashMap::new(),
-            kept_rests: KeptRests::default(),
-            images_at: now,
+            unusable_remainders: HashMap::new(),
+            kept_remainders: KeptRemainders::default(),
+            images_checked_at: now,
             wait_revision: 0,
-            ran: HashMap::new(),
+            completed_runs: HashMap::new(),
             account: Account::default(),
         }
     }
@@ -125,9 +141,9 @@
         self.handing.clear();
         self.kept_machines.clear();
         self.job_failures.clear();
-        self.stuck_grants.clear();
-        self.kept_rests = KeptRests::default();
-        self.ran.clear();
+        self.unusable_remainders.clear();
+        self.kept_remainders = KeptRemainders::default();
+        self.completed_runs.clear();
         self.account.clear();
     }
 }
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -1,8 +1,8 @@
-//! Teams' limits: a shard starts tasks only within its grants of them, and gives back what it
-//! does not need.
+//! Team limits: a shard starts tasks only within its grants of the teams' limits, and returns the
+//! parts of the grants that it does not need.
 
 use super::placement::{Candidate, Placement};
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::admission::queue::Queues;
 use crate::controller::Controller;
@@ -14,16 +14,18 @@
 use cherryyard_wire::record::{self, Grant};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// For how long a shard keeps the rest of a grant that none of its waiting tasks can use.
-const STUCK_GRANT_MS: f64 = 2000.0;
-/// Differences of cores and accelerators below this are rounding.
+/// Time for which a shard keeps the remainder of a grant that none of its waiting tasks fits into.
+const UNUSABLE_REMAINDER_MS: f64 = 2000.0;
+/// Tolerance for rounding in comparisons of cores and accelerators.
 const ROUNDING: f64 = 1e-6;
-/// Conditions that giving a grant back may need: the grant, the last page and the one after it.
+/// Maximum number of conditions for lowering a grant: the grant, the last page and the one after
+/// it.
 const CONDITIONS_OF_GRANT: usize = 3;
 
 impl Controller {
-    /// Whether the team's limit lets a task of the job start. The oldest job of its flow that
-    /// has not begun keeps what is left of the limit here.
+    /// Returns whether the team's limit permits starting a task of the job. If it does not and the
+    /// job is the oldest of its flow that has not started, the remainder of the grant in this shard
+    /// is kept for that job.
     pub(super) fn may_start(
         &mut self,
         placement: &mut Placement,
@@ -31,7 +33,7 @@
         queues: &Queues,
     ) -> bool {
         let (job, team) = (candidate.job, candidate.team as usize);
-        let kept_for = placement.limit_kept_for.get(&team);
+        let kept_for = placement.remainder_kept_for.get(&team);
         if kept_for.is_some_and(|other| *other != job) {
             return false;
         }
@@ -39,26 +41,28 @@
         if !self.beyond_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
             return true;
         }
-        // Smaller tasks would take what comes free, each before it is enough.
+        // Otherwise smaller tasks would take each released part of the grant before it adds up to
+        // enough for this job.
         if queues.turn(candidate.flow) == Some(job)
-            && !self.begun(job)
+            && !self.has_started(job)
             && self.fits_beside_services(shard_id, candidate)
             && self.shards[shard_id]
-                .kept_rests
+                .kept_remainders
                 .keep(team, job, placement.now)
         {
-            placement.limit_kept_for.insert(team, job);
+            placement.remainder_kept_for.insert(team, job);
         }
         false
     }
 
-    /// Whether a task would be within its team's limit once the shard's arrays are done.
+    /// Returns whether a task would be within its team's grant once the shard's arrays are done.
     fn fits_beside_services(&self, shard_id: usize, candidate: &Candidate) -> bool {
         let held = self.held_by_services(shard_id);
         !self.beyond_grant(shard_id, candidate.team, &held, &candidate.needs)
     }
 
-    /// What each team's services use of the shard, which does not come free by itself.
+    /// Returns the capacity that each team's services use in the shard, which is not released by
+    /// itself.
     fn held_by_services(&self, shard_id: usize) -> Vec<Needs> {
         let mut held = vec![Needs::default(); self.config.teams.len()];
         let assigned = self
@@ -66,19 +70,19 @@
             .tasks
             .assignments
             .range((shard_id, 0)..=(shard_id, u64::MAX));
-        for (&(_, job), here) in assigned {
+        for (&(_, job), job_tasks) in assigned {
             if let Some(open) = self.mirror.open.get(&job)
                 && open.spec.shape == Shape::Service
                 && let Some(held) = held.get_mut(open.team as usize)
             {
-                (0..here.assignments.len()).for_each(|_| held.give(&open.needs()));
+                (0..job_tasks.assignments.len()).for_each(|_| held.give(&open.needs()));
             }
         }
         held
     }
 
-    /// Whether one more task would take its team beyond what the shard may use of
-    /// its limit, with what each team uses there now.
+    /// Returns whether one more task would exceed the team's grant in the shard, given what each
+    /// team uses there now.
     pub(crate) fn beyond_grant(
         &self,
         shard_id: usize,
@@ -94,7 +98,8 @@
             || limits.acc_max.is_finite() && used.acc + more.acc > grant.acc + ROUNDING
     }
 
-    /// What one more of a team's waiting tasks takes in a shard, at least.
+    /// Returns the smallest amount of each resource that any of a team's waiting tasks in a shard
+    /// needs.
     pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
         let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
@@ -106,21 +111,29 @@
         })
     }
 
-    /// Whether tasks of a team wait in the shard, and what is left of its grant has for some
-    /// time been too little for any of them: shards' rests are of use only together.
-    fn rest_is_stuck(&mut self, shard_id: usize, team: usize, used: &[Needs], now: Millis) -> bool {
+    /// Returns whether tasks of a team wait in the shard while the remainder of its grant has for
+    /// some time been too small for any of them. Such remainders of several shards are only useful
+    /// if they are combined.
+    fn remainder_is_unusable(
+        &mut self,
+        shard_id: usize,
+        team: usize,
+        used: &[Needs],
+        now: Millis,
+    ) -> bool {
         let least = self.least_waiting(shard_id, team);
-        let is_stuck =
+        let is_unusable =
             least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
-        let stuck_since = &mut self.shards[shard_id].stuck_grants;
-        if !is_stuck {
-            stuck_since.remove(&team);
+        let unusable_since = &mut self.shards[shard_id].unusable_remainders;
+        if !is_unusable {
+            unusable_since.remove(&team);
             return false;
         }
-        now - *stuck_since.entry(team).or_insert(now) >= STUCK_GRANT_MS
+        now - *unusable_since.entry(team).or_insert(now) >= UNUSABLE_REMAINDER_MS
     }
 
-    /// Gives back what our shards do not need of teams that are short.
+    /// Lowers the grants of owned shards for teams of which another shard wants more than its
+    /// grant, by the parts that these shards do not need.
     pub(crate) fn lower_grants(&mut self, short_teams: &[String], now: Millis) {
         for shard_id in 0..self.shards.len() {
             let Some(token) = self.owned(shard_id) else {
@@ -131,20 +144,21 @@
             }
             let mut commit = self.lowered_grants(shard_id, token, short_teams, now);
             if !commit.apply.is_empty() {
-                // On no assignment having been made since, as the leader's moves are: where the
-                // answer is lost this may be carried out after later scheduling cycles, which count
-                // on the grant as it was and do not change it.
+                // Requires that no assignment has been made since, as the leader's moves do: if the
+                // answer is lost, this transaction may be applied after later scheduling cycles,
+                // which rely on the old grant and do not change it.
                 self.mirror.require_last_page(&mut commit, shard_id);
-                // In place of a scheduling cycle, so that no assignment is under way meanwhile.
-                self.shards[shard_id].pending = Some(Pending::default());
+                // Takes the place of a scheduling cycle, so that no assignment is in flight at the
+                // same time.
+                self.shards[shard_id].pending = Some(PendingCycle::default());
                 self.effects
                     .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
             }
         }
     }
 
-    /// The transaction that lowers a shard's grants of teams that are short; without changes
-    /// if it needs all that it has.
+    /// Returns the transaction that lowers a shard's grants of the teams in `short_teams`; it has
+    /// no changes if the shard needs all of its grants.
     fn lowered_grants(
         &mut self,
         shard_id: usize,
@@ -166,8 +180,8 @@
                 continue;
             };
             let (grant, revision) = self.mirror.grants[team][shard_id];
-            let is_stuck = self.rest_is_stuck(shard_id, team, &used, now);
-            let kept = if is_stuck {
+            let is_unusable = self.remainder_is_unusable(shard_id, team, &used, now);
+            let kept = if is_unusable {
                 Grant {
                     cores: used[team].cores.min(grant.cores),
                     acc: used[team].acc.min(grant.acc),
@@ -186,16 +200,16 @@
     }
 }
 
-/// What a shard keeps of a grant: what it wants, which is never below what is assigned, and
-/// half of the rest, so that its next job need not wait for the leader.
+/// Returns the part of a grant that a shard keeps: what it wants, which is never below what is
+/// assigned, and half of the rest, so that its next job need not wait for the leader.
 fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
     let (cores, acc) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
     let kept = |have: f64, want: f64| {
-        let half_rest = (have - want) / 2.0;
-        if half_rest < 1.0 {
+        let half_of_remainder = (have - want) / 2.0;
+        if half_of_remainder < 1.0 {
             have.min(want)
         } else {
-            want + half_rest
+            want + half_of_remainder
         }
     };
     Grant {
