--- a/crates/cherryyard-core/src/divide.rs
+++ b/crates/cherryyard-core/src/divide.rs
@@ -1,15 +1,15 @@
-//! DynamicWeighted division of a job's tasks among the shards.
+//! Division of a job's tasks among the shards by dynamic weights (DynamicWeighted).
 
-/// What exact shares may differ from whole numbers by rounding.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors in exact shares.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Divides `tasks` by `weights`; the shares add up to `tasks`.
+/// Divides `tasks` in proportion to `weights`. The shares add up to `tasks`, except that all are 0
+/// if all weights are 0.
 ///
-/// Shares are rounded down, and what is left goes to the shards that lost a
-/// fraction, larger weights first, as in the paper's StaticWeighted example
-/// (10 by 1:2:3 is 1, 4, 5). Then a share below 1 becomes 1 where the weight
-/// is above 0, taken from the largest share, as long as that leaves it 1.
-/// All weights 0: nothing is given out.
+/// Shares are rounded down, and the remaining tasks go to the shards that lost a fraction, larger
+/// weights first, as in the paper's StaticWeighted example (10 by 1:2:3 is 1, 4, 5). Then each
+/// share of 0 whose weight is above 0 is raised to 1, taken from the largest share as long as that
+/// keeps at least 1.
 pub fn divide(tasks: u32, weights: &[f64]) -> Vec<u32> {
     let total: f64 = weights.iter().sum();
     let mut shares = vec![0u32; weights.len()];
@@ -22,8 +22,8 @@
     let mut lost_fraction = vec![false; weights.len()];
     for &i in &largest_first {
         let exact = f64::from(tasks) * weights[i] / total;
-        shares[i] = ((exact + ROUNDING).floor() as u32).min(remaining);
-        lost_fraction[i] = exact - f64::from(shares[i]) > ROUNDING;
+        shares[i] = ((exact + ROUNDING_TOLERANCE).floor() as u32).min(remaining);
+        lost_fraction[i] = exact - f64::from(shares[i]) > ROUNDING_TOLERANCE;
         remaining -= shares[i];
     }
     for only_fractions in [true, false] {
@@ -41,8 +41,7 @@
     shares
 }
 
-/// Raises shares below 1 to 1, each taken from the largest share as long as that is above
-/// 1.
+/// Raises shares of 0 to 1, each taken from the largest share as long as that is above 1.
 fn raise_to_one(shares: &mut [u32], largest_first: &[usize]) {
     for &i in largest_first {
         if shares[i] == 0
--- a/crates/cherryyard-core/src/divide/tests.rs
+++ b/crates/cherryyard-core/src/divide/tests.rs
@@ -1,6 +1,6 @@
 use super::divide;
 
-/// The paper's examples, and the edges of the rounding rule.
+/// Checks the paper's examples, and the edge cases of the rounding rule.
 #[test]
 fn paper_examples_and_rounding() {
     assert_eq!(
@@ -26,37 +26,41 @@
     assert_eq!(
         divide(10, &[98.0, 1.0, 1.0]),
         [8, 1, 1],
-        "below 1 becomes 1"
+        "shares below 1 become 1"
     );
     assert_eq!(
         divide(10, &[98.0, 2.0, 0.0]),
         [9, 1, 0],
-        "no room, no share"
+        "no share where the weight is 0"
     );
     assert_eq!(
         divide(1, &[3.0, 4.0, 4.0]),
         [0, 1, 0],
-        "one task, the roomiest part"
+        "one task, the largest weight"
     );
     assert_eq!(
         divide(2, &[1.0, 2.0, 3.0]),
         [0, 1, 1],
-        "fewer tasks than parts"
+        "fewer tasks than shards"
     );
-    assert_eq!(divide(5, &[0.0, 0.0]), [0, 0], "no room at all");
+    assert_eq!(divide(5, &[0.0, 0.0]), [0, 0], "all weights are 0");
 }
 
-/// Nothing is lost or made up, whatever the weights.
+/// Guards against lost or additional tasks, whatever the weights are.
 #[test]
 fn shares_add_up() {
-    for n in 0..200u32 {
-        for k in 1..6u32 {
-            let w: Vec<f64> = (0..k)
-                .map(|i| f64::from((n * 7 + i * i * 13) % 11))
+    for tasks in 0..200u32 {
+        for shards in 1..6u32 {
+            let weights: Vec<f64> = (0..shards)
+                .map(|i| f64::from((tasks * 7 + i * i * 13) % 11))
                 .collect();
-            let given: u32 = divide(n, &w).iter().sum();
-            let some = w.iter().any(|&x| x > 0.0);
-            assert_eq!(given, if some { n } else { 0 }, "{n} by {w:?}");
+            let divided: u32 = divide(tasks, &weights).iter().sum();
+            let any_positive = weights.iter().any(|&x| x > 0.0);
+            assert_eq!(
+                divided,
+                if any_positive { tasks } else { 0 },
+                "{tasks} by {weights:?}"
+            );
         }
     }
 }
--- a/crates/cherryyard-core/src/event_loop_lag.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -1,29 +1,29 @@
-//! Event-loop lag: how long what comes to a controller now will wait before it is handled.
+//! Event-loop lag: the time that an incoming event waits before the controller handles it.
 //!
-//! It is measured by a probe, a task that is woken every [`QUEUE_CHECK_MS`] and then waits as
-//! long as the heartbeats and requests that came before it.
+//! The lag is measured by a probe, a task that is scheduled every [`QUEUE_CHECK_MS`] and waits
+//! behind the heartbeats and requests that arrived before it.
 
 use crate::Millis;
 
-/// A longer wait, or gap between two ticks, makes the controller late.
+/// Wait of a probe, or gap between two ticks, beyond which the controller is late.
 const LATE_MS: Millis = 700.0;
 /// Time between two probes.
 pub const QUEUE_CHECK_MS: Millis = 100.0;
 
-/// What is known of a controller's event-loop lag.
+/// Measurements of a controller's event-loop lag.
 #[derive(Clone, Copy, Debug)]
 pub struct EventLoopLag {
-    /// How long the last probe waited.
+    /// Time that the last probe waited.
     last_wait: Millis,
-    /// When the next one becomes due.
+    /// Time at which the next probe becomes due.
     due_at: Millis,
     ticked_at: Millis,
-    /// When the controller was last late.
+    /// Time at which the controller was last late.
     late_at: Millis,
 }
 
 impl EventLoopLag {
-    /// A controller that has just started.
+    /// Creates the measurements of a controller that has just started.
     pub fn new(now: Millis) -> Self {
         Self {
             last_wait: 0.0,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The clock has ticked.
+    /// Records a tick of the controller's timer.
     pub fn ticked(&mut self, now: Millis) {
         if now - self.ticked_at > LATE_MS {
             self.late_at = now;
@@ -41,12 +41,12 @@
         self.ticked_at = now;
     }
 
-    /// The process stood still until now.
+    /// Records that the process was paused until `now`.
     pub fn stood_still(&mut self, now: Millis) {
         self.late_at = now;
     }
 
-    /// A probe that became due at `due` has been run.
+    /// Records that a probe which became due at `due` has been handled.
     pub fn passed(&mut self, due: Millis, now: Millis) {
         self.last_wait = (now - due).max(0.0);
         self.due_at = now + QUEUE_CHECK_MS;
@@ -55,13 +55,14 @@
         }
     }
 
-    /// How long what comes now will about wait.
+    /// Estimates how long an event that arrives now will wait.
     pub fn now(&self, now: Millis) -> Millis {
         self.last_wait.max(now - self.due_at)
     }
 
-    /// For how long nothing has been late: only what was silent for less than
-    /// that may be silent because of this controller itself.
+    /// Returns for how long the controller has not been late, or 0 if it is late now. While the
+    /// controller is late, a peer or worker may seem silent only because its messages have not
+    /// been handled yet.
     pub fn punctual_for(&self, now: Millis) -> Millis {
         if self.now(now) > LATE_MS || now - self.ticked_at > LATE_MS {
             0.0
--- a/crates/cherryyard-core/src/event_loop_lag/tests.rs
+++ b/crates/cherryyard-core/src/event_loop_lag/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
-/// Guards against silence judged by a clock that goes before the queue in
-/// which the reports wait.
+/// Guards against workers that are taken for silent because time passes while their reports wait
+/// in the controller's queue: ticks continue, but no probe is handled.
 #[test]
-fn a_queue_that_stands_is_late_before_it_moves() {
-    let mut l = EventLoopLag::new(0.0);
+fn controller_is_late_while_its_queue_is_not_processed() {
+    let mut lag = EventLoopLag::new(0.0);
     for i in 1..=100 {
         let now = f64::from(i) * 100.0;
-        l.ticked(now);
-        l.passed(now, now);
+        lag.ticked(now);
+        lag.passed(now, now);
     }
-    assert_eq!(l.punctual_for(10_000.0), 10_000.0);
-    // Ticks go on, the queue does not.
+    assert_eq!(lag.punctual_for(10_000.0), 10_000.0);
+    // Ticks continue, the queue is not processed.
     for i in 101..=120 {
-        l.ticked(f64::from(i) * 100.0);
+        lag.ticked(f64::from(i) * 100.0);
     }
-    assert_eq!(l.now(12_000.0), 1900.0);
-    assert_eq!(l.punctual_for(12_000.0), 0.0);
-    l.passed(10_100.0, 12_000.0);
-    l.passed(12_100.0, 12_100.0);
-    l.ticked(12_100.0);
-    assert_eq!(l.now(12_100.0), 0.0);
-    assert_eq!(l.punctual_for(12_100.0), 100.0);
+    assert_eq!(lag.now(12_000.0), 1900.0);
+    assert_eq!(lag.punctual_for(12_000.0), 0.0);
+    lag.passed(10_100.0, 12_000.0);
+    lag.passed(12_100.0, 12_100.0);
+    lag.ticked(12_100.0);
+    assert_eq!(lag.now(12_100.0), 0.0);
+    assert_eq!(lag.punctual_for(12_100.0), 100.0);
 }
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -1,5 +1,5 @@
-//! Pages of the admission log, by which new jobs come: the leader begins them, divides
-//! what came undivided, and compacts them.
+//! The leader's work on the admission log, whose pages contain new jobs: it enables the log,
+//! divides the undivided jobs, and compacts the pages.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -8,40 +8,42 @@
 use cherryyard_wire::state::{Apply, Commit};
 use std::collections::BTreeMap;
 
-/// Least time between two looks for pages to compact.
+/// Least time between two attempts to compact pages.
 const COMPACT_MS: f64 = 1000.0;
-/// Pages that are left alone.
-const FEW_PAGES: usize = 3;
-/// Users' writes that must be left for a compaction.
+/// Number of pages up to which pages are not compacted.
+const MAX_UNCOMPACTED_PAGES: usize = 3;
+/// Writes that must be left of the users' budget for a compaction.
 const SPARE_WRITES: f64 = 2.0;
-/// Bytes of a transaction beyond which no further page is divided.
-const TRANSACTION_BYTES: usize = 32 * 1024;
+/// Size of a transaction, in bytes, beyond which no further page is divided in it.
+const MAX_TRANSACTION_BYTES: usize = 32 * 1024;
 
 impl Controller {
-    /// Whether every controller runs a build that can work with a format. An earlier one
+    /// Returns whether every controller runs a build that supports a format. An earlier build
     /// would not see the jobs in it.
-    pub(crate) fn all_able(&self, format: u32) -> bool {
-        (0..self.config.labels.len()).all(|i| self.is_able(i, format))
+    pub(crate) fn all_support_format(&self, format: u32) -> bool {
+        (0..self.config.labels.len()).all(|controller| self.supports_format(controller, format))
     }
 
-    /// Whether a controller runs a build that can work with a format, by the lease on its
-    /// own shard, or by what it has lately said in frames.
-    fn is_able(&self, i: usize, format: u32) -> bool {
-        if i == self.config.me {
+    /// Returns whether a controller runs a build that supports a format, according to the lease on
+    /// its own shard or to its recent frames.
+    fn supports_format(&self, controller: usize, format: u32) -> bool {
+        if controller == self.config.me {
             return self.config.format >= format;
         }
-        let lease = self.mirror.shards[i].as_ref();
-        let lease = lease.filter(|lease| lease.label == self.config.labels[i]);
-        let told = self.peers.format(i, self.state_contact.clock());
-        lease.is_some_and(|lease| lease.format >= format) || told.is_some_and(|told| told >= format)
+        let lease = self.mirror.shards[controller].as_ref();
+        let lease = lease.filter(|lease| lease.label == self.config.labels[controller]);
+        let reported = self.peers.format(controller, self.state_contact.clock());
+        lease.is_some_and(|lease| lease.format >= format)
+            || reported.is_some_and(|reported| reported >= format)
     }
 
-    /// New jobs come by pages from now on, once every controller can read them.
-    pub(crate) fn begin_pages(&mut self) -> Option<Commit> {
-        if self.mirror.format.by_pages || !self.all_able(ADMISSION_LOG) {
+    /// Returns the transaction that enables the admission log for new jobs, once every controller
+    /// can read it.
+    pub(crate) fn enable_admission_log(&mut self) -> Option<Commit> {
+        if self.mirror.format.by_pages || !self.all_support_format(ADMISSION_LOG) {
             return None;
         }
-        tracing::info!("new jobs come by pages");
+        tracing::info!("enabling the admission log for new jobs");
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
@@ -53,12 +55,12 @@
         Some(commit)
     }
 
-    /// Divides jobs that came undivided, page by page: as long as they are, no assignment
-    /// depends on them.
+    /// Returns the transaction that divides undivided jobs, page by page. No assignment depends on
+    /// a page's jobs as long as they are undivided.
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
         let mut commit = Commit::default();
         for (page, jobs) in self.undivided_by_page() {
-            if commit.apply.len() >= self.config.txn_ops || commit.bytes() > TRANSACTION_BYTES {
+            if commit.apply.len() >= self.config.txn_ops || commit.bytes() > MAX_TRANSACTION_BYTES {
                 break;
             }
             let mut divided = Vec::new();
@@ -73,14 +75,15 @@
         (!commit.apply.is_empty()).then_some(commit)
     }
 
-    /// Undivided jobs that stand on pages, by page.
+    /// Returns the undivided jobs on pages, by page.
     fn undivided_by_page(&self) -> BTreeMap<u64, Vec<u64>> {
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         let last = self.mirror.admission_log.last_page();
         for &job in &self.mirror.undivided {
             if self.mirror.in_page(job)
                 && let Some(page) = self.mirror.page_of(job)
-                // Where our own transaction is under way, this would only conflict.
+                // A write to the last page would only conflict with this controller's pending
+                // transaction.
                 && !(self.intake.is_writing() && Some(page) == last)
             {
                 pages.entry(page).or_default().push(job);
@@ -98,25 +101,27 @@
         {
             return;
         }
-        // Divisions take room that the page may not have: records of their own.
+        // Divisions take space that the page may not have. Then the jobs get records of their own.
         let records = divided.iter().map(|(job, open)| (*job, open.record()));
         let records: Vec<_> = records.take(config.txn_ops).collect();
         for count in (1..=records.len()).rev() {
-            let some = records[..count].to_vec();
-            if mirror.write_jobs(commit, some, config) {
-                // On the page too: carried out late, after they have been divided
-                // there, it would find no records of them and divide them again.
+            let first_records = records[..count].to_vec();
+            if mirror.write_jobs(commit, first_records, config) {
+                // The transaction depends on the page too. If it were applied late, after the jobs
+                // had been divided on the page, it would find no records of them and divide them
+                // again.
                 mirror.require(commit, Key::AdmissionPage(page));
                 break;
             }
         }
     }
 
-    /// Compacts pages now and then, where users leave room for it.
+    /// Returns the transaction that compacts pages, from time to time and only if users' writes
+    /// leave budget for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
         let is_idle =
             self.intake.waiting() == 0 && self.user_write_budget.left(now) >= SPARE_WRITES;
-        if self.mirror.admission_log.len() <= FEW_PAGES
+        if self.mirror.admission_log.len() <= MAX_UNCOMPACTED_PAGES
             || !is_idle
             || now - self.leader.pages_compacted_at < COMPACT_MS
         {
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -1,5 +1,5 @@
-//! Capacities of shards whose owners' reports do not arrive, assumed from the cloud's list
-//! of machines and from what is assigned.
+//! Capacities of shards whose owners' reports do not arrive, derived from the cloud's list of
+//! machines and from the assignments.
 
 use super::capacity_reports::CapacitySource;
 use crate::Millis;
@@ -10,15 +10,15 @@
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::Key;
 
-/// Time without an owner's report after which its capacity is assumed.
+/// Time without an owner's report after which its shard's capacity is assumed.
 const ASSUME_AFTER_MS: f64 = 2500.0;
-/// Time for which an assumed capacity counts.
-const ASSUMED_MS: f64 = 1000.0;
+/// Time for which an assumed capacity is valid.
+const ASSUMED_LIFETIME_MS: f64 = 1000.0;
 
 impl Controller {
-    /// Where an owner's reports do not arrive (connections between controllers
-    /// are refused), what the cloud lists and what is assigned stand for them:
-    /// else every job went to the leader's own shard.
+    /// Assumes the capacity of each shard whose owner's reports do not arrive (connections between
+    /// controllers are refused) from the cloud's list and the assignments. Otherwise every job
+    /// would go to the leader's own shard.
     pub(crate) fn assume_capacities(&mut self, now: Millis) {
         if now - self.leader.since() < ASSUME_AFTER_MS {
             return;
@@ -26,7 +26,7 @@
         for shard_id in 0..self.shards.len() {
             let token = self.mirror.revision(Key::Shard(shard_id));
             if token != 0
-                && !self.has_capacity_of(shard_id, token, now)
+                && !self.has_valid_capacity(shard_id, token, now)
                 && self.owned(shard_id).is_none()
             {
                 let report = self.assumed_report(shard_id, token);
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Whether something is known of a shard's capacity under its owner's lease.
-    fn has_capacity_of(&self, shard_id: usize, token: u64, now: Millis) -> bool {
+    /// Returns whether a valid capacity of a shard is stored for its owner's lease.
+    fn has_valid_capacity(&self, shard_id: usize, token: u64, now: Millis) -> bool {
         self.leader
             .capacities
             .last(shard_id)
             .is_some_and(|capacity| {
                 let lifetime_ms = match capacity.source {
-                    CapacitySource::Assumed => ASSUMED_MS,
+                    CapacitySource::Assumed => ASSUMED_LIFETIME_MS,
                     CapacitySource::Reported => {
                         self.config.tuning.capacity_report_s * 1000.0 + ASSUME_AFTER_MS
                     }
@@ -79,8 +79,8 @@
             let pool = pool_index(&mut report.pools, instance);
             report.machines.push(MachineCapacity {
                 pool,
-                free: reported(&free),
-                yielding: reported(&yielding),
+                free: as_reported(&free),
+                yielding: as_reported(&yielding),
                 images: images.unwrap_or_default(),
             });
         }
@@ -88,8 +88,8 @@
     }
 }
 
-/// What is free on a machine by what is assigned to it, and what would be if arrays of
-/// ordinary rank made way.
+/// Returns the unassigned resources of a machine, and those that would be free if arrays of
+/// ordinary rank or below were preempted.
 fn free_capacity(mirror: &Mirror, name: &str, machine_type: &MachineType) -> (Needs, Needs) {
     let mut free = Needs {
         cores: machine_type.cores,
@@ -111,7 +111,7 @@
     (free, yielding)
 }
 
-/// The index of a machine's pool in a report, to which it is added if it is new.
+/// Returns the index of a machine's pool in a report, to which the pool is added if it is new.
 fn pool_index(pools: &mut Vec<MachinePool>, instance: &Instance) -> u16 {
     let pool = MachinePool {
         machine_type: instance.machine_type.clone(),
@@ -126,6 +126,6 @@
     index as u16
 }
 
-fn reported(needs: &Needs) -> (f32, f32, f32) {
+fn as_reported(needs: &Needs) -> (f32, f32, f32) {
     (needs.cores as f32, needs.acc as f32, needs.ram as f32)
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/chunk.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/chunk.rs
@@ -1,4 +1,4 @@
-//! A chunk of a submission whose jobs are being created.
+//! A chunk of a submission, from which jobs are created.
 
 use cherryyard_wire::condor::{Chunk, Template};
 use cherryyard_wire::record::job_hash;
@@ -6,26 +6,26 @@
 /// A job that a chunk describes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ChunkJob {
-    /// Its number.
+    /// Number of the job.
     pub(super) job: u64,
-    /// Its template's place in the chunk.
+    /// Index of the job's template in the chunk.
     pub(super) template: u32,
     pub(super) task_count: u32,
 }
 
-/// A chunk's jobs.
+/// The jobs of a chunk.
 #[derive(Debug)]
 pub(super) struct ChunkJobs {
     pub(super) submission: u64,
     chunk: u32,
     templates: Vec<Template>,
-    /// In the order of their hashes: neighbours stand in one bucket, so one write creates
-    /// several.
+    /// Jobs in the order of their hashes. Neighbours are stored in the same bucket, so one write
+    /// creates several of them.
     pub(super) jobs: Vec<ChunkJob>,
 }
 
 impl ChunkJobs {
-    /// The jobs of a chunk, numbered from `first` on.
+    /// Expands a chunk into its jobs, numbered from `first` on.
     pub(super) fn new(submission: u64, chunk: u32, first: u64, read: Chunk) -> Self {
         let mut jobs = Vec::new();
         let mut job = first;
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Whether this is a chunk of a submission.
+    /// Returns whether this is the given chunk of the given submission.
     pub(super) fn is_of(&self, submission: u64, chunk: u32) -> bool {
         self.submission == submission && self.chunk == chunk
     }
 
-    /// The jobs that are not created yet, after so many.
-    pub(super) fn from(&self, created: u64) -> &[ChunkJob] {
+    /// Returns the jobs after the first `created` ones.
+    pub(super) fn remaining(&self, created: u64) -> &[ChunkJob] {
         self.jobs.get(created as usize..).unwrap_or_default()
     }
 
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -2,9 +2,10 @@
 
 use super::chunk::{ChunkJob, ChunkJobs};
 use super::transactions::{
-    MaybeRecord, jobs_within_limit, record_after, records_that_fit, submission_write, sweep,
+    MaybeRecord, chunk_deletion, jobs_within_limit, record_after, records_that_fit,
+    submission_write,
 };
-use super::{ChunkRead, Need, Needy, RETRY_MS, Stage, most_urgent};
+use super::{ChunkRead, NextStep, PendingStep, RETRY_MS, Stage, most_urgent};
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -15,16 +16,16 @@
 use cherryyard_wire::record::{End, Key, job_hash};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// Open jobs beyond which creation waits for some to be over: a submission is kept in
-/// little memory, open jobs are not.
-const MOST_OPEN: usize = 20_000;
-/// Open jobs of a removed submission that are looked at for one step.
+/// Number of open jobs from which on creation waits for some to finish: a submission takes little
+/// memory, open jobs do not.
+const MAX_OPEN_JOBS: usize = 20_000;
+/// Largest number of a removed submission's open jobs that one step considers.
 const CANCEL_BATCH: usize = 5000;
-/// Lag of the event loop beyond which no step is made.
-const MOST_LAG_MS: f64 = 300.0;
+/// Event-loop lag beyond which no step is made.
+const MAX_LAG_MS: f64 = 300.0;
 
 impl Controller {
-    /// One step for the submissions: at most one read or transaction at once.
+    /// Makes one step for the submissions. At most one read or transaction is pending at a time.
     pub(crate) fn create(&mut self, now: Millis) {
         if self.mirror.submissions.is_empty() {
             return;
@@ -35,27 +36,27 @@
         }
         if !self.leader.bulk_creation.is_due(now)
             || !self.state_fresh(now)
-            || self.lag.now(now) > MOST_LAG_MS
+            || self.lag.now(now) > MAX_LAG_MS
         {
             return;
         }
-        let Some(Needy {
-            need, submission, ..
+        let Some(PendingStep {
+            step, submission, ..
         }) = most_urgent(&self.mirror, now + self.wall_offset)
         else {
-            self.leader.bulk_creation.inspected_at = now;
+            self.leader.bulk_creation.searched_at = now;
             return;
         };
-        match need {
-            Need::Cancel => self.cancel_some(submission, now),
-            Need::Create => self.create_some(submission, now),
-            Need::GiveUp => self.change_submission(submission, PhaseEvent::GivenUp),
-            Need::Sweep => self.sweep_chunks(submission, now),
-            Need::Forget => self.forget_submission(submission, now),
+        match step {
+            NextStep::Cancel => self.cancel_next_jobs(submission, now),
+            NextStep::Create => self.create_next_jobs(submission, now),
+            NextStep::Abandon => self.change_phase(submission, PhaseEvent::GivenUp),
+            NextStep::DeleteChunks => self.delete_chunks(submission, now),
+            NextStep::DeleteRecord => self.delete_submission_record(submission, now),
         }
     }
 
-    /// Sends a step: a transaction that changes a submission's record.
+    /// Sends a step, which is a transaction that changes a submission's record.
     fn send_step(&mut self, submission: u64, mut commit: Commit) {
         self.mirror.require(&mut commit, Key::Leader);
         self.mirror
@@ -68,8 +69,8 @@
             .push(Effect::Commit(Ticket::BulkCreation, commit));
     }
 
-    /// Sends a step, or tries again later if none could be made: the buckets have not been
-    /// read, or a record is too large for one (which was refused when it came).
+    /// Sends a step, or tries again later if none could be made: the buckets have not been read,
+    /// or a record is too large for a transaction (such a submission is refused when it arrives).
     fn send_or_retry(&mut self, submission: u64, commit: Option<Commit>, now: Millis) {
         match commit {
             Some(commit) => self.send_step(submission, commit),
@@ -81,22 +82,22 @@
         self.mirror.submissions[&submission].0.clone()
     }
 
-    fn change_submission(&mut self, submission: u64, event: PhaseEvent) {
+    fn change_phase(&mut self, submission: u64, event: PhaseEvent) {
         let mut record = self.submission_record(submission);
         record.phase = record.phase.after(event);
         tracing::info!(name = %record.name, phase = ?record.phase, "submission phase changed");
         self.send_step(submission, submission_write(submission, &record));
     }
 
-    /// Whether creation may write now, beside users' other writes.
+    /// Returns whether creation may write now, in addition to users' other writes.
     fn may_create(&mut self, now: Millis) -> bool {
         self.set_user_rate(now);
-        let spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
-        spare || self.leader.bulk_creation.write_budget.left(now) >= 1.0
+        let has_spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
+        has_spare || self.leader.bulk_creation.write_budget.left(now) >= 1.0
     }
 
-    /// Creates a submission's next jobs, or reads the chunk with them.
-    fn create_some(&mut self, submission: u64, now: Millis) {
+    /// Creates a submission's next jobs, or reads the chunk that describes them.
+    fn create_next_jobs(&mut self, submission: u64, now: Millis) {
         let record = self.submission_record(submission);
         let (chunk, _) = record.chunk;
         let bulk_creation = &mut self.leader.bulk_creation;
@@ -105,14 +106,14 @@
             self.effects.push(Effect::ReadChunk(submission, chunk));
             return;
         };
-        if self.may_create(now) && self.mirror.open.len() < MOST_OPEN {
-            self.create_from(&jobs, &record, now);
+        if self.may_create(now) && self.mirror.open.len() < MAX_OPEN_JOBS {
+            self.create_from_chunk(&jobs, &record, now);
         }
         self.leader.bulk_creation.chunk = Some(jobs);
     }
 
-    fn create_from(&mut self, chunk: &ChunkJobs, record: &SubmissionRecord, now: Millis) {
-        let left = chunk.from(record.next);
+    fn create_from_chunk(&mut self, chunk: &ChunkJobs, record: &SubmissionRecord, now: Millis) {
+        let left = chunk.remaining(record.next);
         let numbers = left.iter().map(|chunk_job| chunk_job.job);
         let count = jobs_within_limit(numbers, &self.mirror, &self.config);
         let records: Vec<MaybeRecord> = left[..count]
@@ -129,8 +130,8 @@
         self.send_or_retry(chunk.submission, commit, now);
     }
 
-    /// The record of a job that a chunk describes, divided; `at` is when its submission
-    /// came.
+    /// Returns the record of a job that a chunk describes, with the job divided, or none if the
+    /// job cannot be created. `at` is the time at which its submission arrived.
     fn new_record(
         &mut self,
         chunk: &ChunkJobs,
@@ -145,7 +146,7 @@
             let rules = template.rules.clone().map(Box::new);
             self.mirror.new_job(spec, rules, at)
         });
-        // Blocks of ids are handed out once, and only where none is in use.
+        // Blocks of ids are handed out only once, and only if none of their ids is in use.
         let Some(mut open) = new.filter(|_| self.mirror.view(job).is_none()) else {
             tracing::error!(job, "a submission's job cannot be created");
             return None;
@@ -154,16 +155,17 @@
         Some((job, open.record()))
     }
 
-    /// Cancels some of a removed submission's jobs, those with tasks first.
-    fn cancel_some(&mut self, submission: u64, now: Millis) {
+    /// Cancels some of a removed submission's jobs, those with assigned tasks first.
+    fn cancel_next_jobs(&mut self, submission: u64, now: Millis) {
         let record = self.submission_record(submission);
         let open = self.mirror.open.range(record.block());
         let mut jobs: Vec<u64> = open.map(|(&job, _)| job).take(CANCEL_BATCH).collect();
         if jobs.is_empty() {
-            self.change_submission(submission, PhaseEvent::NoneOpen);
+            self.change_phase(submission, PhaseEvent::NoneOpen);
             return;
         }
-        // Like any cancellation it goes before what can wait, but it is many.
+        // Like every cancellation, this step takes precedence over writes that can wait and may
+        // overdraw the budget. It consists of many writes, so the overdraft is limited.
         if self.user_write_budget.left(now) <= -self.user_write_budget.overdraft() {
             return;
         }
@@ -181,15 +183,15 @@
         self.send_or_retry(submission, commit, now);
     }
 
-    fn sweep_chunks(&mut self, submission: u64, now: Millis) {
+    fn delete_chunks(&mut self, submission: u64, now: Millis) {
         if self.may_create(now) {
             let record = self.submission_record(submission);
-            let commit = sweep(submission, record, &self.config);
+            let commit = chunk_deletion(submission, record, &self.config);
             self.send_step(submission, commit);
         }
     }
 
-    fn forget_submission(&mut self, submission: u64, now: Millis) {
+    fn delete_submission_record(&mut self, submission: u64, now: Millis) {
         if self.may_create(now) {
             let mut commit = Commit::default();
             commit.apply.push(Apply::delete(submission_key(submission)));
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Takes a chunk that was asked for; none if it is not there.
+    /// Handles the answer to a read of a chunk, which is none if the chunk does not exist.
     pub fn chunk_read(
         &mut self,
         number: u64,
@@ -224,7 +226,7 @@
         self.create(now);
     }
 
-    /// Takes how a step came out.
+    /// Handles the outcome of a step.
     pub(crate) fn bulk_creation_committed(&mut self, outcome: Outcome, now: Millis) {
         self.leader.bulk_creation.stage = Stage::Idle;
         if matches!(outcome, Outcome::Applied(_)) {
@@ -238,7 +240,7 @@
         }
     }
 
-    /// A submission as its user sees it.
+    /// Returns a submission as shown to its user.
     pub fn submission_view(&self, number: u64) -> Option<SubmissionView> {
         let record = &self.mirror.submissions.get(&number)?.0;
         let (mut queued, mut running) = (0, 0);
--- a/crates/cherryyard-core/src/leader/bulk_creation/mod.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/mod.rs
@@ -1,10 +1,10 @@
-//! Submissions of many jobs: their jobs are created from chunks that the state service
-//! holds, cancelled as a whole, and what is not needed any more is deleted.
+//! Submissions of many jobs. Their jobs are created from chunks that the state service stores, and
+//! are cancelled as a whole. Data that is no longer needed is deleted.
 //!
-//! Whoever leads does it, one step at a time, each a transaction that depends on the
-//! leader's lease and on the submission's record. That record says how far creation has
-//! come and is written with the jobs, so a step is done once whatever fails, a removal
-//! stops creation at once, and another leader goes on where this one was.
+//! The leader does this one step at a time. Each step is a transaction that depends on the
+//! leader's lease and on the submission's record. That record contains the progress of creation
+//! and is written with the jobs. So a step is applied once whatever fails, a removal stops
+//! creation at once, and another leader continues where the previous one stopped.
 
 mod chunk;
 mod handlers;
@@ -15,64 +15,67 @@
 use cherryyard_wire::condor::{Phase, SubmissionRecord};
 use chunk::ChunkJobs;
 
-/// Least time between two looks for something to do.
-const INSPECT_MS: f64 = 100.0;
-/// Time after which a submission whose chunks have stopped coming is given up.
-const RECEIVE_MS: f64 = 600_000.0;
-/// Time for which the names of submissions are kept once all their jobs are over.
-const KEEP_MS: f64 = 30.0 * 86_400_000.0;
-/// Creation's own share of users' writes; it has more while they leave half of it.
-const SHARE: f64 = 0.25;
-/// Time to the next try where a transaction cannot be made, or a chunk not be read.
+/// Least time between two searches for a submission that needs a step.
+const SEARCH_INTERVAL_MS: f64 = 100.0;
+/// Age of a submission, from its first chunk, after which it is abandoned if it is still
+/// incomplete.
+const MAX_RECEIVING_MS: f64 = 600_000.0;
+/// Age of a submission, from its first chunk, up to which its name is kept after all its jobs have
+/// finished.
+const NAME_RETENTION_MS: f64 = 30.0 * 86_400_000.0;
+/// Creation's own share of the rate of users' writes. Creation may use more while users' writes
+/// leave half of their budget.
+const WRITE_SHARE: f64 = 0.25;
+/// Delay before the next attempt if a transaction cannot be made or a chunk cannot be read.
 const RETRY_MS: f64 = 1000.0;
-/// The same where a chunk is missing.
+/// Delay before the next attempt if a chunk is missing.
 const MISSING_RETRY_MS: f64 = 5000.0;
 
-/// What is under way.
+/// Pending operation of bulk creation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing.
+    /// No operation is pending.
     Idle,
-    /// A read of a chunk.
+    /// A chunk is being read.
     Reading,
-    /// A transaction.
+    /// A transaction is pending.
     Writing,
 }
 
-/// What a submission needs next, the most urgent first.
+/// Step that a submission needs next, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Need {
-    /// Its open jobs are to be cancelled.
+enum NextStep {
+    /// The submission's open jobs are to be cancelled.
     Cancel,
-    /// Its next jobs are to be created.
+    /// The submission's next jobs are to be created.
     Create,
-    /// Its chunks have stopped coming.
-    GiveUp,
-    /// Chunks of it are of no use any more.
-    Sweep,
-    /// Nor is its record.
-    Forget,
+    /// The submission is to be abandoned, because its chunks have stopped arriving.
+    Abandon,
+    /// Chunks that are no longer needed are to be deleted.
+    DeleteChunks,
+    /// The submission's record is to be deleted.
+    DeleteRecord,
 }
 
-/// A submission, and what it needs.
+/// A submission and the step that it needs, ordered by urgency and age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Needy {
-    need: Need,
-    /// When it was submitted.
+struct PendingStep {
+    step: NextStep,
+    /// Time at which the submission arrived.
     at: u64,
-    /// Its number.
+    /// Number of the submission.
     submission: u64,
 }
 
-/// The creation of jobs, and its pace.
+/// State of bulk creation, and its rate limit.
 #[derive(Debug)]
 pub(crate) struct BulkCreation {
     stage: Stage,
-    /// The chunk whose jobs are being created.
+    /// Chunk whose jobs are being created.
     chunk: Option<ChunkJobs>,
     write_budget: TokenBucket,
     retry_after: Millis,
-    inspected_at: Millis,
+    searched_at: Millis,
 }
 
 impl BulkCreation {
@@ -80,42 +83,43 @@
         Self {
             stage: Stage::Idle,
             chunk: None,
-            write_budget: TokenBucket::new(config.user_writes_per_s * SHARE, now),
+            write_budget: TokenBucket::new(config.user_writes_per_s * WRITE_SHARE, now),
             retry_after: now,
-            inspected_at: f64::NEG_INFINITY,
+            searched_at: f64::NEG_INFINITY,
         }
     }
 
     pub(crate) fn set_write_rate(&mut self, config: &Config, now: Millis) {
-        let rate = config.user_writes_per_s * SHARE;
+        let rate = config.user_writes_per_s * WRITE_SHARE;
         self.write_budget.set_rate(rate, now);
     }
 
-    /// Another controller leads: what is under way dies with our lease, or was done by it.
+    /// Stops, because another controller leads. The pending operation fails with this controller's
+    /// lease, or was completed under it.
     fn stop(&mut self) {
         self.chunk = None;
         self.stage = Stage::Idle;
     }
 
-    /// Whether it is time to look for something to do.
+    /// Returns whether a search for a submission that needs a step is due.
     fn is_due(&self, now: Millis) -> bool {
         self.stage == Stage::Idle
             && now >= self.retry_after
-            && now - self.inspected_at >= INSPECT_MS
+            && now - self.searched_at >= SEARCH_INTERVAL_MS
     }
 
-    /// Takes the chunk that is being created, if it is this one.
+    /// Takes the chunk whose jobs are being created, if it is the given one.
     fn take_chunk(&mut self, submission: u64, chunk: u32) -> Option<ChunkJobs> {
-        let known = self.chunk.take();
-        known.filter(|known| known.is_of(submission, chunk))
+        let loaded = self.chunk.take();
+        loaded.filter(|loaded| loaded.is_of(submission, chunk))
     }
 
-    /// Whether a chunk was asked for.
+    /// Returns whether a chunk is being read.
     fn is_reading(&self) -> bool {
         self.stage == Stage::Reading
     }
 
-    /// Takes how the read of a chunk came out.
+    /// Handles the result of reading a chunk.
     fn chunk_read(&mut self, read: ChunkRead, now: Millis) {
         self.stage = Stage::Idle;
         match read {
@@ -126,47 +130,48 @@
     }
 }
 
-/// How a read of a chunk came out.
+/// Result of reading a chunk.
 #[derive(Debug)]
 enum ChunkRead {
     Found(ChunkJobs),
     Missing,
-    /// No answer, or its submission is not there any more.
+    /// The read was not answered, or the submission no longer exists.
     Failed,
 }
 
-/// What a submission needs next, at this time of day.
-fn need_of(record: &SubmissionRecord, mirror: &Mirror, wall: f64) -> Option<Need> {
-    let age_ms = wall - record.at as f64;
+/// Returns the step that a submission needs next at this wall-clock time, if any.
+fn next_step(record: &SubmissionRecord, mirror: &Mirror, wall_ms: f64) -> Option<NextStep> {
+    let age_ms = wall_ms - record.at as f64;
     let any_open = || mirror.open.range(record.block()).next().is_some();
     match record.phase {
-        Phase::Cancelling => Some(Need::Cancel),
-        Phase::Creating => Some(Need::Create),
-        Phase::Receiving => (age_ms > RECEIVE_MS).then_some(Need::GiveUp),
+        Phase::Cancelling => Some(NextStep::Cancel),
+        Phase::Creating => Some(NextStep::Create),
+        Phase::Receiving => (age_ms > MAX_RECEIVING_MS).then_some(NextStep::Abandon),
         Phase::Created | Phase::Cancelled | Phase::Dropped if record.swept < record.chunks => {
-            Some(Need::Sweep)
+            Some(NextStep::DeleteChunks)
         }
-        Phase::Dropped => Some(Need::Forget),
+        Phase::Dropped => Some(NextStep::DeleteRecord),
         Phase::Created | Phase::Cancelled => {
-            (age_ms > KEEP_MS && !any_open()).then_some(Need::Forget)
+            (age_ms > NAME_RETENTION_MS && !any_open()).then_some(NextStep::DeleteRecord)
         }
     }
 }
 
-/// The submission with the most urgent need, the oldest first.
-fn most_urgent(mirror: &Mirror, wall: f64) -> Option<Needy> {
-    // What came before a record has been seen once all up to that record is.
+/// Returns the submission that needs the most urgent step, among equals the oldest.
+fn most_urgent(mirror: &Mirror, wall_ms: f64) -> Option<PendingStep> {
+    // Everything that was written before a submission's record is known once the state up to that
+    // record has been read.
     let seen = mirror
         .submissions
         .iter()
         .filter(|(_, (_, revision))| *revision <= mirror.store_revision);
-    let needy = seen.filter_map(|(&submission, (record, _))| {
-        let need = need_of(record, mirror, wall)?;
-        Some(Needy {
-            need,
+    let pending = seen.filter_map(|(&submission, (record, _))| {
+        let step = next_step(record, mirror, wall_ms)?;
+        Some(PendingStep {
+            step,
             at: record.at,
             submission,
         })
     });
-    needy.min()
+    pending.min()
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
@@ -7,44 +7,44 @@
 use cherryyard_wire::state::{Apply, Commit};
 use std::collections::HashSet;
 
-/// Jobs created in one step, at most.
-const BATCH: usize = 48;
-/// Bytes of a transaction's values.
-const STEP_BYTES: usize = 40 * 1024;
-/// Changes that a write to a bucket may take, as it may have to be divided.
+/// Largest number of jobs in one step.
+const MAX_STEP_JOBS: usize = 48;
+/// Largest size of a transaction, in bytes.
+const MAX_STEP_BYTES: usize = 40 * 1024;
+/// Number of changes that a write to a bucket may take, as the bucket may have to be split.
 const BUCKET_OPS: usize = 2;
 
-/// A job's record; none for what cannot be created: it is passed over, so that it does not
-/// hold up all that come after it.
+/// Record of a job, or none for a job that cannot be created. Such a job is skipped, so that it
+/// does not block all jobs after it.
 pub(super) type MaybeRecord = Option<(u64, JobRecord)>;
 
-/// Of some jobs in a row, how many a transaction may change by the records that
-/// they stand in.
+/// Returns how many of these jobs, in their order, a transaction may change, by the number of
+/// records that contain them.
 pub(super) fn jobs_within_limit(
     jobs: impl Iterator<Item = u64>,
     mirror: &Mirror,
     config: &Config,
 ) -> usize {
-    let most = config.txn_ops.saturating_sub(1).max(2);
-    let mut homes = HashSet::new();
+    let max_ops = config.txn_ops.saturating_sub(1).max(2);
+    let mut record_keys = HashSet::new();
     let mut ops = 0;
-    jobs.take(BATCH)
+    jobs.take(MAX_STEP_JOBS)
         .take_while(|&job| {
-            let home = mirror.home(job);
-            if homes.insert(home) {
-                ops += if matches!(home, Key::Job(_)) {
+            let key = mirror.home(job);
+            if record_keys.insert(key) {
+                ops += if matches!(key, Key::Job(_)) {
                     1
                 } else {
                     BUCKET_OPS
                 };
             }
-            ops <= most
+            ops <= max_ops
         })
         .count()
 }
 
-/// The transaction that writes as many of these records as fit, with the
-/// submission's own as it is after so many of them.
+/// Returns the transaction that writes as many of these records as fit, and the submission's own
+/// record as it is `after` so many of them.
 pub(super) fn records_that_fit(
     submission: u64,
     records: &[MaybeRecord],
@@ -55,8 +55,10 @@
     let mut count = records.len();
     while count > 0 {
         let mut commit = submission_write(submission, &after(count));
-        let some = records[..count].iter().flatten().cloned().collect();
-        if mirror.write_jobs(&mut commit, some, config) && commit.bytes() <= STEP_BYTES {
+        let fitting_records = records[..count].iter().flatten().cloned().collect();
+        if mirror.write_jobs(&mut commit, fitting_records, config)
+            && commit.bytes() <= MAX_STEP_BYTES
+        {
             return Some(commit);
         }
         count /= 2;
@@ -64,7 +66,7 @@
     None
 }
 
-/// The write of a submission's record.
+/// Returns the transaction that writes a submission's record.
 pub(super) fn submission_write(submission: u64, record: &SubmissionRecord) -> Commit {
     let mut commit = Commit::default();
     let set = Apply::set(submission_key(submission), record);
@@ -72,10 +74,14 @@
     commit
 }
 
-/// Deletes chunks that are of no use any more, as many as fit.
-pub(super) fn sweep(submission: u64, mut record: SubmissionRecord, config: &Config) -> Commit {
-    let most = config.txn_ops.saturating_sub(1).max(1) as u32;
-    let end = record.chunks.min(record.swept + most);
+/// Returns the transaction that deletes chunks that are no longer needed, as many as fit.
+pub(super) fn chunk_deletion(
+    submission: u64,
+    mut record: SubmissionRecord,
+    config: &Config,
+) -> Commit {
+    let max_ops = config.txn_ops.saturating_sub(1).max(1) as u32;
+    let end = record.chunks.min(record.swept + max_ops);
     let mut commit = Commit::default();
     let keys = (record.swept..end).map(|chunk| chunk_key(submission, chunk));
     commit.apply.extend(keys.map(Apply::delete));
@@ -85,7 +91,7 @@
     commit
 }
 
-/// A submission's record once so many more of a chunk's jobs are created.
+/// Returns a submission's record as it is once `created` more of a chunk's jobs are created.
 pub(super) fn record_after(
     record: &SubmissionRecord,
     chunk: &ChunkJobs,
--- a/crates/cherryyard-core/src/leader/capacity_reports.rs
+++ b/crates/cherryyard-core/src/leader/capacity_reports.rs
@@ -1,5 +1,5 @@
-//! The shards' free capacities, as their owners have reported them, less what has been
-//! divided among them since.
+//! The shards' free capacities, as reported by their owners, less what has been divided among the
+//! shards since.
 
 use crate::Millis;
 use crate::mirror::OpenJob;
@@ -9,47 +9,47 @@
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// Time after which a debit is dropped at the shard's next report, as that shows what it
-/// was for.
+/// Age from which a debit is dropped at the shard's next report, as that report includes the
+/// debited tasks.
 const DEBIT_MS: f64 = 700.0;
-/// The same where the report is assumed.
+/// Age from which a debit is dropped at the next report if that report is assumed.
 const ASSUMED_DEBIT_MS: f64 = 1500.0;
 
-/// Any preference tier.
+/// Tier limit that includes every preference tier.
 pub(crate) const ANY_TIER: u16 = u16::MAX;
 
-/// Which machines count for a job, and what of them.
+/// Criteria by which capacity counts for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FitQuery {
-    /// Only machines that hold the job's image.
+    /// Whether only machines that hold the job's image count.
     pub(crate) with_image: bool,
-    /// Only machines up to this tier of the job's preference.
+    /// Last tier of the job's preference whose machines count.
     pub(crate) max_tier: u16,
-    /// As if arrays of ordinary rank or below made way.
+    /// Whether to count capacity as if arrays of ordinary rank or below had been preempted.
     pub(crate) preempting: bool,
 }
 
 impl FitQuery {
-    /// What is free on any machine that the job may use.
+    /// Free capacity of all machines that the job may use.
     pub(crate) const FREE: Self = Self {
         with_image: false,
         max_tier: ANY_TIER,
         preempting: false,
     };
 
-    /// What is free on machines that hold the job's image.
+    /// Free capacity of machines that hold the job's image.
     pub(crate) const FREE_WITH_IMAGE: Self = Self {
         with_image: true,
         ..Self::FREE
     };
 
-    /// What would be free on machines that hold the job's image, if arrays made way.
+    /// Capacity that would be free on machines that hold the job's image if arrays were preempted.
     pub(crate) const PREEMPTING_WITH_IMAGE: Self = Self {
         preempting: true,
         ..Self::FREE_WITH_IMAGE
     };
 
-    /// What is free on machines up to a tier of the job's preference.
+    /// Returns the query for free capacity of machines up to a tier of the job's preference.
     pub(crate) fn up_to_tier(max_tier: u16) -> Self {
         Self {
             max_tier,
@@ -58,42 +58,42 @@
     }
 }
 
-/// What a count of the tasks that fit into a report's capacity depends on.
+/// Key of a cached count of the tasks that fit into a report's capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct FitKey {
-    /// The job's signature.
+    /// Signature of the job, which is the same for all jobs that are alike.
     signature: u64,
     query: FitQuery,
 }
 
-/// What has been divided to a shard since its report.
+/// Resources of tasks that have been divided to a shard since its report.
 #[derive(Clone, Copy, Debug)]
 struct Debit {
     at: Millis,
     needs: Needs,
 }
 
-/// Whether a capacity was reported by the shard's owner.
+/// Origin of a shard's capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CapacitySource {
-    /// By the owner.
+    /// The shard's owner reported the capacity.
     Reported,
-    /// Not reported, but put together from what else is known.
+    /// The capacity was derived from other data, in the absence of a report.
     Assumed,
 }
 
-/// A shard's last report, and what has been given to it since.
+/// Last report of a shard, and debits for tasks that it does not include.
 #[derive(Clone, Debug)]
 pub(crate) struct ShardCapacity {
     pub(crate) report: CapacityReport,
     pub(crate) at: Millis,
     pub(crate) source: CapacitySource,
-    /// How many tasks fit, as far as it has been counted.
-    fits: RefCell<HashMap<FitKey, u32>>,
+    /// Cached counts of the tasks that fit.
+    fit_counts: RefCell<HashMap<FitKey, u32>>,
     debits: Vec<Debit>,
 }
 
-fn needs_of((cores, acc, ram): (f32, f32, f32)) -> Needs {
+fn needs_from_report((cores, acc, ram): (f32, f32, f32)) -> Needs {
     Needs {
         cores: cores.into(),
         acc: acc.into(),
@@ -112,23 +112,24 @@
             report,
             at: now,
             source,
-            fits: RefCell::default(),
+            fit_counts: RefCell::default(),
             debits,
         }
     }
 
-    /// The debits that a report which comes now does not show yet.
+    /// Returns the debits younger than `debit_ms`, which a report received now does not include
+    /// yet.
     fn debits_after(self, debit_ms: f64, now: Millis) -> Vec<Debit> {
         let debits = self.debits.into_iter();
         debits.filter(|debit| now - debit.at < debit_ms).collect()
     }
 
-    /// The pool of a machine.
+    /// Returns the pool of a machine.
     pub(crate) fn pool_of(&self, machine: &MachineCapacity) -> &MachinePool {
         &self.report.pools[usize::from(machine.pool)]
     }
 
-    /// The machines that a job may use, up to a tier of its preference.
+    /// Returns the machines that a job may use, up to a tier of its preference.
     pub(crate) fn machines_for(
         &self,
         open: &OpenJob,
@@ -143,17 +144,17 @@
         machines.filter(move |machine| is_allowed[usize::from(machine.pool)])
     }
 
-    /// How many of a job's tasks fit, less what has been given to the shard since.
+    /// Returns how many of a job's tasks fit, less what has been divided to the shard since its
+    /// report.
     ///
-    /// A report's machines are counted once for all jobs that are alike: with the
-    /// count made afresh for each job that waits, a leader did little else on a day of
-    /// overload.
+    /// The tasks that fit on a report's machines are counted once for all jobs that are alike.
+    /// With a new count for each waiting job, a leader did little else on a day of overload.
     pub(crate) fn fitting(&self, open: &OpenJob, signature: u64, query: FitQuery) -> f64 {
         let key = FitKey { signature, query };
-        let known = self.fits.borrow().get(&key).copied();
+        let known = self.fit_counts.borrow().get(&key).copied();
         let fitting = known.unwrap_or_else(|| {
             let count = self.count_fitting(open, query);
-            self.fits.borrow_mut().insert(key, count);
+            self.fit_counts.borrow_mut().insert(key, count);
             count
         });
         let debited: f64 = self.debits.iter().map(|debit| debit.needs.cores).sum();
@@ -182,25 +183,25 @@
                 } else {
                     machine.free
                 };
-                needs.times_in(&needs_of(free))
+                needs.times_in(&needs_from_report(free))
             })
             .sum()
     }
 
-    /// Of a zone's machines that a job may use: how many of its tasks fit on these, and
+    /// Returns, for a zone's machines that a job may use, how many of its tasks fit on them and
     /// how many machines there are.
     pub(crate) fn fitting_in_zone(&self, open: &OpenJob, zone: &str) -> (u32, usize) {
         let (mut fitting, mut machines) = (0, 0);
         for machine in self.machines_for(open, ANY_TIER) {
             if self.pool_of(machine).zone == zone {
-                fitting += open.needs().times_in(&needs_of(machine.free));
+                fitting += open.needs().times_in(&needs_from_report(machine.free));
                 machines += 1;
             }
         }
         (fitting, machines)
     }
 
-    /// How many machines are in a zone.
+    /// Returns the number of machines in a zone.
     pub(crate) fn machines_in_zone(&self, zone: &str) -> usize {
         let machines = self.report.machines.iter();
         let in_zone = machines.filter(|machine| self.pool_of(machine).zone == zone);
@@ -208,14 +209,14 @@
     }
 }
 
-/// The capacities of all shards.
+/// Last capacities of all shards.
 #[derive(Debug)]
 pub(crate) struct CapacityReports {
     by_shard: Vec<Option<ShardCapacity>>,
-    /// How many reports have been received or assumed.
+    /// Number of reports received or assumed.
     received: u64,
-    /// Since when a shard has had no current report.
-    ownerless: HashMap<usize, Millis>,
+    /// Times since which shards have had no current report, by shard.
+    unreported: HashMap<usize, Millis>,
 }
 
 impl CapacityReports {
@@ -223,21 +224,22 @@
         Self {
             by_shard: vec![None; shards],
             received: 0,
-            ownerless: HashMap::new(),
+            unreported: HashMap::new(),
         }
     }
 
-    /// How many reports have been received or assumed.
+    /// Returns the number of reports received or assumed.
     pub(crate) fn received(&self) -> u64 {
         self.received
     }
 
-    /// A shard's last capacity, however old.
+    /// Returns a shard's last capacity, however old.
     pub(crate) fn last(&self, shard_id: usize) -> Option<&ShardCapacity> {
         self.by_shard[shard_id].as_ref()
     }
 
-    /// Takes a shard's report, unless it is malformed or from an owner before.
+    /// Stores a shard's report, unless it is malformed or from a previous owner. Returns whether
+    /// the report was stored.
     pub(crate) fn receive(&mut self, report: CapacityReport, now: Millis) -> bool {
         let Some(known) = self.by_shard.get_mut(report.shard as usize) else {
             return false;
@@ -256,7 +258,7 @@
         true
     }
 
-    /// Takes a report that was put together here in place of the owner's.
+    /// Stores a report that this controller derived in place of the owner's.
     pub(crate) fn assume(&mut self, shard_id: usize, report: CapacityReport, now: Millis) {
         self.received += 1;
         let known = &mut self.by_shard[shard_id];
@@ -268,21 +270,22 @@
         *known = Some(ShardCapacity::new(report, source, debits, now));
     }
 
-    /// Notes whether a shard has a current report.
-    pub(crate) fn note_current(&mut self, shard_id: usize, is_current: bool, now: Millis) {
+    /// Records whether a shard has a current report.
+    pub(crate) fn record_current(&mut self, shard_id: usize, is_current: bool, now: Millis) {
         if is_current {
-            self.ownerless.remove(&shard_id);
+            self.unreported.remove(&shard_id);
         } else {
-            self.ownerless.entry(shard_id).or_insert(now);
+            self.unreported.entry(shard_id).or_insert(now);
         }
     }
 
-    /// Since when a shard has had no current report.
-    pub(crate) fn ownerless_since(&self, shard_id: usize) -> Option<Millis> {
-        self.ownerless.get(&shard_id).copied()
+    /// Returns the time since which a shard has had no current report, if it has none.
+    pub(crate) fn unreported_since(&self, shard_id: usize) -> Option<Millis> {
+        self.unreported.get(&shard_id).copied()
     }
 
-    /// Notes what has been divided among the shards, until they report it.
+    /// Debits the shards' capacities for tasks divided among them, until their reports include
+    /// these tasks.
     pub(crate) fn debit(&mut self, shares: &[u32], needs: &Needs, now: Millis) {
         for (capacity, &share) in self.by_shard.iter_mut().zip(shares) {
             if let Some(capacity) = capacity.as_mut().filter(|_| share > 0) {
@@ -297,14 +300,15 @@
         }
     }
 
-    /// What was divided then was not: its transaction was not applied.
+    /// Revokes the debits made at `at`, because the transaction with these divisions was not
+    /// applied.
     pub(crate) fn revoke_debits(&mut self, at: Millis) {
         for capacity in self.by_shard.iter_mut().flatten() {
             capacity.debits.retain(|debit| debit.at != at);
         }
     }
 
-    /// Cores of all machines that their owners can use.
+    /// Returns the cores of all machines that their owners can use.
     pub(crate) fn total_cores(&self, machine_types: &[MachineType]) -> f64 {
         let capacities = self.by_shard.iter().flatten();
         let sizes = capacities.flat_map(|capacity| {
@@ -322,7 +326,7 @@
     }
 }
 
-/// Cores of a machine of this type; 0 if that is not known.
+/// Returns the cores of a machine of this type, or 0 if the type is unknown.
 pub(crate) fn cores_of(machine_types: &[MachineType], sku: &str) -> f64 {
     let mut known = machine_types.iter();
     let machine_type = known.find(|machine_type| machine_type.sku == sku);
--- a/crates/cherryyard-core/src/leader/current_capacities.rs
+++ b/crates/cherryyard-core/src/leader/current_capacities.rs
@@ -1,4 +1,4 @@
-//! The shards' capacities as far as they are current, and what of them a job can use.
+//! The shards' current capacities, and how much of them a job can use.
 
 use super::capacity_reports::{ANY_TIER, CapacityReports, FitQuery, ShardCapacity};
 use crate::mirror::OpenJob;
@@ -6,12 +6,12 @@
 use cherryyard_wire::job::{Rank, Shape};
 use cherryyard_wire::record::Key;
 
-/// Reports that an owner may miss before its last one is not current any more, and the
-/// time for the way of one.
-const REPORTS_MISSED: f64 = 2.0;
+/// Number of reports that an owner may miss before its last one is outdated.
+const MAX_MISSED_REPORTS: f64 = 2.0;
+/// Time allowed for the transmission of a report.
 const REPORT_DELAY_MS: f64 = 2000.0;
 
-/// The shards' capacities as far as they are current.
+/// View of the shards' capacities that is limited to the current ones.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CurrentCapacities<'a> {
     reports: &'a CapacityReports,
@@ -35,22 +35,22 @@
         }
     }
 
-    /// All shards.
+    /// Returns the numbers of all shards.
     pub(super) fn shards(&self) -> std::ops::Range<usize> {
         0..self.config.shards()
     }
 
-    /// A shard's capacity, if its owner has lately reported it.
+    /// Returns a shard's capacity, if its current owner has recently reported it.
     pub(crate) fn of(&self, shard_id: usize) -> Option<&'a ShardCapacity> {
         let capacity = self.reports.last(shard_id)?;
         let report_ms = self.config.tuning.capacity_report_s * 1000.0;
-        let max_age_ms = report_ms * REPORTS_MISSED + REPORT_DELAY_MS;
+        let max_age_ms = report_ms * MAX_MISSED_REPORTS + REPORT_DELAY_MS;
         let is_current = self.now - capacity.at <= max_age_ms
             && self.mirror.revision(Key::Shard(shard_id)) == capacity.report.revision;
         is_current.then_some(capacity)
     }
 
-    /// How many of the job's tasks fit into each shard.
+    /// Returns how many of the job's tasks fit into each shard.
     pub(crate) fn fitting(&self, open: &OpenJob, query: FitQuery) -> Vec<f64> {
         let signature = open.signature();
         self.shards()
@@ -61,8 +61,8 @@
             .collect()
     }
 
-    /// How many of the job's tasks fit on machines of other shards that hold its
-    /// image, arrays making way if its rank allows.
+    /// Returns how many of the job's tasks fit on machines of other shards that hold its image,
+    /// with arrays preempted if the job's rank allows that.
     pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob) -> f64 {
         let query = if open.spec.rank > Rank::Standard {
             FitQuery::PREEMPTING_WITH_IMAGE
@@ -74,31 +74,31 @@
         fitting.iter().sum()
     }
 
-    /// How many of the job's tasks fit into each shard's free capacity.
+    /// Returns how many of the job's tasks fit into each shard's free capacity.
     ///
-    /// A service counts only machines that hold its image, while these have
-    /// room for it, arrays making way if its rank allows: elsewhere a replica
-    /// would wait for the image, and inside its shard the image decides too.
+    /// For a service, only machines that hold its image count while these have capacity for all
+    /// its tasks, with arrays preempted if the job's rank allows that. On other machines a replica
+    /// would wait for the image. Placement within a shard also depends on the image.
     ///
-    /// Where rules prefer some pools, those count alone while they have room for all.
+    /// If rules prefer some pools, only these count while they have capacity for all tasks.
     pub(crate) fn weights(&self, open: &OpenJob) -> Vec<f64> {
-        let have_room_for_all =
+        let fit_all_tasks =
             |weights: &[f64]| weights.iter().sum::<f64>() >= f64::from(open.spec.task_count);
         let tiers = open.rules.as_ref().map_or(1, |rules| rules.1.tiers());
         for max_tier in 0..tiers.saturating_sub(1) {
             let preferred = self.fitting(open, FitQuery::up_to_tier(max_tier));
-            if have_room_for_all(&preferred) {
+            if fit_all_tasks(&preferred) {
                 return preferred;
             }
         }
         if open.spec.shape == Shape::Service {
             let free = self.fitting(open, FitQuery::FREE_WITH_IMAGE);
-            if have_room_for_all(&free) {
+            if fit_all_tasks(&free) {
                 return free;
             }
             if open.spec.rank > Rank::Standard {
                 let preempting = self.fitting(open, FitQuery::PREEMPTING_WITH_IMAGE);
-                if have_room_for_all(&preempting) {
+                if fit_all_tasks(&preempting) {
                     return preempting;
                 }
             }
@@ -106,7 +106,7 @@
         self.fitting(open, FitQuery::FREE)
     }
 
-    /// How many machines of each shard could run the job, for when there is no free
+    /// Returns how many machines of each shard could run the job, for use when there is no free
     /// capacity.
     pub(crate) fn machine_counts(&self, open: &OpenJob) -> Vec<f64> {
         self.shards()
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -1,5 +1,4 @@
-//! The leader's cycle: how a controller becomes the leader, and what it does then, in
-//! order.
+//! The leader's cycle: how a controller becomes the leader, and the steps of a cycle in order.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -8,20 +7,20 @@
 use cherryyard_wire::record::{self, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
 
-/// Time without a heartbeat after which a leader is replaced, and the time more for each
-/// controller that comes first in its succession.
+/// Time without a heartbeat after which a leader is replaced.
 const LEADER_SILENCE_MS: f64 = 1800.0;
+/// Additional time for each controller that precedes this one in the succession.
 const SUCCESSION_STEP_MS: f64 = 500.0;
-/// Time after the start during which no leader is replaced for its silence.
-const START_MS: f64 = 4000.0;
-/// Time between the attempts of two controllers where none leads.
+/// Time after the start of this controller during which it replaces no silent leader.
+const STARTUP_GRACE_MS: f64 = 4000.0;
+/// Time between the attempts of two controllers while no controller leads.
 const LEADERLESS_STEP_MS: f64 = 150.0;
 /// Time after a conflict before the next transaction.
 const CONFLICT_MS: f64 = 30.0;
 
-/// Leadership.
+/// Acquisition of the leadership.
 impl Controller {
-    /// Sends a lease on the leadership, if this controller should lead.
+    /// Sends a transaction that acquires the leader lease, if this controller should lead.
     pub(crate) fn acquire_leadership(&mut self, now: Millis) {
         let Some(lease_id) = self.lease_id else {
             return;
@@ -31,7 +30,7 @@
         }
         let is_wanted = self.wants_leadership(now);
         if self.mirror.leader_lease.is_some() {
-            self.leader.leadership.has_leader();
+            self.leader.leadership.record_leader();
         }
         if !is_wanted || !self.state_fresh(now) {
             return;
@@ -50,7 +49,7 @@
             .push(Effect::Commit(Ticket::AcquireLeadership, commit));
     }
 
-    /// Whether this controller should try for the leadership.
+    /// Returns whether this controller should try to acquire the leadership.
     fn wants_leadership(&mut self, now: Millis) -> bool {
         match &self.mirror.leader_lease {
             Some(lease) if lease.label == self.config.labels[self.config.me] => {
@@ -67,9 +66,9 @@
         }
     }
 
-    /// Whether a leader has been silent for so long that this controller follows it. It is
-    /// replaced before its lease is over; that is safe, as its writes carry its lease's
-    /// token.
+    /// Returns whether the leader has been silent for so long that this controller should replace
+    /// it. A silent leader is replaced before its lease expires. That is safe, because its writes
+    /// carry its lease's token.
     fn should_replace_leader(&self, label: &str, now: Millis) -> bool {
         let up_ms = now - self.started_at;
         let mut labels = self.config.labels.iter();
@@ -77,31 +76,32 @@
         let silence_ms = leader.and_then(|index| self.peers.silence(index, now));
         let rank = self.successor_rank(label, now);
         let limit_ms = LEADER_SILENCE_MS + SUCCESSION_STEP_MS * rank as f64;
-        // Who hears nobody at all cannot tell a dead leader from a partition
-        // between controllers; the state service tells, by its lease.
-        // Without this the leadership went from one to the next, again and again.
-        let hears_any = self.peers.any_received_within(SUCCESSION_MS, now);
-        hears_any
+        // A controller that receives no heartbeats at all cannot distinguish a dead leader from a
+        // partition between the controllers. The state service can, by the leader's lease. Without
+        // this check the leadership passed from one controller to the next, again and again.
+        let any_peer_received = self.peers.any_received_within(SUCCESSION_MS, now);
+        any_peer_received
             && match silence_ms {
-                Some(silence_ms) => silence_ms > limit_ms && up_ms > START_MS,
-                None => up_ms > START_MS + limit_ms,
+                Some(silence_ms) => silence_ms > limit_ms && up_ms > STARTUP_GRACE_MS,
+                None => up_ms > STARTUP_GRACE_MS + limit_ms,
             }
     }
 
-    /// This controller's place among those that could follow `gone`.
-    pub(crate) fn successor_rank(&self, gone: &str, now: Millis) -> usize {
+    /// Returns how many reachable controllers precede this one in the succession of controller
+    /// `predecessor`.
+    pub(crate) fn successor_rank(&self, predecessor: &str, now: Millis) -> usize {
         let controllers = self.config.labels.len();
         let mut labels = self.config.labels.iter();
-        let from = labels.position(|label| label == gone).unwrap_or(0);
-        let is_heard = |index: &usize| self.peers.received_within(*index, SUCCESSION_MS, now);
+        let from = labels.position(|label| label == predecessor).unwrap_or(0);
+        let is_reachable = |index: &usize| self.peers.received_within(*index, SUCCESSION_MS, now);
         (1..controllers)
             .map(|step| (from + step) % controllers)
             .take_while(|&index| index != self.config.me)
-            .filter(is_heard)
+            .filter(is_reachable)
             .count()
     }
 
-    /// Takes how the lease on the leadership came out.
+    /// Handles the outcome of a transaction that acquires the leader lease.
     pub(crate) fn leadership_committed(&mut self, outcome: Outcome, now: Millis) {
         if let Outcome::Applied(token) = outcome {
             self.become_leader(token, now);
@@ -112,27 +112,28 @@
         self.leader.dirty = true;
     }
 
-    /// We lead by this lease. Each lease counts once only: provisioning requests are
-    /// numbered under it.
+    /// Makes this controller the leader under the lease with this token. A repeated call for the
+    /// same lease has no effect, because provisioning requests are numbered within a lease.
     pub(crate) fn become_leader(&mut self, token: u64, now: Millis) {
         if !self.leader.leadership.acquired(token, now) {
             return;
         }
         tracing::info!(token, "leadership acquired");
-        self.leader.scale_out.lead(now);
+        self.leader.scale_out.start_leading(now);
         self.effects.push(Effect::Heartbeat);
     }
 
-    /// The lease's token that a division at submission depends on.
+    /// Returns the token of the leader lease, on which a division at submission depends, if this
+    /// controller leads.
     pub fn leadership_token(&self) -> Option<u64> {
         let leads = self.leader.leads(&self.mirror);
         leads.then(|| self.mirror.revision(Key::Leader))
     }
 }
 
-/// The cycle.
+/// Scheduling cycle of the leader.
 impl Controller {
-    /// One scheduling cycle of the leader.
+    /// Runs one scheduling cycle of the leader.
     pub(crate) fn plan_leader(&mut self, now: Millis) {
         self.leader.planned_at = now;
         let store_revision = self.mirror.store_revision;
@@ -148,7 +149,7 @@
             let is_current = self.current_capacity(shard_id, now).is_some();
             self.leader
                 .capacities
-                .note_current(shard_id, is_current, now);
+                .record_current(shard_id, is_current, now);
         }
         self.assume_capacities(now);
         self.review_fair_shares(now);
@@ -161,12 +162,12 @@
         self.scale_out(now);
     }
 
-    /// The first of the leader's tasks that has something to write.
+    /// Returns the transaction of the first of the leader's tasks that has something to write.
     fn next_leader_transaction(&mut self, now: Millis) -> Option<Commit> {
         self.store_machine_types()
             .or_else(|| self.store_attributes())
-            .or_else(|| self.begin_pages())
-            .or_else(|| self.begin_dependencies(now))
+            .or_else(|| self.enable_admission_log())
+            .or_else(|| self.enable_dependencies(now))
             .or_else(|| self.divide_new(now))
             .or_else(|| self.hand_out_grants(now))
             .or_else(|| self.move_waiting(now))
@@ -174,13 +175,14 @@
             .or_else(|| self.compact_pages(now))
     }
 
-    /// Takes how a cycle's transaction came out.
+    /// Handles the outcome of a cycle's transaction.
     pub(crate) fn leader_committed(&mut self, outcome: Outcome, now: Millis) {
         let sent_at = self.leader.cycle_transaction.answered();
         self.leader.dirty = true;
         match outcome {
             Outcome::Applied(_) | Outcome::NoLease | Outcome::Unknown => {}
-            // What it divided was not: the next try would find less capacity.
+            // The divisions were not applied. With their debits, the next attempt would find less
+            // capacity.
             Outcome::Conflict(_) | Outcome::Refused | Outcome::Malformed => {
                 self.leader.capacities.revoke_debits(sent_at);
             }
@@ -206,11 +208,11 @@
 
 /// Settings that all controllers read from the state service.
 impl Controller {
-    /// Stores the machine types that the cloud has last listed, if they have changed.
+    /// Stores the machine types that the cloud last listed, if they have changed.
     fn store_machine_types(&mut self) -> Option<Commit> {
         let mut machine_types = self.machine_types_from_cloud.take()?;
         for machine_type in &mut machine_types {
-            // Prices move all the time, and nothing here depends on them.
+            // Prices change all the time, and nothing here depends on them.
             (machine_type.price, machine_type.low_price) = (0.0, 0.0);
         }
         let is_stored = self.mirror.catalog.machine_types_revision != 0;
@@ -219,7 +221,9 @@
         }
         let value = Json::of(&machine_types);
         if value.text().len() > self.config.value_bytes {
-            tracing::warn!("the machine types are too many to keep in the state service");
+            tracing::warn!(
+                "machine types not stored: they exceed the value size limit of the state service"
+            );
             return None;
         }
         let mut commit = Commit::default();
@@ -229,8 +233,8 @@
         Some(commit)
     }
 
-    /// Operators' attributes of machines, if they are not as this leader's file has
-    /// them: all controllers decide by what is stored.
+    /// Stores the operators' attributes of machines if they differ from this leader's
+    /// configuration file. All controllers use the stored attributes.
     fn store_attributes(&mut self) -> Option<Commit> {
         let attributes = &self.config.tuning.attributes;
         if !self.config.tuning.condor || self.mirror.catalog.attributes == *attributes {
@@ -240,11 +244,13 @@
         if value.text().len() > self.config.value_bytes {
             if !self.leader.attributes_warning_logged {
                 self.leader.attributes_warning_logged = true;
-                tracing::warn!("operators' attributes are too many to keep, and do not count");
+                tracing::warn!(
+                    "operators' attributes not in effect: they exceed the value size limit of the state service"
+                );
             }
             return None;
         }
-        tracing::info!("operators' attributes of machines are stored");
+        tracing::info!("storing operators' attributes of machines");
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Attributes);
         commit.apply.push(Apply::put(record::ATTRIBUTES, value));
--- a/crates/cherryyard-core/src/leader/cycle_transaction.rs
+++ b/crates/cherryyard-core/src/leader/cycle_transaction.rs
@@ -1,15 +1,15 @@
-//! The transaction of a leader's cycle: at most one is under way.
+//! Transactions of the leader's cycle, of which at most one is pending.
 
 use crate::Millis;
 
-/// When the transaction under way was sent, or when the next may be.
+/// State of the pending transaction, and conditions for the next one.
 #[derive(Debug)]
 pub(crate) struct CycleTransaction {
     is_pending: bool,
-    /// When the last one was made.
+    /// Time at which the last transaction was sent.
     sent_at: Millis,
     retry_after: Millis,
-    /// The next one waits until this revision is seen.
+    /// State revision that must have been read before the next transaction.
     awaited_revision: u64,
 }
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Whether the next may be made.
+    /// Returns whether the next transaction may be sent.
     pub(crate) fn may_begin(&self, store_revision: u64, now: Millis) -> bool {
         !self.is_pending && now >= self.retry_after && store_revision >= self.awaited_revision
     }
@@ -33,18 +33,19 @@
         self.sent_at = now;
     }
 
-    /// It was answered; says when it was made.
+    /// Records that the pending transaction was answered, and returns the time at which it was
+    /// sent.
     pub(crate) fn answered(&mut self) -> Millis {
         self.is_pending = false;
         self.sent_at
     }
 
-    /// The next one waits for a time.
+    /// Delays the next transaction until `at`.
     pub(crate) fn retry_after(&mut self, at: Millis) {
         self.retry_after = at;
     }
 
-    /// The next one waits until the revision is seen that this one was in conflict with.
+    /// Delays the next transaction until the revision is read with which the last one conflicted.
     pub(crate) fn await_revision(&mut self, store_revision: u64) {
         self.awaited_revision = store_revision;
     }
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -1,37 +1,39 @@
-//! Jobs that wait for others: when they are accepted, and the ends of those that are
-//! cancelled with a job that they need.
+//! Jobs that wait for others: enabling their submission, and ending those that are cancelled with
+//! a job that they depend on.
 
 use crate::Millis;
 use crate::controller::Controller;
 use cherryyard_wire::record::{DEPENDENCIES, FORMAT, FormatRecord, Key};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// Time for which every controller has to be able to work with dependencies before the
-/// leader stores that: one that is being replaced by an earlier build is noticed by then.
-const ABLE_MS: f64 = 3000.0;
+/// Time for which every controller must have supported dependencies before the leader enables
+/// them. A controller that is being replaced by an earlier build is noticed within this time.
+const SUPPORTED_MS: f64 = 3000.0;
 
 impl Controller {
-    /// Whether submissions may name jobs that they wait for. All that came before that
-    /// was decided has been read.
+    /// Returns whether submissions may name jobs that they wait for, and all state from before
+    /// that was enabled has been read.
     pub fn accepts_dependencies(&self) -> bool {
         self.mirror.takes_dependencies()
     }
 
-    /// Jobs may wait for others from now on, once every controller knows of that: an
-    /// earlier build would start them at once.
-    pub(super) fn begin_dependencies(&mut self, now: Millis) -> Option<Commit> {
+    /// Returns the transaction that enables dependencies, once every controller supports them. An
+    /// earlier build would start dependent jobs at once.
+    pub(super) fn enable_dependencies(&mut self, now: Millis) -> Option<Commit> {
         if self.mirror.format.dependencies {
             return None;
         }
-        if !self.all_able(DEPENDENCIES) {
-            self.leader.able_since = None;
+        if !self.all_support_format(DEPENDENCIES) {
+            self.leader.dependencies_supported_since = None;
             return None;
         }
-        let since = *self.leader.able_since.get_or_insert(now);
-        if now - since < ABLE_MS {
+        let since = *self.leader.dependencies_supported_since.get_or_insert(now);
+        if now - since < SUPPORTED_MS {
             return None;
         }
-        tracing::info!("jobs may wait for others; start no earlier build from now on");
+        tracing::info!(
+            "enabling dependencies between jobs; do not start earlier builds from now on"
+        );
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
@@ -43,9 +45,10 @@
         Some(commit)
     }
 
-    /// Stores the ends of jobs that are cancelled with one that they need, as many as fit,
-    /// where users' writes leave room for it. Every controller answers so already; with its
-    /// end stored a job is not open any more.
+    /// Returns the transaction that stores the ends of jobs that are cancelled with a job that
+    /// they depend on, as many as fit and only if users' writes leave budget for it. Every
+    /// controller already reports these jobs as cancelled; once its end is stored, a job is no
+    /// longer open.
     pub(super) fn end_dependents(&mut self, now: Millis) -> Option<Commit> {
         if self.user_write_budget.left(now) < 1.0 {
             return None;
@@ -61,12 +64,12 @@
                 continue;
             };
             records.push((job, record));
-            let mut more = Commit::default();
+            let mut attempt = Commit::default();
             let records = records.clone();
-            if !self.mirror.write_jobs(&mut more, records, &self.config) {
+            if !self.mirror.write_jobs(&mut attempt, records, &self.config) {
                 break;
             }
-            commit = more;
+            commit = attempt;
         }
         if commit.apply.is_empty() {
             return None;
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -5,16 +5,16 @@
 use crate::mirror::OpenJob;
 use cherryyard_wire::RangeSet;
 
-/// What to do where no owner has reported any machine.
+/// Policy for the division of a job while no owner has reported any machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MissingReports {
-    /// A new leader waits for owners' reports.
-    Awaited,
-    /// Where nothing is reported, shards with an owner are all alike.
-    TakenAsEqual,
+    /// The job stays undivided, as a new leader waits for the owners' reports.
+    Await,
+    /// All shards that have an owner get the same weight.
+    EqualWeights,
 }
 
-/// Consecutive task numbers for each shard, by how many each has.
+/// Returns consecutive ranges of task numbers, one for each shard, of these lengths.
 fn consecutive(shares: &[u32]) -> Vec<RangeSet> {
     let mut next = 0;
     shares
@@ -34,7 +34,7 @@
     weights.iter().sum()
 }
 
-/// A zone that a job's tasks could all be in.
+/// A candidate zone for a job whose tasks must all be in the same zone.
 #[derive(Clone, Debug)]
 struct ZoneCandidate {
     fitting: u32,
@@ -43,11 +43,11 @@
 }
 
 impl CurrentCapacities<'_> {
-    /// Divides a job, which gets its zone, caps and division; false if nothing is known to
-    /// divide by.
+    /// Divides a job among the shards and sets its zone, zone caps and division. Returns false if
+    /// nothing is known to divide the job by.
     pub(crate) fn divide(&self, open: &mut OpenJob, missing: MissingReports) -> bool {
         if open.spec.together && open.zone.is_none() {
-            match self.pin_zone(open) {
+            match self.choose_zone(open) {
                 Some(zone) => open.zone = Some(zone),
                 None => return false,
             }
@@ -73,32 +73,34 @@
         true
     }
 
-    /// How many of a job's tasks go to each shard, if anything is known to go by.
+    /// Returns how many of a job's tasks go to each shard, if anything is known to divide the job
+    /// by.
     fn shares(&self, open: &OpenJob, missing: MissingReports) -> Option<Vec<u32>> {
         let weights = self.known_weights(open, missing)?;
         let capacity = sum(&weights);
         let within = open.spec.task_count.min(capacity as u32);
         let mut shares = divide(within, &weights);
-        let rest = open.spec.task_count - within;
-        if rest > 0 {
-            // What has no free capacity follows machine counts, as a job does that
-            // finds none at all: weights of a few free cores would heap a large
-            // job onto one shard.
+        let remaining = open.spec.task_count - within;
+        if remaining > 0 {
+            // Tasks beyond the free capacity are divided by machine counts, like a job that finds
+            // no free capacity at all. Weights of a few free cores would put most of a large job
+            // on one shard.
             let counts = self.machine_counts(open);
-            let rest_weights = if sum(&counts) > 0.0 {
+            let remaining_weights = if sum(&counts) > 0.0 {
                 &counts
             } else {
                 &weights
             };
-            for (share, more) in shares.iter_mut().zip(divide(rest, rest_weights)) {
+            for (share, more) in shares.iter_mut().zip(divide(remaining, remaining_weights)) {
                 *share += more;
             }
         }
         Some(shares)
     }
 
-    /// Weights by free capacity; by machines if there is none; if no machines are known
-    /// either, the same for all shards that have an owner.
+    /// Returns the shards' weights by free capacity. If there is none, weights are by number of
+    /// machines; if no machines are known either, they are the same for all shards that have an
+    /// owner, unless `missing` requires to wait for reports.
     fn known_weights(&self, open: &OpenJob, missing: MissingReports) -> Option<Vec<f64>> {
         let by_capacity = self.weights(open);
         if sum(&by_capacity) > 0.0 {
@@ -108,7 +110,7 @@
         if sum(&by_machines) > 0.0 {
             return Some(by_machines);
         }
-        if missing == MissingReports::Awaited {
+        if missing == MissingReports::Await {
             return None;
         }
         let has_owner = |shard_id: usize| self.mirror.shards[shard_id].is_some();
@@ -119,8 +121,8 @@
         (sum(&equal) > 0.0).then_some(equal)
     }
 
-    /// The zone with the most room for a job whose tasks must be together.
-    fn pin_zone(&self, open: &OpenJob) -> Option<String> {
+    /// Returns the zone with the most free capacity for a job whose tasks must be in one zone.
+    fn choose_zone(&self, open: &OpenJob) -> Option<String> {
         if let Some(zone) = &open.spec.zone {
             return Some(zone.clone());
         }
@@ -147,8 +149,9 @@
         best.map(|best| best.zone)
     }
 
-    /// Per shard and zone, how many tasks may be there, so that no zone ever
-    /// holds more than half: a zone's cap is split among the shards by machines.
+    /// Returns for each shard and zone how many tasks may be there, so that no zone ever holds
+    /// more than half of them. A zone's cap is split among the shards by their machines in the
+    /// zone.
     fn zone_caps(&self, open: &OpenJob) -> Vec<Vec<u32>> {
         let half = open.spec.task_count.div_ceil(2);
         let zones = self.config.zones.len();
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -1,6 +1,5 @@
-//! The controller's handlers of what concerns the leader's division of jobs, rebalancing
-//! and scale out: they pass to the types of this module what these need of the rest, and
-//! carry out what comes of it.
+//! Controller handlers for the leader's division of jobs, rebalancing and scale-out. They pass the
+//! required parts of the controller to the types of this module, and carry out the results.
 
 use super::capacity_reports::ShardCapacity;
 use super::current_capacities::CurrentCapacities;
@@ -21,34 +20,34 @@
 use std::collections::HashSet;
 
 /// Time for which a new leader waits for the owners' reports.
-const REPORTS_MS: f64 = 2500.0;
-/// Most bytes of a transaction with divisions.
-const TRANSACTION_BYTES: usize = 40 * 1024;
+const REPORTS_WAIT_MS: f64 = 2500.0;
+/// Largest size of a transaction with divisions, in bytes.
+const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 
-/// Capacities and division.
+/// Capacities of the shards, and division of jobs.
 impl Controller {
-    /// The shards' capacities as far as they are current.
+    /// Returns the shards' current capacities.
     fn current_capacities(&self, now: Millis) -> CurrentCapacities<'_> {
         CurrentCapacities::new(&self.leader.capacities, &self.mirror, &self.config, now)
     }
 
-    /// A shard's capacity, if its owner has lately reported it.
+    /// Returns a shard's capacity, if its current owner has recently reported it.
     pub(crate) fn current_capacity(&self, shard_id: usize, now: Millis) -> Option<&ShardCapacity> {
         self.current_capacities(now).of(shard_id)
     }
 
-    /// How many of the job's tasks fit on machines of other shards that hold its
-    /// image, arrays making way if its rank allows.
+    /// Returns how many of the job's tasks fit on machines of other shards that hold its image,
+    /// with arrays preempted if the job's rank allows that.
     pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob, now: Millis) -> f64 {
         self.current_capacities(now).held_elsewhere(shard_id, open)
     }
 
-    /// Divides one job; false if nothing is known to divide by.
+    /// Divides one job. Returns false if nothing is known to divide the job by.
     pub(crate) fn fill_division(&mut self, open: &mut OpenJob, now: Millis) -> bool {
-        let missing = if now - self.leader.since() < REPORTS_MS {
-            MissingReports::Awaited
+        let missing = if now - self.leader.since() < REPORTS_WAIT_MS {
+            MissingReports::Await
         } else {
-            MissingReports::TakenAsEqual
+            MissingReports::EqualWeights
         };
         if !self.current_capacities(now).divide(open, missing) {
             return false;
@@ -56,7 +55,8 @@
         let shares: Vec<u32> = open.division.iter().map(RangeSet::len).collect();
         self.leader.capacities.debit(&shares, &open.needs(), now);
         if !open.dependencies.jobs.is_empty() {
-            // All that it waited for is done: what it needed is of no use any more.
+            // All jobs that this job waited for are done, so its dependencies are no longer
+            // needed.
             let ready_at = (now + self.wall_offset).max(open.submitted_at as f64) as u64;
             open.dependencies = Dependencies {
                 ready_at: Some(ready_at),
@@ -66,14 +66,15 @@
         true
     }
 
-    /// Divides jobs that came undivided.
+    /// Returns the transaction that divides undivided jobs, those on pages of the admission log
+    /// first.
     pub(crate) fn divide_new(&mut self, now: Millis) -> Option<Commit> {
         if let Some(commit) = self.divide_pages(now) {
             return Some(commit);
         }
         let mut commit = Commit::default();
         let mut records = Vec::new();
-        for job in self.undivided_with_records() {
+        for job in self.undivided_outside_pages() {
             if records.len() >= self.config.txn_ops {
                 break;
             }
@@ -82,20 +83,20 @@
                 continue;
             }
             records.push((job, open.record()));
-            let mut more = Commit::default();
+            let mut attempt = Commit::default();
             let fits = self
                 .mirror
-                .write_jobs(&mut more, records.clone(), &self.config);
-            if !fits || more.bytes() > TRANSACTION_BYTES {
+                .write_jobs(&mut attempt, records.clone(), &self.config);
+            if !fits || attempt.bytes() > MAX_TRANSACTION_BYTES {
                 break;
             }
-            commit = more;
+            commit = attempt;
         }
         (!commit.apply.is_empty()).then_some(commit)
     }
 
-    /// Undivided jobs that stand in records of their own, by rank and age.
-    fn undivided_with_records(&self) -> Vec<u64> {
+    /// Returns the undivided jobs that are not on pages of the admission log, by rank and age.
+    fn undivided_outside_pages(&self) -> Vec<u64> {
         let undivided = self.mirror.undivided.iter().copied();
         let mut jobs: Vec<u64> = undivided.filter(|&job| !self.mirror.in_page(job)).collect();
         jobs.sort_by_cached_key(|job| {
@@ -106,9 +107,10 @@
     }
 }
 
-/// Rebalancing.
+/// Rebalancing of waiting tasks.
 impl Controller {
-    /// Moves tasks that have waited for too long to shards with capacity for them.
+    /// Returns the transaction that moves tasks which have waited too long to shards with capacity
+    /// for them.
     pub(crate) fn move_waiting(&mut self, now: Millis) -> Option<Commit> {
         let hand_overs = self.hand_overs();
         let leader = &mut self.leader;
@@ -123,24 +125,24 @@
             .step(&hand_overs, &mut leader.capacities, mirror, config, now)
     }
 
-    /// Services that their shards would rather see elsewhere.
+    /// Returns the services that the shards of all controllers offer to other shards.
     fn hand_overs(&self) -> HashSet<HandOver> {
         let peers = self.peers.iter();
-        let theirs = peers.flat_map(|peer| &peer.heartbeat.handing);
-        let theirs = theirs.map(|&(shard_id, job)| HandOver {
+        let peer_hand_overs = peers.flat_map(|peer| &peer.heartbeat.handing);
+        let peer_hand_overs = peer_hand_overs.map(|&(shard_id, job)| HandOver {
             shard_id: shard_id as usize,
             job,
         });
         let shards = self.shards.iter().enumerate();
-        let ours = shards.flat_map(|(shard_id, shard)| {
+        let own_hand_overs = shards.flat_map(|(shard_id, shard)| {
             let jobs = shard.handing.iter();
             jobs.map(move |&job| HandOver { shard_id, job })
         });
-        theirs.chain(ours).collect()
+        peer_hand_overs.chain(own_hand_overs).collect()
     }
 }
 
-/// Scale out.
+/// Provisioning of machines.
 impl Controller {
     /// Provisions machines ahead of need.
     pub(crate) fn scale_out(&mut self, now: Millis) {
@@ -148,22 +150,25 @@
             return;
         }
         let list_lag_ms = self.config.list_lag_ms;
-        self.leader.scale_out.begin(list_lag_ms, now);
+        self.leader.scale_out.begin_check(list_lag_ms, now);
         let fleet = Fleet {
             current: self.current_capacities(now),
             listed: &self.listed,
             scale_out: &self.leader.scale_out,
         };
-        let Some(lacking) = fleet.lacking() else {
+        let Some(machines_to_provision) = fleet.machines_to_provision() else {
             return;
         };
         let label = &self.config.labels[self.config.me];
         let token = self.mirror.revision(Key::Leader);
-        let request = self.leader.scale_out.request(lacking, (label, token));
+        let request = self
+            .leader
+            .scale_out
+            .request(machines_to_provision, (label, token));
         self.effects.push(Effect::Provision(request));
     }
 
-    /// Takes the answer to a provisioning request.
+    /// Handles the answer to a provisioning request.
     pub fn provisioned(
         &mut self,
         request: &ProvisionRequest,
@@ -182,7 +187,7 @@
                 tracing::debug!(%zone, spot = request.spot, "provisioning refused");
                 scale_out.refused(request, now);
             }
-            // The same name again gets the same machines.
+            // A repeated request with the same id gets the same machines.
             Err(ProvisionError::NoAnswer) => {
                 if scale_out.is_pending(request) && self.leader.leads(&self.mirror) {
                     self.effects.push(Effect::Provision(request.clone()));
@@ -191,20 +196,20 @@
         }
     }
 
-    /// The published time of a type until a machine is up, in seconds.
+    /// Returns the published time that a machine type takes to come up, in seconds.
     pub(crate) fn ready_s(&self, sku: &str) -> f64 {
         ready_s(&self.mirror.catalog.machine_types, sku)
     }
 
-    /// Learns from the next list which machines have come up.
+    /// Records the machines that have come up, from the cloud's next list.
     pub(crate) fn learn_provisioning_times(&mut self, instances: &[Instance]) {
         let machine_types = &self.mirror.catalog.machine_types;
         let ready_s = |sku: &str| ready_s(machine_types, sku);
         let times = &mut self.leader.scale_out.provisioning_times;
-        times.learn(instances, &self.listed, ready_s);
+        times.record_list(instances, &self.listed, ready_s);
     }
 
-    /// Where a listed machine stands that is not up yet.
+    /// Returns the progress of a listed machine that is not up yet.
     pub(crate) fn provisioning_progress(&self, instance: &Instance) -> ProvisioningProgress {
         let ready_s = self.ready_s(&instance.machine_type);
         let times = &self.leader.scale_out.provisioning_times;
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -1,7 +1,10 @@
 //! The controller's steps of history compaction.
 
-use super::transactions::{close_generation, compactor_transaction, sweep};
-use super::{BUSY_MS, DAY_MS, HistoryCounts, Pending, READ_RETRY_MS, closed_ends, is_calm};
+use super::transactions::{close_generation, compactor_transaction, delete_archived_records};
+use super::{
+    BUSY_RETRY_MS, DAY_MS, HistoryCounts, Pending, READ_RETRY_MS,
+    finished_jobs_of_closed_generations, may_compact_now,
+};
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -10,12 +13,13 @@
 use cherryyard_wire::record::{BUCKETS, Key};
 use cherryyard_wire::state::Commit;
 
-/// Lag of the event loop beyond which no step is made.
-const MOST_LAG_MS: f64 = 300.0;
+/// Event-loop lag beyond which no step is made.
+const MAX_LAG_MS: f64 = 300.0;
 
 impl Controller {
-    /// One step of the history's leader: at most one read or transaction at once,
-    /// within a share of the write budget that leaves the rest to all else.
+    /// Makes one step of history compaction, if this controller leads. At most one read or
+    /// transaction is pending at a time, and its share of the write budget leaves the rest to
+    /// other writes.
     pub(crate) fn pack(&mut self, now: Millis) {
         if !self.config.tuning.history {
             return;
@@ -26,20 +30,20 @@
         }
         if !self.leader.history_compaction.is_ready(now)
             || !self.state_fresh(now)
-            || self.lag.now(now) > MOST_LAG_MS
+            || self.lag.now(now) > MAX_LAG_MS
         {
             return;
         }
         let compaction = &mut self.leader.history_compaction;
-        if compaction.is_resting(now) {
+        if compaction.is_idle_until_next_scan(now) {
             return;
         }
-        if !is_calm(&self.mirror, &self.config) {
-            compaction.retry_after = now + BUSY_MS;
+        if !may_compact_now(&self.mirror, &self.config) {
+            compaction.retry_after = now + BUSY_RETRY_MS;
             return;
         }
         if self.mirror.format.jobs < BUCKETS {
-            self.begin_buckets();
+            self.enable_buckets();
             return;
         }
         compaction
@@ -47,34 +51,39 @@
             .set_limits(self.config.page_bytes, self.config.txn_ops);
         compaction.compactor.resume(self.mirror.packed);
         if compaction.compactor.is_idle() {
-            compaction.inspected_at = now;
+            compaction.scanned_at = now;
             self.next_batch(now);
         }
-        self.step_packer();
+        self.step_compactor();
     }
 
-    /// Jobs go into buckets from now on, once every controller can read them.
-    fn begin_buckets(&mut self) {
-        if self.all_able(BUCKETS) {
-            tracing::info!("jobs go into buckets, and when they are over into the history");
+    /// Enables buckets for job records, once every controller can read them.
+    fn enable_buckets(&mut self) {
+        if self.all_support_format(BUCKETS) {
+            tracing::info!(
+                "enabling buckets for job records, and compaction of finished jobs into the history"
+            );
             let commit = self.mirror.begin_buckets(self.config.txn_ops);
             self.send_other_transaction(commit);
         }
     }
 
-    /// Closes a generation that has enough ends, or compacts one that is closed.
+    /// Begins to compact a closed generation of finished jobs, or closes the current one if that
+    /// is due.
     fn next_batch(&mut self, now: Millis) {
         let record = self.mirror.packed;
         let compaction = &mut self.leader.history_compaction;
         if let Some(done) = record.to_fold() {
-            // Every end of a closed generation came before the record that closed
-            // it, so it is seen once all up to that record is.
-            let own = self.mirror.packed_revision;
-            if self.mirror.store_revision >= own {
+            // All finished jobs of a closed generation were written before the record that closed
+            // it, so they are known once the state up to that record has been read.
+            let closed_at_revision = self.mirror.packed_revision;
+            if self.mirror.store_revision >= closed_at_revision {
                 let day = ((now + self.wall_offset) / DAY_MS).max(0.0) as u32;
-                let jobs = closed_ends(&self.mirror, &record, done, day);
+                let jobs = finished_jobs_of_closed_generations(&self.mirror, &record, done, day);
                 tracing::info!(jobs = jobs.len(), done, "history compaction started");
-                compaction.compactor.begin(done, own, jobs, day);
+                compaction
+                    .compactor
+                    .begin(done, closed_at_revision, jobs, day);
             }
         } else if compaction.should_close_generation(&self.mirror, &self.config, now) {
             compaction.small_batch_at = now;
@@ -82,14 +91,14 @@
         }
     }
 
-    /// Carries out what the packer wants next.
-    fn step_packer(&mut self) {
+    /// Carries out the compactor's next step.
+    fn step_compactor(&mut self) {
         let compaction = &mut self.leader.history_compaction;
         match compaction.compactor.step() {
             Step::Nothing if compaction.pending == Pending::Nothing => {
-                if let Some(commit) = sweep(&self.mirror, &self.config) {
-                    // More may follow at once, as fast as the pace allows.
-                    compaction.inspected_at = f64::NEG_INFINITY;
+                if let Some(commit) = delete_archived_records(&self.mirror, &self.config) {
+                    // More deletions may follow at once, as fast as the rate limit allows.
+                    compaction.scanned_at = f64::NEG_INFINITY;
                     self.send_other_transaction(commit);
                 }
             }
@@ -105,7 +114,7 @@
         }
     }
 
-    /// Sends a transaction that is not the compactor's own.
+    /// Sends a transaction that the compactor did not request.
     fn send_other_transaction(&mut self, mut commit: Commit) {
         self.mirror.require(&mut commit, Key::Leader);
         self.send_compaction(Pending::Other, commit);
@@ -118,8 +127,8 @@
             .push(Effect::Commit(Ticket::HistoryCompaction, commit));
     }
 
-    /// Takes the leaf that was asked for: its last possible id, revision and record;
-    /// none if there is no such leaf.
+    /// Handles the answer to a read of a leaf: its last possible job number, revision and record,
+    /// or none if there is no such leaf.
     pub fn leaf_read(&mut self, answer: Result<Option<(u64, u64, LeafRecord)>, ()>, now: Millis) {
         self.notice(now);
         let compaction = &mut self.leader.history_compaction;
@@ -134,8 +143,11 @@
                     revision,
                     leaf,
                 })),
-                Err(e) => {
-                    tracing::error!(last, "a bad leaf of the history, left as it is: {e}");
+                Err(error) => {
+                    tracing::error!(
+                        last,
+                        "malformed leaf of the history, left unchanged: {error}"
+                    );
                     Err(ReadFailed)
                 }
             },
@@ -149,14 +161,14 @@
         self.pack(now);
     }
 
-    /// Takes how a transaction of the compaction came out.
+    /// Handles the outcome of a transaction of history compaction.
     pub(crate) fn compaction_committed(&mut self, outcome: Outcome, now: Millis) {
         let is_applied = matches!(outcome, Outcome::Applied(_));
         self.leader.history_compaction.committed(is_applied, now);
     }
 
-    /// How many jobs are open, over and still watched, in records of their own
-    /// though over, and (about) in each run of the history.
+    /// Returns the numbers of jobs that are open, finished and still watched, finished in records
+    /// of their own, and (approximately) in each run of the history.
     pub fn history_counts(&self) -> HistoryCounts {
         let record = self.mirror.packed;
         HistoryCounts {
@@ -172,7 +184,7 @@
         }
     }
 
-    /// Runs in which a level's leaves are looked for, in the order that finds every
-    /// job: it is in the large run before it leaves the small one.
+    /// Order in which the runs are searched for a job. It finds every job, because a job is in the
+    /// large run before it leaves the small one.
     pub const LOOKUP_ORDER: [Level; 2] = [Level::Small, Level::Large];
 }
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -1,7 +1,7 @@
-//! Jobs that are over go into the history: the leader's part of it.
+//! The leader's part in compacting finished jobs into the history.
 //!
-//! The compactor (`cherryyard_history`) says what to read and write; here are the
-//! batches that it is given, the format that it needs, and the pace.
+//! The compactor (`cherryyard_history`) determines what to read and write. This module contains
+//! the batches that it is given, the record format that it requires, and its rate limits.
 
 mod handlers;
 mod transactions;
@@ -12,44 +12,45 @@
 use cherryyard_wire::history::PackedRecord;
 use cherryyard_wire::record::End;
 
-/// Time between two small batches, while ends in records of their own are left.
+/// Time between two small batches, while finished jobs are left in records of their own, as
+/// earlier builds wrote them.
 const SMALL_BATCH_MS: f64 = 60_000.0;
-/// Times that a batch may be in the small run of leaves before that is spilled.
+/// Size, in batches, from which on the small run of leaves is spilled into the large one.
 const SPILL_BATCHES: u64 = 32;
-/// Time between two looks for a calm moment.
-const BUSY_MS: f64 = 250.0;
-/// Batches that may wait for one.
-const OVERDUE_BATCHES: usize = 2;
-/// Least time between two looks at all ends, while there is nothing to do.
-const INSPECT_MS: f64 = 1000.0;
-/// Time to the next try after a leaf could not be read.
+/// Delay before the next attempt while other work has priority.
+const BUSY_RETRY_MS: f64 = 250.0;
+/// Number of batches of finished jobs beyond which compaction no longer waits for other work.
+const MAX_DEFERRED_BATCHES: usize = 2;
+/// Least time between two scans of all finished jobs while there is nothing to compact.
+const SCAN_INTERVAL_MS: f64 = 1000.0;
+/// Delay before the next attempt after a leaf could not be read.
 const READ_RETRY_MS: f64 = 1000.0;
-/// The same after a transaction that was not applied.
+/// Delay before the next attempt after a transaction that was not applied.
 const WRITE_RETRY_MS: f64 = 300.0;
 const DAY_MS: f64 = 86_400_000.0;
 
-/// What the leader's compactor has under way.
+/// Pending operation of history compaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Pending {
     Nothing,
-    /// A read, or a transaction of the compactor's own.
+    /// A read, or a transaction that the compactor requested.
     Compactor,
-    /// Another transaction for it.
+    /// A transaction that the compactor did not request.
     Other,
 }
 
-/// The leader's compactor and its pace.
+/// The leader's compactor and its rate limits.
 #[derive(Debug)]
 pub(crate) struct HistoryCompaction {
     compactor: Compactor,
     write_budget: TokenBucket,
-    /// Reads of leaves: a compaction that is done again finds what it would write there
-    /// already, and would read leaf after leaf without a pause.
-    reads: TokenBucket,
+    /// Budget for reads of leaves. A repeated compaction finds what it would write there already,
+    /// so it would read leaf after leaf without a pause.
+    read_budget: TokenBucket,
     pending: Pending,
     retry_after: Millis,
     small_batch_at: Millis,
-    inspected_at: Millis,
+    scanned_at: Millis,
 }
 
 impl HistoryCompaction {
@@ -62,11 +63,11 @@
                 keep_days: config.tuning.history_keep_days,
             }),
             write_budget: TokenBucket::new(config.history_writes_per_s, now),
-            reads: TokenBucket::new(config.history_reads_per_s, now),
+            read_budget: TokenBucket::new(config.history_reads_per_s, now),
             pending: Pending::Nothing,
             retry_after: now,
             small_batch_at: now,
-            inspected_at: f64::NEG_INFINITY,
+            scanned_at: f64::NEG_INFINITY,
         }
     }
 
@@ -74,24 +75,26 @@
         self.write_budget.set_rate(config.history_writes_per_s, now);
     }
 
-    /// Whether the budgets have room for another read or transaction.
+    /// Returns whether the budgets and the retry delay allow another read or transaction.
     fn may_step(&mut self, now: Millis) -> bool {
-        now >= self.retry_after && self.write_budget.left(now) >= 1.0 && self.reads.left(now) >= 1.0
+        now >= self.retry_after
+            && self.write_budget.left(now) >= 1.0
+            && self.read_budget.left(now) >= 1.0
     }
 
-    /// Whether nothing is under way, and the budgets allow another step.
+    /// Returns whether nothing is pending and another step is allowed.
     fn is_ready(&mut self, now: Millis) -> bool {
         self.pending == Pending::Nothing && self.may_step(now)
     }
 
-    /// Whether the compactor has nothing to do, and was lately found to get nothing.
-    fn is_resting(&self, now: Millis) -> bool {
-        self.compactor.is_idle() && now - self.inspected_at < INSPECT_MS
+    /// Returns whether the compactor is idle and the next scan for jobs to compact is not due.
+    fn is_idle_until_next_scan(&self, now: Millis) -> bool {
+        self.compactor.is_idle() && now - self.scanned_at < SCAN_INTERVAL_MS
     }
 
     fn begin_read(&mut self) {
         self.pending = Pending::Compactor;
-        self.reads.spend(1.0);
+        self.read_budget.spend(1.0);
     }
 
     fn begin_write(&mut self, pending: Pending, changes: usize) {
@@ -99,7 +102,7 @@
         self.write_budget.spend(changes as f64);
     }
 
-    /// Takes how a transaction came out.
+    /// Handles the outcome of a transaction.
     fn committed(&mut self, is_applied: bool, now: Millis) {
         let pending = std::mem::replace(&mut self.pending, Pending::Nothing);
         if pending == Pending::Compactor {
@@ -110,38 +113,44 @@
         }
     }
 
-    /// Whether the generation of ends that is written now should be closed: it has
-    /// enough ends, or some are left in records of their own.
+    /// Returns whether the current generation of finished jobs should be closed: it contains
+    /// enough jobs, or some jobs are left in records of their own and the next small batch is due.
     fn should_close_generation(&self, mirror: &Mirror, config: &Config, now: Millis) -> bool {
         let record = mirror.packed;
-        let (mut fresh, mut any_own) = (0, false);
+        let (mut uncompacted, mut any_has_own_record) = (0, false);
         for (_, ended) in mirror.ended_jobs() {
-            let is_own = ended.revision > record.own;
-            let is_fresh = is_own || (ended.revision == 0 && ended.generation > record.gen_done);
-            fresh += usize::from(is_fresh);
-            any_own |= is_own;
+            let has_own_record = ended.revision > record.own;
+            let is_uncompacted =
+                has_own_record || (ended.revision == 0 && ended.generation > record.gen_done);
+            uncompacted += usize::from(is_uncompacted);
+            any_has_own_record |= has_own_record;
         }
-        let is_small_due = any_own && now - self.small_batch_at >= SMALL_BATCH_MS;
-        fresh >= config.tuning.history_batch || is_small_due
+        let is_small_batch_due = any_has_own_record && now - self.small_batch_at >= SMALL_BATCH_MS;
+        uncompacted >= config.tuning.history_batch || is_small_batch_due
     }
 }
 
-/// Whether the history may have its share of the write budget now: while tasks
-/// wait for assignments, or jobs for their division, it waits too, but for a while
-/// only, as ends take memory until they are compacted. (With batches of 300 a day of
-/// restarts had three times as many requests refused.)
-fn is_calm(mirror: &Mirror, config: &Config) -> bool {
-    let is_overdue = mirror.ended_count() > OVERDUE_BATCHES * config.tuning.history_batch;
+/// Returns whether compaction may use its share of the write budget now. While tasks wait for
+/// assignments, or jobs for their division, compaction waits too, but only up to
+/// [`MAX_DEFERRED_BATCHES`], because finished jobs take memory until they are compacted. With
+/// batches of 300 jobs, a day of restarts had three times as many requests refused.
+fn may_compact_now(mirror: &Mirror, config: &Config) -> bool {
+    let is_overdue = mirror.ended_count() > MAX_DEFERRED_BATCHES * config.tuning.history_batch;
     let any_waiting = mirror.tasks.waiting.iter().any(|jobs| !jobs.is_empty());
     is_overdue || !any_waiting && mirror.undivided.is_empty()
 }
 
-/// The ends of closed generations up to `done`, for the history; `day` is today.
-fn closed_ends(mirror: &Mirror, record: &PackedRecord, done: u64, day: u32) -> Vec<FinishedJob> {
-    let own = mirror.packed_revision;
+/// Returns the finished jobs of closed generations up to `done`; `day` is the current day.
+fn finished_jobs_of_closed_generations(
+    mirror: &Mirror,
+    record: &PackedRecord,
+    done: u64,
+    day: u32,
+) -> Vec<FinishedJob> {
+    let closed_at_revision = mirror.packed_revision;
     let closed = mirror.ended_jobs().filter(|(_, ended)| {
         if ended.revision != 0 {
-            ended.revision > record.own && ended.revision <= own
+            ended.revision > record.own && ended.revision <= closed_at_revision
         } else {
             ended.generation > record.gen_done && ended.generation <= done
         }
@@ -160,26 +169,26 @@
         .collect()
 }
 
-/// What an operator sees of the history.
+/// Counts of open and finished jobs, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct HistoryCounts {
-    /// The format of jobs' records.
+    /// Format of the job records.
     pub format: u32,
-    /// Jobs that are not over.
+    /// Number of jobs that are not finished.
     pub open: usize,
-    /// Jobs that are over and still watched by controllers.
+    /// Number of finished jobs whose records controllers still watch.
     pub recent: usize,
-    /// Of these, those that earlier builds' records hold and that are still to be moved.
+    /// Number of these whose records were written by earlier builds and are still to be moved.
     pub to_move: usize,
-    /// About how many jobs are in the history.
+    /// Approximate number of jobs in the history.
     pub packed: u64,
-    /// The same for each run of leaves.
+    /// Approximate number of jobs in each run of leaves.
     pub runs: [u64; 2],
-    /// The generation of ends written now.
+    /// Generation in which finished jobs are recorded now.
     pub generation: u64,
     /// Whether the small run is being spilled into the large one.
     pub spilling: bool,
-    /// Buckets that jobs stand in.
+    /// Number of buckets that contain job records.
     pub buckets: usize,
 }
 
--- a/crates/cherryyard-core/src/leader/history_compaction/tests.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Reads keep within a share of the request budget of their own. They were paced
-/// by the writes between them only, and a fold that is done again after its
-/// leader's end finds its leaves written: it read all of them without a pause.
+/// Guards against a compaction that reads leaves without a pause. A compaction that is repeated
+/// after its leader failed finds its leaves already written, so a limit on writes alone does not
+/// slow down its reads.
 #[test]
 fn reads_of_leaves_are_paced() {
     let text = include_bytes!("../../../../../examples/controller.json");
--- a/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
@@ -5,7 +5,7 @@
 use cherryyard_wire::record::{self, Key};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// The compactor's own transaction.
+/// Returns the transaction that the compactor requested.
 pub(super) fn compactor_transaction(write: Transaction, mirror: &Mirror) -> Commit {
     let mut commit = Commit::default();
     mirror.require(&mut commit, Key::Leader);
@@ -24,7 +24,7 @@
     commit
 }
 
-/// Closes the generation of ends that is written now.
+/// Returns the transaction that closes the current generation of finished jobs.
 pub(super) fn close_generation(mirror: &Mirror) -> Commit {
     let mut closed = mirror.packed;
     closed.gen_now = closed.generation() + 1;
@@ -34,21 +34,21 @@
     commit
 }
 
-/// Deletes records of their own whose ends are in the history, a few at once:
-/// what earlier builds left.
-pub(super) fn sweep(mirror: &Mirror, config: &Config) -> Option<Commit> {
+/// Returns a transaction that deletes some of the records that earlier builds wrote for single
+/// finished jobs, if these jobs are in the history.
+pub(super) fn delete_archived_records(mirror: &Mirror, config: &Config) -> Option<Commit> {
     if mirror.store_revision < mirror.packed_revision {
-        // Jobs may have come that wait for one of them.
+        // The state not read yet may contain new jobs that wait for one of the finished jobs.
         return None;
     }
     let own = mirror.packed.own;
-    let gone = mirror
+    let archived = mirror
         .own_ends()
         .filter(|(job, ended)| ended.revision <= own && !mirror.named_in_pages(*job))
         .filter(|(job, _)| !mirror.has_dependents(*job))
         .take(config.txn_ops);
     let mut commit = Commit::default();
-    for (job, ended) in gone {
+    for (job, ended) in archived {
         commit.require(record::job_key(job), ended.revision);
         commit.apply.push(Apply::delete(record::job_key(job)));
     }
--- a/crates/cherryyard-core/src/leader/leadership.rs
+++ b/crates/cherryyard-core/src/leader/leadership.rs
@@ -1,59 +1,60 @@
-//! The lease on the leadership, as this controller sees it.
+//! The leader lease, as this controller sees it.
 
 use crate::Millis;
 
-/// Time for which a controller that has become the leader makes no other attempt.
-const ACQUIRED_MS: f64 = 8000.0;
+/// Time for which a controller that has become the leader makes no other attempt to acquire the
+/// lease.
+const REACQUIRE_DELAY_MS: f64 = 8000.0;
 
-/// Whether this controller leads.
+/// Phase of this controller's leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipPhase {
-    /// Another controller leads, or none.
+    /// Another controller leads, or none does.
     Follower,
-    /// Our lease is under way.
+    /// A transaction that acquires the lease is pending.
     Acquiring,
-    /// We lead, by a lease with this token.
+    /// This controller leads under the lease with this token.
     Leading(u64),
 }
 
-/// What moves a controller from one phase to another.
+/// Event that may change the phase of a controller's leadership.
 #[derive(Clone, Copy, Debug)]
 pub enum LeadershipEvent {
-    /// We have sent a lease.
+    /// This controller has sent a transaction that acquires the lease.
     Sent,
-    /// It was applied.
+    /// The transaction was applied, and the lease has this token.
     Applied(u64),
-    /// It was not.
+    /// The transaction was not applied.
     Failed,
     /// The state service shows another lease, or none.
-    Gone,
+    Lost,
 }
 
 impl LeadershipPhase {
-    /// The one place where the phase changes.
+    /// Returns the phase after an event. The phase changes only by this function.
     pub fn after(self, event: LeadershipEvent) -> Self {
         match (self, event) {
             (Self::Follower, LeadershipEvent::Sent) => Self::Acquiring,
             (_, LeadershipEvent::Applied(token)) => Self::Leading(token),
             (Self::Acquiring, LeadershipEvent::Failed) => Self::Follower,
-            (Self::Leading(_), LeadershipEvent::Gone) => Self::Follower,
+            (Self::Leading(_), LeadershipEvent::Lost) => Self::Follower,
             (Self::Acquiring | Self::Leading(_), LeadershipEvent::Sent)
             | (Self::Follower | Self::Leading(_), LeadershipEvent::Failed)
-            | (Self::Follower | Self::Acquiring, LeadershipEvent::Gone) => self,
+            | (Self::Follower | Self::Acquiring, LeadershipEvent::Lost) => self,
         }
     }
 }
 
-/// The leadership, and when to try for it.
+/// State of the leadership, and the time of the next attempt to acquire it.
 #[derive(Debug)]
 pub(crate) struct Leadership {
     phase: LeadershipPhase,
-    /// The token of the last lease by which we have led.
+    /// Token of the last lease under which this controller has led.
     token: u64,
-    /// When we learnt that this lease was applied.
+    /// Time at which that lease was known to be applied; before that, the start of the controller.
     since: Millis,
     acquire_after: Millis,
-    /// Since when no controller has held the lease.
+    /// Time since which no controller has held the lease.
     leaderless_since: Option<Millis>,
 }
 
@@ -68,12 +69,13 @@
         }
     }
 
-    /// When we learnt that our last lease was applied.
+    /// Returns the time at which this controller's last lease was known to be applied; before
+    /// that, the start of the controller.
     pub(crate) fn since(&self) -> Millis {
         self.since
     }
 
-    /// The token of the lease by which we lead, as far as is known here.
+    /// Returns the token of the lease under which this controller leads, as far as is known here.
     pub(crate) fn leading_token(&self) -> Option<u64> {
         match self.phase {
             LeadershipPhase::Leading(token) => Some(token),
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Whether we lead by the lease with this token.
+    /// Returns whether this controller leads under the lease with this token.
     pub(crate) fn leads_by(&self, token: u64) -> bool {
         self.phase == LeadershipPhase::Leading(token)
     }
@@ -90,36 +92,38 @@
         self.phase = self.phase.after(event);
     }
 
-    /// Whether a lease may be sent now.
+    /// Returns whether a transaction that acquires the lease may be sent now.
     pub(crate) fn may_acquire(&self, now: Millis) -> bool {
         self.phase != LeadershipPhase::Acquiring && now >= self.acquire_after
     }
 
-    /// How long no controller has held the lease, which none does now.
+    /// Returns for how long no controller has held the lease, given that none holds it now.
     pub(crate) fn leaderless_ms(&mut self, now: Millis) -> f64 {
         now - *self.leaderless_since.get_or_insert(now)
     }
 
-    /// A controller holds the lease.
-    pub(crate) fn has_leader(&mut self) {
+    /// Records that a controller holds the lease.
+    pub(crate) fn record_leader(&mut self) {
         self.leaderless_since = None;
     }
 
-    /// A lease was sent.
+    /// Records that a transaction which acquires the lease was sent.
     pub(crate) fn sent(&mut self) {
         if self.leading_token().is_some() {
-            self.change(LeadershipEvent::Gone);
+            self.change(LeadershipEvent::Lost);
         }
         self.change(LeadershipEvent::Sent);
     }
 
-    /// A lease was not applied; the next is sent only after a time.
+    /// Records that the transaction was not applied. The next one is sent no earlier than
+    /// `acquire_after`.
     pub(crate) fn failed(&mut self, acquire_after: Millis) {
         self.change(LeadershipEvent::Failed);
         self.acquire_after = acquire_after;
     }
 
-    /// We lead by this lease; false if that was known before.
+    /// Records that this controller leads under the lease with this token. Returns false if that
+    /// was known before.
     pub(crate) fn acquired(&mut self, token: u64, now: Millis) -> bool {
         if self.token == token {
             return false;
@@ -127,14 +131,14 @@
         self.token = token;
         self.change(LeadershipEvent::Applied(token));
         self.since = now;
-        self.acquire_after = now + ACQUIRED_MS;
+        self.acquire_after = now + REACQUIRE_DELAY_MS;
         true
     }
 
-    /// The state service shows a lease with this token, or none (0).
-    pub(crate) fn seen(&mut self, token: u64) {
+    /// Gives up the leadership if the state service shows a lease with another token, or none (0).
+    pub(crate) fn check_stored_token(&mut self, token: u64) {
         if self.leading_token().is_some_and(|ours| ours != token) {
-            self.change(LeadershipEvent::Gone);
+            self.change(LeadershipEvent::Lost);
         }
     }
 }
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -7,45 +7,52 @@
 use cherryyard_wire::record::{self, Grant, Key};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// Differences of amounts below this are rounding.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors in amounts.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A shard's grant after more has been handed out.
+/// A shard's grant after an increase.
 #[derive(Clone, Copy, Debug)]
 struct ChangedGrant {
     shard_id: usize,
     grant: Grant,
 }
 
-/// A limit, or 0 where there is none.
+/// Returns a limit, or 0 if it is infinite.
 fn finite(limit: f64) -> f64 {
     if limit.is_finite() { limit } else { 0.0 }
 }
 
-/// What is left of a team's limits beside grants.
+/// Returns the part of a team's limits that no shard has been granted.
 fn unallocated<'a>(team: &Team, grants: impl Iterator<Item = &'a Grant>) -> Grant {
-    let mut held = Grant::default();
+    let mut total_granted = Grant::default();
     for grant in grants {
-        held.cores += grant.cores;
-        held.acc += grant.acc;
+        total_granted.cores += grant.cores;
+        total_granted.acc += grant.acc;
     }
     Grant {
-        cores: finite(team.cores_max) - held.cores,
-        acc: finite(team.acc_max) - held.acc,
+        cores: finite(team.cores_max) - total_granted.cores,
+        acc: finite(team.acc_max) - total_granted.acc,
     }
 }
 
-/// Whether a grant and what is free of the team's limit let one more task with these
-/// `needs` start beside what is `used`.
-fn is_enough(team: &Team, used: &Needs, needs: &Needs, grant: &Grant, free: &Grant) -> bool {
-    let within =
-        |used: f64, more: f64, granted: f64, free: f64| used + more <= granted + free + ROUNDING;
+/// Returns whether a grant and the unallocated part of the team's limits allow one more task with
+/// these `needs` to start in addition to what is `used`.
+fn allows_one_more_task(
+    team: &Team,
+    used: &Needs,
+    needs: &Needs,
+    grant: &Grant,
+    free: &Grant,
+) -> bool {
+    let within = |used: f64, more: f64, granted: f64, free: f64| {
+        used + more <= granted + free + ROUNDING_TOLERANCE
+    };
     (team.cores_max.is_infinite() || within(used.cores, needs.cores, grant.cores, free.cores))
         && (team.acc_max.is_infinite() || within(used.acc, needs.acc, grant.acc, free.acc))
 }
 
 impl Controller {
-    /// Teams whose limit is spread so that some shard lacks capacity under it.
+    /// Returns the teams of which some shard wants more of the limits than its grant.
     pub(crate) fn short_teams(&self, now: Millis) -> Vec<String> {
         let teams = self.config.teams.iter().enumerate();
         let limited = teams.filter(|(_, team)| team.limited());
@@ -56,18 +63,19 @@
         names.map(str::to_string).collect()
     }
 
-    /// Whether a shard wants more of a team's limits than it holds.
+    /// Returns whether a shard wants more of a team's limits than its grant.
     fn lacks_grant(&self, index: usize, team: &Team, shard_id: usize, now: Millis) -> bool {
         let grant = self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now);
         let wants = capacity.and_then(|capacity| capacity.report.wants.get(index));
         wants.is_some_and(|&(_, cores, acc)| {
-            cores > grant.cores + ROUNDING && team.cores_max.is_finite()
-                || acc > grant.acc + ROUNDING && team.acc_max.is_finite()
+            cores > grant.cores + ROUNDING_TOLERANCE && team.cores_max.is_finite()
+                || acc > grant.acc + ROUNDING_TOLERANCE && team.acc_max.is_finite()
         })
     }
 
-    /// Hands out what nobody holds of the teams' limits.
+    /// Returns the transaction that grants shards more of the unallocated parts of the teams'
+    /// limits.
     pub(crate) fn hand_out_grants(&mut self, now: Millis) -> Option<Commit> {
         let shards = self.shards.len();
         let mut commit = Commit::default();
@@ -75,19 +83,20 @@
             if !team.limited() {
                 continue;
             }
-            // All of the team's grants, and the leader's lease.
+            // The transaction requires all of the team's grants and the leader's lease.
             if commit.when.len() + shards + 1 > self.config.max_conditions() {
                 break;
             }
             let mut changes = self.raised_grants(index, team, now);
-            // What has no room in this transaction goes with a later one: with more shards
-            // than changes, a team with a limit once got nothing at all.
+            // Changes that do not fit into this transaction are left to a later one. When all of a
+            // team's changes had to fit into one transaction, a team with a limit got no grant at
+            // all if there were more shards than changes in a transaction.
             changes.truncate(self.config.txn_ops.saturating_sub(commit.apply.len()));
             if changes.is_empty() {
                 continue;
             }
-            // Depends on every shard's grant, so that the sum stays within the
-            // limit whoever else writes.
+            // The transaction depends on every shard's grant, so that their sum stays within the
+            // limit whatever other controllers write.
             for shard in 0..shards {
                 let key = Key::Grant { team: index, shard };
                 self.mirror.require(&mut commit, key);
@@ -100,8 +109,8 @@
         (!commit.apply.is_empty()).then_some(commit)
     }
 
-    /// The grants of a team that are to be raised: at first all to an even part of the
-    /// limits, later those of shards that can start more.
+    /// Returns the grants of a team that are to be raised: at first all, by an even part of the
+    /// limits, later those of shards that can start more tasks.
     fn raised_grants(&self, index: usize, team: &Team, now: Millis) -> Vec<ChangedGrant> {
         let grants = &self.mirror.grants[index];
         if grants.iter().all(|grant| grant.1 == 0) {
@@ -110,7 +119,7 @@
         let mut free = unallocated(team, grants.iter().map(|grant| &grant.0));
         let mut changes = Vec::new();
         for (shard_id, (grant, _)) in grants.iter().enumerate() {
-            let Some(more) = self.more_for(index, team, shard_id, &free, now) else {
+            let Some(more) = self.increase_for(index, team, shard_id, &free, now) else {
                 continue;
             };
             free.cores -= more.cores;
@@ -119,7 +128,9 @@
                 cores: grant.cores + more.cores,
                 acc: grant.acc + more.acc,
             };
-            if raised.cores > grant.cores + ROUNDING || raised.acc > grant.acc + ROUNDING {
+            if raised.cores > grant.cores + ROUNDING_TOLERANCE
+                || raised.acc > grant.acc + ROUNDING_TOLERANCE
+            {
                 changes.push(ChangedGrant {
                     shard_id,
                     grant: raised,
@@ -143,10 +154,10 @@
             .collect()
     }
 
-    /// What a shard gets of what is free of a team's limits, if it wants more and that lets
-    /// one more of its waiting tasks start. Less is kept until there is enough: shards give
-    /// back what they cannot use.
-    fn more_for(
+    /// Returns what a shard is granted of the unallocated part of a team's limits, if the shard
+    /// wants more and the increase allows one more of its waiting tasks to start. Smaller amounts
+    /// are kept until there is enough, as shards give back what they cannot use.
+    fn increase_for(
         &self,
         index: usize,
         team: &Team,
@@ -157,12 +168,14 @@
         let grant = &self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now)?;
         let &(_, wanted_cores, wanted_acc) = capacity.report.wants.get(index)?;
-        if wanted_cores <= grant.cores + ROUNDING && wanted_acc <= grant.acc + ROUNDING {
+        if wanted_cores <= grant.cores + ROUNDING_TOLERANCE
+            && wanted_acc <= grant.acc + ROUNDING_TOLERANCE
+        {
             return None;
         }
         let least = self.least_waiting(shard_id, index)?;
         let used = self.mirror.usage(shard_id)[index];
-        is_enough(team, &used, &least, grant, free).then(|| Grant {
+        allows_one_more_task(team, &used, &least, grant, free).then(|| Grant {
             cores: (wanted_cores - grant.cores).min(free.cores).max(0.0),
             acc: (wanted_acc - grant.acc).min(free.acc).max(0.0),
         })
--- a/crates/cherryyard-core/src/leader/mod.rs
+++ b/crates/cherryyard-core/src/leader/mod.rs
@@ -1,9 +1,9 @@
-//! The leader: divides jobs among the shards, moves what waits, hands out team
-//! limits, scales out machines.
+//! The leader: divides jobs among the shards, moves waiting tasks, grants parts of team limits to
+//! the shards, and provisions machines.
 //!
-//! [`state`] holds what a leader remembers, by concern; [`cycle`] says how a controller
-//! becomes the leader and what a cycle does, in order; [`handlers`] ties the division of
-//! jobs, rebalancing and scale out to the controller.
+//! [`state`] contains the leader's state by concern; [`cycle`] defines how a controller becomes
+//! the leader and the steps of a cycle, in order; [`handlers`] connects the division of jobs,
+//! rebalancing and scale-out to the controller.
 
 mod admission_log;
 mod assumed_capacity;
--- a/crates/cherryyard-core/src/leader/provisioning_times.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -1,42 +1,48 @@
-//! Provisioned machines on their way: when each should be up, and which will not be.
+//! Estimates of when provisioned machines come up, and which of them never will.
 //!
-//! What a type takes to be up is learned by zone from what has come up there, the way
-//! round-trip times are; `ready_s` stands for it at first. One that is overdue is
-//! counted as room that will not come and is so replaced, but only a part of them at a
-//! time: where all are late, for as long as some fault lasts, a replacement for each
-//! would come as a second fleet once it is over.
+//! The time that a machine type takes to come up is estimated by zone from the machines that have
+//! come up there, by a smoothed mean and deviation as for round-trip times. Before that, the
+//! estimate is based on the published `ready_s`. Cores of an overdue machine count as capacity
+//! that does not come, so the machine is replaced, but only a part of the overdue machines is
+//! replaced at a time: if a fault delays all machines, a replacement for each would arrive as a
+//! second fleet once the fault is over.
 
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 use std::collections::HashMap;
 
-/// Weights of a new time in the mean and in the deviation.
+/// Weight of a new sample in the mean.
 const MEAN_GAIN: f64 = 0.125;
+/// Weight of a new sample in the deviation.
 const DEVIATION_GAIN: f64 = 0.25;
-/// The deviation before any time is known, as a part of the published time.
-const FIRST_DEVIATION: f64 = 0.25;
-/// Deviations that an expectation allows beyond the mean.
+/// Deviation before any sample, as a fraction of the published time.
+const INITIAL_DEVIATION: f64 = 0.25;
+/// Number of deviations that an expected time allows beyond the mean.
 const DEVIATIONS: f64 = 4.0;
-/// An expectation before any time is known, and its bounds, in times of the published
-/// time.
-const FIRST: f64 = 2.0;
-const LEAST: f64 = 1.6;
-const MOST: f64 = 6.0;
-/// Overdue machines that are replaced at a time: this part of all, and so many anyway.
+/// Expected time before any sample, as a multiple of the published time.
+const INITIAL_EXPECTATION: f64 = 2.0;
+/// Lower bound of expected times, as a multiple of the published time.
+const MIN_EXPECTATION: f64 = 1.6;
+/// Upper bound of expected times, as a multiple of the published time.
+const MAX_EXPECTATION: f64 = 6.0;
+/// Cores of overdue machines that are replaced at a time, as a share of all cores.
 const REPLACED_SHARE: f64 = 0.08;
-const REPLACED: f64 = 4.0;
-/// A machine that takes this many times its expectation, and so many seconds more, never
-/// comes up.
-const NEVER: f64 = 3.0;
-const NEVER_MORE_S: f64 = 30.0;
+/// Number of overdue machines, of the largest size, that are replaced at a time if their cores are
+/// more than that share.
+const MIN_REPLACED_MACHINES: f64 = 4.0;
+/// Multiple of its expected time, plus [`GIVE_UP_EXTRA_S`], after which a machine is considered
+/// never to come up.
+const GIVE_UP_FACTOR: f64 = 3.0;
+/// Additional time, in seconds, after which a machine is considered never to come up.
+const GIVE_UP_EXTRA_S: f64 = 30.0;
 
-/// Where a provisioned machine stands, on its way.
+/// Progress of a machine that has been provisioned and is not up yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProvisioningProgress {
-    /// It should be up at any time.
+    /// The machine is within its expected time.
     Expected,
-    /// It should have been up.
+    /// The machine has exceeded its expected time.
     Overdue,
-    /// It will not come up: it is returned.
+    /// The machine will not come up, and is returned.
     Never,
 }
 
@@ -56,43 +62,45 @@
     }
 }
 
-/// What a type takes to be up in a zone, in seconds.
+/// Time that machines of a type take to come up in a zone, in seconds.
 #[derive(Clone, Copy, Debug)]
-struct Learned {
+struct Estimate {
     mean: f64,
     deviation: f64,
 }
 
-/// What machines take to be up, as learned from the lists.
+/// Times that machines take to come up, estimated from the cloud's lists.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProvisioningTimes {
-    learned: HashMap<TypeInZone, Learned>,
+    estimates: HashMap<TypeInZone, Estimate>,
 }
 
 impl ProvisioningTimes {
-    /// A machine of this type and zone was up after so many seconds, at the latest.
-    pub(crate) fn up(&mut self, machine_type: &str, zone: &str, ready_s: f64, took_s: f64) {
+    /// Records that a machine of this type and zone came up after at most `took_s` seconds.
+    pub(crate) fn record(&mut self, machine_type: &str, zone: &str, ready_s: f64, took_s: f64) {
         let key = TypeInZone::new(machine_type, zone);
-        let learned = self.learned.entry(key).or_insert(Learned {
+        let estimate = self.estimates.entry(key).or_insert(Estimate {
             mean: ready_s,
-            deviation: ready_s * FIRST_DEVIATION,
+            deviation: ready_s * INITIAL_DEVIATION,
         });
-        let off = took_s - learned.mean;
-        learned.deviation += DEVIATION_GAIN * (off.abs() - learned.deviation);
-        learned.mean += MEAN_GAIN * off;
+        let difference = took_s - estimate.mean;
+        estimate.deviation += DEVIATION_GAIN * (difference.abs() - estimate.deviation);
+        estimate.mean += MEAN_GAIN * difference;
     }
 
-    /// Until how many seconds after its provisioning request a machine is expected to be up.
+    /// Returns the number of seconds after its provisioning request within which a machine is
+    /// expected to be up.
     pub(crate) fn expected_s(&self, machine_type: &str, zone: &str, ready_s: f64) -> f64 {
-        let learned = self.learned.get(&TypeInZone::new(machine_type, zone));
-        let expected = learned.map_or(ready_s * FIRST, |learned| {
-            learned.mean + DEVIATIONS * learned.deviation
+        let estimate = self.estimates.get(&TypeInZone::new(machine_type, zone));
+        let expected = estimate.map_or(ready_s * INITIAL_EXPECTATION, |estimate| {
+            estimate.mean + DEVIATIONS * estimate.deviation
         });
-        expected.clamp(ready_s * LEAST, ready_s * MOST)
+        expected.clamp(ready_s * MIN_EXPECTATION, ready_s * MAX_EXPECTATION)
     }
 
-    /// Where a machine stands that has been on its way for so long.
-    pub(crate) fn stands(
+    /// Returns the progress of a machine that is not up `held_s` seconds after its provisioning
+    /// request.
+    pub(crate) fn progress(
         &self,
         machine_type: &str,
         zone: &str,
@@ -102,22 +110,23 @@
         let expected_s = self.expected_s(machine_type, zone, ready_s);
         if held_s <= expected_s {
             ProvisioningProgress::Expected
-        } else if held_s <= expected_s * NEVER + NEVER_MORE_S {
+        } else if held_s <= expected_s * GIVE_UP_FACTOR + GIVE_UP_EXTRA_S {
             ProvisioningProgress::Overdue
         } else {
             ProvisioningProgress::Never
         }
     }
 
-    /// Where a listed machine stands that is not up yet, given its type's published time.
+    /// Returns the progress of a listed machine that is not up yet, given its type's published
+    /// time.
     pub(crate) fn progress_of(&self, instance: &Instance, ready_s: f64) -> ProvisioningProgress {
         let (machine_type, zone) = (&instance.machine_type, &instance.zone);
-        self.stands(machine_type, zone, ready_s, instance.held_s)
+        self.progress(machine_type, zone, ready_s, instance.held_s)
     }
 
-    /// Learns from a new list which machines have come up since the one `before`.
-    /// `held_s` is as of the list, so it is at most one list too much.
-    pub(crate) fn learn(
+    /// Records the machines that have come up since the list `before`. Their times are the
+    /// `held_s` of the new list, so they are too long by at most the time between two lists.
+    pub(crate) fn record_list(
         &mut self,
         instances: &[Instance],
         before: &HashMap<String, Instance>,
@@ -130,16 +139,16 @@
             let before = before.get(&instance.id);
             if before.is_some_and(|before| before.status == InstanceStatus::Starting) {
                 let (machine_type, zone) = (&instance.machine_type, &instance.zone);
-                self.up(machine_type, zone, ready_s(machine_type), instance.held_s);
+                self.record(machine_type, zone, ready_s(machine_type), instance.held_s);
             }
         }
     }
 }
 
-/// How many cores still come of those on their way: overdue ones do not, but for those
-/// beyond what is replaced at a time.
-pub(crate) fn coming(expected: f64, overdue: f64, total: f64, largest: f64) -> f64 {
-    let replaced = (total * REPLACED_SHARE).max(REPLACED * largest);
+/// Returns how many cores of provisioned machines are still to come. Those of overdue machines are
+/// not, except for the part beyond what is replaced at a time.
+pub(crate) fn cores_to_come(expected: f64, overdue: f64, total: f64, largest: f64) -> f64 {
+    let replaced = (total * REPLACED_SHARE).max(MIN_REPLACED_MACHINES * largest);
     expected + (overdue - replaced).max(0.0)
 }
 
--- a/crates/cherryyard-core/src/leader/provisioning_times/tests.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times/tests.rs
@@ -1,31 +1,40 @@
 use super::*;
 
-/// What has come up sets when the next is expected, within bounds.
+/// Checks that machines that have come up determine the expected time of their type and zone,
+/// within bounds.
 #[test]
-fn expectations_are_learned() {
-    let mut b = ProvisioningTimes::default();
-    assert_eq!(b.expected_s("m", "a", 25.0), 50.0);
+fn expected_time_follows_recorded_times() {
+    let mut times = ProvisioningTimes::default();
+    assert_eq!(times.expected_s("m", "a", 25.0), 50.0);
     for _ in 0..50 {
-        b.up("m", "a", 25.0, 22.0);
+        times.record("m", "a", 25.0, 22.0);
     }
-    assert_eq!(b.expected_s("m", "a", 25.0), 40.0, "no less than the least");
     assert_eq!(
-        b.stands("m", "a", 25.0, 41.0),
+        times.expected_s("m", "a", 25.0),
+        40.0,
+        "no less than the least"
+    );
+    assert_eq!(
+        times.progress("m", "a", 25.0, 41.0),
         ProvisioningProgress::Overdue
     );
-    assert_eq!(b.stands("m", "a", 25.0, 151.0), ProvisioningProgress::Never);
+    assert_eq!(
+        times.progress("m", "a", 25.0, 151.0),
+        ProvisioningProgress::Never
+    );
     for _ in 0..50 {
-        b.up("m", "a", 25.0, 100.0);
+        times.record("m", "a", 25.0, 100.0);
     }
-    let by = b.expected_s("m", "a", 25.0);
+    let by = times.expected_s("m", "a", 25.0);
     assert!((100.0..=150.0).contains(&by), "{by}");
-    assert_eq!(b.expected_s("m", "b", 25.0), 50.0, "another zone");
+    assert_eq!(times.expected_s("m", "b", 25.0), 50.0, "another zone");
 }
 
-/// Few that are overdue are replaced, of very many only a share.
+/// Guards against a second fleet when a fault delays all machines: a few overdue machines are all
+/// replaced, of very many only a share.
 #[test]
-fn no_storm_of_replacements() {
-    assert_eq!(coming(40.0, 8.0, 1000.0, 4.0), 40.0);
-    assert_eq!(coming(0.0, 400.0, 1000.0, 4.0), 320.0);
-    assert_eq!(coming(0.0, 12.0, 20.0, 4.0), 0.0);
+fn replacements_of_overdue_machines_are_limited() {
+    assert_eq!(cores_to_come(40.0, 8.0, 1000.0, 4.0), 40.0);
+    assert_eq!(cores_to_come(0.0, 400.0, 1000.0, 4.0), 320.0);
+    assert_eq!(cores_to_come(0.0, 12.0, 20.0, 4.0), 0.0);
 }
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -1,5 +1,4 @@
-//! Rebalancing: tasks that have waited for too long in one shard move to shards with free
-//! capacity.
+//! Rebalancing: tasks that have waited too long in one shard move to shards with free capacity.
 
 use super::capacity_reports::CapacityReports;
 use super::current_capacities::CurrentCapacities;
@@ -12,23 +11,23 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// Least time between two hand-overs of one service.
-const HANDED_OVER_MS: f64 = 5000.0;
-/// Time after which overdue tasks are looked at again where none could be moved and no
-/// shard's capacity has been reported since.
-const RETRY_MS: f64 = 500.0;
-/// Jobs of which one transaction moves tasks.
-const MOST_MOVED: usize = 8;
-/// Most bytes of a transaction.
-const TRANSACTION_BYTES: usize = 40 * 1024;
+const HAND_OVER_INTERVAL_MS: f64 = 5000.0;
+/// Time between two searches for tasks to move, if the last one found none and no shard's capacity
+/// has been reported since.
+const SEARCH_INTERVAL_MS: f64 = 500.0;
+/// Largest number of jobs whose tasks one transaction moves.
+const MAX_MOVED_JOBS: usize = 8;
+/// Largest size of a transaction, in bytes.
+const MAX_TRANSACTION_BYTES: usize = 40 * 1024;
 
-/// A service that its shard would rather see elsewhere.
+/// A service that its shard offers to other shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct HandOver {
     pub(crate) shard_id: usize,
     pub(crate) job: u64,
 }
 
-/// A job of which a shard has kept tasks waiting for too long, or that it hands over.
+/// A job whose tasks have waited too long in a shard, or that the shard hands over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Overdue {
     job: u64,
@@ -36,34 +35,34 @@
     is_handed_over: bool,
 }
 
-/// Tasks of a job that leave a shard, and how many go to each other one.
+/// Tasks of a job that leave a shard, and how many of them go to each other shard.
 #[derive(Clone, Debug)]
 struct Move {
     tasks: RangeSet,
     shares: Vec<u32>,
 }
 
-/// A look at overdue tasks that found none to move.
+/// A search for tasks to move that found none.
 #[derive(Clone, Copy, Debug)]
-struct FruitlessLook {
+struct FruitlessSearch {
     at: Millis,
-    /// How many capacity reports had been received.
+    /// Number of capacity reports that had been received by then.
     reports: u64,
 }
 
-/// What the leader remembers of its moves.
+/// State of the leader's rebalancing.
 #[derive(Debug)]
 pub(crate) struct Rebalancing {
-    last_fruitless: FruitlessLook,
-    /// Services lately handed over: not again at once, or one would go from shard to shard
-    /// by reports that are a moment old.
+    last_fruitless_search: FruitlessSearch,
+    /// Services that were recently handed over, and when. They are not handed over again at once:
+    /// the reports are slightly outdated, so a service could otherwise pass from shard to shard.
     handed_over: HashMap<u64, Millis>,
 }
 
 impl Rebalancing {
     pub(crate) fn new() -> Self {
         Self {
-            last_fruitless: FruitlessLook {
+            last_fruitless_search: FruitlessSearch {
                 at: f64::NEG_INFINITY,
                 reports: 0,
             },
@@ -71,20 +70,21 @@
         }
     }
 
-    /// Forgets old hand-overs. A replica whose image only other shards hold is not kept
-    /// waiting for the delay: fetching the image would take longer than moving the replica.
+    /// Removes hand-overs that are older than [`HAND_OVER_INTERVAL_MS`].
     pub(crate) fn expire(&mut self, now: Millis) {
-        self.handed_over.retain(|_, at| now - *at < HANDED_OVER_MS);
+        self.handed_over
+            .retain(|_, at| now - *at < HAND_OVER_INTERVAL_MS);
     }
 
-    /// Whether a look at what is overdue may find something.
+    /// Returns whether a search for tasks to move may find any: there are hand-overs, capacity has
+    /// been reported since the last fruitless search, or enough time has passed.
     pub(crate) fn is_due(&self, hand_overs: &HashSet<HandOver>, reports: u64, now: Millis) -> bool {
-        let last = self.last_fruitless;
-        !hand_overs.is_empty() || last.reports != reports || now - last.at >= RETRY_MS
+        let last = self.last_fruitless_search;
+        !hand_overs.is_empty() || last.reports != reports || now - last.at >= SEARCH_INTERVAL_MS
     }
 
-    /// The transaction that moves overdue tasks of some jobs from one shard to others with
-    /// free capacity, which is debited.
+    /// Returns the transaction that moves overdue tasks of some jobs from one shard to others, and
+    /// debits the free capacity of those.
     pub(crate) fn step(
         &mut self,
         hand_overs: &HashSet<HandOver>,
@@ -100,12 +100,12 @@
         };
         let mut batch = MoveBatch::default();
         for overdue in overdue {
-            if !batch.takes(&overdue) {
+            if !batch.accepts(&overdue) {
                 continue;
             }
             let Overdue { job, shard_id, .. } = overdue;
             let current = CurrentCapacities::new(reports, mirror, config, now);
-            let Some(moving) = current.overflow(job, shard_id) else {
+            let Some(moving) = current.plan_move(job, shard_id) else {
                 continue;
             };
             let moved = moving.applied_to(&mirror.open[&job], shard_id);
@@ -123,12 +123,12 @@
                 count = moving.tasks.len(),
                 "waiting tasks moved"
             );
-            if batch.records.len() >= MOST_MOVED {
+            if batch.records.len() >= MAX_MOVED_JOBS {
                 break;
             }
         }
         if batch.records.is_empty() {
-            self.last_fruitless = FruitlessLook {
+            self.last_fruitless_search = FruitlessSearch {
                 at: now,
                 reports: reports.received(),
             };
@@ -137,8 +137,9 @@
         Some(batch.commit)
     }
 
-    /// Jobs that their shards hand over, and for which there is room where their images
-    /// are.
+    /// Returns the jobs that their shards hand over and that fit on machines of other shards which
+    /// hold their images. These jobs do not wait for the rebalancing delay: if only other shards
+    /// hold a replica's image, fetching the image would take longer than moving the replica.
     fn handed_over(
         &self,
         hand_overs: &HashSet<HandOver>,
@@ -163,7 +164,7 @@
     }
 }
 
-/// The jobs that are handed over with those that have waited for the delay.
+/// Adds the jobs whose tasks have waited for the rebalancing delay to those that are handed over.
 fn with_delayed(
     mut all: BTreeSet<Overdue>,
     reports: &CapacityReports,
@@ -184,8 +185,8 @@
                 all.insert(overdue(false));
             }
         };
-        match reports.ownerless_since(shard_id) {
-            // Nobody reports for the shard, so nobody starts its tasks.
+        match reports.unreported_since(shard_id) {
+            // The shard has no owner that reports, so none of its tasks is started.
             Some(since) if now - since >= delay_s * 1000.0 => {
                 mirror.tasks.waiting[shard_id]
                     .keys()
@@ -208,7 +209,7 @@
     all
 }
 
-/// Moves that go in one transaction.
+/// Moves that are combined in one transaction.
 #[derive(Debug, Default)]
 struct MoveBatch {
     commit: Commit,
@@ -217,14 +218,15 @@
 }
 
 impl MoveBatch {
-    /// Whether a job's tasks may be moved in this transaction. That is from one shard at a
-    /// time: its owner's assignments, which the transaction depends on, come all the time.
-    fn takes(&self, overdue: &Overdue) -> bool {
+    /// Returns whether a job's tasks may be moved in this transaction. A transaction moves tasks
+    /// from one shard only, because it depends on the assignments of that shard's owner, which
+    /// change all the time.
+    fn accepts(&self, overdue: &Overdue) -> bool {
         let is_other_shard = self.from.is_some_and(|from| from != overdue.shard_id);
         !is_other_shard && !self.records.iter().any(|record| record.0 == overdue.job)
     }
 
-    /// Adds a job with its tasks moved, if it fits.
+    /// Adds a job with its tasks moved, if it fits. Returns whether it does.
     fn add(
         &mut self,
         overdue: &Overdue,
@@ -234,10 +236,11 @@
     ) -> bool {
         self.records.push((overdue.job, moved.record()));
         let mut attempt = Commit::default();
-        // A task that its owner assigns meanwhile is on one of these pages.
+        // If the owner assigns one of the tasks meanwhile, the assignment is on one of these
+        // pages.
         mirror.require_last_page(&mut attempt, overdue.shard_id);
         let fits = mirror.write_jobs(&mut attempt, self.records.clone(), config)
-            && attempt.bytes() <= TRANSACTION_BYTES;
+            && attempt.bytes() <= MAX_TRANSACTION_BYTES;
         if fits {
             (self.commit, self.from) = (attempt, Some(overdue.shard_id));
         } else {
@@ -248,15 +251,15 @@
 }
 
 impl CurrentCapacities<'_> {
-    /// Which tasks of a job leave a shard where they wait, and where they go.
-    fn overflow(&self, job: u64, shard_id: usize) -> Option<Move> {
+    /// Selects the unassigned tasks of a job that leave a shard, and the shards that they move to.
+    fn plan_move(&self, job: u64, shard_id: usize) -> Option<Move> {
         let open = self.mirror.open.get(&job).filter(|open| open.divided())?;
         let unassigned = self.mirror.waiting(shard_id, job)?;
         let mut weights = self.weights(open);
         weights[shard_id] = 0.0;
         if open.spec.apart && open.spec.task_count > 1 {
-            // The caps of the first division stay, so that no zone can
-            // ever hold more than its half.
+            // The caps of the first division remain, so that no zone can ever hold more than half
+            // of the tasks.
             for (other, weight) in weights.iter_mut().enumerate() {
                 let cap: u32 = open
                     .zone_caps
@@ -270,7 +273,7 @@
         if capacity < 1.0 {
             return None;
         }
-        // From the end, so that both shards keep few ranges.
+        // Tasks are taken from the end, so that both shards keep few ranges.
         let tasks = unassigned.last(capacity as u32);
         let shares = divide(tasks.len(), &weights);
         Some(Move { tasks, shares })
@@ -278,7 +281,7 @@
 }
 
 impl Move {
-    /// The job with its tasks moved.
+    /// Returns the job with its tasks moved.
     fn applied_to(&self, open: &OpenJob, from: usize) -> OpenJob {
         let mut moved = open.clone();
         moved.division[from] = moved.division[from].minus(&self.tasks);
--- a/crates/cherryyard-core/src/leader/scale_out/fleet.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/fleet.rs
@@ -1,38 +1,40 @@
-//! What the fleet lacks, and which machines could give it.
+//! Computation of what the fleet of machines lacks, and of the machines to provision for it.
 
 use super::requests::{PoolKey, Provision, ScaleOut};
 use crate::admit;
 use crate::leader::capacity_reports::{FitQuery, cores_of};
 use crate::leader::current_capacities::CurrentCapacities;
-use crate::leader::provisioning_times::{ProvisioningProgress, coming};
+use crate::leader::provisioning_times::{ProvisioningProgress, cores_to_come};
 use crate::mirror::OpenJob;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType};
 use cherryyard_wire::job::Shape;
 use std::collections::HashMap;
 
-/// Waiting jobs that may use only some pools of machines of which scale out takes account.
-const MOST_BOUND_JOBS: usize = 50;
-/// Cores that may be lacking before machines are provisioned.
-const LEAST_LACKING: f64 = 0.5;
-/// Machines in one request.
-const MOST_MACHINES: u32 = 4;
-/// The published time of a type that is not known, and the least of any, in seconds.
+/// Largest number of restricted waiting jobs that scale-out considers. A restricted job may use
+/// only some pools of machines.
+const MAX_RESTRICTED_JOBS: usize = 50;
+/// Number of lacking cores up to which no machines are provisioned.
+const NEGLIGIBLE_CORES: f64 = 0.5;
+/// Largest number of machines in one request.
+const MAX_MACHINES_PER_REQUEST: u32 = 4;
+/// Time to come up that is assumed for an unknown machine type, in seconds.
 const UNKNOWN_READY_S: f64 = 60.0;
-const LEAST_READY_S: f64 = 1.0;
+/// Lower bound of the published times to come up, in seconds.
+const MIN_READY_S: f64 = 1.0;
 
-/// A pool of machines that could be provisioned.
+/// A pool from which machines can be provisioned.
 #[derive(Clone, Copy, Debug)]
 struct PoolOption<'a> {
     spot: bool,
-    /// How many machines are in its zone.
+    /// Number of machines in the pool's zone.
     machines_in_zone: usize,
     zone: &'a str,
     machine_type: &'a MachineType,
 }
 
 impl PoolOption<'_> {
-    /// Whether a job may use its machines, and they are large enough.
-    fn suits(&self, open: &OpenJob) -> bool {
+    /// Returns whether a job may use the pool's machines and its tasks fit on them.
+    fn serves(&self, open: &OpenJob) -> bool {
         admit::fits_machine_type(&open.spec, self.machine_type)
             && open
                 .allows(&self.machine_type.sku, self.zone, self.spot)
@@ -55,21 +57,21 @@
 
 /// A waiting job that may use only some pools of machines.
 #[derive(Clone, Copy, Debug)]
-struct BoundJob<'a> {
+struct RestrictedJob<'a> {
     open: &'a OpenJob,
-    /// Whether it lacks room on these, beyond what is on its way.
-    is_lacking: bool,
+    /// Whether the job lacks capacity on machines that it may use, including those on their way.
+    lacks_capacity: bool,
 }
 
 /// Waiting jobs that may use only some pools of machines.
 #[derive(Debug, Default)]
-struct BoundJobs<'a> {
-    jobs: Vec<BoundJob<'a>>,
-    /// Cores that all of them lack.
-    lacking: f64,
+struct RestrictedJobs<'a> {
+    jobs: Vec<RestrictedJob<'a>>,
+    /// Cores that these jobs lack in total.
+    lacking_cores: f64,
 }
 
-/// Cores that wait for machines.
+/// Cores that tasks of waiting jobs require.
 #[derive(Clone, Copy, Debug, Default)]
 struct WaitingCores {
     all: f64,
@@ -83,7 +85,7 @@
     total: f64,
 }
 
-/// What is known of the machines that there are and that are on their way.
+/// The machines that are up and those that are being provisioned.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fleet<'a> {
     pub(crate) current: CurrentCapacities<'a>,
@@ -97,31 +99,31 @@
         cores_of(&self.current.mirror.catalog.machine_types, sku)
     }
 
-    /// The machines that are to be provisioned now, if any are.
-    pub(crate) fn lacking(&self) -> Option<Provision> {
+    /// Returns the machines that are to be provisioned now, if any are.
+    pub(crate) fn machines_to_provision(&self) -> Option<Provision> {
         let supply = self.supply();
         let waiting = self.waiting_cores();
         let headroom = supply.total * self.current.config.tuning.headroom_share;
-        // Room that a waiting job may not use is none for it, however much there is.
-        let bound = self.bound_jobs();
-        let ahead = waiting.all + headroom - supply.free - self.cores_coming(supply.total);
-        let need = ahead.max(bound.lacking);
-        if need <= LEAST_LACKING {
+        // Capacity that a waiting job may not use does not help it, however much there is.
+        let restricted = self.restricted_jobs();
+        let general_need = waiting.all + headroom - supply.free - self.cores_coming(supply.total);
+        let need = general_need.max(restricted.lacking_cores);
+        if need <= NEGLIGIBLE_CORES {
             return None;
         }
         let mut options = self.options(need > waiting.services);
-        // Ordinary machines serve everything; spot ones only what may be lost.
+        // Ordinary machines serve all jobs, spot machines only tasks that may be lost.
         options.sort_by_key(|option| (option.spot, option.machines_in_zone, option.zone));
-        let only_due = ahead <= waiting.all;
-        let only_bound = ahead <= LEAST_LACKING;
-        self.prefer_for_bound(&mut options, &bound.jobs, only_due, only_bound);
+        let only_due = general_need <= waiting.all;
+        let only_restricted = general_need <= NEGLIGIBLE_CORES;
+        self.prefer_for_restricted(&mut options, &restricted.jobs, only_due, only_restricted);
         let best = options.first()?;
         let cores = best.machine_type.cores.max(1e-3);
         Some(Provision {
             machine_type: best.machine_type.sku.clone(),
             zone: best.zone.to_string(),
             spot: best.spot,
-            number: ((need / cores).ceil() as u32).clamp(1, MOST_MACHINES),
+            number: ((need / cores).ceil() as u32).clamp(1, MAX_MACHINES_PER_REQUEST),
         })
     }
 
@@ -139,7 +141,7 @@
         supply
     }
 
-    /// The jobs that wait for machines.
+    /// Returns the jobs that wait for machines.
     fn waiting_jobs(&self) -> impl Iterator<Item = WaitingJob<'a>> + use<'a> {
         let mirror = self.current.mirror;
         mirror.open.iter().filter_map(move |(&job, open)| {
@@ -161,8 +163,8 @@
         cores
     }
 
-    /// Whether a job may use only some pools of machines.
-    fn is_bound(&self, open: &OpenJob) -> bool {
+    /// Returns whether a job may use only some pools of machines.
+    fn is_restricted(&self, open: &OpenJob) -> bool {
         let excluded =
             |machine_type: &MachineType| !admit::allows_machine_type(&open.spec, &machine_type.sku);
         open.rules.is_some()
@@ -177,29 +179,29 @@
                 .any(excluded)
     }
 
-    fn bound_jobs(&self) -> BoundJobs<'a> {
-        let mut bound = BoundJobs::default();
+    fn restricted_jobs(&self) -> RestrictedJobs<'a> {
+        let mut restricted = RestrictedJobs::default();
         for WaitingJob { open, tasks } in self.waiting_jobs() {
-            if !self.is_bound(open) {
+            if !self.is_restricted(open) {
                 continue;
             }
-            let room: f64 = self.current.fitting(open, FitQuery::FREE).iter().sum();
-            let lacking = ((f64::from(tasks) - room) * open.spec.cores).max(0.0);
-            let coming = self.cores_coming_for(open);
-            bound.jobs.push(BoundJob {
+            let fitting_tasks: f64 = self.current.fitting(open, FitQuery::FREE).iter().sum();
+            let lacking = ((f64::from(tasks) - fitting_tasks) * open.spec.cores).max(0.0);
+            let coming_cores = self.cores_coming_for(open);
+            restricted.jobs.push(RestrictedJob {
                 open,
-                is_lacking: lacking > coming,
+                lacks_capacity: lacking > coming_cores,
             });
-            bound.lacking += (lacking - coming).max(0.0);
-            if bound.jobs.len() >= MOST_BOUND_JOBS {
+            restricted.lacking_cores += (lacking - coming_cores).max(0.0);
+            if restricted.jobs.len() >= MAX_RESTRICTED_JOBS {
                 break;
             }
         }
-        bound
+        restricted
     }
 
-    /// The pools that could be provisioned; spot ones only where that `may_be_spot` and
-    /// there are jobs for them.
+    /// Returns the pools that can be provisioned. Spot pools are included only if `may_be_spot` is
+    /// true and some job may use them.
     fn options(&self, may_be_spot: bool) -> Vec<PoolOption<'a>> {
         let mirror = self.current.mirror;
         let spot_wanted = mirror.open.values().any(|open| open.spec.spot);
@@ -214,7 +216,7 @@
                         zone: zone.clone(),
                         spot,
                     };
-                    if !self.scale_out.has_refused(&pool) && (!spot || (spot_wanted && may_be_spot))
+                    if !self.scale_out.is_refused(&pool) && (!spot || (spot_wanted && may_be_spot))
                     {
                         options.push(PoolOption {
                             spot,
@@ -229,32 +231,32 @@
         options
     }
 
-    /// Where a waiting job that may use only some pools of machines lacks room on them, a
-    /// pool that it allows comes first; and where only such jobs wait, nothing is
-    /// provisioned that is of use to none of them. `only_due`: nothing is provisioned ahead
-    /// of need; `only_bound`: for all others there is room.
-    fn prefer_for_bound(
+    /// Puts pools first that serve a restricted job which lacks capacity. If only restricted jobs
+    /// wait, also removes the pools that serve none of them. `only_due` says that nothing is
+    /// provisioned ahead of need, `only_restricted` that there is enough capacity for all other
+    /// jobs.
+    fn prefer_for_restricted(
         &self,
         options: &mut Vec<PoolOption<'_>>,
-        bound: &[BoundJob<'_>],
+        restricted: &[RestrictedJob<'_>],
         only_due: bool,
-        only_bound: bool,
+        only_restricted: bool,
     ) {
-        if bound.is_empty() {
+        if restricted.is_empty() {
             return;
         }
-        let others_wait = || self.waiting_jobs().any(|job| !self.is_bound(job.open));
-        if only_bound || only_due && !others_wait() {
-            options.retain(|option| bound.iter().any(|job| option.suits(job.open)));
+        let others_wait = || self.waiting_jobs().any(|job| !self.is_restricted(job.open));
+        if only_restricted || only_due && !others_wait() {
+            options.retain(|option| restricted.iter().any(|job| option.serves(job.open)));
         }
         let serves_lacking = |option: &PoolOption<'_>| {
-            let mut lacking = bound.iter().filter(|job| job.is_lacking);
-            lacking.any(|job| option.suits(job.open))
+            let mut lacking = restricted.iter().filter(|job| job.lacks_capacity);
+            lacking.any(|job| option.serves(job.open))
         };
         options.sort_by_key(|option| !serves_lacking(option));
     }
 
-    /// Where a listed machine stands that is not up yet.
+    /// Returns the progress of a listed machine that is not up yet.
     fn progress(&self, instance: &Instance) -> ProvisioningProgress {
         let times = &self.scale_out.provisioning_times;
         let ready_s = ready_s(
@@ -264,7 +266,8 @@
         times.progress_of(instance, ready_s)
     }
 
-    /// Cores of provisioned machines that should be up at any time and that a job may use.
+    /// Returns the cores of provisioned machines that are expected to come up and that a job may
+    /// use.
     fn cores_coming_for(&self, open: &OpenJob) -> f64 {
         let is_expected = |instance: &&Instance| {
             instance.status == InstanceStatus::Starting
@@ -290,8 +293,8 @@
         listed + unlisted
     }
 
-    /// Cores of provisioned machines that will come up, as far as is known, beside a
-    /// `total` of those that are up.
+    /// Returns the cores of provisioned machines that are expected to come up. `total` is the
+    /// number of cores that are up.
     fn cores_coming(&self, total: f64) -> f64 {
         let (mut expected, mut overdue, mut largest) = (0.0, 0.0, 0.0f64);
         for instance in self.listed.values() {
@@ -309,15 +312,15 @@
             expected +=
                 self.cores_of(&batch.pool.machine_type) * batch.unlisted(self.listed) as f64;
         }
-        coming(expected, overdue, total, largest)
+        cores_to_come(expected, overdue, total, largest)
     }
 }
 
-/// The published time of a type until a machine is up, in seconds.
+/// Returns the published time that a machine type takes to come up, in seconds.
 pub(crate) fn ready_s(machine_types: &[MachineType], sku: &str) -> f64 {
     let mut known = machine_types.iter();
     let machine_type = known.find(|machine_type| machine_type.sku == sku);
     machine_type
         .map_or(UNKNOWN_READY_S, |machine_type| machine_type.ready_s)
-        .max(LEAST_READY_S)
+        .max(MIN_READY_S)
 }
--- a/crates/cherryyard-core/src/leader/scale_out/mod.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/mod.rs
@@ -1,7 +1,7 @@
-//! Scale out: machines are provisioned ahead of need.
+//! Scale-out: provisions machines ahead of need.
 //!
-//! [`Fleet`] works out what is lacking, and which pool of machines could give it;
-//! [`ScaleOut`] holds the requests to the cloud and what has come of them.
+//! [`Fleet`] computes what is lacking, and which pool of machines to provision it from.
+//! [`ScaleOut`] keeps the requests to the cloud and their results.
 
 mod fleet;
 mod requests;
--- a/crates/cherryyard-core/src/leader/scale_out/requests.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/requests.rs
@@ -1,30 +1,32 @@
-//! Provisioning requests to the cloud, and what has come of them.
+//! Provisioning requests to the cloud, and their results.
 
 use crate::Millis;
 use crate::leader::provisioning_times::ProvisioningTimes;
 use cherryyard_wire::cloud::{Instance, ProvisionRequest};
 use std::collections::HashMap;
 
-/// Time between two looks at what is lacking.
-const INTERVAL_MS: f64 = 1500.0;
-/// Time from a request's answer to the next look.
+/// Time between two checks for lacking capacity.
+const CHECK_INTERVAL_MS: f64 = 1500.0;
+/// Time from a request's answer to the next check.
 const AFTER_ANSWER_MS: f64 = 300.0;
-/// Time for which a new process, and a new leader, provision nothing.
+/// Time for which a new process provisions nothing.
 const START_DELAY_MS: f64 = 8000.0;
+/// Time for which a new leader provisions nothing.
 const LEADER_DELAY_MS: f64 = 5000.0;
-/// Time for which a pool is not asked again that had too few machines, or none.
+/// Time for which a pool is not requested again after the cloud had too few machines of it.
 const PARTLY_REFUSED_MS: f64 = 20_000.0;
+/// Time for which a pool is not requested again after the cloud refused the whole request.
 const REFUSED_MS: f64 = 15_000.0;
-/// Time after which a machine is in the cloud's list, beyond twice the list's lag.
-const LISTING_MS: f64 = 2000.0;
+/// Time after which a machine is in the cloud's list, in addition to twice the list's lag.
+const LISTING_MARGIN_MS: f64 = 2000.0;
 
-/// Why a provisioning request brought no machines.
+/// Reason why a provisioning request brought no machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProvisionError {
-    /// The cloud has none, or will never carry out this request.
+    /// The cloud has no such machines, or will never carry out this request.
     #[error("the cloud refused the request")]
     Refused,
-    /// No answer: the cloud may have provisioned them, or may yet.
+    /// The cloud did not answer: it may have provisioned the machines, or may do so later.
     #[error("no answer from the cloud")]
     NoAnswer,
 }
@@ -38,7 +40,7 @@
     pub(crate) number: u32,
 }
 
-/// A pool of machines that could be provisioned.
+/// Identity of a pool of machines that can be provisioned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PoolKey {
     pub(super) machine_type: String,
@@ -65,25 +67,25 @@
 }
 
 impl ProvisionedBatch {
-    /// How many of them are not in the list.
+    /// Returns how many of the machines are not in the list.
     pub(super) fn unlisted(&self, listed: &HashMap<String, Instance>) -> usize {
         let machines = self.machines.iter();
         machines.filter(|name| !listed.contains_key(*name)).count()
     }
 }
 
-/// The leader's provisioning requests.
+/// State of the leader's provisioning requests.
 #[derive(Debug)]
 pub(crate) struct ScaleOut {
-    /// How many requests have been made under this lease.
+    /// Number of requests made under the current lease.
     counter: u64,
-    /// The request that has no answer yet.
+    /// Request that has no answer yet.
     pending: Option<ProvisionRequest>,
     next_at: Millis,
-    /// Pools that had too few machines, each with until when it is not asked again.
+    /// Pools that had too few machines, each with the time until which it is not requested again.
     refused: HashMap<PoolKey, Millis>,
     pub(super) batches: Vec<ProvisionedBatch>,
-    /// What machines take to be up.
+    /// Estimates of the times that machines take to come up.
     pub(crate) provisioning_times: ProvisioningTimes,
 }
 
@@ -99,39 +101,39 @@
         }
     }
 
-    /// This controller has become the leader.
-    pub(crate) fn lead(&mut self, now: Millis) {
+    /// Resets the requests when this controller becomes the leader.
+    pub(crate) fn start_leading(&mut self, now: Millis) {
         self.next_at = now + LEADER_DELAY_MS;
         self.pending = None;
         self.counter = 0;
     }
 
-    /// Whether it is time to look at what is lacking.
+    /// Returns whether a check for lacking capacity is due.
     pub(crate) fn is_due(&self, now: Millis) -> bool {
         self.pending.is_none() && now >= self.next_at
     }
 
-    /// Begins a look, and forgets what is too old to count.
-    pub(crate) fn begin(&mut self, list_lag_ms: f64, now: Millis) {
-        self.next_at = now + INTERVAL_MS;
+    /// Begins a check, and removes refusals and batches that are too old to count.
+    pub(crate) fn begin_check(&mut self, list_lag_ms: f64, now: Millis) {
+        self.next_at = now + CHECK_INTERVAL_MS;
         self.refused.retain(|_, until| *until > now);
-        let listed_after_ms = 2.0 * list_lag_ms + LISTING_MS;
+        let listed_after_ms = 2.0 * list_lag_ms + LISTING_MARGIN_MS;
         self.batches
             .retain(|batch| now - batch.at < listed_after_ms);
     }
 
-    /// Whether a pool had too few machines a moment ago.
-    pub(super) fn has_refused(&self, pool: &PoolKey) -> bool {
+    /// Returns whether the cloud recently had too few machines of a pool.
+    pub(super) fn is_refused(&self, pool: &PoolKey) -> bool {
         self.refused.contains_key(pool)
     }
 
-    /// Makes a request; `lease` is the controller's name and the token of its lease on the
-    /// leadership.
+    /// Creates a request. `lease` is the controller's name and the token of its leader lease.
     pub(crate) fn request(&mut self, wanted: Provision, lease: (&str, u64)) -> ProvisionRequest {
         self.counter += 1;
         let (label, token) = lease;
         let request = ProvisionRequest {
-            // Never used again: the lease's token is unique, the counter within it.
+            // The id is never used again: the token is unique among leases, the counter within the
+            // lease.
             request_id: format!("{label}-{token}-{}", self.counter),
             machine_type: wanted.machine_type,
             zone: wanted.zone,
@@ -142,13 +144,13 @@
         request
     }
 
-    /// Whether this is the request that has no answer yet.
+    /// Returns whether this is the request that has no answer yet.
     pub(crate) fn is_pending(&self, request: &ProvisionRequest) -> bool {
         let pending = self.pending.as_ref();
         pending.is_some_and(|pending| pending.request_id == request.request_id)
     }
 
-    /// The cloud has promised these machines.
+    /// Records the machines that the cloud has promised.
     pub(crate) fn granted(
         &mut self,
         request: &ProvisionRequest,
@@ -167,7 +169,7 @@
         self.answered(request, now);
     }
 
-    /// The cloud has no such machines.
+    /// Records that the cloud has no such machines.
     pub(crate) fn refused(&mut self, request: &ProvisionRequest, now: Millis) {
         self.refused.insert(PoolKey::of(request), now + REFUSED_MS);
         self.answered(request, now);
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -1,4 +1,4 @@
-//! What a leader remembers; every controller keeps it, so that taking over is quick.
+//! State of the leader. Every controller keeps it, so that a takeover is quick.
 
 use super::bulk_creation::BulkCreation;
 use super::capacity_reports::CapacityReports;
@@ -12,13 +12,13 @@
 use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::Key;
 
-/// The leader's state.
+/// State of the leader, by concern.
 #[derive(Debug)]
 pub struct Leader {
     pub(crate) leadership: Leadership,
     /// Whether something has changed since the last cycle.
     pub(crate) dirty: bool,
-    /// When the last cycle was.
+    /// Time of the last cycle.
     pub(crate) planned_at: Millis,
     pub(crate) cycle_transaction: CycleTransaction,
     pub(crate) capacities: CapacityReports,
@@ -26,11 +26,11 @@
     pub(crate) scale_out: ScaleOut,
     pub(crate) history_compaction: HistoryCompaction,
     pub(crate) bulk_creation: BulkCreation,
-    /// When pages of the admission log were last compacted.
+    /// Time at which pages of the admission log were last compacted.
     pub(crate) pages_compacted_at: Millis,
-    /// Since when every controller has been able to work with dependencies.
-    pub(crate) able_since: Option<Millis>,
-    /// Whether the log says that operators' attributes are too many to keep.
+    /// Time since which every controller has supported dependencies.
+    pub(crate) dependencies_supported_since: Option<Millis>,
+    /// Whether the warning that operators' attributes are too large to store has been logged.
     pub(crate) attributes_warning_logged: bool,
 }
 
@@ -47,30 +47,32 @@
             history_compaction: HistoryCompaction::new(config, now),
             bulk_creation: BulkCreation::new(config, now),
             pages_compacted_at: now,
-            able_since: None,
+            dependencies_supported_since: None,
             attributes_warning_logged: false,
         }
     }
 
-    /// Takes over the shares of the write budget from a changed configuration.
+    /// Applies the write rates of a changed configuration.
     pub(crate) fn set_write_rates(&mut self, config: &Config, now: Millis) {
         self.history_compaction.set_write_rate(config, now);
         self.bulk_creation.set_write_rate(config, now);
     }
 
-    /// Whether we lead beyond doubt.
+    /// Returns whether this controller leads: it has acquired the leader lease, and the state that
+    /// it has read shows that lease.
     pub(crate) fn leads(&self, mirror: &Mirror) -> bool {
         self.leadership.leading_token().is_some_and(|token| {
             mirror.revision(Key::Leader) == token && mirror.store_revision >= token
         })
     }
 
-    /// When we learnt that our last lease was applied.
+    /// Returns the time at which this controller last acquired the leader lease; before that, its
+    /// start.
     pub(crate) fn since(&self) -> Millis {
         self.leadership.since()
     }
 
-    /// Whether the controller with this name holds the lease.
+    /// Returns whether the controller with this name holds the leader lease.
     pub(crate) fn is_label(&self, mirror: &Mirror, label: &str) -> bool {
         let lease = mirror.leader_lease.as_ref();
         lease.is_some_and(|lease| lease.label == label)
@@ -78,17 +80,18 @@
 
     /// Gives up the leadership if the state service shows another lease, or none.
     pub(crate) fn check_leadership(&mut self, mirror: &Mirror) {
-        self.leadership.seen(mirror.revision(Key::Leader));
+        self.leadership
+            .check_stored_token(mirror.revision(Key::Leader));
     }
 
-    /// Takes a shard's report, unless it is from an owner before.
+    /// Stores a shard's capacity report, unless it is malformed or from a previous owner.
     pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
         if self.capacities.receive(report, now) {
             self.dirty = true;
         }
     }
 
-    /// Cores of all machines that their owners can use.
+    /// Returns the cores of all machines that their shards' owners can use.
     pub(crate) fn total_cores(&self, machine_types: &[MachineType]) -> f64 {
         self.capacities.total_cores(machine_types)
     }
--- a/crates/cherryyard-core/src/needs.rs
+++ b/crates/cherryyard-core/src/needs.rs
@@ -1,34 +1,34 @@
-//! Amounts of a machine's resources: what a task needs, or what is free.
+//! Amounts of a machine's resources, either required by a task or free on a machine.
 
-/// Slack for sums of fractions of resources, which are rounded.
-const ROUNDING: f64 = 1e-6;
-/// How often an amount fits that needs nothing of a resource.
+/// Tolerance for rounding errors in sums of fractional resource amounts.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// Number of times that an amount counts as fitting by a resource of which it requires nothing.
 const UNBOUNDED_TIMES: f64 = 1e6;
 
 /// Amounts of a machine's resources.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Needs {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub acc: f64,
     /// Memory in GB.
     pub ram: f64,
 }
 
 impl Needs {
-    /// Whether `self` fits into `free`, rounding aside.
+    /// Returns whether `self` fits into `free`, within the tolerance for rounding errors.
     pub fn fits(&self, free: &Needs) -> bool {
-        self.cores <= free.cores + ROUNDING
-            && self.acc <= free.acc + ROUNDING
-            && self.ram <= free.ram + ROUNDING
+        self.cores <= free.cores + ROUNDING_TOLERANCE
+            && self.acc <= free.acc + ROUNDING_TOLERANCE
+            && self.ram <= free.ram + ROUNDING_TOLERANCE
     }
 
-    /// How many times `self` fits into `free`.
+    /// Returns how many times `self` fits into `free`.
     pub fn times_in(&self, free: &Needs) -> u32 {
-        let times = |need: f64, have: f64| {
+        let times = |need: f64, available: f64| {
             if need > 0.0 {
-                ((have + ROUNDING) / need).floor().max(0.0)
+                ((available + ROUNDING_TOLERANCE) / need).floor().max(0.0)
             } else {
                 UNBOUNDED_TIMES
             }
@@ -38,7 +38,7 @@
             .min(times(self.ram, free.ram)) as u32
     }
 
-    /// Takes `other` away.
+    /// Subtracts `other`.
     pub fn take(&mut self, other: &Needs) {
         self.cores -= other.cores;
         self.acc -= other.acc;
