--- a/crates/cherryyard-core/src/pools.rs
+++ b/crates/cherryyard-core/src/pools.rs
@@ -1,9 +1,9 @@
-//! Pools: machine types by zone, ordinary or spot, and which of them a job's rules
-//! allow and prefer.
+//! Pools of machines, each a machine type in a zone, ordinary or spot, and which of them a job's
+//! rules allow and prefer.
 //!
-//! Rules are evaluated against what all controllers know alike: the machine types and
-//! operators' attributes as the state service holds them. Nothing of it is kept in a
-//! job's record, so a change of an attribute costs one write, and what waits follows it.
+//! Rules are evaluated against data that is the same at all controllers: the machine types and
+//! operators' attributes that the state service stores. None of it is copied into a job's record,
+//! so a change of an attribute costs one write and applies to waiting jobs too.
 
 mod explanation;
 #[cfg(test)]
@@ -17,58 +17,60 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Most tiers of preference; what is liked less is all alike.
+/// Largest number of preference tiers; all less preferred pools share the last tier.
 const MAX_TIERS: u16 = 16;
-/// Rules whose pools are kept: a flood of jobs from one file has a few.
-const MAX_KNOWN: usize = 512;
-/// Memory is given in MB in expressions.
+/// Largest number of rules whose pools are cached. A burst of jobs from one submit file has only a
+/// few different rules.
+const MAX_CACHED_RULES: usize = 512;
+/// Megabytes per gigabyte; expressions use memory in MB.
 const MB_PER_GB: f64 = 1024.0;
-/// Whole numbers up to here are written as such.
-const MAX_WHOLE: f64 = 1e15;
+/// Absolute value below which whole numbers become integers in expressions.
+const MAX_INTEGER: f64 = 1e15;
 
-/// Why rules cannot be evaluated.
+/// Reason why rules cannot be evaluated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RulesError {
-    /// They are larger than they may be, or no rules at all.
+    /// The rules do not pass their check, for example because an expression is too long.
     #[error("{0}")]
     Malformed(String),
     /// An expression cannot be parsed.
     #[error("rules.{field}: {error}")]
     Expression {
-        /// The field that holds it.
+        /// Field that contains the expression.
         field: &'static str,
-        /// What is wrong with it.
+        /// Error in the expression.
         error: ParseError,
     },
 }
 
-/// The pools that a job's rules allow, each with its tier.
+/// Pools that a job's rules allow, each with its preference tier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PoolSet {
-    /// By type and zone: of ordinary machines, and of spot ones.
+    /// Tiers by machine type and zone, of the ordinary pool and of the spot pool.
     tiers: BTreeMap<String, BTreeMap<String, [Option<u16>; 2]>>,
-    count: u16,
+    tier_count: u16,
 }
 
 impl PoolSet {
-    /// How much a pool is preferred, 0 the most; none if it is excluded.
+    /// Returns the preference tier of a pool, 0 for the most preferred, or none if the pool is
+    /// excluded.
     pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         self.tiers.get(machine_type)?.get(zone)?[usize::from(spot)]
     }
 
-    /// How many tiers there are.
+    /// Returns the number of tiers.
     pub fn tiers(&self) -> u16 {
-        self.count
+        self.tier_count
     }
 
     fn add(&mut self, pool: &MachinePool, tier: u16) {
         let zones = self.tiers.entry(pool.machine_type.clone()).or_default();
         zones.entry(pool.zone.clone()).or_default()[usize::from(pool.spot)] = Some(tier);
-        self.count = self.count.max(tier + 1);
+        self.tier_count = self.tier_count.max(tier + 1);
     }
 }
 
-/// One pool and its attributes.
+/// A pool and its attributes.
 #[derive(Clone, Debug)]
 struct MachinePool {
     machine_type: String,
@@ -87,29 +89,29 @@
     ) -> Self {
         let mut ad = Ad::default();
         let mut set = |name: &str, value| ad.set_value(names.intern(name), value);
-        let operators_own = [
+        let operator_attributes = [
             Some(&attributes.all),
             attributes.machine_types.get(&machine_type.sku),
             attributes.zones.get(zone),
         ];
-        for (name, value) in operators_own.into_iter().flatten().flatten() {
-            set(name, value_of(value));
+        for (name, value) in operator_attributes.into_iter().flatten().flatten() {
+            set(name, value_from_json(value));
         }
         set("MyType", Value::text("Machine"));
         set("MachineType", Value::text(&machine_type.sku));
         set("Zone", Value::text(zone));
         set("Spot", Value::Bool(spot));
         for name in ["Cpus", "TotalCpus"] {
-            set(name, number(machine_type.cores));
+            set(name, value_from_number(machine_type.cores));
         }
         for name in ["Memory", "TotalMemory"] {
-            set(name, number(machine_type.ram_gb * MB_PER_GB));
+            set(name, value_from_number(machine_type.ram_gb * MB_PER_GB));
         }
         for name in ["GPUs", "TotalGPUs"] {
-            set(name, number(machine_type.accelerators));
+            set(name, value_from_number(machine_type.accelerators));
         }
-        set("FetchRate", number(machine_type.fetch_gb_per_s));
-        set("ImageCache", number(machine_type.cache_gb));
+        set("FetchRate", value_from_number(machine_type.fetch_gb_per_s));
+        set("ImageCache", value_from_number(machine_type.cache_gb));
         Self {
             machine_type: machine_type.sku.clone(),
             zone: zone.to_string(),
@@ -123,7 +125,8 @@
         format!("{} in {} ({sort})", self.machine_type, self.zone)
     }
 
-    /// What an expression of a job sees that was submitted at `submitted_at`.
+    /// Returns the scope in which the expressions of a job submitted at `submitted_at` (in
+    /// wall-clock milliseconds) are evaluated.
     fn scope<'a>(&'a self, job_ad: &'a Ad, submitted_at: u64) -> Scope<'a> {
         Scope {
             my: job_ad,
@@ -133,27 +136,27 @@
     }
 }
 
-/// A pool that rules allow, with what decides how much they prefer it.
+/// A pool that rules allow, with the criteria that decide its preference.
 struct AllowedPool<'a> {
     pool: &'a MachinePool,
-    /// Of the blocks of rules that hold it, the lowest.
+    /// Lowest tier of the rules' blocks that contain the pool.
     block_tier: u32,
-    /// By the rules' expression; more is better.
+    /// Value of the rules' rank expression; a higher one is preferred.
     rank: f64,
 }
 
 impl AllowedPool<'_> {
-    fn is_liked_as(&self, other: &Self) -> bool {
+    fn is_preferred_equally(&self, other: &Self) -> bool {
         (self.block_tier, self.rank) == (other.block_tier, other.rank)
     }
 }
 
-/// Evaluates rules.
+/// Evaluator of rules, with a cache of results.
 #[derive(Clone, Debug, Default)]
 pub struct Matcher {
     names: Names,
     pools: Vec<MachinePool>,
-    known: HashMap<Rules, Arc<PoolSet>>,
+    cache: HashMap<Rules, Arc<PoolSet>>,
 }
 
 /// Rules whose expressions have been parsed.
@@ -163,8 +166,8 @@
     rank: Option<Expr>,
 }
 
-/// An attribute's value, given as JSON.
-fn value_of(json: &serde_json::Value) -> Value {
+/// Converts an attribute's value from JSON.
+fn value_from_json(json: &serde_json::Value) -> Value {
     match json {
         serde_json::Value::Bool(value) => Value::Bool(*value),
         serde_json::Value::Number(value) => match value.as_i64() {
@@ -172,29 +175,31 @@
             None => value.as_f64().map_or(Value::Error, Value::Real),
         },
         serde_json::Value::String(value) => Value::text(value),
-        serde_json::Value::Array(values) => Value::List(values.iter().map(value_of).collect()),
+        serde_json::Value::Array(values) => {
+            Value::List(values.iter().map(value_from_json).collect())
+        }
         serde_json::Value::Null | serde_json::Value::Object(_) => Value::Undefined,
     }
 }
 
-/// Whole numbers as such: expressions compare `Cpus =?= 8`.
-fn number(value: f64) -> Value {
-    if value.fract() == 0.0 && value.abs() < MAX_WHOLE {
+/// Converts a number, whole ones to integers, so that a comparison such as `Cpus =?= 8` holds.
+fn value_from_number(value: f64) -> Value {
+    if value.fract() == 0.0 && value.abs() < MAX_INTEGER {
         Value::Int(value as i64)
     } else {
         Value::Real(value)
     }
 }
 
-/// Whether rules say something else at another time.
+/// Returns whether the result of the rules may change with time: an expression contains "time".
 fn depends_on_time(rules: &Rules) -> bool {
     let expressions = [&rules.requirements, &rules.rank];
-    let names_time = |text: &String| text.to_ascii_lowercase().contains("time");
-    expressions.into_iter().flatten().any(names_time)
+    let mentions_time = |text: &String| text.to_ascii_lowercase().contains("time");
+    expressions.into_iter().flatten().any(mentions_time)
 }
 
 impl Matcher {
-    /// One for these types and attributes.
+    /// Creates a matcher for these machine types and operators' attributes.
     pub fn new(machine_types: &[MachineType], attributes: &Attributes) -> Self {
         let mut names = Names::default();
         let mut pools = Vec::new();
@@ -209,7 +214,7 @@
         Self {
             names,
             pools,
-            known: HashMap::new(),
+            cache: HashMap::new(),
         }
     }
 
@@ -232,24 +237,25 @@
         })
     }
 
-    /// The lowest tier of the blocks that hold a pool.
+    /// Returns the lowest tier of the rules' blocks that contain a pool, or none if no block does.
+    /// Rules without blocks contain all pools, in tier 0.
     fn block_tier(rules: &Rules, pool: &MachinePool) -> Option<u32> {
         if rules.pools.is_empty() {
             return Some(0);
         }
-        let within = |listed: &Option<Vec<String>>, name: &String| {
+        let includes = |listed: &Option<Vec<String>>, name: &String| {
             listed.as_ref().is_none_or(|listed| listed.contains(name))
         };
-        let holding = rules.pools.iter().filter(|block| {
-            within(&block.machine_types, &pool.machine_type)
-                && within(&block.zones, &pool.zone)
+        let containing = rules.pools.iter().filter(|block| {
+            includes(&block.machine_types, &pool.machine_type)
+                && includes(&block.zones, &pool.zone)
                 && block.spot.is_none_or(|spot| spot == pool.spot)
         });
-        holding.map(|block| block.tier).min()
+        containing.map(|block| block.tier).min()
     }
 
-    /// What a job's rules come to, for a job submitted at `submitted_at` (milliseconds of
-    /// the day's clock, which is what `time()` says in them).
+    /// Evaluates the rules of a job submitted at `submitted_at`, in wall-clock milliseconds. This
+    /// is also the time that `time()` returns in their expressions.
     pub fn evaluate(&self, rules: &Rules, submitted_at: u64) -> Result<PoolSet, RulesError> {
         Ok(self.pools_of(rules, &self.parse(rules)?, submitted_at))
     }
@@ -262,12 +268,12 @@
         });
         let mut set = PoolSet::default();
         let mut tier = 0;
-        for (i, one) in allowed.iter().enumerate() {
-            let liked_less = i > 0 && !allowed[i - 1].is_liked_as(one);
-            if liked_less && tier + 1 < MAX_TIERS {
+        for (i, allowed_pool) in allowed.iter().enumerate() {
+            let is_less_preferred = i > 0 && !allowed[i - 1].is_preferred_equally(allowed_pool);
+            if is_less_preferred && tier + 1 < MAX_TIERS {
                 tier += 1;
             }
-            set.add(one.pool, tier);
+            set.add(allowed_pool.pool, tier);
         }
         set
     }
@@ -289,7 +295,7 @@
             if requirements.is_some_and(|requirements| !scope.holds(requirements)) {
                 continue;
             }
-            // What is no number counts as 0, as published.
+            // A rank that is not a finite number counts as 0, as published.
             let rank = parsed.rank.as_ref();
             let rank = rank.and_then(|rank| scope.evaluate(rank).real());
             let rank = rank.filter(|rank| rank.is_finite()).unwrap_or(0.0);
@@ -302,11 +308,12 @@
         allowed
     }
 
-    /// The same, kept for other jobs with the same rules. Rules that cannot be read
-    /// allow nothing: they were read when the job was admitted, by another build.
+    /// Returns the pools that rules allow, and caches them for other jobs with the same rules.
+    /// Rules that cannot be evaluated allow no pool: another build accepted them when the job was
+    /// admitted.
     pub fn pools(&mut self, rules: &Rules, submitted_at: u64) -> Arc<PoolSet> {
-        if let Some(known) = self.known.get(rules) {
-            return known.clone();
+        if let Some(cached) = self.cache.get(rules) {
+            return cached.clone();
         }
         let pools = self.evaluate(rules, submitted_at);
         let pools = Arc::new(pools.unwrap_or_else(|error| {
@@ -314,10 +321,10 @@
             PoolSet::default()
         }));
         if !depends_on_time(rules) {
-            if self.known.len() >= MAX_KNOWN {
-                self.known.clear();
+            if self.cache.len() >= MAX_CACHED_RULES {
+                self.cache.clear();
             }
-            self.known.insert(rules.clone(), pools.clone());
+            self.cache.insert(rules.clone(), pools.clone());
         }
         pools
     }
--- a/crates/cherryyard-core/src/shard_map.rs
+++ b/crates/cherryyard-core/src/shard_map.rs
@@ -1,9 +1,9 @@
-//! Which shard a machine belongs to: a pure function of its zone and name, so that all
-//! controllers agree on it without asking.
+//! Assignment of machines to shards. It is a pure function of a machine's zone and name, so that
+//! all controllers agree on it without communication.
 
 use std::collections::HashMap;
 
-/// How the machines are divided among the controllers' shards.
+/// Division of the machines among the controllers' shards.
 #[derive(Clone, Debug)]
 pub struct ShardMap {
     by_zone: HashMap<String, Vec<usize>>,
@@ -11,8 +11,8 @@
 }
 
 impl ShardMap {
-    /// One shard per controller, given by name and zone in the order that all controllers agree
-    /// on.
+    /// Creates a map with one shard per controller. `controllers` lists their names and zones, in
+    /// the same order at every controller.
     pub fn new(controllers: &[(String, String)]) -> Self {
         let mut by_zone: HashMap<String, Vec<usize>> = HashMap::new();
         for (i, (_, zone)) in controllers.iter().enumerate() {
@@ -24,20 +24,21 @@
         }
     }
 
-    /// How many shards there are.
+    /// Returns the number of shards.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// The shard of machine `host` in `zone`: that of the controller in its zone; with
-    /// none or several there, the machines are spread by the number that ends their names.
+    /// Returns the shard of machine `host` in `zone`, which is that of the zone's controller. If
+    /// the zone has several controllers, the number at the end of the machine's name selects one
+    /// of them; if the zone has none, that number selects one of all shards.
     pub fn shard(&self, zone: &str, host: &str) -> usize {
         let digits = host
             .rfind(|c: char| !c.is_ascii_digit())
             .map_or(host, |i| &host[i + 1..]);
         let number = match digits.parse::<u64>() {
             Ok(number) => number as usize,
-            // A name without a number still needs one fixed shard.
+            // A name without a number also needs a fixed shard, which a hash of the name selects.
             Err(_) => host.bytes().fold(0usize, |hash, byte| {
                 hash.wrapping_mul(31).wrapping_add(byte.into())
             }),
--- a/crates/cherryyard-core/src/token_bucket.rs
+++ b/crates/cherryyard-core/src/token_bucket.rs
@@ -2,22 +2,23 @@
 
 use crate::Millis;
 
-/// Seconds' worth of the rate that may be saved up, or overdrawn.
+/// Time, in seconds, whose refill may be saved up, or overdrawn.
 const BURST_S: f64 = 2.0;
-/// The least that may be saved up, however small the rate is.
+/// Least capacity in tokens, however low the rate is.
 const MIN_CAPACITY: f64 = 3.0;
-/// Longest time, in seconds, after which those who are refused are told to come back.
+/// Longest delay, in seconds, after which a refused caller is asked to retry.
 const MAX_RETRY_S: f64 = 20.0;
 
-/// What may still be spent, and how many have been refused and told to come back.
+/// Tokens left to spend, and refused callers that are expected to retry.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
     capacity: f64,
     left: f64,
-    /// Tokens that will be taken by those who were told to come back.
-    owed: f64,
+    /// Number of refused callers that are expected to retry, each for one token. It falls at the
+    /// refill rate.
+    expected_retries: f64,
     refilled_at: Millis,
 }
 
@@ -26,18 +27,18 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is refilled by `rate` a second, and begins with one token.
+    /// Creates a bucket that is refilled by `rate` tokens per second and starts with one token.
     pub fn new(rate: f64, now: Millis) -> Self {
         Self {
             rate,
             capacity: capacity(rate),
             left: 1.0,
-            owed: 0.0,
+            expected_retries: 0.0,
             refilled_at: now,
         }
     }
 
-    /// Changes the rate from now on.
+    /// Changes the rate from `now` on.
     pub fn set_rate(&mut self, rate: f64, now: Millis) {
         self.refill(now);
         self.rate = rate;
@@ -45,39 +46,40 @@
     }
 
     fn refill(&mut self, now: Millis) {
-        let more = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
-        self.left = (self.left + more).min(self.capacity);
-        self.owed = (self.owed - more).max(0.0);
+        let refilled = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
+        self.left = (self.left + refilled).min(self.capacity);
+        self.expected_retries = (self.expected_retries - refilled).max(0.0);
         self.refilled_at = now;
     }
 
-    /// What is left now; below 0 after something urgent.
+    /// Returns the tokens left at `now`, which are below 0 after urgent spending beyond the
+    /// budget.
     pub fn left(&mut self, now: Millis) -> f64 {
         self.refill(now);
         self.left
     }
 
-    /// How far below 0 something urgent may go.
+    /// Returns how far below 0 urgent spending may take the budget.
     pub fn overdraft(&self) -> f64 {
         self.rate * BURST_S
     }
 
-    /// Spends `tokens`, whether they are there or not.
+    /// Spends `tokens`, even if fewer are left.
     pub fn spend(&mut self, tokens: f64) {
         self.left -= tokens;
     }
 
-    /// Spends 1 token if it is there; otherwise says after how many seconds to come
-    /// back. Those who are refused are told different times, so that they
-    /// come back no faster than they can be served.
+    /// Spends one token if one is left. Otherwise returns the number of seconds after which to
+    /// retry. The delay grows with the number of refused callers, so that they return no faster
+    /// than they can be served.
     pub fn take(&mut self, now: Millis) -> Result<(), u32> {
         self.refill(now);
         if self.left >= 1.0 {
             self.left -= 1.0;
             return Ok(());
         }
-        self.owed += 1.0;
-        let wait_s = (self.owed / self.rate.max(1e-3)).ceil();
+        self.expected_retries += 1.0;
+        let wait_s = (self.expected_retries / self.rate.max(1e-3)).ceil();
         Err(wait_s.clamp(1.0, MAX_RETRY_S) as u32)
     }
 }
