--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -113,10 +113,10 @@
     }
 
     fn create_from_chunk(&mut self, chunk: &ChunkJobs, record: &SubmissionRecord, now: Millis) {
-        let left = chunk.remaining(record.next);
-        let numbers = left.iter().map(|chunk_job| chunk_job.job);
+        let remaining = chunk.remaining(record.next);
+        let numbers = remaining.iter().map(|chunk_job| chunk_job.job);
         let count = jobs_within_limit(numbers, &self.mirror, &self.config);
-        let records: Vec<MaybeRecord> = left[..count]
+        let records: Vec<MaybeRecord> = remaining[..count]
             .iter()
             .map(|chunk_job| self.new_record(chunk, chunk_job, record.at, now))
             .collect();
--- a/crates/cherryyard-core/src/pools.rs
+++ b/crates/cherryyard-core/src/pools.rs
@@ -146,7 +146,7 @@
 }
 
 impl AllowedPool<'_> {
-    fn is_preferred_equally(&self, other: &Self) -> bool {
+    fn is_equally_preferred(&self, other: &Self) -> bool {
         (self.block_tier, self.rank) == (other.block_tier, other.rank)
     }
 }
@@ -254,8 +254,8 @@
         containing.map(|block| block.tier).min()
     }
 
-    /// Evaluates the rules of a job submitted at `submitted_at`, in wall-clock milliseconds. This
-    /// is also the time that `time()` returns in their expressions.
+    /// Evaluates the rules of a job submitted at `submitted_at`, in wall-clock milliseconds. In
+    /// their expressions, `time()` returns this time in seconds.
     pub fn evaluate(&self, rules: &Rules, submitted_at: u64) -> Result<PoolSet, RulesError> {
         Ok(self.pools_of(rules, &self.parse(rules)?, submitted_at))
     }
@@ -269,7 +269,7 @@
         let mut set = PoolSet::default();
         let mut tier = 0;
         for (i, allowed_pool) in allowed.iter().enumerate() {
-            let is_less_preferred = i > 0 && !allowed[i - 1].is_preferred_equally(allowed_pool);
+            let is_less_preferred = i > 0 && !allowed[i - 1].is_equally_preferred(allowed_pool);
             if is_less_preferred && tier + 1 < MAX_TIERS {
                 tier += 1;
             }
@@ -308,9 +308,9 @@
         allowed
     }
 
-    /// Returns the pools that rules allow, and caches them for other jobs with the same rules.
-    /// Rules that cannot be evaluated allow no pool: another build accepted them when the job was
-    /// admitted.
+    /// Returns the pools that rules allow, and caches them for other jobs with the same rules
+    /// unless the rules depend on time. Rules that cannot be evaluated allow no pool: another
+    /// build accepted them when the job was admitted.
     pub fn pools(&mut self, rules: &Rules, submitted_at: u64) -> Arc<PoolSet> {
         if let Some(cached) = self.cache.get(rules) {
             return cached.clone();
