--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -1,8 +1,8 @@
-//! An account of a shard's core-seconds: what its machines' cores did, and why
-//! those that did nothing were idle while something waited.
+//! Account of a shard's core-seconds: how the cores of its machines were used, and why cores were
+//! idle while tasks waited.
 //!
-//! It is sampled: each sample counts every core of the shard once, for the time
-//! since the sample before. Nothing depends on it.
+//! The account is sampled: each sample counts every core of the shard once, for the time since the
+//! previous sample. It is only reported, and no scheduling decision depends on it.
 
 mod sampling;
 
@@ -14,11 +14,12 @@
 use std::str::FromStr;
 use strum::{EnumCount, IntoEnumIterator};
 
-/// Figures below this many core-seconds are left out where they are written.
-const LEAST_WRITTEN: f64 = 0.5;
+/// Number of core-seconds below which a figure is left out of the written account.
+const MIN_WRITTEN_CORE_SECONDS: f64 = 0.5;
 
-/// What a core-second went to. Those with a reason for idle cores are in the order
-/// in which they come nearer to letting a waiting task run.
+/// Use of a core-second. The variants from [`Self::Excluded`] on are reasons for idle cores in
+/// ascending order of how close a waiting task was to running there: the sampling counts the
+/// greatest one over the waiting jobs.
 #[derive(
     Clone,
     Copy,
@@ -34,103 +35,105 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum CoreUse {
-    /// Services' tasks that ran.
+    /// Used by running tasks of services.
     Replicas,
-    /// Arrays' tasks that ran to completion, or still run.
+    /// Used by tasks of arrays that ran to completion or are still running.
     Arrays,
-    /// Run time of attempts that did not complete. It was counted as `Arrays`
-    /// while they ran, and is taken out of that when they are lost.
+    /// Used by attempts of tasks that did not complete. Their run time is counted as `Arrays` while
+    /// they run, and moved here when they are lost.
     Lost,
-    /// Waiting for an image.
+    /// Held by tasks whose image is being fetched.
     Fetching,
-    /// Assigned, the start not yet seen in a report.
+    /// Held by assigned tasks that no report has shown as started yet.
     Starting,
-    /// Over, the assignment not yet taken back.
+    /// Held by ended tasks whose assignment is not removed yet.
     Ending,
-    /// Tasks without an assignment.
+    /// Used by tasks without an assignment.
     Strays,
-    /// Machines provisioned and not yet up.
+    /// Cores of provisioned machines that are not up yet.
     Booting,
-    /// Free cores of machines that are silent, recalled, unconfirmed, being
-    /// returned, or left alone after failures.
+    /// Free cores of machines that send no reports, are being reclaimed by the cloud, unconfirmed
+    /// or being returned to it, or that get no tasks after failures.
     Unusable,
-    /// Free while nothing waited anywhere.
+    /// Free while no task waited anywhere.
     Spare,
-    /// Free while tasks waited in other shards only.
+    /// Free while tasks waited only in other shards.
     Elsewhere,
-    /// Free while jobs waited to be divided.
+    /// Free while jobs waited to be divided among the shards.
     Undivided,
-    /// Kept for a task that others were stopped for.
+    /// Reserved for a task for which other tasks were preempted.
     Kept,
-    /// Free where no waiting task may run.
+    /// Free on a machine on which no waiting task may run.
     Excluded,
-    /// Free, and too small for every waiting task that may run there.
+    /// Free, but too few for any waiting task that may run on the machine.
     Fragments,
-    /// Free while the waiting jobs were held back after failures.
+    /// Free while the waiting jobs were held off after failures.
     Troubled,
-    /// Free while the waiting tasks' teams were at their limits.
+    /// Free while the teams of the waiting tasks were at their limits.
     Limits,
-    /// Free while a task that fits waited for the next round.
+    /// Free while a task that fits waited for the next scheduling cycle.
     Round,
 }
 
-/// Why the text of an account could not be read.
+/// Error in reading the text of an account.
 #[derive(Debug, thiserror::Error)]
 pub enum AccountError {
-    /// It is not a JSON object of numbers.
+    /// The text is not a JSON object of numbers.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It has a figure that is not known.
+    /// The account has a figure with an unknown name.
     #[error("{0}: no such figure")]
     UnknownFigure(String),
 }
 
-/// Core-seconds by what they went to.
+/// Core-seconds by use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreSeconds([f64; CoreUse::COUNT]);
 
 impl CoreSeconds {
-    /// What went to one thing.
+    /// Returns the core-seconds of one use.
     pub fn get(&self, core_use: CoreUse) -> f64 {
         self.0[core_use as usize]
     }
 
-    /// Counts core-seconds.
+    /// Adds core-seconds to one use.
     pub fn count(&mut self, core_use: CoreUse, core_seconds: f64) {
         self.0[core_use as usize] += core_seconds;
     }
 
-    /// Each figure by name, in the order of the account.
+    /// Returns the name and core-seconds of each use, in the order of [`CoreUse`].
     pub fn figures(&self) -> impl Iterator<Item = (&'static str, f64)> + '_ {
         CoreUse::iter().map(|core_use| (core_use.into(), self.get(core_use)))
     }
 
-    /// All core-seconds together.
+    /// Returns the sum over all uses.
     pub fn total(&self) -> f64 {
         self.0.iter().sum()
     }
 
-    /// Adds another account.
+    /// Adds the core-seconds of another account.
     pub fn add(&mut self, other: &Self) {
-        for (mine, theirs) in self.0.iter_mut().zip(&other.0) {
-            *mine += theirs;
+        for (value, added) in self.0.iter_mut().zip(&other.0) {
+            *value += added;
         }
     }
 
-    /// The account as a line of JSON, whole core-seconds by name.
+    /// Returns the account as one line of JSON: rounded core-seconds by name.
     pub fn to_json(&self) -> String {
-        let written = self.figures().filter(|(_, s)| s.abs() >= LEAST_WRITTEN);
+        let written = self
+            .figures()
+            .filter(|(_, s)| s.abs() >= MIN_WRITTEN_CORE_SECONDS);
         let map: serde_json::Map<_, _> = written
             .map(|(name, s)| (name.to_string(), (s.round() as i64).into()))
             .collect();
         serde_json::Value::Object(map).to_string()
     }
 
-    /// Reads what [`to_json`](Self::to_json) wrote.
+    /// Parses the output of [`to_json`](Self::to_json).
     ///
     /// # Errors
     ///
-    /// If it is no account, or has a figure that is not known.
+    /// If `text` is not a JSON object of numbers, or has a figure with an unknown name.
     pub fn from_json(text: &str) -> Result<Self, AccountError> {
         let map: HashMap<String, f64> = serde_json::from_str(text)?;
         let mut sum = Self::default();
@@ -144,47 +147,52 @@
     }
 }
 
-/// A shard's account in the making.
+/// Account of one shard that is being sampled.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     sum: CoreSeconds,
     sampled_at: Option<Millis>,
-    /// How long each assigned attempt has been seen to run, and its cores.
-    ran: HashMap<(Task, u64), (f64, f64)>,
+    /// Seconds for which each assigned attempt of an array's task was sampled as running, and its
+    /// number of cores.
+    run_times: HashMap<(Task, u64), (f64, f64)>,
 }
 
 impl Account {
-    /// What has been counted since the last call.
+    /// Returns and resets what has been counted since the last call.
     pub fn take(&mut self) -> CoreSeconds {
         std::mem::take(&mut self.sum)
     }
 
-    /// Starts anew: the shard has another owner.
+    /// Drops the state of the sampling because the shard has another owner. What has been counted
+    /// is kept.
     pub(crate) fn clear(&mut self) {
-        self.ran.clear();
+        self.run_times.clear();
         self.sampled_at = None;
     }
 
-    /// Attempts without an assignment any more were either of use or lost.
-    fn settle(&mut self, shard_id: usize, mirror: &Mirror) {
+    /// Drops the attempts that are not assigned any more, and moves the run time of those that were
+    /// lost from `Arrays` to `Lost`.
+    fn settle_ended_attempts(&mut self, shard_id: usize, mirror: &Mirror) {
         let sum = &mut self.sum;
-        self.ran.retain(|&(task, attempt), &mut (seconds, cores)| {
-            let (job, number) = task;
-            let here = mirror.tasks.assignments.get(&(shard_id, job));
-            let assigned = here.and_then(|here| here.assignments.get(&number));
-            if assigned.is_some_and(|(assignment, _)| assignment.attempt == attempt) {
-                return true;
-            }
-            let is_done = mirror.end(job) == Some(End::Done)
-                || here.is_some_and(|here| here.done.contains(number));
-            let open = mirror.open.get(&job);
-            let is_service = open.is_some_and(|open| open.spec.shape == Shape::Service);
-            // A service's task was of use while it ran; so is what its user ended.
-            if !is_done && !is_service && mirror.end(job).is_none() {
-                sum.count(CoreUse::Lost, seconds * cores);
-                sum.count(CoreUse::Arrays, -seconds * cores);
-            }
-            false
-        });
+        self.run_times
+            .retain(|&(task, attempt), &mut (seconds, cores)| {
+                let (job, number) = task;
+                let group = mirror.tasks.assignments.get(&(shard_id, job));
+                let assigned = group.and_then(|group| group.assignments.get(&number));
+                if assigned.is_some_and(|(assignment, _)| assignment.attempt == attempt) {
+                    return true;
+                }
+                let is_done = mirror.end(job) == Some(End::Done)
+                    || group.is_some_and(|group| group.done.contains(number));
+                let open = mirror.open.get(&job);
+                let is_service = open.is_some_and(|open| open.spec.shape == Shape::Service);
+                // Not lost: the time of a service's task, and that of a task that its user
+                // cancelled.
+                if !is_done && !is_service && mirror.end(job).is_none() {
+                    sum.count(CoreUse::Lost, seconds * cores);
+                    sum.count(CoreUse::Arrays, -seconds * cores);
+                }
+                false
+            });
     }
 }
--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -1,4 +1,4 @@
-//! Samples of a shard's cores, and why those that do nothing are idle.
+//! Sampling of the use of a shard's cores, with the reasons for idle ones.
 
 use super::{Account, CoreSeconds, CoreUse};
 use crate::Millis;
@@ -10,32 +10,33 @@
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::worker::TaskStatus;
 
-/// Least time between two samples.
+/// Shortest time between two samples in milliseconds.
 const SAMPLE_MS: f64 = 1000.0;
-/// Longer gaps are not this account's to fill: the controller stood still.
-const GAP_MS: f64 = 5000.0;
-/// Waiting jobs that are looked at to tell why a machine is idle.
+/// Longest time between two samples that is counted, in milliseconds. In a longer gap the
+/// controller was paused, and the use of the cores is unknown.
+const MAX_GAP_MS: f64 = 5000.0;
+/// Largest number of waiting jobs that are inspected for the reason for idle cores.
 const MAX_INSPECTED_JOBS: usize = 40;
 
-/// One sample of a shard: what the time since the last one is counted by.
+/// State of one sample of a shard, by which the time since the previous one is counted.
 struct Sample<'a> {
     shard_id: usize,
     now: Millis,
     seconds: f64,
     waiting: Vec<(u64, &'a OpenJob)>,
-    /// What each team uses in the shard.
+    /// Resources that each team uses in the shard.
     used: Vec<Needs>,
-    /// Cores that waiting tasks of this shard, and of the others, could fill and that have
-    /// not been counted as idle yet: capacity is idle while something waits only as far as
-    /// that could fill it.
-    wanted_here: f64,
-    wanted_elsewhere: f64,
-    /// What idle cores count as that nothing divided could fill.
+    /// Cores that waiting tasks of this shard, and this shard's part of the cores that waiting
+    /// tasks of other shards, could use, without the idle cores counted against them so far. Free
+    /// cores count as idle while tasks wait only up to these numbers.
+    usable_here: f64,
+    usable_elsewhere: f64,
+    /// Use as which free cores beyond these numbers count.
     rest: CoreUse,
 }
 
 impl Controller {
-    /// Takes a sample of shard `shard_id`, if it is ours and one is due.
+    /// Samples the shard `shard_id`, if this controller owns it and a sample is due.
     pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
         if self.owned(shard_id).is_none() {
             return;
@@ -47,14 +48,14 @@
         }
         let mut account = std::mem::take(&mut self.shards[shard_id].account);
         account.sampled_at = Some(now);
-        if passed > 0.0 && passed <= GAP_MS {
+        if passed > 0.0 && passed <= MAX_GAP_MS {
             self.count_shard(shard_id, now, passed / 1000.0, &mut account);
         }
-        account.settle(shard_id, &self.mirror);
+        account.settle_ended_attempts(shard_id, &self.mirror);
         self.shards[shard_id].account = account;
     }
 
-    /// Counts every core of a shard once, for some seconds.
+    /// Counts every core of a shard once, for the given number of seconds.
     fn count_shard(&self, shard_id: usize, now: Millis, seconds: f64, account: &mut Account) {
         let mut sample = self.begin_sample(shard_id, now, seconds);
         for machine in self.machines.values() {
@@ -70,15 +71,15 @@
         let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| Some((*job, self.mirror.open.get(job)?)));
         let others = (0..self.shards.len()).filter(|&other| other != shard_id);
-        let wanted_by_others = others.map(|other| self.wanted(other)).sum::<f64>();
+        let waiting_in_others = others.map(|other| self.waiting_cores(other)).sum::<f64>();
         Sample {
             shard_id,
             now,
             seconds,
             waiting: open.take(MAX_INSPECTED_JOBS).collect(),
             used: self.mirror.usage(shard_id),
-            wanted_here: self.wanted(shard_id),
-            wanted_elsewhere: wanted_by_others / self.shards.len() as f64,
+            usable_here: self.waiting_cores(shard_id),
+            usable_elsewhere: waiting_in_others / self.shards.len() as f64,
             rest: if self.mirror.undivided.is_empty() {
                 CoreUse::Spare
             } else {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Counts a machine's free cores, by why they are free.
+    /// Counts the free cores of a machine by the reason for which they are free.
     fn count_free(&self, machine: &Machine, sample: &mut Sample, account: &mut Account) {
         let seconds = sample.seconds;
         let free = self
@@ -102,20 +103,20 @@
             account.sum.count(CoreUse::Kept, free * seconds);
             return;
         }
-        let here = free.min(sample.wanted_here);
+        let here = free.min(sample.usable_here);
         if here > 0.0 {
-            let reason = self.why_idle(machine, sample);
+            let reason = self.idle_reason(machine, sample);
             account.sum.count(reason, here * seconds);
-            sample.wanted_here -= here;
+            sample.usable_here -= here;
         }
-        let elsewhere = (free - here).min(sample.wanted_elsewhere);
-        sample.wanted_elsewhere -= elsewhere;
+        let elsewhere = (free - here).min(sample.usable_elsewhere);
+        sample.usable_elsewhere -= elsewhere;
         account.sum.count(CoreUse::Elsewhere, elsewhere * seconds);
         let rest = free - here - elsewhere;
         account.sum.count(sample.rest, rest * seconds);
     }
 
-    /// Counts machines of the shard that were provisioned and are not up yet.
+    /// Counts the cores of the shard's machines that are provisioned and not up yet.
     fn count_booting(&self, shard_id: usize, seconds: f64, account: &mut Account) {
         for (name, entry) in &self.listed {
             if entry.status == InstanceStatus::Starting
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Cores that the waiting tasks of a shard take.
-    fn wanted(&self, shard_id: usize) -> f64 {
+    /// Returns the number of cores that the waiting tasks of a shard need.
+    fn waiting_cores(&self, shard_id: usize) -> f64 {
         let waiting = self.mirror.tasks.waiting[shard_id].iter();
         let cores = waiting.filter_map(|(job, set)| {
             let open = self.mirror.open.get(job)?;
@@ -160,8 +161,11 @@
                 }
                 Some(TaskStatus::Running | TaskStatus::Saving | TaskStatus::Other) => {
                     let attempt = (task, assignment.attempt);
-                    let ran = account.ran.entry(attempt).or_insert((0.0, needs.cores));
-                    ran.0 += seconds;
+                    let run_time = account
+                        .run_times
+                        .entry(attempt)
+                        .or_insert((0.0, needs.cores));
+                    run_time.0 += seconds;
                     CoreUse::Arrays
                 }
             };
@@ -178,12 +182,12 @@
         }
     }
 
-    /// Why free cores of a machine are idle while jobs wait: the reason that comes nearest to
-    /// letting one of them run there.
-    fn why_idle(&self, machine: &Machine, sample: &Sample) -> CoreUse {
+    /// Returns why free cores of a machine are idle while jobs wait: of the reasons for the
+    /// inspected jobs the one that is closest to letting a job run there.
+    fn idle_reason(&self, machine: &Machine, sample: &Sample) -> CoreUse {
         let free = self.free_on(machine, None).unwrap_or_default();
         let shard_id = sample.shard_id;
-        let why = |&(job, open): &(u64, &OpenJob)| {
+        let job_reason = |&(job, open): &(u64, &OpenJob)| {
             let needs = open.needs();
             let failures = self.shards[shard_id].job_failures.get(&job);
             if !self.allowed(open, machine) {
@@ -198,11 +202,12 @@
                 CoreUse::Round
             }
         };
-        let reasons = sample.waiting.iter().map(why);
+        let reasons = sample.waiting.iter().map(job_reason);
         reasons.max().unwrap_or(CoreUse::Excluded)
     }
 
-    /// What each shard of ours has counted since the last call.
+    /// Returns what the account of each shard has counted since the last call, without empty
+    /// accounts.
     pub fn accounts(&mut self) -> Vec<(usize, CoreSeconds)> {
         let taken = self.shards.iter_mut().map(|shard| shard.account.take());
         let all = taken.enumerate();
--- a/crates/cherryyard-core/src/admission/allowance.rs
+++ b/crates/cherryyard-core/src/admission/allowance.rs
@@ -1,45 +1,50 @@
-//! Fair-share guarantees divided among owners, so that all of them together never act on
-//! more than there is.
+//! Division of a flow's fair-share guarantee among the owners of shards, so that all owners
+//! together never use more than the guarantee.
 //!
-//! Each owner has an *allowance* for a flow: up to so many cores of it in its shard it may
-//! start ahead of rank, and down to so many it may stop for others. Both it decides by
-//! what its own shard runs, at once and on its own (a demarcation protocol: a bound over
-//! all is kept by bounds for each). The leader divides a guarantee into allowances, and
-//! moves them where the flow runs and waits. Several owners act at once, on old messages,
-//! and controllers end, are cut off, and go on after a freeze; so:
+//! An *allowance* is a number of cores of one flow in one shard. The shard's owner may start
+//! tasks of the flow ahead of rank (before jobs of higher rank) until the flow runs on that many
+//! cores of the shard, and may preempt tasks of the flow for other jobs until that many are left.
+//! The owner decides both from what its own shard runs, without asking another controller. This
+//! is a demarcation protocol: a bound on a sum holds because each summand has a bound of its own.
+//! The leader divides the guarantee into allowances and moves them to the shards in which the
+//! flow runs and waits. Owners act concurrently and on old messages, and controllers may crash,
+//! be partitioned or resume after a pause. Therefore:
 //!
-//! - Every heartbeat between controllers is numbered and names the last one received of
-//!   each other. Until an owner has named a heartbeat, the leader counts the highest
-//!   allowance of that one and all since; it raises one only by what is left beside all
-//!   these.
-//! - An allowance is good for a time that its owner counts from when it sent the heartbeat
-//!   that the leader had last received of it; the leader, from when it received that. So
-//!   the owner's time is over first, however long messages take.
-//! - A leader grants allowances only while it has lately seen its own lease, and a new one
-//!   not before all that its predecessor can have granted is over.
-//! - An allowance is under the leader's lease and the shard's: nobody takes one of an
-//!   earlier leader after one of a later, and a shard's next owner has none of the last
-//!   one's, whose transactions die with its lease.
+//! - Every heartbeat between controllers has a number and acknowledges the last heartbeat
+//!   received from each other controller. The leader counts, for each owner, the highest of the
+//!   allowance in the last acknowledged heartbeat and all allowances sent since. It raises an
+//!   allowance only by what these leave of the guarantee.
+//! - An allowance has a lifetime. Its owner measures it from when it sent the last heartbeat that
+//!   the leader had received from it, the leader from when it received that heartbeat. The
+//!   lifetime thus ends at the owner first, however long messages take.
+//! - A leader grants allowances only if it has recently seen its own lease in the state service,
+//!   and a new leader only once everything that its predecessor can have granted has expired.
+//! - An allowance is bound to the leases of the leader and of the shard. An owner does not replace
+//!   an allowance of a later leader by one of an earlier leader, and the next owner of a shard
+//!   does not inherit the allowances of the previous owner, whose transactions fail without the
+//!   lease.
 //!
 //! Amounts are in thousandths of a core, so that sums are exact.
 
 use std::collections::VecDeque;
 
-/// Thousandths of a core.
+/// Amount of cores in thousandths of a core.
 pub type Amount = u64;
 
-/// For how long an owner may go by what it was granted, in milliseconds.
+/// Lifetime of an allowance as its owner measures it, in milliseconds.
 pub const ALLOWANCE_LIFETIME_MS: u32 = 3000;
-/// For how long a leader may go by what it has seen of its own lease, in milliseconds.
+/// Longest time for which a leader may rely on the last time that it saw its own lease, in
+/// milliseconds.
 pub const LEASE_SEEN_LIFETIME_MS: u32 = 3000;
-/// Added to an allowance's lifetime by the leader, as clocks go at different rates.
+/// Time that the leader adds to the lifetime of an allowance, in milliseconds, because clocks run
+/// at different rates.
 const CLOCK_DRIFT_MS: u32 = ALLOWANCE_LIFETIME_MS / 50;
-/// Grants that an owner may be sent before it has acknowledged any.
-const MAX_UNACKNOWLEDGED: usize = 6;
+/// Largest number of grants in an account. Further changes wait for an acknowledgement.
+const MAX_GRANTS: usize = 6;
 
-/// A time, by whatever clock: only differences and order count.
+/// A reading of any clock of which only differences and order are used.
 pub trait Time: Copy + PartialOrd {
-    /// Whether this time is at least `span` after `earlier`.
+    /// Returns whether this time is at least `span` milliseconds after `earlier`.
     fn is_after(self, earlier: Self, span: u32) -> bool;
 }
 
@@ -49,7 +54,7 @@
     }
 }
 
-/// Under which leases an allowance was granted: the leader's and the shard's.
+/// Leases that an allowance is bound to: the leader's and the shard's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GrantLeases {
     /// Fencing token of the leader's lease.
@@ -58,25 +63,25 @@
     pub shard_token: u64,
 }
 
-/// An allowance in heartbeats to an owner.
+/// An allowance that the leader has sent to an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
-    /// The first heartbeat with it.
+    /// Number of the first heartbeat that carries the allowance.
     number: u64,
     amount: Amount,
 }
 
-/// What a leader has granted the owner of a shard.
+/// The leader's record of what it has granted to the owner of a shard for one flow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AllowanceAccount {
-    /// Under which leases.
+    /// Leases that the grants are bound to.
     pub leases: GrantLeases,
-    /// Grants since the one that the owner is known to have.
+    /// Grants in the order of their heartbeats, from the last one that the owner has acknowledged.
     grants: VecDeque<Grant>,
 }
 
 impl AllowanceAccount {
-    /// Goes over to other leases.
+    /// Binds the account to `leases`; if they differ from the present ones, drops all grants.
     pub fn switch_leases(&mut self, leases: GrantLeases) {
         if self.leases != leases {
             *self = Self {
@@ -86,44 +91,46 @@
         }
     }
 
-    /// The allowance granted last.
+    /// Returns the allowance granted last, or 0 without a grant.
     pub fn current(&self) -> Amount {
         self.grants.back().map_or(0, |grant| grant.amount)
     }
 
-    /// The highest allowance that the owner may act on.
+    /// Returns the highest allowance that the owner may be using.
     pub fn highest(&self) -> Amount {
         let amounts = self.grants.iter().map(|grant| grant.amount);
         amounts.max().unwrap_or(0)
     }
 
-    /// Grants an allowance from heartbeat `number` on; not if too many grants wait to be
-    /// acknowledged.
+    /// Grants an allowance of `amount` from heartbeat `number` on. Does nothing if the account is
+    /// full of grants that wait for an acknowledgement.
     pub fn grant(&mut self, number: u64, amount: Amount) {
-        if self.current() == amount || self.grants.len() >= MAX_UNACKNOWLEDGED {
+        if self.current() == amount || self.grants.len() >= MAX_GRANTS {
             return;
         }
         match self.grants.back_mut() {
-            // The heartbeat has not gone yet.
+            // That heartbeat has not been sent yet.
             Some(last) if last.number == number => last.amount = amount,
             _ => self.grants.push_back(Grant { number, amount }),
         }
     }
 
-    /// The owner has named heartbeat `number` as received.
+    /// Drops the grants that the owner has replaced, given that it has received heartbeat `number`.
     pub fn acknowledged(&mut self, number: u64) {
         while self.grants.get(1).is_some_and(|next| next.number <= number) {
             self.grants.pop_front();
         }
     }
 
-    /// The owner's time is over: it has not been heard of for too long.
+    /// Drops all grants, because the leader has received no heartbeat from the owner for longer
+    /// than an allowance lasts.
     pub fn lapse(&mut self) {
         self.grants.clear();
     }
 }
 
-/// By how much one account may be raised, of a bound over all of them.
+/// Returns how much of `bound` is left beside the highest allowances of all `accounts`, by which
+/// one of them may be raised.
 pub fn remaining<'a>(
     bound: Amount,
     accounts: impl Iterator<Item = &'a AllowanceAccount>,
@@ -131,35 +138,37 @@
     bound.saturating_sub(accounts.map(AllowanceAccount::highest).sum())
 }
 
-/// Whether a leader may grant allowances now: it has lately seen its lease, and its
-/// predecessor's allowances are over. `since` is when it learnt that its lease was applied,
-/// `lease_seen` when it sent the last request whose answer showed it.
+/// Returns whether a leader may grant allowances now: it has recently seen its own lease, and all
+/// allowances of its predecessor have expired. `since` is when it learnt that its lease was
+/// committed, `lease_seen` when it sent the last request whose answer showed the lease.
 pub fn may_grant<T: Time>(since: T, lease_seen: T, now: T) -> bool {
     let predecessor_lifetime = ALLOWANCE_LIFETIME_MS + LEASE_SEEN_LIFETIME_MS + CLOCK_DRIFT_MS;
     now.is_after(since, predecessor_lifetime) && !now.is_after(lease_seen, LEASE_SEEN_LIFETIME_MS)
 }
 
-/// Whether an owner that was last heard of then can have no allowance any more.
+/// Returns whether all allowances of an owner have expired whose last heartbeat the leader received
+/// at `heard_at`.
 pub fn has_lapsed<T: Time>(heard_at: T, now: T) -> bool {
     now.is_after(heard_at, ALLOWANCE_LIFETIME_MS + CLOCK_DRIFT_MS)
 }
 
-/// An owner's allowance.
+/// An allowance as its owner holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Allowance<T> {
-    /// Under which leases.
+    /// Leases that the allowance is bound to.
     pub leases: GrantLeases,
-    /// As of which of the leader's heartbeats.
+    /// Number of the leader's heartbeat that carried the allowance.
     pub number: u64,
-    /// How much it is.
+    /// Size of the allowance.
     pub amount: Amount,
-    /// From when its lifetime counts.
+    /// Start of the allowance's lifetime.
     pub from: T,
 }
 
 impl<T: Time> Allowance<T> {
-    /// The allowance after the leader has granted a new one, when it had received what we
-    /// sent at `from`. What is older than what is known changes nothing.
+    /// Returns the allowance that the owner holds after it has received `new`. A grant from an
+    /// earlier leader, an earlier lease of the shard or an earlier heartbeat changes nothing, and
+    /// under the same leases the start of the lifetime never moves back.
     pub fn newer(known: Option<Self>, new: Self) -> Self {
         match known {
             Some(known) if (known.leases, known.number) > (new.leases, new.number) => known,
@@ -171,7 +180,8 @@
         }
     }
 
-    /// The allowance of the owner of the shard with this lease, if it is still in force.
+    /// Returns the amount if the allowance is bound to the shard's lease with this token and its
+    /// lifetime is not over.
     pub fn in_force(&self, shard_token: u64, now: T) -> Option<Amount> {
         let is_current = self.leases.shard_token == shard_token
             && !now.is_after(self.from, ALLOWANCE_LIFETIME_MS);
--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -1,4 +1,5 @@
-//! What has become of submissions, by flow: at every controller, and over all.
+//! Counts of submissions by flow: those offered, taken and refused at this controller, and the sums
+//! over all controllers.
 
 use super::flows::{Flow, Flows};
 use crate::names::Names;
@@ -7,10 +8,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::num::NonZeroUsize;
 
-/// Jobs that were lately submitted, so that one is counted once, not once a try.
+/// Number of recently submitted jobs that are remembered, so that a job whose submission is retried
+/// is counted once.
 const RECENT_JOBS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
 
-/// Submissions of a flow, since a process began.
+/// Submissions of a flow since the start of the process that counts them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Counts {
     offered: u64,
@@ -27,14 +29,14 @@
         }
     }
 
-    /// What has come since `before`; all of it, if the process that counts has started
-    /// anew.
-    fn since(self, before: Self) -> Self {
-        let grown = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
+    /// Returns the increase since `before`. A count that is lower than before comes from a
+    /// restarted process and is returned whole.
+    fn increase_since(self, before: Self) -> Self {
+        let increase = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
         Self {
-            offered: grown(self.offered, before.offered),
-            taken: grown(self.taken, before.taken),
-            refused: grown(self.refused, before.refused),
+            offered: increase(self.offered, before.offered),
+            taken: increase(self.taken, before.taken),
+            refused: increase(self.refused, before.refused),
         }
     }
 
@@ -45,7 +47,7 @@
     }
 }
 
-/// A flow's counts at one controller.
+/// Key of a flow's counts at one controller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ReportedFlow {
     controller: usize,
@@ -53,12 +55,12 @@
     class: String,
 }
 
-/// What has become of submissions, by flow, since this process began.
+/// Counts of submissions by flow since the start of this process.
 #[derive(Debug)]
 pub(crate) struct Demand {
     recent_jobs: LruCache<u64, ()>,
     counts: BTreeMap<Flow, Counts>,
-    /// What each controller had counted at the last report.
+    /// Counts of each controller at the last call of [`Self::since_last_report`].
     reported: HashMap<ReportedFlow, Counts>,
 }
 
@@ -71,23 +73,23 @@
         }
     }
 
-    /// A job was submitted, perhaps again.
-    pub(crate) fn offered(&mut self, flow: Flow, job: u64) {
+    /// Counts a submitted job, unless it is a recent job that is submitted again.
+    pub(crate) fn count_offered(&mut self, flow: Flow, job: u64) {
         let is_known = self.recent_jobs.put(job, ()).is_some();
         self.counts.entry(flow).or_default().offered += u64::from(!is_known);
     }
 
-    /// A job was taken.
-    pub(crate) fn taken(&mut self, flow: Flow) {
+    /// Counts a job that was written to the state service.
+    pub(crate) fn count_taken(&mut self, flow: Flow) {
         self.counts.entry(flow).or_default().taken += 1;
     }
 
-    /// A user was sent away.
-    pub(crate) fn refused(&mut self, flow: Flow) {
+    /// Counts a submission that was refused because of overload.
+    pub(crate) fn count_refused(&mut self, flow: Flow) {
         self.counts.entry(flow).or_default().refused += 1;
     }
 
-    /// What has become of submissions here, in the heartbeat's form.
+    /// Returns this controller's counts in the form of the heartbeat.
     pub(crate) fn reports(&self, flows: &Flows) -> Vec<DemandReport> {
         let report = |(&flow, counts): (&Flow, &Counts)| DemandReport {
             class: flows.class(flow).into(),
@@ -99,8 +101,9 @@
         self.counts.iter().map(report).collect()
     }
 
-    /// What has come since the last call, by class and team: offered, taken, refused; of
-    /// what each controller (by its place among all) has counted.
+    /// Returns the sums over all controllers since the last call, as class, team and
+    /// `[offered, taken, refused]`; flows without a change are left out. `counted` are the reports
+    /// of each controller, by its index.
     pub(crate) fn since_last_report<'a>(
         &mut self,
         counted: impl Iterator<Item = (usize, &'a [DemandReport])>,
@@ -118,7 +121,7 @@
                 };
                 let before = self.reported.get(&key).copied().unwrap_or_default();
                 let sum = sums.entry((report.team, report.class.as_str()));
-                sum.or_default().add(now.since(before));
+                sum.or_default().add(now.increase_since(before));
                 reported.insert(key, now);
             }
         }
--- a/crates/cherryyard-core/src/admission/entitlements/division.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/division.rs
@@ -1,39 +1,41 @@
-//! The leader's division of fair-share guarantees into allowances for the owners: where a
-//! flow runs, and what is left of its guarantee where it waits.
+//! Division of fair-share guarantees into allowances by the leader: each shard gets the part of a
+//! flow's guarantee that the flow runs there, and the unused rest goes to the shards in which it
+//! waits.
 
 use super::usage::FlowUse;
 use crate::admission::allowance::{AllowanceAccount, Amount, GrantLeases, remaining};
 use crate::admission::flows::Flow;
 use std::collections::BTreeMap;
 
-/// A flow's allowance in a shard.
+/// Key of an allowance: a flow and the id of a shard.
 pub(super) type FlowShard = (Flow, usize);
-/// The leader's accounts of what it has granted.
+/// Accounts of what the leader has granted, by flow and shard.
 pub(super) type Accounts = BTreeMap<FlowShard, AllowanceAccount>;
 
-/// An allowance is changed only by more than the flow's guarantee over this: each change has
-/// to be acknowledged before the next.
-const LEAST_CHANGE_DIVISOR: Amount = 50;
+/// Divisor of a flow's guarantee that gives the smallest change of an allowance: the leader skips
+/// smaller changes, because changes wait for acknowledgements and the number of unacknowledged ones
+/// is limited.
+const MIN_CHANGE_DIVISOR: Amount = 50;
 
-/// What the leader knows of a shard's owner.
+/// State of a shard's owner as the leader has it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShardOwner {
-    /// The token of the shard's lease.
+    /// Fencing token of the shard's lease.
     pub(crate) token: u64,
-    /// Whether there is none, or none from whom anything was heard for so long that its
-    /// allowances have lapsed.
+    /// Whether the shard has no owner, or one whose last heartbeat is so old that all its
+    /// allowances have expired.
     pub(crate) has_lapsed: bool,
-    /// Whether it is this controller.
-    pub(crate) is_ours: bool,
+    /// Whether the owner is this controller.
+    pub(crate) is_own: bool,
 }
 
-/// Thousandths of a core.
+/// Converts cores to thousandths of a core.
 fn amount(cores: f64) -> Amount {
     (cores.max(0.0) * 1000.0).round() as Amount
 }
 
-/// Moves a flow's accounts to the leases that are in force, and ends those of owners that
-/// have not been heard of for too long.
+/// Binds the accounts of a flow to the leases in force, and drops the grants of owners whose
+/// allowances have expired.
 pub(super) fn update_leases(
     accounts: &mut Accounts,
     flow: Flow,
@@ -52,14 +54,14 @@
     }
 }
 
-/// The allowance that a shard should have.
+/// Allowance that a shard should have.
 #[derive(Clone, Copy, Debug)]
 struct WantedAllowance {
     shard_id: usize,
     amount: Amount,
 }
 
-/// What each shard with an owner should have of a flow's guarantee.
+/// Returns the part of a flow's guarantee that each shard with a live owner should have.
 fn wanted_allowances(
     used: &FlowUse,
     guarantee: f64,
@@ -80,8 +82,8 @@
     .collect()
 }
 
-/// Divides a flow's guarantee into allowances, as far as their sum stays within it
-/// whatever the owners have received; they go with heartbeat `number`.
+/// Divides a flow's guarantee into allowances that are sent with heartbeat `number`. Their sum
+/// stays within the guarantee whichever of the grants the owners have received.
 pub(super) fn divide_guarantee(
     accounts: &mut Accounts,
     flow: Flow,
@@ -91,20 +93,20 @@
     number: u64,
 ) {
     let mut wanted = wanted_allowances(used, guarantee, owners);
-    // Lower allowances first: what they leave can be granted only once that has been
-    // acknowledged.
-    wanted.sort_by_key(|want| want.amount > accounts[&(flow, want.shard_id)].current());
+    // Allowances that shrink come first. The cores that they give up are granted to other
+    // shards only after the owner has acknowledged the smaller allowance.
+    wanted.sort_by_key(|target| target.amount > accounts[&(flow, target.shard_id)].current());
     let guarantee = amount(guarantee);
-    for want in wanted {
+    for target in wanted {
         let of_flow = accounts.range((flow, 0)..=(flow, usize::MAX));
         let more = remaining(guarantee, of_flow.map(|(_, account)| account));
-        let Some(account) = accounts.get_mut(&(flow, want.shard_id)) else {
+        let Some(account) = accounts.get_mut(&(flow, target.shard_id)) else {
             continue;
         };
         let current = account.current();
-        if want.amount.abs_diff(current) > guarantee / LEAST_CHANGE_DIVISOR {
-            let most = current.max(account.highest()) + more;
-            account.grant(number, want.amount.min(most));
+        if target.amount.abs_diff(current) > guarantee / MIN_CHANGE_DIVISOR {
+            let max_amount = current.max(account.highest()) + more;
+            account.grant(number, target.amount.min(max_amount));
         }
     }
 }
--- a/crates/cherryyard-core/src/admission/entitlements/mod.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/mod.rs
@@ -1,11 +1,12 @@
-//! Fair-share entitlements in force: worked out by the leader, acted on by owners.
+//! State of the fair-share entitlements: the leader computes them, and the owners of shards apply
+//! them.
 //!
-//! Once a second (twice while a flow is ahead of rank) the leader compares what each flow
-//! runs and has waiting with its fair-share guarantee. Where a flow has long had less, the
-//! leader divides the guarantee into allowances for the owners ([`division`]), which travel
-//! in heartbeats ([`heartbeat_numbers`]). An owner without an allowance in force starts
-//! nothing ahead of rank, and for a while goes on preempting nothing of such a flow: it
-//! errs on the careful side.
+//! Once a second (twice a second while a flow is ahead of rank) the leader compares the running and
+//! waiting cores of each flow with its fair-share guarantee. If a flow has run less for long
+//! enough, the leader divides the guarantee into allowances for the owners ([`division`]), which
+//! are sent in heartbeats ([`heartbeat_numbers`]). An owner without an allowance in force starts
+//! nothing ahead of rank, and still preempts no tasks of a flow that it was told is ahead of rank
+//! until that information is a window old. Both are the conservative choices.
 
 mod division;
 mod heartbeat_numbers;
@@ -22,33 +23,36 @@
 use std::collections::{BTreeMap, HashMap};
 use usage::FlowUse;
 
-/// Time between two reviews by the leader, and the same while a flow is ahead of rank.
-const REVIEW_MS: f64 = 1000.0;
-const REVIEW_AHEAD_MS: f64 = 500.0;
+/// Time between two reviews by the leader in milliseconds, without and with a flow that is ahead of
+/// rank.
+const REVIEW_INTERVAL_MS: f64 = 1000.0;
+const REVIEW_INTERVAL_AHEAD_MS: f64 = 500.0;
 
-/// A flow's fair-share guarantee, and whether it has that.
+/// Fair-share status and guarantee of a flow.
 #[derive(Clone, Copy, Debug)]
 struct FairShare {
     status: FairShareStatus,
-    /// In cores.
+    /// Guarantee in cores.
     guarantee: f64,
 }
 
+/// Fair share of a flow that no review has covered yet.
 const SERVED: FairShare = FairShare {
     status: FairShareStatus::Served,
     guarantee: 0.0,
 };
 
-/// What an owner may do for and to flows that are ahead of rank, in cores.
+/// What the owner of a shard may do for flows that are ahead of rank, in cores by flow.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnerEntitlement {
-    /// Start ahead of rank.
+    /// Cores that it may start ahead of rank.
     pub start: HashMap<Flow, f64>,
-    /// Stop for others; flows that are not here may be stopped as their rank allows.
+    /// Cores of the flow that it may preempt for others. Flows that are not in this map may be
+    /// preempted as their rank allows.
     pub stop: HashMap<Flow, f64>,
 }
 
-/// An allowance that the leader has granted a shard of ours.
+/// Allowance that the leader has granted for a shard of this controller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedAllowance {
     pub(crate) flow: Flow,
@@ -56,43 +60,46 @@
     pub(crate) allowance: Allowance<Millis>,
 }
 
-/// A change of whether a flow goes ahead of rank.
+/// A change of whether a flow is served ahead of rank.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StatusChange {
     pub(crate) flow: Flow,
     pub(crate) before: FairShareStatus,
     pub(crate) after: FairShareStatus,
-    /// All in cores.
+    /// Cores of the flow's running tasks.
     pub(crate) running: f64,
+    /// Cores of the flow's waiting tasks.
     pub(crate) waiting: f64,
+    /// Fair-share guarantee in cores.
     pub(crate) guarantee: f64,
 }
 
-/// Which of our heartbeats another controller has named as the last that it received.
+/// The heartbeat of this controller that a peer has acknowledged as the last one received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acknowledgement {
     pub(crate) number: Option<u64>,
-    /// When we sent it, if that is still remembered.
+    /// Time at which this controller sent it, if that is still kept.
     pub(crate) sent_at: Option<Millis>,
 }
 
-/// Fair shares of all flows, and the allowances granted and held by them.
+/// Fair shares of all flows, the allowances that this controller grants as the leader, and those
+/// that it holds as an owner.
 #[derive(Debug, Default)]
 pub(crate) struct Entitlements {
-    /// By flow.
+    /// Fair share by flow.
     fair_shares: Vec<FairShare>,
-    /// When the fair shares were last worked out here or received from the leader.
+    /// Time at which the fair shares were last computed here or received from the leader.
     updated_at: Option<Millis>,
     reviewed_at: Option<Millis>,
-    /// The leader's accounts of what it has granted.
+    /// Accounts of what this controller has granted as the leader.
     accounts: Accounts,
-    /// What our own shards have been granted.
+    /// Allowances that were granted for this controller's shards.
     allowances: BTreeMap<FlowShard, Allowance<Millis>>,
     heartbeats: HeartbeatNumbers,
 }
 
 impl Entitlements {
-    /// Heartbeats are numbered from `number` on.
+    /// Creates the state without fair shares; heartbeats are numbered from the random `number`.
     pub(crate) fn new(number: u64) -> Self {
         Self {
             heartbeats: HeartbeatNumbers::new(number),
@@ -113,25 +120,25 @@
         self.fair_shares[index] = fair_share;
     }
 
-    /// Whether a flow goes ahead of rank, as far as is known here.
+    /// Returns whether a flow is served ahead of rank, by information that is at most a window old.
     pub(crate) fn is_ahead(&self, flow: Flow, window_ms: f64, now: Millis) -> bool {
         let is_current = self.updated_at.is_some_and(|at| now - at <= window_ms);
-        is_current && self.status(flow).ahead()
+        is_current && self.status(flow).is_ahead()
     }
 
-    /// Whether the leader's next review is due.
+    /// Returns whether the leader's next review is due.
     pub(crate) fn review_due(&self, now: Millis) -> bool {
-        let any_ahead = self.fair_shares.iter().any(|share| share.status.ahead());
+        let any_ahead = self.fair_shares.iter().any(|share| share.status.is_ahead());
         let interval = if any_ahead {
-            REVIEW_AHEAD_MS
+            REVIEW_INTERVAL_AHEAD_MS
         } else {
-            REVIEW_MS
+            REVIEW_INTERVAL_MS
         };
         self.reviewed_at.is_none_or(|at| now - at >= interval)
     }
 
-    /// Takes the fair-share guarantees that a review of the leader has worked out; says
-    /// which flows have begun or ceased to go ahead of rank.
+    /// Updates the status of each flow with the guarantees that the leader has computed. Returns
+    /// the flows that have begun or ceased to be served ahead of rank.
     pub(crate) fn review(
         &mut self,
         usage: &[FlowUse],
@@ -148,7 +155,7 @@
             let before = self.status(flow);
             let coverage = Coverage::of(running, waiting, guarantee);
             let after = before.after(coverage, window_ms, now);
-            if after.ahead() != before.ahead() {
+            if after.is_ahead() != before.is_ahead() {
                 changes.push(StatusChange {
                     flow,
                     before,
@@ -165,8 +172,8 @@
         changes
     }
 
-    /// Divides the guarantees of flows that are ahead of rank into allowances; `may_grant`:
-    /// whether this leader may change any.
+    /// Divides the guarantees of flows that are ahead of rank into allowances. `may_grant` is
+    /// whether this leader may change allowances now.
     pub(crate) fn divide_guarantees(
         &mut self,
         usage: &[FlowUse],
@@ -178,7 +185,7 @@
         let number = self.heartbeats.next();
         for (index, used) in usage.iter().enumerate() {
             let flow = index as Flow;
-            if !self.status(flow).ahead() {
+            if !self.status(flow).is_ahead() {
                 self.accounts.retain(|key, _| key.0 != flow);
                 self.allowances.retain(|key, _| key.0 != flow);
                 continue;
@@ -189,13 +196,13 @@
                 divide_guarantee(&mut self.accounts, flow, used, guarantee, owners, number);
             }
         }
-        self.grant_ours(owners, number, now);
+        self.grant_own_shards(owners, number, now);
     }
 
-    /// Our own shards need no heartbeat to have their allowances.
-    fn grant_ours(&mut self, owners: &[ShardOwner], number: u64, now: Millis) {
+    /// Sets the allowances of the leader's own shards, which need no heartbeat to be acknowledged.
+    fn grant_own_shards(&mut self, owners: &[ShardOwner], number: u64, now: Millis) {
         for (&key, account) in &mut self.accounts {
-            if !owners[key.1].is_ours {
+            if !owners[key.1].is_own {
                 continue;
             }
             let allowance = Allowance {
@@ -209,8 +216,8 @@
         }
     }
 
-    /// What the owner of a shard of ours may start and stop of flows that are ahead of
-    /// rank and run so many cores there.
+    /// Returns what this controller may start and preempt in a shard that it owns of the flows in
+    /// `ahead`, given the cores that each flow runs there.
     pub(crate) fn owner_entitlement(
         &self,
         ahead: &[Flow],
@@ -233,16 +240,17 @@
         entitlement
     }
 
-    /// Numbers a heartbeat, and names in it the last one received of each controller.
+    /// Numbers a heartbeat, and acknowledges in it the last one received from each other
+    /// controller.
     pub(crate) fn number_heartbeat(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
         heartbeat.number = self.heartbeats.send(now);
         heartbeat.heard = self.heartbeats.received_numbers().collect();
     }
 
-    /// Puts the leader's grants into a heartbeat.
+    /// Adds the leader's grants to a heartbeat.
     pub(crate) fn write_grants(&self, heartbeat: &mut Heartbeat, flows: &Flows) {
         for (index, share) in self.fair_shares.iter().enumerate() {
-            if !share.status.ahead() {
+            if !share.status.is_ahead() {
                 continue;
             }
             let flow = index as Flow;
@@ -261,45 +269,53 @@
         }
     }
 
-    /// Notes that another controller's heartbeat has come, and which of ours (`me`) it
-    /// names.
+    /// Records a peer's heartbeat and the acknowledgement in it for this controller, whose index is
+    /// `own_index`.
     pub(crate) fn heartbeat_received(
         &mut self,
         peer: usize,
         heartbeat: &Heartbeat,
-        me: usize,
+        own_index: usize,
         now: Millis,
     ) -> Acknowledgement {
         self.heartbeats.received(peer, heartbeat.number, now);
-        let acknowledgement = self.acknowledgement(heartbeat, me);
+        let acknowledgement = self.acknowledgement(heartbeat, own_index);
         if let Some(sent_at) = acknowledgement.sent_at {
             self.heartbeats.acknowledged(peer, sent_at);
         }
         acknowledgement
     }
 
-    /// Which of our heartbeats (`me`) another one names.
-    pub(crate) fn acknowledgement(&self, heartbeat: &Heartbeat, me: usize) -> Acknowledgement {
-        let number = heartbeat.heard.iter().find(|h| h.0 == me as u32);
-        let number = number.map(|h| h.1);
+    /// Returns which heartbeat of this controller, whose index is `own_index`, a peer's heartbeat
+    /// acknowledges.
+    pub(crate) fn acknowledgement(
+        &self,
+        heartbeat: &Heartbeat,
+        own_index: usize,
+    ) -> Acknowledgement {
+        let number = heartbeat
+            .heard
+            .iter()
+            .find(|entry| entry.0 == own_index as u32);
+        let number = number.map(|entry| entry.1);
         Acknowledgement {
             number,
             sent_at: number.and_then(|number| self.heartbeats.sent_at(number)),
         }
     }
 
-    /// When we sent the last of our heartbeats that another controller has named.
+    /// Returns when this controller sent the latest of its heartbeats that a peer has acknowledged.
     pub(crate) fn last_acknowledged_at(&self, peer: usize) -> Option<Millis> {
         self.heartbeats.last_acknowledged_at(peer)
     }
 
-    /// When a heartbeat of another controller last came.
+    /// Returns when the last heartbeat of a peer was received.
     pub(crate) fn last_received_at(&self, peer: usize) -> Option<Millis> {
         self.heartbeats.last_received_at(peer)
     }
 
-    /// Owners of the shards for which `owned` says so have received the leader's
-    /// heartbeat of this number.
+    /// Records that the owner of the shards for which `owned` holds has received the leader's
+    /// heartbeat with this number.
     pub(crate) fn grants_acknowledged(&mut self, number: u64, owned: impl Fn(usize) -> bool) {
         for ((_, shard_id), account) in &mut self.accounts {
             if owned(*shard_id) {
@@ -308,8 +324,8 @@
         }
     }
 
-    /// Takes from the leader which flows are ahead of rank, with their fair-share
-    /// guarantees, and the allowances that it has granted to shards of ours.
+    /// Applies a heartbeat of the leader: `ahead` are the flows that are ahead of rank with their
+    /// guarantees in cores, `granted` the allowances for shards of this controller.
     pub(crate) fn grants_received(
         &mut self,
         ahead: &[(Flow, f64)],
@@ -337,8 +353,8 @@
     }
 }
 
-/// The allowance that a heartbeat of the leader grants, if it is the answer to one that we
-/// sent at `sent_at`.
+/// Returns the allowance that heartbeat `number` of the leader grants. `sent_at` is when this
+/// controller sent the heartbeat that it acknowledges, from which the lifetime counts.
 pub(crate) fn granted_allowance(
     grant: &LevelGrant,
     number: u64,
--- a/crates/cherryyard-core/src/admission/entitlements/usage.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/usage.rs
@@ -1,4 +1,4 @@
-//! What each flow runs and has waiting, and so asks for.
+//! Usage of each flow (cores of its running and its waiting tasks), and the demand that follows.
 
 use crate::admission::fair_share_guarantee::FlowDemand;
 use crate::admission::flows::Flow;
@@ -6,7 +6,7 @@
 use crate::{Config, Mirror};
 use std::collections::{HashMap, HashSet};
 
-/// What a flow runs and has waiting, by shard, in cores.
+/// Cores of a flow's running tasks and of its waiting tasks, by shard.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlowUse {
     pub running: Vec<f64>,
@@ -21,18 +21,19 @@
         }
     }
 
-    /// In all shards.
+    /// Returns the cores of the running tasks in all shards.
     pub(super) fn total_running(&self) -> f64 {
         self.running.iter().sum()
     }
 
-    /// In all shards.
+    /// Returns the cores of the waiting tasks in all shards.
     pub(super) fn total_waiting(&self) -> f64 {
         self.waiting.iter().sum()
     }
 }
 
-/// What each flow runs and has waiting, as the assignments and divisions say.
+/// Returns the usage of each flow by the assignments and the division of jobs among the shards.
+/// Jobs that are not divided yet count as waiting in all shards alike.
 pub(crate) fn usage_by_flow(mirror: &Mirror, shards: usize) -> Vec<FlowUse> {
     let mut usage = vec![FlowUse::new(shards); mirror.flows.len()];
     for (&(shard_id, job), assignments) in &mirror.tasks.assignments {
@@ -62,7 +63,8 @@
     usage
 }
 
-/// What each flow asks for: of what waits no more than its team's limit allows.
+/// Returns the demand of each flow: its running tasks, and the part of its waiting tasks that the
+/// limit of its team allows.
 pub(crate) fn demand_by_flow(
     usage: &[FlowUse],
     mirror: &Mirror,
@@ -97,7 +99,7 @@
     usage.iter().enumerate().map(demand).collect()
 }
 
-/// Cores that each flow runs in a shard, without tasks that are proven `gone`.
+/// Returns the cores that each flow runs in a shard, without the tasks in `gone`.
 pub(crate) fn running_in_shard(
     mirror: &Mirror,
     shard_id: usize,
--- a/crates/cherryyard-core/src/admission/fair_share_guarantee.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_guarantee.rs
@@ -1,27 +1,28 @@
-//! Fair-share guarantees: the cores that each flow is to have at least.
+//! Computation of fair-share guarantees: the least number of cores that each flow is to run.
 //!
-//! Claims come first: the part of a flow's demand that is to be served whatever its rank,
-//! but no more than a share of all cores, as rank is to count beyond that; and what its
-//! team's guarantee covers. Where the claims fit, they are the flows' guarantees. Where
-//! they don't, what there is is filled up from the bottom, by weight (weighted max-min
-//! fairness): a flow that asks for little gets it, and nobody gets more by asking for more.
+//! The claim of a flow is the larger of two numbers: the fraction of its demand that is to be
+//! served whatever its rank, limited to a share of all cores so that rank decides about the rest;
+//! and the part of its demand that its team's guarantee covers. If all claims fit into the
+//! available cores, they are the guarantees. Otherwise the cores are divided by weighted max-min
+//! fairness: a small claim is met in full, and no flow gets more by claiming more.
 
-/// What one flow asks for, in cores.
+/// Demand of one flow, and the parameters of its claim.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FlowDemand {
-    /// What runs and what waits.
+    /// Cores of the flow's running tasks, and of those waiting tasks that its team's limit allows.
     pub demand: f64,
-    /// Its team, by index.
+    /// Index of the flow's team.
     pub team: u32,
-    /// Its weight where there is too little.
+    /// Weight of the flow if not all claims can be met.
     pub weight: f64,
-    /// The part of its demand that is to be served.
+    /// Fraction of the demand that is to be served whatever the rank.
     pub least_served: f64,
-    /// The most that this may be, as a part of all cores.
+    /// Upper limit of that part of the demand, as a fraction of all cores.
     pub max_share: f64,
 }
 
-/// The flows' guarantees, given their teams' guarantees and all cores that there are.
+/// Returns the guarantee of each flow in cores, given the guarantees of the teams by index and the
+/// number of all cores.
 pub fn fair_share_guarantees(
     demands: &[FlowDemand],
     team_guarantees: &[f64],
@@ -35,7 +36,7 @@
     weighted_max_min(&claims, &weights, cores)
 }
 
-/// What a flow is to have if there is enough.
+/// Returns the claim of a flow: its guarantee if all claims can be met.
 fn claim(flow: &FlowDemand, demands: &[FlowDemand], team_guarantees: &[f64], cores: f64) -> f64 {
     let of_team = demands.iter().filter(|other| other.team == flow.team);
     let team_demand: f64 = of_team.map(|other| other.demand).sum();
@@ -50,17 +51,17 @@
     least.max(covered_by_team)
 }
 
-/// Weighted max-min shares of `total`, each at most its claim.
+/// Returns the weighted max-min fair shares of `total`, each at most its claim.
 pub fn weighted_max_min(claims: &[f64], weights: &[f64], total: f64) -> Vec<f64> {
     let mut shares = vec![0.0; claims.len()];
-    // In the order in which a rising share, times their weights, fills them.
+    // Sorted by claim per unit of weight: a claim that is smaller in this order is met earlier.
     let mut order: Vec<usize> = (0..claims.len()).filter(|&i| weights[i] > 0.0).collect();
     order.sort_by(|&a, &b| (claims[a] / weights[a]).total_cmp(&(claims[b] / weights[b])));
     let mut remaining = total.max(0.0);
     let mut remaining_weight: f64 = order.iter().map(|&i| weights[i]).sum();
     for i in order {
-        let by_weight = remaining * weights[i] / remaining_weight;
-        shares[i] = claims[i].min(by_weight).max(0.0);
+        let weighted_share = remaining * weights[i] / remaining_weight;
+        shares[i] = claims[i].min(weighted_share).max(0.0);
         remaining -= shares[i];
         remaining_weight -= weights[i];
     }
--- a/crates/cherryyard-core/src/admission/fair_share_guarantee/tests.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_guarantee/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn query(team: u32, demand: f64) -> FlowDemand {
+fn flow_demand(team: u32, demand: f64) -> FlowDemand {
     FlowDemand {
         demand,
         team,
@@ -10,15 +10,15 @@
     }
 }
 
-/// Half of what each asks for, where there is that much; who asks for little is
-/// not the worse for another's flood; a guarantee counts whole.
+/// Guards against wrong guarantees: half of each demand if there are enough cores, small demands
+/// unharmed by large ones if not, and the demand that a team's guarantee covers counted in full.
 #[test]
-fn floors_by_demand_and_guarantee() {
-    let two = [query(0, 1900.0), query(0, 8600.0)];
+fn guarantees_follow_demand_and_team_guarantees() {
+    let two = [flow_demand(0, 1900.0), flow_demand(0, 8600.0)];
     assert_eq!(fair_share_guarantees(&two, &[0.0], 6000.0), [950.0, 4300.0]);
     assert_eq!(fair_share_guarantees(&two, &[0.0], 3000.0), [950.0, 2050.0]);
     assert_eq!(fair_share_guarantees(&two, &[0.0], 1000.0), [500.0, 500.0]);
-    let teams = [query(0, 1500.0), query(1, 20_000.0)];
+    let teams = [flow_demand(0, 1500.0), flow_demand(1, 20_000.0)];
     assert_eq!(
         fair_share_guarantees(&teams, &[1800.0, 3000.0], 12_000.0),
         [1500.0, 10_000.0]
@@ -42,22 +42,22 @@
     assert_eq!(fair_share_guarantees(&[], &[], 10.0), Vec::<f64>::new());
 }
 
-/// Never more than there is, never more than claimed, and nothing left while
-/// somebody claims more.
+/// Guards against shares whose sum is above the total, that are above their claims, or that leave
+/// cores unused while a claim is not met.
 #[test]
-fn shares_fill_what_there_is() {
+fn shares_use_the_whole_total() {
     for seed in 0..500u32 {
         let n = 1 + seed % 7;
         let x = |i: u32, k: u32| f64::from((seed * 31 + i * 17 * k + 7) % 23);
         let claims: Vec<f64> = (0..n).map(|i| x(i, 3) * 10.0).collect();
         let weights: Vec<f64> = (0..n).map(|i| 0.5 + x(i, 5)).collect();
-        let all = x(9, 2) * 20.0;
-        let shares = weighted_max_min(&claims, &weights, all);
+        let total = x(9, 2) * 20.0;
+        let shares = weighted_max_min(&claims, &weights, total);
         let sum: f64 = shares.iter().sum();
         let claimed: f64 = claims.iter().sum();
         assert!(
-            (sum - all.min(claimed)).abs() < 1e-6,
-            "{claims:?} {all} {shares:?}"
+            (sum - total.min(claimed)).abs() < 1e-6,
+            "{claims:?} {total} {shares:?}"
         );
         assert!(
             shares
--- a/crates/cherryyard-core/src/admission/fair_share_status.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_status.rs
@@ -1,46 +1,48 @@
-//! Whether a flow has its fair-share guarantee.
+//! Fair-share status of a flow: whether it has run less than its guarantee for long enough to be
+//! served ahead of rank (before jobs of higher rank).
 
 use crate::Millis;
 
-/// Part of its guarantee that a flow may lack without being short of it: what runs changes
-/// all the time.
-const TOLERANCE: f64 = 0.05;
-/// What a flow has to run, in times of its guarantee, to have ample.
-const AMPLE: f64 = 1.2;
+/// Fraction of its guarantee by which a flow may fall below it and still count as served: the
+/// number of running tasks varies all the time.
+const SHORTFALL_TOLERANCE: f64 = 0.05;
+/// Multiple of its guarantee that a flow has to run for [`Coverage::Ample`].
+const AMPLE_MULTIPLE: f64 = 1.2;
 
-/// Whether a flow has its fair-share guarantee, and since when.
+/// Fair-share status of a flow, and the time since which it has lasted where it has to last.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FairShareStatus {
-    /// It has its guarantee, or asks for nothing.
+    /// The flow has its guarantee, or has nothing waiting.
     Served,
-    /// It has had less since this time.
+    /// The flow has run less than its guarantee since this time, for less than a window.
     Short(Millis),
-    /// It has had less for as long as counts: up to its guarantee it goes ahead of rank,
-    /// and nothing of that is stopped for others.
+    /// The flow has run less than its guarantee for a whole window. Up to its guarantee its jobs
+    /// are started ahead of rank, and its tasks are not preempted for other jobs.
     Ahead,
-    /// It has its guarantee, and since this time ample: it keeps its place until that has
-    /// lasted as long. While it has no more than its guarantee it would lose that again at
-    /// once, and wait anew.
+    /// The flow has its guarantee again, with ample coverage since this time. It stays ahead of
+    /// rank until that has lasted for a window: a flow that runs no more than its guarantee would
+    /// fall below it again at once, and would wait for another window.
     Easing(Millis),
 }
 
-/// How far what a flow runs covers its guarantee.
+/// How much of its guarantee a flow runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coverage {
-    /// It runs less.
+    /// Less than the guarantee, beyond the tolerance.
     Below,
-    /// It runs as much.
+    /// The guarantee, within the tolerance.
     Met,
-    /// It runs a fifth more, or all that it asks for.
+    /// At least a fifth more than the guarantee, or all that the flow asks for.
     Ample,
 }
 
 impl Coverage {
-    /// The coverage of a flow that runs so many cores, and has so many waiting.
+    /// Returns the coverage of a flow, given the cores of its running and its waiting tasks and its
+    /// guarantee.
     pub fn of(running: f64, waiting: f64, guarantee: f64) -> Self {
-        if waiting <= 0.0 || guarantee <= 0.0 || running >= guarantee * AMPLE {
+        if waiting <= 0.0 || guarantee <= 0.0 || running >= guarantee * AMPLE_MULTIPLE {
             Self::Ample
-        } else if running >= guarantee * (1.0 - TOLERANCE) {
+        } else if running >= guarantee * (1.0 - SHORTFALL_TOLERANCE) {
             Self::Met
         } else {
             Self::Below
@@ -49,7 +51,8 @@
 }
 
 impl FairShareStatus {
-    /// The one place where a flow's status changes: by what it has now.
+    /// Returns the status that follows from the present coverage: the only transition function of
+    /// this state machine. `window_ms` is the time for which a coverage has to last.
     pub fn after(self, coverage: Coverage, window_ms: f64, now: Millis) -> Self {
         let over = |since: Millis| now - since >= window_ms;
         match (self, coverage) {
@@ -66,12 +69,12 @@
         }
     }
 
-    /// Whether the flow goes ahead up to its guarantee.
-    pub fn ahead(self) -> bool {
+    /// Returns whether the flow is served ahead of rank up to its guarantee.
+    pub fn is_ahead(self) -> bool {
         matches!(self, Self::Ahead | Self::Easing(_))
     }
 
-    /// Its name, for the log.
+    /// Returns the name of the status for the log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Served => "served",
--- a/crates/cherryyard-core/src/admission/fair_share_status/tests.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_status/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A short dip changes nothing; half a minute of it does, until there has been plenty
-/// for as long.
+/// Guards against a status that changes too early or too late: a flow goes ahead of rank only after
+/// 30 s below its guarantee, and ceases only after 30 s of ample coverage.
 #[test]
-fn who_has_long_had_too_little_goes_ahead() {
+fn flow_below_its_guarantee_for_a_window_goes_ahead() {
     let mut status = FairShareStatus::Served;
-    let mut story = Vec::new();
+    let mut transitions = Vec::new();
     for s in 0..300 {
         let running = match s {
             60..80 => 10.0,
@@ -17,7 +17,7 @@
         let now = f64::from(s) * 1000.0;
         status = status.after(Coverage::of(running, 500.0, 100.0), 30_000.0, now);
         if status.name() != before {
-            story.push(format!("{s} {}", status.name()));
+            transitions.push(format!("{s} {}", status.name()));
         }
     }
     let expected = [
@@ -30,7 +30,7 @@
         "175 easing",
         "249 served",
     ];
-    assert_eq!(story, expected);
+    assert_eq!(transitions, expected);
     assert_eq!(
         Coverage::of(10.0, 0.0, 100.0),
         Coverage::Ample,
--- a/crates/cherryyard-core/src/admission/flows.rs
+++ b/crates/cherryyard-core/src/admission/flows.rs
@@ -1,35 +1,35 @@
-//! Flows: the jobs of one class and team, by dense index.
+//! Flows, each with a dense index: a flow is all jobs of one class and team.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A flow's index.
+/// Index of a flow.
 pub type Flow = u16;
 
-/// Classes that have flows of their own; jobs of further classes go by their team alone,
-/// so that invented names cost no memory and gain no share.
+/// Largest number of classes with flows of their own. Jobs of further classes use the flow of their
+/// team without a class, so that users who invent class names take no memory and gain no share.
 const MAX_CLASSES: usize = 64;
 
-/// The class and team of a flow.
+/// Class and team of a flow.
 #[derive(Clone, Debug)]
 struct FlowKey {
     team: u32,
-    /// Empty for a team's jobs whose class has no flow of its own.
+    /// Empty for the flow of a team's jobs whose class has no flow of its own.
     class: Arc<str>,
 }
 
-/// The flows known so far. Each team has one for jobs whose class has none of its own.
+/// All flows so far. Each team has one for jobs whose class has no flow of its own.
 #[derive(Clone, Debug, Default)]
 pub struct Flows {
-    /// By class and team.
+    /// Flow by class and team index.
     index: HashMap<Arc<str>, Vec<Option<Flow>>>,
-    /// By flow.
+    /// Class and team by flow.
     keys: Vec<FlowKey>,
     teams: usize,
 }
 
 impl Flows {
-    /// The flows of so many teams, before any job has come.
+    /// Creates the flows of `teams` teams for jobs whose class has no flow of its own.
     pub fn new(teams: usize) -> Self {
         let class: Arc<str> = "".into();
         let key = |team: usize| FlowKey {
@@ -43,21 +43,21 @@
         }
     }
 
-    /// The flow of a team's jobs of a class.
+    /// Returns the flow of a class and team, and creates it if the limit on classes allows.
     pub fn intern(&mut self, team: u32, class: &str) -> Flow {
         let team_index = team as usize;
-        let by_team_alone = team.min(self.teams.saturating_sub(1) as u32) as Flow;
+        let team_flow = team.min(self.teams.saturating_sub(1) as u32) as Flow;
         if team_index >= self.teams || class.is_empty() {
-            return by_team_alone;
+            return team_flow;
         }
         if !self.index.contains_key(class) {
             if self.index.len() >= MAX_CLASSES {
-                return by_team_alone;
+                return team_flow;
             }
             self.index.insert(class.into(), vec![None; self.teams]);
         }
         let Some((class, flows)) = self.index.get_key_value(class) else {
-            return by_team_alone;
+            return team_flow;
         };
         if let Some(flow) = flows[team_index] {
             return flow;
@@ -71,22 +71,23 @@
         flow
     }
 
-    /// A flow's team.
+    /// Returns the team index of a flow.
     pub fn team(&self, flow: Flow) -> u32 {
         self.keys.get(flow as usize).map_or(0, |key| key.team)
     }
 
-    /// A flow's class; empty for what has no flow of its own.
+    /// Returns the class of a flow; empty for a team's flow of all classes without one of their
+    /// own.
     pub fn class(&self, flow: Flow) -> &str {
         self.keys.get(flow as usize).map_or("", |key| &key.class)
     }
 
-    /// How many there are.
+    /// Returns the number of flows.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no flows.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/cherryyard-core/src/admission/flows/tests.rs
+++ b/crates/cherryyard-core/src/admission/flows/tests.rs
@@ -1,9 +1,9 @@
 use super::Flows;
 
-/// A class has a flow for each of its teams, and a flood of invented names ends
-/// in the team's own.
+/// Guards against memory growth by invented class names: after 64 classes a job of a new class gets
+/// the flow of its team, and the classes known before keep their flows.
 #[test]
-fn invented_names_cost_nothing() {
+fn invented_classes_get_the_flow_of_their_team() {
     let mut flows = Flows::new(2);
     let portal = flows.intern(1, "portal");
     assert_eq!(flows.intern(1, "portal"), portal);
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -1,5 +1,5 @@
-//! The controller's handlers of what concerns admission: they pass to the types of this
-//! module what these need of the rest, and carry out what comes of it.
+//! The controller's handlers for admission: they connect the types of this module to the rest of
+//! the controller and turn their results into effects.
 
 use super::allowance::{has_lapsed, may_grant};
 use super::entitlements::usage::{FlowUse, demand_by_flow, running_in_shard, usage_by_flow};
@@ -10,7 +10,7 @@
 use super::fair_share_guarantee::fair_share_guarantees;
 use super::flows::Flow;
 use super::intake::{IntakeEvent, Offer};
-use super::submission::Waiting;
+use super::submission::WaitingSubmission;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -21,23 +21,24 @@
 use cherryyard_wire::state::Commit;
 use std::collections::HashSet;
 
-/// How new jobs are stored.
+/// Form in which new jobs are stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AdmissionForm {
-    /// On pages of the admission log.
+    /// Pages of the admission log.
     Page,
-    /// In records of their own.
+    /// One record for each job.
     Records,
-    /// Pages have begun, and what came before is not all known yet.
+    /// Undecided: the admission log is in use, but not all jobs from before it have been read yet.
     NotKnown,
 }
 
-/// Submissions.
+/// Intake of submissions.
 impl Controller {
-    /// Takes a submission; the answer follows as an effect, maybe at once.
+    /// Queues a submission or refuses it. The answer follows as an effect, possibly during this
+    /// call.
     pub fn offer(&mut self, offer: Offer, now: Millis) {
         self.notice(now);
-        self.demand.offered(offer.open.flow, offer.job);
+        self.demand.count_offered(offer.open.flow, offer.job);
         let is_queued = self.intake.offer(
             offer,
             &self.config,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Sends what waits, if it is time.
+    /// Refuses expired submissions, and sends a transaction with queued ones unless one is under
+    /// way, the state service is out of reach or the budget for users' writes is spent.
     pub(crate) fn take_in(&mut self, now: Millis) {
         self.intake.end_delay(self.mirror.store_revision, now);
         self.intake
@@ -78,8 +80,9 @@
 
     fn admission_form(&self) -> AdmissionForm {
         if self.mirror.takes_pages() {
-            // The leader writes pages all the time; the others, to whom few come while
-            // there is one, would only get into its way and each other's.
+            // The leader writes pages all the time. Other controllers receive few submissions
+            // while there is a leader, and their pages would conflict with its pages and with one
+            // another's.
             let few = self.intake.has_few() && self.leadership_token().is_none();
             if few && self.mirror.format.jobs < BUCKETS {
                 AdmissionForm::Records
@@ -93,7 +96,8 @@
         }
     }
 
-    /// A page with the next submissions, divided if this controller leads.
+    /// Returns a transaction with a page of the next submissions, divided among the shards if this
+    /// controller is the leader.
     fn admit_by_page(&mut self) -> Commit {
         let mut commit = Commit::default();
         let mut batch = self.next_submissions(MOST_ROWS);
@@ -111,12 +115,12 @@
         commit
     }
 
-    /// Records of their own for the next submissions: before there are pages, and where
-    /// few come to a controller that does not lead.
+    /// Returns a transaction with one record for each of the next submissions: used before the
+    /// admission log is, and for the few submissions at a controller that is not the leader.
     fn admit_by_records(&mut self, now: Millis) -> Commit {
         let affordable = self.user_write_budget.left(now) as usize;
-        let most = self.config.txn_ops.min(affordable);
-        let mut batch = self.next_submissions(most.max(1));
+        let max_count = self.config.txn_ops.min(affordable);
+        let mut batch = self.next_submissions(max_count.max(1));
         let mut commit = Commit::default();
         if batch.is_empty() {
             return commit;
@@ -131,13 +135,13 @@
         )
     }
 
-    fn next_submissions(&mut self, most: usize) -> Vec<Waiting> {
+    fn next_submissions(&mut self, max_count: usize) -> Vec<WaitingSubmission> {
         let weights = self.flow_weights();
         self.intake
-            .next_batch(most, &weights, &self.mirror, &mut self.effects)
+            .next_batch(max_count, &weights, &self.mirror, &mut self.effects)
     }
 
-    /// The flows' weights, by index.
+    /// Returns the weight of each flow, by index.
     fn flow_weights(&self) -> Vec<f64> {
         let flows = &self.mirror.flows;
         let classes = (0..flows.len()).map(|flow| flows.class(flow as Flow));
@@ -145,9 +149,9 @@
         classes.map(|class| admission.of(class).weight).collect()
     }
 
-    /// Divides submissions among the shards if this controller leads, in a transaction
-    /// that then depends on its lease.
-    fn divide_batch(&mut self, batch: &mut [Waiting], commit: &mut Commit) {
+    /// Divides submissions among the shards if this controller is the leader; the transaction then
+    /// requires the leader's lease. At another controller the submissions stay undivided.
+    fn divide_batch(&mut self, batch: &mut [WaitingSubmission], commit: &mut Commit) {
         let now = self.state_contact.clock();
         let Some(token) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in batch {
@@ -158,7 +162,7 @@
         };
         for waiting in batch {
             let open = &mut waiting.offer.open;
-            // Not again for another try: it would be counted twice against the capacity.
+            // A retry keeps its division: a second one would count twice against the capacity.
             if open.dependencies.is_none() && waiting.divided_under != Some(token) {
                 open.division = Vec::new();
                 self.fill_division(open, now);
@@ -168,11 +172,11 @@
         self.mirror.require(commit, Key::Leader);
     }
 
-    /// Takes how the transaction with submissions came out.
+    /// Handles the outcome of the transaction with submissions.
     pub(crate) fn intake_committed(&mut self, outcome: Outcome, now: Millis) {
         let event = match outcome {
             Outcome::Applied(_) => IntakeEvent::Answered,
-            // Somebody else has added jobs, or one of these: wait until that is seen.
+            // Another controller has added jobs, maybe one of these: wait for that revision.
             Outcome::Conflict(store_revision) => IntakeEvent::Delayed {
                 until: now + self.jitter(5.0, 40.0),
                 store_revision,
@@ -194,10 +198,9 @@
         }
     }
 
-    /// What has become of submissions at all controllers since the last call, by class
-    /// and team: offered, taken, refused. What is counted is totals, so a heartbeat that is
-    /// lost or comes twice changes nothing, and a controller that starts anew begins at
-    /// nought.
+    /// Returns the counts of submissions at all controllers since the last call, as class, team and
+    /// `[offered, taken, refused]`. Controllers report totals, so that a heartbeat that is lost or
+    /// arrives twice changes nothing; the totals of a restarted controller begin at 0.
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
         let ours = self.demand_out();
         let peers = self.peers.enumerate();
@@ -207,15 +210,16 @@
             .since_last_report(counted, &self.config.team_names)
     }
 
-    /// What has become of submissions here.
+    /// Returns this controller's counts of submissions for its heartbeat.
     pub(crate) fn demand_out(&self) -> Vec<DemandReport> {
         self.demand.reports(&self.mirror.flows)
     }
 }
 
-/// Fair-share entitlements.
+/// Fair-share entitlements of flows.
 impl Controller {
-    /// The leader's review of what every flow has.
+    /// Reviews the fair-share status of all flows and divides their guarantees, if this controller
+    /// is the leader and the next review is due.
     pub(crate) fn review_fair_shares(&mut self, now: Millis) {
         let is_leader = self.leader.leads(&self.mirror) && self.state_fresh(now);
         if !is_leader || !self.entitlements.review_due(now) {
@@ -281,19 +285,19 @@
         ShardOwner {
             token: self.mirror.revision(Key::Shard(shard_id)),
             has_lapsed,
-            is_ours: self.owned(shard_id).is_some(),
+            is_own: self.owned(shard_id).is_some(),
         }
     }
 
-    /// Whether a flow goes ahead of rank, as far as is known here.
+    /// Returns whether a flow is served ahead of rank, as far as this controller has been told.
     pub(crate) fn is_ahead(&self, flow: Flow, now: Millis) -> bool {
         let window_ms = self.fair_share_window_ms();
         self.entitlements.is_ahead(flow, window_ms, now)
     }
 
-    /// What the owner of a shard of ours may start ahead of rank, by flow, and what it may
-    /// stop of those flows for others; `gone` are tasks that a scheduling cycle has proven
-    /// gone.
+    /// Returns how many cores of each flow this controller may start ahead of rank in a shard that
+    /// it owns, and how many cores of these flows it may preempt for others. `gone` are tasks that
+    /// a scheduling cycle has proven not to run any more; they do not count as running.
     pub(crate) fn allowances(
         &self,
         shard_id: usize,
@@ -311,19 +315,21 @@
             .owner_entitlement(&ahead, shard_id, token, &running, now)
     }
 
-    /// When a heartbeat was made at the earliest: when ours was sent that it names. If that
-    /// is long ago, or was by a process of ours before, nothing is known.
+    /// Returns the earliest time at which another controller can have created `heartbeat`: when
+    /// this controller sent the heartbeat that it acknowledges. The result is negative infinity if
+    /// that was too long ago, or by an earlier process of this controller.
     pub(crate) fn made_at(&self, heartbeat: &Heartbeat) -> Millis {
         let acknowledgement = self.entitlements.acknowledgement(heartbeat, self.config.me);
         acknowledgement.sent_at.unwrap_or(f64::NEG_INFINITY)
     }
 
-    /// When the last of our heartbeats was sent that another controller has named.
+    /// Returns when this controller sent the latest of its heartbeats that a peer has acknowledged.
     pub(crate) fn named_at(&self, peer: usize) -> Option<Millis> {
         self.entitlements.last_acknowledged_at(peer)
     }
 
-    /// Numbers a heartbeat, and adds what this controller grants if it leads.
+    /// Numbers a heartbeat and, if this controller is the leader, adds the allowances that it
+    /// grants.
     pub(crate) fn entitlements_out(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
         self.entitlements.number_heartbeat(heartbeat, now);
         if self.leader.leads(&self.mirror) {
@@ -332,7 +338,8 @@
         }
     }
 
-    /// Takes what another controller's heartbeat acknowledges, and grants if it leads.
+    /// Handles the acknowledgement in a peer's heartbeat and, if the peer is the leader, the
+    /// allowances that it grants.
     pub(crate) fn entitlements_in(&mut self, peer: usize, heartbeat: &Heartbeat, now: Millis) {
         let me = self.config.me;
         let acknowledgement = self
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -1,14 +1,14 @@
-//! Users' submissions on their way into the state service.
+//! Intake of users' submissions: queues them and writes them to the state service in batches.
 //!
-//! They wait in a queue for each flow, and go in together: one transaction at a time,
-//! as soon as the last one is answered and the budget allows, with as many as fit, in the
-//! order of weighted fair queueing. So the number that a second takes follows from the
-//! size of a page and not from the number of writes, one flow's flood lengthens its own
-//! queue only, and when it is calm nobody waits for company.
+//! Submissions wait in one queue per flow. One transaction is under way at a time. The next is
+//! sent as soon as the last is answered and the write budget allows, with as many submissions as
+//! fit, in the order of weighted fair queueing. The throughput therefore depends on the size of a
+//! page and not on the number of writes, a burst of one flow lengthens only its own queue, and
+//! under low load a submission is written without waiting for a batch to fill.
 
 use super::demand::Demand;
 use super::retry_schedule::RetrySchedule;
-use super::submission::Waiting;
+use super::submission::WaitingSubmission;
 pub use super::submission::{Offer, Verdict};
 use super::submission_queue::SubmissionQueue;
 use crate::effects::{Effect, Outcome};
@@ -18,50 +18,53 @@
 use cherryyard_wire::state::Commit;
 use std::collections::HashSet;
 
-/// Longest that a submission waits here: its user gives up after five seconds, and one
-/// who is told to come back may find another controller less busy.
-const PATIENCE_MS: f64 = 1200.0;
-/// What may wait at once, in seconds' worth of what the budget takes.
-const QUEUE_S: f64 = 0.8;
-/// Bounds of what may wait at once: the least, and the part of the ends kept in memory
-/// (each submission takes about a kibibyte: of the memory a sixty-fourth).
-const LEAST_CAPACITY: usize = 16;
-const CAPACITY_PART: usize = 16;
-/// Time after which a transaction without an answer is stuck.
-const STUCK_MS: f64 = 300.0;
-/// So few submissions at a controller that does not lead get records of their own.
-const FEW: usize = 3;
-/// Tries of one submission's write before its user is told to come back.
-const TRIES: u32 = 4;
-/// Most bytes of a transaction with records.
-const RECORDS_BYTES: usize = 40 * 1024;
+/// Longest time for which a submission is queued, in milliseconds. Users give up after 5 s, and one
+/// who is told earlier to retry may reach a controller that is less busy.
+const MAX_QUEUED_MS: f64 = 1200.0;
+/// Capacity of the queue, in seconds of the throughput that the write budget allows.
+const QUEUE_CAPACITY_S: f64 = 0.8;
+/// Lower bound of the queue's capacity, and the number of job ends kept in memory for each
+/// submission of its upper bound. A submission takes about 1 KiB, so that a full queue takes at
+/// most 1/64 of the memory.
+const MIN_QUEUE_CAPACITY: usize = 16;
+const RECENT_ENDS_PER_SUBMISSION: usize = 16;
+/// Time in milliseconds after which a transaction without an answer counts as stuck.
+const STUCK_AFTER_MS: f64 = 300.0;
+/// Largest number of queued submissions that a controller other than the leader writes as one
+/// record each instead of as a page.
+const MAX_SEPARATE_RECORDS: usize = 3;
+/// Number of failed writes of a submission after which it is answered with [`Verdict::Failed`].
+const MAX_TRIES: u32 = 4;
+/// Largest transaction with one record per submission, in bytes.
+const MAX_RECORDS_BYTES: usize = 40 * 1024;
 
-/// What the intake is doing.
+/// Phase of the intake.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// Nothing is under way.
+    /// No transaction is under way.
     Idle,
-    /// A transaction is.
+    /// A transaction has been sent and is not answered yet.
     Writing,
-    /// The next transaction waits for a time, and for a revision to be seen.
+    /// The next transaction waits until a time, and until a revision of the state service has been
+    /// read.
     BackingOff { until: Millis, store_revision: u64 },
 }
 
-/// What moves the intake from one phase to another.
+/// Event that changes the intake's phase.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum IntakeEvent {
     /// A transaction has been sent.
     Sent,
-    /// It was answered.
+    /// The transaction was answered.
     Answered,
-    /// It was answered, and the next must wait.
+    /// The transaction was answered, and the next must wait.
     Delayed { until: Millis, store_revision: u64 },
-    /// The wait is over.
+    /// The wait before the next transaction is over.
     DelayPassed,
 }
 
 impl Phase {
-    /// The one place where the phase changes.
+    /// Returns the phase after `event`: the only transition function of this state machine.
     fn after(self, event: IntakeEvent) -> Self {
         match (self, event) {
             (Self::Idle, IntakeEvent::Sent) => Self::Writing,
@@ -88,70 +91,73 @@
     }
 }
 
-/// Submissions on their way.
+/// Submissions that are queued or being written.
 #[derive(Debug)]
 pub struct Intake {
     phase: Phase,
     queue: SubmissionQueue,
-    /// Those of the transaction under way, and when it was sent.
-    sent: Vec<Waiting>,
+    /// Submissions in the transaction that is under way, and when it was sent.
+    sent: Vec<WaitingSubmission>,
     sent_at: Millis,
     retry_schedule: RetrySchedule,
 }
 
-/// Submissions that go in a second, where many wait: pages half full.
+/// Returns the estimated throughput under load in submissions per second: pages are half full on
+/// average.
 fn submissions_per_s(config: &Config) -> f64 {
     config.user_writes_per_s * MOST_ROWS as f64 / 2.0
 }
 
 impl Intake {
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
-        let most = (config.recent_ends.get() / CAPACITY_PART).max(LEAST_CAPACITY);
-        let wanted = (submissions_per_s(config) * QUEUE_S) as usize;
+        let max_capacity =
+            (config.recent_ends.get() / RECENT_ENDS_PER_SUBMISSION).max(MIN_QUEUE_CAPACITY);
+        let capacity = (submissions_per_s(config) * QUEUE_CAPACITY_S) as usize;
         Self {
             phase: Phase::Idle,
-            queue: SubmissionQueue::new(wanted.clamp(LEAST_CAPACITY, most)),
+            queue: SubmissionQueue::new(capacity.clamp(MIN_QUEUE_CAPACITY, max_capacity)),
             sent: Vec::new(),
             sent_at: now,
             retry_schedule: RetrySchedule::new(now),
         }
     }
 
-    /// How long those who wait have waited, at most; nothing where the state service does
-    /// not answer, as nobody should wait for that. (A controller that was cut off from it
-    /// reported long queues, and the others waited for it beyond all patience.)
+    /// Returns how long the oldest queued submission has waited, in milliseconds; 0 if the state
+    /// service does not answer. Other controllers wait longer for the submissions that they forward
+    /// to a controller with a long queue, which is useless if that controller cannot write.
     pub(crate) fn wait_ms(&self, now: Millis) -> f64 {
-        if self.is_writing() && now - self.sent_at > STUCK_MS {
+        if self.is_writing() && now - self.sent_at > STUCK_AFTER_MS {
             return 0.0;
         }
         self.queue.longest_wait_ms(now)
     }
 
-    /// Whether a transaction is under way.
+    /// Returns whether a transaction is under way.
     pub(crate) fn is_writing(&self) -> bool {
         self.phase == Phase::Writing
     }
 
-    /// Whether something waits, and nothing keeps it from being sent.
+    /// Returns whether submissions are queued and the next transaction may be sent.
     pub(crate) fn is_ready(&self) -> bool {
         !self.queue.is_empty() && self.phase == Phase::Idle
     }
 
-    /// How many wait.
+    /// Returns the number of queued submissions.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether so few wait that they need no page.
+    /// Returns whether so few submissions are queued that they can be written as one record each.
     pub(crate) fn has_few(&self) -> bool {
-        self.queue.len() <= FEW
+        self.queue.len() <= MAX_SEPARATE_RECORDS
     }
 
-    fn change(&mut self, event: IntakeEvent) {
+    fn apply_event(&mut self, event: IntakeEvent) {
         self.phase = self.phase.after(event);
     }
 
-    /// Ends a delay that has passed, once the revision that it waits for is seen.
+    /// Ends the wait before the next transaction if its time has come and the mirror has reached
+    /// the revision that it waits for.
     pub(crate) fn end_delay(&mut self, store_revision: u64, now: Millis) {
         if let Phase::BackingOff {
             until,
@@ -160,11 +166,12 @@
             && now >= until
             && store_revision >= awaited
         {
-            self.change(IntakeEvent::DelayPassed);
+            self.apply_event(IntakeEvent::DelayPassed);
         }
     }
 
-    /// Queues a submission if there is room, or room can be made; false if it is refused.
+    /// Queues a submission, if need be in place of one that it evicts. Returns false if it is
+    /// refused.
     pub(crate) fn offer(
         &mut self,
         offer: Offer,
@@ -173,7 +180,7 @@
         effects: &mut Vec<Effect>,
         now: Millis,
     ) -> bool {
-        let waiting = Waiting::new(offer, now);
+        let waiting = WaitingSubmission::new(offer, now);
         if self.queue.is_full() {
             match self.queue.evict_for(waiting.offer.open.flow) {
                 Some(evicted) => self.refuse(&evicted, config, demand, effects, now),
@@ -187,7 +194,7 @@
         true
     }
 
-    /// Refuses those that have waited for too long.
+    /// Refuses submissions that have been queued for too long.
     pub(crate) fn refuse_expired(
         &mut self,
         config: &Config,
@@ -195,40 +202,41 @@
         effects: &mut Vec<Effect>,
         now: Millis,
     ) {
-        let is_expired = |waiting: &Waiting| now - waiting.since > PATIENCE_MS;
+        let is_expired = |waiting: &WaitingSubmission| now - waiting.queued_at > MAX_QUEUED_MS;
         for expired in self.queue.take_expired(is_expired) {
             self.refuse(&expired, config, demand, effects, now);
         }
     }
 
-    /// Tells a user when to come back.
+    /// Answers a submission with the time after which its user is to retry.
     fn refuse(
         &mut self,
-        waiting: &Waiting,
+        waiting: &WaitingSubmission,
         config: &Config,
         demand: &mut Demand,
         effects: &mut Vec<Effect>,
         now: Millis,
     ) {
         let flow = waiting.offer.open.flow;
-        demand.refused(flow);
+        demand.count_refused(flow);
         let flow_rate = submissions_per_s(config) / self.queue.flow_count().max(1) as f64;
         let retry_s = self.retry_schedule.next_retry_s(flow, flow_rate, now);
         answer(effects, waiting, Verdict::Busy(retry_s));
     }
 
-    /// Takes the next submissions that can be written, at most so many: what has become
-    /// known meanwhile is answered, and no job is taken twice.
+    /// Takes the next submissions that can be written from the queue, at most `max_count`. Those
+    /// whose job has become known or whose lookup in the history is out of date are answered
+    /// instead, and of several submissions of one job only the first is taken.
     pub(crate) fn next_batch(
         &mut self,
-        most: usize,
+        max_count: usize,
         weights: &[f64],
         mirror: &Mirror,
         effects: &mut Vec<Effect>,
-    ) -> Vec<Waiting> {
+    ) -> Vec<WaitingSubmission> {
         let mut jobs = HashSet::new();
-        let (mut batch, mut twice) = (Vec::new(), Vec::new());
-        while batch.len() < most
+        let (mut batch, mut duplicates) = (Vec::new(), Vec::new());
+        while batch.len() < max_count
             && let Some(waiting) = self.queue.pop(weights)
         {
             let offer = &waiting.offer;
@@ -239,19 +247,20 @@
             } else if jobs.insert(offer.job) {
                 batch.push(waiting);
             } else {
-                twice.push(waiting);
+                duplicates.push(waiting);
             }
         }
-        for waiting in twice {
+        for waiting in duplicates {
             self.queue.put_back(waiting);
         }
         batch
     }
 
-    /// Adds a page with as many submissions of a batch as fit to a transaction.
+    /// Adds to a transaction a page with as many submissions of a batch as fit, and queues the rest
+    /// again.
     pub(crate) fn write_page(
         &mut self,
-        mut batch: Vec<Waiting>,
+        mut batch: Vec<WaitingSubmission>,
         commit: &mut Commit,
         mirror: &Mirror,
         config: &Config,
@@ -272,11 +281,11 @@
         self.sent = batch;
     }
 
-    /// The transaction `commit` with records of their own for as many submissions of a
-    /// batch as fit.
+    /// Returns the transaction `commit` with one record each for as many submissions of a batch as
+    /// fit, and queues the rest again.
     pub(crate) fn write_records(
         &mut self,
-        mut batch: Vec<Waiting>,
+        mut batch: Vec<WaitingSubmission>,
         commit: &Commit,
         mirror: &Mirror,
         config: &Config,
@@ -289,7 +298,7 @@
         let rest = batch.split_off(count);
         self.put_back_rest(rest, count, effects);
         if count > 0 {
-            // Not beside pages or buckets that it does not know of.
+            // Fails if pages or buckets exist that this mirror has not read of.
             mirror.require(&mut written, Key::Format);
             if mirror.format.by_pages {
                 mirror.require_pages(&mut written);
@@ -302,9 +311,14 @@
         written
     }
 
-    /// Puts back what did not fit beside `written` others. The first that does not fit
-    /// even alone must not hold up the others.
-    fn put_back_rest(&mut self, mut rest: Vec<Waiting>, written: usize, effects: &mut Vec<Effect>) {
+    /// Queues again the submissions that did not fit beside `written` others. If none was written,
+    /// the first does not fit even alone and is answered as failed, as it would block the others.
+    fn put_back_rest(
+        &mut self,
+        mut rest: Vec<WaitingSubmission>,
+        written: usize,
+        effects: &mut Vec<Effect>,
+    ) {
         if written == 0 && !rest.is_empty() {
             let first = rest.remove(0);
             answer(effects, &first, Verdict::Failed);
@@ -314,18 +328,18 @@
         }
     }
 
-    /// Notes that the transaction is on its way; false if there is none, as nothing of the
-    /// batch could be written.
+    /// Records that the transaction with the prepared batch is sent. Returns false if the batch is
+    /// empty, as there is nothing to send.
     pub(crate) fn send(&mut self, now: Millis) -> bool {
         if self.sent.is_empty() {
             return false;
         }
-        self.change(IntakeEvent::Sent);
+        self.apply_event(IntakeEvent::Sent);
         self.sent_at = now;
         true
     }
 
-    /// Takes how the transaction came out; `event` says when the next may be sent.
+    /// Handles the outcome of the transaction; `event` determines when the next may be sent.
     pub(crate) fn committed(
         &mut self,
         outcome: Outcome,
@@ -334,19 +348,20 @@
         effects: &mut Vec<Effect>,
     ) {
         let sent = std::mem::take(&mut self.sent);
-        self.change(event);
+        self.apply_event(event);
         match outcome {
             Outcome::Applied(_) => {
                 for waiting in sent {
-                    demand.taken(waiting.offer.open.flow);
+                    demand.count_taken(waiting.offer.open.flow);
                     answer(effects, &waiting, Verdict::Taken);
                 }
             }
             Outcome::Conflict(_) | Outcome::Malformed => self.try_again(sent, 1, effects),
-            // What was refused was not executed: it waits on, as long as any may.
+            // A refused transaction was not executed: its submissions wait on, up to the limit
+            // for all.
             Outcome::Refused => self.try_again(sent, 0, effects),
-            // It may have been applied, or may yet be: the next try would be as good,
-            // but its user should not wait for what nobody knows.
+            // The transaction may have been applied, or may still be. A retry would be safe, but
+            // the user should not wait for an unknown outcome.
             Outcome::Unknown | Outcome::NoLease => {
                 for waiting in sent {
                     answer(effects, &waiting, Verdict::Failed);
@@ -355,11 +370,17 @@
         }
     }
 
-    /// Puts back what was sent, but for what has been tried too often.
-    fn try_again(&mut self, sent: Vec<Waiting>, more_tries: u32, effects: &mut Vec<Effect>) {
+    /// Queues the submissions of a failed transaction again, except those that have been tried too
+    /// often: they are answered as failed.
+    fn try_again(
+        &mut self,
+        sent: Vec<WaitingSubmission>,
+        more_tries: u32,
+        effects: &mut Vec<Effect>,
+    ) {
         for mut waiting in sent.into_iter().rev() {
             waiting.tries += more_tries;
-            if waiting.tries >= TRIES {
+            if waiting.tries >= MAX_TRIES {
                 answer(effects, &waiting, Verdict::Failed);
             } else {
                 self.queue.put_back(waiting);
@@ -368,20 +389,21 @@
     }
 }
 
-fn answer(effects: &mut Vec<Effect>, waiting: &Waiting, verdict: Verdict) {
+fn answer(effects: &mut Vec<Effect>, waiting: &WaitingSubmission, verdict: Verdict) {
     effects.push(Effect::Answer(waiting.offer.ticket, verdict));
 }
 
-/// Whether a submission depends on what is in the history: the job was not found
-/// there and may have come into it since, or ends of jobs that it waits for might.
-fn depends_on_history(waiting: &Waiting, mirror: &Mirror) -> bool {
+/// Returns whether writing a submission requires the history to be unchanged: its job was looked up
+/// there and may have been added since, or ends of jobs that it waits for may have been.
+fn depends_on_history(waiting: &WaitingSubmission, mirror: &Mirror) -> bool {
     let waits_for_others = !waiting.offer.open.dependencies.jobs.is_empty();
     waiting.offer.moved > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
 }
 
-/// The transaction with as many of these submissions' records as fit, and how many.
+/// Returns `commit` with one record each for as many submissions of `batch` as fit, and their
+/// number.
 fn records_that_fit(
-    batch: &[Waiting],
+    batch: &[WaitingSubmission],
     commit: &Commit,
     mirror: &Mirror,
     config: &Config,
@@ -392,7 +414,7 @@
         records.push((waiting.offer.job, waiting.offer.open.record()));
         let mut attempt = commit.clone();
         let fits = mirror.write_jobs(&mut attempt, records.clone(), config);
-        if !fits || attempt.bytes() > RECORDS_BYTES {
+        if !fits || attempt.bytes() > MAX_RECORDS_BYTES {
             records.pop();
             break;
         }
--- a/crates/cherryyard-core/src/admission/mod.rs
+++ b/crates/cherryyard-core/src/admission/mod.rs
@@ -1,9 +1,12 @@
-//! Admission under overload: who is served when not all can be.
+//! Admission and fair sharing under overload: which submissions are written and which jobs are
+//! started first when there is not enough capacity for all.
 //!
-//! See `docs/admission.md`. [`intake`] takes submissions, [`queue`] holds what waits;
-//! [`fair_share_guarantee`] says what each flow is to have, [`fair_share_status`] whether it
-//! has it, and [`allowance`] how owners act on that together without doing too much;
-//! [`entitlements`] holds the state of all that. The controller's part is in [`handlers`].
+//! [`intake`] writes submissions to the state service and [`queue`] orders the jobs that wait in
+//! a shard. [`fair_share_guarantee`] computes the cores that each flow (the jobs of one class and
+//! team) is guaranteed, and [`fair_share_status`] whether the flow runs as many. [`allowance`]
+//! bounds what the owners of shards may do about it, so that all of them together stay within
+//! the guarantee, and [`entitlements`] holds the state of these three. [`handlers`] connects them
+//! to the controller. See `docs/admission.md`.
 
 pub mod allowance;
 pub(crate) mod demand;
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -1,11 +1,13 @@
-//! What waits in a shard: a queue for each flow, in order, changed by what changed.
+//! Queues of the jobs that wait in a shard: one sorted queue for each flow, updated job by job as
+//! jobs change.
 //!
-//! The order over all is that of the jobs' places ([`Place`]); a scheduling cycle takes from
-//! it ([`ServiceOrder`]) until nothing more finds room. Of a flow that finds none, a bounded
-//! number of jobs is looked at, and of the rest a few others each time: so a scheduling
-//! cycle's cost doesn't grow with what waits. Two rules keep jobs from starving: part of
-//! what a flow starts is due to its late jobs ([`late_jobs`]), and its oldest job that has
-//! not begun goes first once it is old enough ([`oldest_job`]).
+//! Jobs are sorted by [`Place`]. A scheduling cycle takes jobs from all queues in that order
+//! ([`ServiceOrder`]) until no more can be placed. Of a flow whose jobs do not fit, it inspects a
+//! bounded number, and of the others a few that differ from cycle to cycle, so that the cost of a
+//! scheduling cycle does not grow with the number of waiting jobs. Two rules prevent starvation:
+//! a fixed share of the cores that a flow starts is credited to its late jobs ([`late_jobs`]), and
+//! the oldest job of a flow of which no task has started yet comes first once it is old enough
+//! ([`oldest_job`]).
 
 mod flow_queue;
 mod late_jobs;
@@ -18,36 +20,39 @@
 use flow_queue::FlowQueue;
 pub use late_jobs::LATE_SHARE;
 pub use place::Place;
-pub use service_order::{OTHERS, ServiceOrder};
+pub use service_order::{MAX_ROTATED_JOBS, ServiceOrder};
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs of a flow that may find no room before the rest of it is passed over.
+/// Number of consecutive jobs of a flow of which no task could be placed after which a scheduling
+/// cycle skips the rest of the flow's queue, except for up to [`MAX_ROTATED_JOBS`].
 pub const WINDOW: u32 = 48;
 
-/// Jobs that [`Queues::turned`] names at a time.
-const MOST_TURNED: usize = 256;
-/// For a job whose place doesn't change by itself.
+/// Largest number of jobs that [`Queues::turned`] returns at a time.
+const MAX_TURNED: usize = 256;
+/// Expiry time of a place that does not change with time.
 const NEVER: u64 = u64::MAX;
 
-/// A job that waits.
+/// A job in the queues.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingJob {
     flow: Flow,
     place: Place,
-    /// When its place changes by itself, in milliseconds of the day's clock.
+    /// Wall-clock time in milliseconds at which the place changes because of the time alone, or
+    /// [`NEVER`].
     changes_at: u64,
+    /// Time since which the job has been in the queues.
     since: Millis,
 }
 
-/// A shard's queues.
+/// Queues of the jobs that wait in one shard.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
     flows: Vec<FlowQueue>,
-    jobs: HashMap<u64, Waiting>,
-    /// When places change by themselves, and whose.
-    changes: BTreeSet<(u64, u64)>,
-    /// Services that no scheduling cycle has looked at yet.
-    unseen: BTreeSet<u64>,
+    jobs: HashMap<u64, WaitingJob>,
+    /// Times at which places expire, each with its job.
+    expirations: BTreeSet<(u64, u64)>,
+    /// Services that no scheduling cycle has inspected yet.
+    uninspected_services: BTreeSet<u64>,
 }
 
 impl Queues {
@@ -59,8 +64,11 @@
         &mut self.flows[index]
     }
 
-    /// Puts a job in its place, or moves it there; `changes_at` is when that place changes
-    /// by itself. A late one is to be noted as such first.
+    /// Inserts a job at its place, or moves it there. `changes_at` is the wall-clock time in
+    /// milliseconds at which that place changes because of the time alone; infinite if it does not.
+    /// For a late job [`Self::is_late`] is called first. A late job that is due and the first job
+    /// of its flow are sorted before all other jobs of their rank and kind, whatever their place
+    /// says.
     pub fn set(&mut self, flow: Flow, mut place: Place, changes_at: f64, now: Millis) {
         let changes_at = if changes_at.is_finite() {
             changes_at.max(0.0) as u64
@@ -69,10 +77,10 @@
         };
         let before = self.take(place.job);
         if before.is_none() && !place.is_array {
-            self.unseen.insert(place.job);
+            self.uninspected_services.insert(place.job);
         }
         let queue = self.flow_mut(flow);
-        if queue.late.is_due(place.job) || queue.oldest.goes_first(place.job) {
+        if queue.late.is_due(place.job) || queue.oldest.is_first(place.job) {
             (place.hope, place.work) = (0, 0.0);
         }
         if before.is_none() {
@@ -80,9 +88,9 @@
         }
         queue.places.insert(place);
         if changes_at != NEVER {
-            self.changes.insert((changes_at, place.job));
+            self.expirations.insert((changes_at, place.job));
         }
-        let waiting = Waiting {
+        let waiting = WaitingJob {
             flow,
             place,
             changes_at,
@@ -91,41 +99,42 @@
         self.jobs.insert(place.job, waiting);
     }
 
-    fn take(&mut self, job: u64) -> Option<Waiting> {
+    fn take(&mut self, job: u64) -> Option<WaitingJob> {
         let waiting = self.jobs.remove(&job)?;
         self.flows[waiting.flow as usize]
             .places
             .remove(&waiting.place);
-        self.changes.remove(&(waiting.changes_at, job));
+        self.expirations.remove(&(waiting.changes_at, job));
         Some(waiting)
     }
 
-    /// A job waits no longer.
+    /// Removes a job that does not wait any more.
     pub fn remove(&mut self, job: u64) {
         if let Some(waiting) = self.take(job) {
             let queue = &mut self.flows[waiting.flow as usize];
-            let by_age = (waiting.place.at, job);
-            queue.late.remove(by_age);
-            queue.oldest.remove(by_age);
+            let age_key = (waiting.place.at, job);
+            queue.late.remove(age_key);
+            queue.oldest.remove(age_key);
         }
-        self.unseen.remove(&job);
+        self.uninspected_services.remove(&job);
     }
 
-    /// A job of a flow, submitted then, cannot make its deadline any more.
+    /// Records that a job of a flow, ready to run since `at`, cannot meet any multiple of its
+    /// deadline.
     pub fn is_late(&mut self, flow: Flow, at: u64, job: u64) {
         self.flow_mut(flow).late.insert((at, job));
     }
 
-    /// So many cores of a flow have been started: a part of that is due to its late
-    /// jobs.
+    /// Records that tasks of a flow with so many cores have been started, and credits a share of
+    /// them to its late jobs.
     pub fn started(&mut self, flow: Flow, cores: f64) {
         if let Some(queue) = self.flows.get_mut(flow as usize) {
             queue.late.started(cores);
         }
     }
 
-    /// Late jobs that have become due, given what each takes here: they are to be set
-    /// anew.
+    /// Returns the late jobs that have become due, given the cores of each job's waiting tasks in
+    /// this shard. The caller has to [`Self::set`] them again.
     pub fn late_share_due(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
         let mut due = Vec::new();
         for queue in &mut self.flows {
@@ -134,72 +143,77 @@
         due
     }
 
-    /// The job of a flow that goes first as the oldest that has not begun.
+    /// Returns the job of a flow that comes first because it is the oldest of which no task has
+    /// started.
     pub fn turn(&self, flow: Flow) -> Option<u64> {
         self.flows.get(flow as usize)?.oldest.first()
     }
 
-    /// Lets each flow's oldest job that has not `begun` go first, if it is `old` enough;
-    /// says which jobs are to be set anew.
+    /// Chooses in each flow the oldest job for which `has_begun` is false to come first, if
+    /// `is_old` holds for the time since which it has been ready to run. Returns the jobs that the
+    /// caller has to [`Self::set`] again.
     pub fn reserve_for_oldest(
         &mut self,
-        old: impl Fn(u64) -> bool,
-        begun: impl Fn(u64) -> bool,
+        is_old: impl Fn(u64) -> bool,
+        has_begun: impl Fn(u64) -> bool,
     ) -> Vec<u64> {
         let mut changed = Vec::new();
         for queue in &mut self.flows {
-            queue.oldest.update(&old, &begun, &mut changed);
+            queue.oldest.update(&is_old, &has_begun, &mut changed);
         }
         changed
     }
 
-    /// Nothing waits.
+    /// Removes all jobs.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Jobs whose places have changed by themselves, a few at a time.
+    /// Returns jobs whose places have changed because of the time alone by wall-clock time `wall`,
+    /// a bounded number at a time.
     pub fn turned(&self, wall: f64) -> Vec<u64> {
         let wall = wall.max(0.0) as u64;
-        let due = self.changes.range(..(wall, 0)).take(MOST_TURNED);
+        let due = self.expirations.range(..(wall, 0)).take(MAX_TURNED);
         due.map(|&(_, job)| job).collect()
     }
 
-    /// Since when a job waits here.
+    /// Returns the time since which a job has been in these queues.
     pub fn since(&self, job: u64) -> Option<Millis> {
         self.jobs.get(&job).map(|waiting| waiting.since)
     }
 
-    /// Whether a service waits that no scheduling cycle has looked at.
+    /// Returns whether a service waits that no scheduling cycle has inspected.
     pub fn any_unseen(&self) -> bool {
-        !self.unseen.is_empty()
+        !self.uninspected_services.is_empty()
     }
 
-    /// A scheduling cycle has looked at what waits.
+    /// Records that a scheduling cycle has inspected the queues.
     pub fn mark_seen(&mut self) {
-        self.unseen.clear();
+        self.uninspected_services.clear();
     }
 
-    /// How many jobs wait.
+    /// Returns the number of waiting jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether none does.
+    /// Returns whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// The jobs in the order of service.
+    /// Returns the jobs of all flows in the order of service.
     pub fn service_order(&self) -> ServiceOrder<'_> {
         ServiceOrder::new(&self.flows)
     }
 
-    /// Notes how many of a flow's others have been looked at, and the last of them;
-    /// after the end of the queue it begins anew.
+    /// Saves where the next scheduling cycle continues in a flow's queue behind the first
+    /// [`WINDOW`] jobs, given how many of these `others` were inspected and the last of them. If
+    /// there were fewer than [`MAX_ROTATED_JOBS`], the end of the queue was reached and the next
+    /// cycle starts over.
     pub fn inspected_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
         if let Some(queue) = self.flows.get_mut(flow as usize) {
-            queue.cursor = last.filter(|_| others >= OTHERS);
+            queue.cursor = last.filter(|_| others >= MAX_ROTATED_JOBS);
         }
     }
 }
--- a/crates/cherryyard-core/src/admission/queue/late_jobs.rs
+++ b/crates/cherryyard-core/src/admission/queue/late_jobs.rs
@@ -1,62 +1,67 @@
-//! A flow's jobs that cannot make any multiple of their deadlines. They come after all
-//! that can, so while those keep coming they would wait for ever: the oldest one goes
-//! before them whenever enough has been started of the flow to pay for it.
+//! Late jobs of a flow: those that cannot meet any multiple of their deadlines.
+//!
+//! Late jobs are sorted after all jobs that can still be in time, and would starve while such
+//! jobs keep arriving. A share of the cores that the flow starts is therefore credited to its
+//! late jobs; the oldest one comes first as soon as the credit covers its cores.
 
-use super::place::ByAge;
+use super::place::AgeKey;
 use std::collections::BTreeSet;
 
-/// Part of what a flow starts that is kept for its jobs that are late anyway.
+/// Share of the cores started for a flow that is credited to its late jobs.
 pub const LATE_SHARE: f64 = 0.1;
-/// Cores that a job may lack: sums of parts are not exact.
+/// Number of cores by which the credit may fall short of a job's cores, as sums of floating-point
+/// numbers are not exact.
 const ROUNDING: f64 = 1e-6;
 
-/// A flow's late jobs.
+/// Late jobs of one flow.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateJobs {
-    by_age: BTreeSet<ByAge>,
-    /// Those that have become due: they stay so until they are done here.
+    /// Late jobs that are not due yet, oldest first.
+    jobs_by_age: BTreeSet<AgeKey>,
+    /// Late jobs that have become due; they stay due until they do not wait in this shard any more.
     due: BTreeSet<u64>,
-    /// Cores that are due to them.
+    /// Cores credited to the late jobs and not used yet.
     credit: f64,
 }
 
 impl LateJobs {
-    pub(super) fn insert(&mut self, (at, job): ByAge) {
+    pub(super) fn insert(&mut self, (at, job): AgeKey) {
         if !self.due.contains(&job) {
-            self.by_age.insert((at, job));
+            self.jobs_by_age.insert((at, job));
         }
     }
 
-    pub(super) fn remove(&mut self, (at, job): ByAge) {
-        self.by_age.remove(&(at, job));
+    pub(super) fn remove(&mut self, (at, job): AgeKey) {
+        self.jobs_by_age.remove(&(at, job));
         self.due.remove(&job);
     }
 
-    /// Whether a late job goes before those that are in time.
+    /// Returns whether a job is due: sorted before the jobs that can still be in time.
     pub(super) fn is_due(&self, job: u64) -> bool {
         self.due.contains(&job)
     }
 
-    /// So many cores of the flow have been started.
+    /// Credits the late jobs with their share of the `cores` started for the flow.
     pub(super) fn started(&mut self, cores: f64) {
-        if !self.by_age.is_empty() {
+        if !self.jobs_by_age.is_empty() {
             self.credit += cores * LATE_SHARE;
         }
     }
 
-    /// Adds the jobs that have become due to `all`, given what each takes.
-    pub(super) fn take_due(&mut self, cores: impl Fn(u64) -> f64, all: &mut Vec<u64>) {
-        while let Some(&(at, job)) = self.by_age.first() {
+    /// Adds to `newly_due` the late jobs that the credit covers, oldest first, and marks them as
+    /// due. `cores` returns the number of cores that a job takes.
+    pub(super) fn take_due(&mut self, cores: impl Fn(u64) -> f64, newly_due: &mut Vec<u64>) {
+        while let Some(&(at, job)) = self.jobs_by_age.first() {
             let cost = cores(job);
             if self.credit + ROUNDING < cost {
-                // What is saved up is worth one job.
+                // The credit is limited to the cores of one job.
                 self.credit = self.credit.min(cost);
                 break;
             }
             self.credit -= cost;
-            self.by_age.remove(&(at, job));
+            self.jobs_by_age.remove(&(at, job));
             self.due.insert(job);
-            all.push(job);
+            newly_due.push(job);
         }
     }
 }
--- a/crates/cherryyard-core/src/admission/queue/oldest_job.rs
+++ b/crates/cherryyard-core/src/admission/queue/oldest_job.rs
@@ -1,45 +1,48 @@
-//! Aging: a flow's oldest job that has not begun goes first once it is old enough.
+//! Aging: the oldest job of a flow of which no task has started yet comes first in its flow once it
+//! is old enough, so that jobs with less work that keep arriving cannot starve it.
 
-use super::place::ByAge;
+use super::place::AgeKey;
 use std::collections::BTreeSet;
 
-/// A flow's jobs by age, and the one that goes first for it.
+/// Jobs of one flow by age, and the one that comes first because of its age.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OldestJob {
-    /// What waits, as far as it may not have begun.
-    by_age: BTreeSet<ByAge>,
+    /// Waiting jobs, oldest first, without those that were found to have begun.
+    jobs_by_age: BTreeSet<AgeKey>,
+    /// The job that comes first.
     first: Option<u64>,
 }
 
 impl OldestJob {
-    pub(super) fn insert(&mut self, by_age: ByAge) {
-        self.by_age.insert(by_age);
+    pub(super) fn insert(&mut self, age_key: AgeKey) {
+        self.jobs_by_age.insert(age_key);
     }
 
-    pub(super) fn remove(&mut self, (at, job): ByAge) {
-        self.by_age.remove(&(at, job));
+    pub(super) fn remove(&mut self, (at, job): AgeKey) {
+        self.jobs_by_age.remove(&(at, job));
         self.first.take_if(|first| *first == job);
     }
 
-    /// The job that goes first.
+    /// Returns the job that comes first because of its age.
     pub(super) fn first(&self) -> Option<u64> {
         self.first
     }
 
-    /// Whether it is this one that goes first.
-    pub(super) fn goes_first(&self, job: u64) -> bool {
+    /// Returns whether `job` is the one that comes first.
+    pub(super) fn is_first(&self, job: u64) -> bool {
         self.first == Some(job)
     }
 
-    /// Finds the oldest job that has not `begun`, if it is `old` enough; adds to `changed`
-    /// which one ceases and which one begins to go first.
+    /// Finds the oldest job for which `has_begun` is false, if `is_old` holds for the time
+    /// since which it has been ready to run. If this changes the first job, adds the former and the
+    /// new one to `changed`.
     pub(super) fn update(
         &mut self,
-        old: impl Fn(u64) -> bool,
-        begun: impl Fn(u64) -> bool,
+        is_old: impl Fn(u64) -> bool,
+        has_begun: impl Fn(u64) -> bool,
         changed: &mut Vec<u64>,
     ) {
-        let next = self.oldest_not_begun(old, begun);
+        let next = self.oldest_not_begun(is_old, has_begun);
         if next != self.first {
             changed.extend(self.first.take().into_iter().chain(next));
             self.first = next;
@@ -48,17 +51,17 @@
 
     fn oldest_not_begun(
         &mut self,
-        old: impl Fn(u64) -> bool,
-        begun: impl Fn(u64) -> bool,
+        is_old: impl Fn(u64) -> bool,
+        has_begun: impl Fn(u64) -> bool,
     ) -> Option<u64> {
-        while let Some(&(at, job)) = self.by_age.first() {
-            if !old(at) {
+        while let Some(&(at, job)) = self.jobs_by_age.first() {
+            if !is_old(at) {
                 return None;
             }
-            if !begun(job) {
+            if !has_begun(job) {
                 return Some(job);
             }
-            self.by_age.remove(&(at, job));
+            self.jobs_by_age.remove(&(at, job));
         }
         None
     }
--- a/crates/cherryyard-core/src/admission/queue/place.rs
+++ b/crates/cherryyard-core/src/admission/queue/place.rs
@@ -1,27 +1,30 @@
-//! A job's place in the order of service, and by age.
+//! Sort keys of waiting jobs: the place in the order of service, and the age.
 
 use cherryyard_wire::job::Rank;
 use std::cmp::{Ordering, Reverse};
 
-/// When a job was submitted, and its number: the oldest comes first.
-pub(super) type ByAge = (u64, u64);
+/// Sort key by age: wall-clock time in milliseconds at which the job became ready to run, and job
+/// number; the oldest job comes first.
+pub(super) type AgeKey = (u64, u64);
 
-/// A job's place in the order of service.
+/// Place of a job in the order of service: the fields are compared in their order.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
-    /// By rank, the most important first.
+    /// Rank of the job; the highest rank comes first.
     pub rank: Rank,
-    /// Services before arrays.
+    /// Whether the job is an array; services come before arrays.
     pub is_array: bool,
-    /// Which of its deadline's multiples it can still make.
+    /// Index of the first multiple of its deadline that the job can still meet; jobs that can meet
+    /// an earlier one come first.
     pub hope: usize,
-    /// What is left of it, in core-seconds.
+    /// Remaining work of the job in core-seconds; the least work comes first.
     pub work: f64,
-    /// When it is due, in milliseconds of the day's clock.
+    /// Wall-clock time of the job's deadline in milliseconds.
     pub due: f64,
-    /// When it was submitted.
+    /// Wall-clock time in milliseconds at which the job became ready to run: at its submission, or
+    /// when the last job that it depends on was done.
     pub at: u64,
-    /// Its number.
+    /// Number of the job.
     pub job: u64,
 }
 
--- a/crates/cherryyard-core/src/admission/queue/service_order.rs
+++ b/crates/cherryyard-core/src/admission/queue/service_order.rs
@@ -1,4 +1,4 @@
-//! The order of service over all flows: their queues merged.
+//! Order of service over all flows: their sorted queues merged into one sequence.
 
 use super::flow_queue::FlowQueue;
 use super::place::Place;
@@ -6,126 +6,133 @@
 use std::collections::btree_set;
 use std::iter::Take;
 
-/// Jobs of a flow that are looked at once enough of it has found no room, others each time.
-pub const OTHERS: usize = 16;
+/// Largest number of jobs of a flow that a scheduling cycle inspects after the flow was closed
+/// because its first jobs did not fit. Successive cycles inspect different ones.
+pub const MAX_ROTATED_JOBS: usize = 16;
 
-/// What is still to come of a flow.
+/// Jobs of a flow that are still to come in the order.
 #[derive(Debug)]
-enum Rest<'a> {
-    Whole(btree_set::Iter<'a, Place>),
-    /// What comes after a job that was put back.
+enum RemainingJobs<'a> {
+    /// All jobs of the queue.
+    All(btree_set::Iter<'a, Place>),
+    /// Jobs behind one that was put back.
     After(btree_set::Range<'a, Place>),
-    /// A few others, once enough has found no room.
-    Others(Take<btree_set::Range<'a, Place>>),
+    /// A few jobs behind those that did not fit.
+    Rotated(Take<btree_set::Range<'a, Place>>),
+    /// No more jobs.
     Closed,
 }
 
-impl<'a> Rest<'a> {
+impl<'a> RemainingJobs<'a> {
     fn next(&mut self) -> Option<&'a Place> {
         match self {
-            Self::Whole(places) => places.next(),
+            Self::All(places) => places.next(),
             Self::After(places) => places.next(),
-            Self::Others(places) => places.next(),
+            Self::Rotated(places) => places.next(),
             Self::Closed => None,
         }
     }
 
-    /// Whether enough of the flow has found no room.
+    /// Returns whether the flow was closed because its first jobs did not fit.
     fn is_closed(&self) -> bool {
         match self {
-            Self::Whole(_) | Self::After(_) => false,
-            Self::Others(_) | Self::Closed => true,
+            Self::All(_) | Self::After(_) => false,
+            Self::Rotated(_) | Self::Closed => true,
         }
     }
 }
 
-/// A flow's part of the order.
+/// Position in the queue of one flow.
 #[derive(Debug)]
-struct Run<'a> {
+struct FlowPosition<'a> {
     next: Option<&'a Place>,
-    rest: Rest<'a>,
-    /// Whether the flow goes ahead of those that do not, whatever its rank.
+    remaining: RemainingJobs<'a>,
+    /// Whether the flow is served ahead of rank: before all flows that are not.
     is_ahead: bool,
 }
 
-/// What waits, in the order of service: the flows' queues merged.
+/// Waiting jobs of all flows, merged in the order of service.
 #[derive(Debug)]
 pub struct ServiceOrder<'a> {
     queues: &'a [FlowQueue],
-    runs: Vec<Run<'a>>,
+    flows: Vec<FlowPosition<'a>>,
 }
 
 impl<'a> ServiceOrder<'a> {
     pub(super) fn new(queues: &'a [FlowQueue]) -> Self {
-        let run = |queue: &'a FlowQueue| {
-            let mut rest = Rest::Whole(queue.places.iter());
-            Run {
-                next: rest.next(),
-                rest,
+        let position = |queue: &'a FlowQueue| {
+            let mut remaining = RemainingJobs::All(queue.places.iter());
+            FlowPosition {
+                next: remaining.next(),
+                remaining,
                 is_ahead: false,
             }
         };
         Self {
             queues,
-            runs: queues.iter().map(run).collect(),
+            flows: queues.iter().map(position).collect(),
         }
     }
 
-    /// From here on a flow goes ahead of those that do not, whatever its rank; or not
-    /// any more.
+    /// Sets whether a flow is from now on served ahead of rank: before all flows that are not.
     pub fn ahead(&mut self, flow: Flow, ahead: bool) {
-        if let Some(run) = self.runs.get_mut(flow as usize) {
-            run.is_ahead = ahead;
+        if let Some(position) = self.flows.get_mut(flow as usize) {
+            position.is_ahead = ahead;
         }
     }
 
-    /// The next job and its flow.
+    /// Returns the next job and its flow.
     pub fn step(&mut self) -> Option<(Flow, Place)> {
-        let runs = self.runs.iter().enumerate();
-        let waiting = runs.filter_map(|(flow, run)| Some((!run.is_ahead, run.next?, flow)));
+        let flows = self.flows.iter().enumerate();
+        let waiting =
+            flows.filter_map(|(flow, position)| Some((!position.is_ahead, position.next?, flow)));
         let (_, &place, flow) = waiting.min()?;
-        let run = &mut self.runs[flow];
-        run.next = run.rest.next();
+        let position = &mut self.flows[flow];
+        position.next = position.remaining.next();
         Some((flow as Flow, place))
     }
 
-    /// Puts back a flow's job that was taken last: it comes later.
+    /// Puts back the job of a flow that was returned last, so that [`Self::step`] returns it once
+    /// more. Does nothing if the flow is closed.
     pub fn back(&mut self, flow: Flow, place: Place) {
         let index = flow as usize;
         if let Some(queue) = self.queues.get(index)
             && let Some(known) = queue.places.get(&place)
-            && !self.runs[index].rest.is_closed()
+            && !self.flows[index].remaining.is_closed()
         {
-            let mut rest = queue.places.range(known..);
-            rest.next();
-            let run = &mut self.runs[index];
-            run.next = Some(known);
-            run.rest = Rest::After(rest);
+            let mut remaining = queue.places.range(known..);
+            remaining.next();
+            let position = &mut self.flows[index];
+            position.next = Some(known);
+            position.remaining = RemainingJobs::After(remaining);
         }
     }
 
-    /// Enough of a flow has found no room: of its rest only a few others are looked
-    /// at, and the second time none. Says whether this was the second.
+    /// Closes a flow of which enough jobs did not fit: at most [`MAX_ROTATED_JOBS`] more of its
+    /// jobs follow. A second call ends the flow. Returns whether this was the second call or there
+    /// is no such flow.
     pub fn close(&mut self, flow: Flow) -> bool {
         let index = flow as usize;
-        let Some(run) = self.runs.get_mut(index) else {
+        let Some(position) = self.flows.get_mut(index) else {
             return true;
         };
-        if run.rest.is_closed() {
-            (run.next, run.rest) = (None, Rest::Closed);
+        if position.remaining.is_closed() {
+            (position.next, position.remaining) = (None, RemainingJobs::Closed);
             return true;
         }
         let queue = &self.queues[index];
-        // Go on after those of the last time, if these still lie behind the window.
-        let from = match (queue.cursor, run.next) {
+        // Continue after the jobs inspected last, if they are behind the jobs of this cycle.
+        let start = match (queue.cursor, position.next) {
             (Some(cursor), Some(next)) if cursor > *next => Some(cursor),
             (_, next) => next.copied(),
         };
-        run.rest = match from {
-            Some(from) => Rest::Others(queue.places.range(from..).take(OTHERS)),
-            None => Rest::Closed,
+        position.remaining = match start {
+            Some(start) => {
+                RemainingJobs::Rotated(queue.places.range(start..).take(MAX_ROTATED_JOBS))
+            }
+            None => RemainingJobs::Closed,
         };
-        run.next = run.rest.next();
+        position.next = position.remaining.next();
         false
     }
 }
--- a/crates/cherryyard-core/src/admission/queue/tests.rs
+++ b/crates/cherryyard-core/src/admission/queue/tests.rs
@@ -19,118 +19,130 @@
         .collect()
 }
 
-/// While jobs that can be in time keep coming, one that cannot has its turn after ten
-/// times what it takes, and keeps it; the oldest first.
+/// Guards against starvation of late jobs by a stream of jobs that can be in time: a late job comes
+/// first once ten times its cores have been started of the flow, the oldest late job first.
 #[test]
-fn late_jobs_have_their_turn() {
-    let mut q = Queues::default();
+fn late_jobs_are_not_starved() {
+    let mut queues = Queues::default();
     for (job, at) in [(1, 20), (2, 10)] {
         let late = Place {
             hope: 2,
             at,
             ..place(job, Rank::High, 1.0)
         };
-        q.is_late(0, at, job);
-        q.set(0, late, f64::INFINITY, 0.0);
+        queues.is_late(0, at, job);
+        queues.set(0, late, f64::INFINITY, 0.0);
     }
-    let mut turns = Vec::new();
+    let mut due_jobs = Vec::new();
     for cycle in 0..30 {
         let fresh = 100 + cycle;
-        q.set(0, place(fresh, Rank::High, 5.0), f64::INFINITY, 0.0);
-        for job in q.late_share_due(|_| 8.0) {
-            turns.push((cycle, job));
+        queues.set(0, place(fresh, Rank::High, 5.0), f64::INFINITY, 0.0);
+        for job in queues.late_share_due(|_| 8.0) {
+            due_jobs.push((cycle, job));
             let at = Place {
                 hope: 2,
                 at: 10,
                 ..place(job, Rank::High, 1.0)
             };
-            q.set(0, at, f64::INFINITY, 0.0);
-            assert_eq!(q.service_order().step().unwrap().1.job, job);
-            q.remove(job);
+            queues.set(0, at, f64::INFINITY, 0.0);
+            assert_eq!(queues.service_order().step().unwrap().1.job, job);
+            queues.remove(job);
         }
-        q.remove(fresh);
-        q.started(0, 8.0);
+        queues.remove(fresh);
+        queues.started(0, 8.0);
     }
-    assert_eq!(turns, [(10, 2), (20, 1)]);
+    assert_eq!(due_jobs, [(10, 2), (20, 1)]);
 }
 
-/// While small jobs keep coming, the oldest that has not begun goes first once it is
-/// old enough; when it has, it is in its place again, and the next one's turn comes.
+/// Guards against starvation of a large job by a stream of small ones: the oldest job that has not
+/// begun comes first once it is old enough. After it has begun it returns to its place, and the
+/// next oldest job comes first.
 #[test]
-fn the_oldest_that_has_not_begun_goes_first() {
-    let mut q = Queues::default();
-    let set = |q: &mut Queues, job: u64| {
+fn oldest_job_that_has_not_begun_comes_first() {
+    let mut queues = Queues::default();
+    let set = |queues: &mut Queues, job: u64| {
         let work = if job < 3 { 900.0 } else { 1.0 };
         let place = Place {
             at: job * 10,
             ..place(job, Rank::High, work)
         };
-        q.set(0, place, f64::INFINITY, 0.0);
+        queues.set(0, place, f64::INFINITY, 0.0);
     };
-    (1..6).for_each(|job| set(&mut q, job));
-    assert_eq!(order(&mut q.service_order()), [3, 4, 5, 1, 2]);
+    (1..6).for_each(|job| set(&mut queues, job));
+    assert_eq!(order(&mut queues.service_order()), [3, 4, 5, 1, 2]);
     assert!(
-        q.reserve_for_oldest(|at| at < 10, |_| false).is_empty(),
-        "too young"
+        queues
+            .reserve_for_oldest(|at| at < 10, |_| false)
+            .is_empty(),
+        "no job is old enough"
     );
-    assert_eq!(q.reserve_for_oldest(|at| at <= 20, |_| false), [1]);
-    set(&mut q, 1);
-    assert_eq!(order(&mut q.service_order()), [1, 3, 4, 5, 2]);
-    let changed = q.reserve_for_oldest(|at| at <= 20, |job| job == 1);
+    assert_eq!(queues.reserve_for_oldest(|at| at <= 20, |_| false), [1]);
+    set(&mut queues, 1);
+    assert_eq!(order(&mut queues.service_order()), [1, 3, 4, 5, 2]);
+    let changed = queues.reserve_for_oldest(|at| at <= 20, |job| job == 1);
     assert_eq!(changed, [1, 2]);
-    changed.into_iter().for_each(|job| set(&mut q, job));
-    assert_eq!(order(&mut q.service_order()), [2, 3, 4, 5, 1]);
-    q.remove(2);
-    assert_eq!(q.turn(0), None);
+    changed.into_iter().for_each(|job| set(&mut queues, job));
+    assert_eq!(order(&mut queues.service_order()), [2, 3, 4, 5, 1]);
+    queues.remove(2);
+    assert_eq!(queues.turn(0), None);
     assert!(
-        q.reserve_for_oldest(|at| at <= 20, |job| job == 1)
+        queues
+            .reserve_for_oldest(|at| at <= 20, |job| job == 1)
             .is_empty()
     );
 }
 
-/// Flows come as one service_order, by their jobs' places; one that is ahead comes first.
+/// Guards against a wrong merge of the flows' queues: jobs of all flows come by their places, and
+/// those of a flow that is served ahead of rank come first.
 #[test]
-fn flows_are_merged() {
-    let mut q = Queues::default();
-    q.set(0, place(1, Rank::High, 5.0), f64::INFINITY, 0.0);
-    q.set(0, place(2, Rank::High, 1.0), f64::INFINITY, 0.0);
-    q.set(1, place(3, Rank::Standard, 9.0), f64::INFINITY, 0.0);
-    q.set(1, place(4, Rank::High, 3.0), 500.0, 7.0);
-    assert_eq!(order(&mut q.service_order()), [2, 4, 1, 3]);
-    let mut service_order = q.service_order();
+fn queues_of_flows_are_merged_by_place() {
+    let mut queues = Queues::default();
+    queues.set(0, place(1, Rank::High, 5.0), f64::INFINITY, 0.0);
+    queues.set(0, place(2, Rank::High, 1.0), f64::INFINITY, 0.0);
+    queues.set(1, place(3, Rank::Standard, 9.0), f64::INFINITY, 0.0);
+    queues.set(1, place(4, Rank::High, 3.0), 500.0, 7.0);
+    assert_eq!(order(&mut queues.service_order()), [2, 4, 1, 3]);
+    let mut service_order = queues.service_order();
     service_order.ahead(1, true);
     assert_eq!(order(&mut service_order), [4, 3, 2, 1]);
-    assert_eq!((q.turned(500.0), q.turned(501.0)), (vec![], vec![4]));
-    q.set(1, place(4, Rank::Standard, 3.0), f64::INFINITY, 90.0);
-    assert_eq!(q.since(4), Some(7.0), "moved, not come anew");
-    assert_eq!(order(&mut q.service_order()), [2, 1, 4, 3]);
-    q.remove(1);
-    assert_eq!((q.len(), q.since(1)), (3, None));
+    assert_eq!(
+        (queues.turned(500.0), queues.turned(501.0)),
+        (vec![], vec![4])
+    );
+    queues.set(1, place(4, Rank::Standard, 3.0), f64::INFINITY, 90.0);
+    assert_eq!(
+        queues.since(4),
+        Some(7.0),
+        "a moved job keeps its time of arrival"
+    );
+    assert_eq!(order(&mut queues.service_order()), [2, 1, 4, 3]);
+    queues.remove(1);
+    assert_eq!((queues.len(), queues.since(1)), (3, None));
 }
 
-/// Of a flow that finds no room a bounded number is looked at, and over some
-/// scheduling cycles every job of it.
+/// Guards against jobs that no scheduling cycle ever inspects because the jobs before them do not
+/// fit: each cycle inspects a bounded number of jobs, and many cycles together inspect all.
 #[test]
-fn all_of_a_long_queue_get_their_turn() {
-    let mut q = Queues::default();
+fn every_job_of_a_long_queue_is_inspected() {
+    let mut queues = Queues::default();
     for job in 0..1000 {
-        q.set(0, place(job, Rank::High, job as f64), f64::INFINITY, 0.0);
+        queues.set(0, place(job, Rank::High, job as f64), f64::INFINITY, 0.0);
     }
-    let mut seen = BTreeSet::new();
+    let mut inspected = BTreeSet::new();
     for _ in 0..70 {
-        let mut service_order = q.service_order();
-        let (mut inspected_machines, mut others, mut last) = (0, 0, None);
+        let mut service_order = queues.service_order();
+        let (mut inspected_jobs, mut others, mut last) = (0, 0, None);
         while let Some((flow, at)) = service_order.step() {
-            seen.insert(at.job);
-            inspected_machines += 1;
-            if inspected_machines > WINDOW {
+            inspected.insert(at.job);
+            inspected_jobs += 1;
+            if inspected_jobs > WINDOW {
                 (others, last) = (others + 1, Some(at));
-            } else if inspected_machines == WINDOW {
+            } else if inspected_jobs == WINDOW {
                 service_order.close(flow);
             }
         }
-        assert!(inspected_machines <= WINDOW + OTHERS as u32);
-        q.inspected_at(0, others, last);
+        assert!(inspected_jobs <= WINDOW + MAX_ROTATED_JOBS as u32);
+        queues.inspected_at(0, others, last);
     }
-    assert_eq!(seen.len(), 1000);
+    assert_eq!(inspected.len(), 1000);
 }
--- a/crates/cherryyard-core/src/admission/submission.rs
+++ b/crates/cherryyard-core/src/admission/submission.rs
@@ -1,54 +1,55 @@
-//! A submission on its way into the state service, and what has become of it.
+//! Submissions that wait to be written to the state service, and the answers to them.
 
 use crate::Millis;
 use crate::mirror::OpenJob;
 
-/// What has become of a submission.
+/// Answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is durable.
+    /// The job is stored durably.
     Taken,
-    /// The job is known already: its status tells more.
+    /// The job is known already, and is not stored again.
     Known,
-    /// The history has changed since the job was looked for there.
+    /// The history has changed since the job was looked up in it; the lookup has to be repeated.
     Retry,
-    /// Refused: come back after so many seconds.
+    /// The submission is refused because of overload; the user is to retry after this many seconds.
     Busy(u32),
-    /// The state service did not take it, or nobody knows.
+    /// The state service did not store the job, or the outcome is unknown.
     Failed,
 }
 
-/// A submission that waits to be written.
+/// A submission as it is handed to the controller.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// Its number, for the answer.
+    /// Number by which the answer is matched to the request.
     pub ticket: u64,
-    /// The job's number.
+    /// Number of the job.
     pub job: u64,
-    /// The job.
+    /// The job to store.
     pub open: OpenJob,
-    /// As of which revision of the history's record it was not found there; 0: there is
-    /// no history.
+    /// Revision of the history's record as of which the job was not found in the history; 0 if
+    /// there is no history.
     pub moved: u64,
 }
 
-/// A submission in the intake.
+/// A submission that the intake has queued or sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingSubmission {
     pub(crate) offer: Offer,
-    pub(crate) since: Millis,
-    /// Transactions with it that were not applied.
+    /// Time at which the submission arrived.
+    pub(crate) queued_at: Millis,
+    /// Number of transactions with this submission that failed.
     pub(crate) tries: u32,
-    /// The leader's lease under which it was divided.
+    /// Fencing token of the leader's lease under which the job was divided among the shards.
     pub(crate) divided_under: Option<u64>,
 }
 
-impl Waiting {
-    /// A submission that has just come.
+impl WaitingSubmission {
+    /// Creates a submission that has just arrived.
     pub(crate) fn new(offer: Offer, now: Millis) -> Self {
         Self {
             offer,
-            since: now,
+            queued_at: now,
             tries: 0,
             divided_under: None,
         }
--- a/crates/cherryyard-core/src/admission/submission_queue.rs
+++ b/crates/cherryyard-core/src/admission/submission_queue.rs
@@ -1,20 +1,20 @@
-//! Submissions that wait to be written: a bounded queue for each flow, served by weighted
-//! fair queueing.
+//! Queues of the submissions that wait to be written: one for each flow with a common bound, served
+//! by weighted fair queueing.
 
 use super::fair_queue::FairQueue;
 use super::flows::Flow;
-use super::submission::Waiting;
+use super::submission::WaitingSubmission;
 use crate::Millis;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The flows' queues.
+/// Queues of submissions, one for each flow.
 #[derive(Debug)]
 pub(super) struct SubmissionQueue {
-    /// None of them is empty.
-    queues: BTreeMap<Flow, VecDeque<Waiting>>,
+    /// Non-empty queues by flow, the oldest submission first.
+    queues: BTreeMap<Flow, VecDeque<WaitingSubmission>>,
     len: usize,
-    service_order: FairQueue,
-    /// The most that may wait.
+    fair_queue: FairQueue,
+    /// Largest number of submissions in all queues.
     capacity: usize,
 }
 
@@ -23,12 +23,12 @@
         Self {
             queues: BTreeMap::new(),
             len: 0,
-            service_order: FairQueue::default(),
+            fair_queue: FairQueue::default(),
             capacity,
         }
     }
 
-    /// How many wait.
+    /// Returns the number of submissions in all queues.
     pub(super) fn len(&self) -> usize {
         self.len
     }
@@ -41,38 +41,39 @@
         self.len >= self.capacity
     }
 
-    /// How many flows have something waiting.
+    /// Returns the number of flows with waiting submissions.
     pub(super) fn flow_count(&self) -> usize {
         self.queues.len()
     }
 
-    /// How long the submission that has waited longest has done so.
+    /// Returns for how many milliseconds the oldest submission has waited.
     pub(super) fn longest_wait_ms(&self, now: Millis) -> f64 {
         let oldest = self.queues.values().filter_map(|queue| queue.front());
         oldest
-            .map(|waiting| now - waiting.since)
+            .map(|waiting| now - waiting.queued_at)
             .fold(0.0, f64::max)
     }
 
-    pub(super) fn push(&mut self, waiting: Waiting) {
+    pub(super) fn push(&mut self, waiting: WaitingSubmission) {
         let flow = waiting.offer.open.flow;
         let queue = self.queues.entry(flow).or_default();
         if queue.is_empty() {
-            self.service_order.join(flow);
+            self.fair_queue.join(flow);
         }
         queue.push_back(waiting);
         self.len += 1;
     }
 
-    /// Puts back a submission that was taken: it is its flow's next.
-    pub(super) fn put_back(&mut self, waiting: Waiting) {
+    /// Puts a submission that was taken back to the front of its flow's queue.
+    pub(super) fn put_back(&mut self, waiting: WaitingSubmission) {
         let flow = waiting.offer.open.flow;
         self.queues.entry(flow).or_default().push_front(waiting);
         self.len += 1;
     }
 
-    /// Evicts the newest of the longest queue, if that is longer than a newcomer's own.
-    pub(super) fn evict_for(&mut self, flow: Flow) -> Option<Waiting> {
+    /// Evicts the newest submission of the longest queue to make room for one of `flow`, if that
+    /// queue is longer than the queue of `flow` becomes by the new submission.
+    pub(super) fn evict_for(&mut self, flow: Flow) -> Option<WaitingSubmission> {
         let own = self.queues.get(&flow).map_or(0, VecDeque::len);
         let longest = self.queues.values_mut().max_by_key(|queue| queue.len())?;
         if longest.len() <= own + 1 {
@@ -82,9 +83,9 @@
         longest.pop_back()
     }
 
-    /// Takes the next submission in the service order, given the flows' weights.
-    pub(super) fn pop(&mut self, weights: &[f64]) -> Option<Waiting> {
-        let flow = self.service_order.next(self.queues.keys().copied())?;
+    /// Takes the next submission in the order of weighted fair queueing, given the weights by flow.
+    pub(super) fn pop(&mut self, weights: &[f64]) -> Option<WaitingSubmission> {
+        let flow = self.fair_queue.next(self.queues.keys().copied())?;
         let queue = self.queues.get_mut(&flow)?;
         let next = queue.pop_front();
         if queue.is_empty() {
@@ -92,12 +93,15 @@
         }
         self.len -= usize::from(next.is_some());
         let weight = weights.get(flow as usize).copied().unwrap_or(1.0);
-        self.service_order.serve(flow, 1.0, weight);
+        self.fair_queue.serve(flow, 1.0, weight);
         next
     }
 
-    /// Takes the oldest submissions of each flow as long as they are expired.
-    pub(super) fn take_expired(&mut self, is_expired: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    /// Takes the expired submissions, which are the oldest of each flow.
+    pub(super) fn take_expired(
+        &mut self,
+        is_expired: impl Fn(&WaitingSubmission) -> bool,
+    ) -> Vec<WaitingSubmission> {
         let mut expired = Vec::new();
         for queue in self.queues.values_mut() {
             while queue.front().is_some_and(&is_expired) {
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -1,4 +1,5 @@
-//! Whether a job can ever run here.
+//! Admission check of a submission: whether it is well formed and its job can ever run in this
+//! cluster.
 
 use crate::pools::{Explanation, RulesError};
 use crate::{Config, Mirror};
@@ -8,94 +9,95 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Amounts that differ by less are alike.
+/// Difference of cores, accelerators or gigabytes below which two amounts count as equal.
 const TOLERANCE: f64 = 1e-9;
-/// Bytes that a job's record takes beside what was submitted.
-const RECORD_FRAME_BYTES: usize = 300;
+/// Bytes of a job's record in addition to the submission.
+const RECORD_OVERHEAD_BYTES: usize = 300;
 
-/// Why a submission is not taken.
+/// Reason for which a submission is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Reject {
-    /// It is malformed.
+    /// The submission is malformed.
     #[error(transparent)]
     Malformed(Malformed),
-    /// It can never run.
+    /// The job can never run.
     #[error(transparent)]
     Never(NeverRuns),
-    /// That cannot be decided yet.
+    /// Whether the job can run cannot be decided yet.
     #[error(transparent)]
     NotYet(NotYet),
 }
 
-/// What is malformed in a submission.
+/// Fault in a malformed submission.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Malformed {
-    /// Its rules cannot be evaluated.
+    /// The job's rules cannot be evaluated.
     #[error(transparent)]
     Rules(#[from] RulesError),
-    /// Its record would not fit into the state service.
+    /// The job's record would be larger than the state service accepts.
     #[error("bundle, waits_on: the job's names are too long, or too many, to keep")]
     TooLong,
-    /// It is a job of a submission of many jobs, and waits for others.
+    /// The job is part of a submission of many jobs and depends on other jobs.
     #[error("waits_on: jobs of a submission cannot wait for others")]
     WaitsInSubmission,
-    /// It is one of several templates.
+    /// The reason applies to one of the submission's templates.
     #[error("t[{template}].{reason}")]
     InTemplate {
         /// The template's index.
         template: usize,
-        /// What is malformed in it.
+        /// Fault in the template.
         reason: Box<Malformed>,
     },
 }
 
-/// Why a job can never run.
+/// Reason for which a job can never run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum NeverRuns {
-    /// The settings do not have its team.
+    /// The settings do not contain the job's team.
     #[error("owner: unknown team `{0}`")]
     UnknownTeam(String),
-    /// The settings do not have its zone.
+    /// The settings do not contain the job's zone.
     #[error("yard: unknown zone `{0}`")]
     UnknownZone(String),
-    /// A task of it fits no machine type that it allows.
+    /// A task of the job fits no machine type that the job allows.
     #[error("kinds_of_host: a task fits no allowed machine type")]
     NoMachineType,
-    /// Its rules allow no pool in which a task of it fits.
+    /// The job's rules allow no pool with a machine type that a task of the job fits.
     #[error("{}", .0.summary())]
     NoPool(Box<Explanation>),
-    /// The same, and why cannot be explained.
+    /// The job's rules allow no such pool, and evaluating the rules for an explanation failed.
     #[error(transparent)]
     Rules(RulesError),
-    /// Its tasks are to be apart, and all of them would have to be in one zone.
+    /// The job's tasks have to be in different zones, but only one zone is possible for all of
+    /// them.
     #[error("apart: the tasks would have to be in one zone")]
     OneZone,
-    /// It takes more cores than its team may use.
+    /// The job needs more cores than its team may use.
     #[error("cores: more than the team's limit")]
     CoresOverLimit,
-    /// It takes more accelerators than its team may use.
+    /// The job needs more accelerators than its team may use.
     #[error("accelerators: more than the team's limit")]
     AcceleratorsOverLimit,
-    /// It is one of several templates.
+    /// The reason applies to one of the submission's templates.
     #[error("t[{template}].{reason}")]
     InTemplate {
         /// The template's index.
         template: usize,
-        /// Why a job of it can never run.
+        /// Reason for which a job of the template can never run.
         reason: Box<NeverRuns>,
     },
 }
 
-/// Why it cannot be decided yet whether a job can run.
+/// Reason for which it cannot be decided yet whether a job can run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NotYet {
-    /// No machine types have been read.
+    /// The list of machine types has not been read yet.
     #[error("the machine types are not known yet")]
     NoMachineTypes,
 }
 
 impl Reject {
-    /// The same, for a job of a submission's template.
+    /// Returns the same reason for a job of the submission's template with this index.
     pub fn in_template(self, template: usize) -> Self {
         match self {
             Self::Malformed(reason) => Self::Malformed(Malformed::InTemplate {
@@ -111,7 +113,7 @@
     }
 }
 
-/// Whether a task of the job fits an empty machine of this type.
+/// Returns whether a task of the job fits an empty machine of a type that the job allows.
 pub fn fits_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.cores <= machine_type.cores + TOLERANCE
         && spec.accelerators <= machine_type.accelerators + TOLERANCE
@@ -119,13 +121,14 @@
         && allows_machine_type(spec, &machine_type.sku)
 }
 
-/// Whether the job allows this type.
+/// Returns whether the job allows machines of the type `sku`.
 pub fn allows_machine_type(spec: &JobSpec, sku: &str) -> bool {
     let allowed = spec.machine_types.as_ref();
     allowed.is_none_or(|allowed| allowed.iter().any(|name| name == sku))
 }
 
-/// Checks a submission made at `submitted_at`, and drops what the record need not keep.
+/// Checks a submission made at `submitted_at`, and removes from it the machine types that its
+/// record need not contain.
 pub fn admit(
     spec: &mut JobSpec,
     rules: Option<&Rules>,
@@ -159,7 +162,8 @@
     check_size(spec, rules, config).map_err(Reject::Malformed)
 }
 
-/// Unknown types can run nothing, and a record has a limited size.
+/// Removes machine types that do not exist from the allowed ones: they cannot run anything, and the
+/// size of a record is limited.
 fn drop_unknown_types(spec: &mut JobSpec, machine_types: &[MachineType]) {
     if let Some(allowed) = &mut spec.machine_types {
         allowed.retain(|name| machine_types.iter().any(|known| known.sku == *name));
@@ -168,7 +172,7 @@
     }
 }
 
-/// Zones that have a machine type which a task fits.
+/// Returns the zones that the job allows and that have a machine type which a task fits.
 fn zones_that_fit<'a>(spec: &JobSpec, machine_types: &'a [MachineType]) -> BTreeSet<&'a str> {
     machine_types
         .iter()
@@ -178,7 +182,8 @@
         .collect()
 }
 
-/// Keeps the zones that have a pool which the rules allow and a task fits.
+/// Keeps the zones with a pool that the rules allow and a task fits; returns an error if none is
+/// left.
 fn retain_allowed_zones(
     zones: &mut BTreeSet<&str>,
     spec: &JobSpec,
@@ -189,11 +194,11 @@
     let machine_types = &mirror.catalog.machine_types;
     let pools = mirror.catalog.matcher.evaluate(rules, submitted_at);
     let pools = pools.map_err(|error| Reject::Malformed(error.into()))?;
-    let runs = |machine_type: &MachineType, zone: &str| {
+    let can_run = |machine_type: &MachineType, zone: &str| {
         let allows = |spot| pools.tier(&machine_type.sku, zone, spot).is_some();
         fits_machine_type(spec, machine_type) && (allows(false) || spec.spot && allows(true))
     };
-    zones.retain(|zone| machine_types.iter().any(|known| runs(known, zone)));
+    zones.retain(|zone| machine_types.iter().any(|known| can_run(known, zone)));
     if !zones.is_empty() {
         return Ok(());
     }
@@ -207,7 +212,8 @@
     }))
 }
 
-/// All of a service's tasks have to fit the team's limit, and one of an array's.
+/// Checks the team's limit: all tasks of a service have to fit it together, the tasks of an array
+/// one by one.
 fn check_team_limit(spec: &JobSpec, team: u32, config: &Config) -> Result<(), NeverRuns> {
     let team = &config.teams[team as usize];
     let count = match spec.shape {
@@ -223,12 +229,13 @@
     Ok(())
 }
 
-/// Ids are stored as numbers, which are shorter.
+/// Checks that the job's record will fit into a value of the state service. The record stores ids
+/// as numbers, which are shorter than in the submission.
 fn check_size(spec: &JobSpec, rules: Option<&Rules>, config: &Config) -> Result<(), Malformed> {
     let size = |text: serde_json::Result<Vec<u8>>| text.map_or(usize::MAX / 4, |text| text.len());
     let rules_size = rules.map_or(0, |rules| size(serde_json::to_vec(rules)));
     let size = size(serde_json::to_vec(spec)) + rules_size;
-    if size + RECORD_FRAME_BYTES > config.value_bytes {
+    if size + RECORD_OVERHEAD_BYTES > config.value_bytes {
         return Err(Malformed::TooLong);
     }
     Ok(())
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -1,4 +1,4 @@
-//! A controller's configuration: what the settings say, in the core's own terms and units.
+//! Configuration of a controller: the settings, converted to the types and units of the core.
 
 use crate::names::Names;
 use crate::shard_map::ShardMap;
@@ -8,62 +8,64 @@
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 
-/// Machines that a controller keeps: of its own shards, and as many of other controllers'.
-/// It bounds the memory that reports can take; the largest fleets have some 4,000.
+/// Largest number of machines that a controller keeps of its own shards, and the same of other
+/// controllers' shards. It bounds the memory that workers' reports can take; the largest fleets
+/// have some 4,000 machines.
 pub const MAX_MACHINES: usize = 20_000;
 
-/// Largest page of assignments in bytes, whatever the value limit: every change of one is told
-/// to all controllers.
-const MAX_PAGE: usize = 12 * 1024;
-/// Bytes of a value that are kept free around a page of assignments, and the least that a page
-/// may have.
-const PAGE_MARGIN: usize = 64;
-const MIN_PAGE: usize = 256;
+/// Largest page of assignments in bytes, whatever the state service's limit on values: each page is
+/// sent to all controllers whenever it changes.
+const MAX_PAGE_BYTES: usize = 12 * 1024;
+/// Number of bytes of the largest value that a page of assignments leaves free, and the lower bound
+/// of the page's size in bytes.
+const PAGE_MARGIN_BYTES: usize = 64;
+const MIN_PAGE_BYTES: usize = 256;
 
-/// Shares of the write budget: all owners' scheduling cycles together, users' writes, and the
-/// history of jobs that are over. They may add up to more than 1, as seldom all are
-/// spent at once.
+/// Shares of the write budget for the scheduling cycles of all owners together, for users' writes,
+/// and for the history of ended jobs. Their sum may exceed 1, as they are seldom all spent at the
+/// same time.
 const CYCLES_SHARE: f64 = 0.7;
 const USERS_SHARE: f64 = 0.35;
 const HISTORY_SHARE: f64 = 0.1;
-/// Share of the rate of all requests that reads of the history may have.
+/// Share of the rate of all requests to the state service that reads of the history may use.
 const HISTORY_READS_SHARE: f64 = 0.1;
 
-/// Ends of jobs may take one part of the memory in so many; each takes about so many bytes.
-const MEMORY_PER_RECENT_ENDS: usize = 64;
+/// Divisor of the memory that gives the part for the ends of jobs, and the approximate size of one
+/// end in bytes.
+const RECENT_ENDS_MEMORY_DIVISOR: usize = 64;
 const RECENT_END_BYTES: usize = 64;
 
-/// Largest drift of a clock against another, as a factor of the time measured.
-const CLOCK_DRIFT: f64 = 1.001;
-/// The rate of the slowest clock against another.
+/// Largest drift of a clock against another, as a factor of the measured time.
+const CLOCK_DRIFT_FACTOR: f64 = 1.001;
+/// Rate of the slowest clock relative to another.
 const SLOWEST_CLOCK: f64 = 0.999;
 
-/// Operators' own settings, each with a default.
+/// Settings that operators may change, each with a default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// The proposal's AutoscaleMultiClusterDelay in seconds: how long a shard
-    /// may keep tasks waiting before the leader moves them.
+    /// Time in seconds for which a shard may keep tasks waiting before the leader moves them
+    /// (AutoscaleMultiClusterDelay).
     pub autoscale_multi_cluster_delay_s: f64,
-    /// Seconds between two reports of free capacity to the leader.
+    /// Time in seconds between two reports of free capacity to the leader.
     pub capacity_report_s: f64,
-    /// Share of the fleet's cores that scaling out ahead of demand keeps free.
+    /// Share of the fleet's cores that are kept free by scaling out ahead of demand.
     pub headroom_share: f64,
-    /// Seconds without work after which a provisioned machine may be released.
+    /// Time in seconds without work after which a provisioned machine may be released.
     pub idle_return_s: f64,
-    /// Whether jobs that are over go into the history.
+    /// Whether the ends of jobs are moved into the history.
     pub history: bool,
-    /// Ends that are compacted into the history at once.
+    /// Number of ends of jobs that are compacted into the history at once.
     pub history_batch: usize,
-    /// Days for which ends are kept; 0: for ever.
+    /// Number of days for which the history keeps ends of jobs; 0 means without limit.
     pub history_keep_days: u32,
-    /// Whether an account of core-seconds is kept and logged.
+    /// Whether an account of the use of core-seconds is kept and logged.
     pub account: bool,
-    /// Whether submissions may have rules of their own, and HTCondor's submit files
-    /// are served.
+    /// Whether submissions may carry rules for the choice of machines, and HTCondor submit files
+    /// are accepted.
     pub condor: bool,
-    /// Operators' own attributes of machines, for rules.
+    /// Attributes of machines that operators define for use in rules.
     pub attributes: Attributes,
-    /// Who is served when not all can be.
+    /// Settings of admission and fair sharing.
     pub admission: Admission,
 }
 
@@ -85,29 +87,29 @@
     }
 }
 
-/// A class's fair-share guarantee.
+/// Parameters of the fair-share guarantee of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassShare {
-    /// Its weight where not all guarantees can be met.
+    /// Weight of the class if not all guarantees can be met.
     pub weight: f64,
-    /// The part of its demand that is to be served whatever its rank.
+    /// Fraction of the demand that is to be served whatever the rank.
     pub least: f64,
-    /// The most that this may be, as a part of all cores.
+    /// Upper limit of that part of the demand, as a fraction of all cores.
     pub share: f64,
 }
 
-/// Who is served when not all can be.
+/// Settings of admission and fair sharing under overload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
-    /// The guarantee of classes that have none of their own.
+    /// Parameters of classes without parameters of their own.
     pub all: ClassShare,
-    /// For how long, in seconds, a flow may have less than its guarantee before it goes ahead of
-    /// rank.
+    /// Time in seconds for which a flow may run less than its guarantee before it is served ahead
+    /// of rank, that is before jobs of higher rank.
     pub window_s: f64,
-    /// How long, in seconds, a job waits before aging can serve it first in its flow, though none
-    /// of its tasks has begun and others have less work.
+    /// Time in seconds for which a job waits without a started task before aging can put it first
+    /// in its flow, before jobs with less work.
     pub turn_s: f64,
-    /// The guarantees of the others, by class.
+    /// Parameters of the other classes, by class.
     pub classes: HashMap<String, ClassShare>,
 }
 
@@ -127,93 +129,96 @@
 }
 
 impl Admission {
-    /// The guarantee of a class.
+    /// Returns the parameters of a class.
     pub fn of(&self, class: &str) -> ClassShare {
         self.classes.get(class).copied().unwrap_or(self.all)
     }
 }
 
-/// A team's guarantee and limit.
+/// Guarantee and limit of a team.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Guaranteed cores.
+    /// Number of guaranteed cores.
     pub cores: f64,
-    /// Guaranteed accelerators.
+    /// Number of guaranteed accelerators.
     pub acc: f64,
-    /// Most cores, infinite without a limit.
+    /// Largest number of cores; infinite without a limit.
     pub cores_max: f64,
-    /// Most accelerators, infinite without a limit.
+    /// Largest number of accelerators; infinite without a limit.
     pub acc_max: f64,
 }
 
 impl Team {
-    /// Whether the team has a limit on any resource.
+    /// Returns whether the team has a limit on any resource.
     pub fn limited(&self) -> bool {
         self.cores_max.is_finite() || self.acc_max.is_finite()
     }
 }
 
-/// How long a heartbeat is relied on: it acknowledges ours of up to a second before.
-const RELIED_MS: f64 = 3500.0;
-/// Share of the time within which a cancelled job's tasks must be gone that is kept as a margin,
-/// and the least margin.
+/// Longest time in milliseconds for which a peer's heartbeat is relied on. The time counts from
+/// when this controller sent the heartbeat that the peer's acknowledges, which is up to a second
+/// earlier.
+const MAX_HEARTBEAT_AGE_MS: f64 = 3500.0;
+/// Safety margin as a share of the time within which the tasks of a cancelled job must be gone, and
+/// the smallest margin in milliseconds.
 const CANCEL_MARGIN_SHARE: f64 = 0.05;
 const MIN_CANCEL_MARGIN_MS: f64 = 1500.0;
 
-/// One controller's configuration.
+/// Configuration of one controller.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This controller's index among all.
+    /// Index of this controller among all controllers.
     pub me: usize,
-    /// All controllers' names, in the agreed order.
+    /// Labels of all controllers, in the same order at each controller.
     pub labels: Vec<String>,
-    /// Which shard a machine belongs to.
+    /// Assignment of machines to shards.
     pub shard_map: ShardMap,
-    /// Zone names.
+    /// Names of the zones.
     pub zones: Names,
-    /// Team names.
+    /// Names of the teams.
     pub team_names: Names,
-    /// Teams by index.
+    /// Guarantees and limits of the teams, by index.
     pub teams: Vec<Team>,
-    /// The newest format of stored records that this build can work with.
+    /// Newest format of stored records that this build supports.
     pub format: u32,
-    /// How long a worker's lease lasts, in milliseconds.
+    /// Duration of a worker's lease in milliseconds.
     pub lease_ms: f64,
-    /// Time between a worker's heartbeats, in milliseconds.
+    /// Time between two heartbeats of a worker in milliseconds.
     pub report_ms: f64,
-    /// Time within which a cancelled job's tasks must be gone, in milliseconds.
+    /// Time in milliseconds within which the tasks of a cancelled job must be gone.
     pub cancel_ms: f64,
-    /// Most changes in a transaction.
+    /// Largest number of changes in a transaction.
     pub txn_ops: usize,
-    /// Puts and deletes a second that all controllers together may make.
+    /// Number of puts and deletes per second that all controllers together may make.
     pub writes_per_s: f64,
-    /// The same after an announced change of the state service's limits.
+    /// Value of `writes_per_s` that is also safe after an announced change of the state service's
+    /// limits.
     pub next_writes_per_s: f64,
-    /// Changes a second that one shard's scheduling cycles may write: the rest of the
-    /// budget is for users, leases and the leader.
+    /// Number of changes per second that the scheduling cycles of one shard may write. The rest of
+    /// the budget is for users' writes, leases and the leader.
     pub cycle_writes_per_s: f64,
-    /// Users' writes a second, all controllers together.
+    /// Number of users' writes per second that all controllers together may make.
     pub user_writes_per_s: f64,
-    /// Writes a second that go into the history, at most.
+    /// Largest number of writes to the history per second.
     pub history_writes_per_s: f64,
-    /// Reads a second for them, at most.
+    /// Largest number of reads of the history per second.
     pub history_reads_per_s: f64,
-    /// Largest value in bytes.
+    /// Largest value in the state service, in bytes.
     pub value_bytes: usize,
-    /// How late the cloud's machine list usually is, in milliseconds.
+    /// Usual delay of the cloud's list of machines in milliseconds.
     pub list_lag_ms: f64,
-    /// Most bytes of a page of assignments.
+    /// Largest page of assignments in bytes.
     pub page_bytes: usize,
-    /// For each class with deadlines, the multiples of them that count, in order.
+    /// Multiples of the deadlines that the objectives name, in ascending order, by class.
     pub deadline_times: HashMap<String, Vec<f64>>,
-    /// Ends kept in memory after they have left the watched records.
+    /// Number of ends of jobs kept in memory after they have been removed from the watched records.
     pub recent_ends: NonZeroUsize,
-    /// Operators' settings.
+    /// Settings that operators may change.
     pub tuning: Tuning,
 }
 
 impl Config {
-    /// The configuration that `settings` describe.
+    /// Creates the configuration that `settings` describe.
     pub fn new(settings: &Settings, tuning: Tuning) -> Self {
         let controllers = settings.controllers();
         let cluster = &settings.cluster;
@@ -243,7 +248,7 @@
             page_bytes: 0,
             deadline_times: deadline_times(cluster),
             recent_ends: NonZeroUsize::new(
-                cluster.limits.memory_bytes() / MEMORY_PER_RECENT_ENDS / RECENT_END_BYTES,
+                cluster.limits.memory_bytes() / RECENT_ENDS_MEMORY_DIVISOR / RECENT_END_BYTES,
             )
             .unwrap_or(NonZeroUsize::MIN),
             tuning,
@@ -253,13 +258,16 @@
         config
     }
 
-    /// Sets the largest value, and the largest page of assignments by it.
+    /// Sets the largest value, and the largest page of assignments that follows from it.
     pub(crate) fn set_value_bytes(&mut self, bytes: usize) {
         self.value_bytes = bytes;
-        self.page_bytes = bytes.saturating_sub(PAGE_MARGIN).clamp(MIN_PAGE, MAX_PAGE);
+        self.page_bytes = bytes
+            .saturating_sub(PAGE_MARGIN_BYTES)
+            .clamp(MIN_PAGE_BYTES, MAX_PAGE_BYTES);
     }
 
-    /// Sets the rate of puts and deletes, and divides it among those who write.
+    /// Sets the rate of puts and deletes, and divides it among scheduling cycles, users' writes and
+    /// the history.
     pub(crate) fn set_writes_per_s(&mut self, rate: f64) {
         self.writes_per_s = rate;
         self.cycle_writes_per_s = rate * CYCLES_SHARE / self.shards() as f64;
@@ -267,27 +275,28 @@
         self.history_writes_per_s = rate * HISTORY_SHARE;
     }
 
-    /// How many shards there are.
+    /// Returns the number of shards, which is that of controllers.
     pub fn shards(&self) -> usize {
         self.labels.len()
     }
 
-    /// For how long, in milliseconds, what another controller says of the state service counts,
-    /// from when its heartbeat was made: whatever it takes after that has its full time from then.
+    /// Returns for how many milliseconds after a peer created a heartbeat its statements about the
+    /// state service are relied on. This is at most [`Self::cut_off_bound_ms`]: a cancellation that
+    /// the peer accepts after creating the heartbeat has its full time limit from then on.
     pub fn relied_ms(&self) -> f64 {
-        RELIED_MS.min(self.cut_off_bound_ms())
+        MAX_HEARTBEAT_AGE_MS.min(self.cut_off_bound_ms())
     }
 
-    /// After this many milliseconds without watch events from the state service an owner stops
-    /// answering workers: their leases must have expired before the time runs out within which a
-    /// cancellation that it cannot see must take effect.
+    /// Returns the number of milliseconds without watch events from the state service after which
+    /// an owner stops answering workers: their leases must expire before the time is over within
+    /// which a cancellation that the owner cannot see must take effect.
     pub fn cut_off_bound_ms(&self) -> f64 {
         let margin = (self.cancel_ms * CANCEL_MARGIN_SHARE).max(MIN_CANCEL_MARGIN_MS);
-        ((self.cancel_ms - self.lease_ms * CLOCK_DRIFT - margin) * SLOWEST_CLOCK).max(0.0)
+        ((self.cancel_ms - self.lease_ms * CLOCK_DRIFT_FACTOR - margin) * SLOWEST_CLOCK).max(0.0)
     }
 }
 
-/// Teams' guarantees and limits; a limit of 0 in the settings is none.
+/// Returns the guarantees and limits of the teams. A limit of 0 in the settings means no limit.
 fn teams(cluster: &Cluster) -> Vec<Team> {
     let limit = |setting: f64| {
         if setting > 0.0 {
@@ -307,7 +316,8 @@
         .collect()
 }
 
-/// For each class with deadlines, the multiples of them that objectives name, in order.
+/// Returns, for each class with deadlines, the multiples of them that the objectives name, in
+/// ascending order.
 fn deadline_times(cluster: &Cluster) -> HashMap<String, Vec<f64>> {
     let mut by_class: HashMap<String, Vec<f64>> = HashMap::new();
     let objectives = cluster.objectives.iter();
--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -1,4 +1,5 @@
-//! Dependencies of a submission: what has become of the jobs that it names.
+//! Resolution of a submission's dependencies, which are the jobs that have to be done before it
+//! runs.
 
 use crate::mirror::Mirror;
 use cherryyard_wire::dependencies::{Dependencies, dependency_numbers};
@@ -7,31 +8,31 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Ends that were found in the history, by job.
+/// Ends of jobs that were found in the history, by job number.
 pub type PastEnds = BTreeMap<u64, End>;
 
-/// What becomes of a submission for the jobs that it names.
+/// Result of resolving the dependencies of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// It can be accepted, with this stored.
+    /// The submission can be accepted, and these dependencies are stored with it.
     Accepted(Dependencies),
-    /// Nothing is known of this job. It may have been accepted a moment ago, or be over
-    /// and only in the history.
+    /// This dependency is not known. It may have been accepted a moment ago, or have ended and be
+    /// recorded only in the history.
     Unknown(u64),
-    /// It could never run.
+    /// The submission could never run.
     Never(DependencyError),
 }
 
-/// Why a submission could never run for the jobs that it names.
+/// Fault in its dependencies because of which a submission could never run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DependencyError {
-    /// The list of jobs is malformed.
+    /// The list of dependencies is malformed.
     #[error("{0}")]
     Malformed(String),
-    /// It names a service.
+    /// A dependency is a service, which never ends by itself.
     #[error("waits_on: {} is a service, which is never done", job_id(*.0))]
     IsService(u64),
-    /// It names a job that nobody has submitted.
+    /// A dependency has never been submitted.
     #[error("waits_on: {} has never been accepted", job_id(*.0))]
     NeverAccepted(u64),
 }
@@ -44,28 +45,29 @@
 }
 
 impl Mirror {
-    /// What becomes of a submission for the jobs that it names, as they are known here, and
-    /// by the ends that were found in the history.
-    pub fn resolve_dependencies(&self, spec: &JobSpec, past: &PastEnds) -> Resolution {
-        let needs = match dependency_numbers(&spec.waits_on) {
-            Ok(needs) => needs,
+    /// Resolves the dependencies of a submission by the jobs in this mirror and by the ends that
+    /// were found in the history (`history_ends`). Dependencies that are done are left out; if one
+    /// is cancelled, the result names it and no jobs to wait for.
+    pub fn resolve_dependencies(&self, spec: &JobSpec, history_ends: &PastEnds) -> Resolution {
+        let dependency_jobs = match dependency_numbers(&spec.waits_on) {
+            Ok(dependency_jobs) => dependency_jobs,
             Err(error) => return Resolution::Never(DependencyError::Malformed(error.to_string())),
         };
         let mut dependencies = Dependencies::default();
-        for need in needs {
-            let past_status = past.get(&need).copied().map(status_of);
-            let status = self.view(need).map(|view| view.status).or(past_status);
+        for job in dependency_jobs {
+            let past_status = history_ends.get(&job).copied().map(status_of);
+            let status = self.view(job).map(|view| view.status).or(past_status);
             match status {
-                None => return Resolution::Unknown(need),
+                None => return Resolution::Unknown(job),
                 Some(JobStatus::Done) => {}
                 Some(JobStatus::Cancelled) => {
-                    dependencies.cancelled_by.get_or_insert(need);
+                    dependencies.cancelled_by.get_or_insert(job);
                 }
                 Some(JobStatus::Queued | JobStatus::Running) => {
-                    if self.is_service(need) {
-                        return Resolution::Never(DependencyError::IsService(need));
+                    if self.is_service(job) {
+                        return Resolution::Never(DependencyError::IsService(job));
                     }
-                    dependencies.jobs.push(need);
+                    dependencies.jobs.push(job);
                 }
             }
         }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -1,4 +1,5 @@
-//! Users' writes and polls: who takes them, when they are refused, and what is answered.
+//! Users' writes and polls: which controller writes a submission, when requests are refused, and
+//! the answers to polls.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -7,43 +8,46 @@
 use cherryyard_wire::record::End;
 use cherryyard_wire::state::Commit;
 
-/// Part of its users' writes that a controller lends to the leader.
+/// Share of its part of the budget for users' writes that a controller lends to the leader.
 const LENT_SHARE: f64 = 0.6;
-/// How long a leader goes by what a controller has last acknowledged.
-const LENT_MS: Millis = 2000.0;
-/// How long a leader goes by what it last saw of its lease.
-const LEADS_MS: Millis = 3000.0;
-/// How much longer than the other side's a time is waited for: clocks drift apart.
-const LENT_DRIFT: f64 = 1.25;
-const LEADS_DRIFT: f64 = 1.01;
-
-/// Event-loop lag above which polls are refused at once: with the wait for a barrier
-/// they would be answered when nobody waits any more.
+/// Longest time in milliseconds for which a leader uses the budget lent by a controller, from when
+/// the leader sent the last heartbeat that this controller has acknowledged.
+const LOAN_MS: Millis = 2000.0;
+/// Longest time in milliseconds for which a leader relies on the last time that it saw its own
+/// lease.
+const LEASE_SEEN_MS: Millis = 3000.0;
+/// Factors by which the other side waits longer than these two times, as clocks drift apart.
+const LOAN_DRIFT_FACTOR: f64 = 1.25;
+const LEASE_SEEN_DRIFT_FACTOR: f64 = 1.01;
+
+/// Event-loop lag in milliseconds above which polls are refused at once: together with the wait for
+/// a barrier the answer would come after the user has given up.
 const MAX_POLL_LAG_MS: Millis = 600.0;
-/// Event-loop lag above which submissions are refused.
+/// Event-loop lag in milliseconds above which submissions are refused.
 const MAX_SUBMISSION_LAG_MS: Millis = 1500.0;
 
-/// What a user can be told of a job.
+/// Answer to a user's poll of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UserAnswer {
-    /// This.
+    /// The status of the job.
     View(JobView),
-    /// Nothing yet: first all has to be read that was durable when the user asked.
+    /// No answer yet: everything that was durable when the poll arrived has to be read first.
     Barrier,
-    /// Nothing yet: the other controllers may not know that it is cancelled.
+    /// No answer yet: the other controllers may not have learnt that the job is cancelled.
     NotYet,
-    /// It is open or over nowhere but, maybe, in the history.
+    /// The job is not known, except perhaps in the history.
     Unknown,
 }
 
 impl Controller {
-    /// What a user can be told of a job: a final state at once, any other only if all
-    /// that was durable when the user asked has been read (`caught_up`).
+    /// Returns the answer to a poll of a job. A final status is returned at once, any other only if
+    /// everything that was durable when the poll arrived has been read (`caught_up`).
     pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
-            // Other controllers may count on our having confirmed it to nobody.
-            // One that never had a task is in nobody's way.
+            // Other controllers may rely on the cancellation not being confirmed to any user yet.
+            // This does not apply to a job cancelled because of a job that it depends on: it has
+            // never had a task.
             Some((JobStatus::Cancelled, view))
                 if view.cancelled_by.is_none() && !self.may_confirm_cancelled(job, now) =>
             {
@@ -56,7 +60,8 @@
         }
     }
 
-    /// The transaction that cancels a job, if it is open here and can be written.
+    /// Returns the transaction that cancels a job, if the job is open in this mirror and the record
+    /// can be written.
     pub fn cancellation(&self, job: u64) -> Option<Commit> {
         let record = self.mirror.open.get(&job)?.ended(End::Cancelled);
         let mut commit = Commit::default();
@@ -65,65 +70,71 @@
         is_written.then_some(commit)
     }
 
-    /// Sets the rate at which this controller may make users' writes, which leave room
-    /// for leases and assignments. Each has an even part of the budget, and lends most of it to
-    /// the leader, to whom submissions are forwarded, while the two receive each other's heartbeats.
+    /// Sets the rate at which this controller may write for users. The budget for users' writes
+    /// leaves capacity for leases and assignments. Each controller has an equal part of it and,
+    /// while it and the leader receive each other's heartbeats, lends most of that part to the
+    /// leader, to which submissions are forwarded.
     ///
-    /// No part is used twice. A leader uses what a controller lends for a time after it
-    /// sent the last heartbeat that this one has acknowledged; the lender takes it back a longer
-    /// time after it received that heartbeat. And a leader uses anything lent only for a time
-    /// after it last saw itself lead, its successor not before that time has passed.
+    /// No part of the budget is used twice. The leader uses what a controller lends for a limited
+    /// time from when it sent the last heartbeat that this controller has acknowledged; the lender
+    /// uses it again only after a longer time from when it received that heartbeat. A leader uses
+    /// lent budget only for a limited time after it last saw its own lease, and its successor waits
+    /// for longer than that before it uses any.
     pub(crate) fn set_user_rate(&mut self, now: Millis) {
-        let even_part = self.config.user_writes_per_s / self.shards.len() as f64;
+        let equal_part = self.config.user_writes_per_s / self.shards.len() as f64;
         let parts = if self.leader.leads(&self.mirror) {
-            1.0 + LENT_SHARE * self.lenders(now) as f64
+            1.0 + LENT_SHARE * self.lender_count(now) as f64
         } else if self.lends_to_leader(now) {
             1.0 - LENT_SHARE
         } else {
             1.0
         };
-        self.user_write_budget.set_rate(even_part * parts, now);
+        self.user_write_budget.set_rate(equal_part * parts, now);
     }
 
-    /// As the leader: how many controllers lend it their users' writes.
-    fn lenders(&self, now: Millis) -> usize {
-        let sees_itself_lead = self.state_contact.read_age(now) <= LEADS_MS && self.caught_up();
-        let predecessor_is_over = now - self.leader.since() >= LEADS_MS * LEADS_DRIFT;
-        if !sees_itself_lead || !predecessor_is_over {
+    /// Returns how many controllers lend budget to this controller, which is the leader.
+    fn lender_count(&self, now: Millis) -> usize {
+        let has_seen_lease = self.state_contact.read_age(now) <= LEASE_SEEN_MS && self.caught_up();
+        let is_predecessor_over =
+            now - self.leader.since() >= LEASE_SEEN_MS * LEASE_SEEN_DRIFT_FACTOR;
+        if !has_seen_lease || !is_predecessor_over {
             return 0;
         }
         let lends = |peer: &usize| {
             self.named_at(*peer)
-                .is_some_and(|named_at| now - named_at <= LENT_MS)
+                .is_some_and(|named_at| now - named_at <= LOAN_MS)
         };
         self.peers.others().filter(lends).count()
     }
 
-    /// Whether this controller, which does not lead, lends its users' writes to the leader.
+    /// Returns whether this controller, which is not the leader, lends budget to the leader.
     fn lends_to_leader(&self, now: Millis) -> bool {
-        let holder = self.mirror.leader_lease.as_ref();
-        let leader = holder.and_then(|holder| self.place_of(&holder.label));
+        let lease = self.mirror.leader_lease.as_ref();
+        let leader = lease.and_then(|lease| self.place_of(&lease.label));
         let silence = leader.and_then(|leader| self.peers.silence(leader, now));
-        silence.is_some_and(|silence| silence <= LENT_MS * LENT_DRIFT)
+        silence.is_some_and(|silence| silence <= LOAN_MS * LOAN_DRIFT_FACTOR)
     }
 
-    /// Whether a chunk of a submission may go to the state service now; if not, after
-    /// how many seconds to come back.
+    /// Spends budget for the write of one chunk of a submission.
+    ///
+    /// # Errors
+    ///
+    /// If the budget is spent: the number of seconds after which the user is to retry.
     pub fn take_user_write(&mut self, now: Millis) -> Result<(), u32> {
         self.set_user_rate(now);
         self.user_write_budget.take(now)
     }
 
-    /// Notes a user's write that cannot wait.
+    /// Spends budget for a user's write that is made even if the budget is spent.
     pub fn spend_user_write(&mut self, now: Millis) {
         if self.user_write_budget.left(now) > -self.user_write_budget.overdraft() {
             self.user_write_budget.spend(1.0);
         }
     }
 
-    /// Who should write a submission instead of this controller: the leader,
-    /// as it divides the job in the same write; or, if the state service does
-    /// not answer here, anyone whom it answers.
+    /// Returns the label of the controller that should write a submission instead of this one: the
+    /// leader, as it divides the job among the shards in the same transaction; or, if the state
+    /// service does not answer this controller, any controller that it answers.
     pub fn forwarding_target(&self, now: Millis) -> Option<&str> {
         if self.leader.leads(&self.mirror) && self.state_fresh(now) {
             return None;
@@ -133,25 +144,26 @@
         };
         let labels = &self.config.labels;
         let leader = (0..labels.len())
-            .find(|&place| self.leader.is_label(&self.mirror, &labels[place]))
+            .find(|&index| self.leader.is_label(&self.mirror, &labels[index]))
             .filter(is_able);
         let target = match leader {
             Some(leader) => Some(leader),
             None if self.state_fresh(now) => None,
             None => (0..labels.len()).find(is_able),
         };
-        target.map(|place| labels[place].as_str())
+        target.map(|index| labels[index].as_str())
     }
 
-    /// How long, in milliseconds, submissions forwarded to a controller may take there, beyond
-    /// what is usual, by its last heartbeat.
+    /// Returns how much longer than usual a submission forwarded to the controller `label` may take
+    /// there, in milliseconds: how long its oldest queued submission has waited, by its last
+    /// heartbeat.
     pub fn intake_ms(&self, label: &str) -> u64 {
-        let peer = self.place_of(label).and_then(|place| self.peers.get(place));
+        let peer = self.place_of(label).and_then(|index| self.peers.get(index));
         peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
     }
 
-    /// Takes a user's transaction (a cancellation, or a chunk of a submission) that was applied
-    /// at this revision.
+    /// Applies to the mirror a user's transaction (a cancellation or a chunk of a submission) that
+    /// was committed at `store_revision`, and runs the scheduling that follows from it.
     pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
         self.notice(now);
         self.mirror_commit(commit, store_revision);
@@ -159,12 +171,12 @@
         self.run(now);
     }
 
-    /// Whether users' polls are refused for now.
+    /// Returns whether users' polls are refused at present, because the event loop lags.
     pub fn refuses_polls(&self, now: Millis) -> bool {
         self.lag.now(now) > MAX_POLL_LAG_MS
     }
 
-    /// Whether submissions are refused for now.
+    /// Returns whether submissions are refused at present, because the event loop lags.
     pub fn refuses_submissions(&self, now: Millis) -> bool {
         self.lag.now(now) > MAX_SUBMISSION_LAG_MS
     }
