--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -52,8 +52,9 @@
     Strays,
     /// Cores of provisioned machines that are not up yet.
     Booting,
-    /// Free cores of machines that send no reports, are being reclaimed by the cloud, unconfirmed
-    /// or being returned to it, or that get no tasks after failures.
+    /// Free cores of machines on which no task may be placed: they send no reports, have not
+    /// reported under the owner's fencing token yet, are being reclaimed by the cloud or returned
+    /// to it, or are avoided after failures.
     Unusable,
     /// Free while no task waited anywhere.
     Spare,
--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -32,7 +32,7 @@
     usable_here: f64,
     usable_elsewhere: f64,
     /// Use as which free cores beyond these numbers count.
-    rest: CoreUse,
+    surplus_use: CoreUse,
 }
 
 impl Controller {
@@ -80,7 +80,7 @@
             used: self.mirror.usage(shard_id),
             usable_here: self.waiting_cores(shard_id),
             usable_elsewhere: waiting_in_others / self.shards.len() as f64,
-            rest: if self.mirror.undivided.is_empty() {
+            surplus_use: if self.mirror.undivided.is_empty() {
                 CoreUse::Spare
             } else {
                 CoreUse::Undivided
@@ -113,7 +113,7 @@
         sample.usable_elsewhere -= elsewhere;
         account.sum.count(CoreUse::Elsewhere, elsewhere * seconds);
         let rest = free - here - elsewhere;
-        account.sum.count(sample.rest, rest * seconds);
+        account.sum.count(sample.surplus_use, rest * seconds);
     }
 
     /// Counts the cores of the shard's machines that are provisioned and not up yet.
--- a/crates/cherryyard-core/src/admission/allowance.rs
+++ b/crates/cherryyard-core/src/admission/allowance.rs
@@ -1,14 +1,14 @@
 //! Division of a flow's fair-share guarantee among the owners of shards, so that all owners
 //! together never use more than the guarantee.
 //!
-//! An *allowance* is a number of cores of one flow in one shard. The shard's owner may start
-//! tasks of the flow ahead of rank (before jobs of higher rank) until the flow runs on that many
-//! cores of the shard, and may preempt tasks of the flow for other jobs until that many are left.
-//! The owner decides both from what its own shard runs, without asking another controller. This
-//! is a demarcation protocol: a bound on a sum holds because each summand has a bound of its own.
-//! The leader divides the guarantee into allowances and moves them to the shards in which the
-//! flow runs and waits. Owners act concurrently and on old messages, and controllers may crash,
-//! be partitioned or resume after a pause. Therefore:
+//! An *allowance* is a number of cores of one flow in one shard. The owner of the shard, which is
+//! the controller that holds its lease, may start tasks of the flow ahead of rank (before jobs of
+//! higher rank) until the flow runs on that many cores of the shard, and may preempt tasks of the
+//! flow for other jobs until that many are left. The owner decides both from what its own shard
+//! runs, without asking another controller. This is a demarcation protocol: a bound on a sum holds
+//! because each summand has a bound of its own. The leader divides the guarantee into allowances
+//! and moves them to the shards in which the flow runs and waits. Owners act concurrently and on
+//! old messages, and controllers may crash, be partitioned or resume after a pause. Therefore:
 //!
 //! - Every heartbeat between controllers has a number and acknowledges the last heartbeat
 //!   received from each other controller. The leader counts, for each owner, the highest of the
--- a/crates/cherryyard-core/src/admission/entitlements/division.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/division.rs
@@ -73,10 +73,10 @@
     live.map(|shard_id| {
         let here = used.running[shard_id] * (guarantee / running.max(1e-9)).min(1.0);
         let unused = (guarantee - running).max(0.0);
-        let more = unused * used.waiting[shard_id] / waiting.max(1e-9);
+        let additional = unused * used.waiting[shard_id] / waiting.max(1e-9);
         WantedAllowance {
             shard_id,
-            amount: amount(here + more),
+            amount: amount(here + additional),
         }
     })
     .collect()
@@ -99,13 +99,13 @@
     let guarantee = amount(guarantee);
     for target in wanted {
         let of_flow = accounts.range((flow, 0)..=(flow, usize::MAX));
-        let more = remaining(guarantee, of_flow.map(|(_, account)| account));
+        let available = remaining(guarantee, of_flow.map(|(_, account)| account));
         let Some(account) = accounts.get_mut(&(flow, target.shard_id)) else {
             continue;
         };
         let current = account.current();
         if target.amount.abs_diff(current) > guarantee / MIN_CHANGE_DIVISOR {
-            let max_amount = current.max(account.highest()) + more;
+            let max_amount = current.max(account.highest()) + available;
             account.grant(number, target.amount.min(max_amount));
         }
     }
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -202,10 +202,10 @@
     /// `[offered, taken, refused]`. Controllers report totals, so that a heartbeat that is lost or
     /// arrives twice changes nothing; the totals of a restarted controller begin at 0.
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
-        let ours = self.demand_out();
+        let own_reports = self.demand_out();
         let peers = self.peers.enumerate();
-        let theirs = peers.map(|(i, peer)| (i, peer.heartbeat.demand.as_slice()));
-        let counted = theirs.chain([(self.config.me, ours.as_slice())]);
+        let peer_reports = peers.map(|(i, peer)| (i, peer.heartbeat.demand.as_slice()));
+        let counted = peer_reports.chain([(self.config.me, own_reports.as_slice())]);
         self.demand
             .since_last_report(counted, &self.config.team_names)
     }
@@ -356,11 +356,11 @@
                 self.entitlements.grants_acknowledged(number, owned);
             }
         } else if self.leader.is_label(&self.mirror, &heartbeat.label) {
-            self.take_grants(heartbeat, acknowledgement, now);
+            self.receive_grants(heartbeat, acknowledgement, now);
         }
     }
 
-    fn take_grants(
+    fn receive_grants(
         &mut self,
         heartbeat: &Heartbeat,
         acknowledgement: Acknowledgement,
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -81,12 +81,12 @@
             },
             (Self::BackingOff { .. }, IntakeEvent::DelayPassed) => Self::Idle,
             (
-                same,
+                unchanged,
                 IntakeEvent::Sent
                 | IntakeEvent::Answered
                 | IntakeEvent::Delayed { .. }
                 | IntakeEvent::DelayPassed,
-            ) => same,
+            ) => unchanged,
         }
     }
 }
@@ -298,7 +298,7 @@
         let rest = batch.split_off(count);
         self.put_back_rest(rest, count, effects);
         if count > 0 {
-            // Fails if pages or buckets exist that this mirror has not read of.
+            // The transaction must fail if pages or buckets exist that this mirror has not read.
             mirror.require(&mut written, Key::Format);
             if mirror.format.by_pages {
                 mirror.require_pages(&mut written);
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -23,8 +23,8 @@
 pub use service_order::{MAX_ROTATED_JOBS, ServiceOrder};
 use std::collections::{BTreeSet, HashMap};
 
-/// Number of consecutive jobs of a flow of which no task could be placed after which a scheduling
-/// cycle skips the rest of the flow's queue, except for up to [`MAX_ROTATED_JOBS`].
+/// Number of consecutive jobs of a flow without a placed task after which a scheduling cycle skips
+/// the rest of the flow's queue, except for up to [`MAX_ROTATED_JOBS`] jobs.
 pub const WINDOW: u32 = 48;
 
 /// Largest number of jobs that [`Queues::turned`] returns at a time.
@@ -169,11 +169,11 @@
         *self = Self::default();
     }
 
-    /// Returns jobs whose places have changed because of the time alone by wall-clock time `wall`,
-    /// a bounded number at a time.
-    pub fn turned(&self, wall: f64) -> Vec<u64> {
-        let wall = wall.max(0.0) as u64;
-        let due = self.expirations.range(..(wall, 0)).take(MAX_TURNED);
+    /// Returns jobs whose places have changed because of the time alone by wall-clock time
+    /// `wall_time`, a bounded number at a time.
+    pub fn turned(&self, wall_time: f64) -> Vec<u64> {
+        let wall_time = wall_time.max(0.0) as u64;
+        let due = self.expirations.range(..(wall_time, 0)).take(MAX_TURNED);
         due.map(|&(_, job)| job).collect()
     }
 
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -178,7 +178,11 @@
         .iter()
         .filter(|machine_type| fits_machine_type(spec, machine_type))
         .flat_map(|machine_type| machine_type.zones.iter().map(String::as_str))
-        .filter(|zone| spec.zone.as_deref().is_none_or(|asked| asked == *zone))
+        .filter(|zone| {
+            spec.zone
+                .as_deref()
+                .is_none_or(|requested| requested == *zone)
+        })
         .collect()
 }
 
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -191,8 +191,8 @@
     pub txn_ops: usize,
     /// Number of puts and deletes per second that all controllers together may make.
     pub writes_per_s: f64,
-    /// Value of `writes_per_s` that is also safe after an announced change of the state service's
-    /// limits.
+    /// Number of puts and deletes per second that is allowed both before and after an announced
+    /// change of the state service's limits.
     pub next_writes_per_s: f64,
     /// Number of changes per second that the scheduling cycles of one shard may write. The rest of
     /// the budget is for users' writes, leases and the leader.
