--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -1,21 +1,22 @@
-//! One controller, from outside: events go in, effects come out.
+//! The controller as a state machine: consumes events and produces effects.
 //!
-//! Whoever runs a [`Controller`] calls one of its methods for each event, and afterwards takes
-//! what is to be done from [`Controller::effects`]. An event is handled in three steps:
+//! The caller invokes one method of [`Controller`] for each event, and afterwards executes the
+//! effects that [`Controller::effects`] returns. An event is handled in three steps:
 //!
-//! 1. `Controller::notice` takes its time, and detects that the process stood still.
-//! 2. The event's own part brings the state up to date: the mirror of the state service
+//! 1. `Controller::notice` records the time of the event, and detects that the process was
+//!    suspended.
+//! 2. The method for the event updates the state concerned: the mirror of the state service
 //!    ([`crate::mirror`]), the machines, the peers, or the submissions.
-//! 3. `Controller::run` lets each concern decide in a fixed order what follows: leases on
-//!    shards, leadership, the scheduling cycles of the shards, that of the leader, and the
-//!    transactions that write submissions and history.
+//! 3. `Controller::run` runs the decision steps in a fixed order: leases on shards, leadership,
+//!    the scheduling cycles of the shards, the leader's scheduling cycle, and the transactions
+//!    that write submissions, history and the jobs of bulk submissions.
 //!
-//! Where to read on, by event:
+//! The methods for each source of events, and the modules that handle them:
 //!
-//! | event | methods | module |
+//! | source | methods | module |
 //! | --- | --- | --- |
 //! | the state service | [`loaded`](Controller::loaded), [`events`](Controller::events), [`committed`](Controller::committed) | here; leases in `lease_acquisition` |
-//! | a worker's heartbeat, or answer | `report`, `pushed`, `queried` | `worker_heartbeats`, then [`crate::owner`] |
+//! | a worker's heartbeat, or its answer to a command or query | `handle_worker_heartbeat`, `handle_push_outcome`, `handle_status_answer` | `worker_heartbeats`, then [`crate::owner`] |
 //! | a peer's heartbeat | `heartbeat_in`, `heartbeat_out` | `heartbeats` |
 //! | a user's request | `answer_for`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
 //! | the cloud | [`machine_types`](Controller::machine_types), [`listed`](Controller::listed), [`released`](Controller::released) | here; then [`crate::leader`] and [`crate::owner`] |
@@ -41,82 +42,90 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
 
-/// Silence after which a machine that is not there any more is forgotten: by then
-/// no packet of it is held back.
+/// Time without messages from a machine after which it may be dropped from memory: packets that
+/// were delayed in the network have arrived by then.
 const FORGET_MS: Millis = 600_000.0;
-/// Longest time between two scheduling cycles of a shard, and between two of the leader.
+/// Longest time between two scheduling cycles of a shard.
 const SHARD_CYCLE_MS: Millis = 400.0;
+/// Longest time between two scheduling cycles of the leader.
 const LEADER_CYCLE_MS: Millis = 500.0;
-/// Time after the answer to a release before the machine may be released again.
-const RELEASE_AGAIN_MS: Millis = 2000.0;
+/// Delay between the cloud's answer to the release of a machine and the next attempt to release
+/// that machine.
+const RELEASE_RETRY_MS: Millis = 2000.0;
 
-/// One controller: all that it knows, by concern.
+/// The complete state of one controller, grouped by concern.
 #[derive(Debug)]
 pub struct Controller {
-    /// What it was configured with.
+    /// The configuration, with the limits of the state service that are in force.
     pub config: Config,
-    /// This process's number, among all that have run under its name.
+    /// Random number that distinguishes this process from earlier and later processes of the
+    /// controller with the same name.
     pub(crate) process: u64,
     pub(crate) started_at: Millis,
     pub(crate) rng: StdRng,
-    /// What is to be done, in order, since [`Controller::effects`] was last called.
+    /// Effects since the last call of [`Controller::effects`], in the order of execution.
     pub(crate) effects: Vec<Effect>,
 
     // The state service.
-    /// What the state service holds.
+    /// Local copy of the records in the state service.
     pub mirror: Mirror,
-    /// How fresh that is.
+    /// Freshness of the mirror and of the contact with the state service.
     pub(crate) state_contact: StateContact,
-    /// The state lease to which our records of leases are bound.
+    /// The lease of the state service to which this controller's shard and leadership leases are
+    /// bound.
     pub(crate) lease_id: Option<u64>,
 
-    // This controller as an owner of shards, and as the leader.
+    // Ownership of shards, and leadership.
     pub(crate) shards: Vec<Shard>,
     pub(crate) machines: BTreeMap<u32, Machine>,
     pub(crate) leader: Leader,
 
     // The other controllers.
     pub(crate) peers: Peers,
-    /// Workers of other controllers' shards that report here.
+    /// Workers that send their heartbeats to this controller although other controllers own
+    /// their shards.
     pub(crate) misdirected: MisdirectedWorkers,
-    /// Cancellations that controllers tell each other.
+    /// Cancellations that controllers report to each other in heartbeats.
     pub(crate) cancelled: Cancellations,
-    /// When our shards' free capacity was last reported, and whether it has changed since.
-    pub(crate) reported_at: Millis,
+    /// Time at which the free capacity of this controller's shards was last reported.
+    pub(crate) capacity_reported_at: Millis,
+    /// Whether the free capacity has changed since it was last reported.
     pub(crate) capacity_changed: bool,
 
     // The cloud.
     pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
-    /// The newest reading of its machine list, by name, and when that was.
+    /// The newest response of the cloud's machine list, by machine name.
     pub(crate) listed: HashMap<String, Instance>,
+    /// Time at which that response arrived.
     pub(crate) listed_at: Millis,
 
     // Users and admission.
-    /// Submissions on their way into the state service.
+    /// Submissions that are not yet written to the state service.
     pub(crate) intake: Intake,
-    /// What has become of submissions here.
+    /// Outcomes of the submissions that this controller has handled.
     pub(crate) demand: Demand,
-    /// Fair-share guarantees, and what flows are entitled to by them.
+    /// Fair-share guarantees, and the resources to which they entitle flows.
     pub(crate) entitlements: Entitlements,
-    /// Users' writes that this controller may make.
+    /// Budget of writes to the state service that this controller may make for users.
     pub(crate) user_write_budget: TokenBucket,
 
-    // How this process itself does.
-    /// How far behind this controller is with what waits for it.
+    // The process itself.
+    /// Delay between the arrival of an event and its handling.
     pub(crate) lag: EventLoopLag,
-    /// Machines whose assignments scheduling cycles have looked at so far: what scheduling
-    /// cycles cost.
+    /// Total number of machines whose assignments scheduling cycles have inspected: a measure of
+    /// the cost of scheduling cycles.
     pub inspected_machines: u64,
-    /// Waiting jobs that scheduling cycles have looked at so far.
+    /// Total number of waiting jobs that scheduling cycles have inspected.
     pub inspected_jobs: u64,
-    /// Whether accounts of core-seconds are kept.
+    /// Whether the controller keeps accounts of core-seconds.
     pub accounting: bool,
-    /// Time of day less steady clock, in milliseconds.
+    /// Time of day minus the steady clock, in milliseconds.
     pub wall_offset: f64,
 }
 
 impl Controller {
-    /// A controller that has just started. `seed` decides all that it draws at random.
+    /// Creates the controller of a process that starts at `now`. `seed` determines all of its
+    /// random numbers.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
         let process = StdRng::seed_from_u64(seed).random();
         let shard_count = config.shards();
@@ -136,7 +145,7 @@
             peers: Peers::new(config.me, shard_count, now),
             misdirected: MisdirectedWorkers::default(),
             cancelled: Cancellations::new(now),
-            reported_at: f64::NEG_INFINITY,
+            capacity_reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
             machine_types_from_cloud: None,
             listed: HashMap::new(),
@@ -154,46 +163,46 @@
         }
     }
 
-    /// What is to be done since the last call, in order.
+    /// Returns and clears the effects since the last call, in the order of execution.
     pub fn effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     // Events of the state service.
 
-    /// Ends a full read of the state whose first page was asked for at `sent_at`
-    /// and described revision `store_revision`. Its pages went to the mirror before: a
-    /// long read must not keep heartbeats waiting.
+    /// Completes a full read of the state, whose first page was requested at `sent_at` and
+    /// described revision `store_revision`. The mirror has received the pages one by one before
+    /// this call, so that a long read does not delay heartbeats.
     pub fn loaded(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
         self.notice(now);
         self.mirror.end_load(store_revision);
-        self.state_read(sent_at, now);
+        self.mirror_changed(sent_at, now);
     }
 
-    /// Takes the answer to a watch or barrier request that was sent at `sent_at`.
+    /// Handles the response to a watch or barrier request that was sent at `sent_at`.
     pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
         self.notice(now);
         let changed = !events.events.is_empty();
         self.mirror.events(events);
         if changed {
-            self.state_read(sent_at, now);
+            self.mirror_changed(sent_at, now);
         } else {
             self.state_contact.read(sent_at, now);
         }
     }
 
-    /// The mirror has changed by a read that was sent at `sent_at`.
-    fn state_read(&mut self, sent_at: Millis, now: Millis) {
+    /// Reacts to a change of the mirror by a read that was sent at `sent_at`.
+    fn mirror_changed(&mut self, sent_at: Millis, now: Millis) {
         self.state_contact.read(sent_at, now);
         for text in self.mirror.take_record_errors() {
-            tracing::warn!("ignored a bad record in the state service: {text}");
+            tracing::warn!("ignored an invalid record in the state service: {text}");
         }
         self.check_leases();
         self.mark_all_dirty();
         self.run(now);
     }
 
-    /// Takes how a transaction of ours came out.
+    /// Handles the outcome of a transaction that this controller sent.
     pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
         self.notice(now);
         match outcome {
@@ -211,7 +220,7 @@
         self.run(now);
     }
 
-    /// Takes over into the mirror what a transaction of ours has changed.
+    /// Applies the changes of a committed transaction of this controller to the mirror.
     pub(crate) fn mirror_commit(&mut self, commit: &Commit, revision: u64) {
         self.state_contact.applied(revision);
         self.mirror.committed(commit, revision);
@@ -221,11 +230,11 @@
         if outcome == Outcome::Malformed {
             self.commit_refused_as_malformed(commit);
         }
-        tracing::debug!(?ticket, ?outcome, "a transaction was not applied");
+        tracing::debug!(?ticket, ?outcome, "transaction not applied");
         self.effects.push(Effect::Refresh);
     }
 
-    /// Tells the concern that sent a transaction how it came out.
+    /// Passes the outcome of a transaction to the part of the controller that sent it.
     fn finish_transaction(&mut self, ticket: Ticket, outcome: Outcome, now: Millis) {
         match ticket {
             Ticket::AcquireShard(shard) => self.shard_acquire_committed(shard, outcome, now),
@@ -239,12 +248,13 @@
         }
     }
 
-    /// Notes that the state service has answered a request sent at `sent_at`.
+    /// Records that the state service answered a request that was sent at `sent_at`.
     pub fn state_answered(&mut self, sent_at: Millis, now: Millis) {
         self.state_contact.answered(sent_at, now);
     }
 
-    /// Takes the state lease to which our records of leases are bound, or its loss.
+    /// Sets the lease of the state service to which this controller's shard and leadership leases
+    /// are bound, or clears it after its loss.
     pub fn state_lease_changed(&mut self, lease_id: Option<u64>, now: Millis) {
         self.notice(now);
         self.lease_id = lease_id;
@@ -253,7 +263,7 @@
 
     // Events of the cloud.
 
-    /// Takes machine types from the cloud.
+    /// Handles a response of the cloud that lists its machine types.
     pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
         self.notice(now);
         if self.mirror.catalog.machine_types_revision == 0 && !machine_types.is_empty() {
@@ -264,7 +274,7 @@
         self.run(now);
     }
 
-    /// Takes a reading of the cloud's machine list.
+    /// Handles a response of the cloud that lists its machines.
     pub fn listed(&mut self, machines: Vec<Instance>, now: Millis) {
         self.notice(now);
         self.learn_provisioning_times(&machines);
@@ -275,10 +285,11 @@
         self.scale_in_listed(now);
     }
 
-    /// Forgets machines that have long been silent, unless something still names them:
-    /// assignments, or the list, which shows a machine until it is gone. What is gone by our
-    /// release or was taken by the cloud is forgotten though it is listed: of the latter a busy
-    /// fleet has some hundreds a day.
+    /// Drops machines from memory that have sent nothing for [`FORGET_MS`], unless they have
+    /// assignments or the cloud lists them, which it does until a machine is gone. Machines in
+    /// the state [`MachineState::Gone`], whether released by a controller or reclaimed by the
+    /// cloud, are dropped although they are still listed: the cloud reclaims some hundreds a day
+    /// of a busy fleet.
     fn forget_machines(&mut self, now: Millis) {
         let (mirror, listed) = (&self.mirror, &self.listed);
         self.machines.retain(|&host, machine| {
@@ -289,7 +300,7 @@
         });
     }
 
-    /// Takes the answer to a release of machines: whether the cloud has taken it.
+    /// Handles the cloud's answer to a release of machines; `ok`: the cloud accepted it.
     pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
         self.notice(now);
         for name in names {
@@ -312,12 +323,12 @@
         } else {
             MachineEvent::ReleaseFailed
         });
-        machine.release_after = now + RELEASE_AGAIN_MS;
+        machine.release_after = now + RELEASE_RETRY_MS;
     }
 
     // Time.
 
-    /// Lets time pass: to be called every tenth of a second.
+    /// Runs everything that depends on time alone. The caller invokes this every 100 ms.
     pub fn tick(&mut self, now: Millis) {
         self.notice(now);
         self.lag.ticked(now);
@@ -334,28 +345,29 @@
         }
     }
 
-    /// Notes that a task of the event loop which became due at `due` has been run now, behind
-    /// all heartbeats and requests that came before.
+    /// Records that a probe of the event loop, due at `due`, ran at `now`, after all heartbeats
+    /// and requests that arrived before it.
     pub fn queue_passed(&mut self, due: Millis, now: Millis) {
         self.notice(now);
         self.lag.passed(due, now);
     }
 
-    // What is common to all events.
+    // Steps common to all events.
 
-    /// Notes the time of an event. After a gap all timers are due at once and all that is known
-    /// is old: nothing is decided before a read of the state that was sent since. A controller
-    /// that stood still for a minute would take all its machines for silent, and shards long
-    /// lost for its own.
+    /// Records the time of an event, and detects a gap in which the process was suspended. After
+    /// a gap all timers are due at once and the state is outdated, so decisions wait for a read
+    /// of the state service that was sent after the gap. Otherwise a controller that was
+    /// suspended for a minute would consider all its machines silent, and would act as the owner
+    /// of shards that it lost long ago.
     pub(crate) fn notice(&mut self, now: Millis) {
         if let Some(gap) = self.state_contact.advance(now) {
-            tracing::info!(ms = gap, "stood still");
+            tracing::info!(ms = gap, "process was suspended");
             self.lag.stood_still(now);
             self.effects.push(Effect::Refresh);
         }
     }
 
-    /// Lets each concern decide what follows from what is known now.
+    /// Runs all decision steps in their fixed order, once the mirror is loaded.
     pub(crate) fn run(&mut self, now: Millis) {
         if !self.mirror.loaded {
             return;
@@ -378,7 +390,7 @@
         self.create(now);
     }
 
-    /// Has all scheduling cycles, the leader's included, look at what has changed.
+    /// Marks all shards and the leader as due for a scheduling cycle.
     pub(crate) fn mark_all_dirty(&mut self) {
         for shard in &mut self.shards {
             shard.dirty = true;
@@ -386,33 +398,36 @@
         self.leader.dirty = true;
     }
 
-    /// A random time, by which controllers that were refused together do not come back together.
+    /// Returns a random delay, so that controllers whose requests failed together do not retry
+    /// together.
     pub(crate) fn jitter(&mut self, from: Millis, to: Millis) -> Millis {
         self.rng.random_range(from..to)
     }
 
-    // What others ask.
+    // Queries by the caller and by other modules.
 
-    /// Whether this controller can take requests: it holds a first read, and
-    /// either the state service answers it, or it answers nobody.
+    /// Returns whether this controller can serve requests: the mirror and the machine types are
+    /// loaded, and either the state service answers this controller, or all other controllers
+    /// report that the state service does not answer them either.
     pub fn ready(&self, now: Millis) -> bool {
         self.mirror.loaded
             && !self.mirror.catalog.machine_types.is_empty()
             && (self.state_fresh(now) || self.all_cut_off(now))
     }
 
-    /// Whether the state service has answered lately, and has been read since this controller
-    /// last stood still.
+    /// Returns whether the state service has answered recently, and has been read since this
+    /// process was last suspended.
     pub fn state_fresh(&self, now: Millis) -> bool {
         self.state_contact.is_fresh(now)
     }
 
-    /// Whether the state has been read since this controller last stood still.
+    /// Returns whether the state service has been read since this process was last suspended.
     pub(crate) fn caught_up(&self) -> bool {
         self.state_contact.caught_up()
     }
 
-    /// The state lease in use.
+    /// Returns the lease of the state service to which this controller's shard and leadership
+    /// leases are bound, if there is one.
     pub fn lease_id(&self) -> Option<u64> {
         self.lease_id
     }
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -1,4 +1,4 @@
-//! Effects: what the core wants done, and how that came out.
+//! Effects: the actions that the core requests from its caller, and the types of their outcomes.
 
 use crate::admission::submission::Verdict;
 use cherryyard_wire::cloud::ProvisionRequest;
@@ -6,8 +6,8 @@
 use cherryyard_wire::state::Commit;
 use cherryyard_wire::worker::{CommandBatch, HeartbeatResponse, WorkerHeartbeat};
 
-/// Which of this controller's transactions an outcome belongs to. There is at
-/// most one of each under way.
+/// Identifier of a transaction, by which its outcome is matched to it. At most one transaction
+/// per ticket is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Ticket {
     /// Acquires the lease on a shard, or renews it under a new token.
@@ -20,7 +20,7 @@
     AcquireLeadership,
     /// The leader's scheduling cycle.
     LeaderCycle,
-    /// Compacts jobs that are over into the history.
+    /// Moves finished jobs into the history.
     HistoryCompaction,
     /// Creates the jobs of bulk submissions.
     BulkCreation,
@@ -28,80 +28,81 @@
     Admission,
 }
 
-/// How a transaction came out.
+/// Outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Applied, at this revision.
+    /// The transaction was applied at this revision.
     Applied(u64),
-    /// A condition failed, as of this revision.
+    /// A condition of the transaction failed, as of this revision.
     Conflict(u64),
-    /// The state lease that it named was over.
+    /// The lease of the state service that the transaction named had expired.
     NoLease,
-    /// Not executed.
+    /// The state service refused the transaction and did not execute it.
     Refused,
-    /// Not executed, and it never will be as it is: it is too large, or has too many
-    /// changes.
+    /// The state service refused the transaction and will always refuse it unchanged, because it
+    /// is too large or has too many changes.
     Malformed,
-    /// No answer: it may have been applied, or may yet be.
+    /// No answer arrived: the transaction may have been applied, or may still be.
     Unknown,
 }
 
-/// How a direct command came out.
+/// Outcome of a batch of direct commands to a worker.
 #[derive(Clone, Debug)]
 pub enum PushOutcome {
     /// The worker answered with its status.
     Answered(Box<WorkerHeartbeat>),
-    /// No connection was made, so the worker never gets it.
+    /// No connection was established, so the worker never receives the commands.
     Unsent,
-    /// No answer: it may yet be executed.
+    /// No answer arrived: the worker may still execute the commands.
     Unknown,
 }
 
-/// Something the core wants done.
+/// An action that the core requests from its caller.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a transaction.
+    /// Sends a transaction to the state service.
     Commit(Ticket, Commit),
-    /// Read the newest state soon.
+    /// Reads the newest state from the state service soon.
     Refresh,
-    /// Send direct commands.
+    /// Sends direct commands to a worker.
     Push {
-        /// The machine.
+        /// Index of the machine's name.
         host: u32,
-        /// Its address.
+        /// Address at which the worker accepts commands.
         addr: String,
         /// The commands.
         request: CommandBatch,
     },
-    /// Ask a machine directly for its status.
+    /// Queries the status of a worker directly.
     QueryStatus {
-        /// The machine.
+        /// Index of the machine's name.
         host: u32,
-        /// Its address.
+        /// Address at which the worker accepts queries.
         addr: String,
     },
-    /// Send the other controllers a heartbeat at once.
+    /// Sends a heartbeat to the other controllers immediately.
     Heartbeat,
-    /// What has become of the submission with this number.
+    /// Delivers the verdict on the submission with this number.
     Answer(u64, Verdict),
-    /// Return machines to the cloud.
+    /// Returns the machines with these names to the cloud.
     Release(Vec<String>),
-    /// Provision machines.
+    /// Provisions machines.
     Provision(ProvisionRequest),
-    /// Read the first leaf, at this level of the history, whose last possible id is this one or
+    /// Reads the first leaf, at this level of the history, whose last possible id is this one or
     /// later.
     ReadLeaf(Level, u64),
-    /// Read a chunk of a bulk submission: its number, and the chunk's.
+    /// Reads a chunk of a bulk submission, given the number of the submission and the number of
+    /// the chunk.
     ReadChunk(u64, u32),
 }
 
 /// The answer to a worker's heartbeat, by the status of the HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// 200.
+    /// Status 200: the heartbeat was accepted.
     Answer(HeartbeatResponse),
-    /// 421, naming the owner if one is known.
+    /// Status 421: another controller owns the shard; its name, if known.
     Elsewhere(Option<String>),
-    /// 503.
+    /// Status 503: the heartbeat cannot be accepted now, and no owner is known.
     Unavailable,
 }
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -1,9 +1,10 @@
-//! Heartbeats between controllers: building ours, and taking those of the peers.
+//! Heartbeats between controllers: builds those of this controller and handles those of its peers.
 //!
-//! A heartbeat carries what the other controllers need to know soon: the leases that the sender
-//! knows of, the free capacity of its shards, cancellations, and whether it can reach the state
-//! service. It proves nothing by itself: leases and assignments are decided in the state service
-//! alone. [`crate::peers`] keeps the newest one of each peer.
+//! A heartbeat carries what the other controllers need with little delay: the leases that the
+//! sender's mirror shows, the free capacity of its shards, cancellations, and whether the sender
+//! can reach the state service. A heartbeat never decides who holds a lease or where a task is
+//! assigned: only the records in the state service do. [`crate::peers`] keeps the newest heartbeat
+//! of each peer.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -11,15 +12,16 @@
 use crate::shard_lease::LeaseEvent;
 use cherryyard_wire::peer::{CapacityReport, Heartbeat, Sender};
 
-/// Least time between two heartbeats with capacity reports when free capacity has changed.
-const CAPACITY_CHANGED_MS: Millis = 900.0;
-/// Revisions that a peer may be ahead of our mirror before we read the newest state.
-const REVISIONS_BEHIND: u64 = 20;
-/// Services to be handed over that a heartbeat names at most.
-const MAX_HANDING: usize = 200;
+/// Shortest time between two capacity reports when the free capacity has changed.
+const CHANGED_CAPACITY_REPORT_MS: Millis = 900.0;
+/// Number of revisions by which a peer may be ahead of the mirror before this controller reads the
+/// newest state.
+const MAX_REVISIONS_BEHIND: u64 = 20;
+/// Largest number of services to be handed over that a heartbeat lists.
+const MAX_HANDOVERS_LISTED: usize = 200;
 
 impl Controller {
-    /// Takes another controller's heartbeat.
+    /// Handles another controller's heartbeat.
     pub fn heartbeat_in(&mut self, heartbeat: Heartbeat, now: Millis) {
         self.notice(now);
         let Some(peer) = self.place_of(&heartbeat.label) else {
@@ -32,8 +34,8 @@
         if self.peers.is_delayed(peer, &heartbeat, made_at, now) {
             return;
         }
-        self.take_known_leases(&heartbeat);
-        if heartbeat.store_revision > self.mirror.store_revision + REVISIONS_BEHIND {
+        self.detect_superseded_leases(&heartbeat);
+        if heartbeat.store_revision > self.mirror.store_revision + MAX_REVISIONS_BEHIND {
             self.effects.push(Effect::Refresh);
         }
         self.leader.dirty |= !heartbeat.handing.is_empty();
@@ -48,13 +50,15 @@
         self.peers.receive(peer, heartbeat, made_at, covered, now);
     }
 
-    /// The place of the controller with this name among all.
+    /// Returns the index of the controller with this name in the order on which all controllers
+    /// agree.
     pub(crate) fn place_of(&self, label: &str) -> Option<usize> {
         self.config.labels.iter().position(|known| known == label)
     }
 
-    /// Notes which of our leases a peer knows to have been followed by newer ones of others.
-    fn take_known_leases(&mut self, heartbeat: &Heartbeat) {
+    /// Marks the leases of this controller as superseded for which a peer reports a newer lease of
+    /// another controller.
+    fn detect_superseded_leases(&mut self, heartbeat: &Heartbeat) {
         for (shard, newer, label) in &heartbeat.leases {
             let shard_id = *shard as usize;
             if shard_id < self.shards.len()
@@ -66,7 +70,7 @@
                     shard = shard_id,
                     mine,
                     newer,
-                    "a peer knows of a newer shard lease"
+                    "a peer reports a newer shard lease"
                 );
                 self.change_shard_lease(shard_id, LeaseEvent::NewerTokenSeen);
                 self.effects.push(Effect::Refresh);
@@ -74,8 +78,8 @@
         }
     }
 
-    /// The heartbeat that this controller sends the others now. The admission's part is added last, as it
-    /// numbers the heartbeat.
+    /// Builds the heartbeat that this controller sends to all others now. The fields of the
+    /// admission module are filled in last, together with the heartbeat's number.
     pub fn heartbeat_out(&mut self, now: Millis) -> Heartbeat {
         self.notice(now);
         let shards = self.due_capacity_reports(now);
@@ -102,7 +106,7 @@
             leases: self.known_leases(),
             shards,
             short,
-            handing: self.services_to_hand_over(),
+            handing: self.handover_candidates(),
             misdirected,
             number: 0,
             heard: Vec::new(),
@@ -114,16 +118,18 @@
         heartbeat
     }
 
-    /// Capacity reports of our shards, if they are due: regularly, and soon after a change.
+    /// Returns capacity reports of the shards that this controller owns, if reports are due: at
+    /// the configured interval, and [`CHANGED_CAPACITY_REPORT_MS`] after the last ones if the free
+    /// capacity has changed since.
     fn due_capacity_reports(&mut self, now: Millis) -> Vec<CapacityReport> {
         let interval_ms = self.config.tuning.capacity_report_s * 1000.0;
-        let since_last = now - self.reported_at;
+        let since_last = now - self.capacity_reported_at;
         let is_due = since_last >= interval_ms
-            || (self.capacity_changed && since_last >= CAPACITY_CHANGED_MS);
+            || (self.capacity_changed && since_last >= CHANGED_CAPACITY_REPORT_MS);
         if !is_due {
             return Vec::new();
         }
-        self.reported_at = now;
+        self.capacity_reported_at = now;
         self.capacity_changed = false;
         let mut reports = Vec::new();
         for shard_id in 0..self.shards.len() {
@@ -137,8 +143,9 @@
         reports
     }
 
-    /// As the leader, the teams that are short of their grants. The leader's own shards give back
-    /// what the other owners give back when they receive this.
+    /// Returns the teams that are short of their grants, if this controller leads. Lowers the
+    /// grants of the leader's own shards as the owners of the other shards lower theirs when they
+    /// receive these teams in the heartbeat.
     fn teams_short_of_grants(&mut self, now: Millis) -> Vec<String> {
         if !self.leader.leads(&self.mirror) {
             return Vec::new();
@@ -148,8 +155,9 @@
         short
     }
 
-    /// For how long the state service has not answered, in whole milliseconds; the largest
-    /// number if it never has. What it took last may have been carried out until it answered.
+    /// Returns the time since the state service last answered, in whole milliseconds;
+    /// [`u32::MAX`] if it never has. The time counts from the answer, because the state service
+    /// may have executed the last request at any time until it answered.
     fn state_silence_ms(&self, now: Millis) -> u32 {
         let silence = self.state_contact.silence(now);
         if silence.is_finite() {
@@ -159,7 +167,7 @@
         }
     }
 
-    /// All leases that the mirror shows: shard, token and holder.
+    /// Returns all leases on shards that the mirror shows: shard, token and holder.
     fn known_leases(&self) -> Vec<(u32, u64, String)> {
         let holders = self.mirror.shards.iter().enumerate();
         holders
@@ -170,40 +178,42 @@
             .collect()
     }
 
-    /// Services that our shards keep back for the leader to move, with their shards.
-    fn services_to_hand_over(&self) -> Vec<(u32, u64)> {
+    /// Returns services that this controller's shards hold back for the leader to move to other
+    /// shards, with their present shards.
+    fn handover_candidates(&self) -> Vec<(u32, u64)> {
         let shards = self.shards.iter().enumerate();
         shards
             .flat_map(|(shard_id, shard)| {
                 let services = shard.handing.iter();
                 services.map(move |&job| (shard_id as u32, job))
             })
-            .take(MAX_HANDING)
+            .take(MAX_HANDOVERS_LISTED)
             .collect()
     }
 
-    /// Whether every other controller says lately that the state service does
-    /// not answer it either.
+    /// Returns whether every other controller has recently reported that it is cut off from the
+    /// state service.
     pub(crate) fn all_cut_off(&self, now: Millis) -> bool {
         self.peers.all_cut_off(self.config.relied_ms(), now)
     }
 
-    /// Controllers that have long acknowledged no heartbeat of ours, though we send them one
-    /// twice a second: the connection to each is to be made anew. One that was down, or
-    /// behind a cut, may be back and know nothing of the old connection, which shows us
-    /// nothing of that for a minute or more. Each is named again after the same time.
+    /// Returns the controllers to which the connections are due to be reestablished, because they
+    /// have long acknowledged no heartbeat, although this controller sends one twice a second. A
+    /// controller that was down or partitioned may be back without the old connection, while this
+    /// side of the connection shows no error for a minute or more. A controller that still
+    /// acknowledges nothing is returned again after the same time.
     pub fn peers_to_reconnect(&mut self, now: Millis) -> Vec<&str> {
-        let mut unacknowledging = Vec::new();
+        let mut unresponsive = Vec::new();
         for peer in self.peers.others() {
             let acknowledged_at = self.named_at(peer).unwrap_or(self.started_at);
             if self.peers.reconnect_due(peer, acknowledged_at, now) {
-                unacknowledging.push(self.config.labels[peer].as_str());
+                unresponsive.push(self.config.labels[peer].as_str());
             }
         }
-        unacknowledging
+        unresponsive
     }
 
-    /// Takes what another controller says of its build.
+    /// Records the build and the record format that another controller reports of itself.
     pub fn note_peer_build(&mut self, sender: &Sender, now: Millis) {
         let Some(peer) = self.place_of(&sender.label) else {
             return;
@@ -211,7 +221,7 @@
         let format = sender.format;
         if self.peers.note_format(peer, format, now) {
             let (label, build) = (&sender.label, &sender.build);
-            tracing::info!(label, build, format, "a controller names its build");
+            tracing::info!(label, build, format, "peer reported its build");
         }
     }
 }
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -1,9 +1,11 @@
-//! Leases on shards: acquired, renewed under a new token, lost, and released.
+//! Acquisition, renewal, loss and release of the leases on shards.
 //!
-//! A controller acquires the lease on its home shard, and that on any other shard that has
-//! been without an owner for a while; the home controller takes its shard back once it has
-//! settled in. It releases a shard whose workers cannot reach it but do reach a peer.
-//! [`ShardLease`](crate::shard_lease::ShardLease) has the state of each lease.
+//! Each controller is the preferred owner of the shard with its own index, and acquires the lease
+//! on that shard whenever no controller holds it. It acquires the lease on any other shard that
+//! has had no owner for a while. When a peer holds the lease on a shard, the preferred owner takes
+//! over the lease once it has run for `MIN_UPTIME_FOR_TAKEOVER_MS`. A controller releases the
+//! lease on a shard whose workers cannot reach it but do reach a peer.
+//! [`ShardLease`](crate::shard_lease::ShardLease) holds the state of each lease.
 
 use crate::Millis;
 use crate::controller::Controller;
@@ -15,51 +17,55 @@
 use cherryyard_wire::record::{self, Key, LeaseRecord};
 use cherryyard_wire::state::{Apply, Commit, Json};
 
-/// Time after its start from which a controller takes its home shard back from a peer.
-const SETTLED_MS: Millis = 12_000.0;
-/// How much longer each further controller waits before it takes a shard without an owner.
-const SUCCESSOR_STEP_MS: Millis = 400.0;
-/// How much longer all others wait while the home controller is alive.
-const HOME_ALIVE_MS: Millis = 2500.0;
-/// Silence after which a worker counts as unable to reach its owner: this many times the time
-/// between its reports, and a margin.
-const SILENT_REPORTS: f64 = 1.25;
-const SILENT_MARGIN_MS: Millis = 2000.0;
+/// Time since its start after which a controller takes over its preferred shard from a peer.
+const MIN_UPTIME_FOR_TAKEOVER_MS: Millis = 12_000.0;
+/// Additional time that each further controller in the order of succession waits before it
+/// acquires the lease on a shard without an owner.
+const SUCCESSION_STEP_MS: Millis = 400.0;
+/// Additional time that all other controllers wait while the shard's preferred owner is alive.
+const PREFERRED_OWNER_ALIVE_MS: Millis = 2500.0;
+/// Number of heartbeat intervals after which a worker without heartbeats counts as unable to reach
+/// its shard's owner, together with [`SILENCE_MARGIN_MS`].
+const SILENCE_HEARTBEAT_INTERVALS: f64 = 1.25;
+/// Margin that is added to [`SILENCE_HEARTBEAT_INTERVALS`].
+const SILENCE_MARGIN_MS: Millis = 2000.0;
 
-/// Who holds a shard's lease, as the state service shows it.
+/// Holder of a shard's lease as the state service shows it.
 enum StoredHolder {
-    /// A process of this controller, maybe an earlier one.
-    Us,
+    /// This process, or an earlier process of the controller with the same name.
+    ThisController,
     Peer,
-    Nobody,
+    Unheld,
 }
 
-/// A shard's workers, by whether their reports arrive at its owner.
+/// Numbers of a shard's workers by the controller that receives their heartbeats.
 struct WorkerCounts {
-    /// All whose reports should arrive.
+    /// Workers whose heartbeats should arrive at this controller.
     expected: u32,
-    /// Of them, those that are silent here.
+    /// Those of the expected workers whose heartbeats have stopped.
     silent: u32,
-    /// Those that report to peers and can be reached by them.
-    elsewhere: u32,
+    /// Workers that send their heartbeats to peers and are reachable by these.
+    misdirected: u32,
 }
 
 impl WorkerCounts {
+    /// Returns whether at least half of the expected workers are silent.
     fn most_are_silent(&self) -> bool {
         self.silent * 2 >= self.expected && self.expected > 0
     }
 
-    /// Whether a peer would do better as the shard's owner.
-    fn are_better_elsewhere(&self) -> bool {
+    /// Returns whether the workers would be served better if a peer owned the shard: at least
+    /// half of them are silent here, and as many as a third of them reach peers.
+    fn favor_peer_as_owner(&self) -> bool {
         self.expected >= 2
             && self.silent * 2 >= self.expected
-            && self.elsewhere >= 2
-            && self.elsewhere * 3 >= self.expected
+            && self.misdirected >= 2
+            && self.misdirected * 3 >= self.expected
     }
 }
 
 impl Controller {
-    /// Brings the phases of all leases in line with what the state service shows.
+    /// Updates the phases of all leases to what the state service shows.
     pub(crate) fn check_leases(&mut self) {
         self.adopt_own_leases();
         for shard_id in 0..self.shards.len() {
@@ -73,10 +79,11 @@
         self.leader.check_leadership(&self.mirror);
     }
 
-    /// Takes leases of this very process that the state shows, whether their transactions have
-    /// been answered or not: where only the answer was lost, a new lease would get its answer
-    /// no sooner, and the shard would have no owner until then. A lease of an earlier process
-    /// of the same name is not adopted: nobody knows what that process sent under it.
+    /// Adopts the leases of this very process that the mirror shows, even if the answers to their
+    /// transactions have not arrived: where only the answer was lost, acquiring the lease again
+    /// would take no less time, and the shard would have no owner until then. A lease of an earlier
+    /// process of the same controller is not adopted, because the commands which that process
+    /// sent under the lease are unknown.
     fn adopt_own_leases(&mut self) {
         let own_token = |holder: &Option<LeaseHolder>| {
             holder
@@ -92,7 +99,7 @@
             let Some(token) = token else { continue };
             let lease = &self.shards[shard_id].lease;
             let is_known = lease.last_token().is_some_and(|known| known >= token);
-            if !is_known && !lease.is_left(now) {
+            if !is_known && !lease.is_backing_off(now) {
                 self.change_shard_lease(shard_id, LeaseEvent::Acquired(token));
             }
         }
@@ -103,7 +110,8 @@
         }
     }
 
-    /// The one place through which the phase of a shard's lease changes.
+    /// Applies an event to a shard's lease, and the consequences of a change of its phase to the
+    /// shard's machines and queues. Every change of the phase goes through this function.
     pub(crate) fn change_shard_lease(&mut self, shard_id: usize, event: LeaseEvent) {
         let now = self.state_contact.clock();
         match self.shards[shard_id].lease.change(event, now) {
@@ -126,18 +134,19 @@
         }
     }
 
-    /// The shard's token, if this controller owns it beyond doubt.
+    /// Returns the shard's token, if this controller holds the lease and the mirror is as recent
+    /// as the lease.
     pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
         let token = self.shards[shard_id].lease.held_token()?;
-        // Before the mirror has caught up with the lease, the last assignments of the owner
-        // before may be missing from it.
+        // Before the mirror has reached the revision of the lease, it may lack the last
+        // assignments of the previous owner.
         let mirror_is_current = self.mirror.revision(Key::Shard(shard_id)) == token
             && self.mirror.store_revision >= token;
         mirror_is_current.then_some(token)
     }
 
-    /// Sends a transaction for each lease that is due to be acquired, renewed or, where it was
-    /// acquired late, released.
+    /// Sends a transaction for each lease that is due to be acquired or renewed, and for each
+    /// lease that was acquired too late and is due to be released.
     pub(crate) fn acquire_shards(&mut self, now: Millis) {
         let Some(lease_id) = self.lease_id else {
             return;
@@ -151,20 +160,21 @@
         }
     }
 
-    /// The token of a lease of ours whose transaction was carried out late, after the shard had
-    /// been left to others: nobody would serve it.
+    /// Returns the token of a lease under this controller's name whose transaction was applied
+    /// late, after the backoff that follows a release began: this controller does not adopt such
+    /// a lease, so the shard would have no active owner.
     fn late_lease(&self, shard_id: usize, now: Millis) -> Option<u64> {
         let shard = &self.shards[shard_id];
         let holder = self.mirror.shards[shard_id].as_ref()?;
         let is_late = holder.label == self.config.labels[self.config.me]
-            && shard.lease.is_left_untried(now)
+            && shard.lease.is_backing_off_untried(now)
             && now >= shard.retry_after
             && !shard.lease.transaction_pending()
             && self.state_fresh(now);
         is_late.then_some(holder.revision)
     }
 
-    /// Whether the shard's lease is to be acquired, or renewed under a new token, now.
+    /// Returns whether the shard's lease is to be acquired, or renewed under a new token, now.
     fn wants_lease(&mut self, shard_id: usize, now: Millis) -> bool {
         let holder = self.stored_holder(shard_id);
         let lease = &mut self.shards[shard_id].lease;
@@ -173,34 +183,39 @@
         }
         let is_held = lease.last_token().is_some();
         match holder {
-            StoredHolder::Us if is_held => lease.wants_new_token(),
-            // Our label, but not this process: what held it is dead.
-            StoredHolder::Us => {
-                lease.has_owner();
+            StoredHolder::ThisController if is_held => lease.wants_new_token(),
+            // An earlier process of this controller acquired the lease, and has ended.
+            StoredHolder::ThisController => {
+                lease.note_owner();
                 true
             }
-            // The home controller asks for its shard by taking it, once it has settled in; the
-            // owner sees the newer lease and sends the workers over.
+            // The preferred owner takes over the lease without asking the present owner, which
+            // then sees the newer lease and redirects the workers.
             StoredHolder::Peer => {
-                lease.has_owner();
+                lease.note_owner();
                 shard_id == self.config.me
-                    && now - self.started_at > SETTLED_MS
+                    && now - self.started_at > MIN_UPTIME_FOR_TAKEOVER_MS
                     && self.state_fresh(now)
             }
-            StoredHolder::Nobody => lease.has_no_owner(now) >= self.succession_delay(shard_id, now),
+            StoredHolder::Unheld => {
+                lease.note_no_owner(now) >= self.succession_delay(shard_id, now)
+            }
         }
     }
 
     fn stored_holder(&self, shard_id: usize) -> StoredHolder {
         match &self.mirror.shards[shard_id] {
-            Some(holder) if holder.label == self.config.labels[self.config.me] => StoredHolder::Us,
+            Some(holder) if holder.label == self.config.labels[self.config.me] => {
+                StoredHolder::ThisController
+            }
             Some(_) => StoredHolder::Peer,
-            None => StoredHolder::Nobody,
+            None => StoredHolder::Unheld,
         }
     }
 
-    /// How long a shard must have had no owner before this controller takes it: the home
-    /// controller at once, the others one after the other.
+    /// Returns the time for which a shard must have had no owner before this controller acquires
+    /// its lease: none for the preferred owner, and a longer one for each further controller in
+    /// the order of succession.
     fn succession_delay(&self, shard_id: usize, now: Millis) -> Millis {
         let me = self.config.me;
         if shard_id == me {
@@ -208,8 +223,13 @@
         }
         let count = self.shards.len();
         let rank = ((me + count - shard_id) % count) as f64;
-        let home_alive = self.peers.has_state_within(shard_id, SUCCESSION_MS, now);
-        rank * SUCCESSOR_STEP_MS + if home_alive { HOME_ALIVE_MS } else { 0.0 }
+        let preferred_owner_is_alive = self.peers.has_state_within(shard_id, SUCCESSION_MS, now);
+        rank * SUCCESSION_STEP_MS
+            + if preferred_owner_is_alive {
+                PREFERRED_OWNER_ALIVE_MS
+            } else {
+                0.0
+            }
     }
 
     fn acquire_shard(&mut self, shard_id: usize, lease_id: u64) {
@@ -228,7 +248,7 @@
             .push(Effect::Commit(Ticket::AcquireShard(shard_id), commit));
     }
 
-    /// Takes how a transaction that acquires or renews a lease came out.
+    /// Handles the outcome of a transaction that acquires or renews a shard's lease.
     pub(crate) fn shard_acquire_committed(
         &mut self,
         shard_id: usize,
@@ -252,37 +272,44 @@
         }
     }
 
-    /// Releases each shard whose workers cannot reach this controller but do reach a peer: the
-    /// state service alone would keep the shard's lease alive while the leases of all its
-    /// workers expire.
+    /// Releases the lease on each shard whose workers cannot reach this controller but do reach a
+    /// peer. As long as this controller reaches the state service its lease on the shard would
+    /// not expire, while the leases of all the shard's workers would.
     pub(crate) fn release_unreachable_shards(&mut self, now: Millis) {
-        let silence_ms = self.config.report_ms * SILENT_REPORTS + SILENT_MARGIN_MS;
+        let silence_ms = self.config.report_ms * SILENCE_HEARTBEAT_INTERVALS + SILENCE_MARGIN_MS;
         for shard_id in 0..self.shards.len() {
             let Some(token) = self.releasable(shard_id, silence_ms, now) else {
                 continue;
             };
             let counts = self.count_workers(shard_id, silence_ms, now);
-            let (silent, elsewhere) = (counts.silent, counts.elsewhere);
+            let (silent, elsewhere) = (counts.silent, counts.misdirected);
             if counts.most_are_silent() {
                 let all = counts.expected;
                 let shard = shard_id;
-                tracing::debug!(shard, all, silent, elsewhere, "most workers are silent");
+                tracing::debug!(
+                    shard,
+                    all,
+                    silent,
+                    elsewhere,
+                    "at least half of the shard's workers send no heartbeats"
+                );
             }
-            if counts.are_better_elsewhere() {
+            if counts.favor_peer_as_owner() {
                 let shard = shard_id;
                 tracing::info!(
                     shard,
                     silent,
                     elsewhere,
-                    "releasing shard lease: its workers report elsewhere"
+                    "releasing shard lease: its workers send their heartbeats to other controllers"
                 );
                 self.release_shard(shard_id, token);
             }
         }
     }
 
-    /// The shard's token, if this controller has owned it for long enough to receive its workers'
-    /// heartbeats, and nothing else is under way.
+    /// Returns the shard's token, if this controller has owned the shard for long enough to have
+    /// received its workers' heartbeats, no transaction for the shard is in flight, and the
+    /// view of the state service is fresh.
     fn releasable(&self, shard_id: usize, silence_ms: Millis, now: Millis) -> Option<u64> {
         let token = self.owned(shard_id)?;
         let shard = &self.shards[shard_id];
@@ -297,7 +324,7 @@
         let mut counts = WorkerCounts {
             expected: 0,
             silent: 0,
-            elsewhere: self.peers.misdirected_workers(shard_id, now),
+            misdirected: self.peers.misdirected_workers(shard_id, now),
         };
         for machine in self.machines.values() {
             if machine.shard == shard_id
@@ -321,7 +348,7 @@
             .push(Effect::Commit(Ticket::ReleaseShard(shard_id), commit));
     }
 
-    /// Takes how a transaction that releases a lease came out.
+    /// Handles the outcome of a transaction that releases a shard's lease.
     pub(crate) fn shard_release_committed(
         &mut self,
         shard_id: usize,
@@ -329,8 +356,9 @@
         now: Millis,
     ) {
         self.shards[shard_id].lease.transaction_ended();
-        if self.shards[shard_id].lease.is_left(now) {
-            // It was a late lease: it is released again if the state still shows it then.
+        if self.shards[shard_id].lease.is_backing_off(now) {
+            // The transaction released a late lease: it is sent again if the state service still
+            // shows that lease after a short delay.
             self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
         } else if let Outcome::Applied(_) = outcome {
             self.shards[shard_id].lease.released(now);
--- a/crates/cherryyard-core/src/lib.rs
+++ b/crates/cherryyard-core/src/lib.rs
@@ -1,11 +1,12 @@
 //! The scheduling core of cherryyard.
 //!
-//! [`Controller`] is one controller: it takes events (state changes, workers' and peers'
-//! heartbeats, answers, the time) and returns effects (transactions, direct commands,
-//! provisioning requests). It does no I/O and reads no clock, so the same events always give
-//! the same effects, which is what the deterministic simulation builds on.
+//! [`Controller`] consumes events (state changes, heartbeats of workers and peers, answers, the
+//! passing of time) and returns effects (transactions, direct commands, provisioning requests).
+//! It performs no I/O and reads no clock, so the same events always produce the same effects;
+//! the deterministic simulation relies on this.
 //!
-//! Read [`controller`] first: it says how an event is handled, and where to read on.
+//! Start with [`controller`]: its documentation describes how an event is handled and which
+//! modules are involved.
 
 pub mod account;
 pub mod admission;
@@ -44,5 +45,5 @@
 pub use machine::{Machine, MachineState, Task};
 pub use mirror::Mirror;
 
-/// Milliseconds on this process's steady clock.
+/// A time on the steady clock of this process, or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -1,4 +1,5 @@
-//! Pages of assignments: what a shard's owner has started, of many jobs in one record.
+//! Pages of assignments: records in which the owner of a shard stores the running and completed
+//! tasks of many jobs.
 
 use crate::names::Names;
 use cherryyard_wire::page::StoredPage;
@@ -6,80 +7,84 @@
 use cherryyard_wire::{RangeSet, page};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Where a task runs: the machine, the worker's incarnation, and which attempt it is.
+/// Assignment of a task to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The machine.
+    /// Index of the machine's name.
     pub host: u32,
-    /// The worker's incarnation.
+    /// Incarnation of the worker on the machine.
     pub incarnation: u64,
-    /// The attempt.
+    /// Number of the attempt to run the task.
     pub attempt: u64,
 }
 
-/// What one page says of a job.
+/// Running and completed tasks of one job in one page.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PageJob {
-    /// Assignments by number.
+    /// Assignments by task number.
     pub assignments: BTreeMap<u32, Assignment>,
-    /// Numbers done.
+    /// Numbers of the completed tasks.
     pub done: RangeSet,
 }
 
 /// One page of a shard's assignments.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// Revision of its key.
+    /// Revision of the page's key in the state service.
     pub revision: u64,
-    /// Bytes that it takes as it is stored, also when its tasks end.
+    /// Upper bound of the page's size as it is stored, in bytes, which holds even after its tasks
+    /// end.
     pub bytes_at_most: usize,
-    /// What it says, by job.
+    /// Running and completed tasks by job.
     pub jobs: BTreeMap<u64, PageJob>,
 }
 
-/// How many decimal digits a number has.
+/// Returns the number of decimal digits of a number.
 fn digits(number: u64) -> usize {
     number.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
-/// How a page is stored.
+/// Encoding of a page in the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PageFormat {
-    /// As builds before the packed format read it.
+    /// Plain JSON, which builds from before the packed format can read.
     Plain,
-    /// In few bytes.
+    /// Compact encoding of [`page::pack`].
     Packed,
 }
 
-/// Most bytes that a new assignment adds to a packed page: its job and how many entries that
-/// has, its attempt and incarnation, its machine, and its entry, as varints.
+/// Largest number of bytes that a new assignment adds to a packed page, as varints: its job and the
+/// job's number of entries, its attempt and incarnation, its machine, and its entry.
 const PACKED_ASSIGNMENT_BYTES: usize = (10 + 2) + (10 + 5) + 3 + (3 + 3 + 2);
 
-/// Bytes that a plain page takes beside its jobs, a job beside its number, groups and
-/// ranges, a group and a range beside their numbers, and a machine beside its name.
+/// Size of a plain page without its jobs, in bytes.
 const PAGE_FRAME_BYTES: usize = 20;
+/// Size of a job in a plain page without its number, groups and ranges, in bytes.
 const JOB_FRAME_BYTES: usize = 10;
+/// Size of a group in a plain page without its numbers, in bytes.
 const GROUP_FRAME_BYTES: usize = 4;
+/// Size of a range in a plain page without its numbers, in bytes.
 const RANGE_FRAME_BYTES: usize = 4;
+/// Size of a machine in a plain page without its name, in bytes.
 const NAME_FRAME_BYTES: usize = 3;
 
 impl PageJob {
-    /// Its assignments by attempt and incarnation, as a record holds them; machines as
-    /// `place_of` numbers them.
-    fn groups(&self, mut place_of: impl FnMut(u32) -> u64) -> Vec<AssignmentGroup> {
+    /// Returns the assignments grouped by attempt and incarnation, as a record holds them.
+    /// `machine_index` returns a machine's index among the names in the record.
+    fn groups(&self, mut machine_index: impl FnMut(u32) -> u64) -> Vec<AssignmentGroup> {
         let mut groups: BTreeMap<(u64, u64), AssignmentGroup> = BTreeMap::new();
         for (&number, assignment) in &self.assignments {
-            let place = place_of(assignment.host);
+            let index = machine_index(assignment.host);
             groups
                 .entry((assignment.attempt, assignment.incarnation))
                 .or_insert_with(|| vec![assignment.attempt, assignment.incarnation])
-                .extend([place, number.into()]);
+                .extend([index, number.into()]);
         }
         groups.into_values().collect()
     }
 
-    /// Reads groups of assignments; none if they make no sense.
-    fn of_groups(groups: Vec<AssignmentGroup>, done: RangeSet, hosts: &[u32]) -> Option<Self> {
+    /// Creates a job from groups of assignments; `None` if they are invalid.
+    fn from_groups(groups: Vec<AssignmentGroup>, done: RangeSet, hosts: &[u32]) -> Option<Self> {
         let mut assignments = BTreeMap::new();
         for group in groups {
             let (&[attempt, incarnation], list) = group.split_first_chunk()?;
@@ -102,19 +107,22 @@
 }
 
 impl Page {
-    /// An assignment's machine and number, or the number among those done once it is:
-    /// so a page that has room for an assignment has room for what becomes of it.
+    /// Returns the size of a task's entry in a plain page: that of its assignment (machine and task
+    /// number) or that of its range once it is completed, whichever is larger, so that a page with
+    /// space for the assignment also has space for the completed task.
     fn entry_bytes(number: u32) -> usize {
         let number = digits(number.into());
         (5 + number).max(4 + 2 * number)
     }
 
-    /// The attempt and incarnation that a group begins with.
+    /// Returns the size of a group without its entries: the attempt and incarnation with which it
+    /// begins.
     fn group_bytes(assignment: &Assignment) -> usize {
         GROUP_FRAME_BYTES + digits(assignment.incarnation) + digits(assignment.attempt)
     }
 
-    /// Most bytes that a new assignment adds: its job, group, machine and entry.
+    /// Returns the largest number of bytes that a new assignment adds to a page: its job, group,
+    /// machine and entry.
     pub fn assignment_bytes(
         job: u64,
         number: u32,
@@ -123,7 +131,7 @@
         format: PageFormat,
     ) -> usize {
         if format == PageFormat::Packed {
-            // Names that do not differ in their number alone are written whole.
+            // Machine names that differ in more than their trailing number are written in full.
             let name = hosts.name(assignment.host).len();
             return (PACKED_ASSIGNMENT_BYTES + name).div_ceil(3) * 4;
         }
@@ -132,7 +140,8 @@
         JOB_FRAME_BYTES + digits(job) + group + name + Self::entry_bytes(number)
     }
 
-    /// About how many bytes the record takes, never too few, also when its tasks end.
+    /// Returns an upper bound of the size of the stored page in bytes, which holds even after its
+    /// tasks end.
     pub fn bytes(&self, hosts: &Names, format: PageFormat) -> usize {
         match format {
             PageFormat::Plain => self.plain_bytes(hosts),
@@ -144,17 +153,19 @@
         }
     }
 
+    /// Returns an upper bound of the size of the plain page in bytes, which holds even after its
+    /// tasks end.
     fn plain_bytes(&self, hosts: &Names) -> usize {
-        let mut named = HashSet::new();
+        let mut counted_hosts = HashSet::new();
         let mut bytes = PAGE_FRAME_BYTES;
         for (&job, page_job) in &self.jobs {
             bytes += digits(job) + JOB_FRAME_BYTES;
-            let mut groups = HashSet::new();
+            let mut counted_groups = HashSet::new();
             for (&number, assignment) in &page_job.assignments {
-                if named.insert(assignment.host) {
+                if counted_hosts.insert(assignment.host) {
                     bytes += hosts.name(assignment.host).len() + NAME_FRAME_BYTES;
                 }
-                if groups.insert((assignment.attempt, assignment.incarnation)) {
+                if counted_groups.insert((assignment.attempt, assignment.incarnation)) {
                     bytes += Self::group_bytes(assignment);
                 }
                 bytes += Self::entry_bytes(number);
@@ -166,7 +177,7 @@
         bytes
     }
 
-    /// The record to store.
+    /// Returns the page in the form in which it is stored.
     pub fn stored(&self, hosts: &Names, format: PageFormat) -> StoredPage {
         let record = self.record(hosts);
         let packed = match format {
@@ -179,40 +190,40 @@
         }
     }
 
-    /// What the page says, with machines by name.
+    /// Returns the plain record of the page, with machines by name.
     fn record(&self, hosts: &Names) -> PageRecord {
-        let mut places: HashMap<u32, u64> = HashMap::new();
-        let mut named: Vec<String> = Vec::new();
-        let mut place_of = |host: u32| {
-            *places.entry(host).or_insert_with(|| {
-                named.push(hosts.name(host).to_string());
-                named.len() as u64 - 1
+        let mut machine_indices: HashMap<u32, u64> = HashMap::new();
+        let mut machine_names: Vec<String> = Vec::new();
+        let mut machine_index = |host: u32| {
+            *machine_indices.entry(host).or_insert_with(|| {
+                machine_names.push(hosts.name(host).to_string());
+                machine_names.len() as u64 - 1
             })
         };
-        let rows = self.jobs.iter().map(|(&job, page_job)| {
-            let groups = page_job.groups(&mut place_of);
+        let job_rows = self.jobs.iter().map(|(&job, page_job)| {
+            let groups = page_job.groups(&mut machine_index);
             (job, groups, page_job.done.clone())
         });
-        let rows = rows.collect();
+        let job_rows = job_rows.collect();
         PageRecord {
-            machines: named,
-            jobs: rows,
+            machines: machine_names,
+            jobs: job_rows,
         }
     }
 
-    /// What a stored page says; none if it makes no sense.
+    /// Reads a stored page; `None` if it is invalid.
     pub(crate) fn of_stored(stored: StoredPage, revision: u64, hosts: &mut Names) -> Option<Self> {
-        let packed = match &stored {
+        let packed_bytes = match &stored {
             StoredPage::Packed { base64 } => Some(base64.len() + StoredPage::FRAME),
             StoredPage::Plain(_) => None,
         };
-        let mut page = Self::of_record(stored.read()?, revision, hosts)?;
-        page.bytes_at_most = packed.unwrap_or_else(|| page.plain_bytes(hosts));
+        let mut page = Self::from_record(stored.read()?, revision, hosts)?;
+        page.bytes_at_most = packed_bytes.unwrap_or_else(|| page.plain_bytes(hosts));
         Some(page)
     }
 
-    /// What a record says; none if it makes no sense.
-    fn of_record(record: PageRecord, revision: u64, hosts: &mut Names) -> Option<Self> {
+    /// Reads a plain record; `None` if it is invalid.
+    fn from_record(record: PageRecord, revision: u64, hosts: &mut Names) -> Option<Self> {
         let hosts: Vec<u32> = record
             .machines
             .iter()
@@ -226,18 +237,18 @@
             if !done.is_canonical() {
                 return None;
             }
-            let page_job = PageJob::of_groups(groups, done, &hosts)?;
+            let page_job = PageJob::from_groups(groups, done, &hosts)?;
             page.jobs.insert(job, page_job);
         }
         Some(page)
     }
 }
 
-/// All assignments of one job in one shard, over its pages.
+/// Running and completed tasks of one job in one shard, merged from all of the shard's pages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobAssignments {
-    /// Assignments by number, and the page that each is in.
+    /// Assignments by task number, each with the number of the page that contains it.
     pub assignments: BTreeMap<u32, (Assignment, u32)>,
-    /// Numbers done.
+    /// Numbers of the completed tasks.
     pub done: RangeSet,
 }
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -1,52 +1,56 @@
-//! What is known of the other controllers: the newest heartbeat of each, how fresh it is,
-//! and which formats of stored records its build can work with.
+//! State of the other controllers: the newest heartbeat of each, its freshness, and the newest
+//! format of stored records that the peer's build supports.
 
 use crate::Millis;
 use crate::cancelled::CancellationCoverage;
 use cherryyard_wire::peer::Heartbeat;
 
-/// Silence after which submissions are no longer forwarded to a peer.
+/// Time without heartbeats after which submissions are no longer forwarded to a peer.
 pub(crate) const FORWARDING_MS: Millis = 1200.0;
-/// Silence after which a peer is no longer expected to take a lease that is its to take.
+/// Time without heartbeats after which a peer is no longer expected to acquire a lease for which it
+/// precedes other controllers in the order of succession.
 pub(crate) const SUCCESSION_MS: Millis = 1500.0;
-/// Silence after which what a peer says of workers that report to it no longer counts, nor
-/// does it count as the owner that such a worker could reach.
+/// Time without heartbeats after which a peer's count of misdirected workers is ignored, and after
+/// which the peer no longer counts as an owner that a misdirected worker could reach.
 pub(crate) const MISDIRECTED_REPORTS_MS: Millis = 2000.0;
-/// Silence after which the leases that a peer knows of no longer count.
+/// Time without heartbeats after which the leases that a peer reported are ignored.
 pub(crate) const KNOWN_LEASES_MS: Millis = 5000.0;
-/// How long what a peer has said of its record format counts.
+/// Time for which the record format that a peer reported is relied on.
 const FORMAT_MS: Millis = 3000.0;
-/// How long a peer may acknowledge none of our heartbeats before the connection to it is made
-/// anew.
+/// Time without acknowledgements of this controller's heartbeats after which the connection to a
+/// peer is reestablished.
 const UNACKNOWLEDGED_MS: Millis = 3000.0;
-/// How long after a newer heartbeat an older one is taken for one that was held back. A peer
-/// that restarted numbers its heartbeats from anywhere, but acknowledges ours of since then.
+/// Time since a peer's newest heartbeat within which one with a lower number may count as delayed
+/// in the network. A peer that restarted also numbers its heartbeats from an arbitrary start, but
+/// these acknowledge heartbeats that this controller has sent since.
 const DELAYED_MS: Millis = 3000.0;
 
-/// What another controller last sent.
+/// The newest heartbeat of another controller, and what follows from its heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerState {
     pub(crate) heartbeat: Heartbeat,
     pub(crate) last_received_at: Millis,
-    /// When its newest heartbeat was made at the earliest: when ours was sent that it
-    /// acknowledges. A heartbeat may have been held back on its way for any time.
+    /// Earliest time at which the peer can have made its newest heartbeat: the time at which this
+    /// controller sent the heartbeat that it acknowledges. The network may have delayed the
+    /// peer's heartbeat for any time.
     pub(crate) made_at: Millis,
-    /// Up to when we know of all cancellations that it has learnt of.
+    /// Time up to which the cancellations that the peer has learnt of are known here.
     pub(crate) covered: CancellationCoverage,
 }
 
 impl PeerState {
-    /// Whether a heartbeat of it came within the last `silence_ms`.
+    /// Returns whether a heartbeat of the peer arrived within the last `silence_ms`.
     pub(crate) fn received_within(&self, silence_ms: Millis, now: Millis) -> bool {
         now - self.last_received_at < silence_ms
     }
 
-    /// The same, and it can reach the state service.
+    /// Returns whether a heartbeat of the peer arrived within the last `silence_ms`, and the newest
+    /// one does not report that the peer is cut off from the state service.
     pub(crate) fn has_state_within(&self, silence_ms: Millis, now: Millis) -> bool {
         self.received_within(silence_ms, now) && !self.heartbeat.cut_off
     }
 
-    /// Whether a heartbeat that now comes is older than the newest one.
+    /// Returns whether the peer's newest heartbeat is newer than `heartbeat`, which arrives now.
     fn supersedes(&self, heartbeat: &Heartbeat, made_at: Millis, now: Millis) -> bool {
         heartbeat.number < self.heartbeat.number
             && made_at <= self.made_at
@@ -54,106 +58,110 @@
     }
 }
 
-/// The newest format of stored records that a peer says it can work with.
+/// The newest format of stored records that a peer reported to support.
 #[derive(Clone, Copy, Debug)]
 struct PeerFormat {
     format: u32,
-    said_at: Millis,
+    reported_at: Millis,
 }
 
-/// The other controllers, by their place in the agreed order. Our own place stays empty.
+/// State of the other controllers, by their index in the order on which all controllers agree. The
+/// entry of this controller itself stays empty.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    me: usize,
+    own_index: usize,
     states: Vec<Option<PeerState>>,
-    /// By what peers say in frames; earlier builds say nothing.
+    /// Formats that the peers report in frames; earlier builds report none.
     formats: Vec<Option<PeerFormat>>,
-    /// When the connection to each was last to be made anew.
+    /// Times at which the connections were last due to be reestablished.
     reconnected_at: Vec<Millis>,
 }
 
 impl Peers {
-    /// None of `count` controllers has sent anything yet; `me` is our own place.
-    pub(crate) fn new(me: usize, count: usize, now: Millis) -> Self {
+    /// Creates the state in which none of `count` controllers has sent anything yet.
+    pub(crate) fn new(own_index: usize, count: usize, now: Millis) -> Self {
         Self {
-            me,
+            own_index,
             states: vec![None; count],
             formats: vec![None; count],
             reconnected_at: vec![now; count],
         }
     }
 
-    /// What the peer at place `peer` last sent, if anything came.
+    /// Returns the state of the peer with index `peer`, if a heartbeat of it has arrived.
     pub(crate) fn get(&self, peer: usize) -> Option<&PeerState> {
         self.states[peer].as_ref()
     }
 
-    /// The peers of which a heartbeat has come, in order.
+    /// Returns the peers of which a heartbeat has arrived, in order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &PeerState> {
         self.states.iter().flatten()
     }
 
-    /// The peers of which a heartbeat has come, in order, with their places.
+    /// Returns the peers of which a heartbeat has arrived, in order, with their indices.
     pub(crate) fn enumerate(&self) -> impl Iterator<Item = (usize, &PeerState)> {
         let states = self.states.iter().enumerate();
         states.filter_map(|(peer, state)| Some((peer, state.as_ref()?)))
     }
 
-    /// The places of all other controllers.
+    /// Returns the indices of all other controllers.
     pub(crate) fn others(&self) -> impl Iterator<Item = usize> + use<> {
-        let me = self.me;
-        (0..self.states.len()).filter(move |&peer| peer != me)
+        let own_index = self.own_index;
+        (0..self.states.len()).filter(move |&peer| peer != own_index)
     }
 
-    /// What each other controller last sent, those that never sent anything included.
+    /// Returns the state of each other controller, `None` for those that have sent no heartbeat.
     pub(crate) fn other_states(&self) -> impl Iterator<Item = Option<&PeerState>> {
         self.others().map(|peer| self.get(peer))
     }
 
-    /// For how long a peer has been silent, if a heartbeat of it ever came.
+    /// Returns the time since the last heartbeat of a peer, if one ever arrived.
     pub(crate) fn silence(&self, peer: usize, now: Millis) -> Option<Millis> {
         self.get(peer).map(|state| now - state.last_received_at)
     }
 
-    /// Whether a heartbeat of a peer came within the last `silence_ms`.
+    /// Returns whether a heartbeat of a peer arrived within the last `silence_ms`.
     pub(crate) fn received_within(&self, peer: usize, silence_ms: Millis, now: Millis) -> bool {
         self.get(peer)
             .is_some_and(|state| state.received_within(silence_ms, now))
     }
 
-    /// The same, and it can reach the state service.
+    /// Returns whether a heartbeat of a peer arrived within the last `silence_ms`, and the newest
+    /// one does not report that the peer is cut off from the state service.
     pub(crate) fn has_state_within(&self, peer: usize, silence_ms: Millis, now: Millis) -> bool {
         self.get(peer)
             .is_some_and(|state| state.has_state_within(silence_ms, now))
     }
 
-    /// Whether a heartbeat of any peer came within the last `silence_ms`.
+    /// Returns whether a heartbeat of any peer arrived within the last `silence_ms`.
     pub(crate) fn any_received_within(&self, silence_ms: Millis, now: Millis) -> bool {
         self.iter()
             .any(|state| state.received_within(silence_ms, now))
     }
 
-    /// Whether every other controller has said, in a heartbeat made within the last
-    /// `relied_ms`, that it cannot reach the state service.
+    /// Returns whether every other controller has reported, in a heartbeat made within the last
+    /// `relied_ms`, that it is cut off from the state service.
     pub(crate) fn all_cut_off(&self, relied_ms: Millis, now: Millis) -> bool {
         self.other_states().all(|state| {
             state.is_some_and(|peer| now - peer.made_at <= relied_ms && peer.heartbeat.cut_off)
         })
     }
 
-    /// How many workers of a shard report to peers instead of its owner and can be reached
-    /// by them, all peers together.
+    /// Returns the number of workers of a shard that send their heartbeats to peers instead of the
+    /// shard's owner and are reachable by these peers, summed over all peers.
     pub(crate) fn misdirected_workers(&self, shard_id: usize, now: Millis) -> u32 {
         self.iter()
             .filter(|peer| peer.has_state_within(MISDIRECTED_REPORTS_MS, now))
             .flat_map(|peer| &peer.heartbeat.misdirected)
             .filter(|(shard, _)| *shard as usize == shard_id)
-            // Each goes from one controller to the next: none gets the reports of all.
+            // A worker without an owner's answer tries one controller after the other, so no
+            // single peer receives the heartbeats of all of them.
             .map(|(_, count)| count)
             .sum()
     }
 
-    /// Whether a heartbeat was held back on a connection that has been given up since.
+    /// Returns whether a heartbeat was delayed, on a connection that has since been abandoned,
+    /// until after a newer one arrived.
     pub(crate) fn is_delayed(
         &self,
         peer: usize,
@@ -165,7 +173,7 @@
             .is_some_and(|newest| newest.supersedes(heartbeat, made_at, now))
     }
 
-    /// Keeps a peer's newest heartbeat, which was made at `made_at` or later.
+    /// Stores a peer's newest heartbeat, which was made at `made_at` or later.
     pub(crate) fn receive(
         &mut self,
         peer: usize,
@@ -183,26 +191,27 @@
         });
     }
 
-    /// Notes the record format that a peer says it can work with; returns whether that is
-    /// news.
+    /// Records the newest record format that a peer reports to support. Returns whether it differs
+    /// from the one recorded before.
     pub(crate) fn note_format(&mut self, peer: usize, format: u32, now: Millis) -> bool {
         let known = self.formats[peer].replace(PeerFormat {
             format,
-            said_at: now,
+            reported_at: now,
         });
         known.is_none_or(|known| known.format != format)
     }
 
-    /// The newest record format that a peer has lately said it can work with.
+    /// Returns the newest record format that a peer has recently reported to support.
     pub(crate) fn format(&self, peer: usize, now: Millis) -> Option<u32> {
         self.formats[peer]
-            .filter(|said| now - said.said_at <= FORMAT_MS)
-            .map(|said| said.format)
+            .filter(|report| now - report.reported_at <= FORMAT_MS)
+            .map(|report| report.format)
     }
 
-    /// Whether the connection to a peer is to be made anew, as it has long acknowledged
-    /// nothing; `acknowledged_at` is when we sent the newest heartbeat that it has named. If so,
-    /// it is due again only after the same time.
+    /// Returns whether the connection to a peer is due to be reestablished, because for
+    /// [`UNACKNOWLEDGED_MS`] the peer has acknowledged no newer heartbeat of this controller than
+    /// the one sent at `acknowledged_at`. If so, the connection is due again only after the same
+    /// time.
     pub(crate) fn reconnect_due(
         &mut self,
         peer: usize,
--- a/crates/cherryyard-core/src/shard_lease.rs
+++ b/crates/cherryyard-core/src/shard_lease.rs
@@ -1,46 +1,49 @@
-//! This controller's lease on one shard: its phase, and when it may be acquired.
+//! The local state of a controller's lease on one shard: its phase, and when it may be acquired.
 //!
-//! The lease itself is a record in the state service, and its revision is the owner's fencing
-//! token. [`LeasePhase::after`] is the whole of the state machine; what a change of phase means
-//! for the shard's machines and queues is in [`crate::lease_acquisition`].
+//! The lease itself is a record in the state service, and the revision of that record is the
+//! owner's fencing token. [`LeasePhase::after`] defines all transitions between phases;
+//! [`crate::lease_acquisition`] applies their consequences to the shard's machines and queues.
 
 use crate::Millis;
 
-/// Half the time for which a shard is left to others after the first release of its lease; it doubles
-/// with each further release, [`MAX_DOUBLINGS`] times at most.
-const RELEASED_MS: Millis = 20_000.0;
-const MAX_DOUBLINGS: u32 = 3;
+/// Base of the backoff during which a controller leaves a shard to the other controllers after
+/// it has released the shard's lease. The backoff is this time doubled once for each release so
+/// far, up to [`MAX_BACKOFF_DOUBLINGS`] times: 40 s, 80 s, and then always 160 s.
+const RELEASE_BACKOFF_BASE_MS: Millis = 20_000.0;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Where a shard's lease stands with this controller.
+/// Phase of this controller's lease on a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeasePhase {
-    /// Someone else's, or nobody's.
+    /// Another controller holds the lease, or none does.
     NotHeld,
-    /// The transaction that acquires it is under way.
+    /// The transaction that acquires the lease is in flight.
     Acquiring,
-    /// Ours, with this fencing token.
+    /// This controller holds the lease with this fencing token.
     Held(u64),
-    /// Ours, but a peer knows of a newer lease.
+    /// This controller holds the lease with this fencing token as far as the state service has
+    /// shown it, but a peer reported a newer lease.
     Superseded(u64),
 }
 
-/// What moves a lease from one phase to another.
+/// An event that moves a lease from one phase to another.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum LeaseEvent {
-    /// The transaction that acquires it, or renews it under a new token, was sent.
+    /// The transaction that acquires the lease, or renews it under a new token, was sent.
     AcquireSent,
-    /// That transaction was applied at this revision.
+    /// The transaction that acquires or renews the lease was applied at this revision.
     Acquired(u64),
-    /// It was not applied, or that is unknown.
+    /// The transaction that acquires or renews the lease was not applied, or its outcome is
+    /// unknown.
     AcquireFailed,
     /// The state service shows another lease, or none.
     Lost,
-    /// A peer knows of a newer lease.
+    /// A peer reported a newer lease.
     NewerTokenSeen,
 }
 
 impl LeasePhase {
-    /// The phase that follows when `event` happens in this one.
+    /// Returns the phase that follows when `event` occurs in this phase.
     fn after(self, event: LeaseEvent) -> Self {
         use LeaseEvent::*;
         match (self, event) {
@@ -55,28 +58,30 @@
     }
 }
 
-/// This controller's lease on a shard.
+/// State of this controller's lease on a shard.
 #[derive(Debug)]
 pub(crate) struct ShardLease {
     phase: LeasePhase,
-    /// Whether a transaction that acquires, renews or releases it is under way.
+    /// Whether a transaction that acquires, renews or releases the lease is in flight.
     transaction_pending: bool,
+    /// Earliest time at which the next transaction to acquire or renew the lease may be sent.
     acquire_after: Millis,
-    /// Since when the state service has shown no lease on the shard.
+    /// Time since which the state service has shown no lease on the shard.
     ownerless_since: Option<Millis>,
-    /// Whether it is to be renewed under a new token.
+    /// Whether the lease is to be renewed under a new token.
     new_token_wanted: bool,
-    /// Since when it has been held under this token, and under any.
+    /// Time since which the lease has been held under its present token.
     token_since: Millis,
+    /// Time since which the lease has been held without interruption, under any token.
     held_since: Millis,
-    /// How often it has been released.
+    /// Number of times that this controller has released the lease.
     releases: u32,
-    /// Until when the shard is left to others after a release.
-    left_until: Millis,
+    /// End of the backoff after the last release.
+    backoff_until: Millis,
 }
 
 impl ShardLease {
-    /// A lease that is not held.
+    /// Creates a lease that is not held.
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             phase: LeasePhase::NotHeld,
@@ -87,11 +92,11 @@
             token_since: now,
             held_since: now,
             releases: 0,
-            left_until: f64::NEG_INFINITY,
+            backoff_until: f64::NEG_INFINITY,
         }
     }
 
-    /// The token, if the lease is held and no newer one is known.
+    /// Returns the token, if the lease is held and no newer lease is known.
     pub(crate) fn held_token(&self) -> Option<u64> {
         match self.phase {
             LeasePhase::Held(token) => Some(token),
@@ -99,7 +104,7 @@
         }
     }
 
-    /// The token, if the lease is held, whether a peer knows of a newer one or not.
+    /// Returns the token, if the lease is held, even if a peer reported a newer lease.
     pub(crate) fn last_token(&self) -> Option<u64> {
         match self.phase {
             LeasePhase::Held(token) | LeasePhase::Superseded(token) => Some(token),
@@ -107,22 +112,23 @@
         }
     }
 
-    /// Since when it has been held under this token.
+    /// Returns the time since which the lease has been held under its present token.
     pub(crate) fn token_since(&self) -> Millis {
         self.token_since
     }
 
-    /// Since when it has been held, under any token.
+    /// Returns the time since which the lease has been held without interruption, under any
+    /// token.
     pub(crate) fn held_since(&self) -> Millis {
         self.held_since
     }
 
-    /// Whether a transaction that acquires, renews or releases it is under way.
+    /// Returns whether a transaction that acquires, renews or releases the lease is in flight.
     pub(crate) fn transaction_pending(&self) -> bool {
         self.transaction_pending
     }
 
-    /// Takes an event. Returns the phase that it leads to, if that is another one.
+    /// Applies an event. Returns the new phase if the event changes it.
     pub(crate) fn change(&mut self, event: LeaseEvent, now: Millis) -> Option<LeasePhase> {
         let before = self.phase;
         self.phase = before.after(event);
@@ -142,67 +148,73 @@
         Some(self.phase)
     }
 
-    /// Asks for a new token, so that starts sent directly under this one are refused.
+    /// Requests a renewal of the lease under a new token, so that workers refuse starts that were
+    /// sent to them directly under the present token.
     pub(crate) fn want_new_token(&mut self) {
         self.new_token_wanted = true;
     }
 
-    /// Whether a new token was asked for.
+    /// Returns whether a renewal of the lease under a new token has been requested.
     pub(crate) fn wants_new_token(&self) -> bool {
         self.new_token_wanted
     }
 
-    /// Whether a transaction that acquires or renews it may be sent.
+    /// Returns whether a transaction that acquires or renews the lease may be sent.
     pub(crate) fn may_acquire(&self, now: Millis) -> bool {
         !self.transaction_pending && now >= self.acquire_after
     }
 
-    /// Whether the shard is left to others, and no lease on it is to be adopted.
-    pub(crate) fn is_left(&self, now: Millis) -> bool {
-        now < self.left_until
+    /// Returns whether the backoff after a release lasts. Until it ends no lease on the shard is
+    /// adopted.
+    pub(crate) fn is_backing_off(&self, now: Millis) -> bool {
+        now < self.backoff_until
     }
 
-    /// Whether the shard is left to others and no transaction has been tried since.
-    pub(crate) fn is_left_untried(&self, now: Millis) -> bool {
-        now < self.left_until.min(self.acquire_after)
+    /// Returns whether the backoff after a release lasts and no transaction to acquire the lease
+    /// has been tried since the release.
+    pub(crate) fn is_backing_off_untried(&self, now: Millis) -> bool {
+        now < self.backoff_until.min(self.acquire_after)
     }
 
-    /// Notes that the state service shows a lease on the shard.
-    pub(crate) fn has_owner(&mut self) {
+    /// Records that the state service shows a lease on the shard.
+    pub(crate) fn note_owner(&mut self) {
         self.ownerless_since = None;
     }
 
-    /// Notes that the state service shows no lease on the shard; returns for how long it has.
-    pub(crate) fn has_no_owner(&mut self, now: Millis) -> Millis {
+    /// Records that the state service shows no lease on the shard. Returns the time for which
+    /// there has been none.
+    pub(crate) fn note_no_owner(&mut self, now: Millis) -> Millis {
         now - *self.ownerless_since.get_or_insert(now)
     }
 
-    /// A transaction that acquires or renews it was sent.
+    /// Records that a transaction that acquires or renews the lease was sent.
     pub(crate) fn acquire_sent(&mut self) {
         self.transaction_pending = true;
         self.new_token_wanted = false;
     }
 
-    /// A transaction that releases it was sent.
+    /// Records that a transaction that releases the lease was sent.
     pub(crate) fn release_sent(&mut self) {
         self.transaction_pending = true;
     }
 
-    /// The outcome of a transaction that acquires, renews or releases it has come.
+    /// Records that the outcome of a transaction that acquires, renews or releases the lease has
+    /// arrived.
     pub(crate) fn transaction_ended(&mut self) {
         self.transaction_pending = false;
     }
 
-    /// The transaction that acquires it has failed: it is sent anew after this time.
+    /// Sets the earliest time at which a failed transaction to acquire the lease is retried.
     pub(crate) fn retry_acquire_after(&mut self, retry_at: Millis) {
         self.acquire_after = retry_at;
     }
 
-    /// The lease was released: the shard is left to others, longer each time.
+    /// Records that the lease was released, and starts a backoff that grows with the number of
+    /// releases.
     pub(crate) fn released(&mut self, now: Millis) {
         self.releases += 1;
-        let factor = 1u32 << self.releases.min(MAX_DOUBLINGS);
-        self.acquire_after = now + RELEASED_MS * f64::from(factor);
-        self.left_until = self.acquire_after;
+        let factor = 1u32 << self.releases.min(MAX_BACKOFF_DOUBLINGS);
+        self.acquire_after = now + RELEASE_BACKOFF_BASE_MS * f64::from(factor);
+        self.backoff_until = self.acquire_after;
     }
 }
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -1,64 +1,67 @@
-//! Limits of the state service: which transactions may be sent, and what follows when
-//! the service refuses one as too large or too many.
+//! Limits of the state service: checks that transactions keep within them, and lowers them when
+//! the service refuses a transaction as too large or refuses a request as one too many.
 //!
-//! Every writer plans its transactions within the limits of [`Config`], which are the
-//! smaller of those in force and those that are announced. If the service calls a
-//! transaction malformed all the same, the limits are lowered below what that transaction had,
-//! so its writer plans a smaller one: it is divided, waits, or is refused, and is
-//! never sent again unchanged.
+//! Every writer plans its transactions within the limits of [`Config`]. The limits on values and
+//! on the number of changes are the smaller of those in force and those announced for later. If
+//! the service refuses a transaction as malformed nevertheless, the limits are lowered below the
+//! sizes in that transaction, so that its writer plans a smaller one. The changes are then split
+//! among several transactions, wait, or are refused, and the same transaction is never sent again
+//! unchanged.
 
 use crate::controller::Controller;
 use crate::{Config, Millis};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// Conditions that a transaction may have for each change that it may have.
+/// Number of conditions that a transaction may have for each change that it may have.
 pub const CONDITIONS_PER_CHANGE: usize = 4;
-/// Bytes that a transaction may have, with its conditions.
+/// Largest size of a transaction with its conditions, in bytes.
 pub const MAX_TRANSACTION: usize = 64 * 1024;
-/// Limits are not lowered below these: a service with smaller ones cannot be used.
+/// Lower bound of the limit on the size of a value: a service with a smaller limit cannot be used.
 const MIN_VALUE_BYTES: usize = 768;
+/// Lower bound of the limit on the number of changes in a transaction: a service with a smaller
+/// limit cannot be used.
 const MIN_TXN_OPS: usize = 2;
-/// About how many bytes a condition or a change takes beside its key and value.
+/// Approximate size of a condition or a change without its key and value, in bytes.
 const OVERHEAD_BYTES: usize = 45;
 
-/// The limit that a transaction exceeds.
+/// A limit of the state service that a transaction exceeds.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LimitExceeded {
-    /// A value is too large.
-    #[error("{key}: a value of {bytes} bytes, and {most} are allowed")]
+    /// A value in the transaction is too large.
+    #[error("the value of key {key} has {bytes} bytes, at most {limit} are allowed")]
     Value {
-        /// The key.
+        /// Key of the largest value.
         key: String,
-        /// Bytes of its value.
+        /// Size of the largest value in bytes.
         bytes: usize,
-        /// The limit.
-        most: usize,
+        /// Largest size that is allowed, in bytes.
+        limit: usize,
     },
-    /// There are too many changes.
-    #[error("{count} changes, and {most} are allowed")]
+    /// The transaction has too many changes.
+    #[error("the transaction has {count} changes, at most {limit} are allowed")]
     Changes {
-        /// How many.
+        /// Number of changes in the transaction.
         count: usize,
-        /// The limit.
-        most: usize,
+        /// Largest number of changes that is allowed.
+        limit: usize,
     },
-    /// There are too many conditions.
-    #[error("{count} conditions, and {most} are allowed")]
+    /// The transaction has too many conditions.
+    #[error("the transaction has {count} conditions, at most {limit} are allowed")]
     Conditions {
-        /// How many.
+        /// Number of conditions in the transaction.
         count: usize,
-        /// The limit.
-        most: usize,
+        /// Largest number of conditions that is allowed.
+        limit: usize,
     },
-    /// It is too large as a whole.
-    #[error("{bytes} bytes, and {MAX_TRANSACTION} are allowed")]
+    /// The transaction as a whole is too large.
+    #[error("the transaction has about {bytes} bytes, at most {MAX_TRANSACTION} are allowed")]
     Whole {
-        /// About how many bytes it has.
+        /// Approximate size of the transaction in bytes.
         bytes: usize,
     },
 }
 
-/// Bytes of the largest value that a transaction puts, and its key.
+/// Returns the size in bytes of the largest value that a transaction sets, and its key.
 fn largest_value(commit: &Commit) -> Option<(usize, &str)> {
     let sizes = commit.apply.iter().filter_map(|change| match change {
         Apply::Set { set, value, .. } => Some((value.text().len(), set.as_str())),
@@ -67,8 +70,8 @@
     sizes.max_by_key(|size| size.0)
 }
 
-/// About how many bytes a transaction has in all.
-fn whole_bytes(commit: &Commit) -> usize {
+/// Returns the approximate size of a transaction in bytes.
+fn approximate_bytes(commit: &Commit) -> usize {
     let conditions = commit.when.iter();
     let conditions = conditions.map(|condition| condition.key.len() + OVERHEAD_BYTES);
     let changes = commit.apply.iter();
@@ -77,36 +80,38 @@
 }
 
 impl Config {
-    /// Whether a transaction keeps within the limits.
+    /// Checks that a transaction keeps within the limits.
     pub fn check_commit(&self, commit: &Commit) -> Result<(), LimitExceeded> {
         if let Some((bytes, key)) = largest_value(commit)
             && bytes > self.value_bytes
         {
             let key = key.to_string();
-            let most = self.value_bytes;
-            return Err(LimitExceeded::Value { key, bytes, most });
+            let limit = self.value_bytes;
+            return Err(LimitExceeded::Value { key, bytes, limit });
         }
-        let (count, most) = (commit.apply.len(), self.txn_ops);
-        if count > most {
-            return Err(LimitExceeded::Changes { count, most });
+        let (count, limit) = (commit.apply.len(), self.txn_ops);
+        if count > limit {
+            return Err(LimitExceeded::Changes { count, limit });
         }
-        let (count, most) = (commit.when.len(), self.max_conditions());
-        if count > most {
-            return Err(LimitExceeded::Conditions { count, most });
+        let (count, limit) = (commit.when.len(), self.max_conditions());
+        if count > limit {
+            return Err(LimitExceeded::Conditions { count, limit });
         }
-        let bytes = whole_bytes(commit);
+        let bytes = approximate_bytes(commit);
         if bytes > MAX_TRANSACTION {
             return Err(LimitExceeded::Whole { bytes });
         }
         Ok(())
     }
 
-    /// Most conditions of a transaction.
+    /// Returns the largest number of conditions that a transaction may have.
     pub fn max_conditions(&self) -> usize {
         self.txn_ops * CONDITIONS_PER_CHANGE
     }
 
-    /// Lowers the limits below what a refused transaction had; returns whether any has changed.
+    /// Lowers the limits to three quarters of what a refused transaction used: its largest value,
+    /// and its number of changes or, if larger, the number of changes that its conditions require.
+    /// Returns whether a limit has changed.
     fn lower_below(&mut self, refused: &Commit) -> bool {
         let before = (self.value_bytes, self.txn_ops);
         if let Some((bytes, _)) = largest_value(refused) {
@@ -122,20 +127,19 @@
 }
 
 impl Controller {
-    /// The state service has called a transaction malformed: what is written from now
-    /// on is smaller.
+    /// Lowers the limits after the state service has refused a transaction as malformed.
     pub fn commit_refused_as_malformed(&mut self, refused: &Commit) {
         if self.config.lower_below(refused) {
             tracing::warn!(
                 value_bytes = self.config.value_bytes,
                 changes = self.config.txn_ops,
-                "a transaction was refused as too large; from now on these are the limits"
+                "lowered the limits on transactions: the state service refused one as malformed"
             );
         }
     }
 
-    /// The state service has answered that there are too many requests: from the first
-    /// time on, the announced rate of writes is kept to if it is the smaller one.
+    /// Lowers the rate of writes to the announced rate, if that is smaller, when the state service
+    /// answers for the first time that it receives too many requests.
     pub fn state_is_busy(&mut self, now: Millis) {
         let next = self.config.next_writes_per_s;
         if next >= self.config.writes_per_s {
@@ -143,7 +147,7 @@
         }
         tracing::info!(
             writes_per_s = next,
-            "the announced rate of writes is kept to"
+            "lowered the rate of writes to the announced rate"
         );
         self.config.set_writes_per_s(next);
         for shard in &mut self.shards {
