--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -24,10 +24,10 @@
 const SUCCESSION_STEP_MS: Millis = 400.0;
 /// Additional time that all other controllers wait while the shard's preferred owner is alive.
 const PREFERRED_OWNER_ALIVE_MS: Millis = 2500.0;
-/// Number of heartbeat intervals after which a worker without heartbeats counts as unable to reach
-/// its shard's owner, together with [`SILENCE_MARGIN_MS`].
+/// Number of heartbeat intervals that, together with [`SILENCE_MARGIN_MS`], must pass without a
+/// heartbeat before a worker counts as unable to reach its shard's owner.
 const SILENCE_HEARTBEAT_INTERVALS: f64 = 1.25;
-/// Margin that is added to [`SILENCE_HEARTBEAT_INTERVALS`].
+/// Margin that is added to the time of [`SILENCE_HEARTBEAT_INTERVALS`].
 const SILENCE_MARGIN_MS: Millis = 2000.0;
 
 /// Holder of a shard's lease as the state service shows it.
@@ -54,8 +54,9 @@
         self.silent * 2 >= self.expected && self.expected > 0
     }
 
-    /// Returns whether the workers would be served better if a peer owned the shard: at least
-    /// half of them are silent here, and as many as a third of them reach peers.
+    /// Returns whether the workers would be served better if a peer owned the shard: at least half
+    /// of the expected workers are silent, and at least two workers, and a third of the number
+    /// expected, reach peers.
     fn favor_peer_as_owner(&self) -> bool {
         self.expected >= 2
             && self.silent * 2 >= self.expected
