--- a/crates/cherryyard-wire/src/record/assignments.rs
+++ b/crates/cherryyard-wire/src/record/assignments.rs
@@ -1,29 +1,30 @@
-//! Pages of a shard's assignments, and what the shard may use of teams' limits.
+//! Records of a shard: pages of its assignments, and its grants from teams' limits.
 
 use crate::RangeSet;
 use serde::{Deserialize, Serialize};
 
-/// Assignments of one attempt and incarnation: `[attempt, incarnation, machine, number,
-/// machine, number, ...]`, each machine by its place in the page's list. Tasks
-/// of a job mostly start together, so this is a few bytes for each.
+/// Assignments of one attempt and worker incarnation: `[attempt, incarnation, machine, number,
+/// machine, number, ...]`, where `machine` is an index into [`PageRecord::machines`] and
+/// `number` is a task's number. The tasks of a job mostly start together, so each one adds
+/// only a few bytes.
 pub type AssignmentGroup = Vec<u64>;
 
-/// One page of a shard's assignments: of all jobs that have some there.
+/// One page of a shard's assignments, which may belong to many jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageRecord {
-    /// Machines that the assignments name.
+    /// Names of the machines that the assignments refer to by index.
     #[serde(default, rename = "h", skip_serializing_if = "Vec::is_empty")]
     pub machines: Vec<String>,
-    /// Of each job: its number, its assignments, and the numbers of its completed tasks.
+    /// Job number, assignments and numbers of completed tasks of each job.
     #[serde(rename = "j")]
     pub jobs: Vec<(u64, Vec<AssignmentGroup>, RangeSet)>,
 }
 
-/// What a shard may use of a team's limit.
+/// Part of a team's limit that a shard may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Cores.
+    /// Cores that the shard may use.
     pub cores: f64,
-    /// Accelerators.
+    /// Accelerators that the shard may use.
     pub acc: f64,
 }
--- a/crates/cherryyard-wire/src/record/format.rs
+++ b/crates/cherryyard-wire/src/record/format.rs
@@ -1,26 +1,26 @@
-//! Formats of records: which one is in use, and which a build can work with.
+//! Formats of records: which ones are in use, and which ones a build supports.
 
 use serde::{Deserialize, Serialize};
 
-/// The format in which jobs stand in buckets, and their ends go into the history.
+/// Format in which jobs are stored in buckets, and their ends move to the history.
 pub const BUCKETS: u32 = 2;
 
-/// The format in which new jobs stand in pages of admissions.
+/// Format in which new jobs are written to pages of the admission log.
 pub const ADMISSION_LOG: u32 = 3;
-/// The format in which jobs may wait for others.
+/// Format in which jobs may depend on other jobs.
 pub const DEPENDENCIES: u32 = 4;
-/// The newest format of records that this build can work with.
+/// Newest format of records that this build supports.
 pub const NEWEST_FORMAT: u32 = DEPENDENCIES;
 
-/// Which formats of records are in use.
+/// Record of the formats in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRecord {
-    /// How jobs are kept.
+    /// Format in which jobs are stored: [`BUCKETS`] or later if they are stored in buckets.
     pub jobs: u32,
     /// Whether new jobs are written to the admission log, and nowhere else.
     #[serde(default, rename = "new", skip_serializing_if = "is_false")]
     pub admission_log: bool,
-    /// Whether jobs may wait for others.
+    /// Whether jobs may depend on other jobs.
     #[serde(default, skip_serializing_if = "is_false")]
     pub dependencies: bool,
 }
--- a/crates/cherryyard-wire/src/record/images/tests.rs
+++ b/crates/cherryyard-wire/src/record/images/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
 
-/// What is packed comes out again; a record too small for all keeps the first
-/// machines, and one of an earlier build is still read.
+/// Guards against machines or images lost between packing and reading, records larger than
+/// their limit (the last machines are left out instead), and records of earlier builds that are
+/// no longer read. Names that cannot be packed are left out, and a record with an index beyond
+/// its images is not sound.
 #[test]
 fn images_are_packed() {
     let images = vec![("img-01".to_string(), 2.5), ("img-02".to_string(), 4.0)];
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -1,4 +1,4 @@
-//! Records of jobs, and the buckets that hold many of them under one key.
+//! Records of jobs, and of buckets, which hold many jobs under one key.
 
 use crate::RangeSet;
 use crate::dependencies::Dependencies;
@@ -6,62 +6,66 @@
 use crate::rules::Rules;
 use serde::{Deserialize, Serialize};
 
-/// A bucket: the records of some jobs, so that no key need be deleted for each job
-/// that is over.
+/// Bucket: the records of many jobs under one key, so that no key has to be deleted for each
+/// job that has ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BucketRecord {
-    /// Jobs that are not over.
+    /// Numbers and records of the jobs that have not ended.
     #[serde(default, rename = "o", skip_serializing_if = "Vec::is_empty")]
     pub open: Vec<(u64, JobRecord)>,
-    /// Jobs that are over: job number, how it ended, how many tasks it had, and its
-    /// generation in the history.
+    /// Jobs that have ended: job number, how the job ended, how many tasks it had, and the
+    /// generation of the history that its end belongs to.
     #[serde(default, rename = "e", skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<(u64, End, u32, u64)>,
-    /// What a task of those takes, while some may still be on machines.
+    /// Job number and usage per task of ended jobs of which tasks may still be on machines.
     #[serde(default, rename = "u", skip_serializing_if = "Vec::is_empty")]
     pub usage: Vec<(u64, TaskUsage)>,
 }
 
-/// A job's record.
+/// Record of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum JobRecord {
-    /// The job is over.
+    /// Record of a job that has ended.
     Ended {
-        /// How.
+        /// How the job ended.
         end: End,
-        /// How many tasks it has.
+        /// Number of the job's tasks.
         #[serde(rename = "n")]
         task_count: u32,
-        /// What each of its tasks takes, while some may still be there.
+        /// What each task counts against the team's limit while it may still be on a machine.
         #[serde(default, rename = "use")]
         usage: TaskUsage,
-        /// Its generation in the history; 0 where ends have none.
+        /// Generation of the history that the end belongs to; 0 in records written before the
+        /// format [`BUCKETS`](super::BUCKETS) was in use.
         #[serde(default, rename = "g", skip_serializing_if = "is_zero")]
         generation: u64,
-        /// The cancelled job that it needed, if it is cancelled for that.
+        /// Number of the cancelled job that this one depended on, if it was cancelled for that
+        /// reason.
         #[serde(default, rename = "by", skip_serializing_if = "Option::is_none")]
         cancelled_by: Option<u64>,
     },
-    /// The job is not over.
+    /// Record of a job that has not ended.
     Open {
-        /// What was submitted.
+        /// Job as it was submitted.
         spec: Box<JobSpec>,
-        /// Time of day at its submission, in milliseconds.
+        /// Wall-clock time of the submission, in milliseconds.
         at: u64,
-        /// The division: each shard's task numbers. Empty: not yet divided.
+        /// Division of the job: each shard's task numbers; empty until the leader has divided
+        /// the job.
         #[serde(default)]
         div: Vec<RangeSet>,
-        /// The zone of all its tasks, where the user asked for one.
+        /// Zone in which all tasks run, if the user asked for a single zone.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         zone: Option<String>,
-        /// Most tasks per shard and zone, where the user asked for tasks apart.
+        /// Maximum number of tasks by shard and zone, if the user asked for tasks to be spread;
+        /// otherwise empty.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         caps: Vec<Vec<u32>>,
-        /// Where it may run, beyond what the submission's fields say.
+        /// Placement rules beyond the fields of the submission.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         rules: Option<Box<Rules>>,
-        /// Jobs that it waits for.
+        /// Jobs that this one depends on.
         #[serde(default, skip_serializing_if = "Dependencies::is_none")]
         after: Dependencies,
     },
@@ -71,24 +75,24 @@
     *n == 0
 }
 
-/// How a job ended.
+/// Way in which a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// All tasks are done.
+    /// All tasks were completed.
     Done,
-    /// Its user cancelled it.
+    /// The job was cancelled, by its user or because a job that it depended on was cancelled.
     Cancelled,
 }
 
-/// What one task counts against its team's limit.
+/// Resources that one task counts against its team's limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskUsage {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "acc")]
     pub accelerators: f64,
     /// Memory in GB.
--- a/crates/cherryyard-wire/src/record/keys.rs
+++ b/crates/cherryyard-wire/src/record/keys.rs
@@ -1,112 +1,114 @@
 //! Keys of the records in the state service.
 //!
-//! All keys that a mirror watches start with [`PREFIX`], so one watch over one prefix sees
-//! them all.
+//! All keys that a controller's mirror watches start with [`PREFIX`], so a single watch of this
+//! prefix reports the changes of all of them.
 
 use crate::job_id::{job_id, job_number};
 
-/// Start of every key.
+/// Prefix of every key in this module.
 pub const PREFIX: &str = "c/";
-/// The leader's lease.
+/// Key of the lease on leadership.
 pub const LEADER_KEY: &str = "c/lead";
-/// The machine types, for a start while the cloud is down.
+/// Key of the machine types, which are stored so that controllers can start while the cloud is
+/// down.
 pub const MACHINE_TYPES_KEY: &str = "c/kinds";
 
-/// Operators' own attributes of machines.
+/// Key of the attributes of machines that operators define.
 pub const ATTRIBUTES: &str = "c/attributes";
-/// Ids handed out to submissions of many jobs.
+/// Key of the record of ids allocated to bulk submissions.
 pub const IDS: &str = "c/ids";
-/// Which formats of records are in use; absent: the first.
+/// Key of the record of the formats in use; while it is absent, the first format is in use.
 pub const FORMAT: &str = "c/format";
-/// How far the history of jobs that are over goes.
+/// Key of the record of the progress of moving ended jobs to the history.
 pub const PACKED: &str = "c/packed";
 
-/// Key of a page of new jobs. Their order is that of the keys.
+/// Returns the key of a page of the admission log. The order of the keys is that of the page
+/// numbers.
 pub fn admission_log_key(page: u64) -> String {
     format!("c/new/{page:016x}")
 }
 
-/// Key of the bucket of jobs whose hashes begin at `from`. It holds those up to
-/// the next bucket's.
+/// Returns the key of the bucket whose first hash is `from`. The bucket holds the jobs with
+/// hashes from this one up to, but not including, the first hash of the next bucket.
 pub fn bucket_key(from: u64) -> String {
     format!("c/jobs/{from:016x}")
 }
 
-/// Where a job stands among the buckets.
+/// Returns the hash that decides which bucket a job belongs to.
 pub fn job_hash(job: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64(&job.to_be_bytes())
 }
 
-/// Key of shard `shard`'s lease.
+/// Returns the key of the lease on shard `shard`.
 pub fn shard_key(shard: usize) -> String {
     format!("c/part/{shard}")
 }
 
-/// Key of a job.
+/// Returns the key of a job's own record.
 pub fn job_key(job: u64) -> String {
     format!("c/job/{}", job_id(job))
 }
 
-/// Key of one page of a shard's assignments.
+/// Returns the key of a page of a shard's assignments.
 pub fn assignments_key(shard: usize, page: u32) -> String {
     format!("c/mark/{shard}/{page}")
 }
 
-/// Key of what shard `shard` may use of team `team`'s limit.
+/// Returns the key of the part of team `team`'s limit that shard `shard` may use.
 pub fn grant_key(team: usize, shard: usize) -> String {
     format!("c/grant/{team}/{shard}")
 }
 
-/// Key of what is known of the images in shard `shard`.
+/// Returns the key of the record of the images that machines of shard `shard` hold.
 pub fn images_key(shard: usize) -> String {
     format!("c/images/{shard}")
 }
 
-/// A parsed key.
+/// Parsed key of a record in the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Key {
-    /// The lease on leadership.
+    /// Lease on leadership.
     Leader,
-    /// The machine types.
+    /// Machine types.
     MachineTypes,
-    /// Operators' own attributes of machines.
+    /// Attributes of machines that operators define.
     Attributes,
-    /// Ids handed out to bulk submissions.
+    /// Ids allocated to bulk submissions.
     Ids,
-    /// A bulk submission, by its number.
+    /// Bulk submission, by its number.
     Submission(u64),
-    /// The lease on a shard.
+    /// Lease on a shard.
     Shard(usize),
-    /// The images in a shard.
+    /// Images that the machines of a shard hold.
     Images(usize),
-    /// A job, by its number.
+    /// Record of a single job, by the number of the job.
     Job(u64),
-    /// A bucket of jobs, by the first hash that it holds.
+    /// Bucket of jobs, by its first hash.
     Bucket(u64),
-    /// A page of the admission log.
+    /// Page of the admission log, by its number.
     AdmissionPage(u64),
-    /// The formats of records in use.
+    /// Formats of records in use.
     Format,
-    /// How far the history goes.
+    /// Progress of moving ended jobs to the history.
     Packed,
-    /// A page of a shard's assignments.
+    /// Page of a shard's assignments.
     Assignment {
-        /// The shard.
+        /// Number of the shard.
         shard: usize,
-        /// The page's number.
+        /// Number of the page.
         page: u32,
     },
-    /// What a shard may use of a team's limit.
+    /// Part of a team's limit that a shard may use.
     Grant {
-        /// The team, by its index in the settings.
+        /// Index of the team in the settings.
         team: usize,
-        /// The shard.
+        /// Number of the shard.
         shard: usize,
     },
 }
 
-/// Reads a number of 16 hexadecimal digits.
-fn hex(digits: &str) -> Option<u64> {
+/// Parses a number of exactly 16 hexadecimal digits.
+fn parse_hex(digits: &str) -> Option<u64> {
     if digits.len() != 16 {
         return None;
     }
@@ -114,7 +116,7 @@
 }
 
 impl Key {
-    /// Reads a key; `None` for one that this version does not know.
+    /// Parses a key; returns `None` for a key that this version does not support.
     pub fn parse(key: &str) -> Option<Self> {
         match key {
             LEADER_KEY => return Some(Self::Leader),
@@ -125,24 +127,24 @@
             PACKED => return Some(Self::Packed),
             _ => {}
         }
-        let mut words = key.strip_prefix(PREFIX)?.split('/');
-        let parsed = match words.next()? {
-            "part" => Self::Shard(words.next()?.parse().ok()?),
-            "images" => Self::Images(words.next()?.parse().ok()?),
-            "job" => Self::Job(job_number(words.next()?)?),
-            "jobs" => Self::Bucket(hex(words.next()?)?),
-            "new" => Self::AdmissionPage(hex(words.next()?)?),
-            "sub" => Self::Submission(hex(words.next()?)?),
+        let mut segments = key.strip_prefix(PREFIX)?.split('/');
+        let parsed = match segments.next()? {
+            "part" => Self::Shard(segments.next()?.parse().ok()?),
+            "images" => Self::Images(segments.next()?.parse().ok()?),
+            "job" => Self::Job(job_number(segments.next()?)?),
+            "jobs" => Self::Bucket(parse_hex(segments.next()?)?),
+            "new" => Self::AdmissionPage(parse_hex(segments.next()?)?),
+            "sub" => Self::Submission(parse_hex(segments.next()?)?),
             "mark" => Self::Assignment {
-                shard: words.next()?.parse().ok()?,
-                page: words.next()?.parse().ok()?,
+                shard: segments.next()?.parse().ok()?,
+                page: segments.next()?.parse().ok()?,
             },
             "grant" => Self::Grant {
-                team: words.next()?.parse().ok()?,
-                shard: words.next()?.parse().ok()?,
+                team: segments.next()?.parse().ok()?,
+                shard: segments.next()?.parse().ok()?,
             },
             _ => return None,
         };
-        words.next().is_none().then_some(parsed)
+        segments.next().is_none().then_some(parsed)
     }
 }
--- a/crates/cherryyard-wire/src/record/mod.rs
+++ b/crates/cherryyard-wire/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! Records that controllers keep in the state service, and their keys.
+//! Records that controllers store in the state service, and their keys.
 
 mod assignments;
 mod format;
