--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -1,21 +1,22 @@
-//! Pages of new jobs in the mirror, and the transactions that change them.
+//! The admission log: pages of newly accepted jobs, and the transactions that change them.
 //!
-//! A new job comes by the last page, or by a new one after it; or, where jobs have
-//! records of their own, by such a record. All these transactions depend on the last
-//! page's revision and on there being none after it, and on the absence of a record of the
-//! job's own. So whoever adds a job has seen all that were added by pages before, and
-//! that it was not added otherwise: no job comes twice. One put can carry many, and
-//! records do not get into each other's way.
+//! A new job is added to the last page or to a new page after it. In the format in which jobs
+//! have keys of their own, it may also be added by a record under its own key. All these
+//! transactions depend on the revision of the last page, on the absence of a page after it, and
+//! on the absence of a record of the job itself. So a controller that adds a job has seen all
+//! jobs that were added by pages before, and the job has not been added in another way: no job is
+//! added twice. One put of a page can add many jobs, and transactions that add jobs by records of
+//! their own do not conflict with each other.
 //!
-//! A transaction without an answer may be carried out after later ones. So that what it
-//! took for absent is not absent once more, the last page and page 0 are never deleted,
-//! and who deletes another changes the page before it, if that is still there
-//! (`admission_compaction`).
+//! A transaction whose response was lost may be applied after later transactions. A key that it
+//! requires to be absent must not be absent again by then. Therefore the last page and page 0 are
+//! never deleted, and deleting another page also rewrites the page before it, if that one still
+//! exists (`admission_compaction`).
 //!
-//! What is stored of a job elsewhere, in a record of its own or in a bucket, counts
-//! instead of its page: its end, or a division that has changed. A job without such a
-//! record is as its page says, and whoever depends on that depends on the record's
-//! absence (or on the bucket, where there are buckets).
+//! A job's own record or its entry in a bucket (its end, or a changed division) takes precedence
+//! over its page. A job without such a record is as its page describes it, and a transaction that
+//! relies on that depends on the absence of the record (or on the revision of the bucket, in the
+//! format with buckets).
 
 use super::job_containers::{JobContainer, JobContainers};
 use super::record_error::RecordProblem;
@@ -26,27 +27,30 @@
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest page, whatever the value limit: each goes to all controllers whenever a
-/// job is added to it.
+/// Maximum size of a page, even if the value limit is higher: all controllers receive the whole
+/// page whenever a job is added to it.
 const MAX_PAGE_BYTES: usize = 4096;
-/// Most jobs of a page.
+/// Maximum number of jobs on a page.
 pub const MOST_ROWS: usize = 64;
-/// Bytes that a page's record takes beside its rows.
-const FRAME_BYTES: usize = 50;
-/// Bytes that a row may take more once others have come: later rows' times have more digits.
-const ROW_RESERVE_BYTES: usize = 12;
-/// Conditions that a job takes with the two on pages.
-const JOB_CONDITIONS: usize = 3;
+/// Bytes that the record of a page takes besides its rows and common fields.
+const PAGE_OVERHEAD_BYTES: usize = 50;
+/// Bytes by which a row may be larger than if it were the only one: submission times are relative
+/// to the page's time, so those of later rows have more digits.
+const ROW_GROWTH_BYTES: usize = 12;
+/// Number of conditions for one more job and for the two pages: the last page, and the absence of
+/// the next one.
+const JOB_AND_PAGE_CONDITIONS: usize = 3;
 
-/// A page of new jobs as the mirror knows it.
+/// Page of the admission log as the mirror holds it.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionPage {
-    /// Revision of its key.
+    /// Revision of the page's key.
     pub revision: u64,
-    /// Its jobs.
+    /// Numbers of the jobs that the page lists.
     pub jobs: BTreeSet<u64>,
-    /// Whether it names a team that is not in our settings: it is left as it is.
-    pub(super) foreign: bool,
+    /// Whether the page names a team that is not in this controller's settings; such a page is
+    /// never rewritten.
+    pub(super) has_unknown_team: bool,
 }
 
 impl JobContainer for AdmissionPage {
@@ -55,45 +59,45 @@
     }
 }
 
-/// Which job came by which page. Written by this module alone.
+/// Pages of the admission log, with an index by job. Written only by this module.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionLog {
     pages: JobContainers<AdmissionPage>,
 }
 
 impl AdmissionLog {
-    /// How many pages there are.
+    /// Returns the number of pages.
     pub fn len(&self) -> usize {
         self.pages().len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no pages.
     pub fn is_empty(&self) -> bool {
         self.pages().is_empty()
     }
 
-    /// The number of the last page.
+    /// Returns the number of the last page.
     pub fn last_page(&self) -> Option<u64> {
         self.pages().last_key_value().map(|(&page, _)| page)
     }
 
-    /// A page.
+    /// Returns a page by its number.
     pub(super) fn get(&self, page: u64) -> Option<&AdmissionPage> {
         self.pages.get(page)
     }
 
-    /// A page that may be written anew.
+    /// Returns a page that may be rewritten.
     fn writable(&self, page: u64) -> Option<&AdmissionPage> {
-        self.get(page).filter(|known| !known.foreign)
+        self.get(page).filter(|existing| !existing.has_unknown_team)
     }
 
-    /// All pages, in order.
+    /// Returns all pages, in order.
     pub(super) fn pages(&self) -> &BTreeMap<u64, AdmissionPage> {
         self.pages.all()
     }
 }
 
-/// A page in the making.
+/// Page that is being put together, with its estimated size.
 #[derive(Debug)]
 pub(super) struct PageDraft {
     record: AdmissionPageRecord,
@@ -102,7 +106,7 @@
 }
 
 impl PageDraft {
-    /// An empty one, of the largest size that the settings allow.
+    /// Returns an empty draft with the maximum size that the settings allow.
     pub fn new(config: &Config) -> Self {
         Self {
             record: AdmissionPageRecord::default(),
@@ -111,17 +115,17 @@
         }
     }
 
-    /// Adds a job; false, and nothing added, if there is no room for it.
+    /// Adds a job; returns false, and adds nothing, if the page has no space for it.
     pub fn push(&mut self, job: u64, open: &OpenJob) -> bool {
         let mut single = AdmissionPageRecord::default();
         Self::add_row(&mut single, job, open);
         let size = |text: Option<Vec<u8>>| text.map_or(self.max_bytes, |text| text.len() + 1);
-        let mut bytes = size(serde_json::to_vec(&single.jobs).ok()) + ROW_RESERVE_BYTES;
+        let mut bytes = size(serde_json::to_vec(&single.jobs).ok()) + ROW_GROWTH_BYTES;
         if !self.record.common.contains(&single.common[0]) {
             bytes += size(serde_json::to_vec(&single.common).ok());
         }
         let is_full = self.record.jobs.len() >= MOST_ROWS;
-        if is_full || self.bytes + bytes + FRAME_BYTES > self.max_bytes {
+        if is_full || self.bytes + bytes + PAGE_OVERHEAD_BYTES > self.max_bytes {
             return false;
         }
         self.bytes += bytes;
@@ -143,32 +147,34 @@
         self.record.jobs.is_empty()
     }
 
-    /// The change that stores it.
+    /// Returns the change that stores the draft as the given page.
     pub fn apply(&self, page: u64) -> Apply {
         Apply::put(admission_log_key(page), Json::of(&self.record))
     }
 }
 
 impl Mirror {
-    /// Whether new jobs come by pages, and all that came before is known: a job that
-    /// was added otherwise just before the pages began must not be missed.
+    /// Returns whether new jobs are added to the admission log, and the mirror has read up to the
+    /// change that introduced it: a job that was added in another way just before must not be
+    /// missed.
     pub fn takes_pages(&self) -> bool {
         self.format.by_pages && self.store_revision >= self.format.revision
     }
 
-    /// Whether jobs may wait for others, and all that came before that was decided is
-    /// known.
+    /// Returns whether jobs may depend on other jobs, and the mirror has read up to the change
+    /// that allowed this.
     pub fn takes_dependencies(&self) -> bool {
         self.format.dependencies && self.store_revision >= self.format.revision
     }
 
-    /// Whether an open job is as its page says.
+    /// Returns whether an open job is stored only on a page of the admission log, without a record
+    /// of its own or an entry in a bucket.
     pub fn in_page(&self, job: u64) -> bool {
         let open = self.open.get(&job);
         open.is_some_and(|open| open.revision == 0) && !self.buckets.holds(job)
     }
 
-    /// The page that names a job, if any does.
+    /// Returns the number of the page that lists a job, if there is one.
     pub fn page_of(&self, job: u64) -> Option<u64> {
         self.admission_log.pages.number_of(job)
     }
@@ -179,40 +185,40 @@
         record: AdmissionPageRecord,
         revision: u64,
     ) -> Result<(), RecordProblem> {
-        let arrivals = record.read(self.shards.len());
-        let arrivals = arrivals.ok_or(RecordProblem::BadRows)?;
+        let admitted_jobs = record.read(self.shards.len());
+        let admitted_jobs = admitted_jobs.ok_or(RecordProblem::BadRows)?;
         let mut new = AdmissionPage {
             revision,
             ..AdmissionPage::default()
         };
-        for arrival in arrivals {
-            let job = arrival.job;
+        for admitted in admitted_jobs {
+            let job = admitted.job;
             new.jobs.insert(job);
-            new.foreign |= self.teams.get(&arrival.spec.team).is_none();
+            new.has_unknown_team |= self.teams.get(&admitted.spec.team).is_none();
             self.admission_log.pages.assign(job, page);
-            // What has been stored of it since counts.
+            // The job's own record or its entry in a bucket takes precedence.
             if !self.ended.contains(job) && (!self.open.contains_key(&job) || self.in_page(job)) {
-                self.put_arrival(arrival);
+                self.put_admitted_job(admitted);
             }
         }
-        let gone = self.admission_log.pages.replace(page, new);
-        self.drop_unnamed(&gone);
+        let unlisted = self.admission_log.pages.replace(page, new);
+        self.drop_unlisted(&unlisted);
         Ok(())
     }
 
-    fn put_arrival(&mut self, arrival: AdmittedJob) {
-        let job = arrival.job;
-        let known = self.open.get(&job);
-        if known.is_some_and(|open| open.division == arrival.div) {
+    fn put_admitted_job(&mut self, admitted: AdmittedJob) {
+        let job = admitted.job;
+        let existing = self.open.get(&job);
+        if existing.is_some_and(|open| open.division == admitted.div) {
             return;
         }
-        let rules = arrival.rest.rules;
-        if let Some(new) = self.new_job(arrival.spec, rules, arrival.at) {
+        let rules = admitted.rest.rules;
+        if let Some(new) = self.new_job(admitted.spec, rules, admitted.at) {
             let open = OpenJob {
-                division: arrival.div,
-                zone: arrival.rest.zone,
-                zone_caps: arrival.rest.caps,
-                dependencies: arrival.rest.after,
+                division: admitted.div,
+                zone: admitted.rest.zone,
+                zone_caps: admitted.rest.caps,
+                dependencies: admitted.rest.after,
                 ..new
             };
             self.insert_open(job, open);
@@ -221,32 +227,32 @@
     }
 
     pub(super) fn drop_admission_page(&mut self, page: u64) {
-        let gone = self.admission_log.pages.remove(page);
-        self.drop_unnamed(&gone);
+        let unlisted = self.admission_log.pages.remove(page);
+        self.drop_unlisted(&unlisted);
     }
 
-    /// Of jobs that no page names any more, drops those that nothing else is stored of.
-    fn drop_unnamed(&mut self, gone: &[u64]) {
-        for &job in gone {
+    /// Drops those of the given jobs, which no page lists any more, that have no other record.
+    fn drop_unlisted(&mut self, unlisted: &[u64]) {
+        for &job in unlisted {
             if self.in_page(job) {
                 self.drop_job(job);
             }
         }
     }
 
-    /// A page with what still depends on it; none if it is not ours to write anew.
+    /// Returns a draft of a page with the jobs that are stored only there; none if the page may not
+    /// be rewritten or the jobs do not fit.
     pub(super) fn draft(&self, page: u64, config: &Config) -> Option<PageDraft> {
-        let known = self.admission_log.writable(page)?;
+        let existing = self.admission_log.writable(page)?;
         let mut draft = PageDraft::new(config);
-        // What has a record of its own need not be named any longer.
-        let mut here = known.jobs.iter().filter(|job| self.in_page(**job));
-        let fits = here.all(|&job| draft.push(job, &self.open[&job]));
+        // Jobs with another record need not be listed any longer.
+        let mut remaining = existing.jobs.iter().filter(|job| self.in_page(**job));
+        let fits = remaining.all(|&job| draft.push(job, &self.open[&job]));
         fits.then_some(draft)
     }
 
-    /// Adds to a transaction what adds new jobs, as many of these as fit into one
-    /// page; says how many. They must not be known to this mirror, nor twice among
-    /// them.
+    /// Adds as many of the new jobs as fit on one page to a transaction, and returns their number.
+    /// The jobs must be distinct, and this mirror must not hold any of them.
     pub fn add_jobs<'a>(
         &self,
         commit: &mut Commit,
@@ -259,7 +265,7 @@
         let (mut page, mut draft) = drafted.unwrap_or_else(|| (next, PageDraft::new(config)));
         let mut added = 0;
         for (job, open) in jobs {
-            let conditions = commit.when.len() + JOB_CONDITIONS;
+            let conditions = commit.when.len() + JOB_AND_PAGE_CONDITIONS;
             if self.format.jobs < BUCKETS && conditions > config.max_conditions() {
                 break;
             }
@@ -267,7 +273,7 @@
                 if added > 0 || draft.is_empty() {
                     break;
                 }
-                // The last page is full: a new one.
+                // The last page is full, so a new one is started.
                 (page, draft) = (next, PageDraft::new(config));
                 if !draft.push(job, open) {
                     break;
@@ -285,7 +291,8 @@
         added
     }
 
-    /// Adds the conditions that no job has come by a page that is not known here.
+    /// Adds the conditions that no job has been added to a page since this mirror was updated: the
+    /// last page is unchanged, and there is none after it.
     pub(crate) fn require_pages(&self, commit: &mut Commit) {
         let last = self.admission_log.last_page();
         if let Some(last) = last {
@@ -294,8 +301,8 @@
         self.require(commit, Key::AdmissionPage(last.map_or(0, |page| page + 1)));
     }
 
-    /// Adds to a transaction what writes a page anew with these jobs changed; false if
-    /// it has no room for that.
+    /// Adds the rewrite of a page with the given jobs changed to a transaction; returns false, and
+    /// adds nothing, if the page may not be rewritten or has no space for the changes.
     pub(crate) fn rewrite_page(
         &self,
         commit: &mut Commit,
@@ -303,11 +310,11 @@
         changed: &[(u64, OpenJob)],
         config: &Config,
     ) -> bool {
-        let Some(known) = self.admission_log.writable(page) else {
+        let Some(existing) = self.admission_log.writable(page) else {
             return false;
         };
         let mut draft = PageDraft::new(config);
-        for &job in &known.jobs {
+        for &job in &existing.jobs {
             let new = changed.iter().find(|(changed_job, _)| *changed_job == job);
             let old = self.open.get(&job).filter(|_| self.in_page(job));
             if let Some(open) = new.map(|(_, open)| open).or(old)
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -1,5 +1,5 @@
-//! Tasks in the mirror: what pages of assignments say, by page, by job and by machine, and
-//! what is left to be started.
+//! Tasks in the mirror: assignments by page, by job and by machine, and the tasks that are still to
+//! be started.
 
 use super::Mirror;
 use crate::needs::Needs;
@@ -9,26 +9,29 @@
 use cherryyard_wire::state::Commit;
 use std::collections::{BTreeMap, HashMap};
 
-/// Assignments and what follows from them. Only the mirror writes it.
+/// Assignments of tasks, and the state derived from them. Written only by the mirror.
 #[derive(Clone, Debug)]
 pub struct TaskTable {
-    /// Pages of assignments, by shard. New assignments go into a shard's last page or the one
-    /// after it, so these two tell whether any have been made.
+    /// Pages of assignments, by shard. New assignments are written to a shard's last page or to the
+    /// page after it, so the revisions of these two show whether any have been made.
     pub pages: Vec<BTreeMap<u32, Page>>,
-    /// What the pages say, by shard and job.
+    /// Assignments and completed tasks on all pages, by shard and job.
     pub assignments: BTreeMap<(usize, u64), JobAssignments>,
-    /// Numbers that are neither done nor assigned, by shard and job; none empty.
+    /// Numbers of the tasks that are neither completed nor assigned, by shard and job; empty sets
+    /// are left out.
     pub waiting: Vec<BTreeMap<u64, RangeSet>>,
-    /// Shards and jobs of which what waits has changed since the last look.
+    /// Shards and jobs whose waiting tasks have changed since the last call of
+    /// `take_waiting_changes`.
     waiting_changes: Vec<(usize, u64)>,
-    /// By machine's index: each cycle and heartbeat looks here for many machines.
+    /// Assignments by machine index, then job and task number. Kept as an index, since each
+    /// cycle and each heartbeat look up many machines.
     by_machine: Vec<BTreeMap<(u64, u32), Assignment>>,
-    /// How many tasks are done, by job; none 0.
+    /// Number of completed tasks by job; zeros are left out.
     done_counts: HashMap<u64, u32>,
 }
 
 impl TaskTable {
-    /// An empty one for so many shards.
+    /// Returns an empty table for the given number of shards.
     pub(super) fn new(shards: usize) -> Self {
         Self {
             pages: vec![BTreeMap::new(); shards],
@@ -44,14 +47,14 @@
         self.pages.len()
     }
 
-    /// The revision of a page's key, 0 if there is no such page.
+    /// Returns the revision of a page's key, 0 if there is no such page.
     pub(super) fn page_revision(&self, shard: usize, page: u32) -> u64 {
         let pages = self.pages.get(shard);
         let page = pages.and_then(|pages| pages.get(&page));
         page.map_or(0, |page| page.revision)
     }
 
-    /// Replaces a page; gives back the jobs of which it says something else now.
+    /// Replaces or removes a page; returns the jobs whose entries have changed.
     fn set_page(&mut self, shard: usize, page: u32, new: Option<Page>) -> Vec<u64> {
         let Some(pages) = self.pages.get_mut(shard) else {
             return Vec::new();
@@ -61,7 +64,7 @@
         let differing = new
             .jobs
             .iter()
-            .filter(|(job, now)| old.jobs.get(job) != Some(*now));
+            .filter(|(job, current)| old.jobs.get(job) != Some(*current));
         let mut changed: Vec<u64> = differing.map(|(&job, _)| job).collect();
         changed.extend(old.jobs.keys().filter(|job| !new.jobs.contains_key(job)));
         if new.revision != 0 {
@@ -70,13 +73,14 @@
         changed
     }
 
-    /// Sums up anew what the shard's pages say of a job.
+    /// Recomputes a job's assignments and completed tasks from all pages of a shard.
     fn refresh_assignments(&mut self, shard: usize, job: u64) {
         let new = self.sum_pages(shard, job);
         let old = self.assignments.remove(&(shard, job)).unwrap_or_default();
         self.index_by_machine(job, &old, &new);
         if new.done.len() != old.done.len() {
-            // What is left of the job decides its place, in all shards.
+            // The order of a job's waiting tasks depends on how much work it has left, in every
+            // shard.
             self.note_waiting_change(job);
         }
         let total = self.done_counts.entry(job).or_default();
@@ -94,7 +98,8 @@
         for (&page, record) in &self.pages[shard] {
             if let Some(page_job) = record.jobs.get(&job) {
                 let assignments = page_job.assignments.iter();
-                let with_page = assignments.map(|(&number, &one)| (number, (one, page)));
+                let with_page =
+                    assignments.map(|(&number, &assignment)| (number, (assignment, page)));
                 sum.assignments.extend(with_page);
                 sum.done = sum.done.union(&page_job.done);
             }
@@ -102,19 +107,19 @@
         sum
     }
 
-    /// Takes over the difference between two sums of a job into the index by machine.
+    /// Updates the index by machine with the difference between a job's old and new assignments.
     fn index_by_machine(&mut self, job: u64, old: &JobAssignments, new: &JobAssignments) {
         for (&number, (assignment, _)) in &old.assignments {
-            let now = new.assignments.get(&number);
-            if now.is_none_or(|(now, _)| now != assignment)
+            let current = new.assignments.get(&number);
+            if current.is_none_or(|(current, _)| current != assignment)
                 && let Some(tasks) = self.by_machine.get_mut(assignment.host as usize)
             {
                 tasks.remove(&(job, number));
             }
         }
         for (&number, &(assignment, _)) in &new.assignments {
-            let before = old.assignments.get(&number);
-            if before.is_none_or(|(before, _)| *before != assignment) {
+            let previous = old.assignments.get(&number);
+            if previous.is_none_or(|(previous, _)| *previous != assignment) {
                 let machine = assignment.host as usize;
                 if self.by_machine.len() <= machine {
                     self.by_machine.resize_with(machine + 1, BTreeMap::new);
@@ -124,29 +129,30 @@
         }
     }
 
-    /// Works out anew which of a job's numbers in a shard are neither done nor assigned.
+    /// Recomputes which of a job's tasks in a shard are neither completed nor assigned; `share` is
+    /// the shard's part of the job's division.
     pub(super) fn refresh_waiting(&mut self, shard: usize, job: u64, share: Option<&RangeSet>) {
-        let left = match (share, self.assignments.get(&(shard, job))) {
+        let unassigned = match (share, self.assignments.get(&(shard, job))) {
             (None, _) => RangeSet::new(),
             (Some(share), None) => share.clone(),
-            (Some(share), Some(here)) => {
-                let assigned: RangeSet = here.assignments.keys().copied().collect();
-                share.minus(&here.done).minus(&assigned)
+            (Some(share), Some(job_assignments)) => {
+                let assigned: RangeSet = job_assignments.assignments.keys().copied().collect();
+                share.minus(&job_assignments.done).minus(&assigned)
             }
         };
-        let waits = !left.is_empty();
-        let waited = if waits {
-            self.waiting[shard].insert(job, left).is_some()
+        let is_waiting = !unassigned.is_empty();
+        let was_waiting = if is_waiting {
+            self.waiting[shard].insert(job, unassigned).is_some()
         } else {
             self.waiting[shard].remove(&job).is_some()
         };
-        if waited || waits {
+        if was_waiting || is_waiting {
             self.waiting_changes.push((shard, job));
         }
     }
 
-    /// Notes that something about a job has changed that decides its place among what
-    /// waits, wherever some of it waits.
+    /// Records a change that may move a job to another position among the waiting jobs, for every
+    /// shard in which tasks of the job wait.
     pub(super) fn note_waiting_change(&mut self, job: u64) {
         for shard in 0..self.shard_count() {
             if self.waiting[shard].contains_key(&job) {
@@ -155,8 +161,8 @@
         }
     }
 
-    /// Whether pages of any shard name the job.
-    pub(super) fn names(&self, job: u64) -> bool {
+    /// Returns whether a page of any shard lists the job.
+    pub(super) fn has_job(&self, job: u64) -> bool {
         (0..self.shard_count()).any(|shard| self.assignments.contains_key(&(shard, job)))
     }
 
@@ -166,7 +172,7 @@
 }
 
 impl Mirror {
-    /// Replaces a page of assignments.
+    /// Replaces or removes a page of assignments, and updates the state derived from it.
     pub(super) fn set_page(&mut self, shard: usize, page: u32, new: Option<Page>) {
         for job in self.tasks.set_page(shard, page, new) {
             self.tasks.refresh_assignments(shard, job);
@@ -175,14 +181,15 @@
         }
     }
 
-    /// After a change of a job's division or of its assignments in a shard.
+    /// Recomputes a job's waiting tasks in a shard, after a change of its division or of its
+    /// assignments there.
     pub(super) fn refresh_waiting(&mut self, shard: usize, job: u64) {
         let open = self.open.get(&job);
         let share = open.and_then(|open| open.division.get(shard));
         self.tasks.refresh_waiting(shard, job, share);
     }
 
-    /// How pages are stored: packed once every controller can read that.
+    /// Returns the format for storing pages: packed as soon as every controller can read it.
     pub(crate) fn page_format(&self) -> PageFormat {
         if self.takes_dependencies() {
             PageFormat::Packed
@@ -191,17 +198,19 @@
         }
     }
 
-    /// The shard's last page, and the one after it: new assignments go nowhere else.
+    /// Returns the number of the shard's last page. New assignments are written only to this page
+    /// or to the one after it.
     pub fn last_page(&self, shard: usize) -> Option<u32> {
         let pages = self.tasks.pages.get(shard)?;
         pages.last_key_value().map(|(&page, _)| page)
     }
 
-    /// Adds the conditions that the shard has got no assignment that is not known here.
+    /// Adds the conditions that the shard has no assignment that this mirror does not hold: its
+    /// last page is unchanged, and there is none after it.
     ///
-    /// Page 0 is never deleted once it is there, and a new page is made by a transaction
-    /// that writes the last one anew: so that "absent" never holds again for one that is
-    /// carried out late.
+    /// A transaction may be applied late, and a page that it requires to be absent must not be
+    /// absent again by then. Therefore page 0 is never deleted once it exists, and the transaction
+    /// that creates a new page also rewrites the last one.
     pub(crate) fn require_last_page(&self, commit: &mut Commit, shard: usize) {
         let last = self.last_page(shard);
         let next = last.map_or(0, |page| page + 1);
@@ -210,63 +219,66 @@
         }
     }
 
-    /// The shard that an assignment on a machine belongs to.
+    /// Returns the shard that the first assignment on a machine belongs to, if there is one.
     pub fn shard_of_assignment(&self, host: u32) -> Option<usize> {
         let (job, number) = *self.tasks.machine_tasks(host)?.keys().next()?;
         (0..self.shards.len()).find(|&shard| {
-            let here = self.tasks.assignments.get(&(shard, job));
-            here.and_then(|here| here.assignments.get(&number))
+            let job_assignments = self.tasks.assignments.get(&(shard, job));
+            job_assignments
+                .and_then(|job_assignments| job_assignments.assignments.get(&number))
                 .is_some_and(|(assignment, _)| assignment.host == host)
         })
     }
 
-    /// The assignments on a machine, by job and number.
+    /// Returns the assignments on a machine, by job and task number.
     pub fn on_host(&self, host: u32) -> impl Iterator<Item = ((u64, u32), Assignment)> + '_ {
         let tasks = self.tasks.machine_tasks(host).into_iter().flatten();
         tasks.map(|(&task, &assignment)| (task, assignment))
     }
 
-    /// The assignment of a task on a machine.
+    /// Returns the assignment of a task on a machine, if it is assigned there.
     pub fn assignment_on(&self, host: u32, task: (u64, u32)) -> Option<Assignment> {
         self.tasks.machine_tasks(host)?.get(&task).copied()
     }
 
-    /// The machines that carry assignments.
+    /// Returns the machines that have assignments.
     pub fn assigned_hosts(&self) -> impl Iterator<Item = u32> + '_ {
         let machines = self.tasks.by_machine.iter().enumerate();
         let assigned = machines.filter(|(_, tasks)| !tasks.is_empty());
         assigned.map(|(host, _)| host as u32)
     }
 
-    /// A shard's numbers of a job that are neither done nor assigned, if there are any.
+    /// Returns the numbers of a job's tasks in a shard that are neither completed nor assigned, if
+    /// there are any.
     pub fn waiting(&self, shard: usize, job: u64) -> Option<&RangeSet> {
         self.tasks.waiting.get(shard)?.get(&job)
     }
 
-    /// Shards and jobs of which what waits has changed since the last call.
+    /// Returns the shards and jobs whose waiting tasks have changed since the last call.
     pub fn take_waiting_changes(&mut self) -> Vec<(usize, u64)> {
         std::mem::take(&mut self.tasks.waiting_changes)
     }
 
-    /// How many of a job's tasks are done.
+    /// Returns the number of a job's completed tasks.
     pub fn done(&self, job: u64) -> u32 {
         self.tasks.done_counts.get(&job).copied().unwrap_or(0)
     }
 
-    /// How many tasks of a job are assigned, in all shards.
+    /// Returns the number of a job's assigned tasks in all shards.
     pub fn assigned(&self, job: u64) -> u32 {
         (0..self.shards.len())
             .filter_map(|shard| self.tasks.assignments.get(&(shard, job)))
-            .map(|here| here.assignments.len() as u32)
+            .map(|job_assignments| job_assignments.assignments.len() as u32)
             .sum()
     }
 
-    /// What each team uses in `shard`: from assignment to proven gone.
+    /// Returns the resources that each team uses in `shard`. A task counts from its assignment
+    /// until it is proven to be gone.
     pub fn usage(&self, shard: usize) -> Vec<Needs> {
         let mut used = vec![Needs::default(); self.teams.len()];
         let in_shard = (shard, 0)..=(shard, u64::MAX);
-        for (&(_, job), here) in self.tasks.assignments.range(in_shard) {
-            let count = here.assignments.len();
+        for (&(_, job), job_assignments) in self.tasks.assignments.range(in_shard) {
+            let count = job_assignments.assignments.len();
             if count == 0 {
                 continue;
             }
--- a/crates/cherryyard-core/src/mirror/bucket_division.rs
+++ b/crates/cherryyard-core/src/mirror/bucket_division.rs
@@ -1,38 +1,40 @@
-//! How the jobs of a bucket are divided once they take too many bytes for one.
+//! Division of a bucket into several buckets when its jobs take too many bytes.
 
 use cherryyard_wire::record::{BucketRecord, End, JobRecord, TaskUsage, job_hash};
 use cherryyard_wire::state::Json;
 use std::collections::BTreeMap;
 
-/// Bytes beyond which a bucket is divided; a single job's may be larger.
+/// Size in bytes beyond which a bucket is divided; a bucket with a single job may be larger.
 const MAX_BUCKET_BYTES: usize = 2048;
-/// Bytes that a bucket's record takes beside its jobs.
-const FRAME_BYTES: usize = 30;
-/// Most bytes that an open job takes beside its record, an end, and an end with what its
-/// tasks take beside the team's name.
-const OPEN_FRAME_BYTES: usize = 25;
-const END_BYTES: usize = 60;
-const END_WITH_DEMAND_BYTES: usize = 160;
+/// Bytes that the record of a bucket takes besides its jobs.
+const BUCKET_OVERHEAD_BYTES: usize = 30;
+/// Maximum number of bytes that an open job takes besides its record.
+const OPEN_JOB_OVERHEAD_BYTES: usize = 25;
+/// Maximum number of bytes that an ended job takes without the demand of its tasks.
+const ENDED_JOB_BYTES: usize = 60;
+/// Maximum number of bytes that an ended job takes with the demand of its tasks, besides the name
+/// of the team.
+const ENDED_JOB_WITH_DEMAND_BYTES: usize = 160;
 
-/// One job in a bucket to be written.
+/// Job in a bucket that is to be written.
 pub(super) enum BucketItem {
-    /// It is not over.
+    /// Record of a job that has not ended.
     Open(JobRecord),
-    /// It is over.
+    /// Job that has ended.
     Ended {
-        /// How.
+        /// How the job ended.
         end: End,
-        /// How many tasks it had.
+        /// Number of the job's tasks.
         task_count: u32,
-        /// Its generation in the history.
+        /// Generation of the history that the end belongs to.
         generation: u64,
-        /// What its tasks take, while some may still be on machines.
+        /// Resources that each task takes, while some tasks may still be on machines.
         demand: Option<TaskUsage>,
     },
 }
 
 impl BucketItem {
-    /// A job by its record; an end gets this generation.
+    /// Converts a job's record; an end gets the given generation.
     pub fn of(record: JobRecord, generation: u64) -> Self {
         match record {
             JobRecord::Ended {
@@ -50,15 +52,15 @@
         }
     }
 
-    /// About how many bytes it takes, never too few.
+    /// Returns an upper estimate of the bytes that the job takes in its bucket.
     fn bytes(&self) -> usize {
         match self {
-            Self::Open(open) => Json::of(open).text().len() + OPEN_FRAME_BYTES,
-            Self::Ended { demand: None, .. } => END_BYTES,
+            Self::Open(open) => Json::of(open).text().len() + OPEN_JOB_OVERHEAD_BYTES,
+            Self::Ended { demand: None, .. } => ENDED_JOB_BYTES,
             Self::Ended {
                 demand: Some(demand),
                 ..
-            } => END_WITH_DEMAND_BYTES + demand.team.len(),
+            } => ENDED_JOB_WITH_DEMAND_BYTES + demand.team.len(),
         }
     }
 
@@ -78,7 +80,7 @@
     }
 }
 
-/// One job on its way into a bucket.
+/// Job that is to be written to a bucket, with its hash and size.
 struct SizedItem {
     hash: u64,
     job: u64,
@@ -86,9 +88,10 @@
     item: BucketItem,
 }
 
-/// Divides the jobs of the bucket that starts at `start`, in the order of their hashes, into
-/// as few buckets as keep below the bounds; the first keeps its key. New ones come before
-/// the one that is divided, so that a reader finds its jobs in one or the other.
+/// Divides the jobs of the bucket whose first hash is `start`, in the order of their hashes, into
+/// as few buckets as repeated splitting takes to keep within the size limits. The first bucket
+/// keeps its key. That bucket comes last in the result, after the new buckets, so that a mirror
+/// that applies the changes in order always finds each job in at least one bucket.
 pub(super) fn divide(
     start: u64,
     items: BTreeMap<u64, BucketItem>,
@@ -102,15 +105,16 @@
     });
     let mut sorted: Vec<SizedItem> = sized.collect();
     sorted.sort_by_key(|item| (item.hash, item.job));
-    let max_bytes = MAX_BUCKET_BYTES.min(value_bytes.saturating_sub(FRAME_BYTES));
+    let max_bytes = MAX_BUCKET_BYTES.min(value_bytes.saturating_sub(BUCKET_OVERHEAD_BYTES));
     let mut buckets = Vec::new();
-    halve(start, sorted, max_bytes, &mut buckets);
+    split_until_fits(start, sorted, max_bytes, &mut buckets);
     buckets.reverse();
     buckets
 }
 
-/// Halves a run of jobs, by bytes, until each piece is small enough.
-fn halve(
+/// Splits a run of jobs into halves of similar size in bytes until each bucket is small enough, and
+/// appends the buckets in the order of their hashes.
+fn split_until_fits(
     start: u64,
     mut run: Vec<SizedItem>,
     max_bytes: usize,
@@ -122,8 +126,8 @@
     {
         let right = run.split_off(split);
         let right_start = right[0].hash;
-        halve(start, run, max_bytes, buckets);
-        halve(right_start, right, max_bytes, buckets);
+        split_until_fits(start, run, max_bytes, buckets);
+        split_until_fits(right_start, right, max_bytes, buckets);
         return;
     }
     let mut record = BucketRecord::default();
@@ -133,17 +137,17 @@
     buckets.push((start, record));
 }
 
-/// Where to split a run so that the larger half is as small as possible; none if all have
-/// the same hash, since of two such jobs neither can begin a bucket of its own.
+/// Returns the index at which to split a run so that the larger half is as small as possible; none
+/// if all jobs have the same hash, since a bucket boundary cannot separate such jobs.
 fn best_split(run: &[SizedItem], total: usize) -> Option<usize> {
     let mut best: Option<(usize, usize)> = None;
-    let mut left = 0;
+    let mut left_bytes = 0;
     for split in 1..run.len() {
-        left += run[split - 1].bytes;
-        let larger = left.max(total - left);
-        let is_border = run[split - 1].hash != run[split].hash;
-        if is_border && best.is_none_or(|(_, smallest)| larger < smallest) {
-            best = Some((split, larger));
+        left_bytes += run[split - 1].bytes;
+        let larger_bytes = left_bytes.max(total - left_bytes);
+        let hashes_differ = run[split - 1].hash != run[split].hash;
+        if hashes_differ && best.is_none_or(|(_, smallest_bytes)| larger_bytes < smallest_bytes) {
+            best = Some((split, larger_bytes));
         }
     }
     best.map(|(split, _)| split)
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -1,11 +1,12 @@
-//! Buckets: many jobs' records under one key, and the transactions that change them.
+//! Buckets, which hold the records of many jobs under one key, and the transactions that change
+//! them.
 //!
-//! With a key for each job, every job that is over costs a deletion, or stays for
-//! ever. In a bucket its end takes the place of its record, and goes with a later
-//! write of the bucket once it is in the history. Buckets divide all hashes of ids
-//! among them, each from its own key's up to the next one's; a transaction that
-//! adds a job depends on its bucket's revision, so no job comes twice, and a bucket
-//! that has been divided or joined meanwhile takes nothing.
+//! With a key for each job, every ended job would cost a deletion or would stay in the store for
+//! ever. In a bucket, the end of a job replaces its record, and a later write of the bucket leaves
+//! it out once it is in the history. Buckets divide the range of all hashes of job numbers: each
+//! holds the hashes from the one in its key up to that of the next bucket. A transaction that adds
+//! a job depends on the revision of its bucket, so no job is added twice, and the transaction fails
+//! if the bucket has been divided or joined in the meantime.
 
 use super::Mirror;
 use super::bucket_division::{BucketItem, divide};
@@ -19,15 +20,15 @@
 use cherryyard_wire::state::{Apply, Commit, Json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most buckets that the format begins with.
-const MAX_FIRST_BUCKETS: usize = 16;
+/// Maximum number of buckets that are created when the format of buckets is introduced.
+const MAX_INITIAL_BUCKETS: usize = 16;
 
-/// A bucket as the mirror knows it.
+/// Bucket as the mirror holds it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bucket {
-    /// Revision of its key.
+    /// Revision of the bucket's key.
     revision: u64,
-    /// Its jobs, open and over.
+    /// Numbers of the bucket's open and ended jobs.
     jobs: BTreeSet<u64>,
 }
 
@@ -37,40 +38,41 @@
     }
 }
 
-/// Which job stands in which bucket; a bucket's number is the hash at which it starts.
+/// Buckets by number, with an index by job; the number of a bucket is its first hash.
 pub(super) type BucketIndex = JobContainers<Bucket>;
 
 impl BucketIndex {
-    /// Whether the job stands in a bucket.
+    /// Returns whether the job is stored in a bucket.
     pub fn holds(&self, job: u64) -> bool {
         self.number_of(job).is_some()
     }
 
-    /// The revision of a bucket's key, 0 if there is no such bucket.
+    /// Returns the revision of a bucket's key, 0 if there is no such bucket.
     pub fn revision(&self, start: u64) -> u64 {
         self.get(start).map_or(0, |bucket| bucket.revision)
     }
 
-    /// The start of the bucket that a job of this hash belongs to.
+    /// Returns the first hash of the bucket that covers the given hash.
     fn start_covering(&self, hash: u64) -> Option<u64> {
-        let mut below = self.all().range(..=hash);
-        below.next_back().map(|(&start, _)| start)
+        let mut at_or_below = self.all().range(..=hash);
+        at_or_below.next_back().map(|(&start, _)| start)
     }
 }
 
-/// Records to be written, by where they go.
+/// Records of jobs to be written, by the kind of key.
 #[derive(Default)]
 struct WritePlan {
-    /// Under keys of their own.
-    own: Vec<(u64, Json)>,
-    /// By the start of their bucket.
+    /// Job numbers and values of records under the jobs' own keys.
+    own_records: Vec<(u64, Json)>,
+    /// Jobs in buckets, by the first hash of the bucket, then job number.
     buckets: BTreeMap<u64, BTreeMap<u64, BucketItem>>,
-    /// Whether ends with a generation are among them.
+    /// Whether any of the records is an end with a generation of the history.
     has_ends: bool,
 }
 
 impl Mirror {
-    /// The key of the record that a job stands in, or would stand in.
+    /// Returns the key of the record that contains a job or would contain it: its own key or that
+    /// of a bucket.
     pub(crate) fn home(&self, job: u64) -> Key {
         if self.format.jobs < BUCKETS || self.has_own_record(job) {
             return Key::Job(job);
@@ -85,7 +87,7 @@
                 || self.ended.contains(job))
     }
 
-    /// How many buckets there are.
+    /// Returns the number of buckets.
     pub fn bucket_count(&self) -> usize {
         self.buckets.all().len()
     }
@@ -129,11 +131,12 @@
         }
     }
 
-    /// Whether a job that is over may leave its bucket: it is in the history, no page
-    /// names it, so nothing asks what its tasks take, and no open job waits for its end.
-    /// Jobs that wait depend on the history's record as it was when its end was not in
-    /// there, so they are known once all up to that record has been read.
-    fn may_leave(&self, job: u64) -> bool {
+    /// Returns whether an ended job may be left out of its bucket: its end is in the history, no
+    /// page lists it (so the demand of its tasks is no longer needed), and no open job depends on
+    /// it. Transactions that add dependents require the record of the history to be unchanged
+    /// since before it covered the end, so the mirror holds all dependents once it has read up to
+    /// the current record.
+    fn can_remove_ended(&self, job: u64) -> bool {
         if self.store_revision < self.packed_revision || self.has_dependents(job) {
             return false;
         }
@@ -143,13 +146,13 @@
             && !self.named_in_pages(job)
     }
 
-    /// A job of a bucket as it is known, to write it anew.
-    fn known_item(&self, job: u64) -> Option<BucketItem> {
+    /// Returns a job of a bucket as the mirror holds it, for rewriting the bucket.
+    fn current_item(&self, job: u64) -> Option<BucketItem> {
         if let Some(open) = self.open.get(&job) {
             return Some(BucketItem::Open(open.record()));
         }
         let ended = self.ended.get(job)?;
-        // What its tasks take matters while a page may name it.
+        // The demand of the job's tasks is needed only while a page lists the job.
         let demand = self.ended.demand(job);
         let demand = demand.filter(|_| self.named_in_pages(job));
         Some(BucketItem::Ended {
@@ -163,7 +166,7 @@
     fn demand_record(&self, demand: TaskDemand) -> TaskUsage {
         let team = match demand.team {
             u32::MAX => String::new(),
-            known => self.teams.name(known).to_string(),
+            team => self.teams.name(team).to_string(),
         };
         TaskUsage {
             team,
@@ -173,11 +176,11 @@
         }
     }
 
-    /// Adds to a transaction what adds a new job, with the condition that it is
-    /// absent. False, and nothing added, if this mirror knows it already: to write it
-    /// anew, as one that is known, would divide again what may run (so it once did),
-    /// or if it cannot be written. So jobs came before there were pages of admissions:
-    /// it depends on their not having begun.
+    /// Adds the creation of a job to a transaction, with the condition that the job is absent.
+    /// Returns false, and adds nothing, if the admission log is in use, if this mirror already
+    /// holds the job, or if the record cannot be written. Rewriting an existing job as a new one
+    /// would divide tasks again that may be running, a fault that has occurred. The
+    /// transaction depends on the admission log not having been introduced in the meantime.
     pub fn add_job(
         &self,
         commit: &mut Commit,
@@ -194,9 +197,9 @@
         added
     }
 
-    /// Adds to a transaction what writes these jobs' records, with the conditions
-    /// that they are as this mirror knows them. False, and nothing added, if a value
-    /// would be too large or the transaction would have too many changes.
+    /// Adds the writes of the given records of jobs to a transaction, with the conditions that the
+    /// jobs are as this mirror holds them. Returns false, and adds nothing, if a bucket is not in
+    /// the mirror, a value would be too large, or the transaction would have too many changes.
     pub fn write_jobs(
         &self,
         commit: &mut Commit,
@@ -204,12 +207,12 @@
         config: &Config,
     ) -> bool {
         let WritePlan {
-            own,
+            own_records,
             buckets,
             has_ends,
         } = self.plan_write(records);
         let mut puts: Vec<Apply> = Vec::new();
-        for (job, value) in &own {
+        for (job, value) in &own_records {
             if value.text().len() > config.value_bytes {
                 return false;
             }
@@ -225,16 +228,16 @@
         if commit.apply.len() + puts.len() > config.txn_ops {
             return false;
         }
-        for (job, _) in own {
+        for (job, _) in own_records {
             self.require(commit, Key::Job(job));
-            // A job that is added by its own key must not come after the others
-            // have begun to add jobs to buckets.
+            // A job must not be added under its own key after other controllers have begun
+            // to add jobs to buckets.
             if self.revision(Key::Job(job)) == 0 {
                 self.require(commit, Key::Format);
             }
         }
         if has_ends {
-            // So that a generation, once closed, gets no further ends.
+            // No end may be added to a generation after it has been closed.
             self.require(commit, Key::Packed);
         }
         for start in starts {
@@ -261,15 +264,15 @@
                     let items = plan.buckets.entry(start).or_default();
                     items.insert(job, BucketItem::of(record, generation));
                 }
-                _ => plan.own.push((job, Json::of(&record))),
+                _ => plan.own_records.push((job, Json::of(&record))),
             }
         }
         plan
     }
 
-    /// What writes a bucket with these jobs changed, divided if it has to be; none if the
-    /// bucket is not known, since it has not been read yet or made yet, or if a value would
-    /// be too large.
+    /// Returns the changes that write a bucket with the given jobs changed, divided if it has
+    /// become too large; none if the mirror does not hold the bucket, which may not have been read
+    /// or created yet, or if a value would be too large.
     fn bucket_puts(
         &self,
         start: u64,
@@ -279,8 +282,8 @@
         let bucket = self.buckets.get(start)?;
         for &job in &bucket.jobs {
             if !items.contains_key(&job)
-                && !self.may_leave(job)
-                && let Some(item) = self.known_item(job)
+                && !self.can_remove_ended(job)
+                && let Some(item) = self.current_item(job)
             {
                 items.insert(job, item);
             }
@@ -296,8 +299,9 @@
         Some(puts)
     }
 
-    /// The transaction that begins the format of buckets, as many at once as it may
-    /// have; whoever adds a job by its own key depends on its not having been made.
+    /// Returns the transaction that introduces the format of buckets and creates as many empty
+    /// buckets as it may have changes, up to a maximum. It changes the record of the formats, which
+    /// transactions that add a job under its own key require to be unchanged.
     pub(crate) fn begin_buckets(&self, txn_ops: usize) -> Commit {
         let mut commit = Commit::default();
         self.require(&mut commit, Key::Format);
@@ -307,7 +311,7 @@
             dependencies: self.format.dependencies,
         };
         commit.apply.push(Apply::set(record::FORMAT, &format));
-        let count = txn_ops.saturating_sub(1).clamp(1, MAX_FIRST_BUCKETS) as u64;
+        let count = txn_ops.saturating_sub(1).clamp(1, MAX_INITIAL_BUCKETS) as u64;
         let width = (u64::MAX / count).saturating_add(1);
         for i in 0..count {
             let start = width * i;
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -1,36 +1,36 @@
-//! How changes of the store come into the mirror: full reads, watch events, and our own
-//! answered transactions, in any order between these.
+//! Applies changes of the store to the mirror: from full reads, from watches and barriers, and from
+//! this controller's own committed transactions, in any order relative to each other.
 //!
-//! Each key keeps the change with the highest revision. For a deleted key that needs a
-//! tombstone until the watch has passed the deletion, since an earlier put of the key may
-//! still be on its way.
+//! For each key, the change with the highest revision counts. For a deleted key, this takes a
+//! tombstone until the watch has passed the deletion, since an earlier put of the key may still
+//! be reported.
 
 use super::{Mirror, RecordError};
 use cherryyard_wire::record::Key;
 use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchResponse};
 use std::collections::{HashMap, HashSet};
 
-/// What is remembered of keys beside their values.
+/// State of keys besides their values: tombstones, and keys of the full read in progress.
 #[derive(Clone, Debug, Default)]
-pub(super) struct SeenKeys {
-    /// Revisions of deletions that the watch has not reported yet.
+pub(super) struct KeyTracking {
+    /// Revisions of deletions that the watch has not reported yet, by key.
     tombstones: HashMap<Key, u64>,
-    /// Keys that a full read under way has shown.
-    loading: HashSet<Key>,
+    /// Keys that the full read in progress has returned so far.
+    keys_in_read: HashSet<Key>,
 }
 
-impl SeenKeys {
+impl KeyTracking {
     fn is_deleted_since(&self, key: Key, revision: u64) -> bool {
         let deleted = self.tombstones.get(&key);
         deleted.is_some_and(|&deleted| deleted >= revision)
     }
 
     fn add_tombstone(&mut self, key: Key, revision: u64) {
-        let kept = self.tombstones.entry(key).or_default();
-        *kept = (*kept).max(revision);
+        let newest = self.tombstones.entry(key).or_default();
+        *newest = (*newest).max(revision);
     }
 
-    /// Drops tombstones of deletions that the watch has reported by now.
+    /// Drops the tombstones of deletions up to the given revision, which the watch has reported.
     fn drop_tombstones(&mut self, store_revision: u64) {
         self.tombstones
             .retain(|_, revision| *revision > store_revision);
@@ -38,46 +38,48 @@
 }
 
 impl Mirror {
-    /// Begins a full read.
+    /// Starts a full read.
     pub fn begin_load(&mut self) {
-        self.seen.loading.clear();
+        self.key_tracking.keys_in_read.clear();
     }
 
-    /// Takes one page of a full read. Each key counts as if a watch had reported it; what
-    /// the read lacks, and that nothing is missing, shows at its end.
+    /// Applies one page of a full read, as if a watch had reported each of its keys. Keys that the
+    /// read does not return are removed only at its end.
     pub fn load_some(&mut self, pairs: &[Pair]) {
         for pair in pairs {
-            self.seen.loading.extend(Key::parse(&pair.key));
+            self.key_tracking.keys_in_read.extend(Key::parse(&pair.key));
             self.put(&pair.key, &pair.value, pair.revision);
         }
     }
 
-    /// Ends a full read whose first page described revision `store_revision`.
+    /// Completes a full read whose first page was read at revision `store_revision`.
     pub fn end_load(&mut self, store_revision: u64) {
-        let present = std::mem::take(&mut self.seen.loading);
+        let present = std::mem::take(&mut self.key_tracking.keys_in_read);
         if self.loaded && store_revision < self.store_revision {
             return;
         }
-        // What the read lacks was deleted before it: without this, a job or
-        // assignment deleted while the watch was too old (410) would live on here.
+        // Keys that the read has not returned were deleted before it. If they were kept, a job
+        // or assignment deleted while the watch's revision was too old (status 410) would stay
+        // in the mirror for ever.
         for key in self.keys() {
             if !present.contains(&key) && self.revision(key) <= store_revision {
-                self.forget(key);
+                self.remove_record(key);
             }
         }
         self.store_revision = self.store_revision.max(store_revision);
         if !self.loaded {
-            // Of the jobs that the first read shows to be over, nobody knows since when.
-            self.ended.note_gap();
+            // The first read does not show when its ended jobs ended, so recent cancellations
+            // among them cannot be named.
+            self.ended.note_missed_ends();
         }
         self.loaded = true;
     }
 
-    /// Takes the changes that a watch or a barrier has reported.
+    /// Applies the changes that a watch or a barrier has reported.
     pub fn events(&mut self, events: &WatchResponse) {
         for change in &events.events {
-            // A watch and a barrier may report the same change; what has been
-            // seen is skipped, or an old put could bring back a deleted key.
+            // A watch and a barrier may report the same change. Changes that have been applied
+            // are skipped, since an old put could otherwise restore a deleted key.
             if change.revision <= self.store_revision {
                 continue;
             }
@@ -88,10 +90,11 @@
             }
         }
         self.store_revision = self.store_revision.max(events.store_revision);
-        self.seen.drop_tombstones(self.store_revision);
+        self.key_tracking.drop_tombstones(self.store_revision);
     }
 
-    /// Takes our own transaction, answered with revision `store_revision`.
+    /// Applies this controller's own transaction, which was committed at revision
+    /// `store_revision`.
     pub fn committed(&mut self, commit: &Commit, store_revision: u64) {
         for change in &commit.apply {
             match change {
@@ -103,7 +106,7 @@
 
     fn put(&mut self, text: &str, value: &Json, revision: u64) {
         let Some(key) = Key::parse(text) else { return };
-        if self.revision(key) >= revision || self.seen.is_deleted_since(key, revision) {
+        if self.revision(key) >= revision || self.key_tracking.is_deleted_since(key, revision) {
             return;
         }
         if let Err(problem) = self.put_record(key, value, revision) {
@@ -117,15 +120,15 @@
         if self.revision(key) >= revision {
             return;
         }
-        self.forget(key);
-        // Guards against an older put of this key that the watch has yet to
-        // report: it would bring the deleted value back.
+        self.remove_record(key);
+        // Guards against an older put of this key that the watch has not reported yet and that
+        // would restore the deleted value.
         if revision > self.store_revision {
-            self.seen.add_tombstone(key, revision);
+            self.key_tracking.add_tombstone(key, revision);
         }
     }
 
-    /// The keys of all records that a full read may show to be deleted.
+    /// Returns the keys of all records that a full read may show to have been deleted.
     fn keys(&self) -> Vec<Key> {
         let mut keys = Vec::new();
         keys.extend(self.leader_lease.iter().map(|_| Key::Leader));
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -1,11 +1,11 @@
-//! Jobs that wait for others: which are ready, which are cancelled with what they need,
-//! and what a job inherits from those that need it.
+//! Dependencies between jobs: which jobs are ready, which are cancelled with a job that they depend
+//! on, and which priority and deadline a job inherits from its dependents.
 //!
-//! All of it follows from the stored records and is never stored itself. A job is *ready*
-//! when every job that it needs is done, and it is *cancelled with* one of them as soon
-//! as that one is cancelled, or cancelled with another in turn. Ends are final, so
-//! neither is ever taken back, and controllers that have read different amounts of the
-//! same state differ only in how much they know.
+//! All of this is derived from the stored records and is never stored itself. A job is *ready* when
+//! every job that it depends on is done. A job is *cancelled with* a dependency as soon as that
+//! dependency is cancelled, or is itself cancelled with another job. Ends are final, so neither
+//! state is ever reversed, and controllers that have read up to different revisions never
+//! contradict each other: some only lack changes that others have read.
 
 use super::{Mirror, OpenJob};
 use crate::admission::flows::Flow;
@@ -13,49 +13,50 @@
 use cherryyard_wire::record::{End, JobRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Time that a stage takes beside its tasks' run time, in milliseconds: until its end is
-/// known, the next one is divided and started, and images have been fetched.
+/// Time in milliseconds that a stage takes besides the run time of its tasks: until controllers
+/// have read of its end, the next stage has been divided and started, and images have been fetched.
 const STAGE_OVERHEAD_MS: f64 = 5000.0;
-/// The longest of several tasks takes this much longer than the estimate of one.
-const LONGEST_TASK: f64 = 1.5;
+/// Ratio of the run time of the longest of several tasks to the estimate for one task.
+const LONGEST_TASK_FACTOR: f64 = 1.5;
 
-/// A deadline as it bears on a job: its own, or that of a job that needs it.
+/// Deadline that applies to a job: its own, or that of a direct or indirect dependent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline {
-    /// When it begins to count, in milliseconds of the day's clock.
+    /// Wall-clock time at which the deadline's period starts, in milliseconds.
     pub starts_ms: f64,
-    /// Milliseconds until it is over.
+    /// Length of the deadline's period in milliseconds.
     pub allowed_ms: f64,
-    /// Milliseconds that later stages take, between the job and the one that has it.
+    /// Estimated duration in milliseconds of the later stages: the jobs after this one, up to and
+    /// including the job that was submitted with the deadline.
     pub later_stages_ms: f64,
-    /// The flow of the job that has it.
+    /// Flow of the job that was submitted with the deadline.
     pub flow: Flow,
 }
 
 impl Deadline {
-    /// When the job has to be complete for a multiple of the deadline to be kept, in
-    /// milliseconds of the day's clock.
+    /// Returns the wall-clock time in milliseconds by which the job has to be complete so that a
+    /// multiple of the deadline's period is met.
     pub fn complete_by(&self, multiple: f64) -> f64 {
         self.starts_ms + self.allowed_ms * multiple - self.later_stages_ms
     }
 }
 
-/// What a job has of its own and from the jobs that need it.
+/// Priority and deadline of a job, including those inherited from its dependents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Urgency {
-    /// The highest priority among them.
+    /// Highest priority of the job and its dependents.
     pub rank: Rank,
-    /// The earliest deadline among them.
+    /// Earliest deadline of the job and its dependents.
     pub deadline: Option<Deadline>,
 }
 
 impl Urgency {
-    /// Takes over what is more urgent in a job that needs this one and takes `takes_ms`
-    /// itself.
-    fn inherit(&mut self, dependent: &Self, takes_ms: f64) {
+    /// Inherits the priority and the deadline of a dependent, each if it is more urgent.
+    /// `dependent_duration_ms` is the estimated duration of the dependent.
+    fn inherit(&mut self, dependent: &Self, dependent_duration_ms: f64) {
         self.rank = self.rank.max(dependent.rank);
         let inherited = dependent.deadline.map(|deadline| Deadline {
-            later_stages_ms: deadline.later_stages_ms + takes_ms,
+            later_stages_ms: deadline.later_stages_ms + dependent_duration_ms,
             ..deadline
         });
         let complete_by = |deadline: &Option<Deadline>| {
@@ -67,12 +68,12 @@
     }
 }
 
-/// Which jobs wait for which.
+/// Graph of the dependencies between jobs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DependencyGraph {
-    /// Open jobs by each job that they wait for.
+    /// Open jobs that depend on each job.
     dependents: HashMap<u64, BTreeSet<u64>>,
-    /// Open jobs that are cancelled with a job that they need, and with which.
+    /// Open jobs that are cancelled with a dependency, and the number of that dependency.
     cancelled: BTreeMap<u64, u64>,
 }
 
@@ -82,32 +83,32 @@
         dependents.copied().collect()
     }
 
-    fn link(&mut self, job: u64, needs: &[u64]) {
-        for &need in needs {
-            self.dependents.entry(need).or_default().insert(job);
+    fn link(&mut self, job: u64, dependencies: &[u64]) {
+        for &dependency in dependencies {
+            self.dependents.entry(dependency).or_default().insert(job);
         }
     }
 
-    fn unlink(&mut self, job: u64, needs: &[u64]) {
-        for need in needs {
-            let Some(dependents) = self.dependents.get_mut(need) else {
+    fn unlink(&mut self, job: u64, dependencies: &[u64]) {
+        for dependency in dependencies {
+            let Some(dependents) = self.dependents.get_mut(dependency) else {
                 continue;
             };
             dependents.remove(&job);
             if dependents.is_empty() {
-                self.dependents.remove(need);
+                self.dependents.remove(dependency);
             }
         }
     }
 }
 
 impl OpenJob {
-    /// Estimate of how long the job takes once it is ready, in milliseconds.
-    fn takes_ms(&self) -> f64 {
-        self.spec.expected_s * 1000.0 * LONGEST_TASK + STAGE_OVERHEAD_MS
+    /// Returns the estimated duration of the job from when it is ready, in milliseconds.
+    fn estimated_duration_ms(&self) -> f64 {
+        self.spec.expected_s * 1000.0 * LONGEST_TASK_FACTOR + STAGE_OVERHEAD_MS
     }
 
-    /// What the job has by itself.
+    /// Returns the job's own priority and deadline, without inherited ones.
     pub(super) fn own_urgency(&self) -> Urgency {
         Urgency {
             rank: self.spec.rank,
@@ -122,91 +123,94 @@
 }
 
 impl Mirror {
-    /// Puts an open job into the place of an earlier version of it, if there is one;
-    /// gives that back.
+    /// Inserts an open job, or replaces an earlier version of it; returns the earlier version.
     pub(super) fn insert_open(&mut self, job: u64, open: OpenJob) -> Option<OpenJob> {
-        let needs = open.dependencies.jobs.clone();
-        let before = self.open.insert(job, open);
-        if let Some(before) = &before {
-            self.graph.unlink(job, &before.dependencies.jobs);
+        let dependencies = open.dependencies.jobs.clone();
+        let previous = self.open.insert(job, open);
+        if let Some(previous) = &previous {
+            self.graph.unlink(job, &previous.dependencies.jobs);
         }
-        self.graph.link(job, &needs);
-        self.cancel_with_needs(job);
+        self.graph.link(job, &dependencies);
+        self.cancel_with_dependency(job);
         self.refresh_urgency(job);
         let urgency = self.open.get(&job).map(|open| open.urgency);
-        let is_as_before =
-            |before: &OpenJob| before.dependencies.jobs == needs && Some(before.urgency) == urgency;
-        if !before.as_ref().is_some_and(is_as_before) {
-            // A new job's own urgency is there already, so its refresh tells nobody of it.
-            for need in needs {
-                self.refresh_urgency(need);
+        let is_unchanged = |previous: &OpenJob| {
+            previous.dependencies.jobs == dependencies && Some(previous.urgency) == urgency
+        };
+        if !previous.as_ref().is_some_and(is_unchanged) {
+            // A new job already has its own urgency, so the refresh above finds no change and
+            // does not pass it on to the dependencies.
+            for dependency in dependencies {
+                self.refresh_urgency(dependency);
             }
         }
-        before
+        previous
     }
 
-    /// Takes an open job out; false if it was not there.
+    /// Removes an open job; returns false if there is no such open job.
     pub(super) fn remove_open(&mut self, job: u64) -> bool {
-        let Some(before) = self.open.remove(&job) else {
+        let Some(previous) = self.open.remove(&job) else {
             return false;
         };
-        self.graph.unlink(job, &before.dependencies.jobs);
+        self.graph.unlink(job, &previous.dependencies.jobs);
         self.graph.cancelled.remove(&job);
-        for &need in &before.dependencies.jobs {
-            self.refresh_urgency(need);
+        for &dependency in &previous.dependencies.jobs {
+            self.refresh_urgency(dependency);
         }
         true
     }
 
-    /// After a job's end has become known: jobs that need it may be ready, or are
-    /// cancelled with it.
+    /// Updates the dependents of a job that has ended: they may be ready now, or are cancelled with
+    /// the job.
     pub(super) fn refresh_dependents(&mut self, job: u64) {
         for dependent in self.graph.dependents(job) {
-            self.cancel_with_needs(dependent);
+            self.cancel_with_dependency(dependent);
             self.refresh_job(dependent);
         }
     }
 
-    /// The cancelled job that an open job needs, if there is one.
-    fn cancelled_need(&self, job: u64) -> Option<u64> {
+    /// Returns the cancelled job that an open job depends on, if there is one.
+    fn cancelled_dependency(&self, job: u64) -> Option<u64> {
         let open = self.open.get(&job)?;
-        let is_cancelled = |need: &&u64| {
-            self.end(**need) == Some(End::Cancelled) || self.graph.cancelled.contains_key(*need)
+        let is_cancelled = |dependency: &&u64| {
+            self.end(**dependency) == Some(End::Cancelled)
+                || self.graph.cancelled.contains_key(*dependency)
         };
         let dependencies = &open.dependencies;
-        let cancelled_need = || dependencies.jobs.iter().find(is_cancelled).copied();
-        dependencies.cancelled_by.or_else(cancelled_need)
+        let first_cancelled = || dependencies.jobs.iter().find(is_cancelled).copied();
+        dependencies.cancelled_by.or_else(first_cancelled)
     }
 
-    /// Notes that a job is cancelled with one that it needs, if it is, and with it all
-    /// that need it in turn.
-    fn cancel_with_needs(&mut self, job: u64) {
+    /// Marks a job as cancelled if a job that it depends on is cancelled, and marks all its direct
+    /// and indirect dependents with it.
+    fn cancel_with_dependency(&mut self, job: u64) {
         let mut pending = vec![job];
         while let Some(job) = pending.pop() {
             if self.graph.cancelled.contains_key(&job) {
                 continue;
             }
-            let Some(need) = self.cancelled_need(job) else {
+            let Some(dependency) = self.cancelled_dependency(job) else {
                 continue;
             };
-            self.graph.cancelled.insert(job, need);
+            self.graph.cancelled.insert(job, dependency);
             self.undivided.remove(&job);
             pending.extend(self.graph.dependents(job));
         }
     }
 
-    /// The job with which an open job is cancelled; none if it is not.
+    /// Returns the dependency with which an open job is cancelled; none if it is not cancelled.
     pub fn cancelled_with(&self, job: u64) -> Option<u64> {
         self.graph.cancelled.get(&job).copied()
     }
 
-    /// Open jobs that are cancelled with one that they need, and have no record that says
-    /// so.
+    /// Returns the open jobs that are cancelled with a dependency and whose ends are not stored
+    /// yet.
     pub fn cancelled_dependents(&self) -> impl Iterator<Item = u64> + '_ {
         self.graph.cancelled.keys().copied()
     }
 
-    /// Whether an open job waits for another. One that has been divided was ready.
+    /// Returns whether an open job waits for another job, or is cancelled with one. A divided job
+    /// was ready before its division and waits for none.
     pub fn waits_for_others(&self, job: u64) -> bool {
         let Some(open) = self.open.get(&job) else {
             return false;
@@ -217,18 +221,19 @@
         self.graph.cancelled.contains_key(&job) || self.unmet_needs(open).next().is_some()
     }
 
-    /// Jobs that an open job needs and that are not done.
+    /// Returns the jobs that an open job depends on and that are not done.
     pub fn unmet_needs<'a>(&'a self, open: &'a OpenJob) -> impl Iterator<Item = u64> + 'a {
-        let needs = open.dependencies.jobs.iter().copied();
-        needs.filter(|need| self.end(*need) != Some(End::Done))
+        let dependencies = open.dependencies.jobs.iter().copied();
+        dependencies.filter(|dependency| self.end(*dependency) != Some(End::Done))
     }
 
-    /// Whether open jobs wait for a job: its end must not be forgotten before theirs.
+    /// Returns whether open jobs depend on a job. The job's end must stay stored until they have
+    /// ended.
     pub fn has_dependents(&self, job: u64) -> bool {
         self.graph.dependents.contains_key(&job)
     }
 
-    /// The record of the end of a job that is cancelled with one that it needs.
+    /// Returns the record for the end of an open job that is cancelled with a dependency.
     pub fn end_of_dependent(&self, job: u64) -> Option<JobRecord> {
         let cancelled_with = self.cancelled_with(job)?;
         let mut record = self.open.get(&job)?.ended(End::Cancelled);
@@ -238,20 +243,22 @@
         Some(record)
     }
 
-    /// How urgent an open job is, by itself and by those that need it.
+    /// Computes an open job's urgency from its own priority and deadline and from those of its
+    /// dependents, except the cancelled ones.
     fn urgency_of(&self, job: u64, open: &OpenJob) -> Urgency {
         let mut urgency = open.own_urgency();
         for dependent in self.graph.dependents(job) {
             if let Some(other) = self.open.get(&dependent)
                 && !self.graph.cancelled.contains_key(&dependent)
             {
-                urgency.inherit(&other.urgency, other.takes_ms());
+                urgency.inherit(&other.urgency, other.estimated_duration_ms());
             }
         }
         urgency
     }
 
-    /// Works out anew how urgent a job is, and with it those that it needs.
+    /// Recomputes the urgency of a job and, where it changes, of the jobs that it depends on,
+    /// directly or indirectly.
     fn refresh_urgency(&mut self, job: u64) {
         let mut pending = vec![job];
         while let Some(job) = pending.pop() {
@@ -259,7 +266,7 @@
                 continue;
             };
             let urgency = self.urgency_of(job, open);
-            let needs = open.dependencies.jobs.clone();
+            let dependencies = open.dependencies.jobs.clone();
             if let Some(open) = self.open.get_mut(&job) {
                 if open.urgency == urgency {
                     continue;
@@ -267,11 +274,11 @@
                 open.urgency = urgency;
             }
             self.tasks.note_waiting_change(job);
-            pending.extend(needs);
+            pending.extend(dependencies);
         }
     }
 
-    /// Whether a job's tasks run until it is cancelled, as far as is known.
+    /// Returns whether a job is an open service, whose tasks run until the job is cancelled.
     pub fn is_service(&self, job: u64) -> bool {
         let open = self.open.get(&job);
         open.is_some_and(|open| open.spec.shape == Shape::Service)
--- a/crates/cherryyard-core/src/mirror/ended.rs
+++ b/crates/cherryyard-core/src/mirror/ended.rs
@@ -1,5 +1,5 @@
-//! Jobs that are over, as long as watched records name them, and the latest of those that
-//! have left them for the history.
+//! Ended jobs: those that the watched records (the ones under the prefix that the mirror covers)
+//! still list, and the most recent of those that only the history lists.
 
 use crate::needs::Needs;
 use cherryyard_wire::record::End;
@@ -8,71 +8,71 @@
 use std::num::NonZeroUsize;
 use std::ops::Range;
 
-/// A job that is over, as long as the watched records name it.
+/// Ended job that the watched records list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedJob {
-    /// How it ended.
+    /// How the job ended.
     pub end: End,
-    /// How many tasks it had.
+    /// Number of the job's tasks.
     pub task_count: u32,
-    /// Its generation in the history.
+    /// Generation of the history that the end belongs to.
     pub generation: u64,
-    /// Revision of its own record, if it has one.
+    /// Revision of the record under the job's own key; 0 if there is none.
     pub revision: u64,
-    /// The cancelled job that it needed, if it is cancelled for that.
+    /// Number of the cancelled job that this one depended on, if it was cancelled for that reason.
     pub cancelled_by: Option<u64>,
 }
 
-/// What each task of a job takes of its team's limit.
+/// Resources that each task of a job takes, and the team whose limit they count against.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TaskDemand {
-    /// The team; `u32::MAX` for one that is not in the settings.
+    /// Index of the team; `u32::MAX` for a team that is not in the settings.
     pub team: u32,
-    /// What a task takes.
+    /// Resources of one task.
     pub needs: Needs,
 }
 
-/// An end that only the history holds.
+/// End of a job, in the reduced form kept for jobs that only the history lists.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PastEnd {
+pub(super) struct JobEnd {
     /// How the job ended.
     pub end: End,
-    /// How many tasks it had.
+    /// Number of the job's tasks.
     pub task_count: u32,
 }
 
-/// Jobs that are over.
+/// Ended jobs, and the cancellations to report to the other controllers.
 #[derive(Clone, Debug)]
 pub(super) struct EndedJobs {
     jobs: HashMap<u64, EndedJob>,
-    /// What tasks of those take that may still be on machines.
+    /// Resources per task of ended jobs of which tasks may still be on machines.
     demands: HashMap<u64, TaskDemand>,
-    /// Jobs that have left the watched records for the history.
-    recent: LruCache<u64, PastEnd>,
-    /// Jobs seen to be cancelled since the last call of `take_cancelled`.
+    /// Most recent jobs that the watched records no longer list and that are in the history.
+    recent_history: LruCache<u64, JobEnd>,
+    /// Jobs whose cancellation has been read since the last call of `take_cancelled`.
     cancelled: Vec<u64>,
-    /// Whether ends may have been missed since the last call of `take_gap`.
-    gap: bool,
+    /// Whether ends may have been missed since the last call of `take_missed_ends`.
+    missed_ends: bool,
 }
 
 impl EndedJobs {
-    /// None yet; the history's latest `recent_ends` are remembered.
+    /// Returns an empty collection that keeps up to `recent_ends` jobs that only the history lists.
     pub fn new(recent_ends: NonZeroUsize) -> Self {
         Self {
             jobs: HashMap::new(),
             demands: HashMap::new(),
-            recent: LruCache::new(recent_ends),
+            recent_history: LruCache::new(recent_ends),
             cancelled: Vec::new(),
-            gap: false,
+            missed_ends: false,
         }
     }
 
-    /// Takes a job's end; says whether the job was known to be over.
+    /// Stores the end of a job; returns whether the job was already held here as ended.
     pub fn insert(&mut self, job: u64, ended: EndedJob) -> bool {
-        self.jobs.insert(job, ended).is_some() || self.recent.contains(&job)
+        self.jobs.insert(job, ended).is_some() || self.recent_history.contains(&job)
     }
 
-    /// Notes what the job's tasks take, or that none can be on a machine.
+    /// Sets the resources that each of a job's tasks takes; none if no task can be on a machine.
     pub fn set_demand(&mut self, job: u64, demand: Option<TaskDemand>) {
         match demand {
             Some(demand) => self.demands.insert(job, demand),
@@ -80,85 +80,90 @@
         };
     }
 
-    /// No watched record names the job any more.
-    pub fn drop_to_history(&mut self, job: u64) {
+    /// Keeps only the end of a job that the watched records no longer list.
+    pub fn move_to_history(&mut self, job: u64) {
         self.demands.remove(&job);
         if let Some(ended) = self.jobs.remove(&job) {
-            let past = PastEnd {
+            let job_end = JobEnd {
                 end: ended.end,
                 task_count: ended.task_count,
             };
-            self.recent.put(job, past);
+            self.recent_history.put(job, job_end);
         }
     }
 
-    /// A job that watched records say is over.
+    /// Returns an ended job that the watched records list.
     pub fn get(&self, job: u64) -> Option<&EndedJob> {
         self.jobs.get(&job)
     }
 
-    /// Whether watched records say that the job is over.
+    /// Returns whether the watched records list the job as ended.
     pub fn contains(&self, job: u64) -> bool {
         self.jobs.contains_key(&job)
     }
 
-    /// How the job ended, by watched records or as remembered of the history.
-    pub fn past_end(&self, job: u64) -> Option<PastEnd> {
-        let watched = self.jobs.get(&job).map(|ended| PastEnd {
+    /// Returns the end of a job from the watched records, or else from the recent ends of the
+    /// history.
+    pub fn job_end(&self, job: u64) -> Option<JobEnd> {
+        let watched = self.jobs.get(&job).map(|ended| JobEnd {
             end: ended.end,
             task_count: ended.task_count,
         });
-        watched.or_else(|| self.recent.peek(&job).copied())
+        watched.or_else(|| self.recent_history.peek(&job).copied())
     }
 
-    /// What the job's tasks take, while some may still be on machines.
+    /// Returns the resources that each of the job's tasks takes, while some may still be on
+    /// machines.
     pub fn demand(&self, job: u64) -> Option<TaskDemand> {
         self.demands.get(&job).copied()
     }
 
-    /// Whether a job with one of these numbers is known to be over.
-    pub fn knows_any(&self, jobs: &Range<u64>) -> bool {
+    /// Returns whether the end of any job with one of these numbers is held here.
+    pub fn contains_any(&self, jobs: &Range<u64>) -> bool {
         self.jobs.keys().any(|job| jobs.contains(job))
-            || self.recent.iter().any(|(job, _)| jobs.contains(job))
+            || self
+                .recent_history
+                .iter()
+                .any(|(job, _)| jobs.contains(job))
     }
 
-    /// Numbers of the jobs that watched records say are over, in no order.
+    /// Returns the numbers of the ended jobs that the watched records list, in no particular order.
     pub fn numbers(&self) -> impl Iterator<Item = u64> + '_ {
         self.jobs.keys().copied()
     }
 
-    /// Those jobs, in no order.
+    /// Returns the ended jobs that the watched records list, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
         self.jobs.iter().map(|(&job, ended)| (job, ended))
     }
 
-    /// How many there are.
+    /// Returns the number of ended jobs that the watched records list.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Notes that a job has been seen to be cancelled.
+    /// Records that the cancellation of a job has been read.
     pub fn note_cancelled(&mut self, job: u64) {
         self.cancelled.push(job);
     }
 
-    /// Whether a job has been seen to be cancelled since the last `take_cancelled`.
+    /// Returns whether the cancellation of a job has been read since the last `take_cancelled`.
     pub fn is_newly_cancelled(&self, job: u64) -> bool {
         self.cancelled.contains(&job)
     }
 
-    /// Jobs seen to be cancelled since the last call.
+    /// Returns the jobs whose cancellation has been read since the last call.
     pub fn take_cancelled(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.cancelled)
     }
 
-    /// Notes that jobs may have ended that cannot be named.
-    pub fn note_gap(&mut self) {
-        self.gap = true;
+    /// Records that jobs may have ended without their ends having been read.
+    pub fn note_missed_ends(&mut self) {
+        self.missed_ends = true;
     }
 
-    /// Whether such ends may have been missed since the last call.
-    pub fn take_gap(&mut self) -> bool {
-        std::mem::take(&mut self.gap)
+    /// Returns whether ends may have been missed since the last call.
+    pub fn take_missed_ends(&mut self) -> bool {
+        std::mem::take(&mut self.missed_ends)
     }
 }
--- a/crates/cherryyard-core/src/mirror/format.rs
+++ b/crates/cherryyard-core/src/mirror/format.rs
@@ -1,22 +1,23 @@
-//! Which formats of records are in use.
+//! Formats of records in use.
 
 use cherryyard_wire::record::FormatRecord;
 
-/// The formats in use, by the record that the leader writes once all controllers know one.
+/// Formats of records in use, from the record that the leader changes when all controllers support
+/// a newer format.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecordFormat {
-    /// How jobs are kept.
+    /// Format in which jobs are stored: `BUCKETS` or later if they are stored in buckets.
     pub jobs: u32,
-    /// Whether new jobs come by pages of admissions.
+    /// Whether new jobs are added to the admission log.
     pub by_pages: bool,
-    /// Whether jobs may wait for others: all controllers know of that.
+    /// Whether jobs may depend on other jobs, which all controllers have to support.
     pub dependencies: bool,
-    /// Revision of the record.
+    /// Revision of the record of formats.
     pub(super) revision: u64,
 }
 
 impl RecordFormat {
-    /// What the record says.
+    /// Converts the stored record.
     pub(super) fn of(record: FormatRecord, revision: u64) -> Self {
         Self {
             jobs: record.jobs,
--- a/crates/cherryyard-core/src/mirror/images.rs
+++ b/crates/cherryyard-core/src/mirror/images.rs
@@ -1,22 +1,24 @@
-//! What is stored of the images that a shard's machines hold.
+//! Stored record of the images that the machines of a shard hold.
 
 use super::record_error::RecordProblem;
 use cherryyard_wire::record::ImagesRecord;
 use std::collections::HashMap;
 
-/// What is stored of the images in a shard.
+/// Record of the images that the machines of a shard hold, as last stored.
 #[derive(Clone, Debug, Default)]
 pub struct StoredImages {
-    /// The record.
+    /// Record as it was read.
     pub record: ImagesRecord,
-    /// What it says of each machine: a new owner looks here for every one.
+    /// Indexes of the images that each machine holds, by machine name. Kept as an index, since a
+    /// new owner of the shard looks up every machine.
     pub held: HashMap<String, Vec<usize>>,
-    /// Its revision.
+    /// Revision of the record.
     pub revision: u64,
 }
 
 impl StoredImages {
-    /// What a record says.
+    /// Indexes a record by machine; fails if a machine refers to an image that the record does not
+    /// list.
     pub(super) fn of(record: ImagesRecord, revision: u64) -> Result<Self, RecordProblem> {
         if !record.is_sound() {
             return Err(RecordProblem::UnknownImage);
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in the mirror: their records, what follows from these, and what users see.
+//! Jobs in the mirror: their records, the state derived from them, and the views that users get.
 
 use super::ended::{EndedJob, TaskDemand};
 use super::record_error::RecordProblem;
@@ -11,7 +11,7 @@
 use cherryyard_wire::rules::Rules;
 use std::ops::Range;
 
-/// A job that is over, as its user sees it.
+/// Returns the view of an ended job for its user.
 pub fn over(job: u64, end: End, done: u32) -> JobView {
     let status = match end {
         End::Done => JobStatus::Done,
@@ -20,16 +20,16 @@
     JobView::new(job, status, done, 0)
 }
 
-/// A job that is cancelled with one that it needed, as its user sees it.
-fn cancelled_with(job: u64, need: u64) -> JobView {
+/// Returns the view of a job that is cancelled with a dependency for its user.
+fn cancelled_job_view(job: u64, dependency: u64) -> JobView {
     JobView {
-        cancelled_by: Some(job_id(need)),
+        cancelled_by: Some(job_id(dependency)),
         ..over(job, End::Cancelled, 0)
     }
 }
 
 impl Mirror {
-    /// Takes a job's record, from a key of its own or from a bucket.
+    /// Stores a job's record, from the job's own key or from a bucket.
     pub(super) fn put_job(
         &mut self,
         job: u64,
@@ -64,8 +64,8 @@
                 rules,
                 after: dependencies,
             } => {
-                // A job's end is final; nothing may bring it back, so a record
-                // that does is older or bad.
+                // A job's end is final, so a record of the job as open is outdated or wrong
+                // and is ignored.
                 if self.ended.contains(job) {
                     return Ok(());
                 }
@@ -85,10 +85,10 @@
         }
     }
 
-    /// A division is empty, or has one canonical set of task numbers for each shard.
+    /// Checks that a division is empty or has one canonical set of task numbers for each shard.
     fn check_division(&self, division: &[RangeSet]) -> Result<(), RecordProblem> {
-        let complete = division.is_empty() || division.len() == self.shards.len();
-        if complete && division.iter().all(RangeSet::is_canonical) {
+        let has_valid_length = division.is_empty() || division.len() == self.shards.len();
+        if has_valid_length && division.iter().all(RangeSet::is_canonical) {
             Ok(())
         } else {
             Err(RecordProblem::BadDivision)
@@ -96,18 +96,19 @@
     }
 
     fn put_open(&mut self, job: u64, open: OpenJob) {
-        let before = self.insert_open(job, open);
-        let now = &self.open[&job];
-        // A bucket also names jobs that have not changed.
-        let unchanged =
-            |before: OpenJob| before.division == now.division && before.spec == now.spec;
-        if !before.is_some_and(unchanged) {
+        let previous = self.insert_open(job, open);
+        let current = &self.open[&job];
+        // A bucket also lists jobs that have not changed.
+        let unchanged = |previous: OpenJob| {
+            previous.division == current.division && previous.spec == current.spec
+        };
+        if !previous.is_some_and(unchanged) {
             self.refresh_job(job);
         }
     }
 
-    /// The team, and what a task takes, of a job's record; a team that is not in the
-    /// settings is none of ours.
+    /// Returns the team and the resources of a task from a job's record. A team that is not in the
+    /// settings gets the index `u32::MAX`.
     pub(super) fn task_demand(&self, record: &TaskUsage) -> TaskDemand {
         TaskDemand {
             team: self.teams.get(&record.team).unwrap_or(u32::MAX),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A new job, with what its rules come to; none if its team is unknown.
+    /// Returns a new open job, with its rules evaluated; none if its team is not in the settings.
     pub fn new_job(
         &mut self,
         spec: JobSpec,
@@ -151,74 +152,78 @@
         Some(open)
     }
 
-    /// Takes a job's end.
+    /// Stores a job's end, and updates the jobs that depend on it.
     pub(super) fn put_end(&mut self, job: u64, ended: EndedJob, demand: Option<TaskDemand>) {
-        // One that is cancelled with another has never had a task.
+        // A job that is cancelled with a dependency has never had tasks.
         let never_ran = ended.cancelled_by.is_some() || self.cancelled_with(job).is_some();
         let was_open = self.remove_open(job);
         if was_open {
             self.refresh_job(job);
         }
-        let known = self.ended.insert(job, ended);
+        let was_known = self.ended.insert(job, ended);
         self.refresh_dependents(job);
-        // Also one that a full read shows and that came and went since the one before.
-        let is_new = was_open || (self.loaded && !known);
+        // The end is also new if a full read returns a job that was added and ended since the
+        // previous read.
+        let is_new = was_open || (self.loaded && !was_known);
         if ended.end == End::Cancelled && is_new && !never_ran {
             self.ended.note_cancelled(job);
         }
         self.ended.set_demand(job, demand);
     }
 
-    /// Jobs that have been seen to be cancelled since the last call.
+    /// Returns the jobs whose cancellation has been read since the last call.
     pub fn take_new_cancels(&mut self) -> Vec<u64> {
         self.ended.take_cancelled()
     }
 
-    /// Whether a job has been seen to be cancelled since then.
+    /// Returns whether the cancellation of a job has been read since the last call of
+    /// `take_new_cancels`.
     pub(crate) fn is_new_cancel(&self, job: u64) -> bool {
         self.ended.is_newly_cancelled(job)
     }
 
-    /// Whether jobs may have been cancelled, since the last call, that no longer can be
-    /// named.
+    /// Returns whether jobs may have been cancelled since the last call whose cancellations this
+    /// mirror has not read.
     pub(crate) fn take_gap(&mut self) -> bool {
-        self.ended.take_gap()
+        self.ended.take_missed_ends()
     }
 
-    /// A job's record is gone: it is over and in the history, or it never was.
+    /// Drops a job whose record has been removed: the job has ended and is in the history, or it
+    /// was never added.
     pub(super) fn drop_job(&mut self, job: u64) {
         if self.remove_open(job) {
-            // How it ended was not seen.
-            self.ended.note_gap();
+            // The end of the job was not read.
+            self.ended.note_missed_ends();
             self.refresh_job(job);
         }
-        self.ended.drop_to_history(job);
+        self.ended.move_to_history(job);
     }
 
-    /// Whether a job with one of these numbers is open, or over and not only in the
-    /// history.
+    /// Returns whether any job with one of these numbers is open, or has ended and is still held by
+    /// this mirror: in the watched records, or among the recent ends of the history.
     pub fn knows_any(&self, jobs: Range<u64>) -> bool {
-        self.open.range(jobs.clone()).next().is_some() || self.ended.knows_any(&jobs)
+        self.open.range(jobs.clone()).next().is_some() || self.ended.contains_any(&jobs)
     }
 
-    /// Whether any page names the job, of assignments or of admissions: while one of assignments
-    /// does, its tasks may be on machines, and while one of admissions does, it would be
-    /// open again if nothing said that it is over.
+    /// Returns whether a page of assignments or of the admission log lists the job. While a page of
+    /// assignments does, tasks of the job may be on machines. While a page of the admission log
+    /// does, the job would be open again if the record of its end were removed.
     pub fn named_in_pages(&self, job: u64) -> bool {
-        self.page_of(job).is_some() || self.tasks.names(job)
+        self.page_of(job).is_some() || self.tasks.has_job(job)
     }
 
-    /// Jobs that are over and stand in watched records.
+    /// Returns the ended jobs that the watched records list.
     pub fn ended_jobs(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
         self.ended.iter()
     }
 
-    /// Jobs that are over and have records of their own, as earlier builds keep them.
+    /// Returns the ended jobs with records under their own keys, as earlier builds store them.
     pub fn own_ends(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
         self.ended_jobs().filter(|(_, ended)| ended.revision != 0)
     }
 
-    /// After a change of the job's own record.
+    /// Recomputes the state derived from a job, after a change of its record: whether it is
+    /// undivided or complete, and its waiting tasks.
     pub(super) fn refresh_job(&mut self, job: u64) {
         let divided = self.open.get(&job).is_none_or(OpenJob::divided);
         if !divided && !self.waits_for_others(job) {
@@ -232,7 +237,8 @@
         self.refresh_complete(job);
     }
 
-    /// After a change of the job's record or of how many of its tasks are done.
+    /// Recomputes whether a job is complete, after a change of its record or of the number of its
+    /// completed tasks.
     pub(super) fn refresh_complete(&mut self, job: u64) {
         let done = self.done(job);
         let complete = self
@@ -246,17 +252,18 @@
         }
     }
 
-    /// How a job ended, if it did.
+    /// Returns how a job ended, if the watched records list it as ended.
     pub fn end(&self, job: u64) -> Option<End> {
         self.ended.get(job).map(|ended| ended.end)
     }
 
-    /// How many jobs are known to be over.
+    /// Returns the number of ended jobs that the watched records list.
     pub fn ended_count(&self) -> usize {
         self.ended.len()
     }
 
-    /// A job's team and what one of its tasks takes, over or not.
+    /// Returns a job's team and the resources of one of its tasks, for open jobs and for ended jobs
+    /// of which tasks may still be on machines.
     pub fn uses(&self, job: u64) -> Option<(u32, Needs)> {
         if let Some(open) = self.open.get(&job) {
             return Some((open.team, open.needs()));
@@ -265,21 +272,21 @@
         Some((demand.team, demand.needs))
     }
 
-    /// The job as its user sees it, if it is known.
+    /// Returns the view of a job for its user, if this mirror holds the job.
     pub fn view(&self, job: u64) -> Option<JobView> {
-        if let Some(need) = self.ended.get(job).and_then(|ended| ended.cancelled_by) {
-            return Some(cancelled_with(job, need));
+        if let Some(dependency) = self.ended.get(job).and_then(|ended| ended.cancelled_by) {
+            return Some(cancelled_job_view(job, dependency));
         }
-        if let Some(past) = self.ended.past_end(job) {
-            let done = match past.end {
-                End::Done => past.task_count,
+        if let Some(job_end) = self.ended.job_end(job) {
+            let done = match job_end.end {
+                End::Done => job_end.task_count,
                 End::Cancelled => self.done(job),
             };
-            return Some(over(job, past.end, done));
+            return Some(over(job, job_end.end, done));
         }
         let open = self.open.get(&job)?;
-        if let Some(need) = self.cancelled_with(job) {
-            return Some(cancelled_with(job, need));
+        if let Some(dependency) = self.cancelled_with(job) {
+            return Some(cancelled_job_view(job, dependency));
         }
         let running = self.assigned(job);
         let status = if running > 0 {
--- a/crates/cherryyard-core/src/mirror/lease_holder.rs
+++ b/crates/cherryyard-core/src/mirror/lease_holder.rs
@@ -1,22 +1,22 @@
-//! Who holds the leases on shards and on the lead.
+//! Holders of the leases on shards and on leadership.
 
 use cherryyard_wire::record::LeaseRecord;
 
-/// The holder of a lease on a shard or on the lead.
+/// Holder of the lease on a shard or on leadership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseHolder {
-    /// The controller's name.
+    /// Name of the controller that holds the lease.
     pub label: String,
-    /// The lease's revision: the owner's fencing token.
+    /// Revision of the lease's record, which is the holder's fencing token.
     pub revision: u64,
-    /// The newest format of records that the owner can work with.
+    /// Newest format of records that the holder supports.
     pub format: u32,
-    /// The number of the process that made it, if it says so.
+    /// Number of the process that acquired the lease, if the record contains it.
     pub process: Option<u64>,
 }
 
 impl LeaseHolder {
-    /// The holder by the lease's record.
+    /// Returns the holder from the record of a lease and the record's revision.
     pub(super) fn of(record: LeaseRecord, revision: u64) -> Self {
         Self {
             label: record.label,
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -1,21 +1,24 @@
-//! The mirror: what the state service holds under our prefix.
+//! The mirror: a controller's read-only copy of the records under the prefix `c/` of the state
+//! service.
 //!
-//! `changes` is where records come in: from one watch, from barriers and from our own
-//! answered transactions, in any order between these; each key keeps the change with the
-//! highest revision. `Mirror::put_record` and `Mirror::forget` hand each record to the
-//! type that owns what it says, and what follows from it for jobs is worked out at once:
+//! `changes` applies changes of the store: from full reads, from a watch, from barriers (reads of
+//! the newest changes on request) and from this controller's own committed transactions. These
+//! sources may report changes in any order relative to each other, and the mirror keeps the change
+//! with the highest revision for each key. `Mirror::put_record` and `Mirror::remove_record` pass
+//! each change to the module that is responsible for the record, which updates everything derived
+//! from it at once:
 //!
-//! | records | read by | what follows |
+//! | records | modules | derived state |
 //! | --- | --- | --- |
-//! | jobs, of their own or in `buckets` | `jobs`, `open_job`, `ended` | which are undivided or complete |
-//! | what jobs need (`dependencies`) | `dependencies` | which wait, are cancelled with others, their urgency |
-//! | pages of new jobs | `admission_log`, `admission_compaction` | jobs that nothing else is stored of |
-//! | pages of assignments | `assignments` | what is left to be started, what each machine runs |
-//! | machine types, attributes | `catalog` | the pools of jobs' rules |
-//! | leases, images, grants, submissions, formats | `lease_holder`, `images`, `format`, here | |
+//! | jobs, under keys of their own or in `buckets` | `jobs`, `open_job`, `ended` | undivided and complete jobs |
+//! | dependencies of jobs | `dependencies` | jobs that wait or are cancelled with a dependency, urgency |
+//! | pages of the admission log | `admission_log`, `admission_compaction` | jobs that have no other record yet |
+//! | pages of assignments | `assignments` | unassigned tasks, tasks on each machine |
+//! | machine types, attributes | `catalog` | pools that the rules of jobs allow |
+//! | leases, images, grants, submissions, formats | `lease_holder`, `images`, `format`, this module | |
 //!
-//! The same modules plan the transactions that change these records, each with the
-//! conditions under which what the mirror knows still holds (`Mirror::require`).
+//! The same modules prepare the transactions that change these records. `Mirror::require` adds
+//! the conditions that the records are still as the mirror holds them.
 
 mod admission_compaction;
 mod admission_log;
@@ -43,7 +46,7 @@
 pub use assignments::TaskTable;
 use buckets::BucketIndex;
 pub use catalog::MachineCatalog;
-use changes::SeenKeys;
+use changes::KeyTracking;
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
 use cherryyard_wire::history::PackedRecord;
@@ -64,72 +67,74 @@
 pub use record_error::{RecordError, RecordProblem};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the state service holds, as far as this controller has read it.
+/// Copy of the records in the state service, as far as this controller has read them.
 #[derive(Clone, Debug)]
 pub struct Mirror {
-    /// Everything up to this revision has been seen. Written by `changes`, as is `loaded`.
+    /// Revision of the store up to which every change has been applied. Written by `changes`, as
+    /// is `loaded`.
     pub store_revision: u64,
-    /// Whether a first full read has been made.
+    /// Whether a first full read has been completed.
     pub loaded: bool,
-    /// Deleted keys, and those that a full read under way has shown.
-    seen: SeenKeys,
-    /// Records that could not be used, until they are taken to be logged.
+    /// Keys deleted ahead of the watch, and keys that the full read in progress has returned.
+    key_tracking: KeyTracking,
+    /// Errors of records that could not be used, until `take_record_errors` takes them.
     record_errors: Vec<RecordError>,
-    /// Machine names: also of machines that only heartbeats or the cloud have named.
+    /// Names of machines, including machines that only heartbeats or the cloud have named.
     pub hosts: Names,
     teams: Names,
-    /// Leases on shards. Written by `put_record` and `forget` alone, as are the lead's lease,
-    /// images, grants, submissions and their ids, formats and the history's record.
+    /// Leases on shards. Written only by `put_record` and `remove_record`, as are the lease on
+    /// leadership, images, grants, submissions, allocated ids, formats and the record of the
+    /// history.
     pub shards: Vec<Option<LeaseHolder>>,
-    /// The lease on the lead.
+    /// Lease on leadership.
     pub leader_lease: Option<LeaseHolder>,
-    /// Images held in each shard, as last stored.
+    /// Images that the machines of each shard hold, as last stored.
     pub images: Vec<StoredImages>,
-    /// What each shard may use of each team's limit, with the record's revision: by team,
-    /// then shard.
+    /// Part of each team's limit that each shard may use, and the revision of its record; by
+    /// team, then shard.
     pub grants: Vec<Vec<(Grant, u64)>>,
-    /// Submissions of many jobs, by number, with their revisions.
+    /// Bulk submissions and the revisions of their records, by number.
     pub submissions: BTreeMap<u64, (SubmissionRecord, u64)>,
-    /// Ids handed out to them.
+    /// Job ids allocated to bulk submissions.
     pub ids: IdsRecord,
     ids_revision: u64,
-    /// Formats of records.
+    /// Formats of records in use.
     pub format: RecordFormat,
-    /// How far the history of jobs that are over goes.
+    /// Record of the progress of moving ended jobs to the history.
     pub packed: PackedRecord,
-    /// Revision of that record.
+    /// Revision of `packed`.
     pub packed_revision: u64,
-    /// Machine types and attributes.
+    /// Machine types and attributes of machines.
     pub catalog: MachineCatalog,
-    /// Classes and teams of jobs.
+    /// Flows of jobs, one per class and team.
     pub flows: Flows,
-    /// Jobs that are not over, by number. Written by `dependencies`, which puts jobs in and
-    /// takes them out with what they need.
+    /// Open jobs (those that have not ended), by number. Written by `dependencies`, which inserts
+    /// and removes jobs together with their edges in the dependency graph.
     pub open: BTreeMap<u64, OpenJob>,
-    /// Open jobs that wait for no other and that the leader has not divided yet. Written by
-    /// `jobs`, and by `dependencies` for jobs that are cancelled with others.
+    /// Open jobs that wait for no other job and that the leader has not divided yet. Written by
+    /// `jobs`, and by `dependencies` for jobs that are cancelled with a dependency.
     pub undivided: BTreeSet<u64>,
-    /// Open arrays of which every task is done. Written by `jobs`.
+    /// Open arrays of which every task is completed. Written by `jobs`.
     pub complete: BTreeSet<u64>,
     graph: DependencyGraph,
-    /// Jobs that are over.
+    /// Jobs that have ended.
     ended: EndedJobs,
-    /// Which job stands in which bucket.
+    /// Index of the bucket that holds each job.
     buckets: BucketIndex,
-    /// Pages of new jobs.
+    /// Pages of the admission log.
     pub admission_log: AdmissionLog,
-    /// Assignments of tasks, and what is left to be started.
+    /// Assignments of tasks, and tasks that are still to be started.
     pub tasks: TaskTable,
 }
 
 impl Mirror {
-    /// An empty mirror.
+    /// Returns an empty mirror.
     pub fn new(config: &Config) -> Self {
         let shards = config.shards();
         Self {
             store_revision: 0,
             loaded: false,
-            seen: SeenKeys::default(),
+            key_tracking: KeyTracking::default(),
             record_errors: Vec::new(),
             hosts: Names::default(),
             teams: config.team_names.clone(),
@@ -156,12 +161,12 @@
         }
     }
 
-    /// Records that could not be used since the last call.
+    /// Returns the errors of records that could not be used since the last call.
     pub fn take_record_errors(&mut self) -> Vec<RecordError> {
         std::mem::take(&mut self.record_errors)
     }
 
-    /// The revision under which `key` is known, 0 if it is absent.
+    /// Returns the revision of `key` as the mirror holds it, 0 if the key is absent.
     pub fn revision(&self, key: Key) -> u64 {
         match key {
             Key::Leader => {
@@ -183,11 +188,11 @@
                 let images = self.images.get(shard_id);
                 images.map_or(0, |images| images.revision)
             }
-            Key::Job(job) => self.own_revision(job),
+            Key::Job(job) => self.own_record_revision(job),
             Key::Bucket(start) => self.buckets.revision(start),
             Key::AdmissionPage(page) => {
-                let known = self.admission_log.get(page);
-                known.map_or(0, |known| known.revision)
+                let admission_page = self.admission_log.get(page);
+                admission_page.map_or(0, |admission_page| admission_page.revision)
             }
             Key::Format => self.format.revision,
             Key::Packed => self.packed_revision,
@@ -200,8 +205,8 @@
         }
     }
 
-    /// The revision of a job's own record, 0 if it has none.
-    fn own_revision(&self, job: u64) -> u64 {
+    /// Returns the revision of the record under the job's own key, 0 if there is none.
+    fn own_record_revision(&self, job: u64) -> u64 {
         if self.buckets.holds(job) {
             return 0;
         }
@@ -211,7 +216,7 @@
         self.ended.get(job).map_or(0, |ended| ended.revision)
     }
 
-    /// Takes machine types.
+    /// Sets the machine types, and re-evaluates the rules of open jobs if the types have changed.
     pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
         if self.catalog.set_machine_types(machine_types) {
             self.catalog.rematch(self.open.values_mut());
@@ -223,8 +228,8 @@
         self.catalog.rematch(self.open.values_mut());
     }
 
-    /// Takes a key as absent.
-    fn forget(&mut self, key: Key) {
+    /// Removes the record under `key`, with everything derived from it.
+    fn remove_record(&mut self, key: Key) {
         match key {
             Key::Leader => self.leader_lease = None,
             Key::MachineTypes => self.catalog.machine_types_revision = 0,
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Takes a record under a key of which nothing newer is known.
+    /// Stores the record under `key`, which must be newer than the one that the mirror holds.
     fn put_record(&mut self, key: Key, value: &Json, revision: u64) -> Result<(), RecordProblem> {
         match key {
             Key::Leader => {
@@ -309,8 +314,9 @@
         Ok(())
     }
 
-    /// A condition on `key` as this mirror knows it; a job's is on whatever record
-    /// it stands in, or would stand in.
+    /// Adds the condition that `key` still has the revision that this mirror holds. For a job,
+    /// the condition is on the record that contains it or would contain it: its own key or a
+    /// bucket.
     pub fn require(&self, commit: &mut Commit, key: Key) {
         let key = match key {
             Key::Job(job) => self.home(job),
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -1,4 +1,4 @@
-//! Jobs that are not over.
+//! Open jobs: those that have not ended.
 
 use super::Urgency;
 use crate::admission::flows::Flow;
@@ -14,42 +14,44 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// A job that is not over.
+/// Job that has not ended.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// Revision of its record; 0 while it is as its page of admissions says.
+    /// Revision of the job's own record, or of the bucket that it was read from; 0 while the job is
+    /// stored only on a page of the admission log.
     pub revision: u64,
-    /// What was submitted.
+    /// Job as it was submitted.
     pub spec: JobSpec,
-    /// Its team.
+    /// Index of the job's team.
     pub team: u32,
-    /// Its class and team.
+    /// Flow that the job belongs to, by its class and team.
     pub flow: Flow,
-    /// Time of day at its submission, in milliseconds.
+    /// Wall-clock time of the submission, in milliseconds.
     pub submitted_at: u64,
-    /// Each shard's task numbers; empty before the division.
+    /// Task numbers of each shard; empty until the leader has divided the job.
     pub division: Vec<RangeSet>,
-    /// The zone of all its tasks, if that was asked for.
+    /// Zone in which all tasks run, if the user asked for a single zone.
     pub zone: Option<String>,
-    /// Most tasks per shard and zone, if tasks are to be apart.
+    /// Maximum number of tasks by shard and zone, if the user asked for tasks to be spread;
+    /// otherwise empty.
     pub zone_caps: Vec<Vec<u32>>,
-    /// Where it may run, beyond what the submission's fields say, and the pools that
-    /// this comes to now.
+    /// Placement rules beyond the fields of the submission, and the pools that they currently
+    /// allow.
     pub rules: Option<(Box<Rules>, Arc<PoolSet>)>,
-    /// Jobs that it waits for.
+    /// Jobs that this one depends on.
     pub dependencies: Dependencies,
-    /// Its priority and deadline, with what it inherits from jobs that need it.
+    /// Priority and deadline of the job, including those inherited from its dependents.
     pub urgency: Urgency,
 }
 
 impl OpenJob {
-    /// Whether the leader has divided it.
+    /// Returns whether the leader has divided the job among the shards.
     pub fn divided(&self) -> bool {
         !self.division.is_empty()
     }
 
-    /// How much the job prefers a machine of this type and zone, spot or not, 0 the most;
-    /// none if what it asks for excludes it.
+    /// Returns the preference tier of machines of this type and zone, spot or not, for the job; 0
+    /// is preferred most. Returns none if the job's spec, zone or rules exclude such machines.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         let allowed = (self.spec.spot || !spot)
             && allows_machine_type(&self.spec, machine_type)
@@ -60,7 +62,8 @@
             .flatten()
     }
 
-    /// How much its rules prefer a pool, 0 the most; none if they exclude it.
+    /// Returns the preference tier of a pool by the job's rules alone, 0 being preferred most; none
+    /// if the rules exclude the pool.
     pub fn tier(&self, machine_type: &str, zone: &str, spot: bool) -> Option<u16> {
         match &self.rules {
             None => Some(0),
@@ -68,21 +71,21 @@
         }
     }
 
-    /// When it should be complete, in milliseconds of the day's clock; infinite without
-    /// a deadline.
+    /// Returns the wall-clock time in milliseconds by which the job should be complete; infinity if
+    /// it has no deadline.
     pub fn due_ms(&self) -> f64 {
         let deadline = self.urgency.deadline;
         deadline.map_or(f64::INFINITY, |deadline| deadline.complete_by(1.0))
     }
 
-    /// Its priority: its own, or a higher one of a job that needs it.
+    /// Returns the job's priority: its own, or a higher one inherited from a dependent.
     pub fn rank(&self) -> Rank {
         self.urgency.rank
     }
 
-    /// Whether its tasks may stop another job's for their priority. Services go by what
-    /// both have of their own, or an array with a service's priority from a job that
-    /// needs it would keep services out.
+    /// Returns whether the job's tasks may preempt those of another job because of their priority.
+    /// For a service, the two jobs' own priorities are compared: with inherited ones, an array that
+    /// inherits a service's priority from a dependent would keep services out.
     pub fn goes_before(&self, other: &Self) -> bool {
         if self.spec.shape == Shape::Service {
             return other.spec.rank < self.spec.rank;
@@ -90,13 +93,13 @@
         other.rank() < self.rank()
     }
 
-    /// When it began to wait for machines, in milliseconds of the day's clock: at its
-    /// submission, or when the last job that it needs was done.
+    /// Returns the wall-clock time in milliseconds at which the job began to wait for machines: its
+    /// submission, or the completion of the last job that it depended on.
     pub fn ready_at(&self) -> u64 {
         self.dependencies.ready_at.unwrap_or(self.submitted_at)
     }
 
-    /// What one of its tasks takes.
+    /// Returns the resources that one of the job's tasks takes.
     pub fn needs(&self) -> Needs {
         Needs {
             cores: self.spec.cores,
@@ -105,8 +108,9 @@
         }
     }
 
-    /// Jobs with the same signature fit the same machines: what a search over all of
-    /// them has found for one holds for the other.
+    /// Returns a hash of the properties that decide which machines fit the job. Jobs with the same
+    /// signature fit the same machines, so the result of a search over all machines for one job
+    /// also applies to the others.
     pub fn signature(&self) -> u64 {
         let mut hash = Xxh3Default::new();
         let spec = &self.spec;
@@ -120,13 +124,13 @@
         hash.finish()
     }
 
-    /// Whether its tasks make way for more important work: an array of
-    /// ordinary rank or below.
+    /// Returns whether the job's tasks may be preempted for jobs of higher priority: the job is an
+    /// array with standard priority or below.
     pub fn makes_way(&self) -> bool {
         self.spec.shape == Shape::Array && self.spec.rank <= Rank::Standard
     }
 
-    /// The record, to write it anew.
+    /// Returns the record of the open job, for rewriting it.
     pub fn record(&self) -> JobRecord {
         JobRecord::Open {
             spec: Box::new(self.spec.clone()),
@@ -139,7 +143,7 @@
         }
     }
 
-    /// The record of its end.
+    /// Returns the record of the job's end.
     pub fn ended(&self, end: End) -> JobRecord {
         JobRecord::Ended {
             end,
--- a/crates/cherryyard-core/src/mirror/record_error.rs
+++ b/crates/cherryyard-core/src/mirror/record_error.rs
@@ -1,59 +1,60 @@
-//! Errors of records that the mirror passes over.
+//! Errors of records that the mirror ignores.
 
 use cherryyard_wire::state::Json;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// A record in the state service that this controller cannot use: something else writes
-/// under our prefix, or a newer version does.
+/// Record in the state service that this controller cannot use, because a newer version or another
+/// program writes under the same prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {problem}")]
 pub struct RecordError {
-    /// The record's key.
+    /// Key of the record.
     pub key: String,
-    /// What is wrong with it.
+    /// Reason why the record cannot be used.
     pub problem: RecordProblem,
 }
 
-/// What is wrong with a record.
+/// Reason why a record cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecordProblem {
-    /// It is not JSON of the expected form.
+    /// The value is not JSON of the expected form.
     #[error("{0}")]
     Unreadable(String),
     /// A job's division is not one canonical set of task numbers for each shard.
-    #[error("bad division")]
+    #[error("the division is not one valid set of task numbers for each shard")]
     BadDivision,
     /// A job's team is not in the settings.
-    #[error("unknown team")]
+    #[error("the team of the job is not in the settings")]
     UnknownTeam,
     /// The key names a shard that the settings do not have.
-    #[error("no such part")]
+    #[error("the settings have no such shard")]
     UnknownShard,
-    /// A machine is said to hold an image that is not in the record's list.
-    #[error("no such image")]
+    /// A machine refers to an image that the record does not list.
+    #[error("a machine refers to an image that the record does not list")]
     UnknownImage,
     /// The key names a team or a shard that the settings do not have.
-    #[error("no such grant")]
+    #[error("the settings have no such team or shard")]
     UnknownGrant,
-    /// A page of the admission log has rows that make no sense.
-    #[error("bad rows")]
+    /// A page of the admission log has a row that refers to common fields or to a shard that do not
+    /// exist.
+    #[error("a row refers to common fields or to a shard that do not exist")]
     BadRows,
-    /// A page of assignments makes no sense.
-    #[error("bad ranges, machines or marks")]
+    /// A page of assignments is malformed, or has a set of completed tasks that is not canonical.
+    #[error("invalid ranges, machines or assignments")]
     BadAssignments,
-    /// One job of a bucket is wrong; the bucket's others are taken.
+    /// The record of one job of a bucket cannot be used; the other jobs of the bucket are used.
     #[error("job {job}: {problem}")]
     Job {
-        /// The job's number.
+        /// Number of the job.
         job: u64,
-        /// What is wrong with its record.
+        /// Reason why the job's record cannot be used.
         problem: Box<RecordProblem>,
     },
 }
 
-/// Reads a record's value.
+/// Parses the value of a record.
 pub(super) fn read<T: DeserializeOwned>(value: &Json) -> Result<T, RecordProblem> {
-    let read = value.read();
-    read.map_err(|error| RecordProblem::Unreadable(error.to_string()))
+    let parsed = value.read();
+    parsed.map_err(|error| RecordProblem::Unreadable(error.to_string()))
 }
