--- a/crates/cherryyard-wire/tests/page.rs
+++ b/crates/cherryyard-wire/tests/page.rs
@@ -68,7 +68,7 @@
     /// change when a page is stored.
     #[test]
     fn unpacking_restores_the_page(contents in page_contents()) {
-        let packed = pack(&record_of(&contents)).expect("a good page");
+        let packed = pack(&record_of(&contents)).expect("a valid page");
         let read = unpack(&packed).expect("a readable page");
         prop_assert_eq!(content(&read), contents);
     }
@@ -77,7 +77,7 @@
     /// order. Guards against pages that outgrow the maximum size of a value as their tasks end.
     #[test]
     fn page_never_grows_as_tasks_end(mut contents in page_contents(), order in any::<u64>()) {
-        let mut bytes = pack(&record_of(&contents)).expect("a good page").len();
+        let mut bytes = pack(&record_of(&contents)).expect("a valid page").len();
         let mut random = order | 1;
         loop {
             let tasks: Vec<(u64, u32)> = contents
@@ -97,7 +97,7 @@
             if job_tasks.0.is_empty() && job_tasks.1.is_empty() {
                 contents.remove(&job);
             }
-            let after = pack(&record_of(&contents)).expect("a good page").len();
+            let after = pack(&record_of(&contents)).expect("a valid page").len();
             prop_assert!(after <= bytes, "{} after {}", after, bytes);
             bytes = after;
         }
@@ -123,7 +123,7 @@
         let attempt = 41_000 + u64::from(n / 20);
         job_tasks.0.insert(n % 60, (machine, 1, attempt));
     }
-    let packed = pack(&record_of(&contents)).expect("a good page");
+    let packed = pack(&record_of(&contents)).expect("a valid page");
     assert!(packed.len() < 1500, "{}", packed.len());
     let json = serde_json::to_vec(&record_of(&contents)).expect("JSON");
     assert!(json.len() > 2 * packed.len(), "{}", json.len());
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -63,7 +63,7 @@
         "borrowed": true, "expected_s": 15.0, "snapshot_every_s": 0.0,
         "snapshot_cost_s": 0.0, "due_s": 90.5
     });
-    JobSpec::parse(value.to_string().as_bytes()).expect("a good job")
+    JobSpec::parse(value.to_string().as_bytes()).expect("a valid job")
 }
 
 fn open_job(job: u64, at: u64, div: Vec<RangeSet>) -> JobRecord {
