--- a/crates/cherryyard-simulation/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -1,6 +1,6 @@
-//! How long a submission of many jobs takes until all are created, and how many writes
-//! it costs, on a simulated clock: by the budgets of a state service, with the leader
-//! ending midway and without.
+//! Measures how long the creation of all jobs of a large submission takes and how many writes
+//! it costs, on a simulated clock and within the budgets of a state service. With `--end-at`
+//! the leader is killed and restarted midway.
 
 use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
@@ -9,28 +9,28 @@
 /// Measure the creation of a submission's jobs (simulated).
 #[derive(Debug, Parser)]
 struct Args {
-    /// Jobs
+    /// Number of jobs
     #[arg(long, default_value_t = 20_000)]
     jobs: u32,
-    /// Tasks of each
+    /// Number of tasks of each job
     #[arg(long, default_value_t = 1)]
     tasks: u32,
-    /// Requests a second that the state service allows
+    /// Requests per second that the state service allows
     #[arg(long, default_value_t = 250.0)]
     rps: f64,
-    /// Puts and deletes a second that it allows
+    /// Puts and deletes per second that the state service allows
     #[arg(long, default_value_t = 60.0)]
     write_rps: f64,
-    /// Largest value in KiB
+    /// Largest value that the state service accepts, in KiB
     #[arg(long, default_value_t = 16.0)]
     value_kb: f64,
-    /// Most changes in a transaction
+    /// Maximum number of changes in a transaction
     #[arg(long, default_value_t = 16)]
     txn_ops: usize,
-    /// Without the history, and with it a record of its own for each job
+    /// Run without the history; each job then has a record of its own
     #[arg(long)]
     plain: bool,
-    /// The leader ends once this share of the jobs has been created
+    /// Kill and restart the leader once this share of the jobs has been created
     #[arg(long)]
     end_at: Option<f64>,
 }
@@ -63,7 +63,7 @@
     );
 }
 
-/// All jobs of the submission, equal to each other.
+/// Returns a chunk with all jobs of the submission, which are equal to each other.
 fn chunk(args: &Args) -> Chunk {
     Chunk {
         templates: vec![Template {
@@ -74,7 +74,8 @@
     }
 }
 
-/// Lets time pass until all jobs have been created; the leader ends midway, if it is to.
+/// Advances the clock until all jobs have been created; the leader is killed and restarted
+/// midway if `--end-at` is given.
 fn run_until_created(world: &mut World, args: &Args, number: u64) {
     let deadline = world.now + DEADLINE_MS;
     let mut has_ended = false;
@@ -93,6 +94,9 @@
         if record.phase == Phase::Created {
             return;
         }
-        assert!(world.now < deadline, "not within two hours: {created}");
+        assert!(
+            world.now < deadline,
+            "not all jobs created within two hours: {created}"
+        );
     }
 }
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -1,6 +1,6 @@
-//! How a controller starts, and answers, on a long history: fills a stand-in of the
-//! state service with jobs that are over, starts the real program on it over
-//! loopback, and prints a line.
+//! Measures how a controller starts and answers polls with a long history: fills a stand-in of
+//! the state service with ended jobs, starts the real program with it over the loopback
+//! interface, and prints the results.
 
 use cherryyard_clients::http::HttpClient;
 use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
@@ -23,46 +23,46 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long a connection attempt may take.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a request may take.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Within what time the controller must be ready.
+/// Time within which the controller must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Measure a controller's start on a history of jobs that are over.
+/// Measure a controller's start with a history of ended jobs.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Jobs that are over
+    /// Number of ended jobs
     #[arg(long, default_value_t = 100_000)]
     jobs: u64,
-    /// Jobs that are open
+    /// Number of open jobs
     #[arg(long, default_value_t = 0)]
     open: u64,
-    /// Tasks of each open job, assigned
+    /// Number of tasks of each open job, all assigned
     #[arg(long, default_value_t = 5)]
     tasks: u32,
-    /// The format of their records: 1, a key each, or 2, in the history
+    /// Format of the jobs' records: 1 for a key for each job, 2 for the history
     #[arg(long, default_value_t = 2)]
     format: u32,
-    /// Ids are drawn from this many, in no order
+    /// Upper bound of the random numbers of the ended jobs
     #[arg(long, default_value_t = LAST)]
     ids: u64,
-    /// Requests a second that the state service allows
+    /// Requests per second that the state service allows
     #[arg(long, default_value_t = 80.0)]
     rps: f64,
-    /// Puts and deletes a second that it allows
+    /// Puts and deletes per second that the state service allows
     #[arg(long, default_value_t = 20.0)]
     write_rps: f64,
-    /// Polls of old and of unknown jobs, each, once it is ready
+    /// Number of polls of ended jobs, and of unknown ones, once the controller is ready
     #[arg(long, default_value_t = 40)]
     polls: u64,
-    /// The program; by default the one beside this one
+    /// Path of the controller's program; by default the one in the folder of this executable
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-fn past(job: u64) -> FinishedJob {
+fn finished_job(job: u64) -> FinishedJob {
     FinishedJob {
         job,
         end: if job.is_multiple_of(3) {
@@ -75,8 +75,9 @@
     }
 }
 
-/// The jobs that are over: distinct, in no order, the same for the same arguments.
-fn ids(args: &Args) -> Vec<u64> {
+/// Returns the numbers of the ended jobs: distinct, spread over the range of `--ids`, and the
+/// same for the same arguments.
+fn finished_job_ids(args: &Args) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(args.jobs);
     let most = args.ids.max(args.jobs * 2);
     let mut ids: Vec<u64> = (0..args.jobs + args.jobs / 2)
@@ -91,7 +92,7 @@
         .collect()
 }
 
-/// Open jobs and the pages of their assignments.
+/// Stores the open jobs and the pages of their assignments.
 fn fill_open(state: &mut StateStandIn, args: &Args) {
     let record = |id: u64| JobRecord::Open {
         spec: Box::new(World::spec(&job_id(id), "sweep", args.tasks)),
@@ -109,12 +110,12 @@
         }
     } else {
         jobs.sort_by_key(|&id| job_hash(id));
-        for (i, two) in jobs.chunks(2).enumerate() {
+        for (i, pair) in jobs.chunks(2).enumerate() {
             let bucket = BucketRecord {
-                open: two.iter().map(|&id| (id, record(id))).collect(),
+                open: pair.iter().map(|&id| (id, record(id))).collect(),
                 ..BucketRecord::default()
             };
-            let from = if i == 0 { 0 } else { job_hash(two[0]) };
+            let from = if i == 0 { 0 } else { job_hash(pair[0]) };
             state.seed(&bucket_key(from), &bucket);
         }
     }
@@ -142,7 +143,7 @@
     if args.format < BUCKETS {
         for &id in ids {
             let record = JobRecord::Ended {
-                end: past(id).end,
+                end: finished_job(id).end,
                 task_count: 50,
                 usage: TaskUsage {
                     team: "team".into(),
@@ -175,22 +176,22 @@
         ..PackedRecord::default()
     };
     state.seed(PACKED, &record);
-    // Leaves as full as folds leave them on average.
-    let mut rest = ids.chunks(350).peekable();
-    while let Some(chunk) = rest.next() {
-        let jobs: Vec<FinishedJob> = chunk.iter().map(|&id| past(id)).collect();
+    // Leaves filled as much as merges leave them on average.
+    let mut remaining = ids.chunks(350).peekable();
+    while let Some(chunk) = remaining.next() {
+        let jobs: Vec<FinishedJob> = chunk.iter().map(|&id| finished_job(id)).collect();
         let leaves = Leaf::default().merged_with(&jobs, 0, 4032);
         let count = leaves.len();
         for (i, leaf) in leaves.into_iter().enumerate() {
             let last = leaf.jobs().last().map_or(LAST, |p| p.job);
-            let open = rest.peek().is_none() && i + 1 == count;
+            let open = remaining.peek().is_none() && i + 1 == count;
             let last = if open { LAST } else { last };
             state.seed(&leaf_key(Level::Large, last), &leaf.to_record());
         }
     }
 }
 
-/// Settings of the controller that is measured.
+/// Returns the settings of the controller that is measured.
 fn settings(args: &Args, state: SocketAddr) -> Value {
     let mut settings = process::settings(&state.to_string());
     let cluster = &mut settings["cluster"];
@@ -201,7 +202,7 @@
     settings
 }
 
-/// A client of the controller, which asks for paths alone.
+/// An HTTP client of the controller that sends only GET requests.
 struct Client {
     http: HttpClient,
     controller: String,
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The status that a path is answered with, if it is.
+    /// Returns the status of the response to a GET request; none if there is no response.
     async fn get(&self, path: &str) -> Option<u16> {
         let url = format!("http://{}{path}", self.controller);
         let method = "GET".parse().expect("a method");
@@ -223,17 +224,20 @@
         response.await.ok().map(|(status, _)| status)
     }
 
-    /// Waits until the controller is ready; how long it took since `started`.
+    /// Waits until the controller is ready, and returns the time since `started`.
     async fn ready(&self, started: Instant) -> Duration {
         while self.get("/ready").await != Some(200) {
-            assert!(started.elapsed() < READY_TIMEOUT, "never ready");
+            assert!(
+                started.elapsed() < READY_TIMEOUT,
+                "the controller is not ready in time"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         started.elapsed()
     }
 }
 
-/// Which jobs are polled.
+/// The kind of jobs that are polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Polled {
     Old,
@@ -249,7 +253,8 @@
     }
 }
 
-/// Polls jobs one after the other, and prints how that went.
+/// Polls jobs one after the other, and prints how many polls got the expected status, the reads
+/// that they caused and the longest response time.
 async fn measure_polls(
     client: &Client,
     service: &HttpState,
@@ -259,7 +264,7 @@
     rng: &mut StdRng,
 ) {
     let before = service.requests().reads;
-    let (mut good, mut worst) = (0, Duration::ZERO);
+    let (mut expected_responses, mut worst) = (0, Duration::ZERO);
     let is_known = polled == Polled::Old && !ids.is_empty();
     for _ in 0..polls {
         let id = if is_known {
@@ -271,18 +276,18 @@
         let status = client.get(&format!("/v2/runs/{}", job_id(id))).await;
         worst = worst.max(sent_at.elapsed());
         let expected = if is_known { 200 } else { 404 };
-        good += u64::from(status == Some(expected));
+        expected_responses += u64::from(status == Some(expected));
     }
     let reads = service.requests().reads - before;
     println!(
-        "{polls} polls of {} jobs: {good} answered, {reads} reads, worst {:.0} ms",
+        "{polls} polls of {} jobs: {expected_responses} answered, {reads} reads, worst {:.0} ms",
         polled.name(),
         worst.as_secs_f64() * 1000.0
     );
 }
 
-/// The program beside this one.
-fn program_beside() -> PathBuf {
+/// Returns the path of the controller's program in the folder of this executable.
+fn default_program() -> PathBuf {
     let this = std::env::current_exe().expect("this program's path");
     this.with_file_name("cherryyard")
 }
@@ -290,9 +295,9 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
     let args = Args::parse();
-    let program = args.program.clone().unwrap_or_else(program_beside);
+    let program = args.program.clone().unwrap_or_else(default_program);
     let mut state = StateStandIn::default();
-    let ids = ids(&args);
+    let ids = finished_job_ids(&args);
     fill(&mut state, &args, &ids);
     let budgets = Budgets {
         rps: args.rps,
--- a/crates/cherryyard-simulation/src/fault.rs
+++ b/crates/cherryyard-simulation/src/fault.rs
@@ -1,118 +1,125 @@
-//! Faults by name, each of which begins and ends: what random scenarios draw from.
+//! Named faults that can be begun and ended; random scenarios draw from them.
 
-use crate::worker::job_of;
+use crate::worker::job_id_of;
 use crate::{Question, World};
 use strum::VariantArray;
 
-/// Most machines that hang at once.
-const MOST_HUNG: usize = 8;
-/// How often the leader ends by [`Fault::LeadersEnd`].
-const LEADER_ENDS_EVERY_MS: f64 = 12_000.0;
-/// How long machines take to come up when no fault makes them faster.
+/// Maximum number of machines that [`Fault::CancelRunningJobs`] lets hang at the same time.
+const MAX_HUNG_MACHINES: usize = 8;
+/// Interval at which [`Fault::LeadersEnd`] kills the leader.
+const LEADER_KILL_INTERVAL_MS: f64 = 12_000.0;
+/// Time from the provisioning of a machine until it is up, while [`Fault::FastProvisioning`] is
+/// not in effect.
 const PROVISIONING_MS: f64 = 5000.0;
 
-/// A fault. What a kept seed draws depends on the order of the variants: new ones come
-/// last.
+/// A fault. The variants are indexed by random draws, so the scenario of a recorded seed
+/// depends on their order: new variants are appended at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, VariantArray)]
 pub enum Fault {
-    /// The leader is down.
+    /// The leader's process is down.
     LeaderDown,
-    /// All controllers are down.
+    /// The processes of all controllers are down.
     AllDown,
-    /// The leader reaches neither the state service nor the others.
-    LeaderAlone,
-    /// A third of the machines cannot be reached.
-    Unreachable,
-    /// Neither responses nor commands reach a third of the machines.
-    OneWay,
-    /// The state service refuses the leader.
+    /// The leader reaches neither the state service nor the other controllers.
+    LeaderIsolated,
+    /// A third of the machines, drawn at random, exchange no messages with anyone.
+    MachinesUnreachable,
+    /// Messages to a third of the machines are lost, responses to heartbeats as well as direct
+    /// commands; their heartbeats still arrive.
+    InboundLost,
+    /// The state service refuses the leader's requests.
     LeaderRefused,
-    /// The state service refuses everybody.
-    Outage,
-    /// Direct commands to half of the machines are held back.
+    /// The state service refuses all controllers' requests.
+    StateOutage,
+    /// Direct commands to half of the machines are held back until the fault ends.
     SlowCommands,
-    /// Transactions get no response and are carried out late.
-    LateWrites,
-    /// Copies of workers' heartbeats come again.
-    Copies,
-    /// The leader stands still.
-    Frozen,
-    /// A controller's workers do not reach it.
-    Deaf,
-    /// Some machines end and are back at once, their workers new.
-    Reborn,
-    /// A controller does not reach the others.
-    Alone,
-    /// A controller's event loop lags: it is behind with workers' heartbeats.
-    Behind,
-    /// The state service is slow.
+    /// Between 10 and 49 percent of the transactions get no response; most of these are applied
+    /// seconds later.
+    DelayedCommits,
+    /// Every worker heartbeat is delivered again after a delay of up to 40.5 s.
+    DuplicatedHeartbeats,
+    /// The leader's process is paused.
+    LeaderFrozen,
+    /// One controller is unreachable for all workers.
+    CutFromWorkers,
+    /// A fifth of the machines restart at once, with a new worker process.
+    MachinesRestarted,
+    /// One controller and the other controllers do not reach each other.
+    PeerIsolated,
+    /// One controller's event loop lags, so that it handles workers' heartbeats late.
+    EventLoopLag,
+    /// The state service responds slowly.
     SlowState,
-    /// The controller after the leader is down.
+    /// The controller whose index follows the leader's is down.
     SuccessorDown,
-    /// The cloud releases nothing.
+    /// The cloud carries out no release of a machine.
     CloudDown,
-    /// A zone's machines cannot be reached.
-    ZoneSilent,
-    /// A third of the machines reach no controller, while direct commands reach them.
-    OneWaySilence,
-    /// Copies of workers' heartbeats are kept for the next leader, and come to all
-    /// controllers.
-    CopiesForNext,
-    /// Transactions are carried out at once and get no response.
-    LostAnswers,
-    /// Provisioned machines are up within two seconds, and responses to provisioning
-    /// requests may be lost.
-    FastBoots,
-    /// Users cancel jobs that run, and their machines hang.
-    CancelNow,
-    /// Jobs that end are cancelled at that moment.
-    CancelAtEnd,
-    /// Users repeat submissions, cancel what is over, send what cannot run.
+    /// The machines of zone b are unreachable.
+    ZoneUnreachable,
+    /// Heartbeats of a third of the machines are lost, while direct commands still reach these
+    /// machines.
+    OutboundLost,
+    /// Copies of workers' heartbeats are kept until the leader changes, and are then delivered
+    /// to all controllers.
+    DuplicatesForNextLeader,
+    /// Between 10 and 49 percent of the transactions are applied at once, and their responses
+    /// are lost.
+    LostCommitResponses,
+    /// Provisioned machines are up within two seconds, and responses to provisioning requests
+    /// may be lost.
+    FastProvisioning,
+    /// Users cancel running jobs, and the machines that run them hang.
+    CancelRunningJobs,
+    /// Half of the jobs that end are cancelled at that moment.
+    CancelEndingJobs,
+    /// Users repeat submissions, cancel jobs that have ended and submit jobs that cannot run.
     OddRequests,
-    /// Users ask at all controllers at once.
-    CloseLooks,
-    /// A zone is cut off, its controllers and machines together.
-    ZoneCut,
-    /// The leader ends every 12 s.
+    /// Users send requests about the same job to all controllers at once.
+    ConcurrentRequests,
+    /// The controllers and machines of one zone are partitioned from all other zones, and its
+    /// controllers from the state service.
+    ZonePartitioned,
+    /// The leader is killed every 12 s and restarted half a second later.
     LeadersEnd,
 }
 
-/// The faults that the first random scenarios drew from. What a kept seed draws depends on
-/// this order.
+/// Faults that the first random scenarios draw from. Their order decides what a recorded seed
+/// draws.
 pub const OLDER: [Fault; 19] = *Fault::VARIANTS
     .first_chunk()
     .expect("19 faults before those of NEWER");
 
-/// Those that were added later.
+/// Faults that were added after those of [`OLDER`].
 pub const NEWER: [Fault; 10] = *Fault::VARIANTS.last_chunk().expect("10 further faults");
 
-/// Who leads, or the first controller.
+/// Returns the index of the leader, or of the first controller if there is no leader.
 pub fn leader(world: &World) -> usize {
     world.leader().unwrap_or(0)
 }
 
-/// Some of the machines: each is drawn with a chance of one in so many.
+/// Draws a subset of the machines: each is included with a probability of one in `one_in`.
 fn draw_machines(world: &World, one_in: u64, draw: &mut dyn FnMut(u64) -> u64) -> Vec<String> {
     let machines = world.workers.keys();
     machines.filter(|_| draw(one_in) == 0).cloned().collect()
 }
 
-/// One of the controllers.
+/// Draws the index of a controller.
 fn draw_controller(world: &World, draw: &mut dyn FnMut(u64) -> u64) -> usize {
     draw(world.controllers.len() as u64) as usize
 }
 
-/// Users cancel some of the jobs that run, and machines that run them hang.
+/// Cancels a third of the running jobs, drawn at random, on behalf of their users, and lets the
+/// machines that run them hang.
 fn cancel_running_jobs(world: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
     let running = world.workers.values().flat_map(|worker| {
         let tasks = worker.running_tasks();
-        tasks.map(|name| (job_of(name).to_string(), worker.host.clone()))
+        tasks.map(|name| (job_id_of(name).to_string(), worker.host.clone()))
     });
     for (id, machine) in running.collect::<Vec<_>>() {
         if draw(3) != 0 {
             continue;
         }
-        if world.machines.hung.len() < MOST_HUNG && !world.cloud.down {
+        if world.machines.hung.len() < MAX_HUNG_MACHINES && !world.cloud.down {
             world.machines.hung.insert(machine);
         }
         if !world.asked_to_cancel(&id) {
@@ -122,7 +129,8 @@
     }
 }
 
-/// A zone's machines and controllers reach none of another zone, nor the state service.
+/// Partitions a zone's machines and controllers from all other zones, and its controllers from
+/// the state service.
 fn cut_zone(world: &mut World, zone: &str) {
     world.network.partitioned_zones.insert(zone.into());
     let controllers = (0..world.controllers.len()).filter(|&i| world.zone_of(i) == zone);
@@ -131,12 +139,12 @@
 }
 
 fn machines_of_zone(world: &World, zone: &str) -> Vec<String> {
-    let there = world.workers.values().filter(|worker| worker.zone == zone);
-    there.map(|worker| worker.host.clone()).collect()
+    let in_zone = world.workers.values().filter(|worker| worker.zone == zone);
+    in_zone.map(|worker| worker.host.clone()).collect()
 }
 
 impl Fault {
-    /// Begins it.
+    /// Begins the fault.
     pub fn begin(self, world: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
         let leader = leader(world);
         let count = world.controllers.len();
@@ -144,90 +152,97 @@
             Self::LeaderDown => world.kill(leader),
             Self::AllDown => (0..count).for_each(|i| world.kill(i)),
             Self::SuccessorDown => world.kill((leader + 1) % count),
-            Self::LeadersEnd => world.processes.leader_ends_every_ms = Some(LEADER_ENDS_EVERY_MS),
-            Self::Frozen => drop(world.processes.frozen.insert(leader)),
-            Self::Behind => {
+            Self::LeadersEnd => {
+                world.processes.leader_kill_interval_ms = Some(LEADER_KILL_INTERVAL_MS)
+            }
+            Self::LeaderFrozen => drop(world.processes.frozen.insert(leader)),
+            Self::EventLoopLag => {
                 let controller = draw_controller(world, draw);
                 let lag_ms = 800.0 + draw(2000) as f64;
                 world.processes.lag_ms.insert(controller, lag_ms);
             }
-            Self::LeaderAlone => {
+            Self::LeaderIsolated => {
                 world.state_link.refused.insert(leader);
                 world.network.isolated.insert(leader);
             }
-            Self::Alone => drop(world.network.isolated.insert(draw_controller(world, draw))),
-            Self::Deaf => drop(
+            Self::PeerIsolated => drop(world.network.isolated.insert(draw_controller(world, draw))),
+            Self::CutFromWorkers => drop(
                 world
                     .network
                     .cut_from_workers
                     .insert(draw_controller(world, draw)),
             ),
-            Self::Unreachable => world
+            Self::MachinesUnreachable => world
                 .network
                 .unreachable
                 .extend(draw_machines(world, 3, draw)),
-            Self::OneWay => world
+            Self::InboundLost => world
                 .network
                 .inbound_lost
                 .extend(draw_machines(world, 3, draw)),
-            Self::OneWaySilence => world
+            Self::OutboundLost => world
                 .network
                 .outbound_lost
                 .extend(draw_machines(world, 3, draw)),
-            Self::ZoneSilent => world
+            Self::ZoneUnreachable => world
                 .network
                 .unreachable
                 .extend(machines_of_zone(world, "b")),
-            Self::ZoneCut => cut_zone(world, ["a", "b", "c"][draw(3) as usize]),
+            Self::ZonePartitioned => cut_zone(world, ["a", "b", "c"][draw(3) as usize]),
             Self::SlowCommands => world
                 .machines
                 .slow_commands
                 .extend(draw_machines(world, 2, draw)),
-            Self::Reborn => {
+            Self::MachinesRestarted => {
                 let machines = draw_machines(world, 5, draw);
                 machines.iter().for_each(|name| world.reborn(name));
             }
             Self::LeaderRefused => drop(world.state_link.refused.insert(leader)),
-            Self::Outage => world.state_link.refused.extend(0..count),
+            Self::StateOutage => world.state_link.refused.extend(0..count),
             Self::SlowState => world.state_link.latency_ms = 200.0 + draw(4000) as f64,
-            Self::LateWrites => world.state_link.delayed_percent = 10 + draw(40),
-            Self::LostAnswers => world.state_link.lost_response_percent = 10 + draw(40),
-            Self::Copies => world.duplicates.delay_ms = Some(500.0 + draw(40_000) as f64),
-            Self::CopiesForNext => world.duplicates.for_next_leader = true,
+            Self::DelayedCommits => world.state_link.delayed_percent = 10 + draw(40),
+            Self::LostCommitResponses => world.state_link.lost_response_percent = 10 + draw(40),
+            Self::DuplicatedHeartbeats => {
+                world.duplicates.delay_ms = Some(500.0 + draw(40_000) as f64)
+            }
+            Self::DuplicatesForNextLeader => world.duplicates.for_next_leader = true,
             Self::CloudDown => {
-                // Without a release nothing can be done about a machine that hangs beyond
-                // the time of a cancellation with a start on its way (docs/restart.md).
-                Self::CancelNow.finish(world);
+                // If a machine hangs while a start is on its way to it, a cancellation can be
+                // completed in time only by releasing the machine. So machines must not hang
+                // while the cloud releases none (docs/restart.md).
+                Self::CancelRunningJobs.finish(world);
                 world.cloud.down = true;
             }
-            Self::FastBoots => {
+            Self::FastProvisioning => {
                 world.cloud.provisioning_ms = Some(draw(2000) as f64);
                 world.cloud.provisions_unanswered = draw(2) == 0;
             }
-            Self::CancelNow => cancel_running_jobs(world, draw),
-            Self::CancelAtEnd => world.submissions.cancel_at_end_percent = 50,
+            Self::CancelRunningJobs => cancel_running_jobs(world, draw),
+            Self::CancelEndingJobs => world.submissions.cancel_at_end_percent = 50,
             Self::OddRequests => world.requests.odd = true,
-            Self::CloseLooks => world.requests.close_looks = true,
+            Self::ConcurrentRequests => world.requests.close_looks = true,
         }
     }
 
-    /// Ends it.
+    /// Ends the fault.
     pub fn finish(self, world: &mut World) {
         match self {
-            Self::LeaderDown | Self::AllDown | Self::SuccessorDown => start_all(world),
-            Self::LeadersEnd => world.processes.leader_ends_every_ms = None,
-            Self::Frozen => world.processes.frozen.clear(),
-            Self::Behind => world.processes.lag_ms.clear(),
-            Self::LeaderAlone => {
+            Self::LeaderDown | Self::AllDown | Self::SuccessorDown => {
+                start_stopped_controllers(world)
+            }
+            Self::LeadersEnd => world.processes.leader_kill_interval_ms = None,
+            Self::LeaderFrozen => world.processes.frozen.clear(),
+            Self::EventLoopLag => world.processes.lag_ms.clear(),
+            Self::LeaderIsolated => {
                 world.state_link.refused.clear();
                 world.network.isolated.clear();
             }
-            Self::Alone => world.network.isolated.clear(),
-            Self::Deaf => world.network.cut_from_workers.clear(),
-            Self::Unreachable | Self::ZoneSilent => world.network.unreachable.clear(),
-            Self::OneWay => world.network.inbound_lost.clear(),
-            Self::OneWaySilence => world.network.outbound_lost.clear(),
-            Self::ZoneCut => {
+            Self::PeerIsolated => world.network.isolated.clear(),
+            Self::CutFromWorkers => world.network.cut_from_workers.clear(),
+            Self::MachinesUnreachable | Self::ZoneUnreachable => world.network.unreachable.clear(),
+            Self::InboundLost => world.network.inbound_lost.clear(),
+            Self::OutboundLost => world.network.outbound_lost.clear(),
+            Self::ZonePartitioned => {
                 world.network.partitioned_zones.clear();
                 world.state_link.refused.clear();
             }
@@ -235,29 +250,29 @@
                 world.machines.slow_commands.clear();
                 world.deliver_direct();
             }
-            Self::Reborn => {}
-            Self::LeaderRefused | Self::Outage => world.state_link.refused.clear(),
+            Self::MachinesRestarted => {}
+            Self::LeaderRefused | Self::StateOutage => world.state_link.refused.clear(),
             Self::SlowState => world.state_link.latency_ms = 0.0,
-            Self::LateWrites => world.state_link.delayed_percent = 0,
-            Self::LostAnswers => world.state_link.lost_response_percent = 0,
-            Self::Copies => world.duplicates.delay_ms = None,
-            Self::CopiesForNext => world.duplicates.for_next_leader = false,
+            Self::DelayedCommits => world.state_link.delayed_percent = 0,
+            Self::LostCommitResponses => world.state_link.lost_response_percent = 0,
+            Self::DuplicatedHeartbeats => world.duplicates.delay_ms = None,
+            Self::DuplicatesForNextLeader => world.duplicates.for_next_leader = false,
             Self::CloudDown => world.cloud.down = false,
-            Self::FastBoots => {
+            Self::FastProvisioning => {
                 world.cloud.provisioning_ms = Some(PROVISIONING_MS);
                 world.cloud.provisions_unanswered = false;
             }
-            Self::CancelNow => {
+            Self::CancelRunningJobs => {
                 world.deliver_direct();
                 world.machines.hung.clear();
             }
-            Self::CancelAtEnd => world.submissions.cancel_at_end_percent = 0,
+            Self::CancelEndingJobs => world.submissions.cancel_at_end_percent = 0,
             Self::OddRequests => world.requests.odd = false,
-            Self::CloseLooks => world.requests.close_looks = false,
+            Self::ConcurrentRequests => world.requests.close_looks = false,
         }
     }
 
-    /// Ends all that may be going on: nothing fails any more.
+    /// Ends all faults, so that nothing fails any more.
     pub fn finish_all(world: &mut World) {
         for fault in OLDER.into_iter().chain(NEWER) {
             fault.finish(world);
@@ -265,8 +280,8 @@
     }
 }
 
-/// All controllers that are down start.
-fn start_all(world: &mut World) {
+/// Starts all controllers that are down.
+fn start_stopped_controllers(world: &mut World) {
     for i in 0..world.controllers.len() {
         if world.controllers[i].is_none() {
             world.start(i);
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -1,4 +1,5 @@
-//! The stand-in of the state service over HTTP on loopback, with its budgets.
+//! Serves the stand-in of the state service over HTTP on the loopback interface, with rate
+//! limits.
 
 use crate::StateStandIn;
 use cherryyard_core::Outcome;
@@ -10,23 +11,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What the service allows a second.
+/// Rate limits of the service, per second.
 #[derive(Clone, Copy, Debug)]
 pub struct Budgets {
-    /// Requests.
+    /// Maximum number of requests.
     pub rps: f64,
-    /// Puts and deletes.
+    /// Maximum number of puts and deletes.
     pub write_rps: f64,
 }
 
-/// How long a lease lasts without a renewal, in milliseconds.
+/// Time in milliseconds after which a lease expires unless it is renewed.
 const LEASE_MS: f64 = 5000.0;
-/// Pairs of a page of keys, unless a request says otherwise.
-const DEFAULT_PAGE: usize = 1000;
-/// Time between two looks for changes while a watch waits.
-const WATCH_POLL: Duration = Duration::from_millis(5);
+/// Maximum number of pairs in a page of keys, unless a request states another one.
+const DEFAULT_PAGE_PAIRS: usize = 1000;
+/// Interval at which a waiting watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The tokens that are left of the budgets, each at most a second's.
+/// Token buckets of the rate limits; each holds at most the tokens of one second.
 #[derive(Debug)]
 struct TokenBuckets {
     budgets: Budgets,
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Takes the tokens of a request with this many writes, if there are enough.
+    /// Takes the tokens of a request with this many writes; returns false and takes none if
+    /// there are too few.
     fn take(&mut self, writes: usize) -> bool {
         let passed_s = self.filled_at.elapsed().as_secs_f64();
         self.filled_at = Instant::now();
@@ -68,7 +70,7 @@
     counts: Requests,
 }
 
-/// A response: its status and JSON.
+/// A response: HTTP status and JSON body.
 struct Reply {
     status: u16,
     body: Value,
@@ -92,21 +94,21 @@
     }
 }
 
-/// A state service on loopback.
+/// A state service on the loopback interface.
 #[derive(Clone, Debug)]
 pub struct HttpState {
     service: Arc<Mutex<Service>>,
-    born: Instant,
+    started_at: Instant,
 }
 
-/// Requests so far.
+/// Counts of the requests so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Requests {
-    /// Reads of ranges.
+    /// Number of reads of key ranges.
     pub reads: usize,
-    /// All.
+    /// Number of all requests.
     pub all: usize,
-    /// Of these, refused.
+    /// Number of requests that were refused by the rate limits.
     pub refused: usize,
 }
 
@@ -129,7 +131,7 @@
 }
 
 impl ApplyBody {
-    /// The change that it stands for; one without a key is left out.
+    /// Converts the entry to a change; returns none for an entry without a key.
     fn into_change(self) -> Option<Apply> {
         match (self.set, self.delete) {
             (Some(set), _) => Some(Apply::Set {
@@ -154,7 +156,7 @@
 }
 
 impl HttpState {
-    /// A service that holds what `state` does.
+    /// Creates a service with the contents of `state`.
     pub fn new(state: StateStandIn, budgets: Budgets) -> Self {
         let service = Service {
             state,
@@ -163,7 +165,7 @@
         };
         Self {
             service: Arc::new(Mutex::new(service)),
-            born: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
@@ -175,29 +177,30 @@
     }
 
     fn now_ms(&self) -> f64 {
-        self.born.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Works on what it holds.
-    pub fn with<T>(&self, work: impl FnOnce(&mut StateStandIn) -> T) -> T {
-        work(&mut self.lock().state)
+    /// Runs a closure on the service's store, after expiring its leases.
+    pub fn with<T>(&self, operation: impl FnOnce(&mut StateStandIn) -> T) -> T {
+        operation(&mut self.lock().state)
     }
 
-    /// Requests so far.
+    /// Returns the counts of the requests so far.
     pub fn requests(&self) -> Requests {
         self.lock().counts
     }
 
-    /// Serves on a port of the system's choice until the process ends.
+    /// Serves on a port chosen by the operating system until the process ends, and returns the
+    /// address.
     pub async fn serve(&self) -> SocketAddr {
         let listener = TcpListener::new("127.0.0.1:0").bind().await;
-        let addr = listener.local_addr().expect("an address of loopback");
+        let addr = listener.local_addr().expect("a loopback address");
         let router = Router::with_path("{**path}").goal(Endpoint(self.clone()));
         tokio::spawn(async move { Server::new(listener).serve(router).await });
         addr
     }
 
-    /// Whether the budgets allow a request with this many writes.
+    /// Counts a request with this many writes, and returns whether the rate limits admit it.
     fn admit(&self, writes: usize) -> bool {
         let mut service = self.lock();
         service.counts.all += 1;
@@ -208,8 +211,8 @@
 
     async fn answer(&self, req: &mut Request) -> Reply {
         let path = req.uri().path().to_string();
-        let words: Vec<&str> = path.trim_matches('/').split('/').collect();
-        match (req.method().as_str(), words.as_slice()) {
+        let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+        match (req.method().as_str(), segments.as_slice()) {
             ("GET", ["store"]) => self.list(req),
             ("GET", ["store", ..]) => self.get(&path["/store/".len()..]),
             ("GET", ["follow"]) => {
@@ -223,14 +226,14 @@
         }
     }
 
-    /// A page of keys and values.
+    /// Responds with a page of keys and values.
     fn list(&self, req: &Request) -> Reply {
         let since = req.query::<String>("since");
         let prefix = req.query::<String>("starts").unwrap_or_default();
-        let most = req.query::<usize>("page").unwrap_or(DEFAULT_PAGE);
+        let max_pairs = req.query::<usize>("page").unwrap_or(DEFAULT_PAGE_PAIRS);
         let mut service = self.lock();
         service.counts.reads += 1;
-        let (pairs, truncated) = service.state.page(&prefix, since.as_deref(), most);
+        let (pairs, truncated) = service.state.page(&prefix, since.as_deref(), max_pairs);
         let store_revision = service.state.store_revision();
         Reply::ok(json!({ "pairs": pairs, "truncated": truncated, "epoch": store_revision }))
     }
@@ -243,38 +246,39 @@
         }
     }
 
-    /// What has changed since a revision, as soon as there is something.
+    /// Responds with the changes since a revision as soon as there are any, or after `wait_ms`.
     async fn watch(&self, since: u64, wait_ms: u64) -> Reply {
-        let until = Instant::now() + Duration::from_millis(wait_ms);
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
-            if let Some(reply) = self.changes(since, until) {
+            if let Some(reply) = self.changes(since, deadline) {
                 return reply;
             }
-            tokio::time::sleep(WATCH_POLL).await;
+            tokio::time::sleep(WATCH_POLL_INTERVAL).await;
         }
     }
 
-    /// What has changed since a revision; none if nothing has and there is time to wait.
-    fn changes(&self, since: u64, until: Instant) -> Option<Reply> {
+    /// Returns the response with the changes since a revision; none if there are no changes yet
+    /// and the deadline has not passed.
+    fn changes(&self, since: u64, deadline: Instant) -> Option<Reply> {
         let service = self.lock();
         if !service.state.remembers(since) {
             return Some(Reply::empty(410));
         }
         let events = service.state.events(since);
-        let is_over = !events.events.is_empty() || Instant::now() >= until;
-        is_over.then(|| Reply::ok(json!(events)))
+        let responds_now = !events.events.is_empty() || Instant::now() >= deadline;
+        responds_now.then(|| Reply::ok(json!(events)))
     }
 
     fn grant_lease(&self) -> Reply {
-        let until = self.now_ms() + LEASE_MS;
-        Reply::ok(json!({ "hold": self.lock().state.grant_lease(until) }))
+        let expires_at = self.now_ms() + LEASE_MS;
+        Reply::ok(json!({ "hold": self.lock().state.grant_lease(expires_at) }))
     }
 
     fn renew_lease(&self, id: &str) -> Reply {
-        let until = self.now_ms() + LEASE_MS;
+        let expires_at = self.now_ms() + LEASE_MS;
         let is_renewed = id
             .parse()
-            .is_ok_and(|id| self.lock().state.renew_lease(id, until));
+            .is_ok_and(|id| self.lock().state.renew_lease(id, expires_at));
         Reply::empty(if is_renewed { 200 } else { 404 })
     }
 
@@ -306,14 +310,14 @@
     }
 }
 
-/// All paths of the service.
+/// Request handler for all paths of the service.
 struct Endpoint(HttpState);
 
 #[async_trait]
 impl Handler for Endpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let commits = req.uri().path() == "/commit";
-        let reply = if commits {
+        let is_commit = req.uri().path() == "/commit";
+        let reply = if is_commit {
             self.0.commit(req).await
         } else if self.0.admit(0) {
             self.0.answer(req).await
--- a/crates/cherryyard-simulation/src/lib.rs
+++ b/crates/cherryyard-simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! Deterministic simulation of whole clusters: controllers, state service, cloud, workers
-//! and users in one thread, on a clock that the test moves.
+//! Deterministic simulation of whole clusters: controllers, state service, cloud, workers and
+//! users run in one thread, on a clock that the test advances.
 //!
-//! The controllers are the real ones of `cherryyard-core`. All around them are stand-ins:
-//! [`StateStandIn`] and [`WorkerStandIn`] follow the protocol; the cloud, the network and
-//! the ways between them are part of [`World`]. A [`Fault`] begins and ends by name;
-//! [`Users`] submit, poll and judge in the end. Whatever is drawn is drawn by a seed, so
-//! the same scenario always has the same trace.
+//! The controllers are the real ones of `cherryyard-core`. Everything around them is a
+//! stand-in: [`StateStandIn`] and [`WorkerStandIn`] implement the protocol; the cloud and the
+//! network are part of [`World`]. A [`Fault`] is begun and ended; [`Users`] submit jobs, poll
+//! them and check the outcome at the end of a scenario. All random choices are drawn from
+//! seeds, so the same scenario always has the same trace.
 //!
-//! [`http`] and [`process`] run the real program against the state service's stand-in.
+//! [`http`] and [`process`] run the real program against the stand-in of the state service.
 
 pub mod fault;
 pub mod http;
@@ -24,26 +24,29 @@
 pub use world::pipelines::Pipelines;
 pub use world::{CrashPoint, Question, Response, Setup, World, small_machine_type};
 
-/// Plays random scenarios by seed, by hand: `FROM` names the first seed and `SEEDS` how
-/// many there are, else these.
+/// Runs a random scenario for each seed of a range, in tests that are started by hand. The
+/// environment variables `FROM` and `SEEDS` set the first seed and the number of seeds; the
+/// defaults are `first` and `count`.
 ///
 /// # Panics
 ///
 /// If either variable is not a number.
-pub fn play_seeds(first: u64, count: u64, play: impl Fn(u64)) {
-    let number = |name: &str, or: u64| std::env::var(name).map_or(or, |s| s.parse().expect(name));
-    let from = number("FROM", first);
-    (from..from + number("SEEDS", count)).for_each(play);
+pub fn play_seeds(first: u64, count: u64, run_scenario: impl Fn(u64)) {
+    let read_variable =
+        |name: &str, default: u64| std::env::var(name).map_or(default, |s| s.parse().expect(name));
+    let start = read_variable("FROM", first);
+    (start..start + read_variable("SEEDS", count)).for_each(run_scenario);
 }
 
-/// Draws below a number, the same for the same seed in every version of every
-/// library: a seed that breaks a rule is kept.
+/// Returns a generator of pseudo-random numbers below its argument. The generator (xorshift) is
+/// written out here and not taken from a library, whose versions may draw differently: a seed
+/// that broke a rule stays reproducible.
 pub fn draws(seed: u64) -> impl FnMut(u64) -> u64 {
-    let mut draw = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-    move |n| {
-        draw ^= draw << 13;
-        draw ^= draw >> 7;
-        draw ^= draw << 17;
-        draw % n
+    let mut xorshift = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+    move |bound| {
+        xorshift ^= xorshift << 13;
+        xorshift ^= xorshift >> 7;
+        xorshift ^= xorshift << 17;
+        xorshift % bound
     }
 }
--- a/crates/cherryyard-simulation/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -1,4 +1,5 @@
-//! The real program as a process on loopback, and a client of it.
+//! Runs the real program as a process on the loopback interface, and provides an HTTP client
+//! for it.
 
 use crate::StateStandIn;
 use crate::http::{Budgets, HttpState};
@@ -9,31 +10,35 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How long a client waits for a connection.
+/// Timeout of a client's connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client waits for a response.
+/// Timeout of a client's request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Idle connections that a client keeps.
+/// Number of idle connections that a client keeps open.
 const IDLE_CONNECTIONS: usize = 50;
-/// Most bytes of a response.
-const MOST_RESPONSE_BYTES: usize = 65_536;
-/// Tries of a client that insists, and the time between two.
-const MOST_TRIES: usize = 300;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 65_536;
+/// Maximum number of attempts of [`Client::insist`].
+const MAX_ATTEMPTS: usize = 300;
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A port that nobody listens on.
+/// Returns a TCP port of the loopback interface that is free at the moment.
 pub fn free_port() -> u16 {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    socket.local_addr().expect("its address").port()
+    socket
+        .local_addr()
+        .expect("the address of the listener")
+        .port()
 }
 
-/// Settings of a controller alone, with its state service at `state`.
+/// Returns the settings of a single controller without peers, whose state service is at the
+/// address `state`.
 pub fn settings(state: &str) -> Value {
-    let here = || format!("127.0.0.1:{}", free_port());
+    let free_addr = || format!("127.0.0.1:{}", free_port());
     json!({
-        "label": "controller-0", "domain": "a", "public_addr": here(),
-        "peer_listen": here(), "known": [],
-        "services": { "cloud": here(), "state": state },
+        "label": "controller-0", "domain": "a", "public_addr": free_addr(),
+        "peer_listen": free_addr(), "known": [],
+        "services": { "cloud": free_addr(), "state": state },
         "cluster": {
             "zones": ["a"], "teams": [{ "name": "team" }],
             "workers": { "report_s": 2.0, "lease_s": 10.0, "cancel_s": 40.0 },
@@ -44,18 +49,18 @@
     })
 }
 
-/// A running controller, ended when this is dropped.
+/// A running controller process, killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     dir: PathBuf,
-    /// Where users and workers reach it.
+    /// Address at which users and workers reach the controller.
     pub addr: String,
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // If one of these fails, it is gone already.
+        // Errors are ignored: they mean that the process or the folder no longer exists.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -63,7 +68,8 @@
 }
 
 impl Process {
-    /// Starts the program with these settings and operators' settings.
+    /// Starts the program with these controller settings and the text of the operators'
+    /// settings file.
     pub fn start(program: &Path, settings: &Value, operator: &str) -> Self {
         let addr = settings["public_addr"].as_str().expect("an address");
         let suffix = addr.replace([':', '.'], "-");
@@ -89,8 +95,8 @@
         }
     }
 
-    /// Starts a controller alone on a state service whose store has these contents, and
-    /// waits until it is ready.
+    /// Starts a state service with the contents of `state` and a single controller that uses
+    /// it, and waits until the controller is ready.
     pub async fn start_alone(
         program: &Path,
         state: StateStandIn,
@@ -108,7 +114,7 @@
         (service, controller, client)
     }
 
-    /// Most memory that it has taken, in MB.
+    /// Returns the process's peak resident memory (`VmHWM`) in MB; 0 if it cannot be read.
     pub fn memory_mb(&self) -> f64 {
         let path = format!("/proc/{}/status", self.child.id());
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -117,7 +123,7 @@
         kb.unwrap_or(0.0) / 1024.0
     }
 
-    /// A client of it.
+    /// Returns an HTTP client of this controller.
     pub fn client(&self) -> Client {
         Client {
             http: HttpClient::new(CONNECT_TIMEOUT, IDLE_CONNECTIONS),
@@ -126,7 +132,7 @@
     }
 }
 
-/// A client of a controller.
+/// An HTTP client of a controller.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: HttpClient,
@@ -134,32 +140,34 @@
 }
 
 impl Client {
-    /// A request's status and response; 0 if there is none.
+    /// Sends a request and returns the status and body of its response; the status is 0 if
+    /// there is no response.
     pub async fn call(&self, method: &str, path: &str, body: Option<String>) -> (u16, String) {
         let url = format!("http://{}{path}", self.addr);
         let method = method.parse().expect("a method");
         let body = body.map(String::into_bytes);
         let response = self
             .http
-            .call(method, &url, body, REQUEST_TIMEOUT, MOST_RESPONSE_BYTES)
+            .call(method, &url, body, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
             .await;
         let (status, body) = response.unwrap_or_default();
         (status, String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// The same, again and again until there is a response other than 503.
+    /// Sends a request as [`Client::call`] does, and repeats it every 100 ms until there is a
+    /// response other than 503. Panics after 300 attempts.
     pub async fn insist(&self, method: &str, path: &str, body: Option<String>) -> (u16, String) {
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let (status, text) = self.call(method, path, body.clone()).await;
             if status != 503 && status != 0 {
                 return (status, text);
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        panic!("{method} {path}: never taken");
+        panic!("{method} {path}: no response other than 503");
     }
 
-    /// Waits until the controller is ready.
+    /// Waits until the controller reports that it is ready.
     pub async fn ready(&self) {
         self.insist("GET", "/ready", None).await;
     }
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the state service: a store of keys with revisions, leases and transactions,
+//! Stand-in of the state service: a key-value store with revisions, leases and transactions,
 //! and a log of its changes.
 
 use cherryyard_core::Outcome;
@@ -7,25 +7,25 @@
 use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse, When};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Prefix of the keys of assignments.
+/// Prefix of the keys that hold assignments of tasks to machines.
 const ASSIGNMENTS: &str = "c/mark";
-/// Most pairs of a page of keys.
-const PAGE_PAIRS: usize = 1000;
-/// Most bytes of a page of keys.
-const PAGE_BYTES: usize = 512 * 1024;
-/// What a pair takes in a page beside its key and value.
+/// Maximum number of pairs in a page of keys.
+const MAX_PAGE_PAIRS: usize = 1000;
+/// Maximum size of a page of keys, in bytes.
+const MAX_PAGE_BYTES: usize = 512 * 1024;
+/// Bytes that a pair takes in a page in addition to its key and value.
 const PAIR_OVERHEAD_BYTES: usize = 40;
-/// Most bytes of a transaction.
-const COMMIT_BYTES: usize = 64 * 1024;
-/// Conditions that a transaction may have for each change.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// Maximum size of a transaction, in bytes.
+const MAX_COMMIT_BYTES: usize = 64 * 1024;
+/// Maximum number of conditions of a transaction, for each change that the limits allow.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 
-/// A key's value.
+/// A stored value with its revision.
 #[derive(Clone, Debug)]
 struct Stored {
     value: Json,
     revision: u64,
-    /// The lease that it ends with.
+    /// Lease whose end deletes the key; none if the key is not bound to a lease.
     lease_id: Option<u64>,
 }
 
@@ -39,39 +39,40 @@
     }
 }
 
-/// The state service: keys, revisions and leases.
+/// Stand-in of the state service.
 #[derive(Debug, Default)]
 pub struct StateStandIn {
     store_revision: u64,
     keys: BTreeMap<String, Stored>,
-    /// Until when each lease lasts, in milliseconds.
+    /// Expiry time of each lease, in milliseconds.
     leases: BTreeMap<u64, f64>,
     next_lease: u64,
-    /// Changes up to this revision are not told any more.
-    forgotten: u64,
+    /// Revision up to which changes are no longer available to watches.
+    compacted_revision: u64,
     changes: Vec<WatchEvent>,
-    /// The largest value in bytes that each key ever had.
+    /// Size in bytes of the largest value that each key has ever had.
     largest: BTreeMap<String, usize>,
-    /// Puts and deletes of assignments so far.
+    /// Number of puts and deletes of assignments so far.
     pub assignment_writes: usize,
-    /// All puts and deletes so far.
+    /// Number of all puts and deletes so far.
     pub writes: usize,
-    /// Most changes that a transaction has had.
+    /// Largest number of changes in a transaction so far.
     pub most_ops: usize,
-    /// Most conditions that a transaction has had.
+    /// Largest number of conditions in a transaction so far.
     pub most_conditions: usize,
-    /// Limits in force; none: everything is taken.
+    /// Limits that are enforced; if none, every transaction is accepted.
     pub limits: Option<ServiceLimits>,
-    /// Transactions that were refused because they exceed the limits.
+    /// Number of transactions that were refused because they exceeded the limits.
     pub malformed: usize,
 }
 
-/// What the state service takes.
+/// Limits of the state service.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceLimits {
-    /// Largest value in bytes.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Most puts and deletes in a transaction; four times as many conditions.
+    /// Maximum number of puts and deletes in a transaction; four times as many conditions are
+    /// allowed.
     pub txn_ops: usize,
 }
 
@@ -82,25 +83,25 @@
             Apply::Delete { .. } => true,
         };
         commit.apply.len() <= self.txn_ops
-            && commit.when.len() <= CONDITIONS_PER_CHANGE * self.txn_ops
-            && commit.bytes() <= COMMIT_BYTES
+            && commit.when.len() <= MAX_CONDITIONS_PER_CHANGE * self.txn_ops
+            && commit.bytes() <= MAX_COMMIT_BYTES
             && commit.apply.iter().all(fits)
     }
 }
 
 impl StateStandIn {
-    /// The newest revision.
+    /// Returns the newest revision of the store.
     pub fn store_revision(&self) -> u64 {
         self.store_revision
     }
 
-    /// A key's value and revision.
+    /// Returns a key's value and revision.
     pub fn get(&self, key: &str) -> Option<(&Json, u64)> {
         let stored = self.keys.get(key)?;
         Some((&stored.value, stored.revision))
     }
 
-    /// All keys.
+    /// Returns all pairs whose keys belong to the controllers (prefix [`PREFIX`]).
     pub fn pairs(&self) -> Vec<Pair> {
         self.keys
             .iter()
@@ -109,7 +110,8 @@
             .collect()
     }
 
-    /// The first leaf of a run whose last possible id is `job` or later.
+    /// Returns the first leaf of a level of the history whose last possible job number is `job`
+    /// or larger: that number, the leaf's revision and the leaf.
     pub fn leaf(&self, level: Level, job: u64) -> Option<(u64, u64, LeafRecord)> {
         let from = leaf_key(level, job);
         let (key, stored) = self.keys.range(from..).next()?;
@@ -117,9 +119,9 @@
         Some((leaf_of_key(level, key)?, stored.revision, record))
     }
 
-    /// A page of the keys with this prefix after `since`: at most `most` of them and
-    /// 512 KiB, and whether more follow.
-    pub fn page(&self, prefix: &str, since: Option<&str>, most: usize) -> (Vec<Pair>, bool) {
+    /// Returns a page of the pairs whose keys have this prefix and follow `since`, and whether
+    /// more follow. A page holds at most `max_pairs` pairs, 1000 pairs and 512 KiB.
+    pub fn page(&self, prefix: &str, since: Option<&str>, max_pairs: usize) -> (Vec<Pair>, bool) {
         let from = since.filter(|s| *s >= prefix).unwrap_or(prefix);
         let after = self.keys.range(from.to_string()..);
         let mut after = after
@@ -128,7 +130,7 @@
         let (mut pairs, mut bytes) = (Vec::new(), 0);
         for (key, stored) in &mut after {
             bytes += key.len() + stored.value.text().len() + PAIR_OVERHEAD_BYTES;
-            if pairs.len() == most.min(PAGE_PAIRS) || bytes > PAGE_BYTES {
+            if pairs.len() == max_pairs.min(MAX_PAGE_PAIRS) || bytes > MAX_PAGE_BYTES {
                 return (pairs, true);
             }
             pairs.push(stored.pair(key));
@@ -136,7 +138,7 @@
         (pairs, false)
     }
 
-    /// Puts a value that nobody is told of, before anybody runs.
+    /// Puts a value without an event for watches, before any controller runs.
     pub fn seed(&mut self, key: &str, value: &impl serde::Serialize) {
         self.store_revision += 1;
         let stored = Stored {
@@ -147,20 +149,20 @@
         self.keys.insert(key.to_string(), stored);
     }
 
-    /// Ends a lease at once.
+    /// Ends a lease at once and deletes its keys.
     pub fn end_lease(&mut self, lease_id: u64) {
-        if let Some(until) = self.leases.get_mut(&lease_id) {
-            *until = f64::NEG_INFINITY;
+        if let Some(expires_at) = self.leases.get_mut(&lease_id) {
+            *expires_at = f64::NEG_INFINITY;
         }
         self.expire(0.0);
     }
 
-    /// Whether a watch from `since` can still be served.
+    /// Returns whether the changes after revision `since` are still available to a watch.
     pub fn remembers(&self, since: u64) -> bool {
-        self.forgotten <= since
+        self.compacted_revision <= since
     }
 
-    /// What has changed after `since`.
+    /// Returns the changes after revision `since`.
     pub fn events(&self, since: u64) -> WatchResponse {
         let events = self
             .changes
@@ -178,7 +180,8 @@
         }
     }
 
-    /// The largest value that was ever put under a key with this prefix.
+    /// Returns the size of the largest value that any key with this prefix has ever had, in
+    /// bytes.
     pub fn largest(&self, prefix: &str) -> usize {
         self.largest
             .iter()
@@ -188,42 +191,43 @@
             .unwrap_or(0)
     }
 
-    /// A new lease that lasts until `until`.
-    pub fn grant_lease(&mut self, until: f64) -> u64 {
+    /// Grants a lease that expires at `expires_at`, and returns its id.
+    pub fn grant_lease(&mut self, expires_at: f64) -> u64 {
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, until);
+        self.leases.insert(self.next_lease, expires_at);
         self.next_lease
     }
 
-    /// Renews a lease; false if it is over.
-    pub fn renew_lease(&mut self, lease_id: u64, until: f64) -> bool {
-        let known = self.leases.get_mut(&lease_id);
-        known.map(|old| *old = until).is_some()
+    /// Renews a lease; returns false if the lease no longer exists.
+    pub fn renew_lease(&mut self, lease_id: u64, expires_at: f64) -> bool {
+        let lease_expiry = self.leases.get_mut(&lease_id);
+        lease_expiry.map(|old| *old = expires_at).is_some()
     }
 
-    /// Lets leases run out.
+    /// Ends the leases that expired before `now`, and deletes their keys.
     pub fn expire(&mut self, now: f64) {
-        let over: BTreeSet<u64> = self
+        let expired: BTreeSet<u64> = self
             .leases
             .iter()
-            .filter(|(_, until)| **until < now)
+            .filter(|(_, expires_at)| **expires_at < now)
             .map(|(lease_id, _)| *lease_id)
             .collect();
-        self.leases.retain(|lease_id, _| !over.contains(lease_id));
-        let is_over = |stored: &Stored| stored.lease_id.is_some_and(|id| over.contains(&id));
-        let gone: Vec<String> = self
+        self.leases
+            .retain(|lease_id, _| !expired.contains(lease_id));
+        let has_expired = |stored: &Stored| stored.lease_id.is_some_and(|id| expired.contains(&id));
+        let expired_keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, stored)| is_over(stored))
+            .filter(|(_, stored)| has_expired(stored))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in gone {
+        for key in expired_keys {
             self.store_revision += 1;
-            self.drop_key(&key);
+            self.delete_key(&key);
         }
     }
 
-    fn drop_key(&mut self, key: &str) {
+    fn delete_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.changes.push(WatchEvent {
                 set: None,
@@ -234,7 +238,8 @@
         }
     }
 
-    /// Takes a controller's transaction, if it keeps within the limits.
+    /// Applies a controller's transaction if it keeps within the limits and its conditions
+    /// hold.
     pub fn commit_within_limits(&mut self, commit: &Commit) -> Outcome {
         if self.limits.is_some_and(|limits| !limits.allow(commit)) {
             self.malformed += 1;
@@ -243,9 +248,9 @@
         self.commit(commit)
     }
 
-    /// Applies a transaction, if its conditions hold.
+    /// Applies a transaction if its conditions hold.
     pub fn commit(&mut self, commit: &Commit) -> Outcome {
-        self.count(commit);
+        self.record_cost(commit);
         let is_unchanged = |when: &When| {
             let stored = self.keys.get(&when.key);
             stored.map_or(0, |stored| stored.revision) == when.revision
@@ -270,14 +275,15 @@
                     value: v,
                     lease_id,
                 } => self.set_key(set, v, *lease_id),
-                Apply::Delete { delete } => self.drop_key(delete),
+                Apply::Delete { delete } => self.delete_key(delete),
             }
         }
         Outcome::Applied(self.store_revision)
     }
 
-    /// Counts what a transaction costs; those that fail cost as much.
-    fn count(&mut self, commit: &Commit) {
+    /// Counts the changes and conditions of a transaction; those of a failed transaction cost
+    /// the service as much.
+    fn record_cost(&mut self, commit: &Commit) {
         self.writes += commit.apply.len();
         let is_assignment = |change: &&Apply| change.key().starts_with(ASSIGNMENTS);
         self.assignment_writes += commit.apply.iter().filter(is_assignment).count();
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -1,7 +1,7 @@
-//! Users of a cluster: they submit, poll what was accepted, and judge at the end of a
-//! scenario.
+//! Users of a cluster, who submit jobs, poll accepted jobs, and check at the end of a scenario
+//! that the jobs were served.
 
-use crate::worker::job_of;
+use crate::worker::job_id_of;
 use crate::{Fault, World};
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Shape, job_number};
@@ -10,103 +10,105 @@
 mod capacity;
 mod verdict;
 
-/// Time between two polls of a job.
-const POLL_MS: f64 = 5000.0;
-/// After what time a user submits again, at the next controller.
-const SUBMIT_AGAIN_MS: f64 = 5000.0;
-/// Tries of a poll at different controllers.
-const TRIES: usize = 3;
+/// Interval at which a job is polled.
+const POLL_INTERVAL_MS: f64 = 5000.0;
+/// Time after which a user submits an unanswered job again, at the next controller.
+const RESUBMIT_DELAY_MS: f64 = 5000.0;
+/// Number of controllers that a poll is attempted at.
+const POLL_ATTEMPTS: usize = 3;
 
-/// A job that was accepted.
+/// An accepted job and what its user has observed.
 #[derive(Clone, Debug)]
 struct Job {
     class: String,
     team: String,
-    /// Of all its tasks.
+    /// Cores of all tasks together.
     cores: f64,
     task_count: u32,
     is_service: bool,
-    /// When it was accepted, or all that it needs was complete.
+    /// Time at which the job was accepted, or at which all its dependencies were complete if
+    /// that is later.
     accepted_at: f64,
     polled_at: f64,
     answered_at: f64,
-    /// When one of its tasks was first seen on a machine.
-    begun_at: Option<f64>,
+    /// Time at which one of the job's tasks was first seen on a machine.
+    first_task_at: Option<f64>,
     is_done: bool,
     is_cancelled: bool,
-    /// Its tasks that have been seen on a machine or completed.
+    /// Tasks that have been seen running on a machine or have completed.
     started: BTreeSet<String>,
-    /// Since when no further task has started though there was room.
-    waits_since: Option<f64>,
-    /// Times for which that was too long.
+    /// Time since which no further task has started although there was capacity for one.
+    waiting_since: Option<f64>,
+    /// Periods in which a task waited too long although there was capacity for it.
     waits: Vec<Wait>,
 }
 
-/// A time for which a task waited though there was room.
+/// A period in which a task waited although there was capacity for it.
 #[derive(Clone, Copy, Debug)]
 struct Wait {
     since: f64,
     until: f64,
 }
 
-/// A job that is yet to be taken.
+/// A submitted job that has not yet been accepted.
 #[derive(Clone, Debug)]
 struct PendingSubmission {
     spec: JobSpec,
     controller: usize,
     ticket: u64,
-    /// When its user asks the next controller.
-    again_at: f64,
+    /// Time at which the user submits the job to the next controller.
+    resubmit_at: f64,
 }
 
-/// The users of a cluster.
+/// The users of a cluster, and what they have observed of their jobs.
 #[derive(Debug, Default)]
 pub struct Users {
     jobs: BTreeMap<String, Job>,
     pending: Vec<PendingSubmission>,
     cancelled: BTreeSet<String>,
-    next: usize,
-    /// A broken build for tests of this checker: never answers polls of this job.
+    next_controller: usize,
+    /// Fault injection for tests of this checker: polls of this job are never answered.
     pub never_answers: Option<String>,
-    /// Longest time that a job went without an answer, in milliseconds.
+    /// Longest time between two answers to polls of a job, in milliseconds.
     pub longest: f64,
-    /// Rules seen broken by what polls were answered.
+    /// Rule violations that the answers to polls have shown.
     pub broken: Vec<String>,
 }
 
 impl Users {
-    /// Submits a job, which is accepted.
+    /// Submits a job by writing it directly to the state service, so that it is accepted at
+    /// once.
     pub fn submit(&mut self, world: &mut World, spec: &JobSpec) {
         world.submit(spec);
-        self.accepted(world, spec);
+        self.record_accepted(world, spec);
     }
 
-    /// Asks controller `i` to take a job, and the next one if that does not answer, until
-    /// one has taken it.
+    /// Submits a job to controller `i`, and to the next one if there is no answer, until one of
+    /// them accepts it.
     pub fn ask(&mut self, world: &mut World, i: usize, spec: &JobSpec) {
         let ticket = world.offer(i, spec, None);
         self.pending.push(PendingSubmission {
             spec: spec.clone(),
             controller: i,
             ticket,
-            again_at: world.now + SUBMIT_AGAIN_MS,
+            resubmit_at: world.now + RESUBMIT_DELAY_MS,
         });
     }
 
-    fn submit_again(&mut self, world: &mut World) {
+    fn resubmit_pending(&mut self, world: &mut World) {
         for pending in std::mem::take(&mut self.pending) {
             match world.submissions.verdicts.get(&pending.ticket) {
-                Some(Verdict::Taken | Verdict::Known) => self.accepted(world, &pending.spec),
-                None if world.now < pending.again_at => self.pending.push(pending),
+                Some(Verdict::Taken | Verdict::Known) => self.record_accepted(world, &pending.spec),
+                None if world.now < pending.resubmit_at => self.pending.push(pending),
                 None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
-                    let next = (pending.controller + 1) % world.controllers.len();
-                    self.ask(world, next, &pending.spec);
+                    let next_controller = (pending.controller + 1) % world.controllers.len();
+                    self.ask(world, next_controller, &pending.spec);
                 }
             }
         }
     }
 
-    fn accepted(&mut self, world: &World, spec: &JobSpec) {
+    fn record_accepted(&mut self, world: &World, spec: &JobSpec) {
         let job = Job {
             class: spec.job_class.clone(),
             team: spec.team.clone(),
@@ -116,31 +118,32 @@
             accepted_at: world.now,
             polled_at: world.now,
             answered_at: world.now,
-            begun_at: None,
+            first_task_at: None,
             is_done: false,
             is_cancelled: self.cancelled.contains(&spec.id),
             started: BTreeSet::new(),
-            waits_since: None,
+            waiting_since: None,
             waits: Vec::new(),
         };
         self.jobs.entry(spec.id.clone()).or_insert(job);
     }
 
-    /// Notes what the users of `World::insist` have been told and have asked.
-    fn note_answers(&mut self, world: &mut World) {
+    /// Records which jobs the users of `World::insist` were told to be accepted, and which jobs
+    /// may be cancelled.
+    fn record_answers(&mut self, world: &mut World) {
         for spec in std::mem::take(&mut world.requests.accepted) {
-            self.accepted(world, &spec);
+            self.record_accepted(world, &spec);
         }
         for (id, job) in &mut self.jobs {
             job.is_cancelled |= world.may_be_cancelled(id);
-            if !world.needs_are_complete(id) {
-                // Its times count from then on.
+            if !world.dependencies_complete(id) {
+                // The job's waiting times are measured from the completion of its dependencies.
                 job.accepted_at = world.now;
             }
         }
     }
 
-    /// Cancels a job through controller `i`.
+    /// Cancels a job through controller `i`; the cancellation takes effect at once.
     pub fn cancel(&mut self, world: &mut World, i: usize, id: &str) {
         world.cancel(i, id);
         if let Some(job) = self.jobs.get_mut(id) {
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Asks for a job's cancellation, first controller `i`, until one has told.
+    /// Requests a job's cancellation, first from controller `i`, until a controller confirms
+    /// its outcome.
     pub fn ask_cancel(&mut self, world: &mut World, i: usize, id: &str) {
         world.ask_cancel(i, id);
         self.cancelled.insert(id.to_string());
@@ -157,48 +161,49 @@
         }
     }
 
-    /// Lets time pass in steps of half a second, and polls.
+    /// Advances the clock in steps of half a second; after each step resubmits pending jobs,
+    /// polls, and records waiting tasks.
     pub fn run(&mut self, world: &mut World, seconds: f64) {
         for _ in 0..(seconds * 2.0).round() as usize {
             world.run(0.5);
-            self.submit_again(world);
-            self.note_answers(world);
-            self.poll_all(world);
-            self.note_waits(world);
+            self.resubmit_pending(world);
+            self.record_answers(world);
+            self.poll_due(world);
+            self.record_waits(world);
         }
     }
 
-    /// Polls the jobs whose time it is, and notes which have begun.
-    fn poll_all(&mut self, world: &mut World) {
+    /// Polls the jobs that are due, and records which jobs have a task on a machine.
+    fn poll_due(&mut self, world: &mut World) {
         let on_machines: BTreeSet<String> = world
             .workers
             .values()
             .flat_map(|worker| worker.tasks.keys())
-            .map(|task_name| job_of(task_name).to_string())
+            .map(|task_name| job_id_of(task_name).to_string())
             .collect();
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.begun_at.is_none() && on_machines.contains(&id) {
-                job.begun_at = Some(world.now);
+            if job.first_task_at.is_none() && on_machines.contains(&id) {
+                job.first_task_at = Some(world.now);
             }
-            if world.now - job.polled_at >= POLL_MS {
+            if world.now - job.polled_at >= POLL_INTERVAL_MS {
                 job.polled_at = world.now;
                 self.poll(world, &id);
             }
         }
     }
 
-    /// Polls a job at some controllers, until one answers.
+    /// Polls a job at up to three controllers, until one answers.
     fn poll(&mut self, world: &mut World, id: &str) {
-        self.next += 1;
+        self.next_controller += 1;
         if self.never_answers.as_deref() == Some(id) {
             return;
         }
-        match (0..TRIES).find_map(|k| poll_at(world, self.next + k, id)) {
-            Some(Some(view)) => self.note_view(world, id, &view),
+        match (0..POLL_ATTEMPTS).find_map(|k| poll_at(world, self.next_controller + k, id)) {
+            Some(Some(view)) => self.record_view(world, id, &view),
             Some(None) => self
                 .broken
                 .push(format!("{id} was accepted and is unknown")),
@@ -206,8 +211,8 @@
         }
     }
 
-    /// Judges and notes what a poll was answered.
-    fn note_view(&mut self, world: &World, id: &str, view: &JobView) {
+    /// Checks the answer to a poll against the job's history, and records it.
+    fn record_view(&mut self, world: &World, id: &str, view: &JobView) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -227,49 +232,51 @@
         job.is_done |= is_done;
     }
 
-    /// The longest time until a task of a job that was not cancelled was on a machine, in
-    /// milliseconds.
+    /// Returns the longest time, of all jobs that were not cancelled, from a job's acceptance
+    /// until one of its tasks was on a machine, in milliseconds. Jobs without such a task count
+    /// until now.
     pub fn longest_wait(&self, world: &World) -> f64 {
         let open = self.jobs.values().filter(|job| !job.is_cancelled);
-        let waits = open.map(|job| job.begun_at.unwrap_or(world.now) - job.accepted_at);
+        let waits = open.map(|job| job.first_task_at.unwrap_or(world.now) - job.accepted_at);
         waits.fold(0.0, f64::max)
     }
 
-    /// Ends all faults, lets time pass in which everything can recover, and says what is
-    /// wrong: rules broken, jobs forgotten, groups left out.
+    /// Ends all faults, lets 200 s pass in which the cluster can recover, and returns all rule
+    /// violations: those found so far, jobs whose polls are not answered, tasks that waited
+    /// beside free machines, and groups of jobs that were not served.
     pub fn see_out(&mut self, world: &mut World) -> Vec<String> {
         Fault::finish_all(world);
-        let over = world.now;
+        let faults_ended_at = world.now;
         for _ in 0..40 {
             self.run(world, 5.0);
             world.list_machines();
         }
-        let mut wrong = world.broken.clone();
-        wrong.extend(self.judge(world, over));
-        wrong
+        let mut violations = world.broken.clone();
+        violations.extend(self.judge(world, faults_ended_at));
+        violations
     }
 }
 
-/// A poll of a job at the `k`-th controller that can take requests: its answer, if it
-/// gives one.
+/// Polls a job at the `k`-th of the controllers that can handle requests. Returns none if the
+/// controller gives no answer, and `Some(None)` if the job is unknown to it.
 fn poll_at(world: &mut World, k: usize, id: &str) -> Option<Option<JobView>> {
     let now = world.now;
-    let able = |world: &World, i: usize| {
+    let available = |world: &World, i: usize| {
         let controller = world.controllers[i]
             .as_ref()
             .filter(|_| !world.processes.frozen.contains(&i));
         controller.is_some_and(|c| c.ready(now) && !c.refuses_polls(now))
     };
-    let able: Vec<usize> = (0..world.controllers.len())
-        .filter(|&i| able(world, i))
+    let available: Vec<usize> = (0..world.controllers.len())
+        .filter(|&i| available(world, i))
         .collect();
-    let i = *able.get(k % able.len().max(1))?;
+    let i = *available.get(k % available.len().max(1))?;
     if world.state_link.refused.contains(&i) {
-        // Only a final state needs no barrier.
+        // Without the state service only final states are answered: they need no read barrier.
         let controller = world.controllers[i].as_ref()?;
         let view = controller.mirror.view(job_number(id)?)?;
-        let over = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
-        return over.then_some(Some(view));
+        let is_final = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
+        return is_final.then_some(Some(view));
     }
     Some(world.find(i, id))
 }
--- a/crates/cherryyard-simulation/src/users/capacity.rs
+++ b/crates/cherryyard-simulation/src/users/capacity.rs
@@ -1,18 +1,18 @@
-//! Tasks that wait although a machine that fits has room.
+//! Detection of tasks that wait although a suitable machine has capacity for them.
 
 use super::{Job, Users, Wait};
 use crate::World;
-use crate::worker::job_of;
+use crate::worker::job_id_of;
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeMap;
 
-/// So long no task may wait, once all faults are over, while a machine that fits has room
-/// and its team is under its limit.
-pub(super) const MOST_WAIT_MS: f64 = 90_000.0;
-/// Rounding errors of cores and GB.
+/// Maximum time in milliseconds that a task may wait, once all faults have ended, while a
+/// suitable machine has capacity for it and its team is under its limit.
+pub(super) const MAX_WAIT_MS: f64 = 90_000.0;
+/// Tolerance for rounding errors of cores and GB.
 const EPSILON: f64 = 1e-6;
 
-/// What is free on a machine that can take tasks.
+/// Free capacity of a machine that can accept tasks.
 struct FreeMachine<'a> {
     zone: &'a str,
     machine_type: &'a str,
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is free on each machine that can take tasks.
+/// Returns the free capacity of each machine that can accept tasks.
 fn free_machines(world: &World) -> Vec<FreeMachine<'_>> {
     let usable = world
         .workers
@@ -39,7 +39,7 @@
     let free = usable.map(|worker| {
         let (mut cores, mut ram_gb) = world.machine_capacity(&worker.machine_type);
         for task_name in worker.running_tasks() {
-            if let Some(spec) = world.submitted(job_of(task_name)) {
+            if let Some(spec) = world.submitted(job_id_of(task_name)) {
                 (cores, ram_gb) = (cores - spec.cores, ram_gb - spec.ram_gb);
             }
         }
@@ -53,45 +53,45 @@
     free.collect()
 }
 
-/// Whether a task of a job could start now.
-fn has_room(
+/// Returns whether a task of a job could start now.
+fn has_capacity(
     world: &World,
     spec: &JobSpec,
     free: &[FreeMachine<'_>],
     used: &BTreeMap<String, f64>,
 ) -> bool {
     let limit = world.limit_of(&spec.team);
-    let uses = used.get(&spec.team).copied().unwrap_or(0.0);
-    let is_under_limit = limit == 0.0 || uses + spec.cores <= limit + EPSILON;
+    let used_cores = used.get(&spec.team).copied().unwrap_or(0.0);
+    let is_under_limit = limit == 0.0 || used_cores + spec.cores <= limit + EPSILON;
     is_under_limit
-        && world.needs_are_complete(&spec.id)
+        && world.dependencies_complete(&spec.id)
         && !spec.together
         && !spec.apart
         && free.iter().any(|machine| machine.fits(spec))
 }
 
 impl Job {
-    /// Notes tasks that have started; whether there is a new one.
-    fn note_started(&mut self, world: &World, id: &str) -> bool {
-        let before = self.started.len();
+    /// Records tasks that have started, and returns whether there is a new one.
+    fn record_started(&mut self, world: &World, id: &str) -> bool {
+        let started_before = self.started.len();
         for n in 0..self.task_count {
             let name = format!("{id}/{n}");
             if !self.started.contains(&name) && has_started(world, &name) {
                 self.started.insert(name);
             }
         }
-        self.started.len() > before
+        self.started.len() > started_before
     }
 
-    /// Notes for how long a task has waited though there is room.
-    fn note_wait(&mut self, now: f64, has_room: bool, is_progressing: bool) {
-        let waits = has_room && self.started.len() < self.task_count as usize;
-        if !waits || is_progressing {
-            self.waits_since = waits.then_some(now);
+    /// Records for how long a task has waited although there is capacity for it.
+    fn record_wait(&mut self, now: f64, has_capacity: bool, has_new_start: bool) {
+        let waits = has_capacity && self.started.len() < self.task_count as usize;
+        if !waits || has_new_start {
+            self.waiting_since = waits.then_some(now);
             return;
         }
-        let since = *self.waits_since.get_or_insert(now);
-        if now - since > MOST_WAIT_MS {
+        let since = *self.waiting_since.get_or_insert(now);
+        if now - since > MAX_WAIT_MS {
             self.waits.retain(|wait| wait.since != since);
             self.waits.push(Wait { since, until: now });
         }
@@ -104,8 +104,8 @@
 }
 
 impl Users {
-    /// Notes for how long tasks wait while a machine that fits has room.
-    pub(super) fn note_waits(&mut self, world: &World) {
+    /// Records for how long tasks wait although a suitable machine has capacity for them.
+    pub(super) fn record_waits(&mut self, world: &World) {
         let used = world.cores_by_team();
         let free = free_machines(world);
         let open = self.jobs.iter_mut();
@@ -113,9 +113,9 @@
             let Some(spec) = world.submitted(id) else {
                 continue;
             };
-            let has_room = has_room(world, spec, &free, &used);
-            let is_progressing = job.note_started(world, id);
-            job.note_wait(world.now, has_room, is_progressing);
+            let has_capacity = has_capacity(world, spec, &free, &used);
+            let has_new_start = job.record_started(world, id);
+            job.record_wait(world.now, has_capacity, has_new_start);
         }
     }
 }
--- a/crates/cherryyard-simulation/src/users/verdict.rs
+++ b/crates/cherryyard-simulation/src/users/verdict.rs
@@ -1,17 +1,18 @@
-//! What is wrong at the end of a scenario: jobs forgotten, tasks that waited beside free
-//! machines, groups left out.
+//! Checks at the end of a scenario: jobs whose polls are not answered, tasks that waited beside
+//! free machines, and groups of jobs that were not served.
 
-use super::capacity::MOST_WAIT_MS;
+use super::capacity::MAX_WAIT_MS;
 use super::{Job, Users};
 use crate::World;
 use std::collections::BTreeMap;
 
-/// Without an answer for so long, once all faults are over, a job counts as forgotten.
-const FORGOTTEN_MS: f64 = 75_000.0;
-/// Within so long the largest jobs are to begin.
-const BEGIN_MS: f64 = 240_000.0;
+/// Maximum time in milliseconds for which a job's polls may go unanswered once all faults have
+/// ended.
+const MAX_UNANSWERED_MS: f64 = 75_000.0;
+/// Time in milliseconds within which the largest jobs must have started.
+const MAX_START_DELAY_MS: f64 = 240_000.0;
 
-/// How many jobs of a group were served.
+/// Number of jobs in a group, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
     served: usize,
@@ -19,81 +20,88 @@
 }
 
 impl Users {
-    /// What is wrong at the end of a scenario whose faults were over at `over`.
-    pub fn judge(&self, world: &World, over: f64) -> Vec<String> {
-        let mut wrong = self.broken.clone();
-        wrong.extend(self.forgotten(world, over));
-        wrong.extend(self.kept_waiting(over));
-        let mut groups = self.groups(world);
-        groups.extend(self.largest(world));
-        for (group, Served { served, all }) in groups {
+    /// Returns the rule violations at the end of a scenario whose faults ended at the time
+    /// `faults_ended_at`. A group of jobs violates the rules if fewer than half of its jobs were served.
+    pub fn judge(&self, world: &World, faults_ended_at: f64) -> Vec<String> {
+        let mut violations = self.broken.clone();
+        violations.extend(self.unanswered_jobs(world, faults_ended_at));
+        violations.extend(self.starved_jobs(faults_ended_at));
+        let mut served_by_group = self.served_by_group(world);
+        served_by_group.extend(self.served_of_largest(world));
+        for (group, Served { served, all }) in served_by_group {
             if served * 2 < all {
-                wrong.push(format!("{group}: {served} of {all} served"));
+                violations.push(format!("{group}: {served} of {all} served"));
             }
         }
-        wrong
+        violations
     }
 
-    /// Jobs that were not cancelled.
-    fn open(&self) -> impl Iterator<Item = (&String, &Job)> {
+    /// Returns the jobs that were not cancelled.
+    fn not_cancelled(&self) -> impl Iterator<Item = (&String, &Job)> {
         self.jobs.iter().filter(|(_, job)| !job.is_cancelled)
     }
 
-    fn forgotten(&self, world: &World, over: f64) -> Vec<String> {
-        let is_forgotten = |job: &Job| world.now - job.answered_at.max(over) > FORGOTTEN_MS;
-        self.open()
-            .filter(|(_, job)| is_forgotten(job))
+    fn unanswered_jobs(&self, world: &World, faults_ended_at: f64) -> Vec<String> {
+        let is_unanswered =
+            |job: &Job| world.now - job.answered_at.max(faults_ended_at) > MAX_UNANSWERED_MS;
+        self.not_cancelled()
+            .filter(|(_, job)| is_unanswered(job))
             .map(|(id, _)| format!("{id} is forgotten"))
             .collect()
     }
 
-    fn kept_waiting(&self, over: f64) -> Vec<String> {
-        let mut wrong = Vec::new();
-        for (id, job) in self.open() {
+    fn starved_jobs(&self, faults_ended_at: f64) -> Vec<String> {
+        let mut violations = Vec::new();
+        for (id, job) in self.not_cancelled() {
             let mut waits = job.waits.iter();
-            let long = waits.find(|wait| wait.until - wait.since.max(over) > MOST_WAIT_MS);
-            if let Some(wait) = long {
-                let seconds = (wait.until - wait.since.max(over)) / 1000.0;
-                wrong.push(format!("{id} waits for {seconds} s though there is room"));
+            let too_long =
+                waits.find(|wait| wait.until - wait.since.max(faults_ended_at) > MAX_WAIT_MS);
+            if let Some(wait) = too_long {
+                let seconds = (wait.until - wait.since.max(faults_ended_at)) / 1000.0;
+                violations.push(format!("{id} waits for {seconds} s though there is room"));
             }
         }
-        wrong
+        violations
     }
 
-    /// Jobs of each class and team that were served.
-    fn groups(&self, world: &World) -> BTreeMap<String, Served> {
-        let mut groups: BTreeMap<String, Served> = BTreeMap::new();
-        for (id, job) in self.open() {
+    /// Counts the jobs of each class and each team, and those of them that were served: done,
+    /// or a service whose first task is on exactly one machine.
+    fn served_by_group(&self, world: &World) -> BTreeMap<String, Served> {
+        let mut served_by_group: BTreeMap<String, Served> = BTreeMap::new();
+        for (id, job) in self.not_cancelled() {
             let is_served =
                 job.is_done || (job.is_service && world.copies(&format!("{id}/0")) == 1);
             for group in [format!("class {}", job.class), format!("team {}", job.team)] {
-                let group = groups.entry(group).or_default();
+                let group = served_by_group.entry(group).or_default();
                 group.served += usize::from(is_served);
                 group.all += 1;
             }
         }
-        groups
+        served_by_group
     }
 
-    /// Of each class the largest tenth of the jobs that were accepted early enough: how
-    /// many have begun in time.
-    fn largest(&self, world: &World) -> BTreeMap<String, Served> {
+    /// Counts, for each class, the largest tenth of the jobs that were accepted early enough,
+    /// and those of them that started in time.
+    fn served_of_largest(&self, world: &World) -> BTreeMap<String, Served> {
         let mut classes: BTreeMap<&str, Vec<(&String, &Job)>> = BTreeMap::new();
-        for (id, job) in self.open() {
+        for (id, job) in self.not_cancelled() {
             classes.entry(&job.class).or_default().push((id, job));
         }
-        let mut groups = BTreeMap::new();
+        let mut served_by_group = BTreeMap::new();
         for (class, mut jobs) in classes {
             jobs.sort_by(|(a_id, a), (b_id, b)| b.cores.total_cmp(&a.cores).then(a_id.cmp(b_id)));
-            jobs.retain(|(_, job)| world.now - job.accepted_at >= BEGIN_MS);
+            jobs.retain(|(_, job)| world.now - job.accepted_at >= MAX_START_DELAY_MS);
             let all = jobs.len().div_ceil(10);
-            let has_begun = |job: &Job| {
-                let begun_at = job.begun_at;
-                begun_at.is_some_and(|at| at - job.accepted_at <= BEGIN_MS)
+            let started_in_time = |job: &Job| {
+                let first_task_at = job.first_task_at;
+                first_task_at.is_some_and(|at| at - job.accepted_at <= MAX_START_DELAY_MS)
             };
-            let served = jobs[..all].iter().filter(|(_, job)| has_begun(job)).count();
-            groups.insert(format!("largest of {class}"), Served { served, all });
+            let served = jobs[..all]
+                .iter()
+                .filter(|(_, job)| started_in_time(job))
+                .count();
+            served_by_group.insert(format!("largest of {class}"), Served { served, all });
         }
-        groups
+        served_by_group
     }
 }
--- a/crates/cherryyard-simulation/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a machine's worker.
+//! Stand-in of the worker process of a machine.
 
 use cherryyard_wire::worker::{
     CommandBatch, ExitCause, HeartbeatResponse, TaskReport, TaskStatus, WorkerCommand,
@@ -6,26 +6,26 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long the tasks of a job that was submitted with a mistake run.
-const BAD_JOB_RUN_MS: f64 = 500.0;
-/// A machine was provisioned so long before its worker starts.
-const PROVISIONED_BEFORE_MS: f64 = 10_000.0;
-/// After what time a worker that was shown a new token sends a heartbeat.
-const NEW_TOKEN_HEARTBEAT_MS: f64 = 500.0;
+/// Run time of the tasks of a job that was submitted with a mistake, until they fail.
+const FAILING_JOB_RUN_MS: f64 = 500.0;
+/// Time between the provisioning of a machine and the start of its worker.
+const PROVISIONING_LEAD_MS: f64 = 10_000.0;
+/// Delay until the heartbeat of a worker that has received a new fencing token.
+const NEW_TOKEN_HEARTBEAT_DELAY_MS: f64 = 500.0;
 
 /// A task on a machine.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Which attempt at it this is.
+    /// Number of this attempt to run the task.
     pub attempt: u64,
-    /// When it started.
+    /// Time at which the attempt started.
     pub started_at: f64,
-    /// Why it ended, if it has.
+    /// Reason for the end of the attempt; none while it runs.
     pub cause: Option<ExitCause>,
 }
 
 impl Task {
-    /// A task that starts now.
+    /// Returns a task that starts at `started_at`.
     pub fn new(attempt: u64, started_at: f64) -> Self {
         Self {
             attempt,
@@ -34,56 +34,58 @@
         }
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the task has not ended.
     pub fn runs(&self) -> bool {
         self.cause.is_none()
     }
 }
 
-/// The job of a task.
-pub fn job_of(task_name: &str) -> &str {
+/// Returns the id of a task's job.
+pub fn job_id_of(task_name: &str) -> &str {
     task_name.split('/').next().unwrap_or_default()
 }
 
-/// One machine's worker.
+/// Stand-in of one machine's worker.
 #[derive(Debug)]
 pub struct WorkerStandIn {
-    /// Its name.
+    /// Name of the machine.
     pub host: String,
-    /// Its type.
+    /// Type of the machine.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its incarnation.
+    /// Incarnation of the worker, incremented when its lease expires.
     pub incarnation: u64,
     sequence: u64,
-    /// The highest token it has seen.
+    /// Highest fencing token that the worker has received.
     pub fencing_token: u64,
-    /// Its tasks by name.
+    /// Tasks on the machine by name, running ones and ended ones that are not yet cleared.
     pub tasks: BTreeMap<String, Task>,
-    /// When its machine was provisioned, about.
+    /// Approximate time at which the machine was provisioned.
     pub provisioned_at: f64,
-    /// When the last heartbeat that was answered was sent, or the incarnation began.
-    renewed_at: f64,
-    /// The controller that it sends heartbeats to.
+    /// Time at which the latest answered heartbeat was sent, or at which the incarnation began.
+    lease_renewed_at: f64,
+    /// Index of the controller that the worker sends heartbeats to.
     pub controller: usize,
-    /// When it sends the next heartbeat.
+    /// Time of the next heartbeat.
     pub report_at: f64,
-    /// How long its tasks run; infinite for replicas.
+    /// Run time of the worker's tasks; infinite for replicas of services.
     pub run_ms: f64,
-    /// Whether its tasks fail.
+    /// Whether tasks on this machine fail instead of completing.
     pub faulty: bool,
-    /// Jobs that were submitted with a mistake: their tasks fail here, as everywhere.
+    /// Jobs that were submitted with a mistake: their tasks fail on this machine as on every
+    /// other.
     pub bad_jobs: BTreeSet<String>,
-    /// When the cloud takes the machine, if it has said so.
+    /// Time at which the cloud reclaims the machine, once the cloud has announced it.
     pub reclaim_at: Option<f64>,
-    /// How long an answered heartbeat keeps its tasks; infinite stands for an old
-    /// owner that nobody else sees and that goes on answering.
+    /// Duration for which an answered heartbeat keeps the worker's tasks running. An infinite
+    /// duration models a previous owner that no other process sees and that goes on answering
+    /// the worker's heartbeats.
     pub lease_ms: f64,
 }
 
 impl WorkerStandIn {
-    /// A worker that has just started.
+    /// Returns a worker that has just started.
     pub fn new(host: &str, zone: &str, controller: usize, lease_ms: f64, now: f64) -> Self {
         Self {
             host: host.into(),
@@ -93,8 +95,8 @@
             sequence: 0,
             fencing_token: 0,
             tasks: BTreeMap::new(),
-            provisioned_at: now - PROVISIONED_BEFORE_MS,
-            renewed_at: now,
+            provisioned_at: now - PROVISIONING_LEAD_MS,
+            lease_renewed_at: now,
             controller,
             report_at: now,
             run_ms: f64::INFINITY,
@@ -105,11 +107,12 @@
         }
     }
 
-    /// Lets time pass: tasks end, those of services only where they fail, and the lease
-    /// may run out.
+    /// Advances the worker to `now`, and returns lines for the trace. Tasks end after their run
+    /// time, those of services only if they fail; if the lease has expired, all tasks are lost
+    /// and a new incarnation begins.
     pub fn advance(&mut self, now: f64, services: &BTreeSet<String>) -> Vec<String> {
         let mut log = Vec::new();
-        if now - self.renewed_at > self.lease_ms {
+        if now - self.lease_renewed_at > self.lease_ms {
             let lost: Vec<&String> = self
                 .tasks
                 .iter()
@@ -122,18 +125,18 @@
             self.tasks.clear();
             self.incarnation += 1;
             self.sequence = 0;
-            self.renewed_at = now;
+            self.lease_renewed_at = now;
         }
         for (name, task) in &mut self.tasks {
-            let job = job_of(name);
-            let bad = self.bad_jobs.contains(job);
-            let run_ms = match (bad, services.contains(job)) {
-                (true, _) => BAD_JOB_RUN_MS,
+            let job = job_id_of(name);
+            let is_failing_job = self.bad_jobs.contains(job);
+            let run_ms = match (is_failing_job, services.contains(job)) {
+                (true, _) => FAILING_JOB_RUN_MS,
                 (_, true) if !self.faulty => f64::INFINITY,
                 _ => self.run_ms,
             };
             if task.runs() && now - task.started_at >= run_ms {
-                task.cause = Some(if self.faulty || bad {
+                task.cause = Some(if self.faulty || is_failing_job {
                     ExitCause::Error
                 } else {
                     ExitCause::Done
@@ -145,24 +148,24 @@
         log
     }
 
-    /// Its machine hangs: its tasks are gone once its lease is over, since that is the
-    /// first thing that it sees when it goes on. But what was sent to it directly it
-    /// carries out before, in the incarnation that is over.
-    pub fn hang(&mut self, now: f64) {
-        if now - self.renewed_at > self.lease_ms {
+    /// Models a hanging machine: once the lease has expired, its tasks are gone, because a
+    /// resumed worker checks its lease first. Direct commands that were sent to the machine are
+    /// still executed before that, in the incarnation that has expired.
+    pub fn advance_hung(&mut self, now: f64) {
+        if now - self.lease_renewed_at > self.lease_ms {
             self.tasks.clear();
         }
     }
 
-    /// Its process ends and another begins: nothing is left of what it knew.
-    pub fn begin_anew(&mut self, now: f64) {
+    /// Replaces the worker process by a new one, which has none of the state of the old one.
+    pub fn restart(&mut self, now: f64) {
         self.tasks.clear();
         (self.incarnation, self.sequence, self.fencing_token) = (1, 0, 0);
-        self.renewed_at = now;
+        self.lease_renewed_at = now;
         self.report_at = now;
     }
 
-    /// A task completes, if it is here.
+    /// Completes a task if it runs on this machine.
     pub fn finish(&mut self, task_name: &str) {
         if let Some(task) = self.tasks.get_mut(task_name).filter(|task| task.runs()) {
             task.cause = Some(ExitCause::Done);
@@ -170,18 +173,18 @@
         }
     }
 
-    /// Whether it runs this task.
+    /// Returns whether this task runs on the machine.
     pub fn runs(&self, task_name: &str) -> bool {
         self.tasks.get(task_name).is_some_and(Task::runs)
     }
 
-    /// Names of the tasks that run.
+    /// Returns the names of the running tasks.
     pub fn running_tasks(&self) -> impl Iterator<Item = &String> {
         let running = self.tasks.iter().filter(|(_, task)| task.runs());
         running.map(|(name, _)| name)
     }
 
-    /// A heartbeat, with the status of its tasks.
+    /// Builds the next heartbeat, which contains the status of all tasks.
     pub fn report(&mut self, now: f64) -> WorkerHeartbeat {
         self.sequence += 1;
         WorkerHeartbeat {
@@ -212,8 +215,9 @@
         }
     }
 
-    /// Takes the response to a heartbeat that was sent at `sent_at`.
-    pub fn answered(
+    /// Processes the response to a heartbeat that was sent at `sent_at`, and returns lines for
+    /// the trace. Responses with an outdated fencing token are ignored.
+    pub fn handle_heartbeat_response(
         &mut self,
         response: &HeartbeatResponse,
         sent_at: f64,
@@ -223,14 +227,15 @@
             return Vec::new();
         }
         if response.fencing_token > self.fencing_token {
-            self.report_at = now + NEW_TOKEN_HEARTBEAT_MS;
+            self.report_at = now + NEW_TOKEN_HEARTBEAT_DELAY_MS;
         }
         self.fencing_token = response.fencing_token;
-        self.renewed_at = self.renewed_at.max(sent_at);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         self.execute(&response.commands, now)
     }
 
-    /// Takes direct commands; the flag tells whether they were executed.
+    /// Processes direct commands; returns whether they were executed, and lines for the trace.
+    /// Commands with an outdated fencing token or of another incarnation are ignored.
     pub fn direct(&mut self, request: &CommandBatch, now: f64) -> (bool, Vec<String>) {
         if request.fencing_token < self.fencing_token || request.incarnation != self.incarnation {
             return (false, Vec::new());
@@ -244,8 +249,8 @@
         for command in commands {
             match command {
                 WorkerCommand::Start { task_name, attempt } => {
-                    let known = self.tasks.get(task_name);
-                    if known.is_none_or(|task| task.attempt != *attempt && !task.runs()) {
+                    let existing = self.tasks.get(task_name);
+                    if existing.is_none_or(|task| task.attempt != *attempt && !task.runs()) {
                         let task = Task::new(*attempt, now);
                         self.tasks.insert(task_name.clone(), task);
                         log.push(format!("{} starts {task_name} try {attempt}", self.host));
@@ -264,8 +269,8 @@
                     }
                 }
                 WorkerCommand::Clear { task_name, attempt } => {
-                    let known = self.tasks.get(task_name);
-                    if known.is_some_and(|task| task.attempt == *attempt && !task.runs()) {
+                    let existing = self.tasks.get(task_name);
+                    if existing.is_some_and(|task| task.attempt == *attempt && !task.runs()) {
                         self.tasks.remove(task_name);
                     }
                 }
--- a/crates/cherryyard-simulation/src/world.rs
+++ b/crates/cherryyard-simulation/src/world.rs
@@ -1,8 +1,8 @@
-//! A whole cluster: controllers, state service, workers, users, and the faults between
-//! them.
+//! The simulated cluster: controllers, state service, workers, users' requests, and the faults
+//! between them.
 //!
-//! [`World`] is made of one type per concern, each with its own state; the order in which
-//! they act in each step of the clock is that of `World::step`.
+//! [`World`] is composed of one type per concern, each with its own state; `World::step`
+//! defines the order in which they act in each step of the clock.
 
 use crate::{StateStandIn, WorkerStandIn};
 use cherryyard_core::Controller;
@@ -23,7 +23,7 @@
 mod submissions;
 
 pub use checker::Checker;
-pub use cloud::{Booting, Cloud};
+pub use cloud::{BootingMachine, Cloud};
 pub use controllers::Processes;
 pub use duplicates::HeartbeatDuplicates;
 pub use machines::{HeldCommand, Machines};
@@ -34,69 +34,70 @@
 pub use state_link::{CrashPoint, StateLink};
 pub use submissions::Submissions;
 
-/// Milliseconds between two steps of the clock.
-const STEP: f64 = 50.0;
-/// Steps of the clock between two heartbeats of a controller to the others.
+/// Length of a step of the clock, in milliseconds.
+const STEP_MS: f64 = 50.0;
+/// Number of steps of the clock between two heartbeats of a controller to the other
+/// controllers.
 const STEPS_PER_HEARTBEAT: u64 = 10;
 
-/// A simulated cluster. All of it runs in one thread, on a clock that the test moves.
+/// A simulated cluster, which runs in one thread on a clock that the test advances.
 pub struct World {
-    /// The time in milliseconds.
+    /// Simulated time in milliseconds.
     pub now: f64,
-    /// The state service.
+    /// Stand-in of the state service.
     pub state: StateStandIn,
-    /// Controllers; `None` while one is down.
+    /// Controllers by index; `None` while a controller's process is down.
     pub controllers: Vec<Option<Controller>>,
-    /// Workers by name.
+    /// Workers by the names of their machines.
     pub workers: BTreeMap<String, WorkerStandIn>,
-    /// Who reaches whom.
+    /// Partitions of the network.
     pub network: Network,
-    /// The controllers' processes.
+    /// State of the controllers' processes: pauses, lag and restarts.
     pub processes: Processes,
-    /// The way between controllers and the state service.
+    /// Connection between the controllers and the state service.
     pub state_link: StateLink,
-    /// Heartbeats of workers that arrive more than once.
+    /// Workers' heartbeats that are delivered more than once.
     pub duplicates: HeartbeatDuplicates,
-    /// The machines themselves, and commands on their way to them.
+    /// Faults of machines, and direct commands on their way to them.
     pub machines: Machines,
-    /// The cloud.
+    /// Stand-in of the cloud, which provisions and releases machines.
     pub cloud: Cloud,
-    /// Submissions and cancellations.
+    /// Submissions and cancellations that users have requested.
     pub submissions: Submissions,
-    /// Users' requests under way, and what they have been answered.
+    /// Users' requests in progress, and the responses that users have received.
     pub requests: Requests,
-    /// What happened.
+    /// Log of what happened, one line per event with its simulated time.
     pub trace: Vec<String>,
-    /// Rules seen broken.
+    /// Rule violations found so far, each text once.
     pub broken: Vec<String>,
-    /// What the rules are judged by.
+    /// Observations that the rules are checked against.
     pub checker: Checker,
     setup: Setup,
 }
 
 impl World {
-    /// Writes a line into the trace.
+    /// Appends a line to the trace, with the simulated time.
     pub fn say(&mut self, text: impl AsRef<str>) {
         self.trace
             .push(format!("{:7.2} {}", self.now / 1000.0, text.as_ref()));
     }
 
-    fn say_all(&mut self, lines: Vec<String>) {
+    fn trace_all(&mut self, lines: Vec<String>) {
         for line in lines {
             self.say(line);
         }
     }
 
-    /// Lets `seconds` pass.
+    /// Advances the clock by `seconds`, step by step.
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds * 1000.0;
-        while self.now + STEP <= end + 1e-6 {
-            self.now += STEP;
+        while self.now + STEP_MS <= end + 1e-6 {
+            self.now += STEP_MS;
             self.step();
         }
     }
 
-    /// Lets time pass until `done` holds, at most `seconds`.
+    /// Advances the clock until `done` holds, by at most `seconds`.
     ///
     /// # Panics
     ///
@@ -106,25 +107,25 @@
         while !done(self) {
             assert!(
                 self.now < end,
-                "not within {seconds} s:\n{}",
+                "the condition does not hold within {seconds} s:\n{}",
                 self.trace.join("\n")
             );
-            self.now += STEP;
+            self.now += STEP_MS;
             self.step();
         }
     }
 
-    /// All that happens in one step of the clock, in this order.
+    /// Executes everything that happens in one step of the clock, in this order.
     fn step(&mut self) {
         self.state.expire(self.now);
         self.apply_delayed_commits();
         self.deliver_state_responses();
         self.boot_machines();
-        self.give_up_provisions();
-        self.end_and_restart_leaders();
-        self.deliver_heartbeats_kept_for_next_leader();
+        self.time_out_provisions();
+        self.kill_and_restart_leaders();
+        self.deliver_kept_heartbeats();
         self.step_controllers();
-        if ((self.now / STEP) as u64).is_multiple_of(STEPS_PER_HEARTBEAT) {
+        if ((self.now / STEP_MS) as u64).is_multiple_of(STEPS_PER_HEARTBEAT) {
             self.exchange_heartbeats();
         }
         self.deliver_queued_heartbeats();
@@ -134,7 +135,7 @@
         self.list_machines_when_due();
         self.send_odd_requests();
         self.serve_requests();
-        self.check();
+        self.check_rules();
         self.cancel_some_ended_jobs();
     }
 }
--- a/crates/cherryyard-simulation/src/world/cancellations.rs
+++ b/crates/cherryyard-simulation/src/world/cancellations.rs
@@ -1,14 +1,16 @@
-//! Users who ask for a job's cancellation until they are told that it is over.
+//! Users who request a job's cancellation repeatedly until a controller confirms that the job
+//! is cancelled or done.
 
 use super::state_link::catch_up;
 use super::{Question, World};
 use cherryyard_core::Outcome;
 use cherryyard_wire::job::{JobStatus, job_number};
 
-/// After what time a user asks the next controller.
-const RETRY_MS: f64 = 1000.0;
+/// Time after which a user asks the next controller.
+const RETRY_DELAY_MS: f64 = 1000.0;
 
-/// A user who asks for a cancellation: whom next, when, and of which job.
+/// A requested cancellation: the controller that is asked next, the time of that request, and
+/// the job's id.
 #[derive(Debug)]
 pub(super) struct PendingCancellation {
     controller: usize,
@@ -16,14 +18,14 @@
     id: String,
 }
 
-/// What a user is told of a cancellation in the end.
+/// The final status of a job that a user is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Final {
+enum FinalStatus {
     Cancelled,
     Done,
 }
 
-impl Final {
+impl FinalStatus {
     fn name(self) -> &'static str {
         match self {
             Self::Cancelled => "cancelled",
@@ -33,16 +35,16 @@
 }
 
 impl World {
-    /// A user asks for a cancellation, first at controller `i`, and again at the next
-    /// one until the answer is that the job is cancelled or done.
+    /// Requests a cancellation on behalf of a user, first from controller `i` and then from the
+    /// next ones, until the answer is that the job is cancelled or done.
     pub fn ask_cancel(&mut self, i: usize, id: &str) {
         self.say(format!("{id}: a cancellation is asked for at node-{i}"));
         self.requests.cancelling.insert(id.into());
-        self.cancel_later(i, self.now, id);
+        self.schedule_cancellation(i, self.now, id);
         self.retry_cancellations();
     }
 
-    fn cancel_later(&mut self, controller: usize, due: f64, id: &str) {
+    fn schedule_cancellation(&mut self, controller: usize, due: f64, id: &str) {
         self.submissions.cancellations.push(PendingCancellation {
             controller,
             due,
@@ -50,7 +52,7 @@
         });
     }
 
-    /// Users whose last attempt is long enough ago ask again.
+    /// Repeats the requests for cancellations that are due.
     pub(super) fn retry_cancellations(&mut self) {
         let now = self.now;
         for pending in std::mem::take(&mut self.submissions.cancellations) {
@@ -59,23 +61,24 @@
                 continue;
             }
             let PendingCancellation { controller, id, .. } = pending;
-            if let Some(how) = self.cancel_at(controller, &id) {
-                let outcome = how.name();
+            if let Some(final_status) = self.cancel_at(controller, &id) {
+                let outcome = final_status.name();
                 self.say(format!(
                     "{id}: node-{controller} tells its user that it is {outcome}"
                 ));
-                if how == Final::Cancelled {
+                if final_status == FinalStatus::Cancelled {
                     self.submissions.cancelled_at.insert(id, now);
                 }
             } else {
                 let next = (controller + 1) % self.controllers.len();
-                self.cancel_later(next, now + RETRY_MS, &id);
+                self.schedule_cancellation(next, now + RETRY_DELAY_MS, &id);
             }
         }
     }
 
-    /// What controller `i` answers a user who asks for a cancellation, if it is final.
-    fn cancel_at(&mut self, i: usize, id: &str) -> Option<Final> {
+    /// Returns what controller `i` answers to a request for cancellation, if the answer is
+    /// final.
+    fn cancel_at(&mut self, i: usize, id: &str) -> Option<FinalStatus> {
         let job = job_number(id)?;
         let now = self.now;
         if self.processes.frozen.contains(&i) {
@@ -93,21 +96,21 @@
             }
         }
         let controller = self.controllers[i].as_mut()?;
-        let how = match controller.mirror.view(job)?.status {
+        let final_status = match controller.mirror.view(job)?.status {
             JobStatus::Cancelled => controller
                 .may_confirm_cancelled(job, now)
-                .then_some(Final::Cancelled),
-            JobStatus::Done => Some(Final::Done),
+                .then_some(FinalStatus::Cancelled),
+            JobStatus::Done => Some(FinalStatus::Done),
             JobStatus::Queued | JobStatus::Running => None,
         };
         self.apply_effects(i);
-        how
+        final_status
     }
 
-    /// A user's cancellation through controller `i` takes effect. The user is told at
-    /// once, if that may be, or asks again.
+    /// Cancels a job through controller `i`. The user gets the confirmation at once if the
+    /// controller may give it; else the request is repeated.
     pub fn cancel(&mut self, i: usize, id: &str) {
-        let job = job_number(id).expect("a good id");
+        let job = job_number(id).expect("a valid job id");
         let now = self.now;
         let store_revision = self.state.store_revision();
         let controller = self.controllers[i].as_mut().expect("a running controller");
@@ -125,12 +128,12 @@
         if controller.may_confirm_cancelled(job, now) {
             self.submissions.cancelled_at.insert(id.to_string(), now);
         } else {
-            self.cancel_later(i, now + RETRY_MS, id);
+            self.schedule_cancellation(i, now + RETRY_DELAY_MS, id);
         }
         self.say(format!("{id} cancelled through node-{i}"));
     }
 
-    /// Of the jobs that have just ended, some are cancelled at this moment.
+    /// Cancels the configured percentage of the jobs that have just ended, drawn at random.
     pub(super) fn cancel_some_ended_jobs(&mut self) {
         for id in self.checker.take_ended() {
             let percent = self.submissions.cancel_at_end_percent;
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: provisioning requests, machines that come up, the list of machines.
+//! Stand-in of the cloud: provisioning requests, starting machines and the list of machines.
 
 use super::World;
 use super::setup::WORKER_LEASE_MS;
@@ -8,42 +8,45 @@
 use cherryyard_wire::cloud::{Instance, InstanceStatus, ProvisionRequest};
 use std::collections::BTreeMap;
 
-/// How long a controller waits for the response to a provisioning request.
+/// Timeout of a controller for the response to a provisioning request.
 const PROVISION_TIMEOUT_MS: f64 = 2500.0;
-/// The cloud.
+/// Stand-in of the cloud.
 #[derive(Debug)]
 pub struct Cloud {
-    /// It answers no release.
+    /// Whether the cloud fails all requests for releases.
     pub down: bool,
-    /// Releases that it has not answered.
+    /// Number of failed requests for releases.
     pub releases_failed: usize,
-    /// How often controllers read its list of machines by themselves.
+    /// Interval at which controllers read the cloud's list of machines; none: only when the
+    /// test calls [`World::list_machines`].
     pub list_every_ms: Option<f64>,
-    listed_at: f64,
-    /// Provisioning requests are carried out, and their responses are lost.
+    last_listed_at: f64,
+    /// Whether the responses to provisioning requests are lost; the requests are carried out.
     pub provisions_unanswered: bool,
-    /// Machines that were to be provisioned.
+    /// Provisioning requests so far, without repetitions of carried out ones.
     pub provision_requests: Vec<ProvisionRequest>,
-    /// Names of the machines provisioned by each request id.
+    /// Names of the machines that were provisioned, by request id.
     provisioned: BTreeMap<String, Vec<String>>,
     lost_responses: Vec<LostResponse>,
-    /// What a provisioned machine takes to be up; none: no machines are provisioned.
+    /// Time from the provisioning of a machine until it is up; none: no machines can be
+    /// provisioned.
     pub provisioning_ms: Option<f64>,
-    /// How long tasks run on provisioned machines.
+    /// Run time of tasks on provisioned machines.
     pub provisioned_run_ms: f64,
-    /// Machines on their way.
-    pub booting: BTreeMap<String, Booting>,
+    /// Machines that have been provisioned and are not yet up, by name.
+    pub booting: BTreeMap<String, BootingMachine>,
 }
 
 /// A machine that has been provisioned and is not yet up.
 #[derive(Clone, Debug)]
-pub struct Booting {
+pub struct BootingMachine {
     up_at: f64,
     provisioned_at: f64,
     zone: String,
 }
 
-/// A provisioning request whose response never comes: when its controller gives up.
+/// A provisioning request whose response is lost, and the time at which its controller stops
+/// waiting.
 #[derive(Debug)]
 struct LostResponse {
     due: f64,
@@ -58,7 +61,7 @@
             down: false,
             releases_failed: 0,
             list_every_ms: None,
-            listed_at: 0.0,
+            last_listed_at: 0.0,
             provisions_unanswered: false,
             provision_requests: Vec::new(),
             provisioned: BTreeMap::new(),
@@ -71,8 +74,8 @@
 }
 
 impl Cloud {
-    /// The response to a controller's provisioning request is lost.
-    pub(super) fn lose_response(
+    /// Drops the response to a controller's provisioning request.
+    pub(super) fn drop_response(
         &mut self,
         controller: usize,
         incarnation: u64,
@@ -87,7 +90,8 @@
         });
     }
 
-    /// Machines that have been provisioned and are not yet up, as the list shows them.
+    /// Returns the machines that have been provisioned and are not yet up, as the cloud lists
+    /// them.
     fn starting_instances(&self, now: f64) -> Vec<Instance> {
         let starting = self.booting.iter().map(|(name, booting)| {
             let held_s = (now - booting.provisioned_at) / 1000.0;
@@ -116,20 +120,23 @@
 }
 
 impl World {
-    /// Provisioning requests whose responses were lost: their controllers give up.
-    pub(super) fn give_up_provisions(&mut self) {
+    /// Reports the provisioning requests whose responses were lost as unanswered to their
+    /// controllers, once these stop waiting.
+    pub(super) fn time_out_provisions(&mut self) {
         let now = self.now;
         let due = self.cloud.lost_responses.extract_if(.., |l| l.due <= now);
         for lost in due.collect::<Vec<_>>() {
-            if let Some(controller) = self.same_controller(lost.controller, lost.incarnation) {
+            if let Some(controller) =
+                self.controller_of_incarnation(lost.controller, lost.incarnation)
+            {
                 controller.provisioned(&lost.request, Err(ProvisionError::NoAnswer), now);
                 self.apply_effects(lost.controller);
             }
         }
     }
 
-    /// The cloud provisions machines, if it has any; under the same request id the same
-    /// ones.
+    /// Provisions machines, or returns none if the cloud has none. A repeated request id
+    /// returns the same machines.
     pub(super) fn provision(&mut self, request: &ProvisionRequest) -> Option<Vec<String>> {
         let cloud = &mut self.cloud;
         if let Some(names) = cloud.provisioned.get(&request.request_id) {
@@ -143,7 +150,7 @@
             + cloud.provision_requests.len() * 100;
         let names = (0..request.number as usize).map(|k| format!("host-{:06}", first + k));
         let names: Vec<String> = names.collect();
-        let booting = Booting {
+        let booting = BootingMachine {
             up_at,
             provisioned_at: self.now,
             zone: request.zone.clone(),
@@ -157,7 +164,7 @@
         Some(names)
     }
 
-    /// Provisioned machines come up.
+    /// Starts the workers of provisioned machines that are up.
     pub(super) fn boot_machines(&mut self) {
         let now = self.now;
         let up = self.cloud.booting.extract_if(.., |_, b| b.up_at <= now);
@@ -168,17 +175,17 @@
         }
     }
 
-    /// Controllers read the cloud's list of machines, if it is time.
+    /// Gives the cloud's list of machines to every controller at the configured interval.
     pub(super) fn list_machines_when_due(&mut self) {
-        let last = self.cloud.listed_at;
+        let last = self.cloud.last_listed_at;
         let every_ms = self.cloud.list_every_ms;
         if every_ms.is_some_and(|every_ms| self.now >= last + every_ms) {
-            self.cloud.listed_at = self.now;
+            self.cloud.last_listed_at = self.now;
             self.list_machines();
         }
     }
 
-    /// Every controller reads the cloud's list of machines.
+    /// Gives the cloud's list of machines to every controller.
     pub fn list_machines(&mut self) {
         let now = self.now;
         let running = self.workers.values().map(|worker| {
@@ -202,7 +209,7 @@
         }
     }
 
-    /// What the cores of all shards did since the last call.
+    /// Returns how the cores of all shards were used since the previous call.
     pub fn account(&mut self) -> CoreSeconds {
         let mut all = CoreSeconds::default();
         for controller in self.controllers.iter_mut().flatten() {
@@ -213,7 +220,7 @@
         all
     }
 
-    /// The capacity of a machine type, in cores and GB of memory.
+    /// Returns the capacity of a machine type, in cores and GB of memory.
     pub fn machine_capacity(&self, machine_type: &str) -> (f64, f64) {
         if machine_type == "m8" {
             (8.0, 32.0)
--- a/crates/cherryyard-simulation/src/world/controllers.rs
+++ b/crates/cherryyard-simulation/src/world/controllers.rs
@@ -1,5 +1,5 @@
-//! The controllers' processes: how they end, start, stand still and fall behind, and the
-//! steps that each takes by itself.
+//! The controllers' processes: their kills, starts, pauses and lag, and the steps of each
+//! process.
 
 use super::World;
 use super::state_link::renew_state_lease;
@@ -7,29 +7,29 @@
 use cherryyard_wire::worker::WorkerHeartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a leader that was ended by [`Processes::leader_ends_every_ms`] is away.
+/// Time until a leader that was killed by [`Processes::leader_kill_interval_ms`] starts again.
 const LEADER_RESTART_MS: f64 = 500.0;
 
-/// The controllers' processes.
+/// State of the controllers' processes.
 #[derive(Debug, Default)]
 pub struct Processes {
-    /// Controllers that stand still while their clocks run on.
+    /// Controllers whose processes are paused while their clocks continue.
     pub frozen: BTreeSet<usize>,
-    /// Event-loop lag of controllers: workers' heartbeats wait this long for their turn,
-    /// while what is urgent goes on.
+    /// Event-loop lag by controller: workers' heartbeats wait this long before they are
+    /// handled, while urgent work is not delayed.
     pub lag_ms: BTreeMap<usize, f64>,
-    /// The leader ends this often, and is back half a second later.
-    pub leader_ends_every_ms: Option<f64>,
-    leader_ends_at: f64,
+    /// Interval at which the leader is killed, to be restarted half a second later.
+    pub leader_kill_interval_ms: Option<f64>,
+    next_leader_kill_at: f64,
     queued_heartbeats: Vec<QueuedHeartbeat>,
     restarts: Vec<Restart>,
-    /// Which start of each controller runs.
+    /// Number of the latest start of each controller, counted over all controllers.
     incarnations: Vec<u64>,
-    /// Starts of all controllers so far.
+    /// Number of starts of all controllers so far.
     starts: u64,
 }
 
-/// A worker's heartbeat that waits for its turn at a controller that lags.
+/// A worker's heartbeat that waits at a controller that lags.
 #[derive(Debug)]
 struct QueuedHeartbeat {
     due: f64,
@@ -38,7 +38,7 @@
     heartbeat: WorkerHeartbeat,
 }
 
-/// When a controller that has ended starts again.
+/// A scheduled restart of a killed controller.
 #[derive(Debug)]
 struct Restart {
     due: f64,
@@ -46,7 +46,8 @@
 }
 
 impl Processes {
-    /// A controller starts: the number of this start among all controllers' starts.
+    /// Records a controller's start, and returns its number among the starts of all
+    /// controllers.
     pub(super) fn begin_incarnation(&mut self, controller: usize) -> u64 {
         self.starts += 1;
         if self.incarnations.len() <= controller {
@@ -56,12 +57,12 @@
         self.starts
     }
 
-    /// Which start of a controller was the last one.
+    /// Returns the number of a controller's latest start.
     pub(super) fn incarnation(&self, controller: usize) -> u64 {
         self.incarnations[controller]
     }
 
-    /// A heartbeat waits for its turn at a controller that lags.
+    /// Queues a heartbeat at a controller that lags.
     pub(super) fn queue_heartbeat(
         &mut self,
         controller: usize,
@@ -84,20 +85,20 @@
 }
 
 impl World {
-    /// A controller ends.
+    /// Kills a controller's process.
     pub fn kill(&mut self, i: usize) {
         self.say(format!("node-{i} ends"));
         self.controllers[i] = None;
     }
 
-    /// A controller starts again.
+    /// Starts a controller's process.
     pub fn start(&mut self, i: usize) {
         self.say(format!("node-{i} starts"));
         self.controllers[i] = Some(self.new_controller(i));
-        self.state_link.forget_read(i);
+        self.state_link.drop_read(i);
     }
 
-    /// All controllers end and start again.
+    /// Kills and restarts all controllers, one after the other.
     pub fn restart_all(&mut self) {
         for i in 0..self.controllers.len() {
             self.kill(i);
@@ -105,14 +106,14 @@
         }
     }
 
-    /// A controller that runs: neither down nor standing still.
+    /// Returns a controller if it is running: neither down nor paused.
     fn active_controller(&mut self, i: usize) -> Option<&mut Controller> {
         let is_frozen = self.processes.frozen.contains(&i);
         self.controllers[i].as_mut().filter(|_| !is_frozen)
     }
 
-    /// The controller that sent something in this incarnation, if that still runs.
-    pub(super) fn same_controller(
+    /// Returns the controller if its process is still the one of this incarnation.
+    pub(super) fn controller_of_incarnation(
         &mut self,
         i: usize,
         incarnation: u64,
@@ -143,7 +144,7 @@
         self.apply_effects(i);
     }
 
-    /// Each controller sends a heartbeat to all others.
+    /// Sends a heartbeat from each controller to all other controllers.
     pub(super) fn exchange_heartbeats(&mut self) {
         let now = self.now;
         for i in 0..self.controllers.len() {
@@ -162,23 +163,24 @@
         }
     }
 
-    /// Workers' heartbeats whose turn it is at controllers that lag.
+    /// Delivers the queued heartbeats that are due at controllers that lag.
     pub(super) fn deliver_queued_heartbeats(&mut self) {
         for queued in self.processes.take_due_heartbeats(self.now) {
             self.deliver_heartbeat(queued.controller, &queued.heartbeat, queued.sent_at);
         }
     }
 
-    /// The leader ends, if it is time, and one that has ended is back half a second later.
-    pub(super) fn end_and_restart_leaders(&mut self) {
-        let Some(every) = self.processes.leader_ends_every_ms else {
+    /// Kills the leader if its kill interval has passed, and starts killed leaders that are due
+    /// for a restart.
+    pub(super) fn kill_and_restart_leaders(&mut self) {
+        let Some(interval_ms) = self.processes.leader_kill_interval_ms else {
             return;
         };
         let now = self.now;
-        if now >= self.processes.leader_ends_at
+        if now >= self.processes.next_leader_kill_at
             && let Some(controller) = self.leader()
         {
-            self.processes.leader_ends_at = now + every;
+            self.processes.next_leader_kill_at = now + interval_ms;
             self.kill(controller);
             let due = now + LEADER_RESTART_MS;
             self.processes.restarts.push(Restart { due, controller });
@@ -191,7 +193,7 @@
         }
     }
 
-    /// The first controller that leads.
+    /// Returns the first controller that has a leadership token.
     pub fn leader(&self) -> Option<usize> {
         let leads = |controller: &Controller| controller.leadership_token().is_some();
         self.controllers
--- a/crates/cherryyard-simulation/src/world/effects.rs
+++ b/crates/cherryyard-simulation/src/world/effects.rs
@@ -1,4 +1,5 @@
-//! What controllers ask for is carried out: each effect at once, in their order.
+//! Execution of the effects that controllers request: each at once, in the order of the
+//! requests.
 
 use super::World;
 use cherryyard_core::Effect;
@@ -7,13 +8,14 @@
 use cherryyard_wire::condor::chunk_key;
 use cherryyard_wire::history::Level;
 
-/// Most times that a controller's effects lead to further ones at one moment.
-const MOST_ROUNDS: usize = 100;
+/// Maximum number of rounds in which a controller's effects cause further ones at the same
+/// time.
+const MAX_EFFECT_ROUNDS: usize = 100;
 
 impl World {
-    /// Carries out a controller's effects, and those that follow, until there are none.
+    /// Executes a controller's effects and those that follow from them, until there are none.
     pub(super) fn apply_effects(&mut self, i: usize) {
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_EFFECT_ROUNDS {
             let Some(controller) = &mut self.controllers[i] else {
                 return;
             };
@@ -47,10 +49,10 @@
         }
     }
 
-    /// The cloud releases machines, unless it is down.
+    /// Releases machines on a controller's request, unless the cloud is down.
     fn release(&mut self, i: usize, machines: &[String]) {
-        let is_done = !self.cloud.down;
-        if is_done {
+        let is_released = !self.cloud.down;
+        if is_released {
             for name in machines {
                 self.say(format!("node-{i} releases {name}"));
                 self.workers.remove(name);
@@ -60,7 +62,7 @@
             self.cloud.releases_failed += 1;
         }
         if let Some(controller) = &mut self.controllers[i] {
-            controller.released(machines, is_done, self.now);
+            controller.released(machines, is_released, self.now);
         }
     }
 
@@ -68,7 +70,7 @@
         let machines = self.provision(&request).ok_or(ProvisionError::Refused);
         if self.cloud.provisions_unanswered {
             let incarnation = self.processes.incarnation(i);
-            self.cloud.lose_response(i, incarnation, request, self.now);
+            self.cloud.drop_response(i, incarnation, request, self.now);
         } else if let Some(controller) = &mut self.controllers[i] {
             controller.provisioned(&request, machines, self.now);
         }
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -5,41 +5,43 @@
 use cherryyard_wire::worker::{CommandBatch, WorkerHeartbeat};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a worker waits for the response to a heartbeat.
+/// Timeout of a worker for the response to a heartbeat.
 const RESPONSE_TIMEOUT_MS: f64 = 4000.0;
-/// Time between two heartbeats of a worker.
+/// Interval at which a worker sends heartbeats.
 const HEARTBEAT_INTERVAL_MS: f64 = 2000.0;
-/// After what time a worker turns to the controller that it was sent to.
-const REDIRECT_MS: f64 = 100.0;
-/// After what time a worker turns to another controller by itself.
-const RETRY_MS: f64 = 1000.0;
+/// Delay until a worker's heartbeat to the controller that it was redirected to.
+const REDIRECT_DELAY_MS: f64 = 100.0;
+/// Delay until a worker's heartbeat to the next controller when the previous one did not
+/// respond or was not able to.
+const RETRY_DELAY_MS: f64 = 1000.0;
 
-/// The machines themselves, and commands on their way to them.
+/// Faults of machines, and direct commands on their way to them.
 #[derive(Debug, Default)]
 pub struct Machines {
-    /// Machines that stand still: what is sent to them directly waits.
+    /// Machines that hang: direct commands to them are held back.
     pub hung: BTreeSet<String>,
-    /// Machines to which direct commands are held back.
+    /// Machines whose direct commands are delayed.
     pub slow_commands: BTreeSet<String>,
-    /// Direct commands held back.
+    /// Direct commands that are held back.
     pub held_commands: Vec<HeldCommand>,
-    /// Direct status queries to machines so far.
+    /// Number of direct status queries to machines so far.
     pub status_queries: usize,
-    /// Workers that wait for a response, and since when.
+    /// Workers that wait for the response to a heartbeat, with the time at which the heartbeat
+    /// was sent.
     awaiting_response: BTreeMap<String, f64>,
 }
 
 /// Direct commands that are held back on their way to a machine.
 #[derive(Clone, Debug)]
 pub struct HeldCommand {
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The commands.
+    /// The commands, as the controller sent them.
     pub request: CommandBatch,
 }
 
-/// The machine's name in its address.
-fn machine_at(addr: &str) -> &str {
+/// Returns the machine's name, given its address.
+fn machine_name_of(addr: &str) -> &str {
     addr.trim_end_matches(":9000")
 }
 
@@ -57,7 +59,7 @@
             return;
         };
         if self.machines.hung.contains(name) {
-            worker.hang(now);
+            worker.advance_hung(now);
             return;
         }
         if worker.reclaim_at.is_some_and(|at| now >= at) {
@@ -70,15 +72,15 @@
             if now - sent_at > RESPONSE_TIMEOUT_MS {
                 self.machines.awaiting_response.remove(name);
                 worker.controller = (worker.controller + 1) % self.controllers.len();
-                worker.report_at = now + RETRY_MS;
+                worker.report_at = now + RETRY_DELAY_MS;
             }
         } else if now >= worker.report_at && self.network.carries_heartbeats_of(name) {
             self.send_heartbeat(name);
         }
-        self.say_all(log);
+        self.trace_all(log);
     }
 
-    /// A worker sends a heartbeat, which may be lost or have to wait at its controller.
+    /// Sends a worker's heartbeat, which may be lost, or queued at a controller that lags.
     fn send_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else {
@@ -101,8 +103,8 @@
         }
     }
 
-    /// A controller takes a heartbeat that was sent at `sent_at`, and responds. A worker
-    /// that has given up waiting drops the response.
+    /// Delivers a heartbeat that was sent at `sent_at` to a controller, and the response to the
+    /// worker. The response is dropped if the worker no longer waits for it.
     pub(super) fn deliver_heartbeat(
         &mut self,
         i: usize,
@@ -122,10 +124,10 @@
             Vec::new()
         };
         self.apply_effects(i);
-        self.say_all(log);
+        self.trace_all(log);
     }
 
-    /// The reply to a heartbeat, or that there was none, arrives at its worker.
+    /// Delivers the reply to a heartbeat, or the failure to get one, to the worker.
     fn deliver_reply(
         &mut self,
         i: usize,
@@ -139,29 +141,29 @@
         };
         self.machines.awaiting_response.remove(&heartbeat.host);
         match reply {
-            // The response to a heartbeat of the incarnation before.
+            // The response belongs to a heartbeat of the previous incarnation.
             Some(Reply::Answer(_)) if worker.incarnation != heartbeat.incarnation => {
                 worker.report_at = now;
             }
             Some(Reply::Answer(response)) => {
-                return worker.answered(&response, sent_at, now);
+                return worker.handle_heartbeat_response(&response, sent_at, now);
             }
             Some(Reply::Elsewhere(Some(label))) => {
                 worker.controller = controller_of_label(&label).expect("a label");
-                worker.report_at = now + REDIRECT_MS;
+                worker.report_at = now + REDIRECT_DELAY_MS;
             }
             Some(Reply::Elsewhere(None) | Reply::Unavailable) | None => {
                 worker.controller = (i + 1) % self.controllers.len();
-                worker.report_at = now + RETRY_MS;
+                worker.report_at = now + RETRY_DELAY_MS;
             }
         }
         Vec::new()
     }
 
-    /// A controller sends direct commands to a machine.
+    /// Sends a controller's direct commands to a machine.
     pub(super) fn push(&mut self, i: usize, host: u32, addr: &str, request: CommandBatch) {
         let now = self.now;
-        let name = machine_at(addr);
+        let name = machine_name_of(addr);
         let is_held = self.machines.slow_commands.contains(name) || !self.reaches_machine(i, name);
         let outcome = if is_held {
             self.machines.held_commands.push(HeldCommand {
@@ -172,7 +174,7 @@
         } else if let Some(worker) = self.workers.get_mut(name) {
             let (_, log) = worker.direct(&request, now);
             let status = worker.report(now);
-            self.say_all(log);
+            self.trace_all(log);
             PushOutcome::Answered(Box::new(status))
         } else {
             PushOutcome::Unsent
@@ -182,11 +184,11 @@
         }
     }
 
-    /// A controller asks a machine for its status.
+    /// Queries a machine's status for a controller.
     pub(super) fn query_status(&mut self, i: usize, host: u32, addr: &str) {
         let now = self.now;
         self.machines.status_queries += 1;
-        let name = machine_at(addr);
+        let name = machine_name_of(addr);
         let is_reachable =
             self.reaches_machine(i, name) && !self.network.cut_from_workers.contains(&i);
         let worker = self.workers.get_mut(name).filter(|_| is_reachable);
@@ -196,8 +198,8 @@
         }
     }
 
-    /// A machine ends with all that is on it and is back at once, its worker new. What
-    /// was held back on connections to it is lost with them.
+    /// Restarts a machine at once: all its tasks are lost and its worker is new. Commands that
+    /// were held back on connections to it are lost with these connections.
     pub fn reborn(&mut self, name: &str) {
         self.say(format!("{name} begins anew"));
         self.machines.awaiting_response.remove(name);
@@ -206,12 +208,12 @@
             .retain(|held| held.machine != name);
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(name) {
-            worker.begin_anew(now);
+            worker.restart(now);
         }
     }
 
-    /// Delivers the direct commands that were held back; says how many of them
-    /// a worker executed.
+    /// Delivers the direct commands that were held back, and returns how many of them a worker
+    /// executed.
     pub fn deliver_direct(&mut self) -> usize {
         let now = self.now;
         let mut executed = 0;
@@ -224,17 +226,17 @@
                 }
             }
         }
-        self.check();
+        self.check_rules();
         executed
     }
 
-    /// How many machines run this task.
+    /// Returns the number of machines that run this task.
     pub fn copies(&self, task_name: &str) -> usize {
         let running = self.workers.values();
         running.filter(|worker| worker.runs(task_name)).count()
     }
 
-    /// How many tasks run.
+    /// Returns the number of running tasks on all machines.
     pub fn running(&self) -> usize {
         self.workers
             .values()
@@ -243,7 +245,7 @@
     }
 }
 
-/// The index of a controller by its label.
+/// Returns the index of a controller, given its label.
 pub(super) fn controller_of_label(label: &str) -> Option<usize> {
     label.trim_start_matches("node-").parse().ok()
 }
--- a/crates/cherryyard-simulation/src/world/network.rs
+++ b/crates/cherryyard-simulation/src/world/network.rs
@@ -1,63 +1,65 @@
-//! Who reaches whom: partitions between controllers, machines and zones.
+//! Partitions of the network between controllers, machines and zones.
 
 use super::World;
 use std::collections::BTreeSet;
 
-/// Parts of the network that are cut.
+/// Parts of the network that are partitioned.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Controllers that no other controller reaches.
+    /// Controllers that exchange no messages with other controllers.
     pub isolated: BTreeSet<usize>,
-    /// Controllers that no worker reaches.
+    /// Controllers that no worker reaches, and that get no responses from machines to status
+    /// queries.
     pub cut_from_workers: BTreeSet<usize>,
-    /// Machines that nobody reaches.
+    /// Machines that exchange no messages with anyone.
     pub unreachable: BTreeSet<String>,
-    /// Machines whose heartbeats arrive, but neither responses nor commands reach them.
+    /// Machines whose heartbeats arrive, while responses and commands to them are lost.
     pub inbound_lost: BTreeSet<String>,
-    /// Machines whose heartbeats reach no controller, while direct commands reach them.
+    /// Machines whose heartbeats are lost, while direct commands reach them.
     pub outbound_lost: BTreeSet<String>,
-    /// Zones whose machines and controllers reach none of another zone.
+    /// Zones whose machines and controllers exchange no messages with other zones.
     pub partitioned_zones: BTreeSet<String>,
 }
 
 impl Network {
-    /// Whether two zones reach each other.
+    /// Returns whether two zones reach each other.
     fn connects_zones(&self, a: &str, b: &str) -> bool {
         a == b || !(self.partitioned_zones.contains(a) || self.partitioned_zones.contains(b))
     }
 
-    /// Whether a machine's heartbeats leave it.
+    /// Returns whether a machine's heartbeats are sent to the network.
     pub(super) fn carries_heartbeats_of(&self, machine: &str) -> bool {
         !self.unreachable.contains(machine) && !self.outbound_lost.contains(machine)
     }
 
-    /// Whether direct commands and queries arrive at a machine.
+    /// Returns whether direct commands and status queries arrive at a machine.
     fn carries_commands_to(&self, machine: &str) -> bool {
         !self.unreachable.contains(machine) && !self.inbound_lost.contains(machine)
     }
 }
 
 impl World {
-    /// A controller's zone.
+    /// Returns a controller's zone.
     pub fn zone_of(&self, controller: usize) -> &'static str {
         self.setup.zones[controller]
     }
 
-    /// Whether a controller and a zone reach each other.
+    /// Returns whether a controller and a zone reach each other.
     pub(super) fn reaches(&self, controller: usize, zone: &str) -> bool {
         self.network.connects_zones(self.zone_of(controller), zone)
     }
 
-    /// Whether two controllers reach each other.
+    /// Returns whether two controllers reach each other; paused controllers reach no other.
     pub(super) fn controllers_connected(&self, one: usize, other: usize) -> bool {
-        let is_out = |controller| {
+        let is_cut_off = |controller| {
             self.processes.frozen.contains(&controller)
                 || self.network.isolated.contains(&controller)
         };
-        !is_out(one) && !is_out(other) && self.reaches(one, self.zone_of(other))
+        !is_cut_off(one) && !is_cut_off(other) && self.reaches(one, self.zone_of(other))
     }
 
-    /// Whether a direct command of a controller arrives at a machine, and is read there.
+    /// Returns whether a direct command or a status query of a controller arrives at a machine,
+    /// and the machine does not hang.
     pub(super) fn reaches_machine(&self, controller: usize, machine: &str) -> bool {
         let worker = self.workers.get(machine);
         self.network.carries_commands_to(machine)
@@ -65,7 +67,8 @@
             && !self.machines.hung.contains(machine)
     }
 
-    /// Whether nothing keeps a machine from taking tasks.
+    /// Returns whether a machine can be given tasks: it does not hang, its heartbeats are sent,
+    /// and commands arrive.
     pub fn is_usable(&self, machine: &str) -> bool {
         self.network.carries_commands_to(machine)
             && self.network.carries_heartbeats_of(machine)
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -1,11 +1,11 @@
-//! Users' requests as controllers take them: one after the other or many at once, at any
-//! controller, with time and losses between each step, as in the program's routes.
+//! Users' requests as controllers handle them: sequential or concurrent, at any controller,
+//! with delays and losses between the steps, as in the program's HTTP routes.
 //!
-//! Here is what a request is and how users send one. The steps that it takes at its
-//! controller are in [`serve`] and, for submissions, in [`admission`]; its answer is judged
-//! in [`judge`]; [`odd`] makes requests that make no sense.
+//! This module defines a request and how users send it. The steps that a request takes at its
+//! controller are in [`serve`] and, for submissions, in [`admission`]; [`judge`] checks the
+//! responses; [`odd`] creates invalid and redundant requests.
 
-use super::{STEP, World};
+use super::{STEP_MS, World};
 use crate::draws;
 use cherryyard_core::Outcome;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView};
@@ -17,67 +17,67 @@
 mod odd;
 mod serve;
 
-/// For how long a user asks again.
-const INSIST_MS: f64 = 60_000.0;
-/// After what time a user asks the next controller.
-const RETRY_MS: f64 = 1000.0;
+/// Time for which a user repeats an unanswered request.
+const RETRY_WINDOW_MS: f64 = 60_000.0;
+/// Time after which a user asks the next controller.
+const RETRY_DELAY_MS: f64 = 1000.0;
 
-/// What a user asks of a job.
+/// The request that a user sends about a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Question {
-    /// How it is.
+    /// Requests the job's status.
     Poll,
-    /// To take it, as in this body.
+    /// Submits the job with this body.
     Submit(Vec<u8>),
-    /// To cancel it.
+    /// Cancels the job.
     Cancel,
 }
 
-/// What a user is told.
+/// The response that a user gets, with its HTTP status.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// 201.
+    /// 201: the job was accepted by this request.
     Taken,
-    /// 200.
+    /// 200: the job's status.
     View(JobView),
-    /// 404.
+    /// 404: the job is unknown.
     Unknown,
-    /// 400.
+    /// 400: the request is malformed.
     Malformed,
-    /// 422.
+    /// 422: the job can never run.
     Never,
-    /// 503, or no answer.
+    /// 503, or no response.
     Later,
 }
 
-/// How far a job has come in its life, by an answer.
+/// Phase of a job's life, as far as a response shows it; later phases are larger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Age {
+enum JobPhase {
     Unknown,
     Accepted,
-    Over,
+    Ended,
 }
 
 impl Response {
-    /// How late in its job's life this answer is; none if it tells nothing of that.
-    fn age(&self) -> Option<Age> {
+    /// Returns the phase of the job's life that this response shows; none if it shows none.
+    fn phase(&self) -> Option<JobPhase> {
         match self {
-            Self::Unknown => Some(Age::Unknown),
-            Self::Taken => Some(Age::Accepted),
+            Self::Unknown => Some(JobPhase::Unknown),
+            Self::Taken => Some(JobPhase::Accepted),
             Self::View(view) => match view.status {
-                JobStatus::Queued | JobStatus::Running => Some(Age::Accepted),
-                JobStatus::Done | JobStatus::Cancelled => Some(Age::Over),
+                JobStatus::Queued | JobStatus::Running => Some(JobPhase::Accepted),
+                JobStatus::Done | JobStatus::Cancelled => Some(JobPhase::Ended),
             },
             Self::Malformed | Self::Never | Self::Later => None,
         }
     }
 
-    /// Whether it says that the job is or was accepted.
+    /// Returns whether the response shows that the job has been accepted.
     fn is_accepted(&self) -> bool {
-        self.age() > Some(Age::Unknown)
+        self.phase() > Some(JobPhase::Unknown)
     }
 
-    /// The status that it tells.
+    /// Returns the job's status that the response contains, if any.
     fn status(&self) -> Option<JobStatus> {
         match self {
             Self::View(view) => Some(view.status),
@@ -86,40 +86,40 @@
     }
 }
 
-/// Where a request stands.
+/// Progress of a request.
 #[derive(Clone, Debug)]
 enum Stage {
     /// On its way to its controller.
-    Sent { arrives: f64 },
-    /// Waits for the next read of the state.
+    Sent { arrives_at: f64 },
+    /// Waiting for its controller's next read of the state.
     Barrier { reads_at: f64 },
-    /// That read is under way.
+    /// The controller's read of the state is in progress.
     Reading {
         due: f64,
         sent_at: f64,
         response: WatchResponse,
     },
-    /// Everything up to the request has been read.
+    /// The controller has read all changes up to the time of the request.
     CaughtUp,
-    /// Forwarded to another controller by a request of this number.
+    /// Forwarded to another controller as the request with this number.
     Forwarded { request: u64, until: f64 },
-    /// Handed to the controller's core.
+    /// Handed to the controller's core, which decides on the submission.
     Offered { ticket: u64, until: f64 },
-    /// Its transaction is under way.
+    /// The transaction that the request needs is in progress.
     Committing {
         due: f64,
         commit: Commit,
         outcome: Outcome,
     },
-    /// The answer is on its way to the user.
+    /// The response is on its way to the sender.
     Answered { due: f64, response: Response },
 }
 
 impl Stage {
-    /// When the next step can be taken, if that is a matter of time alone.
+    /// Returns when the request can take its next step, if that depends on time alone.
     fn next_step_at(&self) -> Option<f64> {
         match self {
-            Self::Sent { arrives: due }
+            Self::Sent { arrives_at: due }
             | Self::Barrier { reads_at: due }
             | Self::Reading { due, .. }
             | Self::Committing { due, .. }
@@ -129,18 +129,19 @@
     }
 }
 
-/// Who has sent a request.
+/// The sender of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sender {
-    /// A user who asks once.
+    /// A user who sends the request once.
     User,
-    /// A user who asks again until there is an answer.
+    /// A user who repeats the request until there is a response.
     InsistentUser,
-    /// Another controller, on behalf of its user.
+    /// Another controller, which forwards a user's submission.
     Controller,
 }
 
-/// Whether a submission waits for a barrier because it names a job that is not known.
+/// State of the read barrier that a submission needs if it depends on a job that the controller
+/// does not find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DependencyBarrier {
     NotNeeded,
@@ -150,61 +151,65 @@
 
 #[derive(Clone, Debug)]
 struct Request {
-    /// When it was sent, in the order of all that users sent and were told.
-    moment: u64,
-    /// When its user first asked.
+    /// Sequence number of the sending, in the order of all requests that users sent and
+    /// responses that they received.
+    sequence: u64,
+    /// Time at which the user sent the first of the repeated requests.
     first_sent_at: f64,
-    /// When it was sent.
+    /// Time at which this request was sent.
     sent_at: f64,
     sender: Sender,
     controller: usize,
-    /// Which incarnation of its controller it has come to.
+    /// Incarnation of the controller that the request arrived at; none before its arrival.
     incarnation: Option<u64>,
     id: String,
     question: Question,
     stage: Stage,
-    /// Whether a submission is to be answered 422 if its job is unknown.
+    /// Whether a submission is answered with 422 if its job is unknown.
     is_refused: bool,
     dependency_barrier: DependencyBarrier,
-    /// Tries to write.
-    tries: u32,
+    /// Number of attempts to write for this request.
+    write_attempts: u32,
 }
 
-/// What a job's user has been told, and when.
+/// A response about a job, and when its user received it.
 #[derive(Clone, Debug)]
 struct Answer {
-    moment: u64,
+    sequence: u64,
     response: Response,
 }
 
-/// Users' requests under way, and what they have been told.
+/// Users' requests in progress, and the responses that users have received.
 pub struct Requests {
     open: BTreeMap<u64, Request>,
     next: u64,
-    moment: u64,
+    sequence: u64,
     draw: Box<dyn FnMut(u64) -> u64>,
-    /// What each job's user has been told.
+    /// Responses that each job's user has received, by job id.
     answered: BTreeMap<String, Vec<Answer>>,
-    /// Whether users ask at all controllers at once, and repeat the submission, as soon
-    /// as they are told that a job is accepted, done or cancelled; some cancel.
+    /// Whether users, as soon as they are told that a job is accepted, done or cancelled, poll
+    /// the job at all controllers at once and repeat the submission; some also cancel the job.
     pub close_looks: bool,
-    /// A broken build for tests of the checker: open jobs are answered without a barrier.
+    /// Fault injection for tests of the checker: polls of open jobs are answered without a read
+    /// barrier.
     pub without_barrier: bool,
-    /// Another one: nothing is checked at the door.
+    /// Fault injection for tests of the checker: submissions are accepted without admission
+    /// checks.
     pub without_admission: bool,
-    /// Another one: what a job waits for is forgotten, or never told to be cancelled.
+    /// Fault injection for tests of the checker: accepted jobs lose their dependencies.
     pub without_dependencies: bool,
-    /// Whether users send odd requests now and then.
+    /// Whether users occasionally send invalid and redundant requests.
     pub odd: bool,
-    /// Jobs that were accepted, until they have been taken note of.
+    /// Jobs whose users were told that they are accepted, until [`crate::Users`] has recorded
+    /// them.
     pub accepted: Vec<JobSpec>,
-    /// Jobs whose users have asked for their cancellation.
+    /// Ids of the jobs whose cancellation was requested.
     pub cancelling: BTreeSet<String>,
-    /// Jobs that cannot run, or of which a field is missing.
+    /// Ids of submitted jobs that cannot run, or that lack a field.
     pub impossible: BTreeSet<String>,
-    /// How many answers have been judged.
+    /// Number of responses that have been checked.
     pub judged: usize,
-    /// Answers to requests that nobody insists on, by number.
+    /// Responses to requests that are not repeated, by the requests' numbers.
     pub answers: BTreeMap<u64, Response>,
 }
 
@@ -222,7 +227,7 @@
         Self {
             open: BTreeMap::new(),
             next: 0,
-            moment: 0,
+            sequence: 0,
             draw: Box::new(draws(1)),
             answered: BTreeMap::new(),
             close_looks: false,
@@ -240,63 +245,64 @@
 }
 
 impl Requests {
-    /// Draws by a seed what comes between a request and its answer.
+    /// Sets the seed of the draws that decide delays and the order of requests.
     pub fn seed(&mut self, seed: u64) {
         self.draw = Box::new(draws(seed));
     }
 
-    /// Whether a job's user has been told that it is accepted.
+    /// Returns whether a job's user has been told that the job is accepted.
     pub fn knows_accepted(&self, id: &str) -> bool {
         let answered = self.answered.get(id);
         answered.is_some_and(|all| all.iter().any(|answer| answer.response.is_accepted()))
     }
 
-    /// How many are under way.
+    /// Returns the number of requests in progress.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Draws the time of one hop: up to two steps of the clock.
-    fn hop(&mut self) -> f64 {
-        (self.draw)(3) as f64 * STEP
+    /// Draws the duration of one network hop in milliseconds: up to two steps of the clock.
+    fn draw_hop_ms(&mut self) -> f64 {
+        (self.draw)(3) as f64 * STEP_MS
     }
 
-    /// Draws one of so many controllers.
+    /// Draws an index below `count`.
     fn draw_index(&mut self, count: usize) -> usize {
         (self.draw)(count as u64) as usize
     }
 
-    /// The next moment in the order of all that users send and are told.
-    fn next_moment(&mut self) -> u64 {
-        self.moment += 1;
-        self.moment
+    /// Returns the next sequence number in the order of all that users send and receive.
+    fn next_sequence(&mut self) -> u64 {
+        self.sequence += 1;
+        self.sequence
     }
 }
 
 impl World {
-    /// A user asks controller `i`, and the next one after each answer that is none, for a
-    /// minute.
+    /// Sends a user's request to controller `i`, and for up to a minute to the next one after
+    /// each response 503 or missing response. Returns the number of the first request.
     pub fn insist(&mut self, i: usize, id: &str, question: Question) -> u64 {
         self.send_request(i, id, question, Sender::InsistentUser)
     }
 
-    /// A user asks controller `i` once.
+    /// Sends a user's request to controller `i` once, and returns its number.
     pub fn ask_once(&mut self, i: usize, id: &str, question: Question) -> u64 {
         self.send_request(i, id, question, Sender::User)
     }
 
-    /// A user submits a job to controller `i` until it is taken or refused for good.
+    /// Submits a job to controller `i`, and repeats the submission as [`World::insist`] does
+    /// until the job is accepted or refused for good.
     pub fn submit_at(&mut self, i: usize, spec: &JobSpec) -> u64 {
         let body = serde_json::to_vec(spec).expect("a job");
         self.insist(i, &spec.id, Question::Submit(body))
     }
 
-    /// Whether a job's user has asked for its cancellation.
+    /// Returns whether a job's cancellation was requested.
     pub fn asked_to_cancel(&self, id: &str) -> bool {
         self.requests.cancelling.contains(id)
     }
 
-    /// Sends a request; gives its number.
+    /// Sends a request, and returns its number.
     fn send_request(&mut self, i: usize, id: &str, question: Question, sender: Sender) -> u64 {
         if question == Question::Cancel {
             self.requests.cancelling.insert(id.into());
@@ -304,11 +310,11 @@
         if let Question::Submit(body) = &question
             && let Ok(spec) = JobSpec::parse(body)
         {
-            self.checker.note(&spec);
+            self.checker.record_spec(&spec);
         }
-        let arrives = self.now + self.requests.hop();
+        let arrives_at = self.now + self.requests.draw_hop_ms();
         let request = Request {
-            moment: self.requests.next_moment(),
+            sequence: self.requests.next_sequence(),
             first_sent_at: self.now,
             sent_at: self.now,
             sender,
@@ -316,18 +322,18 @@
             incarnation: None,
             id: id.into(),
             question,
-            stage: Stage::Sent { arrives },
+            stage: Stage::Sent { arrives_at },
             is_refused: false,
             dependency_barrier: DependencyBarrier::NotNeeded,
-            tries: 0,
+            write_attempts: 0,
         };
         self.requests.next += 1;
         self.requests.open.insert(self.requests.next, request);
         self.requests.next
     }
 
-    /// An answer arrives at whoever sent the request.
-    fn receive(&mut self, number: u64, request: Request, response: Response) {
+    /// Delivers a response to the sender of its request.
+    fn receive_response(&mut self, number: u64, request: Request, response: Response) {
         if request.sender == Sender::Controller {
             self.requests.answers.insert(number, response);
             return;
@@ -335,21 +341,24 @@
         self.judge(&request, &response);
         if request.sender == Sender::User {
             self.requests.answers.insert(number, response);
-        } else if response == Response::Later && self.now - request.first_sent_at < INSIST_MS {
+        } else if response == Response::Later && self.now - request.first_sent_at < RETRY_WINDOW_MS
+        {
             self.send_again(&request);
         }
     }
 
-    /// A user who got no answer asks the next controller.
+    /// Repeats an unanswered request at the next controller.
     fn send_again(&mut self, request: &Request) {
         let next = (request.controller + 1) % self.controllers.len();
         let question = request.question.clone();
         let number = self.send_request(next, &request.id, question, Sender::InsistentUser);
-        let sent_at = self.now + RETRY_MS;
-        if let Some(again) = self.requests.open.get_mut(&number) {
-            again.first_sent_at = request.first_sent_at;
-            again.sent_at = sent_at;
-            again.stage = Stage::Sent { arrives: sent_at };
+        let sent_at = self.now + RETRY_DELAY_MS;
+        if let Some(retried) = self.requests.open.get_mut(&number) {
+            retried.first_sent_at = request.first_sent_at;
+            retried.sent_at = sent_at;
+            retried.stage = Stage::Sent {
+                arrives_at: sent_at,
+            };
         }
     }
 }
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -1,4 +1,4 @@
-//! Submissions: how a controller forwards, checks and takes them.
+//! Steps of submissions: how a controller forwards, checks and accepts them.
 
 use super::super::World;
 use super::super::machines::controller_of_label;
@@ -12,16 +12,19 @@
 use cherryyard_wire::job::{JobSpec, job_number};
 use cherryyard_wire::record::End;
 
-/// How long a controller waits for one that it has forwarded a submission to.
+/// Timeout of a controller for the response of the controller that it forwarded a submission
+/// to.
 const FORWARD_TIMEOUT_MS: f64 = 250.0;
-/// The same of a controller that the state service refuses.
+/// Timeout for a forwarded submission while the state service refuses the forwarding
+/// controller.
 const REFUSED_FORWARD_TIMEOUT_MS: f64 = FORWARD_TIMEOUT_MS * 6.0;
-/// How long a controller waits for what its core says of a submission.
+/// Timeout of a controller for the decision of its core on a submission.
 const OFFER_TIMEOUT_MS: f64 = 4000.0;
 
 impl World {
-    /// A request arrives at its controller: its answer, or none yet.
-    pub(super) fn arrives(&mut self, request: &mut Request) -> Option<Response> {
+    /// Handles the arrival of a request at its controller; returns the response, or none if
+    /// there is none yet.
+    pub(super) fn handle_arrival(&mut self, request: &mut Request) -> Option<Response> {
         let now = self.now;
         let controller = self.controller(request.controller);
         if !controller.mirror.loaded || controller.mirror.catalog.machine_types.is_empty() {
@@ -51,7 +54,7 @@
             self.forward(request, k);
             return None;
         }
-        self.offer_here(request)
+        self.offer_locally(request)
     }
 
     /// Forwards a submission to another controller.
@@ -59,7 +62,7 @@
         let question = request.question.clone();
         let forwarded = self.send_request(target, &request.id, question, Sender::Controller);
         if let Some(forwarded) = self.requests.open.get_mut(&forwarded) {
-            forwarded.moment = request.moment;
+            forwarded.sequence = request.sequence;
         }
         let timeout_ms = if self.state_link.refused.contains(&request.controller) {
             REFUSED_FORWARD_TIMEOUT_MS
@@ -72,15 +75,16 @@
         };
     }
 
-    /// Hands a submission to the core of the controller that it came to.
-    pub(super) fn offer_here(&mut self, request: &mut Request) -> Option<Response> {
+    /// Checks a submission, and hands it to the core of the controller that received it.
+    /// Returns the response, or none if there is none yet.
+    pub(super) fn offer_locally(&mut self, request: &mut Request) -> Option<Response> {
         let now = self.now;
         let Question::Submit(body) = &request.question else {
             return Some(Response::Later);
         };
         let mut spec = JobSpec::parse(body).ok()?;
         let job = job_number(&spec.id)?;
-        request.tries += 1;
+        request.write_attempts += 1;
         if let Err(response) = self.check_admission(request, &mut spec) {
             return response;
         }
@@ -91,7 +95,7 @@
         spec.waits_on.clear();
         let controller = self.controllers[request.controller]
             .as_mut()
-            .expect("it is up");
+            .expect("the controller is up");
         let Some(mut open) = controller.mirror.new_job(spec, None, now as u64) else {
             return Some(Response::Never);
         };
@@ -113,8 +117,8 @@
         None
     }
 
-    /// Whether a submission passes admission; or what its user is told, if not first
-    /// something must come.
+    /// Checks whether a submission passes admission; if not, fails with the response, or with
+    /// none if the request has to wait first.
     fn check_admission(
         &mut self,
         request: &mut Request,
@@ -139,8 +143,8 @@
         }
     }
 
-    /// What a submission's dependencies come to; or what its user is told, if not first
-    /// something must come.
+    /// Resolves a submission's dependencies; if that is not possible, fails with the response,
+    /// or with none if the request has to wait first.
     fn resolve_dependencies(
         &mut self,
         request: &mut Request,
@@ -170,7 +174,7 @@
         }
     }
 
-    /// How a job ended that is only in the history.
+    /// Returns how a job ended, if it is in the history.
     fn past_end(&self, job: u64) -> Option<End> {
         Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
--- a/crates/cherryyard-simulation/src/world/requests/judge.rs
+++ b/crates/cherryyard-simulation/src/world/requests/judge.rs
@@ -1,64 +1,69 @@
-//! Answers, judged by when their requests were sent and when they came: whatever a user
-//! had been told by any controller before sending a request, no controller may answer
-//! something older.
+//! Checks of the responses to users: no controller may answer a request with an older state of
+//! a job than the user had been told, by any controller, before sending that request.
 
 use super::super::World;
-use super::{Age, Answer, Question, Request, Response};
+use super::{Answer, JobPhase, Question, Request, Response};
 use cherryyard_wire::job::JobStatus;
 use std::collections::BTreeSet;
 
-/// Of so many jobs whose users look closely, one is cancelled.
-const CANCEL_ONE_IN: u64 = 4;
+/// Number of jobs with concurrent requests to all controllers of which one, on average, is
+/// cancelled.
+const JOBS_PER_CANCELLATION: u64 = 4;
 
 impl World {
-    /// Judges an answer by what its user knew when it was asked for, and notes it.
+    /// Checks a response against what its user had been told when sending the request, and
+    /// records it.
     pub(super) fn judge(&mut self, request: &Request, response: &Response) {
         let id = &request.id;
         self.requests.judged += 1;
-        let moment = self.requests.next_moment();
-        let known = self.requests.answered.entry(id.clone()).or_default();
-        let known = known.clone();
-        let mut wrong = self.contradictions(request, response, &known);
-        wrong.extend(self.wrong_status(request, response));
-        wrong.extend(two_ends(&known, response));
-        for text in wrong {
-            self.note_violation(format!("{id}: {text}"));
+        let sequence = self.requests.next_sequence();
+        let previous = self.requests.answered.entry(id.clone()).or_default();
+        let previous = previous.clone();
+        let mut violations = self.contradictions(request, response, &previous);
+        violations.extend(self.wrong_status(request, response));
+        violations.extend(conflicting_ends(&previous, response));
+        for text in violations {
+            self.record_violation(format!("{id}: {text}"));
         }
-        if response.age().is_some() {
-            self.note_answer(id, &known, moment, response);
+        if response.phase().is_some() {
+            self.record_answer(id, &previous, sequence, response);
         }
     }
 
-    /// What an answer says against what its user knew when it was asked for.
+    /// Returns the contradictions between a response and what its user had been told when
+    /// sending the request.
     fn contradictions(
         &self,
         request: &Request,
         response: &Response,
-        known: &[Answer],
+        previous: &[Answer],
     ) -> Vec<String> {
         let (id, controller) = (&request.id, request.controller);
-        let then = newest_age(known, request.moment);
-        let mut wrong = Vec::new();
-        if response.age().is_some() && response.age() < then {
-            wrong.push(format!(
+        let phase_when_sent = latest_phase(previous, request.sequence);
+        let mut violations = Vec::new();
+        if response.phase().is_some() && response.phase() < phase_when_sent {
+            violations.push(format!(
                 "node-{controller} answers {response:?} after something newer"
             ));
         }
         if response.is_accepted() && self.requests.impossible.contains(id) {
-            wrong.push("it is taken though it cannot run".into());
+            violations.push("it is taken though it cannot run".into());
         }
         if response.is_accepted() && self.submitted(id).is_none() {
-            wrong.push("nobody submitted it".into());
+            violations.push("nobody submitted it".into());
         }
-        if matches!(response, Response::Malformed | Response::Never) && then > Some(Age::Unknown) {
-            wrong.push(format!(
+        if matches!(response, Response::Malformed | Response::Never)
+            && phase_when_sent > Some(JobPhase::Unknown)
+        {
+            violations.push(format!(
                 "accepted, and node-{controller} answers {response:?}"
             ));
         }
-        wrong
+        violations
     }
 
-    /// What an answer says against what has happened to the job.
+    /// Returns a contradiction between the status in a response and what has happened to the
+    /// job.
     fn wrong_status(&self, request: &Request, response: &Response) -> Option<String> {
         let id = &request.id;
         match response.status()? {
@@ -68,46 +73,48 @@
             JobStatus::Done if !self.is_complete(id) => {
                 Some("it is called done before it is".into())
             }
-            status if self.is_orphaned(id, status, request.sent_at) => {
+            status if self.outlives_cancelled_dependency(id, status, request.sent_at) => {
                 Some(format!("called {status:?} long after what it needs"))
             }
             JobStatus::Queued | JobStatus::Running | JobStatus::Done | JobStatus::Cancelled => None,
         }
     }
 
-    /// Notes what a user has been told; one who learns something new may look closely.
-    fn note_answer(&mut self, id: &str, known: &[Answer], moment: u64, response: &Response) {
+    /// Records the response that a user received. A new phase of the job's life may cause
+    /// requests to all controllers.
+    fn record_answer(&mut self, id: &str, previous: &[Answer], sequence: u64, response: &Response) {
         if response.status() == Some(JobStatus::Cancelled) {
             let cancelled_at = self.submissions.cancelled_at.entry(id.into());
             cancelled_at.or_insert(self.now);
         }
-        // The first of each says as much as all.
-        let says_the_same = |answer: &Answer| {
-            answer.response.age() == response.age() && answer.response.status() == response.status()
+        // A later response with the same phase and status adds no information.
+        let is_same = |answer: &Answer| {
+            answer.response.phase() == response.phase()
+                && answer.response.status() == response.status()
         };
-        if !known.iter().any(says_the_same) {
+        if !previous.iter().any(is_same) {
             let answered = self.requests.answered.entry(id.into()).or_default();
             answered.push(Answer {
-                moment,
+                sequence,
                 response: response.clone(),
             });
         }
-        let newest = newest_age(known, u64::MAX);
-        let is_news = response.age() > newest && *response != Response::Unknown;
-        if is_news
-            && newest <= Some(Age::Unknown)
+        let latest = latest_phase(previous, u64::MAX);
+        let is_new_phase = response.phase() > latest && *response != Response::Unknown;
+        if is_new_phase
+            && latest <= Some(JobPhase::Unknown)
             && let Some(spec) = self.submitted(id).cloned()
         {
             self.requests.accepted.push(spec);
         }
-        if is_news && self.requests.close_looks {
-            self.look_closely(id);
+        if is_new_phase && self.requests.close_looks {
+            self.query_all_controllers(id);
         }
     }
 
-    /// Its user asks at all controllers at once, twice, and repeats the submission; one
-    /// in four cancels.
-    fn look_closely(&mut self, id: &str) {
+    /// Polls a job twice at each controller and repeats its submission there, all at once; one
+    /// in four of these jobs is cancelled as well.
+    fn query_all_controllers(&mut self, id: &str) {
         let body = self.submitted(id).map(serde_json::to_vec);
         for i in 0..self.controllers.len() {
             self.ask_once(i, id, Question::Poll);
@@ -116,22 +123,23 @@
                 self.ask_once(i, id, Question::Submit(body.clone()));
             }
         }
-        if (self.requests.draw)(CANCEL_ONE_IN) == 0 {
+        if (self.requests.draw)(JOBS_PER_CANCELLATION) == 0 {
             let i = self.requests.draw_index(self.controllers.len());
             self.insist(i, id, Question::Cancel);
         }
     }
 }
 
-/// The latest age that a user had been told before a moment.
-fn newest_age(known: &[Answer], before: u64) -> Option<Age> {
-    let answered = known.iter().filter(|answer| answer.moment < before);
-    answered.filter_map(|answer| answer.response.age()).max()
+/// Returns the latest phase of the job's life that a user had been told before a sequence
+/// number.
+fn latest_phase(previous: &[Answer], before: u64) -> Option<JobPhase> {
+    let answered = previous.iter().filter(|answer| answer.sequence < before);
+    answered.filter_map(|answer| answer.response.phase()).max()
 }
 
-/// Whether a job has been called both done and cancelled.
-fn two_ends(known: &[Answer], response: &Response) -> Option<String> {
-    let responses = known.iter().map(|answer| &answer.response);
+/// Returns a violation if a job has been reported both as done and as cancelled.
+fn conflicting_ends(previous: &[Answer], response: &Response) -> Option<String> {
+    let responses = previous.iter().map(|answer| &answer.response);
     let ends = responses
         .chain([response])
         .filter_map(Response::status)
--- a/crates/cherryyard-simulation/src/world/requests/odd.rs
+++ b/crates/cherryyard-simulation/src/world/requests/odd.rs
@@ -1,32 +1,34 @@
-//! Requests that make no sense: repeated submissions with other fields, cancellations of
-//! what is over, jobs that fit no machine or lack a field.
+//! Invalid and redundant requests: repeated submissions with other fields, cancellations of
+//! jobs that have ended, jobs that fit no machine or lack a field.
 
 use super::super::World;
 use super::{Answer, Question};
 use cherryyard_wire::job::JobSpec;
 
-/// One in so many steps sends an odd request.
-const ODD_ONE_IN: u64 = 10;
-/// Ids of jobs that cannot run begin here.
-const IMPOSSIBLE_IDS: u64 = 980_000;
-/// A job that nobody submits.
+/// Average number of steps of the clock between two odd requests.
+const STEPS_PER_ODD_REQUEST: u64 = 10;
+/// First id of jobs that cannot run.
+const FIRST_IMPOSSIBLE_ID: u64 = 980_000;
+/// Id of a job that nobody submits.
 const UNKNOWN_ID: &str = "j-990000";
 
 impl World {
-    /// Users repeat submissions of what is open or over, with other fields too, cancel
-    /// what is over, and send what fits no machine or lacks a field.
+    /// Sends an odd request now and then: repeats the submission of an open or ended job, also
+    /// with other fields, repeats a cancellation, polls an unknown job, or submits a job that
+    /// fits no machine or lacks a field.
     pub(in crate::world) fn send_odd_requests(&mut self) {
-        if !self.requests.odd || (self.requests.draw)(ODD_ONE_IN) != 0 {
+        if !self.requests.odd || (self.requests.draw)(STEPS_PER_ODD_REQUEST) != 0 {
             return;
         }
-        // Only of what is taken: before, another submission of the job would be its first.
-        let is_taken =
+        // Only accepted jobs are chosen: before acceptance, a repeated submission with other
+        // fields could become the job's first one.
+        let has_acceptance =
             |answers: &Vec<Answer>| answers.iter().any(|answer| answer.response.is_accepted());
         let known = self
             .requests
             .answered
             .iter()
-            .filter(|(_, all)| is_taken(all));
+            .filter(|(_, all)| has_acceptance(all));
         let known: Vec<String> = known.map(|(id, _)| id.clone()).collect();
         let i = self.requests.draw_index(self.controllers.len());
         let choice = (self.requests.draw)(8);
@@ -57,10 +59,10 @@
     }
 
     fn impossible_id(&self) -> String {
-        format!("j-{:06}", IMPOSSIBLE_IDS + self.requests.next)
+        format!("j-{:06}", FIRST_IMPOSSIBLE_ID + self.requests.next)
     }
 
-    /// A job that fits no machine, or of nobody.
+    /// Submits a job that fits no machine, or whose team does not exist.
     fn submit_impossible(&mut self, i: usize, mut spec: JobSpec) {
         spec.id = self.impossible_id();
         match (self.requests.draw)(4) {
@@ -73,7 +75,7 @@
         self.insist(i, &spec.id, Question::Submit(body(&spec)));
     }
 
-    /// A job that lacks a field.
+    /// Submits a job that lacks a field.
     fn submit_incomplete(&mut self, i: usize, spec: &JobSpec) {
         let mut value = serde_json::to_value(spec).expect("a job");
         let id = self.impossible_id();
--- a/crates/cherryyard-simulation/src/world/requests/serve.rs
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -1,4 +1,4 @@
-//! The steps that a request takes at its controller.
+//! Steps that a request takes at its controller.
 
 use super::super::World;
 use super::super::state_link::COMMIT_TIMEOUT_MS;
@@ -9,15 +9,15 @@
 use cherryyard_wire::job::{JobStatus, job_number};
 use cherryyard_wire::state::{Commit, WatchResponse};
 
-/// How long a user waits for an answer.
+/// Timeout of a user for the response to a request.
 const USER_TIMEOUT_MS: f64 = 5000.0;
-/// Most time between a request for a barrier and its read.
-const BARRIER_MS: u64 = 100;
-/// Tries of one user's write.
-const MOST_TRIES: u32 = 4;
+/// Maximum delay in milliseconds between a request for a read barrier and the read.
+const MAX_BARRIER_DELAY_MS: u64 = 100;
+/// Maximum number of attempts to write for one request.
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 
 impl World {
-    /// Takes all requests as far as they go by now, in a drawn order.
+    /// Advances all requests as far as possible at this time, in a random order.
     pub(in crate::world) fn serve_requests(&mut self) {
         for number in self.draw_order() {
             self.serve_request(number);
@@ -35,23 +35,23 @@
 
     fn serve_request(&mut self, number: u64) {
         while let Some(mut request) = self.requests.open.remove(&number) {
-            let has_moved = self.advance(&mut request);
+            let has_advanced = self.advance_request(&mut request);
             if let Stage::Answered { due, response } = &request.stage
                 && *due <= self.now
             {
                 let response = response.clone();
-                self.receive(number, request, response);
+                self.receive_response(number, request, response);
                 return;
             }
             self.requests.open.insert(number, request);
-            if !has_moved {
+            if !has_advanced {
                 return;
             }
         }
     }
 
-    /// One step of a request; false if there is none by now.
-    fn advance(&mut self, request: &mut Request) -> bool {
+    /// Advances a request by one step; returns false if it cannot take one now.
+    fn advance_request(&mut self, request: &mut Request) -> bool {
         let now = self.now;
         if matches!(request.stage, Stage::Answered { .. }) {
             return false;
@@ -73,14 +73,14 @@
         match request.stage.clone() {
             Stage::Sent { .. } => {
                 request.incarnation = Some(self.processes.incarnation(request.controller));
-                let response = self.arrives(request);
+                let response = self.handle_arrival(request);
                 self.answer(request, response)
             }
             Stage::Barrier { .. } => self.begin_read(request),
             Stage::Reading {
                 sent_at, response, ..
             } => self.end_read(request, sent_at, &response),
-            Stage::CaughtUp => self.go_on_caught_up(request),
+            Stage::CaughtUp => self.continue_after_barrier(request),
             Stage::Forwarded {
                 request: other,
                 until,
@@ -93,39 +93,40 @@
         }
     }
 
-    /// Whether the process that a request came to still runs: its connection ends with it.
+    /// Returns whether the controller process that the request arrived at still runs; the
+    /// connection ends with the process.
     fn is_connected(&self, request: &Request) -> bool {
         let current = self.processes.incarnation(request.controller);
         self.controllers[request.controller].is_some()
             && request.incarnation.is_none_or(|known| known == current)
     }
 
-    /// Sends the answer, if there is one.
+    /// Sends the response, if there is one.
     fn answer(&mut self, request: &mut Request, response: Option<Response>) -> bool {
         if let Some(response) = response {
-            let due = self.now + self.requests.hop();
+            let due = self.now + self.requests.draw_hop_ms();
             request.stage = Stage::Answered { due, response };
         }
         true
     }
 
-    /// How long a read or a transaction of a user's request takes.
+    /// Draws the duration of a read or a transaction for a user's request, in milliseconds.
     fn draw_state_ms(&mut self) -> f64 {
         let latency = self.state_link.latency();
-        latency.unwrap_or_else(|| self.requests.hop())
+        latency.unwrap_or_else(|| self.requests.draw_hop_ms())
     }
 
     pub(super) fn controller(&self, i: usize) -> &Controller {
-        self.controllers[i].as_ref().expect("it is up")
+        self.controllers[i].as_ref().expect("the controller is up")
     }
 
     pub(super) fn controller_mut(&mut self, i: usize) -> &mut Controller {
-        self.controllers[i].as_mut().expect("it is up")
+        self.controllers[i].as_mut().expect("the controller is up")
     }
 
-    /// A request waits until its controller reads the state anew.
+    /// Makes a request wait until its controller reads the state again.
     pub(super) fn await_barrier(&mut self, request: &mut Request) {
-        let reads_at = self.now + (self.requests.draw)(BARRIER_MS) as f64;
+        let reads_at = self.now + (self.requests.draw)(MAX_BARRIER_DELAY_MS) as f64;
         request.stage = Stage::Barrier { reads_at };
     }
 
@@ -152,18 +153,19 @@
         true
     }
 
-    fn go_on_caught_up(&mut self, request: &mut Request) -> bool {
+    fn continue_after_barrier(&mut self, request: &mut Request) -> bool {
         let response = if request.dependency_barrier == DependencyBarrier::Awaited {
             request.dependency_barrier = DependencyBarrier::Passed;
-            self.offer_here(request)
+            self.offer_locally(request)
         } else {
             self.look_up(request, true)
         };
         self.answer(request, response)
     }
 
-    /// Takes the answer of the controller that a submission was forwarded to. After a while
-    /// it is written here after all; the other may write it too.
+    /// Returns the response of the controller that a submission was forwarded to. After a
+    /// timeout the submission is handled by the forwarding controller itself, although the
+    /// other controller may write it too.
     fn await_forwarded(&mut self, request: &mut Request, other: u64, until: f64) -> bool {
         if let Some(response) = self.requests.answers.remove(&other) {
             return self.answer(request, Some(response));
@@ -171,18 +173,20 @@
         if until > self.now {
             return false;
         }
-        let response = self.offer_here(request);
+        let response = self.offer_locally(request);
         self.answer(request, response)
     }
 
-    /// Takes what the core says of a submission.
+    /// Handles the decision of the controller's core on a submission.
     fn await_verdict(&mut self, request: &mut Request, ticket: u64, until: f64) -> bool {
         let verdict = self.submissions.verdicts.remove(&ticket);
         let response = match verdict {
             None if until > self.now => return false,
             Some(Verdict::Taken) => Some(Response::Taken),
             Some(Verdict::Known) => self.look_up(request, false),
-            Some(Verdict::Retry) if request.tries < MOST_TRIES => self.offer_here(request),
+            Some(Verdict::Retry) if request.write_attempts < MAX_WRITE_ATTEMPTS => {
+                self.offer_locally(request)
+            }
             None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
                 Some(Response::Later)
             }
@@ -190,7 +194,7 @@
         self.answer(request, response)
     }
 
-    /// The transaction of a cancellation comes out.
+    /// Handles the outcome of a cancellation's transaction.
     fn end_commit(&mut self, request: &mut Request, commit: &Commit, outcome: Outcome) -> bool {
         let now = self.now;
         if let Outcome::Applied(revision) = outcome {
@@ -207,7 +211,8 @@
         self.answer(request, response)
     }
 
-    /// What its user can be told of the job now; none if first something must come.
+    /// Returns the response that the controller can give now; none if the request has to wait
+    /// first.
     pub(super) fn look_up(
         &mut self,
         request: &mut Request,
@@ -242,12 +247,12 @@
         self.commit_cancellation(request, job)
     }
 
-    /// Sends the transaction that cancels a job.
+    /// Starts the transaction that cancels a job.
     fn commit_cancellation(&mut self, request: &mut Request, job: u64) -> Option<Response> {
-        if request.tries >= MOST_TRIES {
+        if request.write_attempts >= MAX_WRITE_ATTEMPTS {
             return Some(Response::Later);
         }
-        request.tries += 1;
+        request.write_attempts += 1;
         let Some(commit) = self.controller(request.controller).cancellation(job) else {
             return self.look_up(request, false);
         };
@@ -265,7 +270,7 @@
     }
 }
 
-/// The user has given up, or the connection has ended.
+/// Returns the stage of a request whose user has timed out or whose connection has ended.
 fn no_answer(now: f64) -> Stage {
     Stage::Answered {
         due: now,
--- a/crates/cherryyard-simulation/src/world/setup.rs
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! What a simulation starts with, and the settings that its controllers get.
+//! Initial state of a simulation, and the settings that its controllers get.
 
 use super::{
     Checker, Cloud, HeartbeatDuplicates, Machines, Network, Processes, Requests, StateLink,
@@ -13,42 +13,45 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long an answered heartbeat keeps a worker's tasks.
+/// Duration for which an answered heartbeat keeps a worker's tasks running.
 pub(super) const WORKER_LEASE_MS: f64 = 10_000.0;
 
-/// What a simulation starts with.
+/// Initial state and settings of a simulation.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Zone of each controller.
+    /// Zone of each controller; its length is the number of controllers.
     pub zones: Vec<&'static str>,
-    /// Machines per zone, 4 cores each.
+    /// Number of machines of 4 cores each, per zone.
     pub machines: Vec<(&'static str, usize)>,
-    /// The same for machines of 8 cores each.
+    /// Number of machines of 8 cores each, per zone.
     pub large: Vec<(&'static str, usize)>,
-    /// Operators' settings.
+    /// Operators' settings of the controllers.
     pub tuning: Tuning,
-    /// The team's limit in cores; 0: none.
+    /// Limit in cores of the team named `team`; 0 means no limit.
     pub limit: f64,
     /// Further teams: name, guarantee and limit in cores.
     pub teams: Vec<(&'static str, f64, f64)>,
-    /// Largest value of the state service.
+    /// Largest value that the state service accepts, in KiB.
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Announced limits of the state service: its largest value in KiB, and most changes
-    /// in a transaction; in force from [`World::lower_limits`] on.
+    /// Announced future limits of the state service: its largest value in KiB, and the maximum
+    /// number of changes in a transaction; they take effect with [`World::lower_limits`].
     pub next: Option<(f64, usize)>,
-    /// Requests a second that the state service allows, as the controllers know it.
+    /// Requests per second that the state service allows, as configured in the controllers.
     pub rps: f64,
-    /// Puts and deletes a second that it allows.
+    /// Puts and deletes per second that the state service allows, as configured in the
+    /// controllers.
     pub write_rps: f64,
-    /// How many ended jobs go into the history at once; none: no history.
+    /// Number of ended jobs that are moved to the history in one batch; none disables the
+    /// history.
     pub history: Option<usize>,
-    /// Controllers that start as an earlier build, which knows of no dependencies.
+    /// Controllers that start as an earlier build, which does not support dependencies between
+    /// jobs.
     pub earlier: BTreeSet<usize>,
 }
 
-/// The type of small machines: 4 cores, 16 GB.
+/// Returns the type of small machines: 4 cores, 16 GB.
 pub fn small_machine_type(zones: Vec<String>) -> MachineType {
     MachineType {
         sku: "m4".into(),
@@ -85,12 +88,12 @@
 }
 
 impl Setup {
-    /// Settings of a controller, as JSON.
-    fn settings_of(&self, me: usize) -> Value {
+    /// Returns the settings of a controller, as JSON.
+    fn settings_of(&self, controller: usize) -> Value {
         let zones = self.zones.iter().copied();
         let zones: BTreeSet<&str> = zones.chain(self.machines.iter().map(|m| m.0)).collect();
         let others: Vec<Value> = (0..self.zones.len())
-            .filter(|&i| i != me)
+            .filter(|&i| i != controller)
             .map(|i| {
                 json!({ "label": format!("node-{i}"), "domain": self.zones[i],
                         "endpoint": format!("127.0.0.1:{}", 9000 + i) })
@@ -100,7 +103,7 @@
             .next
             .map(|(kb, ops)| json!({ "value_kb": kb, "txn_ops": ops }));
         json!({
-            "label": format!("node-{me}"), "domain": self.zones[me],
+            "label": format!("node-{controller}"), "domain": self.zones[controller],
             "public_addr": "127.0.0.1:1", "peer_listen": "127.0.0.1:2", "known": others,
             "services": { "cloud": "127.0.0.1:3", "state": "127.0.0.1:4" },
             "cluster": {
@@ -119,12 +122,12 @@
     fn team_settings(&self) -> Vec<Value> {
         let team = |name: &str, cores: f64, limit: f64| json!({ "name": name, "cpus": cores, "cpus_max": limit });
         let mut teams = vec![team("team", 0.0, self.limit)];
-        let more = self.teams.iter();
-        teams.extend(more.map(|&(name, cores, limit)| team(name, cores, limit)));
+        let further_teams = self.teams.iter();
+        teams.extend(further_teams.map(|&(name, cores, limit)| team(name, cores, limit)));
         teams
     }
 
-    /// The machine types that the cloud offers.
+    /// Returns the machine types that the cloud offers.
     fn machine_types(&self) -> Vec<MachineType> {
         let zones_of = |machines: &[(&str, usize)]| -> Vec<String> {
             machines.iter().map(|(zone, _)| zone.to_string()).collect()
@@ -139,7 +142,7 @@
         machine_types
     }
 
-    /// The workers, each with the controller that it turns to first.
+    /// Returns the workers; each sends its first heartbeat to a different controller in turn.
     fn workers(&self) -> BTreeMap<String, WorkerStandIn> {
         let of_type = |machine_type, machines: &[(&'static str, usize)]| {
             let zones = machines.iter();
@@ -162,7 +165,7 @@
 }
 
 impl World {
-    /// A cluster whose controllers have just started.
+    /// Creates a cluster whose controllers have just started.
     pub fn new(setup: Setup) -> Self {
         let mut world = Self {
             now: 0.0,
@@ -190,7 +193,7 @@
         world
     }
 
-    /// A process of a controller that has just started.
+    /// Creates the process of a controller that has just started.
     pub(super) fn new_controller(&mut self, i: usize) -> Controller {
         let incarnation = self.processes.begin_incarnation(i);
         let mut tuning = self.setup.tuning.clone();
@@ -199,7 +202,7 @@
         }
         let settings = self.setup.settings_of(i).to_string();
         let settings = Settings::parse(settings.as_bytes());
-        let settings = settings.expect("the simulation's settings are good");
+        let settings = settings.expect("the simulation's settings are valid");
         let mut config = Config::new(&settings, tuning);
         if self.setup.earlier.contains(&i) {
             config.format = ADMISSION_LOG;
@@ -210,7 +213,7 @@
         controller
     }
 
-    /// Operators' settings for controllers that start from now on.
+    /// Returns the operators' settings for controllers that start from now on.
     pub fn tuning(&mut self) -> &mut Tuning {
         &mut self.setup.tuning
     }
@@ -222,17 +225,17 @@
         });
     }
 
-    /// A controller starts with a newer build from now on.
+    /// Lets controller `i` start with the current build from its next start on.
     pub fn upgrade(&mut self, i: usize) {
         self.setup.earlier.remove(&i);
     }
 
-    /// Limits of the state service are announced to controllers that start from now on.
+    /// Announces future limits of the state service to controllers that start from now on.
     pub fn announce_limits(&mut self, value_kb: f64, txn_ops: usize) {
         self.setup.next = Some((value_kb, txn_ops));
     }
 
-    /// The announced limits of the state service come into force.
+    /// Puts the announced limits of the state service into effect.
     pub fn lower_limits(&mut self) {
         if let Some((value_kb, txn_ops)) = self.setup.next {
             self.say("the state service lowers its limits");
