--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -1,5 +1,5 @@
-//! The way between controllers and the state service: refusals, latency, responses that
-//! are lost, and transactions that are held back or delayed.
+//! Connection between the controllers and the state service: refusals, latency, lost responses,
+//! and transactions that are held back or delayed.
 
 use super::World;
 use crate::{StateStandIn, draws};
@@ -7,71 +7,72 @@
 use cherryyard_wire::state::{Commit, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a controller waits for the outcome of a transaction.
+/// Timeout of a controller for the outcome of a transaction.
 pub(super) const COMMIT_TIMEOUT_MS: f64 = 2000.0;
-/// How long a controller's state lease lasts.
+/// Duration of a controller's state lease.
 const STATE_LEASE_MS: f64 = 5000.0;
-/// Least and most time by which a transaction is delayed.
+/// Delay of a delayed transaction: the minimum, and the range of the random part that is added.
 const DELAY_MS: (f64, u64) = (2000.0, 10_000);
 
-/// The way between controllers and the state service.
+/// Connection between the controllers and the state service.
 pub struct StateLink {
-    /// Controllers that the state service refuses.
+    /// Controllers whose requests the state service refuses.
     pub refused: BTreeSet<usize>,
-    /// How long the state service takes for a read or a transaction, at most; each takes
-    /// between half of it and all.
+    /// Maximum latency of a read or a transaction; each takes between half of it and all of it.
+    /// 0 means no latency.
     pub latency_ms: f64,
-    /// Of a hundred transactions, how many get no response and are carried out 2 to 12 s
-    /// later, after newer ones; one in four of them at once.
+    /// Percentage of the transactions that get no response. One in four of them is applied at
+    /// once, the others 2 to 12 s later, possibly after newer ones.
     pub delayed_percent: u64,
-    /// Of a hundred transactions, how many are carried out at once and get no response.
+    /// Percentage of the transactions that are applied at once and whose responses are lost.
     pub lost_response_percent: u64,
-    /// Controllers whose transactions as shard owners get no response and are held back.
+    /// Controllers whose transactions as shard owners are held back and get no response.
     pub hold_owner_commits: BTreeSet<usize>,
-    /// The leader's transactions get no response and are held back.
+    /// Whether the leader's transactions are held back and get no response.
     pub hold_leader_commits: bool,
-    /// Controllers whose admissions get no response and are held back.
+    /// Controllers whose admission transactions are held back and get no response.
     pub hold_admission_commits: BTreeSet<usize>,
-    /// Transactions held back.
+    /// Transactions that are held back.
     pub held_commits: Vec<Commit>,
-    /// Which of the transactions of history compaction its controller ends with.
+    /// Transaction of history compaction with which its controller crashes.
     pub compaction_crash: Option<CrashPoint>,
-    /// Transactions of history compaction so far.
+    /// Number of transactions of history compaction so far.
     pub compaction_commits: usize,
-    /// Which of the transactions that create a submission's jobs its controller ends with.
+    /// Transaction of the creation of a submission's jobs with which its controller crashes.
     pub creation_crash: Option<CrashPoint>,
-    /// Transactions that created submissions' jobs so far.
+    /// Number of transactions that created submissions' jobs so far.
     pub creation_commits: usize,
     pub(super) draw: Box<dyn FnMut(u64) -> u64>,
     delayed_commits: Vec<DelayedCommit>,
-    /// Reads under way, by controller.
+    /// Reads in progress, by controller.
     pending_reads: BTreeMap<usize, PendingRead>,
     pending_outcomes: Vec<PendingOutcome>,
 }
 
-/// A controller ends with one of its transactions.
+/// The transaction with which a controller crashes.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashPoint {
-    /// The how manieth of its kind, from 1.
+    /// Number of the transaction among those of its kind, from 1.
     pub commit: usize,
-    /// Whether the transaction is applied before; else it is held back.
+    /// Whether the transaction is applied before the crash; if not, it is held back.
     pub applied: bool,
 }
 
-/// A transaction on its way, and when it is carried out.
+/// A delayed transaction, and the time at which it is applied.
 struct DelayedCommit {
     due: f64,
     commit: Commit,
 }
 
-/// A read under way: when its response comes, when it was sent, what it contains.
+/// A read in progress: when its response arrives, when the read was sent, and what the response
+/// contains.
 struct PendingRead {
     due: f64,
     sent_at: f64,
     response: WatchResponse,
 }
 
-/// The response to a transaction under way, for one incarnation of a controller.
+/// The response to a transaction that is on its way to one incarnation of a controller.
 struct PendingOutcome {
     due: f64,
     controller: usize,
@@ -105,22 +106,24 @@
 }
 
 impl StateLink {
-    /// Draws by a seed what is delayed or lost, and latencies.
+    /// Sets the seed of the draws that decide latencies and which transactions are delayed or
+    /// lose their responses.
     pub fn seed(&mut self, seed: u64) {
         self.draw = Box::new(draws(seed));
     }
 
-    /// What one request takes of a service that is slow, in milliseconds.
+    /// Draws the latency of one request to a slow service, in milliseconds.
     fn draw_latency_ms(&mut self) -> f64 {
         self.latency_ms / 2.0 + (self.draw)(self.latency_ms as u64 / 2 + 1) as f64
     }
 
-    /// What one request takes, if the service is slow.
+    /// Draws the latency of one request if the service is slow; none if it is not.
     pub(super) fn latency(&mut self) -> Option<f64> {
         (self.latency_ms > 0.0).then(|| self.draw_latency_ms())
     }
 
-    /// A controller reads what is new; from a slow service the response comes later.
+    /// Reads the state for a controller: all of it after a start, else the changes. A slow
+    /// service responds later.
     pub(super) fn read(
         &mut self,
         i: usize,
@@ -144,12 +147,12 @@
         }
     }
 
-    /// A controller's read ends with its process.
-    pub(super) fn forget_read(&mut self, controller: usize) {
+    /// Drops a controller's read in progress, because its process has ended.
+    pub(super) fn drop_read(&mut self, controller: usize) {
         self.pending_reads.remove(&controller);
     }
 
-    /// A transaction comes to the state service, which may be late with it.
+    /// Passes a transaction to the state service, which may delay it or lose its response.
     pub(super) fn commit(
         &mut self,
         state: &mut StateStandIn,
@@ -166,22 +169,22 @@
         if (self.draw)(4) == 0 {
             state.commit_within_limits(commit);
         } else {
-            let (least, most) = DELAY_MS;
-            let due = now + least + (self.draw)(most) as f64;
+            let (min_ms, range_ms) = DELAY_MS;
+            let due = now + min_ms + (self.draw)(range_ms) as f64;
             let commit = commit.clone();
             self.delayed_commits.push(DelayedCommit { due, commit });
         }
         Outcome::Unknown
     }
 
-    /// Whether a controller's transaction is held back.
+    /// Returns whether a controller's transaction is held back.
     fn holds_back(&self, controller: usize, ticket: Ticket) -> bool {
         (self.hold_owner_commits.contains(&controller) && matches!(ticket, Ticket::OwnerCycle(_)))
             || (self.hold_leader_commits && ticket == Ticket::LeaderCycle)
             || (self.hold_admission_commits.contains(&controller) && ticket == Ticket::Admission)
     }
 
-    /// Counts a transaction; whether its controller ends with it.
+    /// Counts a transaction, and returns the crash point if the controller crashes with it.
     fn count_commit(&mut self, ticket: Ticket) -> Option<CrashPoint> {
         let (count, crash) = match ticket {
             Ticket::HistoryCompaction => (&mut self.compaction_commits, self.compaction_crash),
@@ -192,7 +195,8 @@
         crash.filter(|crash| crash.commit == *count)
     }
 
-    /// The response to a transaction of a slow service: its outcome, or none in time.
+    /// Schedules the response to a transaction of a slow service. If the latency exceeds the
+    /// controller's timeout, the outcome is unknown to the controller.
     fn delay_outcome(
         &mut self,
         controller: usize,
@@ -202,10 +206,10 @@
         outcome: Outcome,
         now: f64,
     ) {
-        let takes = self.draw_latency_ms();
-        let is_late = takes > COMMIT_TIMEOUT_MS;
+        let response_ms = self.draw_latency_ms();
+        let is_late = response_ms > COMMIT_TIMEOUT_MS;
         self.pending_outcomes.push(PendingOutcome {
-            due: now + takes.min(COMMIT_TIMEOUT_MS),
+            due: now + response_ms.min(COMMIT_TIMEOUT_MS),
             controller,
             incarnation,
             ticket,
@@ -225,20 +229,20 @@
     }
 }
 
-/// A controller that has just started reads the whole state.
+/// Loads the whole state into a controller that has just started.
 pub(super) fn load(controller: &mut Controller, state: &StateStandIn, now: f64) {
     controller.mirror.begin_load();
     controller.mirror.load_some(&state.pairs());
     controller.loaded(state.store_revision(), now, now);
 }
 
-/// A controller reads at once all that has changed.
+/// Delivers all changes of the state to a controller at once.
 pub(super) fn catch_up(controller: &mut Controller, state: &StateStandIn, now: f64) {
     let events = state.events(controller.mirror.store_revision);
     controller.events(&events, now, now);
 }
 
-/// A controller keeps its state lease, or gets a new one.
+/// Renews a controller's state lease, or grants a new one if it has none or it has expired.
 pub(super) fn renew_state_lease(state: &mut StateStandIn, controller: &mut Controller, now: f64) {
     let until = now + STATE_LEASE_MS;
     let is_renewed = controller
@@ -250,17 +254,19 @@
 }
 
 impl World {
-    /// Draws by a seed what the state service delays or loses.
+    /// Sets the seed of the draws that decide latencies and which transactions are delayed or
+    /// lose their responses.
     pub fn seed_late(&mut self, seed: u64) {
         self.state_link.seed(seed);
     }
 
-    /// A user's transaction through a controller comes to the state service.
+    /// Passes a user's transaction to the state service.
     pub(super) fn commit_for_user(&mut self, commit: &Commit) -> Outcome {
         self.state_link.commit(&mut self.state, commit, self.now)
     }
 
-    /// A controller sends a transaction.
+    /// Passes a controller's transaction to the state service, unless it is refused or held
+    /// back, and the outcome to the controller.
     pub(super) fn commit(&mut self, i: usize, ticket: Ticket, commit: &Commit) {
         let now = self.now;
         if let Some(crash) = self.state_link.count_commit(ticket) {
@@ -288,7 +294,7 @@
         }
     }
 
-    /// A controller ends before its transaction is applied, or after; the response never
+    /// Kills a controller before or after its transaction is applied; the response never
     /// arrives.
     fn crash_in_commit(&mut self, i: usize, commit: &Commit, crash: CrashPoint) {
         if crash.applied {
@@ -299,7 +305,7 @@
         self.kill(i);
     }
 
-    /// Carries out the delayed transactions that are due.
+    /// Applies the delayed transactions that are due.
     pub(super) fn apply_delayed_commits(&mut self) {
         let now = self.now;
         let delayed = &mut self.state_link.delayed_commits;
@@ -308,13 +314,16 @@
         }
     }
 
-    /// Delivers what a slow service responds by now. One that refuses a controller leaves
-    /// what was answered before on its way.
+    /// Delivers the responses of a slow service that are due, except to paused controllers.
+    /// Responses that were sent before the service began to refuse a controller are still
+    /// delivered.
     pub(super) fn deliver_state_responses(&mut self) {
         let now = self.now;
         let frozen = self.processes.frozen.clone();
         for due in self.state_link.take_due_outcomes(&frozen, now) {
-            if let Some(controller) = self.same_controller(due.controller, due.incarnation) {
+            if let Some(controller) =
+                self.controller_of_incarnation(due.controller, due.incarnation)
+            {
                 controller.committed(due.ticket, &due.commit, due.outcome, now);
                 self.apply_effects(due.controller);
             }
@@ -327,7 +336,7 @@
         }
     }
 
-    /// Applies the transactions that were held back; says how they came out.
+    /// Applies the transactions that were held back, and returns their outcomes.
     pub fn deliver_commits(&mut self) -> Vec<Outcome> {
         std::mem::take(&mut self.state_link.held_commits)
             .iter()
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions and polls that take effect at once.
+//! Submissions, removals and polls that take effect at once.
 
 use super::World;
 use super::cancellations::PendingCancellation;
@@ -20,22 +20,22 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// Submissions and cancellations, and what has become of them.
+/// Submissions and cancellations, and their outcomes.
 #[derive(Debug, Default)]
 pub struct Submissions {
-    /// What has become of submissions, by ticket.
+    /// Outcomes of submissions, by ticket.
     pub verdicts: BTreeMap<u64, Verdict>,
-    /// When each job's user was told that it is cancelled.
+    /// Time at which each job's user was told that the job is cancelled.
     pub cancelled_at: BTreeMap<String, f64>,
-    /// Of a hundred jobs that end, how many are cancelled at that moment.
+    /// Percentage of the ending jobs that are cancelled at the moment of their end.
     pub cancel_at_end_percent: u64,
-    /// Users who ask for a cancellation until they are told.
+    /// Requests for cancellations that are repeated until their outcome is confirmed.
     pub(super) cancellations: Vec<PendingCancellation>,
     tickets: u64,
 }
 
 impl Submissions {
-    /// A new ticket for a submission.
+    /// Returns a new ticket for a submission.
     pub(super) fn next_ticket(&mut self) -> u64 {
         self.tickets += 1;
         self.tickets
@@ -43,7 +43,7 @@
 }
 
 impl World {
-    /// A job of `task_count` tasks of 2 cores.
+    /// Returns the specification of a job of `task_count` tasks of 2 cores.
     pub fn spec(id: &str, shape: &str, task_count: u32) -> JobSpec {
         let text = json!({
             "id": id, "jobclass": "class", "owner": "team", "shape": shape, "rank": "standard",
@@ -52,20 +52,22 @@
             "apart": false, "borrowed": false, "expected_s": 20.0, "snapshot_every_s": 0.0,
             "snapshot_cost_s": 0.0, "due_s": null
         });
-        JobSpec::parse(text.to_string().as_bytes()).expect("the simulation's job is good")
+        JobSpec::parse(text.to_string().as_bytes()).expect("the simulation's job is valid")
     }
 
-    /// A user's submission takes effect.
+    /// Submits a job by a direct write to the state service.
     pub fn submit(&mut self, spec: &JobSpec) {
         self.submit_with(spec, None);
     }
 
-    /// A user's submission with rules of its own takes effect.
+    /// Submits a job with rules of its own by a direct write to the state service: in the
+    /// format of a controller that the service accepts, if there is one that has loaded the
+    /// state, else as a record with a key of its own.
     pub fn submit_with(&mut self, spec: &JobSpec, rules: Option<Rules>) {
-        self.checker.note(spec);
-        let able = (0..self.controllers.len())
+        self.checker.record_spec(spec);
+        let available = (0..self.controllers.len())
             .find(|i| self.controllers[*i].is_some() && !self.state_link.refused.contains(i));
-        let job = job_number(&spec.id).expect("a good id");
+        let job = job_number(&spec.id).expect("a valid job id");
         let now = self.now;
         let mut commit = Commit::default();
         let record = JobRecord::Open {
@@ -77,11 +79,11 @@
             rules: rules.clone().map(Box::new),
             after: Dependencies::default(),
         };
-        let controller = able.and_then(|i| self.controllers[i].as_mut());
+        let controller = available.and_then(|i| self.controllers[i].as_mut());
         if let Some(controller) = controller.filter(|c| c.mirror.loaded) {
             catch_up(controller, &self.state, now);
             let config = controller.config.clone();
-            let fits = if controller.mirror.takes_pages() {
+            let is_written = if controller.mirror.takes_pages() {
                 let rules = rules.map(Box::new);
                 let open = controller.mirror.new_job(spec.clone(), rules, now as u64);
                 let jobs = open.iter().map(|open| (job, open));
@@ -91,7 +93,7 @@
                     .mirror
                     .write_jobs(&mut commit, vec![(job, record)], &config)
             };
-            assert!(fits, "{} cannot be written", spec.id);
+            assert!(is_written, "{} cannot be written", spec.id);
         } else {
             commit.require(job_key(job), 0);
             commit.apply.push(Apply::set(job_key(job), &record));
@@ -100,11 +102,12 @@
         self.say(format!("{} submitted: {outcome:?}", spec.id));
     }
 
-    /// A submission comes to controller `i`, which may answer later; gives its ticket.
+    /// Hands a submission to controller `i`, which may decide later, and returns the
+    /// submission's ticket.
     pub fn offer(&mut self, i: usize, spec: &JobSpec, rules: Option<Rules>) -> u64 {
-        self.checker.note(spec);
+        self.checker.record_spec(spec);
         let now = self.now;
-        let job = job_number(&spec.id).expect("a good id");
+        let job = job_number(&spec.id).expect("a valid job id");
         let ticket = self.submissions.next_ticket();
         if let Some(controller) = &mut self.controllers[i] {
             if !self.state_link.refused.contains(&i) {
@@ -114,11 +117,11 @@
                 catch_up(controller, &self.state, now);
             }
             let rules = rules.map(Box::new);
-            let new = controller.mirror.new_job(spec.clone(), rules, now as u64);
+            let created = controller.mirror.new_job(spec.clone(), rules, now as u64);
             let offer = Offer {
                 ticket,
                 job,
-                open: new.expect("a known team"),
+                open: created.expect("a known team"),
                 moved: controller.mirror.packed_revision,
             };
             controller.offer(offer, now);
@@ -127,12 +130,14 @@
         ticket
     }
 
-    /// A submission of many jobs has come, in these chunks; gives its number and that
-    /// of its first job. Its ids follow those of the submissions before it.
+    /// Stores a submission of many jobs in these chunks, and returns its number and that of its
+    /// first job. The job numbers follow those of earlier submissions.
     pub fn queue(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
         let number = submission_number(name);
         let ids = self.state.get(IDS).map(|(v, _)| v.read::<IdsRecord>());
-        let first = ids.map_or(FIRST_ID, |i| i.expect("ids").next);
+        let first = ids.map_or(FIRST_ID, |i| {
+            i.expect("a valid record of the next job number").next
+        });
         let jobs: u64 = chunks.iter().map(Chunk::jobs).sum();
         let record = SubmissionRecord {
             name: name.into(),
@@ -148,7 +153,7 @@
         };
         let mut commit = Commit::default();
         for (i, chunk) in chunks.iter().enumerate() {
-            chunk.check().expect("a good chunk");
+            chunk.check().expect("a valid chunk");
             let key = chunk_key(number, i as u32);
             commit.apply.push(Apply::set(key, chunk));
         }
@@ -162,13 +167,13 @@
         (number, first)
     }
 
-    /// A submission's record.
+    /// Returns a submission's record.
     pub fn submission(&self, number: u64) -> Option<SubmissionRecord> {
         let (value, _) = self.state.get(&submission_key(number))?;
         Some(value.read().expect("a submission's record"))
     }
 
-    /// A user's removal of a submission takes effect.
+    /// Removes a submission by a direct write to the state service.
     pub fn remove(&mut self, number: u64) {
         let mut record = self.submission(number).expect("a submission");
         record.phase = record.phase.after(PhaseEvent::Removed);
@@ -181,14 +186,16 @@
         self.say(format!("{} removed: {outcome:?}", record.name));
     }
 
-    /// A job's division, as the controllers know it.
+    /// Returns the division of an open job as recorded by the first controller that has loaded
+    /// the state.
     pub fn division(&self, job: u64) -> Vec<RangeSet> {
         let controller = self.controllers.iter().flatten().find(|c| c.mirror.loaded);
         let open = controller.and_then(|c| c.mirror.open.get(&job));
         open.expect("an open job").division.clone()
     }
 
-    /// What controller `i` would tell a user, after a barrier if it can.
+    /// Returns what controller `i` would answer to a poll of a job, after reading the newest
+    /// state unless the state service refuses the controller.
     pub fn view(&mut self, i: usize, id: &str) -> Option<JobView> {
         let now = self.now;
         let controller = self.controllers[i].as_mut()?;
@@ -198,7 +205,8 @@
         controller.mirror.view(job_number(id)?)
     }
 
-    /// What controller `i` would tell a user, with a look into the history.
+    /// Returns what controller `i` would answer to a poll of a job, including jobs that are
+    /// only in the history.
     pub fn find(&mut self, i: usize, id: &str) -> Option<JobView> {
         if let Some(view) = self.view(i, id) {
             return Some(view);
@@ -206,7 +214,7 @@
         let job = job_number(id)?;
         Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
-            let leaf = Leaf::from_record(&record).expect("a good leaf");
+            let leaf = Leaf::from_record(&record).expect("a valid leaf");
             leaf.find(job).map(|p| over(job, p.end, p.done))
         })
     }
