--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -45,7 +45,7 @@
     /// Format of the jobs' records: 1 for a key for each job, 2 for the history
     #[arg(long, default_value_t = 2)]
     format: u32,
-    /// Upper bound of the random numbers of the ended jobs
+    /// The ids of the ended jobs are drawn at random from this many
     #[arg(long, default_value_t = LAST)]
     ids: u64,
     /// Requests per second that the state service allows
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -257,8 +257,9 @@
         }
     }
 
-    /// Returns the response with the changes since a revision; none if there are no changes yet
-    /// and the deadline has not passed.
+    /// Returns the response with the changes since a revision, or none if there are no changes
+    /// yet and the deadline has not passed. The response is 410 if the changes are no longer
+    /// available.
     fn changes(&self, since: u64, deadline: Instant) -> Option<Reply> {
         let service = self.lock();
         if !service.state.remembers(since) {
--- a/crates/cherryyard-simulation/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -20,6 +20,7 @@
 const MAX_RESPONSE_BYTES: usize = 65_536;
 /// Maximum number of attempts of [`Client::insist`].
 const MAX_ATTEMPTS: usize = 300;
+/// Time between two attempts of [`Client::insist`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Returns a TCP port of the loopback interface that is free at the moment.
--- a/crates/cherryyard-simulation/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -54,7 +54,8 @@
     pub machine_type: String,
     /// Zone of the machine.
     pub zone: String,
-    /// Incarnation of the worker, incremented when its lease expires.
+    /// Incarnation of the worker, incremented when its lease expires; a new worker process
+    /// starts at 1.
     pub incarnation: u64,
     sequence: u64,
     /// Highest fencing token that the worker has received.
--- a/crates/cherryyard-simulation/src/world/cancellations.rs
+++ b/crates/cherryyard-simulation/src/world/cancellations.rs
@@ -61,7 +61,7 @@
                 continue;
             }
             let PendingCancellation { controller, id, .. } = pending;
-            if let Some(final_status) = self.cancel_at(controller, &id) {
+            if let Some(final_status) = self.request_cancellation(controller, &id) {
                 let outcome = final_status.name();
                 self.say(format!(
                     "{id}: node-{controller} tells its user that it is {outcome}"
@@ -78,7 +78,7 @@
 
     /// Returns what controller `i` answers to a request for cancellation, if the answer is
     /// final.
-    fn cancel_at(&mut self, i: usize, id: &str) -> Option<FinalStatus> {
+    fn request_cancellation(&mut self, i: usize, id: &str) -> Option<FinalStatus> {
         let job = job_number(id)?;
         let now = self.now;
         if self.processes.frozen.contains(&i) {
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -10,6 +10,7 @@
 
 /// Timeout of a controller for the response to a provisioning request.
 const PROVISION_TIMEOUT_MS: f64 = 2500.0;
+
 /// Stand-in of the cloud.
 #[derive(Debug)]
 pub struct Cloud {
@@ -23,7 +24,8 @@
     last_listed_at: f64,
     /// Whether the responses to provisioning requests are lost; the requests are carried out.
     pub provisions_unanswered: bool,
-    /// Provisioning requests so far, without repetitions of carried out ones.
+    /// Provisioning requests received so far; repetitions of requests that were carried out are
+    /// not included.
     pub provision_requests: Vec<ProvisionRequest>,
     /// Names of the machines that were provisioned, by request id.
     provisioned: BTreeMap<String, Vec<String>>,
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -20,9 +20,9 @@
 pub struct Machines {
     /// Machines that hang: direct commands to them are held back.
     pub hung: BTreeSet<String>,
-    /// Machines whose direct commands are delayed.
+    /// Machines whose direct commands are held back until [`World::deliver_direct`].
     pub slow_commands: BTreeSet<String>,
-    /// Direct commands that are held back.
+    /// Direct commands that are held back, also those to hanging or unreachable machines.
     pub held_commands: Vec<HeldCommand>,
     /// Number of direct status queries to machines so far.
     pub status_queries: usize,
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -182,7 +182,7 @@
 /// Users' requests in progress, and the responses that users have received.
 pub struct Requests {
     open: BTreeMap<u64, Request>,
-    next: u64,
+    last_request_number: u64,
     sequence: u64,
     draw: Box<dyn FnMut(u64) -> u64>,
     /// Responses that each job's user has received, by job id.
@@ -196,7 +196,8 @@
     /// Fault injection for tests of the checker: submissions are accepted without admission
     /// checks.
     pub without_admission: bool,
-    /// Fault injection for tests of the checker: accepted jobs lose their dependencies.
+    /// Fault injection for tests of the checker: accepted jobs lose their dependencies, so that
+    /// they neither wait for them nor are cancelled with them.
     pub without_dependencies: bool,
     /// Whether users occasionally send invalid and redundant requests.
     pub odd: bool,
@@ -226,7 +227,7 @@
     fn default() -> Self {
         Self {
             open: BTreeMap::new(),
-            next: 0,
+            last_request_number: 0,
             sequence: 0,
             draw: Box::new(draws(1)),
             answered: BTreeMap::new(),
@@ -327,9 +328,11 @@
             dependency_barrier: DependencyBarrier::NotNeeded,
             write_attempts: 0,
         };
-        self.requests.next += 1;
-        self.requests.open.insert(self.requests.next, request);
-        self.requests.next
+        self.requests.last_request_number += 1;
+        self.requests
+            .open
+            .insert(self.requests.last_request_number, request);
+        self.requests.last_request_number
     }
 
     /// Delivers a response to the sender of its request.
--- a/crates/cherryyard-simulation/src/world/requests/odd.rs
+++ b/crates/cherryyard-simulation/src/world/requests/odd.rs
@@ -59,7 +59,10 @@
     }
 
     fn impossible_id(&self) -> String {
-        format!("j-{:06}", FIRST_IMPOSSIBLE_ID + self.requests.next)
+        format!(
+            "j-{:06}",
+            FIRST_IMPOSSIBLE_ID + self.requests.last_request_number
+        )
     }
 
     /// Submits a job that fits no machine, or whose team does not exist.
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -31,14 +31,14 @@
     pub cancel_at_end_percent: u64,
     /// Requests for cancellations that are repeated until their outcome is confirmed.
     pub(super) cancellations: Vec<PendingCancellation>,
-    tickets: u64,
+    last_ticket: u64,
 }
 
 impl Submissions {
     /// Returns a new ticket for a submission.
     pub(super) fn next_ticket(&mut self) -> u64 {
-        self.tickets += 1;
-        self.tickets
+        self.last_ticket += 1;
+        self.last_ticket
     }
 }
 
