--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -94,7 +94,7 @@
         let free = self
             .free_on(machine, None)
             .map_or(0.0, |free| free.cores.max(0.0));
-        if !machine.usable(sample.now, self.silence_ms()) {
+        if !machine.is_usable(sample.now, self.silence_ms()) {
             account.sum.count(CoreUse::Unusable, free * seconds);
             return;
         }
@@ -194,9 +194,9 @@
                 CoreUse::Excluded
             } else if !needs.fits(&free) {
                 CoreUse::Fragments
-            } else if failures.is_some_and(|failures| failures.held_off(sample.now)) {
+            } else if failures.is_some_and(|failures| failures.is_on_hold(sample.now)) {
                 CoreUse::Troubled
-            } else if self.beyond_grant(shard_id, open.team, &sample.used, &needs) {
+            } else if self.exceeds_grant(shard_id, open.team, &sample.used, &needs) {
                 CoreUse::Limits
             } else {
                 CoreUse::Round
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -192,9 +192,9 @@
             .committed(outcome, event, &mut self.demand, &mut self.effects);
         if matches!(outcome, Outcome::Applied(_)) {
             for shard in &mut self.shards {
-                shard.dirty = true;
+                shard.needs_cycle = true;
             }
-            self.leader.dirty = true;
+            self.leader.needs_cycle = true;
         }
     }
 
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -179,7 +179,7 @@
 
     /// Returns the time at which this controller learnt that a job is cancelled, if the
     /// cancellation is still in the list for heartbeats.
-    pub(crate) fn learnt_at(&self, job: u64) -> Option<Millis> {
+    pub(crate) fn known_since(&self, job: u64) -> Option<Millis> {
         let mut recent = self.recent.iter();
         recent.find(|(_, known)| *known == job).map(|(at, _)| *at)
     }
@@ -201,7 +201,7 @@
             }
             if self.announced.len() < MAX_ANNOUNCED {
                 self.announced.insert(job, now);
-                if self.learnt_at(job).is_none() {
+                if self.known_since(job).is_none() {
                     self.recent.push_back((now, job));
                 }
             } else {
@@ -278,7 +278,7 @@
     /// process replaces this one, that the controller was cut off throughout.
     pub fn may_confirm_cancelled(&self, job: u64, now: Millis) -> bool {
         let cut_off_reported_at = self.cancelled.cut_off_reported_at;
-        let learnt_at = self.cancelled.learnt_at(job);
+        let learnt_at = self.cancelled.known_since(job);
         now - cut_off_reported_at > CONFIRMATION_PAUSE_WITH_DRIFT_MS
             || self.acknowledged_by_all_since(cut_off_reported_at)
             || match learnt_at {
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -270,7 +270,7 @@
             self.mirror.set_machine_types(machine_types.clone());
         }
         self.machine_types_from_cloud = Some(machine_types);
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
         self.run(now);
     }
 
@@ -316,8 +316,8 @@
             return;
         };
         let shard = &mut self.shards[machine.shard];
-        shard.dirty = true;
-        shard.touched.insert(host);
+        shard.needs_cycle = true;
+        shard.machines_to_inspect.insert(host);
         machine.change(if ok {
             MachineEvent::Released
         } else {
@@ -334,7 +334,7 @@
         self.lag.ticked(now);
         for shard in &mut self.shards {
             if now - shard.planned_at >= SHARD_CYCLE_MS {
-                shard.dirty = true;
+                shard.needs_cycle = true;
             }
         }
         self.run(now);
@@ -378,11 +378,11 @@
         self.release_unreachable_shards(now);
         self.acquire_leadership(now);
         for shard_id in 0..self.shards.len() {
-            if self.shards[shard_id].dirty {
+            if self.shards[shard_id].needs_cycle {
                 self.plan_shard(shard_id, now);
             }
         }
-        if self.leader.dirty || now - self.leader.planned_at >= LEADER_CYCLE_MS {
+        if self.leader.needs_cycle || now - self.leader.planned_at >= LEADER_CYCLE_MS {
             self.plan_leader(now);
         }
         self.take_in(now);
@@ -393,9 +393,9 @@
     /// Marks all shards and the leader as due for a scheduling cycle.
     pub(crate) fn mark_all_dirty(&mut self) {
         for shard in &mut self.shards {
-            shard.dirty = true;
+            shard.needs_cycle = true;
         }
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
     }
 
     /// Returns a random delay, so that controllers whose requests failed together do not retry
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -38,7 +38,7 @@
         if heartbeat.store_revision > self.mirror.store_revision + MAX_REVISIONS_BEHIND {
             self.effects.push(Effect::Refresh);
         }
-        self.leader.dirty |= !heartbeat.handing.is_empty();
+        self.leader.needs_cycle |= !heartbeat.handover_candidates.is_empty();
         for report in &heartbeat.shards {
             self.leader.hear(report.clone(), now);
         }
@@ -106,7 +106,7 @@
             leases: self.known_leases(),
             shards,
             short,
-            handing: self.handover_candidates(),
+            handover_candidates: self.handover_candidates(),
             misdirected,
             number: 0,
             heard: Vec::new(),
@@ -184,7 +184,7 @@
         let shards = self.shards.iter().enumerate();
         shards
             .flat_map(|(shard_id, shard)| {
-                let services = shard.handing.iter();
+                let services = shard.handover_candidates.iter();
                 services.map(move |&job| (shard_id as u32, job))
             })
             .take(MAX_HANDOVERS_LISTED)
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -73,14 +73,14 @@
             let Some(machine_type) = machine_type else {
                 continue;
             };
-            let (free, yielding) = free_capacity(&self.mirror, name, machine_type);
+            let (free, free_if_preempted) = free_capacity(&self.mirror, name, machine_type);
             let images = stored.held.get(name);
             let images = images.map(|images| images.iter().map(|&i| i as u16).collect());
             let pool = pool_index(&mut report.pools, instance);
             report.machines.push(MachineCapacity {
                 pool,
                 free: as_reported(&free),
-                yielding: as_reported(&yielding),
+                free_if_preempted: as_reported(&free_if_preempted),
                 images: images.unwrap_or_default(),
             });
         }
@@ -96,7 +96,7 @@
         acc: machine_type.accelerators,
         ram: machine_type.ram_gb,
     };
-    let mut yielding = free;
+    let mut free_if_preempted = free;
     let machine = mirror.hosts.get(name);
     let assigned = machine.into_iter().flat_map(|host| mirror.on_host(host));
     for ((job, _), _) in assigned {
@@ -105,10 +105,10 @@
         };
         free.take(&needs);
         if !mirror.open.get(&job).is_some_and(OpenJob::makes_way) {
-            yielding.take(&needs);
+            free_if_preempted.take(&needs);
         }
     }
-    (free, yielding)
+    (free, free_if_preempted)
 }
 
 /// Returns the index of a machine's pool in a report, to which the pool is added if it is new.
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -230,9 +230,9 @@
     pub(crate) fn bulk_creation_committed(&mut self, outcome: Outcome, now: Millis) {
         self.leader.bulk_creation.stage = Stage::Idle;
         if matches!(outcome, Outcome::Applied(_)) {
-            self.leader.dirty = true;
+            self.leader.needs_cycle = true;
             for shard in &mut self.shards {
-                shard.dirty = true;
+                shard.needs_cycle = true;
             }
         } else {
             let retry_after = now + self.jitter(100.0, 400.0);
--- a/crates/cherryyard-core/src/leader/capacity_reports.rs
+++ b/crates/cherryyard-core/src/leader/capacity_reports.rs
@@ -179,7 +179,7 @@
             .filter(|machine| !query.with_image || holds_image(machine))
             .map(|machine| {
                 let free = if query.preempting {
-                    machine.yielding
+                    machine.free_if_preempted
                 } else {
                     machine.free
                 };
--- a/crates/cherryyard-core/src/leader/current_capacities.rs
+++ b/crates/cherryyard-core/src/leader/current_capacities.rs
@@ -63,7 +63,7 @@
 
     /// Returns how many of the job's tasks fit on machines of other shards that hold its image,
     /// with arrays preempted if the job's rank allows that.
-    pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob) -> f64 {
+    pub(crate) fn fitting_elsewhere_with_image(&self, shard_id: usize, open: &OpenJob) -> f64 {
         let query = if open.spec.rank > Rank::Standard {
             FitQuery::PREEMPTING_WITH_IMAGE
         } else {
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -109,7 +109,7 @@
             let acquire_after = now + self.jitter(300.0, 900.0);
             self.leader.leadership.failed(acquire_after);
         }
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
     }
 
     /// Makes this controller the leader under the lease with this token. A repeated call for the
@@ -144,7 +144,7 @@
         {
             return;
         }
-        self.leader.dirty = false;
+        self.leader.needs_cycle = false;
         for shard_id in 0..self.shards.len() {
             let is_current = self.current_capacity(shard_id, now).is_some();
             self.leader
@@ -178,7 +178,7 @@
     /// Handles the outcome of a cycle's transaction.
     pub(crate) fn leader_committed(&mut self, outcome: Outcome, now: Millis) {
         let sent_at = self.leader.cycle_transaction.answered();
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
         match outcome {
             Outcome::Applied(_) | Outcome::NoLease | Outcome::Unknown => {}
             // The divisions were not applied. With their debits, the next attempt would find less
@@ -190,7 +190,7 @@
         match outcome {
             Outcome::Applied(_) => {
                 for shard in &mut self.shards {
-                    shard.dirty = true;
+                    shard.needs_cycle = true;
                 }
             }
             Outcome::Conflict(store_revision) => {
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -38,8 +38,14 @@
 
     /// Returns how many of the job's tasks fit on machines of other shards that hold its image,
     /// with arrays preempted if the job's rank allows that.
-    pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob, now: Millis) -> f64 {
-        self.current_capacities(now).held_elsewhere(shard_id, open)
+    pub(crate) fn fitting_elsewhere_with_image(
+        &self,
+        shard_id: usize,
+        open: &OpenJob,
+        now: Millis,
+    ) -> f64 {
+        self.current_capacities(now)
+            .fitting_elsewhere_with_image(shard_id, open)
     }
 
     /// Divides one job. Returns false if nothing is known to divide the job by.
@@ -128,14 +134,14 @@
     /// Returns the services that the shards of all controllers offer to other shards.
     fn hand_overs(&self) -> HashSet<HandOver> {
         let peers = self.peers.iter();
-        let peer_hand_overs = peers.flat_map(|peer| &peer.heartbeat.handing);
+        let peer_hand_overs = peers.flat_map(|peer| &peer.heartbeat.handover_candidates);
         let peer_hand_overs = peer_hand_overs.map(|&(shard_id, job)| HandOver {
             shard_id: shard_id as usize,
             job,
         });
         let shards = self.shards.iter().enumerate();
         let own_hand_overs = shards.flat_map(|(shard_id, shard)| {
-            let jobs = shard.handing.iter();
+            let jobs = shard.handover_candidates.iter();
             jobs.map(move |&job| HandOver { shard_id, job })
         });
         peer_hand_overs.chain(own_hand_overs).collect()
--- a/crates/cherryyard-core/src/leader/provisioning_times.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -43,7 +43,7 @@
     /// The machine has exceeded its expected time.
     Overdue,
     /// The machine will not come up, and is returned.
-    Never,
+    Failed,
 }
 
 /// A machine type in a zone.
@@ -113,7 +113,7 @@
         } else if held_s <= expected_s * GIVE_UP_FACTOR + GIVE_UP_EXTRA_S {
             ProvisioningProgress::Overdue
         } else {
-            ProvisioningProgress::Never
+            ProvisioningProgress::Failed
         }
     }
 
--- a/crates/cherryyard-core/src/leader/provisioning_times/tests.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times/tests.rs
@@ -20,7 +20,7 @@
     );
     assert_eq!(
         times.progress("m", "a", 25.0, 151.0),
-        ProvisioningProgress::Never
+        ProvisioningProgress::Failed
     );
     for _ in 0..50 {
         times.record("m", "a", 25.0, 100.0);
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -147,7 +147,8 @@
     ) -> BTreeSet<Overdue> {
         let mirror = current.mirror;
         let can_move = |&&HandOver { shard_id, job }: &&HandOver| {
-            let is_held_elsewhere = |open: &OpenJob| current.held_elsewhere(shard_id, open) >= 1.0;
+            let is_held_elsewhere =
+                |open: &OpenJob| current.fitting_elsewhere_with_image(shard_id, open) >= 1.0;
             mirror.waiting(shard_id, job).is_some()
                 && !self.handed_over.contains_key(&job)
                 && mirror.open.get(&job).is_some_and(is_held_elsewhere)
--- a/crates/cherryyard-core/src/leader/scale_out/fleet.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/fleet.rs
@@ -304,7 +304,7 @@
                 match self.progress(instance) {
                     ProvisioningProgress::Expected => expected += cores,
                     ProvisioningProgress::Overdue => overdue += cores,
-                    ProvisioningProgress::Never => {}
+                    ProvisioningProgress::Failed => {}
                 }
             }
         }
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -17,7 +17,7 @@
 pub struct Leader {
     pub(crate) leadership: Leadership,
     /// Whether something has changed since the last cycle.
-    pub(crate) dirty: bool,
+    pub(crate) needs_cycle: bool,
     /// Time of the last cycle.
     pub(crate) planned_at: Millis,
     pub(crate) cycle_transaction: CycleTransaction,
@@ -38,7 +38,7 @@
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
         Self {
             leadership: Leadership::new(now),
-            dirty: true,
+            needs_cycle: true,
             planned_at: now,
             cycle_transaction: CycleTransaction::new(now),
             capacities: CapacityReports::new(config.shards()),
@@ -87,7 +87,7 @@
     /// Stores a shard's capacity report, unless it is malformed or from a previous owner.
     pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
         if self.capacities.receive(report, now) {
-            self.dirty = true;
+            self.needs_cycle = true;
         }
     }
 
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -122,7 +122,7 @@
             }
             Some(LeasePhase::Held(token)) => {
                 tracing::info!(shard = shard_id, token, "shard lease acquired");
-                self.shards[shard_id].dirty = true;
+                self.shards[shard_id].needs_cycle = true;
                 self.queue_all(shard_id, now);
                 self.capacity_changed = true;
                 let machines = self.machines.values_mut();
@@ -169,7 +169,7 @@
         let holder = self.mirror.shards[shard_id].as_ref()?;
         let is_late = holder.label == self.config.labels[self.config.me]
             && shard.lease.is_backing_off_untried(now)
-            && now >= shard.retry_after
+            && now >= shard.retry_at
             && !shard.lease.transaction_pending()
             && self.state_fresh(now);
         is_late.then_some(holder.revision)
@@ -360,7 +360,7 @@
         if self.shards[shard_id].lease.is_backing_off(now) {
             // The transaction released a late lease: it is sent again if the state service still
             // shows that lease after a short delay.
-            self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
+            self.shards[shard_id].retry_at = now + self.jitter(200.0, 500.0);
         } else if let Outcome::Applied(_) = outcome {
             self.shards[shard_id].lease.released(now);
             self.change_shard_lease(shard_id, LeaseEvent::Lost);
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -252,7 +252,7 @@
     }
 
     /// Returns whether new tasks may be placed on the machine.
-    pub fn usable(&self, now: Millis, silence_ms: f64) -> bool {
+    pub fn is_usable(&self, now: Millis, silence_ms: f64) -> bool {
         self.state == MachineState::Ready
             && self.reachability.is_reachable()
             && self.reclaim_at.is_none()
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -59,7 +59,7 @@
             let machine = machines.get(&kept.host);
             let waiting = mirror.waiting(shard_id, job);
             queues.turn(flow) == Some(job)
-                && machine.is_some_and(|m| m.usable(now, max_silence_ms))
+                && machine.is_some_and(|m| m.is_usable(now, max_silence_ms))
                 && waiting.is_some_and(|waiting| waiting.contains(number))
         });
     }
@@ -94,7 +94,7 @@
             return;
         };
         let silence = self.silence_ms();
-        let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
+        let usable = |m: &&Machine| m.shard == shard_id && m.is_usable(now, silence);
         let machines = self.machines.values().filter(usable);
         if kept_machines.len() >= (machines.clone().count() / MACHINES_PER_KEPT).max(1) {
             return;
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -76,7 +76,7 @@
     /// Returns the shard's free capacity and waiting tasks, as reported to the leader.
     pub(crate) fn capacity_report(&self, shard_id: usize, now: Millis) -> CapacityReport {
         let silence = self.silence_ms();
-        let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
+        let usable = |m: &&Machine| m.shard == shard_id && m.is_usable(now, silence);
         let machines: Vec<&Machine> = self.machines.values().filter(usable).collect();
         let used = self.mirror.usage(shard_id);
         let waiting = self.reported_jobs(shard_id, now);
@@ -164,7 +164,7 @@
         Some(MachineCapacity {
             pool: pool.try_into().ok()?,
             free: as_reported(&free),
-            yielding: self.free_if_preempted(machine, free),
+            free_if_preempted: self.free_if_preempted(machine, free),
             images: held
                 .filter_map(|image| images.intern(&image.name).try_into().ok())
                 .collect(),
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -73,8 +73,8 @@
         if needs_new_token {
             shard.lease.want_new_token();
         }
-        shard.dirty |= !deferred.is_empty();
-        shard.touched.extend(deferred);
+        shard.needs_cycle |= !deferred.is_empty();
+        shard.machines_to_inspect.extend(deferred);
         for (job, run_ms) in runs {
             let (tasks, sum) = shard.completed_runs.entry(job).or_default();
             *tasks += 1;
@@ -87,9 +87,9 @@
     /// Returns the machines whose assignments the cycle inspects.
     fn hosts_to_inspect(&mut self, shard_id: usize, now: Millis) -> BTreeSet<u32> {
         let shard = &mut self.shards[shard_id];
-        let touched = std::mem::take(&mut shard.touched);
+        let machines_to_inspect = std::mem::take(&mut shard.machines_to_inspect);
         if now - shard.inspected_at < INSPECT_MS {
-            return touched;
+            return machines_to_inspect;
         }
         shard.inspected_at = now;
         let machines = self.machines.values();
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -63,7 +63,7 @@
         let mut best: Option<Eviction> = None;
         for machine in self.controller.machines.values() {
             if machine.shard != self.shard_id
-                || !machine.usable(self.now, silence)
+                || !machine.is_usable(self.now, silence)
                 || !self.is_eligible(machine, number)
                 || earlier.iter().any(|e| e.host == machine.host)
                 || self.is_unavailable(machine)
--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns whether the job is quarantined and on hold, so that none of its tasks is tried now.
-    pub(crate) fn held_off(&self, now: Millis) -> bool {
+    pub(crate) fn is_on_hold(&self, now: Millis) -> bool {
         matches!(self.attribution, FailureAttribution::Quarantined { until, .. } if now < until)
     }
 
--- a/crates/cherryyard-core/src/owner/failure_attribution/tests.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!(verdicts[..2], [Verdict::Machine, Verdict::Machine]);
     assert_eq!(verdicts[2], Verdict::JobEstablished);
     assert!(verdicts[3..].iter().all(|v| *v == Verdict::Job));
-    assert!(failures.held_off(1001.0) && !failures.held_off(1002.0));
+    assert!(failures.is_on_hold(1001.0) && !failures.is_on_hold(1002.0));
     let mut now = 1002.0;
     let mut waits = Vec::new();
     for jitter in [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.0, 0.999] {
--- a/crates/cherryyard-core/src/owner/hand_over.rs
+++ b/crates/cherryyard-core/src/owner/hand_over.rs
@@ -48,7 +48,7 @@
         let waited_ms = now - candidate.waiting_since.unwrap_or(now);
         let hand_over = fetch_s > MIN_FETCH_TO_HAND_OVER_S
             && waited_ms < MAX_HAND_OVER_WAIT_MS
-            && self.held_elsewhere(shard_id, open, now) >= 1.0;
+            && self.fitting_elsewhere_with_image(shard_id, open, now) >= 1.0;
         if hand_over {
             placement.handed_over.insert(job);
         }
--- a/crates/cherryyard-core/src/owner/mod.rs
+++ b/crates/cherryyard-core/src/owner/mod.rs
@@ -21,7 +21,7 @@
 mod hand_over;
 mod images;
 mod job_ends;
-mod kept_rests;
+mod kept_remainders;
 mod oversize;
 mod placement;
 mod planning;
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -133,7 +133,7 @@
         self.drop_old_reservations(shard_id, now);
         let shard = &mut self.shards[shard_id];
         if shard.queues.is_empty() {
-            shard.handing.clear();
+            shard.handover_candidates.clear();
             return;
         }
         shard.queues.mark_seen();
@@ -229,7 +229,7 @@
     /// Returns the free capacity of a shard's usable machines, in the order of the machines.
     fn free_capacities(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Vec<(u32, Needs)> {
         let silence = self.silence_ms();
-        let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
+        let usable = |m: &&Machine| m.shard == shard_id && m.is_usable(now, silence);
         let free = |m: &Machine| Some((m.host, self.free_on(m, Some(cycle))?));
         let usable_machines = self.machines.values().filter(usable);
         usable_machines.filter_map(free).collect()
@@ -270,7 +270,7 @@
         let open = self.mirror.open.get(&job)?;
         let mut waiting = self.mirror.waiting(shard_id, job)?.clone();
         let failures = self.shards[shard_id].job_failures.get(&job);
-        if failures.is_some_and(|failures| failures.held_off(placement.now)) {
+        if failures.is_some_and(|failures| failures.is_on_hold(placement.now)) {
             return None;
         }
         let is_quarantined = failures.is_some_and(JobFailures::is_quarantined);
@@ -322,7 +322,7 @@
             if placement.placed >= MAX_PLACED {
                 return NextStep::Stop;
             }
-            if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
+            if self.exceeds_grant(shard_id, candidate.team, &placement.used, needs) {
                 return NextStep::NextJob;
             }
             if placement.unmet_needs.is_unmet(needs) {
@@ -419,7 +419,7 @@
         };
         let task = (candidate.job, number);
         if !cycle.assign(&self.mirror, task, assignment, candidate.limited_team) {
-            self.shards[placement.shard_id].dirty = true;
+            self.shards[placement.shard_id].needs_cycle = true;
             return false;
         }
         if candidate.is_service {
@@ -483,10 +483,10 @@
         }
         let handed_over = placement.handed_over;
         let shard = &mut self.shards[placement.shard_id];
-        if !handed_over.is_empty() && handed_over != shard.handing {
+        if !handed_over.is_empty() && handed_over != shard.handover_candidates {
             self.effects.push(Effect::Heartbeat);
-            self.leader.dirty = true;
+            self.leader.needs_cycle = true;
         }
-        shard.handing = handed_over;
+        shard.handover_candidates = handed_over;
     }
 }
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -44,7 +44,7 @@
         if !self.may_plan(shard_id, now) {
             return;
         }
-        self.shards[shard_id].dirty = false;
+        self.shards[shard_id].needs_cycle = false;
         self.shards[shard_id].planned_at = now;
         if !self.state_fresh(now) {
             return;
@@ -104,7 +104,7 @@
                 && now - machine.answered_at > lease
             {
                 machine.change(MachineEvent::LeaseExpired);
-                shard.touched.insert(machine.host);
+                shard.machines_to_inspect.insert(machine.host);
             }
         }
     }
@@ -114,7 +114,7 @@
         let shard = &self.shards[shard_id];
         shard.pending.is_none()
             && !shard.lease.transaction_pending()
-            && now >= shard.retry_after
+            && now >= shard.retry_at
             && self.mirror.store_revision >= shard.wait_revision
             && self.cycle_due(shard_id, now)
     }
@@ -211,9 +211,9 @@
         let Some(pending) = shard.pending.take() else {
             return;
         };
-        shard.dirty = true;
+        shard.needs_cycle = true;
         if !matches!(outcome, Outcome::Applied(_)) {
-            shard.touched.extend(&pending.hosts);
+            shard.machines_to_inspect.extend(&pending.hosts);
         }
         match outcome {
             Outcome::Applied(_) => self.cycle_applied(shard_id, pending, now),
@@ -221,14 +221,14 @@
                 // A failed condition uses write budget too, so the next attempt waits for the
                 // change that made the condition fail.
                 shard.wait_revision = store_revision;
-                shard.retry_after = now + CONFLICT_RETRY_MS;
+                shard.retry_at = now + CONFLICT_RETRY_MS;
             }
-            Outcome::NoLease => shard.retry_after = now + NO_LEASE_RETRY_MS,
+            Outcome::NoLease => shard.retry_at = now + NO_LEASE_RETRY_MS,
             Outcome::Refused | Outcome::Malformed => {
-                self.shards[shard_id].retry_after = now + self.jitter(150.0, 400.0);
+                self.shards[shard_id].retry_at = now + self.jitter(150.0, 400.0);
             }
             Outcome::Unknown => {
-                self.shards[shard_id].retry_after = now + self.jitter(100.0, 300.0);
+                self.shards[shard_id].retry_at = now + self.jitter(100.0, 300.0);
             }
         }
     }
@@ -256,8 +256,8 @@
             return;
         };
         let shard_id = machine.shard;
-        self.shards[shard_id].dirty = true;
-        self.shards[shard_id].touched.insert(host);
+        self.shards[shard_id].needs_cycle = true;
+        self.shards[shard_id].machines_to_inspect.insert(host);
         if !machine.reported.is_empty() {
             self.record_image_use(host);
         }
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -86,7 +86,7 @@
             }
             if let (Some(total), Some(free)) =
                 (self.total_capacity(machine), self.free_on(machine, None))
-                && machine.usable(now, self.silence_ms())
+                && machine.is_usable(now, self.silence_ms())
             {
                 shard.free_cores += free.cores;
                 shard.cores += total.cores;
@@ -160,7 +160,7 @@
         match entry.status {
             InstanceStatus::Failed => Some(ReleaseReason::Failed),
             InstanceStatus::Starting => (self.provisioning_progress(entry)
-                == ProvisioningProgress::Never)
+                == ProvisioningProgress::Failed)
                 .then_some(ReleaseReason::NeverUp),
             InstanceStatus::Running | InstanceStatus::Other => {
                 let shard_id = self.config.shard_map.shard(&entry.zone, name);
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -78,7 +78,7 @@
     /// Returns the free capacity of a machine, or `None` if it may not run the job or is reserved.
     fn unreserved_capacity(&self, machine: &Machine, open: &OpenJob, now: Millis) -> Option<Needs> {
         let reserved = &self.shards[machine.shard].reserved;
-        if !machine.usable(now, self.silence_ms())
+        if !machine.is_usable(now, self.silence_ms())
             || !self.allowed(open, machine)
             || reserved.contains_key(&machine.host)
         {
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -1,7 +1,7 @@
 //! In-memory state of an owner for each shard.
 
 use super::failure_attribution::JobFailures;
-use super::kept_rests::KeptRemainders;
+use super::kept_remainders::KeptRemainders;
 use crate::Millis;
 use crate::account::Account;
 use crate::admission::flows::Flow;
@@ -51,9 +51,9 @@
 pub(crate) struct Shard {
     pub(crate) lease: ShardLease,
     /// Whether changes since the last planned scheduling cycle call for another one.
-    pub(crate) dirty: bool,
+    pub(crate) needs_cycle: bool,
     /// Machines that the next scheduling cycle inspects.
-    pub(crate) touched: BTreeSet<u32>,
+    pub(crate) machines_to_inspect: BTreeSet<u32>,
     /// Time of the last scheduling cycle that inspected all machines.
     pub(crate) inspected_at: Millis,
     /// Time of the last search for pages to compact.
@@ -72,7 +72,7 @@
     /// Scheduling cycle whose transaction is in flight.
     pub(crate) pending: Option<PendingCycle>,
     /// Time before which no scheduling cycle is planned.
-    pub(crate) retry_after: Millis,
+    pub(crate) retry_at: Millis,
     /// Tasks that are being stopped in favour of others.
     pub(crate) preempted: HashMap<Task, Preempted>,
     /// Machines reserved for a task for which others were preempted.
@@ -83,7 +83,7 @@
     pub(crate) job_failures: HashMap<u64, JobFailures>,
     /// Services that are held back for a short time so that the leader can move them to another
     /// shard.
-    pub(crate) handing: BTreeSet<u64>,
+    pub(crate) handover_candidates: BTreeSet<u64>,
     /// Waiting jobs in the order of service.
     pub(crate) queues: Queues,
     /// Teams with waiting tasks of which none fits into the remainder of the grant, and the time
@@ -105,8 +105,8 @@
     pub(crate) fn new(writes_per_s: f64, now: Millis) -> Self {
         Self {
             lease: ShardLease::new(now),
-            dirty: true,
-            touched: BTreeSet::new(),
+            needs_cycle: true,
+            machines_to_inspect: BTreeSet::new(),
             inspected_at: f64::NEG_INFINITY,
             compacted_at: now,
             planned_at: f64::NEG_INFINITY,
@@ -116,12 +116,12 @@
             placed_at_revisions: (0, 0),
             budget: TokenBucket::new(writes_per_s, now),
             pending: None,
-            retry_after: now,
+            retry_at: now,
             preempted: HashMap::new(),
             reserved: BTreeMap::new(),
             kept_machines: BTreeMap::new(),
             job_failures: HashMap::new(),
-            handing: BTreeSet::new(),
+            handover_candidates: BTreeSet::new(),
             queues: Queues::default(),
             unusable_remainders: HashMap::new(),
             kept_remainders: KeptRemainders::default(),
@@ -134,11 +134,11 @@
 
     pub(crate) fn clear(&mut self) {
         self.preempted.clear();
-        self.touched.clear();
+        self.machines_to_inspect.clear();
         self.inspected_at = f64::NEG_INFINITY;
         self.reserved.clear();
         self.queues.clear();
-        self.handing.clear();
+        self.handover_candidates.clear();
         self.kept_machines.clear();
         self.job_failures.clear();
         self.unusable_remainders.clear();
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -38,7 +38,7 @@
             return false;
         }
         let shard_id = placement.shard_id;
-        if !self.beyond_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
+        if !self.exceeds_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
             return true;
         }
         // Otherwise smaller tasks would take each released part of the grant before it adds up to
@@ -58,7 +58,7 @@
     /// Returns whether a task would be within its team's grant once the shard's arrays are done.
     fn fits_beside_services(&self, shard_id: usize, candidate: &Candidate) -> bool {
         let held = self.held_by_services(shard_id);
-        !self.beyond_grant(shard_id, candidate.team, &held, &candidate.needs)
+        !self.exceeds_grant(shard_id, candidate.team, &held, &candidate.needs)
     }
 
     /// Returns the capacity that each team's services use in the shard, which is not released by
@@ -83,7 +83,7 @@
 
     /// Returns whether one more task would exceed the team's grant in the shard, given what each
     /// team uses there now.
-    pub(crate) fn beyond_grant(
+    pub(crate) fn exceeds_grant(
         &self,
         shard_id: usize,
         team: u32,
@@ -123,7 +123,7 @@
     ) -> bool {
         let least = self.least_waiting(shard_id, team);
         let is_unusable =
-            least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
+            least.is_some_and(|least| self.exceeds_grant(shard_id, team as u32, used, &least));
         let unusable_since = &mut self.shards[shard_id].unusable_remainders;
         if !is_unusable {
             unusable_since.remove(&team);
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -162,7 +162,7 @@
         }
         // If the time of the cancellation is no longer known, it was long ago or no controller
         // knows it.
-        let learnt_at = self.cancelled.learnt_at(job);
+        let learnt_at = self.cancelled.known_since(job);
         match learnt_at.map(|at| (now - at) / self.config.cancel_ms) {
             Some(passed) if passed <= CANCELLED_RELEASE_SHARE => None,
             Some(passed) if passed > CANCELLED_LATE_SHARE => Some(self.silence_ms()),
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -62,7 +62,7 @@
             if machine.reachability != before && is_unreachable {
                 machine.abandoned_up_to = (machine.newest.0, newest_attempt);
             }
-            self.shards[shard_id].touched.insert(host);
+            self.shards[shard_id].machines_to_inspect.insert(host);
             return;
         };
         self.capacity_changed |= !machine.reachability.is_reachable();
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -62,7 +62,7 @@
         leases: vec![(1, 1, "b".into())],
         shards: Vec::new(),
         short: Vec::new(),
-        handing: Vec::new(),
+        handover_candidates: Vec::new(),
         misdirected: Vec::new(),
         number: 1,
         heard: Vec::new(),
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -125,7 +125,7 @@
     pub short: Vec<String>,
     /// Services that the sender offers to hand over to other shards because only these hold
     /// the services' images, as (shard, job number).
-    pub handing: Vec<(u32, u64)>,
+    pub handover_candidates: Vec<(u32, u64)>,
     /// Workers of other controllers' shards that have recently sent their heartbeats to the
     /// sender and that the sender can reach, as (shard, estimated number of workers).
     pub misdirected: Vec<(u32, u32)>,
@@ -226,7 +226,7 @@
     /// Free cores, accelerators and memory in GB.
     pub free: (f32, f32, f32),
     /// Same amounts if all arrays of standard priority or below were preempted.
-    pub yielding: (f32, f32, f32),
+    pub free_if_preempted: (f32, f32, f32),
     /// Indices in [`CapacityReport::images`] of the images that the machine holds completely.
     pub images: Vec<u16>,
 }
--- a/crates/cherryyard-wire/src/peer/tests.rs
+++ b/crates/cherryyard-wire/src/peer/tests.rs
@@ -52,7 +52,7 @@
         leases: vec![(0, 3, "a".into())],
         shards: vec![],
         short: vec![],
-        handing: vec![],
+        handover_candidates: vec![],
         misdirected: vec![],
         number: 3,
         heard: vec![(1, 7)],
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -22,7 +22,7 @@
     MachineCapacity {
         pool: machine % 300,
         free: (free, free * 0.11, free * 3.7),
-        yielding: (free * 1.3, free * 0.13, free * 4.1),
+        free_if_preempted: (free * 1.3, free * 0.13, free * 4.1),
         images: (0..IMAGES_PER_MACHINE)
             .map(|i| machine.wrapping_mul(31).wrapping_add(i * 17) % IMAGES)
             .collect(),
@@ -71,7 +71,7 @@
         leases: (0..7).map(|p| (p, 3, format!("controller-{p}"))).collect(),
         shards: vec![report()],
         short: Vec::new(),
-        handing: (0..200).map(|i| (0, 800_000_000_000 + i)).collect(),
+        handover_candidates: (0..200).map(|i| (0, 800_000_000_000 + i)).collect(),
         misdirected: Vec::new(),
         number: 3,
         heard: (0..7).map(|p| (p, 7)).collect(),
