--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -25,9 +25,9 @@
 
 /// Number of consecutive jobs of a flow without a placed task after which a scheduling cycle skips
 /// the rest of the flow's queue, except for up to [`MAX_ROTATED_JOBS`] jobs.
-pub const WINDOW: u32 = 48;
+pub const MAX_UNPLACED_JOBS_IN_ROW: u32 = 48;
 
-/// Largest number of jobs that [`Queues::turned`] returns at a time.
+/// Largest number of jobs that [`Queues::jobs_with_expired_places`] returns at a time.
 const MAX_TURNED: usize = 256;
 /// Expiry time of a place that does not change with time.
 const NEVER: u64 = u64::MAX;
@@ -81,10 +81,10 @@
         }
         let queue = self.flow_mut(flow);
         if queue.late.is_due(place.job) || queue.oldest.is_first(place.job) {
-            (place.hope, place.work) = (0, 0.0);
+            (place.deadline_multiple, place.work) = (0, 0.0);
         }
         if before.is_none() {
-            queue.oldest.insert((place.at, place.job));
+            queue.oldest.insert((place.ready_at, place.job));
         }
         queue.places.insert(place);
         if changes_at != NEVER {
@@ -112,7 +112,7 @@
     pub fn remove(&mut self, job: u64) {
         if let Some(waiting) = self.take(job) {
             let queue = &mut self.flows[waiting.flow as usize];
-            let age_key = (waiting.place.at, job);
+            let age_key = (waiting.place.ready_at, job);
             queue.late.remove(age_key);
             queue.oldest.remove(age_key);
         }
@@ -121,21 +121,21 @@
 
     /// Records that a job of a flow, ready to run since `at`, cannot meet any multiple of its
     /// deadline.
-    pub fn is_late(&mut self, flow: Flow, at: u64, job: u64) {
+    pub fn add_late_job(&mut self, flow: Flow, at: u64, job: u64) {
         self.flow_mut(flow).late.insert((at, job));
     }
 
     /// Records that tasks of a flow with so many cores have been started, and credits a share of
     /// them to its late jobs.
-    pub fn started(&mut self, flow: Flow, cores: f64) {
+    pub fn credit_started_cores(&mut self, flow: Flow, cores: f64) {
         if let Some(queue) = self.flows.get_mut(flow as usize) {
-            queue.late.started(cores);
+            queue.late.credit_started_cores(cores);
         }
     }
 
     /// Returns the late jobs that have become due, given the cores of each job's waiting tasks in
     /// this shard. The caller has to [`Self::set`] them again.
-    pub fn late_share_due(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
+    pub fn take_due_late_jobs(&mut self, cores: impl Fn(u64) -> f64) -> Vec<u64> {
         let mut due = Vec::new();
         for queue in &mut self.flows {
             queue.late.take_due(&cores, &mut due);
@@ -145,14 +145,14 @@
 
     /// Returns the job of a flow that comes first because it is the oldest of which no task has
     /// started.
-    pub fn turn(&self, flow: Flow) -> Option<u64> {
+    pub fn oldest_job(&self, flow: Flow) -> Option<u64> {
         self.flows.get(flow as usize)?.oldest.first()
     }
 
     /// Chooses in each flow the oldest job for which `has_begun` is false to come first, if
     /// `is_old` holds for the time since which it has been ready to run. Returns the jobs that the
     /// caller has to [`Self::set`] again.
-    pub fn reserve_for_oldest(
+    pub fn prioritize_oldest_jobs(
         &mut self,
         is_old: impl Fn(u64) -> bool,
         has_begun: impl Fn(u64) -> bool,
@@ -171,7 +171,7 @@
 
     /// Returns jobs whose places have changed because of the time alone by wall-clock time
     /// `wall_time`, a bounded number at a time.
-    pub fn turned(&self, wall_time: f64) -> Vec<u64> {
+    pub fn jobs_with_expired_places(&self, wall_time: f64) -> Vec<u64> {
         let wall_time = wall_time.max(0.0) as u64;
         let due = self.expirations.range(..(wall_time, 0)).take(MAX_TURNED);
         due.map(|&(_, job)| job).collect()
@@ -183,12 +183,12 @@
     }
 
     /// Returns whether a service waits that no scheduling cycle has inspected.
-    pub fn any_unseen(&self) -> bool {
+    pub fn has_uninspected_services(&self) -> bool {
         !self.uninspected_services.is_empty()
     }
 
     /// Records that a scheduling cycle has inspected the queues.
-    pub fn mark_seen(&mut self) {
+    pub fn mark_inspected(&mut self) {
         self.uninspected_services.clear();
     }
 
@@ -208,10 +208,10 @@
     }
 
     /// Saves where the next scheduling cycle continues in a flow's queue behind the first
-    /// [`WINDOW`] jobs, given how many of these `others` were inspected and the last of them. If
+    /// [`MAX_UNPLACED_JOBS_IN_ROW`] jobs, given how many of these `others` were inspected and the last of them. If
     /// there were fewer than [`MAX_ROTATED_JOBS`], the end of the queue was reached and the next
     /// cycle starts over.
-    pub fn inspected_at(&mut self, flow: Flow, others: usize, last: Option<Place>) {
+    pub fn save_cursor(&mut self, flow: Flow, others: usize, last: Option<Place>) {
         if let Some(queue) = self.flows.get_mut(flow as usize) {
             queue.cursor = last.filter(|_| others >= MAX_ROTATED_JOBS);
         }
--- a/crates/cherryyard-core/src/admission/queue/late_jobs.rs
+++ b/crates/cherryyard-core/src/admission/queue/late_jobs.rs
@@ -42,7 +42,7 @@
     }
 
     /// Credits the late jobs with their share of the `cores` started for the flow.
-    pub(super) fn started(&mut self, cores: f64) {
+    pub(super) fn credit_started_cores(&mut self, cores: f64) {
         if !self.jobs_by_age.is_empty() {
             self.credit += cores * LATE_SHARE;
         }
--- a/crates/cherryyard-core/src/admission/queue/place.rs
+++ b/crates/cherryyard-core/src/admission/queue/place.rs
@@ -16,26 +16,26 @@
     pub is_array: bool,
     /// Index of the first multiple of its deadline that the job can still meet; jobs that can meet
     /// an earlier one come first.
-    pub hope: usize,
+    pub deadline_multiple: usize,
     /// Remaining work of the job in core-seconds; the least work comes first.
     pub work: f64,
     /// Wall-clock time of the job's deadline in milliseconds.
     pub due: f64,
     /// Wall-clock time in milliseconds at which the job became ready to run: at its submission, or
     /// when the last job that it depends on was done.
-    pub at: u64,
+    pub ready_at: u64,
     /// Number of the job.
     pub job: u64,
 }
 
 impl Ord for Place {
     fn cmp(&self, other: &Self) -> Ordering {
-        let key = |place: &Self| (Reverse(place.rank), place.is_array, place.hope);
+        let key = |place: &Self| (Reverse(place.rank), place.is_array, place.deadline_multiple);
         key(self)
             .cmp(&key(other))
             .then(self.work.total_cmp(&other.work))
             .then(self.due.total_cmp(&other.due))
-            .then(self.at.cmp(&other.at))
+            .then(self.ready_at.cmp(&other.ready_at))
             .then(self.job.cmp(&other.job))
     }
 }
--- a/crates/cherryyard-core/src/admission/queue/service_order.rs
+++ b/crates/cherryyard-core/src/admission/queue/service_order.rs
@@ -75,14 +75,14 @@
     }
 
     /// Sets whether a flow is from now on served ahead of rank: before all flows that are not.
-    pub fn ahead(&mut self, flow: Flow, ahead: bool) {
+    pub fn set_ahead(&mut self, flow: Flow, ahead: bool) {
         if let Some(position) = self.flows.get_mut(flow as usize) {
             position.is_ahead = ahead;
         }
     }
 
     /// Returns the next job and its flow.
-    pub fn step(&mut self) -> Option<(Flow, Place)> {
+    pub fn next_job(&mut self) -> Option<(Flow, Place)> {
         let flows = self.flows.iter().enumerate();
         let waiting =
             flows.filter_map(|(flow, position)| Some((!position.is_ahead, position.next?, flow)));
@@ -94,7 +94,7 @@
 
     /// Puts back the job of a flow that was returned last, so that [`Self::step`] returns it once
     /// more. Does nothing if the flow is closed.
-    pub fn back(&mut self, flow: Flow, place: Place) {
+    pub fn put_back(&mut self, flow: Flow, place: Place) {
         let index = flow as usize;
         if let Some(queue) = self.queues.get(index)
             && let Some(known) = queue.places.get(&place)
@@ -111,7 +111,7 @@
     /// Closes a flow of which enough jobs did not fit: at most [`MAX_ROTATED_JOBS`] more of its
     /// jobs follow. A second call ends the flow. Returns whether this was the second call or there
     /// is no such flow.
-    pub fn close(&mut self, flow: Flow) -> bool {
+    pub fn close_flow(&mut self, flow: Flow) -> bool {
         let index = flow as usize;
         let Some(position) = self.flows.get_mut(index) else {
             return true;
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -28,7 +28,7 @@
 
     /// Moves the oldest job of each flow that has not started, if it has waited long enough, to the
     /// front of its flow, and requeues the jobs whose place has changed.
-    pub(super) fn reserve_for_oldest(&mut self, shard_id: usize, now: Millis) {
+    pub(super) fn prioritize_oldest_jobs(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
         let min_wait_ms = self.config.tuning.admission.turn_s * 1000.0;
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
@@ -39,7 +39,7 @@
             self.has_started(job) || failures.is_some_and(|failures| failures.is_quarantined())
         };
         let changed =
-            queues.reserve_for_oldest(|at| wall - at as f64 >= min_wait_ms, is_passed_over);
+            queues.prioritize_oldest_jobs(|at| wall - at as f64 >= min_wait_ms, is_passed_over);
         self.shards[shard_id].queues = queues;
         for job in changed {
             self.requeue(shard_id, job, now);
@@ -58,7 +58,7 @@
             let (job, number) = kept.task;
             let machine = machines.get(&kept.host);
             let waiting = mirror.waiting(shard_id, job);
-            queues.turn(flow) == Some(job)
+            queues.oldest_job(flow) == Some(job)
                 && machine.is_some_and(|m| m.is_usable(now, max_silence_ms))
                 && waiting.is_some_and(|waiting| waiting.contains(number))
         });
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -110,7 +110,7 @@
     fn reported_jobs(&self, shard_id: usize, now: Millis) -> Vec<(u64, u32, f32)> {
         let queues = &self.shards[shard_id].queues;
         let mut service_order = queues.service_order();
-        let jobs = std::iter::from_fn(|| service_order.step()).take(MAX_REPORTED_JOBS);
+        let jobs = std::iter::from_fn(|| service_order.next_job()).take(MAX_REPORTED_JOBS);
         let reported = jobs.map(|(_, Place { job, .. })| {
             let waiting = self.mirror.waiting(shard_id, job);
             let since = queues.since(job).unwrap_or(now);
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -136,9 +136,9 @@
             shard.handover_candidates.clear();
             return;
         }
-        shard.queues.mark_seen();
+        shard.queues.mark_inspected();
         self.requeue_late_share(shard_id, now);
-        self.reserve_for_oldest(shard_id, now);
+        self.prioritize_oldest_jobs(shard_id, now);
         // The queues are taken out so that `self` can be borrowed meanwhile, and put back at the
         // end. Nothing in between uses those of the shard.
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
@@ -169,13 +169,13 @@
         let mut placement = self.begin_placement(shard_id, cycle, now);
         let mut service_order = queues.service_order();
         for &flow in placement.ahead_cores.keys() {
-            service_order.ahead(flow, true);
+            service_order.set_ahead(flow, true);
         }
-        while let Some((flow, place)) = service_order.step() {
+        while let Some((flow, place)) = service_order.next_job() {
             self.inspected_jobs += 1;
             // The job counts as stuck until one of its tasks is placed.
             if placement.search_budget.count_inspected(flow, place) {
-                service_order.close(flow);
+                service_order.close_flow(flow);
             }
             let Some(needs) = self.needs_of_waiting_job(shard_id, place.job) else {
                 continue;
@@ -183,8 +183,8 @@
             if placement.is_beyond_allowance(flow, &needs) {
                 // The allowance is too small for a task of this job, so the rest of the flow goes
                 // on at its regular place.
-                service_order.ahead(flow, false);
-                service_order.back(flow, place);
+                service_order.set_ahead(flow, false);
+                service_order.put_back(flow, place);
                 continue;
             }
             let Some(candidate) = self.candidate(&placement, flow, place.job, queues, cycle) else {
@@ -196,8 +196,8 @@
             match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
                 NextStep::NextJob => {}
                 NextStep::RetryJob => {
-                    service_order.ahead(flow, false);
-                    service_order.back(flow, place);
+                    service_order.set_ahead(flow, false);
+                    service_order.put_back(flow, place);
                 }
                 NextStep::Stop => break,
             }
@@ -459,7 +459,7 @@
         let Some(&first) = unplaced.first() else {
             return;
         };
-        if queues.turn(candidate.flow) == Some(job) {
+        if queues.oldest_job(candidate.flow) == Some(job) {
             self.keep_machine(shard_id, candidate.flow, (job, first), zones, now);
         }
         let open = &self.mirror.open[&job];
@@ -476,10 +476,10 @@
 
     fn end_placement(&mut self, placement: Placement, queues: &mut Queues) {
         for (flow, cores) in placement.started_cores {
-            queues.started(flow, cores);
+            queues.credit_started_cores(flow, cores);
         }
         for (flow, others, last) in placement.search_budget.closed_flows() {
-            queues.inspected_at(flow, others, last);
+            queues.save_cursor(flow, others, last);
         }
         let handed_over = placement.handed_over;
         let shard = &mut self.shards[placement.shard_id];
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -137,7 +137,7 @@
         }
         // A service that no cycle has looked at yet may overdraw the budget instead of waiting for
         // it; the overdraft is made up by later cycles.
-        left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
+        left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.has_uninspected_services())
     }
 
     /// Plans a cycle: collects proven ends, places tasks, and compacts pages if there is nothing
--- a/crates/cherryyard-core/src/owner/queue_upkeep.rs
+++ b/crates/cherryyard-core/src/owner/queue_upkeep.rs
@@ -56,15 +56,15 @@
         let place = Place {
             rank: open.rank(),
             is_array: open.spec.shape == Shape::Array,
-            hope: class.multiple,
+            deadline_multiple: class.multiple,
             work: f64::from(left) * open.spec.expected_s * open.spec.cores,
             due: open.due_ms(),
-            at: open.ready_at(),
+            ready_at: open.ready_at(),
             job,
         };
         let queues = &mut self.shards[shard_id].queues;
         if open.urgency.deadline.is_some() && class.until.is_infinite() {
-            queues.is_late(open.flow, open.ready_at(), job);
+            queues.add_late_job(open.flow, open.ready_at(), job);
         }
         queues.set(open.flow, place, class.until, now);
     }
@@ -92,7 +92,10 @@
 
     /// Requeues jobs whose place changes with time alone.
     pub(super) fn requeue_changed_by_time(&mut self, shard_id: usize, now: Millis) {
-        for job in self.shards[shard_id].queues.turned(now + self.wall_offset) {
+        for job in self.shards[shard_id]
+            .queues
+            .jobs_with_expired_places(now + self.wall_offset)
+        {
             self.requeue(shard_id, job, now);
         }
     }
@@ -107,7 +110,7 @@
             cores * f64::from(tasks)
         };
         let queues = &mut self.shards[shard_id].queues;
-        for job in queues.late_share_due(waiting_cores) {
+        for job in queues.take_due_late_jobs(waiting_cores) {
             self.requeue(shard_id, job, now);
         }
     }
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -1,7 +1,7 @@
 //! Failed searches of one scheduling cycle, so that equivalent searches are not repeated.
 
 use crate::admission::flows::Flow;
-use crate::admission::queue::{Place, WINDOW};
+use crate::admission::queue::{MAX_UNPLACED_JOBS_IN_ROW, Place};
 use crate::needs::Needs;
 use std::collections::HashMap;
 
@@ -51,7 +51,7 @@
         }
         let stuck = self.stuck.entry(flow).or_default();
         *stuck += 1;
-        let close = *stuck >= WINDOW;
+        let close = *stuck >= MAX_UNPLACED_JOBS_IN_ROW;
         if close {
             let closed = ClosedFlow {
                 inspected: 0,
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -43,7 +43,7 @@
         }
         // Otherwise smaller tasks would take each released part of the grant before it adds up to
         // enough for this job.
-        if queues.turn(candidate.flow) == Some(job)
+        if queues.oldest_job(candidate.flow) == Some(job)
             && !self.has_started(job)
             && self.fits_beside_services(shard_id, candidate)
             && self.shards[shard_id]
