--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -9,7 +9,7 @@
 };
 use super::fair_share_guarantee::fair_share_guarantees;
 use super::flows::Flow;
-use super::intake::{IntakeEvent, Offer};
+use super::intake::{IntakeEvent, Submission};
 use super::submission::WaitingSubmission;
 use crate::Millis;
 use crate::controller::Controller;
@@ -36,7 +36,7 @@
 impl Controller {
     /// Queues a submission or refuses it. The answer follows as an effect, possibly during this
     /// call.
-    pub fn offer(&mut self, offer: Offer, now: Millis) {
+    pub fn submit(&mut self, offer: Submission, now: Millis) {
         self.notice(now);
         self.demand.count_offered(offer.open.flow, offer.job);
         let is_queued = self.intake.offer(
@@ -47,13 +47,13 @@
             now,
         );
         if is_queued {
-            self.take_in(now);
+            self.send_submissions(now);
         }
     }
 
     /// Refuses expired submissions, and sends a transaction with queued ones unless one is under
     /// way, the state service is out of reach or the budget for users' writes is spent.
-    pub(crate) fn take_in(&mut self, now: Millis) {
+    pub(crate) fn send_submissions(&mut self, now: Millis) {
         self.intake.end_delay(self.mirror.store_revision, now);
         self.intake
             .refuse_expired(&self.config, &mut self.demand, &mut self.effects, now);
@@ -202,7 +202,7 @@
     /// `[offered, taken, refused]`. Controllers report totals, so that a heartbeat that is lost or
     /// arrives twice changes nothing; the totals of a restarted controller begin at 0.
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
-        let own_reports = self.demand_out();
+        let own_reports = self.demand_reports();
         let peers = self.peers.enumerate();
         let peer_reports = peers.map(|(i, peer)| (i, peer.heartbeat.demand.as_slice()));
         let counted = peer_reports.chain([(self.config.me, own_reports.as_slice())]);
@@ -211,7 +211,7 @@
     }
 
     /// Returns this controller's counts of submissions for its heartbeat.
-    pub(crate) fn demand_out(&self) -> Vec<DemandReport> {
+    pub(crate) fn demand_reports(&self) -> Vec<DemandReport> {
         self.demand.reports(&self.mirror.flows)
     }
 }
@@ -318,19 +318,19 @@
     /// Returns the earliest time at which another controller can have created `heartbeat`: when
     /// this controller sent the heartbeat that it acknowledges. The result is negative infinity if
     /// that was too long ago, or by an earlier process of this controller.
-    pub(crate) fn made_at(&self, heartbeat: &Heartbeat) -> Millis {
+    pub(crate) fn earliest_created_at(&self, heartbeat: &Heartbeat) -> Millis {
         let acknowledgement = self.entitlements.acknowledgement(heartbeat, self.config.me);
         acknowledgement.sent_at.unwrap_or(f64::NEG_INFINITY)
     }
 
     /// Returns when this controller sent the latest of its heartbeats that a peer has acknowledged.
-    pub(crate) fn named_at(&self, peer: usize) -> Option<Millis> {
+    pub(crate) fn last_acknowledged_at(&self, peer: usize) -> Option<Millis> {
         self.entitlements.last_acknowledged_at(peer)
     }
 
     /// Numbers a heartbeat and, if this controller is the leader, adds the allowances that it
     /// grants.
-    pub(crate) fn entitlements_out(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
+    pub(crate) fn write_entitlements(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
         self.entitlements.number_heartbeat(heartbeat, now);
         if self.leader.leads(&self.mirror) {
             self.entitlements
@@ -340,7 +340,7 @@
 
     /// Handles the acknowledgement in a peer's heartbeat and, if the peer is the leader, the
     /// allowances that it grants.
-    pub(crate) fn entitlements_in(&mut self, peer: usize, heartbeat: &Heartbeat, now: Millis) {
+    pub(crate) fn read_entitlements(&mut self, peer: usize, heartbeat: &Heartbeat, now: Millis) {
         let me = self.config.me;
         let acknowledgement = self
             .entitlements
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -9,7 +9,7 @@
 use super::demand::Demand;
 use super::retry_schedule::RetrySchedule;
 use super::submission::WaitingSubmission;
-pub use super::submission::{Offer, Verdict};
+pub use super::submission::{Submission, SubmissionOutcome};
 use super::submission_queue::SubmissionQueue;
 use crate::effects::{Effect, Outcome};
 use crate::mirror::{MOST_ROWS, Mirror};
@@ -174,7 +174,7 @@
     /// refused.
     pub(crate) fn offer(
         &mut self,
-        offer: Offer,
+        offer: Submission,
         config: &Config,
         demand: &mut Demand,
         effects: &mut Vec<Effect>,
@@ -221,7 +221,7 @@
         demand.count_refused(flow);
         let flow_rate = submissions_per_s(config) / self.queue.flow_count().max(1) as f64;
         let retry_s = self.retry_schedule.next_retry_s(flow, flow_rate, now);
-        answer(effects, waiting, Verdict::Busy(retry_s));
+        answer(effects, waiting, SubmissionOutcome::Refused(retry_s));
     }
 
     /// Takes the next submissions that can be written from the queue, at most `max_count`. Those
@@ -241,9 +241,9 @@
         {
             let offer = &waiting.offer;
             if mirror.view(offer.job).is_some() {
-                answer(effects, &waiting, Verdict::Known);
-            } else if mirror.packed_revision != offer.moved && mirror.packed.any() {
-                answer(effects, &waiting, Verdict::Retry);
+                answer(effects, &waiting, SubmissionOutcome::AlreadyKnown);
+            } else if mirror.packed_revision != offer.history_revision && mirror.packed.any() {
+                answer(effects, &waiting, SubmissionOutcome::Retry);
             } else if jobs.insert(offer.job) {
                 batch.push(waiting);
             } else {
@@ -321,7 +321,7 @@
     ) {
         if written == 0 && !rest.is_empty() {
             let first = rest.remove(0);
-            answer(effects, &first, Verdict::Failed);
+            answer(effects, &first, SubmissionOutcome::Failed);
         }
         for waiting in rest.into_iter().rev() {
             self.queue.put_back(waiting);
@@ -353,7 +353,7 @@
             Outcome::Applied(_) => {
                 for waiting in sent {
                     demand.count_taken(waiting.offer.open.flow);
-                    answer(effects, &waiting, Verdict::Taken);
+                    answer(effects, &waiting, SubmissionOutcome::Stored);
                 }
             }
             Outcome::Conflict(_) | Outcome::Malformed => self.try_again(sent, 1, effects),
@@ -364,7 +364,7 @@
             // the user should not wait for an unknown outcome.
             Outcome::Unknown | Outcome::NoLease => {
                 for waiting in sent {
-                    answer(effects, &waiting, Verdict::Failed);
+                    answer(effects, &waiting, SubmissionOutcome::Failed);
                 }
             }
         }
@@ -381,7 +381,7 @@
         for mut waiting in sent.into_iter().rev() {
             waiting.tries += more_tries;
             if waiting.tries >= MAX_TRIES {
-                answer(effects, &waiting, Verdict::Failed);
+                answer(effects, &waiting, SubmissionOutcome::Failed);
             } else {
                 self.queue.put_back(waiting);
             }
@@ -389,7 +389,7 @@
     }
 }
 
-fn answer(effects: &mut Vec<Effect>, waiting: &WaitingSubmission, verdict: Verdict) {
+fn answer(effects: &mut Vec<Effect>, waiting: &WaitingSubmission, verdict: SubmissionOutcome) {
     effects.push(Effect::Answer(waiting.offer.ticket, verdict));
 }
 
@@ -397,7 +397,7 @@
 /// there and may have been added since, or ends of jobs that it waits for may have been.
 fn depends_on_history(waiting: &WaitingSubmission, mirror: &Mirror) -> bool {
     let waits_for_others = !waiting.offer.open.dependencies.jobs.is_empty();
-    waiting.offer.moved > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
+    waiting.offer.history_revision > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
 }
 
 /// Returns `commit` with one record each for as many submissions of `batch` as fit, and their
--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -66,7 +66,7 @@
 
     /// Inserts a job at its place, or moves it there. `changes_at` is the wall-clock time in
     /// milliseconds at which that place changes because of the time alone; infinite if it does not.
-    /// For a late job [`Self::is_late`] is called first. A late job that is due and the first job
+    /// For a late job [`Self::add_late_job`] is called first. A late job that is due and the first job
     /// of its flow are sorted before all other jobs of their rank and kind, whatever their place
     /// says.
     pub fn set(&mut self, flow: Flow, mut place: Place, changes_at: f64, now: Millis) {
--- a/crates/cherryyard-core/src/admission/submission.rs
+++ b/crates/cherryyard-core/src/admission/submission.rs
@@ -5,22 +5,22 @@
 
 /// Answer to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum SubmissionOutcome {
     /// The job is stored durably.
-    Taken,
+    Stored,
     /// The job is known already, and is not stored again.
-    Known,
+    AlreadyKnown,
     /// The history has changed since the job was looked up in it; the lookup has to be repeated.
     Retry,
     /// The submission is refused because of overload; the user is to retry after this many seconds.
-    Busy(u32),
+    Refused(u32),
     /// The state service did not store the job, or the outcome is unknown.
     Failed,
 }
 
 /// A submission as it is handed to the controller.
 #[derive(Clone, Debug)]
-pub struct Offer {
+pub struct Submission {
     /// Number by which the answer is matched to the request.
     pub ticket: u64,
     /// Number of the job.
@@ -29,13 +29,13 @@
     pub open: OpenJob,
     /// Revision of the history's record as of which the job was not found in the history; 0 if
     /// there is no history.
-    pub moved: u64,
+    pub history_revision: u64,
 }
 
 /// A submission that the intake has queued or sent.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingSubmission {
-    pub(crate) offer: Offer,
+    pub(crate) offer: Submission,
     /// Time at which the submission arrived.
     pub(crate) queued_at: Millis,
     /// Number of transactions with this submission that failed.
@@ -46,7 +46,7 @@
 
 impl WaitingSubmission {
     /// Creates a submission that has just arrived.
-    pub(crate) fn new(offer: Offer, now: Millis) -> Self {
+    pub(crate) fn new(offer: Submission, now: Millis) -> Self {
         Self {
             offer,
             queued_at: now,
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -104,11 +104,11 @@
     }
 
     /// Returns the coverage after a heartbeat whose list continues it without a gap.
-    fn extended(self, heartbeat: &Heartbeat, made_at: Millis) -> Self {
+    fn extended(self, heartbeat: &Heartbeat, earliest_created_at: Millis) -> Self {
         Self {
             last_contact: self.last_contact,
-            covered_to: self.covered_to.max(made_at),
-            cut_off: if made_at >= self.covered_to {
+            covered_to: self.covered_to.max(earliest_created_at),
+            cut_off: if earliest_created_at >= self.covered_to {
                 heartbeat.cut_off
             } else {
                 self.cut_off
@@ -218,13 +218,13 @@
 }
 
 impl Controller {
-    /// Handles the cancellations in a heartbeat that was made at `made_at` or later. Returns the
+    /// Handles the cancellations in a heartbeat that was made at `earliest_created_at` or later. Returns the
     /// extent to which its sender's cancellations are known after it.
     pub(crate) fn learn_cancellations(
         &mut self,
         peer: usize,
         heartbeat: &Heartbeat,
-        made_at: Millis,
+        earliest_created_at: Millis,
         now: Millis,
     ) -> CancellationCoverage {
         let stored_all = self.store_unread_announcements(heartbeat, now);
@@ -237,7 +237,7 @@
         let is_gapless =
             list_from <= coverage.gapless_until() || list_from < self.state_contact.read_sent_at();
         if stored_all && is_gapless {
-            coverage.extended(heartbeat, made_at)
+            coverage.extended(heartbeat, earliest_created_at)
         } else {
             coverage.after_gap(list_from)
         }
@@ -293,7 +293,10 @@
     /// sent after `at`.
     fn acknowledged_by_all_since(&self, at: Millis) -> bool {
         let mut others = self.peers.others();
-        others.all(|peer| self.named_at(peer).is_some_and(|sent_at| sent_at > at))
+        others.all(|peer| {
+            self.last_acknowledged_at(peer)
+                .is_some_and(|sent_at| sent_at > at)
+        })
     }
 
     /// Returns whether this controller may extend a worker's lease under the token in the worker's
@@ -339,7 +342,7 @@
         let reach_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
         let heartbeat = &peer.heartbeat;
         heartbeat.complete
-            && now - peer.made_at <= self.config.relied_ms()
+            && now - peer.earliest_created_at <= self.config.relied_ms()
             && f64::from(heartbeat.reach_ms) >= reach_ms
             && heartbeat.leases.iter().any(|(shard, token, holder)| {
                 *shard as usize == shard_id && *token == report.fencing_token && holder == label
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -385,7 +385,7 @@
         if self.leader.needs_cycle || now - self.leader.planned_at >= LEADER_CYCLE_MS {
             self.plan_leader(now);
         }
-        self.take_in(now);
+        self.send_submissions(now);
         self.pack(now);
         self.create(now);
     }
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -1,6 +1,6 @@
 //! Effects: the actions that the core requests from its caller, and the types of their outcomes.
 
-use crate::admission::submission::Verdict;
+use crate::admission::submission::SubmissionOutcome;
 use cherryyard_wire::cloud::ProvisionRequest;
 use cherryyard_wire::history::Level;
 use cherryyard_wire::state::Commit;
@@ -83,7 +83,7 @@
     /// Sends a heartbeat to the other controllers immediately.
     Heartbeat,
     /// Delivers the verdict on the submission with this number.
-    Answer(u64, Verdict),
+    Answer(u64, SubmissionOutcome),
     /// Returns the machines with these names to the cloud.
     Release(Vec<String>),
     /// Provisions machines.
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -30,8 +30,11 @@
         if peer == self.config.me {
             return;
         }
-        let made_at = self.made_at(&heartbeat);
-        if self.peers.is_delayed(peer, &heartbeat, made_at, now) {
+        let earliest_created_at = self.earliest_created_at(&heartbeat);
+        if self
+            .peers
+            .is_delayed(peer, &heartbeat, earliest_created_at, now)
+        {
             return;
         }
         self.detect_superseded_leases(&heartbeat);
@@ -45,9 +48,10 @@
         if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
             self.lower_grants(&heartbeat.short, now);
         }
-        self.entitlements_in(peer, &heartbeat, now);
-        let coverage = self.learn_cancellations(peer, &heartbeat, made_at, now);
-        self.peers.receive(peer, heartbeat, made_at, coverage, now);
+        self.read_entitlements(peer, &heartbeat, now);
+        let coverage = self.learn_cancellations(peer, &heartbeat, earliest_created_at, now);
+        self.peers
+            .receive(peer, heartbeat, earliest_created_at, coverage, now);
     }
 
     /// Returns the index of the controller with this name in the order on which all controllers
@@ -84,7 +88,7 @@
         self.notice(now);
         let shards = self.due_capacity_reports(now);
         let misdirected = self.misdirected.counts(now);
-        let demand = self.demand_out();
+        let demand = self.demand_reports();
         let short = self.teams_short_of_grants(now);
         let has_gap = self.mirror.take_gap();
         let new_cancellations = self.mirror.take_new_cancels();
@@ -114,7 +118,7 @@
             intake_ms: self.intake.wait_ms(now) as u32,
             demand,
         };
-        self.entitlements_out(&mut heartbeat, now);
+        self.write_entitlements(&mut heartbeat, now);
         heartbeat
     }
 
@@ -205,7 +209,7 @@
     pub fn peers_to_reconnect(&mut self, now: Millis) -> Vec<&str> {
         let mut unresponsive = Vec::new();
         for peer in self.peers.others() {
-            let acknowledged_at = self.named_at(peer).unwrap_or(self.started_at);
+            let acknowledged_at = self.last_acknowledged_at(peer).unwrap_or(self.started_at);
             if self.peers.reconnect_due(peer, acknowledged_at, now) {
                 unresponsive.push(self.config.labels[peer].as_str());
             }
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -33,7 +33,7 @@
     /// Earliest time at which the peer can have made its newest heartbeat: the time at which this
     /// controller sent the heartbeat that it acknowledges. The network may have delayed the
     /// peer's heartbeat for any time.
-    pub(crate) made_at: Millis,
+    pub(crate) earliest_created_at: Millis,
     /// Time up to which the cancellations that the peer has learnt of are known here.
     pub(crate) coverage: CancellationCoverage,
 }
@@ -51,9 +51,9 @@
     }
 
     /// Returns whether the peer's newest heartbeat is newer than `heartbeat`, which arrives now.
-    fn supersedes(&self, heartbeat: &Heartbeat, made_at: Millis, now: Millis) -> bool {
+    fn supersedes(&self, heartbeat: &Heartbeat, earliest_created_at: Millis, now: Millis) -> bool {
         heartbeat.number < self.heartbeat.number
-            && made_at <= self.made_at
+            && earliest_created_at <= self.earliest_created_at
             && self.received_within(DELAYED_MS, now)
     }
 }
@@ -143,7 +143,9 @@
     /// `relied_ms`, that it is cut off from the state service.
     pub(crate) fn all_cut_off(&self, relied_ms: Millis, now: Millis) -> bool {
         self.other_states().all(|state| {
-            state.is_some_and(|peer| now - peer.made_at <= relied_ms && peer.heartbeat.cut_off)
+            state.is_some_and(|peer| {
+                now - peer.earliest_created_at <= relied_ms && peer.heartbeat.cut_off
+            })
         })
     }
 
@@ -166,25 +168,27 @@
         &self,
         peer: usize,
         heartbeat: &Heartbeat,
-        made_at: Millis,
+        earliest_created_at: Millis,
         now: Millis,
     ) -> bool {
         self.get(peer)
-            .is_some_and(|newest| newest.supersedes(heartbeat, made_at, now))
+            .is_some_and(|newest| newest.supersedes(heartbeat, earliest_created_at, now))
     }
 
-    /// Stores a peer's newest heartbeat, which was made at `made_at` or later.
+    /// Stores a peer's newest heartbeat, which was made at `earliest_created_at` or later.
     pub(crate) fn receive(
         &mut self,
         peer: usize,
         heartbeat: Heartbeat,
-        made_at: Millis,
+        earliest_created_at: Millis,
         coverage: CancellationCoverage,
         now: Millis,
     ) {
         let before = self.get(peer);
         self.states[peer] = Some(PeerState {
-            made_at: before.map_or(made_at, |state| state.made_at.max(made_at)),
+            earliest_created_at: before.map_or(earliest_created_at, |state| {
+                state.earliest_created_at.max(earliest_created_at)
+            }),
             heartbeat,
             last_received_at: now,
             coverage,
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -101,8 +101,8 @@
             return 0;
         }
         let lends = |peer: &usize| {
-            self.named_at(*peer)
-                .is_some_and(|named_at| now - named_at <= LOAN_MS)
+            self.last_acknowledged_at(*peer)
+                .is_some_and(|last_acknowledged_at| now - last_acknowledged_at <= LOAN_MS)
         };
         self.peers.others().filter(lends).count()
     }
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -3,7 +3,7 @@
 
 use crate::worker::job_id_of;
 use crate::{Fault, World};
-use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Shape, job_number};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -98,9 +98,16 @@
     fn resubmit_pending(&mut self, world: &mut World) {
         for pending in std::mem::take(&mut self.pending) {
             match world.submissions.verdicts.get(&pending.ticket) {
-                Some(Verdict::Taken | Verdict::Known) => self.record_accepted(world, &pending.spec),
+                Some(SubmissionOutcome::Stored | SubmissionOutcome::AlreadyKnown) => {
+                    self.record_accepted(world, &pending.spec)
+                }
                 None if world.now < pending.resubmit_at => self.pending.push(pending),
-                None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
+                None
+                | Some(
+                    SubmissionOutcome::Retry
+                    | SubmissionOutcome::Refused(_)
+                    | SubmissionOutcome::Failed,
+                ) => {
                     let next_controller = (pending.controller + 1) % world.controllers.len();
                     self.ask(world, next_controller, &pending.spec);
                 }
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -4,7 +4,7 @@
 use super::super::machines::controller_of_label;
 use super::{DependencyBarrier, Question, Request, Response, Sender, Stage};
 use cherryyard_core::Controller;
-use cherryyard_core::admission::intake::Offer;
+use cherryyard_core::admission::intake::Submission;
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::dependencies::{PastEnds, Resolution};
 use cherryyard_history::Leaf;
@@ -102,17 +102,17 @@
         if !self.requests.without_dependencies {
             open.dependencies = after;
         }
-        let offer = Offer {
+        let offer = Submission {
             ticket: self.submissions.next_ticket(),
             job,
             open,
-            moved: controller.mirror.packed_revision,
+            history_revision: controller.mirror.packed_revision,
         };
         request.stage = Stage::Offered {
             ticket: offer.ticket,
             until: now + OFFER_TIMEOUT_MS,
         };
-        controller.offer(offer, now);
+        controller.submit(offer, now);
         self.apply_effects(request.controller);
         None
     }
--- a/crates/cherryyard-simulation/src/world/requests/serve.rs
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -3,7 +3,7 @@
 use super::super::World;
 use super::super::state_link::COMMIT_TIMEOUT_MS;
 use super::{DependencyBarrier, Question, Request, Response, Stage};
-use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_core::users::UserAnswer;
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_wire::job::{JobStatus, job_number};
@@ -182,14 +182,17 @@
         let verdict = self.submissions.verdicts.remove(&ticket);
         let response = match verdict {
             None if until > self.now => return false,
-            Some(Verdict::Taken) => Some(Response::Taken),
-            Some(Verdict::Known) => self.look_up(request, false),
-            Some(Verdict::Retry) if request.write_attempts < MAX_WRITE_ATTEMPTS => {
+            Some(SubmissionOutcome::Stored) => Some(Response::Taken),
+            Some(SubmissionOutcome::AlreadyKnown) => self.look_up(request, false),
+            Some(SubmissionOutcome::Retry) if request.write_attempts < MAX_WRITE_ATTEMPTS => {
                 self.offer_locally(request)
             }
-            None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
-                Some(Response::Later)
-            }
+            None
+            | Some(
+                SubmissionOutcome::Retry
+                | SubmissionOutcome::Refused(_)
+                | SubmissionOutcome::Failed,
+            ) => Some(Response::Later),
         };
         self.answer(request, response)
     }
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -4,7 +4,7 @@
 use super::cancellations::PendingCancellation;
 use super::state_link::{catch_up, load};
 use cherryyard_core::Controller;
-use cherryyard_core::admission::intake::{Offer, Verdict};
+use cherryyard_core::admission::intake::{Submission, SubmissionOutcome};
 use cherryyard_core::mirror::over;
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Submissions {
     /// Outcomes of submissions, by ticket.
-    pub verdicts: BTreeMap<u64, Verdict>,
+    pub verdicts: BTreeMap<u64, SubmissionOutcome>,
     /// Time at which each job's user was told that the job is cancelled.
     pub cancelled_at: BTreeMap<String, f64>,
     /// Percentage of the ending jobs that are cancelled at the moment of their end.
@@ -118,13 +118,13 @@
             }
             let rules = rules.map(Box::new);
             let created = controller.mirror.new_job(spec.clone(), rules, now as u64);
-            let offer = Offer {
+            let offer = Submission {
                 ticket,
                 job,
                 open: created.expect("a known team"),
-                moved: controller.mirror.packed_revision,
+                history_revision: controller.mirror.packed_revision,
             };
-            controller.offer(offer, now);
+            controller.submit(offer, now);
         }
         self.apply_effects(i);
         ticket
--- a/crates/cherryyard-simulation/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission under overload: nobody starves, whatever fails meanwhile.
 
-use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, Rank};
 use rand::rngs::StdRng;
@@ -240,18 +240,21 @@
     w.run(1.0);
     let verdict = |w: &World, ticket: &u64| w.submissions.verdicts.get(ticket).copied();
     for ticket in &few {
-        assert_eq!(verdict(&w, ticket), Some(Verdict::Taken));
+        assert_eq!(verdict(&w, ticket), Some(SubmissionOutcome::Stored));
     }
     w.run(3.0);
-    let all: Vec<Verdict> = flood.iter().filter_map(|t| verdict(&w, t)).collect();
+    let all: Vec<SubmissionOutcome> = flood.iter().filter_map(|t| verdict(&w, t)).collect();
     assert_eq!(all.len(), flood.len(), "each gets an answer");
-    let taken = all.iter().filter(|v| **v == Verdict::Taken).count();
+    let taken = all
+        .iter()
+        .filter(|v| **v == SubmissionOutcome::Stored)
+        .count();
     // Four writes a second, with some forty jobs each.
     assert!(taken >= 60, "{taken}");
     let waits: Vec<u32> = all
         .iter()
         .filter_map(|v| match v {
-            Verdict::Busy(s) => Some(*s),
+            SubmissionOutcome::Refused(s) => Some(*s),
             _ => None,
         })
         .collect();
@@ -263,7 +266,7 @@
     w.run(60.0);
     let mut done = 0;
     for (i, ticket) in flood.iter().enumerate() {
-        if verdict(&w, ticket) == Some(Verdict::Taken) {
+        if verdict(&w, ticket) == Some(SubmissionOutcome::Stored) {
             let id = format!("j-{:06}", URGENT + i as u64 % 3000);
             let view = w.view(0, &id).unwrap();
             assert_eq!(view.status, JobStatus::Done, "{id}");
@@ -288,7 +291,7 @@
         tickets.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
     w.run(1.0);
-    let taken = |t: &&u64| w.submissions.verdicts.get(*t) == Some(&Verdict::Taken);
+    let taken = |t: &&u64| w.submissions.verdicts.get(*t) == Some(&SubmissionOutcome::Stored);
     assert_eq!(tickets.iter().filter(taken).count(), 400);
     let writes = w.state.writes - writes;
     assert!(writes < 60, "{writes} writes, marks and all");
@@ -298,10 +301,13 @@
     let odd = w.offer(leader_index, &odd, None);
     let next = w.offer(leader_index, &spec(URGENT + 501, 1), None);
     w.run(2.0);
-    assert_eq!(w.submissions.verdicts.get(&next), Some(&Verdict::Taken));
+    assert_eq!(
+        w.submissions.verdicts.get(&next),
+        Some(&SubmissionOutcome::Stored)
+    );
     assert!(!matches!(
         w.submissions.verdicts.get(&odd),
-        None | Some(Verdict::Taken)
+        None | Some(SubmissionOutcome::Stored)
     ));
     // The same job through two controllers at once: one takes it, the other knows it.
     let other = (leader_index + 1) % 3;
@@ -310,8 +316,14 @@
     assert!(w.controllers[other].as_ref().unwrap().mirror.store_revision >= controller);
     let two = w.offer(other, &spec(URGENT + 502, 1), None);
     w.run(2.0);
-    assert_eq!(w.submissions.verdicts.get(&one), Some(&Verdict::Taken));
-    assert_eq!(w.submissions.verdicts.get(&two), Some(&Verdict::Known));
+    assert_eq!(
+        w.submissions.verdicts.get(&one),
+        Some(&SubmissionOutcome::Stored)
+    );
+    assert_eq!(
+        w.submissions.verdicts.get(&two),
+        Some(&SubmissionOutcome::AlreadyKnown)
+    );
 }
 
 /// While no controller hears another, each writes what comes to it, the leader by pages
@@ -336,11 +348,14 @@
     w.run(1.5);
     let verdict = |t: &u64| w.submissions.verdicts.get(t).copied();
     for ticket in &single {
-        assert_eq!(verdict(ticket), Some(Verdict::Taken));
+        assert_eq!(verdict(ticket), Some(SubmissionOutcome::Stored));
     }
     for pair in &twice {
         let all = pair.each_ref().map(verdict);
-        let taken = all.iter().filter(|v| **v == Some(Verdict::Taken)).count();
+        let taken = all
+            .iter()
+            .filter(|v| **v == Some(SubmissionOutcome::Stored))
+            .count();
         assert_eq!(taken, 1, "{all:?}");
     }
     w.network.isolated.clear();
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -2,7 +2,7 @@
 
 use super::App;
 use cherryyard_clients::peer::OutgoingMessage;
-use cherryyard_core::admission::intake::{Offer, Verdict};
+use cherryyard_core::admission::intake::{Submission, SubmissionOutcome};
 use cherryyard_core::mirror::OpenJob;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission, Message};
 use std::collections::HashMap;
@@ -27,7 +27,7 @@
     /// Forwarded ones, which wait for the other controller's response.
     forwarded: Waiting<ForwardResponse>,
     /// Those handed to the core, which wait for its verdict.
-    offered: Waiting<Verdict>,
+    offered: Waiting<SubmissionOutcome>,
     next_ticket: AtomicU64,
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// Hands the core's verdict to whoever waits for it.
-    pub(super) fn reply(&self, ticket: u64, verdict: Verdict) {
+    pub(super) fn reply(&self, ticket: u64, verdict: SubmissionOutcome) {
         if let Some(reply_to) = lock(&self.offered).remove(&ticket) {
             // The one who waits may have given up.
             let _ = reply_to.send(verdict);
@@ -112,19 +112,22 @@
 
     /// Hands a new job to the core, and waits for its verdict. The job was not in the history
     /// as of its record's revision `moved`.
-    pub async fn offer(self: &Arc<Self>, job: u64, open: OpenJob, moved: u64) -> Verdict {
+    pub async fn offer(self: &Arc<Self>, job: u64, open: OpenJob, moved: u64) -> SubmissionOutcome {
         let ticket = self.pending.take_ticket();
         let (reply_to, reply) = oneshot::channel();
         lock(&self.pending.offered).insert(ticket, reply_to);
-        let offer = Offer {
+        let offer = Submission {
             ticket,
             job,
             open,
-            moved,
+            history_revision: moved,
         };
-        self.with(|controller, now| controller.offer(offer, now));
+        self.with(|controller, now| controller.submit(offer, now));
         let reply = tokio::time::timeout(OFFER_TIMEOUT, reply).await;
         lock(&self.pending.offered).remove(&ticket);
-        reply.ok().and_then(Result::ok).unwrap_or(Verdict::Failed)
+        reply
+            .ok()
+            .and_then(Result::ok)
+            .unwrap_or(SubmissionOutcome::Failed)
     }
 }
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -4,7 +4,7 @@
 use super::retry::{MAX_ATTEMPTS, pause_after_refusal};
 use crate::app::{App, LookupKind, wall_ms};
 use cherryyard_core::Outcome;
-use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::dependencies::{DependencyError, PastEnds, Resolution};
 use cherryyard_core::mirror::{OpenJob, over};
@@ -247,22 +247,22 @@
         JobStatus::Queued
     };
     match app.offer(job, open.clone(), found.moved).await {
-        Verdict::Taken => {
+        SubmissionOutcome::Stored => {
             let body = serde_json::json!({ "id": named.id, "status": status });
             Attempt::Answered(ApiResponse::of(StatusCode::CREATED, &body))
         }
         // Another controller may have accepted it meanwhile.
-        Verdict::Known => match lookup(app, job).await {
+        SubmissionOutcome::AlreadyKnown => match lookup(app, job).await {
             Ok(Some(view)) => Attempt::Answered(ApiResponse::view(StatusCode::OK, &view)),
             Ok(None) => Attempt::Failed,
             Err(answer) => Attempt::Answered(answer),
         },
-        Verdict::Retry => Attempt::Retry,
-        Verdict::Busy(seconds) => {
+        SubmissionOutcome::Retry => Attempt::Retry,
+        SubmissionOutcome::Refused(seconds) => {
             let why = "too many submissions at once";
             Attempt::Answered(ApiResponse::later_in(why, seconds))
         }
-        Verdict::Failed => Attempt::Failed,
+        SubmissionOutcome::Failed => Attempt::Failed,
     }
 }
 
