--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, MachineState};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::cloud::InstanceStatus;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::worker::TaskStatus;
@@ -25,7 +25,7 @@
     seconds: f64,
     waiting: Vec<(u64, &'a OpenJob)>,
     /// Resources that each team uses in the shard.
-    used: Vec<Needs>,
+    used: Vec<Resources>,
     /// Cores that waiting tasks of this shard, and this shard's part of the cores that waiting
     /// tasks of other shards, could use, without the idle cores counted against them so far. Free
     /// cores count as idle while tasks wait only up to these numbers.
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -61,7 +61,7 @@
             return;
         }
         self.set_user_rate(now);
-        if self.user_write_budget.left(now) < 1.0 {
+        if self.user_write_budget.tokens(now) < 1.0 {
             return;
         }
         let commit = match self.admission_form() {
@@ -118,7 +118,7 @@
     /// Returns a transaction with one record for each of the next submissions: used before the
     /// admission log is, and for the few submissions at a controller that is not the leader.
     fn admit_by_records(&mut self, now: Millis) -> Commit {
-        let affordable = self.user_write_budget.left(now) as usize;
+        let affordable = self.user_write_budget.tokens(now) as usize;
         let max_count = self.config.txn_ops.min(affordable);
         let mut batch = self.next_submissions(max_count.max(1));
         let mut commit = Commit::default();
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -227,7 +227,7 @@
     if spec.cores * count > team.cores_max + TOLERANCE {
         return Err(NeverRuns::CoresOverLimit);
     }
-    if spec.accelerators * count > team.acc_max + TOLERANCE {
+    if spec.accelerators * count > team.accelerators_max + TOLERANCE {
         return Err(NeverRuns::AcceleratorsOverLimit);
     }
     Ok(())
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -141,17 +141,17 @@
     /// Number of guaranteed cores.
     pub cores: f64,
     /// Number of guaranteed accelerators.
-    pub acc: f64,
+    pub accelerators: f64,
     /// Largest number of cores; infinite without a limit.
     pub cores_max: f64,
     /// Largest number of accelerators; infinite without a limit.
-    pub acc_max: f64,
+    pub accelerators_max: f64,
 }
 
 impl Team {
     /// Returns whether the team has a limit on any resource.
     pub fn limited(&self) -> bool {
-        self.cores_max.is_finite() || self.acc_max.is_finite()
+        self.cores_max.is_finite() || self.accelerators_max.is_finite()
     }
 }
 
@@ -309,9 +309,9 @@
     teams
         .map(|team| Team {
             cores: team.cpus,
-            acc: team.gpus,
+            accelerators: team.gpus,
             cores_max: limit(team.cpus_max),
-            acc_max: limit(team.gpus_max),
+            accelerators_max: limit(team.gpus_max),
         })
         .collect()
 }
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -349,7 +349,7 @@
     /// and requests that arrived before it.
     pub fn queue_passed(&mut self, due: Millis, now: Millis) {
         self.notice(now);
-        self.lag.passed(due, now);
+        self.lag.probe_handled(due, now);
     }
 
     // Steps common to all events.
@@ -362,7 +362,7 @@
     pub(crate) fn notice(&mut self, now: Millis) {
         if let Some(gap) = self.state_contact.advance(now) {
             tracing::info!(ms = gap, "process was suspended");
-            self.lag.stood_still(now);
+            self.lag.process_suspended(now);
             self.effects.push(Effect::Refresh);
         }
     }
--- a/crates/cherryyard-core/src/event_loop_lag.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -41,13 +41,13 @@
         self.ticked_at = now;
     }
 
-    /// Records that the process was paused until `now`.
-    pub fn stood_still(&mut self, now: Millis) {
+    /// Records that the process was paused until `current`.
+    pub fn process_suspended(&mut self, now: Millis) {
         self.late_at = now;
     }
 
     /// Records that a probe which became due at `due` has been handled.
-    pub fn passed(&mut self, due: Millis, now: Millis) {
+    pub fn probe_handled(&mut self, due: Millis, now: Millis) {
         self.last_wait = (now - due).max(0.0);
         self.due_at = now + QUEUE_CHECK_MS;
         if self.last_wait > LATE_MS {
@@ -56,15 +56,15 @@
     }
 
     /// Estimates how long an event that arrives now will wait.
-    pub fn now(&self, now: Millis) -> Millis {
+    pub fn current(&self, now: Millis) -> Millis {
         self.last_wait.max(now - self.due_at)
     }
 
     /// Returns for how long the controller has not been late, or 0 if it is late now. While the
     /// controller is late, a peer or worker may seem silent only because its messages have not
     /// been handled yet.
-    pub fn punctual_for(&self, now: Millis) -> Millis {
-        if self.now(now) > LATE_MS || now - self.ticked_at > LATE_MS {
+    pub fn time_without_lag(&self, now: Millis) -> Millis {
+        if self.current(now) > LATE_MS || now - self.ticked_at > LATE_MS {
             0.0
         } else {
             now - self.late_at
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -120,7 +120,7 @@
     /// leave budget for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
         let is_idle =
-            self.intake.waiting() == 0 && self.user_write_budget.left(now) >= SPARE_WRITES;
+            self.intake.waiting() == 0 && self.user_write_budget.tokens(now) >= SPARE_WRITES;
         if self.mirror.admission_log.len() <= MAX_UNCOMPACTED_PAGES
             || !is_idle
             || now - self.leader.pages_compacted_at < COMPACT_MS
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::mirror::{Mirror, OpenJob};
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType};
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::Key;
@@ -90,11 +90,15 @@
 
 /// Returns the unassigned resources of a machine, and those that would be free if arrays of
 /// ordinary rank or below were preempted.
-fn free_capacity(mirror: &Mirror, name: &str, machine_type: &MachineType) -> (Needs, Needs) {
-    let mut free = Needs {
+fn free_capacity(
+    mirror: &Mirror,
+    name: &str,
+    machine_type: &MachineType,
+) -> (Resources, Resources) {
+    let mut free = Resources {
         cores: machine_type.cores,
-        acc: machine_type.accelerators,
-        ram: machine_type.ram_gb,
+        accelerators: machine_type.accelerators,
+        ram_gb: machine_type.ram_gb,
     };
     let mut free_if_preempted = free;
     let machine = mirror.hosts.get(name);
@@ -103,9 +107,9 @@
         let Some((_, needs)) = mirror.uses(job) else {
             continue;
         };
-        free.take(&needs);
+        free.subtract(&needs);
         if !mirror.open.get(&job).is_some_and(OpenJob::makes_way) {
-            free_if_preempted.take(&needs);
+            free_if_preempted.subtract(&needs);
         }
     }
     (free, free_if_preempted)
@@ -126,6 +130,10 @@
     index as u16
 }
 
-fn as_reported(needs: &Needs) -> (f32, f32, f32) {
-    (needs.cores as f32, needs.acc as f32, needs.ram as f32)
+fn as_reported(needs: &Resources) -> (f32, f32, f32) {
+    (
+        needs.cores as f32,
+        needs.accelerators as f32,
+        needs.ram_gb as f32,
+    )
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -36,7 +36,7 @@
         }
         if !self.leader.bulk_creation.is_due(now)
             || !self.state_fresh(now)
-            || self.lag.now(now) > MAX_LAG_MS
+            || self.lag.current(now) > MAX_LAG_MS
         {
             return;
         }
@@ -92,8 +92,9 @@
     /// Returns whether creation may write now, in addition to users' other writes.
     fn may_create(&mut self, now: Millis) -> bool {
         self.set_user_rate(now);
-        let has_spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
-        has_spare || self.leader.bulk_creation.write_budget.left(now) >= 1.0
+        let has_spare =
+            self.user_write_budget.tokens(now) >= self.config.user_writes_per_s.max(1.5);
+        has_spare || self.leader.bulk_creation.write_budget.tokens(now) >= 1.0
     }
 
     /// Creates a submission's next jobs, or reads the chunk that describes them.
@@ -166,7 +167,7 @@
         }
         // Like every cancellation, this step takes precedence over writes that can wait and may
         // overdraw the budget. It consists of many writes, so the overdraft is limited.
-        if self.user_write_budget.left(now) <= -self.user_write_budget.overdraft() {
+        if self.user_write_budget.tokens(now) <= -self.user_write_budget.overdraft() {
             return;
         }
         jobs.sort_by_cached_key(|&job| (self.mirror.assigned(job) == 0, job_hash(job)));
--- a/crates/cherryyard-core/src/leader/capacity_reports.rs
+++ b/crates/cherryyard-core/src/leader/capacity_reports.rs
@@ -3,7 +3,7 @@
 
 use crate::Millis;
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use std::cell::RefCell;
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Debit {
     at: Millis,
-    needs: Needs,
+    needs: Resources,
 }
 
 /// Origin of a shard's capacity.
@@ -93,11 +93,11 @@
     debits: Vec<Debit>,
 }
 
-fn needs_from_report((cores, acc, ram): (f32, f32, f32)) -> Needs {
-    Needs {
+fn needs_from_report((cores, accelerators, ram_gb): (f32, f32, f32)) -> Resources {
+    Resources {
         cores: cores.into(),
-        acc: acc.into(),
-        ram: ram.into(),
+        accelerators: accelerators.into(),
+        ram_gb: ram_gb.into(),
     }
 }
 
@@ -286,14 +286,14 @@
 
     /// Debits the shards' capacities for tasks divided among them, until their reports include
     /// these tasks.
-    pub(crate) fn debit(&mut self, shares: &[u32], needs: &Needs, now: Millis) {
+    pub(crate) fn debit(&mut self, shares: &[u32], needs: &Resources, now: Millis) {
         for (capacity, &share) in self.by_shard.iter_mut().zip(shares) {
             if let Some(capacity) = capacity.as_mut().filter(|_| share > 0) {
                 let tasks = f64::from(share);
-                let needs = Needs {
+                let needs = Resources {
                     cores: needs.cores * tasks,
-                    acc: needs.acc * tasks,
-                    ram: needs.ram * tasks,
+                    accelerators: needs.accelerators * tasks,
+                    ram_gb: needs.ram_gb * tasks,
                 };
                 capacity.debits.push(Debit { at: now, needs });
             }
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -50,7 +50,7 @@
     /// controller already reports these jobs as cancelled; once its end is stored, a job is no
     /// longer open.
     pub(super) fn end_dependents(&mut self, now: Millis) -> Option<Commit> {
-        if self.user_write_budget.left(now) < 1.0 {
+        if self.user_write_budget.tokens(now) < 1.0 {
             return None;
         }
         let mut commit = Commit::default();
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -30,7 +30,7 @@
         }
         if !self.leader.history_compaction.is_ready(now)
             || !self.state_fresh(now)
-            || self.lag.now(now) > MAX_LAG_MS
+            || self.lag.current(now) > MAX_LAG_MS
         {
             return;
         }
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -78,8 +78,8 @@
     /// Returns whether the budgets and the retry delay allow another read or transaction.
     fn may_step(&mut self, now: Millis) -> bool {
         now >= self.retry_after
-            && self.write_budget.left(now) >= 1.0
-            && self.read_budget.left(now) >= 1.0
+            && self.write_budget.tokens(now) >= 1.0
+            && self.read_budget.tokens(now) >= 1.0
     }
 
     /// Returns whether nothing is pending and another step is allowed.
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 use crate::config::Team;
 use crate::controller::Controller;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::record::{self, Grant, Key};
 use cherryyard_wire::state::{Apply, Commit};
 
@@ -27,11 +27,11 @@
     let mut total_granted = Grant::default();
     for grant in grants {
         total_granted.cores += grant.cores;
-        total_granted.acc += grant.acc;
+        total_granted.accelerators += grant.accelerators;
     }
     Grant {
         cores: finite(team.cores_max) - total_granted.cores,
-        acc: finite(team.acc_max) - total_granted.acc,
+        accelerators: finite(team.accelerators_max) - total_granted.accelerators,
     }
 }
 
@@ -39,8 +39,8 @@
 /// these `needs` to start in addition to what is `used`.
 fn allows_one_more_task(
     team: &Team,
-    used: &Needs,
-    needs: &Needs,
+    used: &Resources,
+    needs: &Resources,
     grant: &Grant,
     free: &Grant,
 ) -> bool {
@@ -48,7 +48,13 @@
         used + more <= granted + free + ROUNDING_TOLERANCE
     };
     (team.cores_max.is_infinite() || within(used.cores, needs.cores, grant.cores, free.cores))
-        && (team.acc_max.is_infinite() || within(used.acc, needs.acc, grant.acc, free.acc))
+        && (team.accelerators_max.is_infinite()
+            || within(
+                used.accelerators,
+                needs.accelerators,
+                grant.accelerators,
+                free.accelerators,
+            ))
 }
 
 impl Controller {
@@ -68,9 +74,10 @@
         let grant = self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now);
         let wants = capacity.and_then(|capacity| capacity.report.wants.get(index));
-        wants.is_some_and(|&(_, cores, acc)| {
+        wants.is_some_and(|&(_, cores, accelerators)| {
             cores > grant.cores + ROUNDING_TOLERANCE && team.cores_max.is_finite()
-                || acc > grant.acc + ROUNDING_TOLERANCE && team.acc_max.is_finite()
+                || accelerators > grant.accelerators + ROUNDING_TOLERANCE
+                    && team.accelerators_max.is_finite()
         })
     }
 
@@ -123,13 +130,13 @@
                 continue;
             };
             free.cores -= more.cores;
-            free.acc -= more.acc;
+            free.accelerators -= more.accelerators;
             let raised = Grant {
                 cores: grant.cores + more.cores,
-                acc: grant.acc + more.acc,
+                accelerators: grant.accelerators + more.accelerators,
             };
             if raised.cores > grant.cores + ROUNDING_TOLERANCE
-                || raised.acc > grant.acc + ROUNDING_TOLERANCE
+                || raised.accelerators > grant.accelerators + ROUNDING_TOLERANCE
             {
                 changes.push(ChangedGrant {
                     shard_id,
@@ -148,7 +155,7 @@
                 shard_id,
                 grant: Grant {
                     cores: grant.cores + finite(team.cores_max) / shards,
-                    acc: grant.acc + finite(team.acc_max) / shards,
+                    accelerators: grant.accelerators + finite(team.accelerators_max) / shards,
                 },
             })
             .collect()
@@ -167,9 +174,9 @@
     ) -> Option<Grant> {
         let grant = &self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now)?;
-        let &(_, wanted_cores, wanted_acc) = capacity.report.wants.get(index)?;
+        let &(_, wanted_cores, wanted_accelerators) = capacity.report.wants.get(index)?;
         if wanted_cores <= grant.cores + ROUNDING_TOLERANCE
-            && wanted_acc <= grant.acc + ROUNDING_TOLERANCE
+            && wanted_accelerators <= grant.accelerators + ROUNDING_TOLERANCE
         {
             return None;
         }
@@ -177,7 +184,9 @@
         let used = self.mirror.usage(shard_id)[index];
         allows_one_more_task(team, &used, &least, grant, free).then(|| Grant {
             cores: (wanted_cores - grant.cores).min(free.cores).max(0.0),
-            acc: (wanted_acc - grant.acc).min(free.acc).max(0.0),
+            accelerators: (wanted_accelerators - grant.accelerators)
+                .min(free.accelerators)
+                .max(0.0),
         })
     }
 }
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -2,7 +2,7 @@
 //! be started.
 
 use super::Mirror;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use crate::pages::{Assignment, JobAssignments, Page, PageFormat};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::record::Key;
@@ -274,8 +274,8 @@
 
     /// Returns the resources that each team uses in `shard`. A task counts from its assignment
     /// until it is proven to be gone.
-    pub fn usage(&self, shard: usize) -> Vec<Needs> {
-        let mut used = vec![Needs::default(); self.teams.len()];
+    pub fn usage(&self, shard: usize) -> Vec<Resources> {
+        let mut used = vec![Resources::default(); self.teams.len()];
         let in_shard = (shard, 0)..=(shard, u64::MAX);
         for (&(_, job), job_assignments) in self.tasks.assignments.range(in_shard) {
             let count = job_assignments.assignments.len();
@@ -286,10 +286,10 @@
                 && let Some(used) = used.get_mut(team as usize)
             {
                 let count = count as f64;
-                used.give(&Needs {
+                used.add(&Resources {
                     cores: needs.cores * count,
-                    acc: needs.acc * count,
-                    ram: needs.ram * count,
+                    accelerators: needs.accelerators * count,
+                    ram_gb: needs.ram_gb * count,
                 });
             }
         }
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -171,8 +171,8 @@
         TaskUsage {
             team,
             cores: demand.needs.cores,
-            accelerators: demand.needs.acc,
-            ram_gb: demand.needs.ram,
+            accelerators: demand.needs.accelerators,
+            ram_gb: demand.needs.ram_gb,
         }
     }
 
--- a/crates/cherryyard-core/src/mirror/ended.rs
+++ b/crates/cherryyard-core/src/mirror/ended.rs
@@ -1,7 +1,7 @@
 //! Ended jobs: those that the watched records (the ones under the prefix that the mirror covers)
 //! still list, and the most recent of those that only the history lists.
 
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::record::End;
 use lru::LruCache;
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
     /// Index of the team; `u32::MAX` for a team that is not in the settings.
     pub team: u32,
     /// Resources of one task.
-    pub needs: Needs,
+    pub needs: Resources,
 }
 
 /// End of a job, in the reduced form kept for jobs that only the history lists.
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -3,7 +3,7 @@
 use super::ended::{EndedJob, TaskDemand};
 use super::record_error::RecordProblem;
 use super::{Mirror, OpenJob, Urgency};
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::{Dependencies, dependency_ids};
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Shape, job_id};
@@ -112,10 +112,10 @@
     pub(super) fn task_demand(&self, record: &TaskUsage) -> TaskDemand {
         TaskDemand {
             team: self.teams.get(&record.team).unwrap_or(u32::MAX),
-            needs: Needs {
+            needs: Resources {
                 cores: record.cores,
-                acc: record.accelerators,
-                ram: record.ram_gb,
+                accelerators: record.accelerators,
+                ram_gb: record.ram_gb,
             },
         }
     }
@@ -264,7 +264,7 @@
 
     /// Returns a job's team and the resources of one of its tasks, for open jobs and for ended jobs
     /// of which tasks may still be on machines.
-    pub fn uses(&self, job: u64) -> Option<(u32, Needs)> {
+    pub fn uses(&self, job: u64) -> Option<(u32, Resources)> {
         if let Some(open) = self.open.get(&job) {
             return Some((open.team, open.needs()));
         }
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -3,7 +3,7 @@
 use super::Urgency;
 use crate::admission::flows::Flow;
 use crate::admit::allows_machine_type;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use crate::pools::PoolSet;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
@@ -100,11 +100,11 @@
     }
 
     /// Returns the resources that one of the job's tasks takes.
-    pub fn needs(&self) -> Needs {
-        Needs {
+    pub fn needs(&self) -> Resources {
+        Resources {
             cores: self.spec.cores,
-            acc: self.spec.accelerators,
-            ram: self.spec.ram_gb,
+            accelerators: self.spec.accelerators,
+            ram_gb: self.spec.ram_gb,
         }
     }
 
--- a/crates/cherryyard-core/src/needs.rs
+++ b/crates/cherryyard-core/src/needs.rs
@@ -7,25 +7,25 @@
 
 /// Amounts of a machine's resources.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Needs {
+pub struct Resources {
     /// Number of cores.
     pub cores: f64,
     /// Number of accelerators.
-    pub acc: f64,
+    pub accelerators: f64,
     /// Memory in GB.
-    pub ram: f64,
+    pub ram_gb: f64,
 }
 
-impl Needs {
+impl Resources {
     /// Returns whether `self` fits into `free`, within the tolerance for rounding errors.
-    pub fn fits(&self, free: &Needs) -> bool {
+    pub fn fits(&self, free: &Resources) -> bool {
         self.cores <= free.cores + ROUNDING_TOLERANCE
-            && self.acc <= free.acc + ROUNDING_TOLERANCE
-            && self.ram <= free.ram + ROUNDING_TOLERANCE
+            && self.accelerators <= free.accelerators + ROUNDING_TOLERANCE
+            && self.ram_gb <= free.ram_gb + ROUNDING_TOLERANCE
     }
 
     /// Returns how many times `self` fits into `free`.
-    pub fn times_in(&self, free: &Needs) -> u32 {
+    pub fn times_in(&self, free: &Resources) -> u32 {
         let times = |need: f64, available: f64| {
             if need > 0.0 {
                 ((available + ROUNDING_TOLERANCE) / need).floor().max(0.0)
@@ -34,21 +34,21 @@
             }
         };
         times(self.cores, free.cores)
-            .min(times(self.acc, free.acc))
-            .min(times(self.ram, free.ram)) as u32
+            .min(times(self.accelerators, free.accelerators))
+            .min(times(self.ram_gb, free.ram_gb)) as u32
     }
 
     /// Subtracts `other`.
-    pub fn take(&mut self, other: &Needs) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cores -= other.cores;
-        self.acc -= other.acc;
-        self.ram -= other.ram;
+        self.accelerators -= other.accelerators;
+        self.ram_gb -= other.ram_gb;
     }
 
     /// Adds `other`.
-    pub fn give(&mut self, other: &Needs) {
+    pub fn add(&mut self, other: &Resources) {
         self.cores += other.cores;
-        self.acc += other.acc;
-        self.ram += other.ram;
+        self.accelerators += other.accelerators;
+        self.ram_gb += other.ram_gb;
     }
 }
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -142,7 +142,7 @@
             if let Some(other) = self.mirror.open.get(&job)
                 && other.spec.shape == Shape::Array
             {
-                free.give(&other.needs());
+                free.add(&other.needs());
             }
         }
         open.needs().fits(&free).then_some(free_cores)
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, Task};
 use crate::names::Names;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::Key;
 
@@ -24,23 +24,23 @@
     }
 
     /// Returns a machine's total capacity according to its type, or `None` if the type is unknown.
-    pub(crate) fn total_capacity(&self, machine: &Machine) -> Option<Needs> {
+    pub(crate) fn total_capacity(&self, machine: &Machine) -> Option<Resources> {
         let machine_type = machine.type_in(&self.mirror.catalog.machine_types)?;
-        Some(Needs {
+        Some(Resources {
             cores: machine_type.cores,
-            acc: machine_type.accelerators,
-            ram: machine_type.ram_gb,
+            accelerators: machine_type.accelerators,
+            ram_gb: machine_type.ram_gb,
         })
     }
 
     /// Returns the free capacity of a machine, after its assignments (as `cycle` will leave them)
     /// and the tasks on it that have no assignment.
-    pub(crate) fn free_on(&self, machine: &Machine, cycle: Option<&Cycle>) -> Option<Needs> {
+    pub(crate) fn free_on(&self, machine: &Machine, cycle: Option<&Cycle>) -> Option<Resources> {
         let mut free = self.total_capacity(machine)?;
         let is_gone = |task: &Task| cycle.is_some_and(|cycle| cycle.withdrawn.contains(task));
         for (task, _) in self.mirror.on_host(machine.host) {
             if !is_gone(&task) {
-                free.take(&self.mirror.uses(task.0)?.1);
+                free.subtract(&self.mirror.uses(task.0)?.1);
             }
         }
         for (task, reported) in &machine.reported {
@@ -48,14 +48,14 @@
             if !reported.ended() && (is_gone(task) || !is_assigned()) {
                 // The task has no assignment, or is losing it, and uses capacity until the machine
                 // no longer runs it.
-                free.take(&self.mirror.uses(task.0)?.1);
+                free.subtract(&self.mirror.uses(task.0)?.1);
             }
         }
         let assigned = cycle.and_then(|cycle| cycle.assigned.get(&machine.host));
         for task in assigned.into_iter().flatten() {
             let reported = machine.reported.get(task);
             if reported.is_none_or(|reported| reported.ended()) {
-                free.take(&self.mirror.uses(task.0)?.1);
+                free.subtract(&self.mirror.uses(task.0)?.1);
             }
         }
         Some(free)
@@ -63,11 +63,11 @@
 
     /// Returns the free capacity (cores, accelerators, RAM) if all preemptible arrays on the
     /// machine were stopped.
-    fn free_if_preempted(&self, machine: &Machine, mut free: Needs) -> (f32, f32, f32) {
+    fn free_if_preempted(&self, machine: &Machine, mut free: Resources) -> (f32, f32, f32) {
         for ((job, _), _) in self.mirror.on_host(machine.host) {
             let open = self.mirror.open.get(&job);
             if let Some(open) = open.filter(|open| open.makes_way()) {
-                free.give(&open.needs());
+                free.add(&open.needs());
             }
         }
         as_reported(&free)
@@ -99,7 +99,7 @@
             wants: teams
                 .map(|(team, wanted)| {
                     let name = self.config.team_names.name(team as u32);
-                    (name.to_string(), wanted.cores, wanted.acc)
+                    (name.to_string(), wanted.cores, wanted.accelerators)
                 })
                 .collect(),
         }
@@ -126,9 +126,9 @@
     fn wants(
         &self,
         waiting: &[(u64, u32, f32)],
-        used: &[Needs],
+        used: &[Resources],
         machines: &[&Machine],
-    ) -> Vec<Needs> {
+    ) -> Vec<Resources> {
         let mut wants = used.to_vec();
         for &(job, tasks, _) in waiting {
             if let Some((team, needs)) = self.mirror.uses(job)
@@ -136,16 +136,19 @@
             {
                 let tasks = f64::from(tasks);
                 wanted.cores += needs.cores * tasks;
-                wanted.acc += needs.acc * tasks;
+                wanted.accelerators += needs.accelerators * tasks;
             }
         }
-        let mut total = Needs::default();
+        let mut total = Resources::default();
         for machine in machines {
-            total.give(&self.total_capacity(machine).unwrap_or_default());
+            total.add(&self.total_capacity(machine).unwrap_or_default());
         }
         for (wanted, used) in wants.iter_mut().zip(used) {
             wanted.cores = wanted.cores.min(total.cores).max(used.cores);
-            wanted.acc = wanted.acc.min(total.acc).max(used.acc);
+            wanted.accelerators = wanted
+                .accelerators
+                .min(total.accelerators)
+                .max(used.accelerators);
         }
         wants
     }
@@ -190,6 +193,10 @@
 }
 
 /// Converts an amount to the report's cores, accelerators and RAM.
-fn as_reported(needs: &Needs) -> (f32, f32, f32) {
-    (needs.cores as f32, needs.acc as f32, needs.ram as f32)
+fn as_reported(needs: &Resources) -> (f32, f32, f32) {
+    (
+        needs.cores as f32,
+        needs.accelerators as f32,
+        needs.ram_gb as f32,
+    )
 }
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::machine::{ImageState, Machine, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Rank;
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
     pub(super) task: Task,
     pub(super) attempt: u64,
     rank: Rank,
-    needs: Needs,
+    needs: Resources,
     flow: Flow,
 }
 
@@ -42,7 +42,7 @@
     pub(super) shard_id: usize,
     pub(super) job: u64,
     pub(super) open: &'a OpenJob,
-    pub(super) needs: Needs,
+    pub(super) needs: Resources,
     pub(super) scope: EvictionScope,
     /// Number of the job's tasks by zone.
     pub(super) zones: HashMap<String, u32>,
@@ -129,7 +129,7 @@
                 }
                 *left -= victim.needs.cores;
             }
-            free.give(&victim.needs);
+            free.add(&victim.needs);
             cost += VICTIM_COST - victim.attempt as f64;
             victims.push(victim);
         }
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::machine::{ImageState, Machine, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Shape;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -15,7 +15,7 @@
     pub(super) shard_id: usize,
     pub(super) task: Task,
     pub(super) open: &'a OpenJob,
-    pub(super) needs: Needs,
+    pub(super) needs: Resources,
     /// Machines on which the task's job has failed.
     pub(super) failed_on: Option<&'a BTreeSet<u32>>,
     /// Machine that is reserved for the task. If there is one, no other is considered.
@@ -66,7 +66,7 @@
     pub(super) fn best_fit(
         &self,
         request: &FitRequest,
-        capacities: &[(u32, Needs)],
+        capacities: &[(u32, Resources)],
     ) -> Option<usize> {
         let possible = capacities.iter().enumerate().filter(|(_, (host, free))| {
             request.needs.fits(free) && self.is_possible(request, &self.machines[host])
@@ -77,7 +77,7 @@
             preference_a
                 .cmp(&preference_b)
                 .then(free_a.cores.total_cmp(&free_b.cores))
-                .then(free_a.ram.total_cmp(&free_b.ram))
+                .then(free_a.ram_gb.total_cmp(&free_b.ram_gb))
                 .then(host_b.cmp(host_a))
         });
         best.map(|(capacity, _)| capacity)
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -15,7 +15,7 @@
 use crate::effects::Effect;
 use crate::machine::{Machine, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use crate::pages::Assignment;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::job::Shape;
@@ -34,9 +34,9 @@
     pub(super) shard_id: usize,
     pub(super) now: Millis,
     /// Remaining free capacity by machine.
-    pub(super) capacities: Vec<(u32, Needs)>,
+    pub(super) capacities: Vec<(u32, Resources)>,
     /// Capacity that each team uses in the shard.
-    pub(super) used: Vec<Needs>,
+    pub(super) used: Vec<Resources>,
     pub(super) preemption: Preemption,
     unmet_needs: UnmetNeeds,
     /// Services that are held back for another shard.
@@ -57,7 +57,7 @@
 impl Placement {
     /// Returns whether a flow has an allowance to start ahead of others regardless of rank, but too
     /// little of it is left for a task. The flow then loses the rest of the allowance.
-    fn is_beyond_allowance(&mut self, flow: Flow, needs: &Needs) -> bool {
+    fn is_beyond_allowance(&mut self, flow: Flow, needs: &Resources) -> bool {
         let left = self.ahead_cores.get(&flow);
         let is_beyond = left.is_some_and(|left| *left < needs.cores);
         if is_beyond {
@@ -82,7 +82,7 @@
 
     /// Returns whether no machine has enough free capacity, and records that, so that no machine is
     /// sought for the next task of this size or larger.
-    fn fits_nowhere(&mut self, needs: &Needs) -> bool {
+    fn fits_nowhere(&mut self, needs: &Resources) -> bool {
         let fits_nowhere = !self.capacities.iter().any(|(_, free)| needs.fits(free));
         if fits_nowhere {
             self.unmet_needs.add(*needs);
@@ -98,7 +98,7 @@
     pub(super) team: u32,
     /// Team of the job, if it has a limit.
     limited_team: Option<u32>,
-    pub(super) needs: Needs,
+    pub(super) needs: Resources,
     is_service: bool,
     /// Time since which the job has waited in this shard.
     pub(super) waiting_since: Option<Millis>,
@@ -227,7 +227,12 @@
     }
 
     /// Returns the free capacity of a shard's usable machines, in the order of the machines.
-    fn free_capacities(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Vec<(u32, Needs)> {
+    fn free_capacities(
+        &self,
+        shard_id: usize,
+        cycle: &Cycle,
+        now: Millis,
+    ) -> Vec<(u32, Resources)> {
         let silence = self.silence_ms();
         let usable = |m: &&Machine| m.shard == shard_id && m.is_usable(now, silence);
         let free = |m: &Machine| Some((m.host, self.free_on(m, Some(cycle))?));
@@ -237,13 +242,13 @@
 
     /// Returns what each team uses in a shard, without the tasks that the cycle withdraws, since
     /// their capacity counts as free under the team's limit too.
-    fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Needs> {
+    fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Resources> {
         let mut used = self.mirror.usage(shard_id);
         for task in &cycle.withdrawn {
             if let Some((team, needs)) = self.mirror.uses(task.0)
                 && let Some(used) = used.get_mut(team as usize)
             {
-                used.take(&needs);
+                used.subtract(&needs);
             }
         }
         used
@@ -251,7 +256,7 @@
 
     /// Returns the capacity that a task of a job needs, or `None` if the job does not wait in the
     /// shard.
-    fn needs_of_waiting_job(&self, shard_id: usize, job: u64) -> Option<Needs> {
+    fn needs_of_waiting_job(&self, shard_id: usize, job: u64) -> Option<Resources> {
         self.mirror.waiting(shard_id, job)?;
         self.mirror.open.get(&job).map(OpenJob::needs)
     }
@@ -425,8 +430,8 @@
         if candidate.is_service {
             self.log_service_placed(candidate, host, placement.now);
         }
-        free.take(&candidate.needs);
-        placement.used[candidate.team as usize].give(&candidate.needs);
+        free.subtract(&candidate.needs);
+        placement.used[candidate.team as usize].add(&candidate.needs);
         placement.placed += 1;
         placement.search_budget.note_placed(candidate.flow);
         let started = placement.started_cores.entry(candidate.flow);
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -124,7 +124,7 @@
     /// every owner would leave no writes for users and leases.
     fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let left = shard.budget.left(now);
+        let left = shard.budget.tokens(now);
         // Without waiting tasks the completions of several tasks can share one cycle, and the
         // budget that this saves is available once tasks wait.
         let min_interval_ms = if self.mirror.tasks.waiting[shard_id].is_empty() {
@@ -178,7 +178,7 @@
     /// interval.
     fn compaction_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let is_due = shard.budget.left(now) >= MIN_COMPACTION_BUDGET
+        let is_due = shard.budget.tokens(now) >= MIN_COMPACTION_BUDGET
             && now - shard.compacted_at >= COMPACTION_INTERVAL_MS;
         if is_due {
             shard.compacted_at = now;
--- a/crates/cherryyard-core/src/owner/preemptible.rs
+++ b/crates/cherryyard-core/src/owner/preemptible.rs
@@ -3,7 +3,7 @@
 use crate::admission::flows::Flow;
 use crate::controller::Controller;
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Rank;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -29,7 +29,7 @@
     /// Teams with assignments in the shard that use more than their guarantee.
     teams_beyond_guarantee: BTreeSet<u32>,
     /// Capacity that each team uses in all shards.
-    pub(super) team_totals: Vec<Needs>,
+    pub(super) team_totals: Vec<Resources>,
     /// Cores that may be preempted of each flow that is entitled to go ahead of others regardless
     /// of rank. Tasks of other flows may be preempted as their rank permits.
     pub(super) stoppable_cores: HashMap<Flow, f64>,
@@ -110,11 +110,11 @@
     }
 
     /// Returns the capacity that each team uses in all shards.
-    fn team_totals(&self) -> Vec<Needs> {
-        let mut totals = vec![Needs::default(); self.config.teams.len()];
+    fn team_totals(&self) -> Vec<Resources> {
+        let mut totals = vec![Resources::default(); self.config.teams.len()];
         for shard_id in 0..self.shards.len() {
             for (total, used) in totals.iter_mut().zip(&self.mirror.usage(shard_id)) {
-                total.give(used);
+                total.add(used);
             }
         }
         totals
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -129,7 +129,8 @@
             return Some(ReleaseReason::Failed);
         }
         let silence_limit = self.config.lease_ms + SILENT_AFTER_LEASE_MS;
-        if now - machine.last_heard_at > silence_limit && self.lag.punctual_for(now) > silence_limit
+        if now - machine.last_heard_at > silence_limit
+            && self.lag.time_without_lag(now) > silence_limit
         {
             return Some(ReleaseReason::Silent);
         }
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -2,21 +2,21 @@
 
 use crate::admission::flows::Flow;
 use crate::admission::queue::{MAX_UNPLACED_JOBS_IN_ROW, Place};
-use crate::needs::Needs;
+use crate::needs::Resources;
 use std::collections::HashMap;
 
 /// Amounts for which no machine has free capacity.
 #[derive(Debug, Default)]
-pub(crate) struct UnmetNeeds(Vec<Needs>);
+pub(crate) struct UnmetNeeds(Vec<Resources>);
 
 impl UnmetNeeds {
     /// Returns whether an earlier search has shown that no machine has capacity for an amount.
-    pub(crate) fn is_unmet(&self, needs: &Needs) -> bool {
+    pub(crate) fn is_unmet(&self, needs: &Resources) -> bool {
         self.0.iter().any(|unmet| unmet.fits(needs))
     }
 
     /// Records that no machine has capacity for an amount.
-    pub(crate) fn add(&mut self, needs: Needs) {
+    pub(crate) fn add(&mut self, needs: Resources) {
         if !self.is_unmet(&needs) {
             self.0.retain(|unmet| !needs.fits(unmet));
             self.0.push(needs);
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, MachineState, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Shape;
 
 /// Minimum number of a job's completed tasks for their run time to be used.
@@ -76,7 +76,12 @@
     }
 
     /// Returns the free capacity of a machine, or `None` if it may not run the job or is reserved.
-    fn unreserved_capacity(&self, machine: &Machine, open: &OpenJob, now: Millis) -> Option<Needs> {
+    fn unreserved_capacity(
+        &self,
+        machine: &Machine,
+        open: &OpenJob,
+        now: Millis,
+    ) -> Option<Resources> {
         let reserved = &self.shards[machine.shard].reserved;
         if !machine.is_usable(now, self.silence_ms())
             || !self.allowed(open, machine)
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::effects::{Effect, Ticket};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::{self, Grant};
@@ -63,8 +63,8 @@
 
     /// Returns the capacity that each team's services use in the shard, which is not released by
     /// itself.
-    fn held_by_services(&self, shard_id: usize) -> Vec<Needs> {
-        let mut held = vec![Needs::default(); self.config.teams.len()];
+    fn held_by_services(&self, shard_id: usize) -> Vec<Resources> {
+        let mut held = vec![Resources::default(); self.config.teams.len()];
         let assigned = self
             .mirror
             .tasks
@@ -75,7 +75,7 @@
                 && open.spec.shape == Shape::Service
                 && let Some(held) = held.get_mut(open.team as usize)
             {
-                (0..job_tasks.assignments.len()).for_each(|_| held.give(&open.needs()));
+                (0..job_tasks.assignments.len()).for_each(|_| held.add(&open.needs()));
             }
         }
         held
@@ -87,27 +87,28 @@
         &self,
         shard_id: usize,
         team: u32,
-        used: &[Needs],
-        more: &Needs,
+        used: &[Resources],
+        more: &Resources,
     ) -> bool {
         let team = team as usize;
         let limits = &self.config.teams[team];
         let (grant, _) = &self.mirror.grants[team][shard_id];
         let used = &used[team];
         limits.cores_max.is_finite() && used.cores + more.cores > grant.cores + ROUNDING
-            || limits.acc_max.is_finite() && used.acc + more.acc > grant.acc + ROUNDING
+            || limits.accelerators_max.is_finite()
+                && used.accelerators + more.accelerators > grant.accelerators + ROUNDING
     }
 
     /// Returns the smallest amount of each resource that any of a team's waiting tasks in a shard
     /// needs.
-    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
+    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Resources> {
         let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
         let of_team = open.filter(|open| open.team as usize == team);
-        of_team.map(OpenJob::needs).reduce(|a, b| Needs {
+        of_team.map(OpenJob::needs).reduce(|a, b| Resources {
             cores: a.cores.min(b.cores),
-            acc: a.acc.min(b.acc),
-            ram: a.ram.min(b.ram),
+            accelerators: a.accelerators.min(b.accelerators),
+            ram_gb: a.ram_gb.min(b.ram_gb),
         })
     }
 
@@ -118,7 +119,7 @@
         &mut self,
         shard_id: usize,
         team: usize,
-        used: &[Needs],
+        used: &[Resources],
         now: Millis,
     ) -> bool {
         let least = self.least_waiting(shard_id, team);
@@ -184,12 +185,13 @@
             let kept = if is_unusable {
                 Grant {
                     cores: used[team].cores.min(grant.cores),
-                    acc: used[team].acc.min(grant.acc),
+                    accelerators: used[team].accelerators.min(grant.accelerators),
                 }
             } else {
                 needed_grant(&grant, &report, team)
             };
-            let is_lower = kept.cores < grant.cores - ROUNDING || kept.acc < grant.acc - ROUNDING;
+            let is_lower = kept.cores < grant.cores - ROUNDING
+                || kept.accelerators < grant.accelerators - ROUNDING;
             if revision != 0 && is_lower {
                 let key = record::grant_key(team, shard_id);
                 commit.require(key.clone(), revision);
@@ -203,7 +205,7 @@
 /// Returns the part of a grant that a shard keeps: what it wants, which is never below what is
 /// assigned, and half of the rest, so that its next job need not wait for the leader.
 fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
-    let (cores, acc) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
+    let (cores, accelerators) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
     let kept = |have: f64, want: f64| {
         let half_of_remainder = (have - want) / 2.0;
         if half_of_remainder < 1.0 {
@@ -214,6 +216,6 @@
     };
     Grant {
         cores: kept(grant.cores, cores),
-        acc: kept(grant.acc, acc),
+        accelerators: kept(grant.accelerators, accelerators),
     }
 }
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -69,7 +69,7 @@
         if gain < MIN_GAIN
             || !self.state_fresh(now)
             || now - self.shards[shard_id].lease.token_since() < 2.0 * limit
-            || self.lag.punctual_for(now) < limit
+            || self.lag.time_without_lag(now) < limit
         {
             return;
         }
@@ -211,7 +211,7 @@
     /// its release was requested recently.
     fn silent_since(&self, host: u32, shard_id: usize, now: Millis) -> Millis {
         let held_since = self.shards[shard_id].lease.held_since();
-        let punctual_since = now - self.lag.punctual_for(now);
+        let punctual_since = now - self.lag.time_without_lag(now);
         match self.machines.get(&host) {
             Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
             Some(m) => m.last_heard_at.max(held_since).max(punctual_since),
@@ -230,7 +230,7 @@
         let owned_for = now - self.shards[shard_id].lease.token_since();
         if owned_for < limit
             || owned_for > limit + NEW_OWNER_RELEASE_MS
-            || self.lag.punctual_for(now) < limit
+            || self.lag.time_without_lag(now) < limit
             || !self.state_fresh(now)
         {
             return;
--- a/crates/cherryyard-core/src/token_bucket.rs
+++ b/crates/cherryyard-core/src/token_bucket.rs
@@ -15,7 +15,7 @@
     /// Tokens per second.
     rate: f64,
     capacity: f64,
-    left: f64,
+    tokens: f64,
     /// Number of refused callers that are expected to retry, each for one token. It falls at the
     /// refill rate.
     expected_retries: f64,
@@ -32,7 +32,7 @@
         Self {
             rate,
             capacity: capacity(rate),
-            left: 1.0,
+            tokens: 1.0,
             expected_retries: 0.0,
             refilled_at: now,
         }
@@ -47,16 +47,16 @@
 
     fn refill(&mut self, now: Millis) {
         let refilled = (now - self.refilled_at).max(0.0) / 1000.0 * self.rate;
-        self.left = (self.left + refilled).min(self.capacity);
+        self.tokens = (self.tokens + refilled).min(self.capacity);
         self.expected_retries = (self.expected_retries - refilled).max(0.0);
         self.refilled_at = now;
     }
 
     /// Returns the tokens left at `now`, which are below 0 after urgent spending beyond the
     /// budget.
-    pub fn left(&mut self, now: Millis) -> f64 {
+    pub fn tokens(&mut self, now: Millis) -> f64 {
         self.refill(now);
-        self.left
+        self.tokens
     }
 
     /// Returns how far below 0 urgent spending may take the budget.
@@ -66,7 +66,7 @@
 
     /// Spends `tokens`, even if fewer are left.
     pub fn spend(&mut self, tokens: f64) {
-        self.left -= tokens;
+        self.tokens -= tokens;
     }
 
     /// Spends one token if one is left. Otherwise returns the number of seconds after which to
@@ -74,8 +74,8 @@
     /// than they can be served.
     pub fn take(&mut self, now: Millis) -> Result<(), u32> {
         self.refill(now);
-        if self.left >= 1.0 {
-            self.left -= 1.0;
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
         self.expected_retries += 1.0;
--- a/crates/cherryyard-core/src/token_bucket/tests.rs
+++ b/crates/cherryyard-core/src/token_bucket/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn retries_of_a_burst_are_spread() {
     let mut write_budget = TokenBucket::new(4.0, 0.0);
-    write_budget.left(2000.0);
+    write_budget.tokens(2000.0);
     let answers: Vec<_> = (0..40).map(|_| write_budget.take(2000.0)).collect();
     assert_eq!(answers.iter().filter(|a| a.is_ok()).count(), 8);
     let retries_after = |n: u32| answers.iter().filter(|a| **a == Err(n)).count();
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -127,7 +127,7 @@
 
     /// Spends budget for a user's write that is made even if the budget is spent.
     pub fn spend_user_write(&mut self, now: Millis) {
-        if self.user_write_budget.left(now) > -self.user_write_budget.overdraft() {
+        if self.user_write_budget.tokens(now) > -self.user_write_budget.overdraft() {
             self.user_write_budget.spend(1.0);
         }
     }
@@ -173,11 +173,11 @@
 
     /// Returns whether users' polls are refused at present, because the event loop lags.
     pub fn refuses_polls(&self, now: Millis) -> bool {
-        self.lag.now(now) > MAX_POLL_LAG_MS
+        self.lag.current(now) > MAX_POLL_LAG_MS
     }
 
     /// Returns whether submissions are refused at present, because the event loop lags.
     pub fn refuses_submissions(&self, now: Millis) -> bool {
-        self.lag.now(now) > MAX_SUBMISSION_LAG_MS
+        self.lag.current(now) > MAX_SUBMISSION_LAG_MS
     }
 }
--- a/crates/cherryyard-wire/src/record/assignments.rs
+++ b/crates/cherryyard-wire/src/record/assignments.rs
@@ -26,5 +26,6 @@
     /// Cores that the shard may use.
     pub cores: f64,
     /// Accelerators that the shard may use.
-    pub acc: f64,
+    #[serde(rename = "acc")]
+    pub accelerators: f64,
 }
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -212,7 +212,7 @@
     assert_json_sample("format", &format);
     let grant = Grant {
         cores: 12.5,
-        acc: 0.0,
+        accelerators: 0.0,
     };
     assert_json_sample("grant", &grant);
     let held = [("host-000231", vec![0]), ("host-000007", vec![])];
