--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -165,7 +165,7 @@
             // A retry keeps its division: a second one would count twice against the capacity.
             if open.dependencies.is_none() && waiting.divided_under != Some(token) {
                 open.division = Vec::new();
-                self.fill_division(open, now);
+                self.divide_job(open, now);
                 waiting.divided_under = Some(token);
             }
         }
@@ -263,7 +263,11 @@
             .map(|shard_id| self.shard_owner(shard_id, now))
             .collect();
         let leader_token = self.mirror.revision(Key::Leader);
-        let may_grant = may_grant(self.leader.since(), self.state_contact.read_sent_at(), now);
+        let may_grant = may_grant(
+            self.leader.leading_since(),
+            self.state_contact.read_sent_at(),
+            now,
+        );
         self.entitlements
             .divide_guarantees(usage, leader_token, &owners, may_grant, now);
     }
@@ -355,7 +359,7 @@
                 };
                 self.entitlements.grants_acknowledged(number, owned);
             }
-        } else if self.leader.is_label(&self.mirror, &heartbeat.label) {
+        } else if self.leader.is_held_by(&self.mirror, &heartbeat.label) {
             self.receive_grants(heartbeat, acknowledgement, now);
         }
     }
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -382,12 +382,12 @@
                 self.plan_shard(shard_id, now);
             }
         }
-        if self.leader.needs_cycle || now - self.leader.planned_at >= LEADER_CYCLE_MS {
-            self.plan_leader(now);
+        if self.leader.needs_cycle || now - self.leader.cycle_ran_at >= LEADER_CYCLE_MS {
+            self.run_leader_cycle(now);
         }
         self.send_submissions(now);
-        self.pack(now);
-        self.create(now);
+        self.advance_history_compaction(now);
+        self.advance_bulk_creation(now);
     }
 
     /// Marks all shards and the leader as due for a scheduling cycle.
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -43,9 +43,9 @@
         }
         self.leader.needs_cycle |= !heartbeat.handover_candidates.is_empty();
         for report in &heartbeat.shards {
-            self.leader.hear(report.clone(), now);
+            self.leader.record_capacity_report(report.clone(), now);
         }
-        if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
+        if self.leader.is_held_by(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
             self.lower_grants(&heartbeat.short, now);
         }
         self.read_entitlements(peer, &heartbeat, now);
@@ -142,7 +142,7 @@
             }
         }
         for report in &reports {
-            self.leader.hear(report.clone(), now);
+            self.leader.record_capacity_report(report.clone(), now);
         }
         reports
     }
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -66,7 +66,7 @@
             let mut divided = Vec::new();
             for job in jobs {
                 let mut open = self.mirror.open[&job].clone();
-                if self.fill_division(&mut open, now) {
+                if self.divide_job(&mut open, now) {
                     divided.push((job, open));
                 }
             }
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -20,7 +20,7 @@
     /// controllers are refused) from the cloud's list and the assignments. Otherwise every job
     /// would go to the leader's own shard.
     pub(crate) fn assume_capacities(&mut self, now: Millis) {
-        if now - self.leader.since() < ASSUME_AFTER_MS {
+        if now - self.leader.leading_since() < ASSUME_AFTER_MS {
             return;
         }
         for shard_id in 0..self.shards.len() {
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -26,7 +26,7 @@
 
 impl Controller {
     /// Makes one step for the submissions. At most one read or transaction is pending at a time.
-    pub(crate) fn create(&mut self, now: Millis) {
+    pub(crate) fn advance_bulk_creation(&mut self, now: Millis) {
         if self.mirror.submissions.is_empty() {
             return;
         }
@@ -152,7 +152,7 @@
             tracing::error!(job, "a submission's job cannot be created");
             return None;
         };
-        self.fill_division(&mut open, now);
+        self.divide_job(&mut open, now);
         Some((job, open.record()))
     }
 
@@ -224,7 +224,7 @@
             (Ok(Some(_)), None) | (Err(()), _) => ChunkRead::Failed,
         };
         self.leader.bulk_creation.chunk_read(read, now);
-        self.create(now);
+        self.advance_bulk_creation(now);
     }
 
     /// Handles the outcome of a step.
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -53,7 +53,7 @@
     fn wants_leadership(&mut self, now: Millis) -> bool {
         match &self.mirror.leader_lease {
             Some(lease) if lease.label == self.config.labels[self.config.me] => {
-                !self.leader.leadership.leads_by(lease.revision)
+                !self.leader.leadership.leads_under(lease.revision)
             }
             Some(lease) => self.should_replace_leader(&lease.label, now),
             None => {
@@ -134,8 +134,8 @@
 /// Scheduling cycle of the leader.
 impl Controller {
     /// Runs one scheduling cycle of the leader.
-    pub(crate) fn plan_leader(&mut self, now: Millis) {
-        self.leader.planned_at = now;
+    pub(crate) fn run_leader_cycle(&mut self, now: Millis) {
+        self.leader.cycle_ran_at = now;
         let store_revision = self.mirror.store_revision;
         let transaction = &self.leader.cycle_transaction;
         if !self.leader.leads(&self.mirror)
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -49,8 +49,8 @@
     }
 
     /// Divides one job. Returns false if nothing is known to divide the job by.
-    pub(crate) fn fill_division(&mut self, open: &mut OpenJob, now: Millis) -> bool {
-        let missing = if now - self.leader.since() < REPORTS_WAIT_MS {
+    pub(crate) fn divide_job(&mut self, open: &mut OpenJob, now: Millis) -> bool {
+        let missing = if now - self.leader.leading_since() < REPORTS_WAIT_MS {
             MissingReports::Await
         } else {
             MissingReports::EqualWeights
@@ -85,7 +85,7 @@
                 break;
             }
             let mut open = self.mirror.open[&job].clone();
-            if !self.fill_division(&mut open, now) {
+            if !self.divide_job(&mut open, now) {
                 continue;
             }
             records.push((job, open.record()));
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -20,7 +20,7 @@
     /// Makes one step of history compaction, if this controller leads. At most one read or
     /// transaction is pending at a time, and its share of the write budget leaves the rest to
     /// other writes.
-    pub(crate) fn pack(&mut self, now: Millis) {
+    pub(crate) fn advance_history_compaction(&mut self, now: Millis) {
         if !self.config.tuning.history {
             return;
         }
@@ -158,7 +158,7 @@
             compaction.retry_after = now + READ_RETRY_MS;
         }
         compaction.compactor.read(leaf);
-        self.pack(now);
+        self.advance_history_compaction(now);
     }
 
     /// Handles the outcome of a transaction of history compaction.
--- a/crates/cherryyard-core/src/leader/leadership.rs
+++ b/crates/cherryyard-core/src/leader/leadership.rs
@@ -52,7 +52,7 @@
     /// Token of the last lease under which this controller has led.
     token: u64,
     /// Time at which that lease was known to be applied; before that, the start of the controller.
-    since: Millis,
+    leading_since: Millis,
     acquire_after: Millis,
     /// Time since which no controller has held the lease.
     leaderless_since: Option<Millis>,
@@ -63,7 +63,7 @@
         Self {
             phase: LeadershipPhase::Follower,
             token: 0,
-            since: now,
+            leading_since: now,
             acquire_after: now,
             leaderless_since: None,
         }
@@ -71,8 +71,8 @@
 
     /// Returns the time at which this controller's last lease was known to be applied; before
     /// that, the start of the controller.
-    pub(crate) fn since(&self) -> Millis {
-        self.since
+    pub(crate) fn leading_since(&self) -> Millis {
+        self.leading_since
     }
 
     /// Returns the token of the lease under which this controller leads, as far as is known here.
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether this controller leads under the lease with this token.
-    pub(crate) fn leads_by(&self, token: u64) -> bool {
+    pub(crate) fn leads_under(&self, token: u64) -> bool {
         self.phase == LeadershipPhase::Leading(token)
     }
 
@@ -130,7 +130,7 @@
         }
         self.token = token;
         self.change(LeadershipEvent::Applied(token));
-        self.since = now;
+        self.leading_since = now;
         self.acquire_after = now + REACQUIRE_DELAY_MS;
         true
     }
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -19,7 +19,7 @@
     /// Whether something has changed since the last cycle.
     pub(crate) needs_cycle: bool,
     /// Time of the last cycle.
-    pub(crate) planned_at: Millis,
+    pub(crate) cycle_ran_at: Millis,
     pub(crate) cycle_transaction: CycleTransaction,
     pub(crate) capacities: CapacityReports,
     pub(crate) rebalancing: Rebalancing,
@@ -39,7 +39,7 @@
         Self {
             leadership: Leadership::new(now),
             needs_cycle: true,
-            planned_at: now,
+            cycle_ran_at: now,
             cycle_transaction: CycleTransaction::new(now),
             capacities: CapacityReports::new(config.shards()),
             rebalancing: Rebalancing::new(),
@@ -68,12 +68,12 @@
 
     /// Returns the time at which this controller last acquired the leader lease; before that, its
     /// start.
-    pub(crate) fn since(&self) -> Millis {
-        self.leadership.since()
+    pub(crate) fn leading_since(&self) -> Millis {
+        self.leadership.leading_since()
     }
 
     /// Returns whether the controller with this name holds the leader lease.
-    pub(crate) fn is_label(&self, mirror: &Mirror, label: &str) -> bool {
+    pub(crate) fn is_held_by(&self, mirror: &Mirror, label: &str) -> bool {
         let lease = mirror.leader_lease.as_ref();
         lease.is_some_and(|lease| lease.label == label)
     }
@@ -85,7 +85,7 @@
     }
 
     /// Stores a shard's capacity report, unless it is malformed or from a previous owner.
-    pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
+    pub(crate) fn record_capacity_report(&mut self, report: CapacityReport, now: Millis) {
         if self.capacities.receive(report, now) {
             self.needs_cycle = true;
         }
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -105,7 +105,7 @@
             }
         }
         if let Some(token) = leader_token
-            && !self.leader.leadership.leads_by(token)
+            && !self.leader.leadership.leads_under(token)
         {
             self.become_leader(token, now);
         }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -96,7 +96,7 @@
     fn lender_count(&self, now: Millis) -> usize {
         let has_seen_lease = self.state_contact.read_age(now) <= LEASE_SEEN_MS && self.caught_up();
         let is_predecessor_over =
-            now - self.leader.since() >= LEASE_SEEN_MS * LEASE_SEEN_DRIFT_FACTOR;
+            now - self.leader.leading_since() >= LEASE_SEEN_MS * LEASE_SEEN_DRIFT_FACTOR;
         if !has_seen_lease || !is_predecessor_over {
             return 0;
         }
@@ -144,7 +144,7 @@
         };
         let labels = &self.config.labels;
         let leader = (0..labels.len())
-            .find(|&index| self.leader.is_label(&self.mirror, &labels[index]))
+            .find(|&index| self.leader.is_held_by(&self.mirror, &labels[index]))
             .filter(is_able);
         let target = match leader {
             Some(leader) => Some(leader),
