--- a/crates/cherryyard-core/src/event_loop_lag.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -41,7 +41,7 @@
         self.ticked_at = now;
     }
 
-    /// Records that the process was paused until `current`.
+    /// Records that the process was paused until `now`.
     pub fn process_suspended(&mut self, now: Millis) {
         self.late_at = now;
     }
