--- a/crates/cherryyard/src/app/effects.rs
+++ b/crates/cherryyard/src/app/effects.rs
@@ -15,19 +15,19 @@
 use std::sync::{Arc, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Pause before the outcome of a transaction that is not sent is returned.
+/// Pause before [`Outcome::Malformed`] is returned for a transaction that is not sent.
 const MALFORMED_PAUSE: Duration = Duration::from_millis(250);
-/// Pause after the cloud was unavailable, in milliseconds, before jitter.
+/// Pause after the cloud was unavailable, in milliseconds before jitter.
 const CLOUD_PAUSE_MS: u64 = 2500;
 
 impl App {
-    /// Starts what an effect asks for; what comes out of it is reported to the core.
+    /// Starts an effect; its outcome, if it has one, is reported to the core.
     pub(super) fn perform(self: &Arc<Self>, effect: Effect) {
         let app = self.clone();
         match effect {
             Effect::Refresh => self.barriers.request(),
-            Effect::Heartbeat => self.heartbeat_wanted.notify_one(),
-            Effect::Answer(ticket, verdict) => self.pending.reply(ticket, verdict),
+            Effect::Heartbeat => self.heartbeat_requested.notify_one(),
+            Effect::Answer(ticket, verdict) => self.pending.deliver_verdict(ticket, verdict),
             Effect::Commit(ticket, commit) => {
                 tokio::spawn(async move { app.perform_commit(ticket, commit).await });
             }
@@ -60,7 +60,7 @@
         let outcome = self.commit(&commit).await;
         self.with(|controller, now| controller.committed(ticket, &commit, outcome, now));
         if matches!(ticket, Ticket::AcquireShard(_)) && outcome == Outcome::NoLease {
-            tracing::info!("state lease expired before a shard lease was acquired under it");
+            tracing::info!("state lease expired before a shard lease could be acquired under it");
         }
     }
 
@@ -76,7 +76,7 @@
     async fn query_status(self: Arc<Self>, host: u32, addr: &str) {
         let answer = worker::query(&self.clients.workers, addr).await;
         if let Err(e) = &answer {
-            tracing::debug!(addr, "status query without an answer: {e}");
+            tracing::debug!(addr, "no response to a status query: {e}");
         }
         let answer = answer.ok();
         self.with(|controller, now| controller.handle_status_answer(host, answer.as_ref(), now));
@@ -114,12 +114,13 @@
         self.with(|controller, now| controller.provisioned(&request, answer, now));
     }
 
-    /// Sends a transaction, unless it exceeds the limits or has been refused for that.
+    /// Sends a transaction, unless it exceeds the state service's limits or was rejected as
+    /// malformed before.
     pub async fn commit(self: &Arc<Self>, commit: &Commit) -> Outcome {
-        let excess = self
+        let limit_exceeded = self
             .with(|controller, _| controller.config.check_commit(commit))
             .err();
-        if self.rejected_transactions().forbids(commit, excess) {
+        if self.rejected_transactions().forbids(commit, limit_exceeded) {
             tokio::time::sleep(MALFORMED_PAUSE).await;
             return Outcome::Malformed;
         }
@@ -142,7 +143,8 @@
         self.with(|controller, now| controller.state_answered(sent_at, now));
         outcome
     }
-    /// Sends a user's transaction, and reports it to the core if it was applied.
+
+    /// Sends a user's transaction, and reports the transaction to the core if it was applied.
     pub async fn commit_for_user(self: &Arc<Self>, commit: &Commit) -> Outcome {
         let outcome = self.commit(commit).await;
         if let Outcome::Applied(store_revision) = outcome {
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -1,4 +1,4 @@
-//! Submissions that wait for a verdict: of another controller, or of the core.
+//! Submissions that wait for a response from another controller or a verdict of the core.
 
 use super::App;
 use cherryyard_clients::peer::OutgoingMessage;
@@ -11,23 +11,25 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest that a forwarded submission waits before it is written here.
+/// Time that a forwarded submission waits for a response before this controller writes the
+/// submission itself.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest that the core's verdict is waited for.
+/// Longest time that a submission waits for the core's verdict.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Longest that a forwarded submission waits where it cannot be written here.
+/// Time that a forwarded submission waits for a response while this controller cannot write
+/// to the state service itself.
 const FORWARD_ONLY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Whoever waits for a result, by ticket.
-type Waiting<T> = Mutex<HashMap<u64, oneshot::Sender<T>>>;
+/// Reply channels of submissions that wait for a result, by ticket.
+type PendingReplies<T> = Mutex<HashMap<u64, oneshot::Sender<T>>>;
 
 /// Submissions that wait for a verdict.
 #[derive(Debug)]
 pub(crate) struct PendingSubmissions {
-    /// Forwarded ones, which wait for the other controller's response.
-    forwarded: Waiting<ForwardResponse>,
-    /// Those handed to the core, which wait for its verdict.
-    offered: Waiting<Verdict>,
+    /// Forwarded submissions, which wait for the other controller's response.
+    forwarded: PendingReplies<ForwardResponse>,
+    /// Submissions offered to the core, which wait for its verdict.
+    offered: PendingReplies<Verdict>,
     next_ticket: AtomicU64,
 }
 
@@ -36,8 +38,8 @@
 }
 
 impl PendingSubmissions {
-    /// None yet. Tickets begin anywhere: a late response to an earlier process of this
-    /// controller must find nobody waiting.
+    /// Returns an empty collection. The first ticket is random, so that a late response to an
+    /// earlier process of this controller does not match a waiting submission.
     pub(crate) fn new() -> Self {
         Self {
             forwarded: Mutex::default(),
@@ -46,36 +48,38 @@
         }
     }
 
-    fn take_ticket(&self) -> u64 {
+    fn issue_ticket(&self) -> u64 {
         self.next_ticket.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Hands another controller's response to whoever waits for it.
-    pub(super) fn receive(&self, response: ForwardResponse) {
-        if let Some(reply_to) = lock(&self.forwarded).remove(&response.ticket) {
-            // The one who waits may have given up.
-            let _ = reply_to.send(response);
+    /// Passes another controller's response on to the submission that waits for it.
+    pub(super) fn deliver_response(&self, response: ForwardResponse) {
+        if let Some(reply_sender) = lock(&self.forwarded).remove(&response.ticket) {
+            // Fails if the submission has timed out.
+            let _ = reply_sender.send(response);
         }
     }
 
-    /// Hands the core's verdict to whoever waits for it.
-    pub(super) fn reply(&self, ticket: u64, verdict: Verdict) {
-        if let Some(reply_to) = lock(&self.offered).remove(&ticket) {
-            // The one who waits may have given up.
-            let _ = reply_to.send(verdict);
+    /// Passes the core's verdict on to the submission that waits for it.
+    pub(super) fn deliver_verdict(&self, ticket: u64, verdict: Verdict) {
+        if let Some(reply_sender) = lock(&self.offered).remove(&ticket) {
+            // Fails if the submission has timed out.
+            let _ = reply_sender.send(verdict);
         }
     }
 }
 
 impl App {
-    /// Has another controller write a submission, if one should; none if it is
-    /// to be written here after all.
+    /// Forwards a submission to the controller that should write it, and returns that
+    /// controller's response; returns none if this controller has to write the submission
+    /// itself.
     pub async fn forward(self: &Arc<Self>, body: &[u8], at: u64) -> Option<ForwardResponse> {
         let (queue, timeout, label) = self.with(|controller, now| {
             let target = controller.forwarding_target(now)?;
             let queue = self.peers.queues.get(target)?;
             let timeout = if controller.state_fresh(now) {
-                // Where many wait there, to write it here too would only be in the way.
+                // The timeout grows with the time that submissions take at the target: while many
+                // wait there, a second write of the same submission would only add load.
                 FORWARD_TIMEOUT + Duration::from_millis(2 * controller.intake_ms(target).min(200))
             } else {
                 FORWARD_ONLY_TIMEOUT
@@ -86,17 +90,17 @@
                 controller.config.labels[controller.config.me].clone(),
             ))
         })?;
-        let ticket = self.pending.take_ticket();
-        let query = ForwardedSubmission {
+        let ticket = self.pending.issue_ticket();
+        let submission = ForwardedSubmission {
             label,
             ticket,
             at,
             body: body.to_vec(),
         };
-        let (reply_to, reply) = oneshot::channel();
-        lock(&self.pending.forwarded).insert(ticket, reply_to);
+        let (reply_sender, reply) = oneshot::channel();
+        lock(&self.pending.forwarded).insert(ticket, reply_sender);
         let sent = queue.try_send(OutgoingMessage::new(
-            Message::ForwardedSubmission(query),
+            Message::ForwardedSubmission(submission),
             self.peers.sender.clone(),
         ));
         let reply = match sent {
@@ -110,12 +114,12 @@
         reply
     }
 
-    /// Hands a new job to the core, and waits for its verdict. The job was not in the history
-    /// as of its record's revision `moved`.
+    /// Offers a new job to the core, and waits for its verdict. `moved` is the revision of the
+    /// history's record as of which the job was not in the history.
     pub async fn offer(self: &Arc<Self>, job: u64, open: OpenJob, moved: u64) -> Verdict {
-        let ticket = self.pending.take_ticket();
-        let (reply_to, reply) = oneshot::channel();
-        lock(&self.pending.offered).insert(ticket, reply_to);
+        let ticket = self.pending.issue_ticket();
+        let (reply_sender, reply) = oneshot::channel();
+        lock(&self.pending.offered).insert(ticket, reply_sender);
         let offer = Offer {
             ticket,
             job,
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -1,8 +1,8 @@
-//! Look-ups of jobs in the history, which is in the state service only.
+//! Look-ups of jobs in the history, which is stored in the state service only.
 //!
-//! A look-up costs at most two reads. Reads go one after another, within a share of the
-//! request budget that leaves the rest to assignments, leases and barriers; a look-up of a
-//! job in a leaf that was read for another one is answered from the cache.
+//! A look-up costs at most two reads. Reads are sent one at a time, within a share of the
+//! request budget that leaves the rest to assignments, leases and barriers. A look-up of a job
+//! whose leaf was read for another job is answered from the cache.
 
 use super::App;
 use super::lookup_queue::LookupQueue;
@@ -14,60 +14,70 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 
-/// Look-ups that may wait at once, of either kind.
+/// Most submissions that wait for a look-up at once.
 const MAX_WAITING: usize = 200;
-/// Longest that one waits.
+/// Longest time that a request waits for its look-up.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Share of the request budget that the leader's look-ups may have, and that of all
-/// others together: submissions, which need one each, are passed on to the leader.
+/// Share of the request budget that the leader's look-ups may use. The leader has more than
+/// the other controllers because submissions, which need a look-up each, are forwarded to it.
 const LEADER_SHARE: f64 = 0.15;
-const OTHERS_SHARE: f64 = 0.1;
+/// Share of the request budget that the look-ups of all other controllers together may use.
+const NON_LEADER_SHARE: f64 = 0.1;
 
-/// Submissions that are served before a poll is.
+/// Look-ups for submissions that are served in a row while a poll waits.
 const MAX_SUBMISSIONS_IN_A_ROW: u32 = 3;
 
-/// For whom a look-up is.
+/// Kind of request that a look-up serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LookupKind {
-    /// A submission, which must not come after a flood of polls.
+    /// A submission, which must not be delayed by a flood of polls.
     Submission,
-    /// A poll.
+    /// A poll of a job's state.
     Poll,
 }
 
-/// What a look-up found, and as of which revision of the history's record.
+/// Result of a look-up.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Found {
-    pub past: Option<FinishedJob>,
-    pub moved: u64,
+pub(crate) struct LookupResult {
+    /// The job, if the history holds it.
+    pub finished_job: Option<FinishedJob>,
+    /// Revision of the history's record as of which the result holds.
+    pub history_revision: u64,
 }
 
-type Waiting = (u64, oneshot::Sender<Option<Found>>);
+/// A job number, and the reply channel of the submission that waits for its look-up.
+type WaitingSubmission = (u64, oneshot::Sender<Option<LookupResult>>);
 
+/// Look-ups that wait, by kind.
 #[derive(Debug, Default)]
 struct Queues {
-    submissions: VecDeque<Waiting>,
-    polls: LookupQueue<oneshot::Sender<Option<Found>>>,
-    /// Submissions served since the last poll.
-    in_a_row: u32,
+    submissions: VecDeque<WaitingSubmission>,
+    polls: LookupQueue<oneshot::Sender<Option<LookupResult>>>,
+    /// Look-ups for submissions served since the last one for a poll.
+    submissions_in_a_row: u32,
 }
 
-/// How look-ups went since the last log line.
+/// Counts of look-ups since the last log line.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
+    /// Look-ups requested while the history was not empty.
     queried: u64,
+    /// Look-ups answered from the cache at once.
     cached: u64,
+    /// Leaves read from the state service.
     reads: u64,
+    /// Submissions refused because too many were waiting.
     refused: u64,
 }
 
-/// Look-ups under way, and leaves lately read.
+/// Look-ups in progress, and a cache of recently read leaves.
 #[derive(Debug)]
 pub(crate) struct HistoryLookups {
     queues: Mutex<Queues>,
     cache: Mutex<LeafCache>,
     counts: Mutex<Counts>,
-    wanted: Notify,
+    lookup_requested: Notify,
+    /// Request budget of the state service, in requests per second.
     rps: f64,
 }
 
@@ -76,21 +86,22 @@
 }
 
 impl HistoryLookups {
-    /// Look-ups within a share of `rps` requests a second, with a cache of at most a
-    /// sixty-fourth of the memory.
+    /// Returns an empty set of look-ups that uses a share of `rps` requests per second, and a
+    /// cache of at most 1/64 of the memory.
     pub(crate) fn new(rps: f64, memory_bytes: usize) -> Self {
         Self {
             queues: Mutex::default(),
             cache: Mutex::new(LeafCache::new(memory_bytes / 64 / 32)),
             counts: Mutex::default(),
-            wanted: Notify::new(),
+            lookup_requested: Notify::new(),
             rps,
         }
     }
 }
 
-/// The revision of the history's record, and whether jobs are moving between the runs.
-fn moved(controller: &Controller) -> (u64, bool) {
+/// Returns the revision of the history's record, and whether jobs are being moved from the
+/// small run to the large one.
+fn history_state(controller: &Controller) -> (u64, bool) {
     (
         controller.mirror.packed_revision,
         controller.mirror.packed.spilling,
@@ -98,82 +109,92 @@
 }
 
 impl App {
-    /// Looks for a job that the mirror does not know, as of now; none if the look-up
-    /// fails, or takes too long.
+    /// Looks up a job that is not in the mirror, as of now; returns none if the look-up is
+    /// refused, fails, or times out.
     pub(crate) async fn find_in_history(
         self: &Arc<Self>,
         job: u64,
-        by: LookupKind,
-    ) -> Option<Found> {
+        kind: LookupKind,
+    ) -> Option<LookupResult> {
         if !self.with(|controller, _| controller.mirror.packed.any()) {
-            let moved = self.with(|controller, _| controller.mirror.packed_revision);
-            return Some(Found { past: None, moved });
+            let history_revision = self.with(|controller, _| controller.mirror.packed_revision);
+            return Some(LookupResult {
+                finished_job: None,
+                history_revision,
+            });
         }
         lock(&self.history.counts).queried += 1;
-        if let Some(found) = self.cached(job) {
+        if let Some(result) = self.find_in_cache(job) {
             lock(&self.history.counts).cached += 1;
-            return Some(found);
+            return Some(result);
         }
-        let (reply_to, reply) = oneshot::channel();
+        let (reply_sender, reply) = oneshot::channel();
         {
             let mut queues = lock(&self.history.queues);
-            match by {
-                LookupKind::Poll => queues.polls.query(job, reply_to, self.now() as u64),
+            match kind {
+                LookupKind::Poll => queues.polls.add_poll(job, reply_sender, self.now() as u64),
                 LookupKind::Submission if queues.submissions.len() >= MAX_WAITING => {
                     lock(&self.history.counts).refused += 1;
                     return None;
                 }
-                LookupKind::Submission => queues.submissions.push_back((job, reply_to)),
+                LookupKind::Submission => queues.submissions.push_back((job, reply_sender)),
             }
         }
-        self.history.wanted.notify_one();
+        self.history.lookup_requested.notify_one();
         let reply = tokio::time::timeout(LOOKUP_TIMEOUT, reply).await;
         reply.ok().and_then(Result::ok).flatten()
     }
 
-    /// The result by leaves in the cache, if they suffice.
-    fn cached(self: &Arc<Self>, job: u64) -> Option<Found> {
-        let (moved, spilling) = self.with(|controller, _| moved(controller));
+    /// Returns the result of a look-up from the cached leaves, if they suffice.
+    fn find_in_cache(self: &Arc<Self>, job: u64) -> Option<LookupResult> {
+        let (history_revision, spilling) = self.with(|controller, _| history_state(controller));
         let mut cache = lock(&self.history.cache);
-        let mut absent = 0;
+        let mut runs_without_job = 0;
         for level in Controller::LOOKUP_ORDER {
-            match cache.lookup(level, job, moved) {
-                Lookup::Finished(past) => {
-                    let past = Some(past);
-                    return Some(Found { past, moved });
+            match cache.lookup(level, job, history_revision) {
+                Lookup::Finished(finished_job) => {
+                    let finished_job = Some(finished_job);
+                    return Some(LookupResult {
+                        finished_job,
+                        history_revision,
+                    });
                 }
-                Lookup::Absent(_) => absent += 1,
+                Lookup::Absent(_) => runs_without_job += 1,
                 Lookup::Unknown => {}
             }
         }
-        // While jobs go from one run to the other, one may have been missed in both.
-        (absent == 2 && !spilling).then_some(Found { past: None, moved })
+        // While jobs are moved between the runs, a job may be missing from the cached leaves of
+        // both.
+        (runs_without_job == 2 && !spilling).then_some(LookupResult {
+            finished_job: None,
+            history_revision,
+        })
     }
 
-    /// Looks in the small run, then in the large one: a job is in the large one
-    /// before it leaves the small one, so it is missed in neither.
-    async fn look_up(self: &Arc<Self>, job: u64) -> Option<Found> {
-        let (moved_at, spilling) = self.with(|controller, _| moved(controller));
+    /// Looks a job up in the small run and then in the large one. A job is added to the large
+    /// run before it is removed from the small one, so this order never misses a job.
+    async fn look_up(self: &Arc<Self>, job: u64) -> Option<LookupResult> {
+        let (revision_at_start, spilling) = self.with(|controller, _| history_state(controller));
         let mut small_read_at = 0;
         for level in Controller::LOOKUP_ORDER {
-            let known = lock(&self.history.cache).lookup(level, job, moved_at);
+            let known = lock(&self.history.cache).lookup(level, job, revision_at_start);
             match known {
-                Lookup::Finished(past) => {
-                    return Some(Found {
-                        past: Some(past),
-                        moved: moved_at,
+                Lookup::Finished(finished_job) => {
+                    return Some(LookupResult {
+                        finished_job: Some(finished_job),
+                        history_revision: revision_at_start,
                     });
                 }
                 Lookup::Absent(store_revision) if level == Level::Small => {
                     small_read_at = store_revision;
                     continue;
                 }
-                // As good as read now only if nothing has moved up to the time at
-                // which the small run was read.
+                // As good as a new read only if the history's record has not changed up to the
+                // revision at which the small run was read.
                 Lookup::Absent(_)
                     if !spilling
                         && self.with(|controller, _| {
-                            controller.mirror.packed_revision == moved_at
+                            controller.mirror.packed_revision == revision_at_start
                                 && controller.mirror.store_revision >= small_read_at
                         }) =>
                 {
@@ -181,24 +202,27 @@
                 }
                 Lookup::Absent(_) | Lookup::Unknown => {}
             }
-            let (read_at, past) = self.read_leaf_of(level, job).await?;
+            let (read_at, finished_job) = self.read_and_cache_leaf(level, job).await?;
             if level == Level::Small {
                 small_read_at = read_at;
             }
-            if past.is_some() {
-                let moved = moved_at;
-                return Some(Found { past, moved });
+            if finished_job.is_some() {
+                let history_revision = revision_at_start;
+                return Some(LookupResult {
+                    finished_job,
+                    history_revision,
+                });
             }
         }
-        Some(Found {
-            past: None,
-            moved: moved_at,
+        Some(LookupResult {
+            finished_job: None,
+            history_revision: revision_at_start,
         })
     }
 
-    /// Reads the leaf of a run that would hold a job, and keeps it in the cache; returns
+    /// Reads the leaf of a run that would hold a job, and stores the leaf in the cache; returns
     /// the revision that the read describes, and the job if the leaf holds it.
-    async fn read_leaf_of(
+    async fn read_and_cache_leaf(
         self: &Arc<Self>,
         level: Level,
         job: u64,
@@ -215,55 +239,56 @@
             }
             None => (LAST, Leaf::default()),
         };
-        let past = leaf.find(job).copied();
+        let finished_job = leaf.find(job).copied();
         let mut cache = lock(&self.history.cache);
         cache.put(level, job, last, read.store_revision, leaf);
-        Some((read.store_revision, past))
+        Some((read.store_revision, finished_job))
     }
 
-    /// The next look-up: mostly a submission's, but polls are not starved.
-    fn next_lookup(&self) -> Option<(u64, Vec<oneshot::Sender<Option<Found>>>)> {
+    /// Returns the next look-up to serve. Submissions come first, but after
+    /// [`MAX_SUBMISSIONS_IN_A_ROW`] of them a waiting poll is served.
+    fn next_lookup(&self) -> Option<(u64, Vec<oneshot::Sender<Option<LookupResult>>>)> {
         let mut queues = lock(&self.history.queues);
         queues
             .submissions
-            .retain(|(_, reply_to)| !reply_to.is_closed());
-        if queues.in_a_row < MAX_SUBMISSIONS_IN_A_ROW
-            && let Some((job, reply_to)) = queues.submissions.pop_front()
+            .retain(|(_, reply_sender)| !reply_sender.is_closed());
+        if queues.submissions_in_a_row < MAX_SUBMISSIONS_IN_A_ROW
+            && let Some((job, reply_sender)) = queues.submissions.pop_front()
         {
-            queues.in_a_row += 1;
-            return Some((job, vec![reply_to]));
+            queues.submissions_in_a_row += 1;
+            return Some((job, vec![reply_sender]));
         }
-        queues.in_a_row = 0;
+        queues.submissions_in_a_row = 0;
         let poll = queues.polls.next(self.now() as u64);
         poll.or_else(|| {
-            let (job, reply_to) = queues.submissions.pop_front()?;
-            Some((job, vec![reply_to]))
+            let (job, reply_sender) = queues.submissions.pop_front()?;
+            Some((job, vec![reply_sender]))
         })
     }
 
-    /// Serves look-ups, one after the other.
+    /// Serves look-ups one at a time, with pauses that keep reads within the budget.
     pub(crate) async fn serve_lookups(self: Arc<Self>) {
         loop {
-            let Some((job, waiting)) = self.next_lookup() else {
-                self.history.wanted.notified().await;
+            let Some((job, reply_senders)) = self.next_lookup() else {
+                self.history.lookup_requested.notified().await;
                 continue;
             };
-            let before = lock(&self.history.counts).reads;
-            let found = match self.cached(job) {
-                Some(found) => Some(found),
+            let reads_before = lock(&self.history.counts).reads;
+            let result = match self.find_in_cache(job) {
+                Some(result) => Some(result),
                 None => self.look_up(job).await,
             };
-            for reply_to in waiting {
-                // The one who asked may have given up.
-                let _ = reply_to.send(found);
+            for reply_sender in reply_senders {
+                // Fails if the request has timed out.
+                let _ = reply_sender.send(result);
             }
-            let reads = lock(&self.history.counts).reads - before;
+            let reads = lock(&self.history.counts).reads - reads_before;
             if reads > 0 {
                 let rate = self.with(|controller, _| {
                     if controller.leadership_token().is_some() {
                         LEADER_SHARE
                     } else {
-                        OTHERS_SHARE / controller.config.shards() as f64
+                        NON_LEADER_SHARE / controller.config.shards() as f64
                     }
                 });
                 let pause = reads as f64 / (self.history.rps * rate).max(0.5);
@@ -272,7 +297,7 @@
         }
     }
 
-    /// Logs what came of look-ups since the last line.
+    /// Logs the counts of look-ups since the last log line, and resets them.
     pub(crate) fn log_lookups(&self) {
         let counts = std::mem::take(&mut *lock(&self.history.counts));
         if counts.queried > 0 {
--- a/crates/cherryyard/src/app/lookup_queue.rs
+++ b/crates/cherryyard/src/app/lookup_queue.rs
@@ -1,32 +1,35 @@
-//! Polls of old jobs that wait for a look-up: the job that was first polled longest ago is
-//! next.
+//! Queue of polled jobs that wait for a look-up in the history, ordered by the time of each
+//! job's first poll.
 //!
-//! There may be more polls than can be looked up. In a plain queue a poll could time out
-//! before its turn, again and again. Here a job keeps its place from its first poll, also
-//! after that poll has timed out: the result is cached for the next one.
+//! There may be more polls than can be looked up. In a plain first-in, first-out queue the
+//! polls of a job could time out again and again before the job is reached. Here a job keeps
+//! its position from its first poll, even after that poll has timed out: the result of the
+//! look-up is cached and answers the next poll.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs that may wait at once.
+/// Most jobs that wait at once.
 const MAX_JOBS: usize = 1000;
-/// For how long a job keeps its place after its last poll, in milliseconds. Users poll every
+/// Time that a job keeps its position after its last poll, in milliseconds. Users poll every
 /// five seconds.
-const KEEP_MS: u64 = 15_000;
+const KEEP_AFTER_LAST_POLL_MS: u64 = 15_000;
 
-/// A job that waits.
+/// A job that waits for a look-up.
 #[derive(Debug)]
 struct WaitingJob<T> {
-    /// Times of its first and last poll, in milliseconds of the steady clock.
+    /// Time of the first poll, in milliseconds of the monotonic clock.
     first_poll: u64,
+    /// Time of the last poll, in milliseconds of the monotonic clock.
     last_poll: u64,
-    waiting: Vec<T>,
+    /// Reply channels of the polls that wait for the result.
+    polls: Vec<T>,
 }
 
-/// Jobs that wait for a look-up, and who waits for each.
+/// Jobs that wait for a look-up, each with the polls that wait for its result.
 #[derive(Debug)]
 pub(super) struct LookupQueue<T> {
     jobs: HashMap<u64, WaitingJob<T>>,
-    /// The same jobs by the time of their first poll.
+    /// The same jobs as (time of the first poll, job number).
     order: BTreeSet<(u64, u64)>,
 }
 
@@ -40,32 +43,35 @@
 }
 
 impl<T> LookupQueue<T> {
-    /// Adds a poll of a job at the time `now`. Beyond the bound the job that was polled
-    /// first last is dropped, with whoever waits for it.
-    pub(super) fn query(&mut self, job: u64, waiting: T, now: u64) {
+    /// Adds a poll of a job at the time `now`. Beyond [`MAX_JOBS`] the job whose first poll is
+    /// the latest is dropped, with the polls that wait for it.
+    pub(super) fn add_poll(&mut self, job: u64, poll: T, now: u64) {
         let waiting_job = self.jobs.entry(job).or_insert_with(|| WaitingJob {
             first_poll: now,
             last_poll: now,
-            waiting: Vec::new(),
+            polls: Vec::new(),
         });
         waiting_job.last_poll = now;
-        waiting_job.waiting.push(waiting);
+        waiting_job.polls.push(poll);
         self.order.insert((waiting_job.first_poll, job));
         while self.jobs.len() > MAX_JOBS {
-            if let Some((_, last)) = self.order.pop_last() {
-                self.jobs.remove(&last);
+            if let Some((_, latest)) = self.order.pop_last() {
+                self.jobs.remove(&latest);
             }
         }
     }
 
-    /// The job to look up next, and who waits for it; they may all have given up.
+    /// Removes and returns the job to look up next, with its waiting polls, all of
+    /// which may
+    /// have timed out. Jobs whose last poll is older than [`KEEP_AFTER_LAST_POLL_MS`] are
+    /// dropped.
     pub(super) fn next(&mut self, now: u64) -> Option<(u64, Vec<T>)> {
         while let Some((_, job)) = self.order.pop_first() {
             let Some(waiting_job) = self.jobs.remove(&job) else {
                 continue;
             };
-            if now.saturating_sub(waiting_job.last_poll) <= KEEP_MS {
-                return Some((job, waiting_job.waiting));
+            if now.saturating_sub(waiting_job.last_poll) <= KEEP_AFTER_LAST_POLL_MS {
+                return Some((job, waiting_job.polls));
             }
         }
         None
--- a/crates/cherryyard/src/app/metrics.rs
+++ b/crates/cherryyard/src/app/metrics.rs
@@ -1,23 +1,23 @@
-//! Figures of a controller that it logs periodically.
+//! Metrics that a controller logs periodically.
 
 use super::App;
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time between two log lines of the account of core-seconds.
+/// Time between two log lines of the core-seconds account.
 const ACCOUNT_INTERVAL: Duration = Duration::from_secs(10);
-/// Time between two log lines of requests, look-ups and submissions.
+/// Time between two log lines of request latencies, look-ups and submissions.
 const LATENCY_INTERVAL: Duration = Duration::from_secs(60);
 
 impl App {
-    /// Counts how long a user's request took.
+    /// Records the latency of a user's request that arrived at `since`.
     pub fn record_latency(&self, since: Instant) {
         let ms = since.elapsed().as_millis() as u64;
         let mut latency = self.latency.lock().unwrap_or_else(PoisonError::into_inner);
         latency.saturating_record(ms.max(1));
     }
 
-    /// Logs every ten seconds what the cores of the shards owned here did.
+    /// Logs every ten seconds how the cores of the shards owned by this controller were used.
     pub(crate) async fn log_account(self: Arc<Self>) {
         loop {
             tokio::time::sleep(ACCOUNT_INTERVAL).await;
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Logs what has become of submissions: the leader does so for all controllers.
+    /// Logs the outcomes of submissions by class and team. Only the leader logs them, for all
+    /// controllers.
     fn log_submissions(self: &Arc<Self>) {
         let (is_leader, report) = self.with(|controller, _| {
             (
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Logs every minute how long users' requests take, and what came of look-ups and
+    /// Logs every minute the latencies of users' requests and the outcomes of look-ups and
     /// submissions.
     pub(crate) async fn log_latency(self: Arc<Self>) {
         loop {
--- a/crates/cherryyard/src/app/mirror_sync.rs
+++ b/crates/cherryyard/src/app/mirror_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the mirror of the state: one full read, then a watch.
+//! Keeps the mirror in sync with the state service: one full read, then a watch.
 
 use super::repeated_failures::RepeatedFailures;
 use super::{App, jittered};
@@ -6,19 +6,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Keys of a full read that are loaded before other tasks run.
+/// Keys of a full read that are loaded before the task yields to others.
 const LOAD_STEP: usize = 100;
-/// Pause between two pages of a full read.
+/// Pause between two pages of a full read: without it a long read would use up the requests
+/// that lease renewals need.
 const PAGE_PAUSE: Duration = Duration::from_millis(60);
-/// Pause after a failed full read, in milliseconds, before jitter.
+/// Pause after a failed full read, in milliseconds before jitter.
 const LOAD_RETRY_MS: u64 = 500;
-/// Pause after a failed watch, in milliseconds, before jitter.
+/// Pause after a failed watch, in milliseconds before jitter.
 const WATCH_RETRY_MS: u64 = 400;
 
 impl App {
-    /// Reads all of the state into the mirror, page by page; returns how many keys there
-    /// are, and which revision the first page described. There may be very many keys, as
-    /// jobs that are over stay for ever.
+    /// Reads the whole state into the mirror, page by page; returns the number of keys, and
+    /// the revision that the first page describes. There may be very many keys, as ended jobs
+    /// are kept forever.
     async fn load(self: &Arc<Self>) -> Result<(usize, u64), StateError> {
         let (mut keys, mut first, mut last) = (0, None, None);
         self.with(|controller, _| controller.mirror.begin_load());
@@ -34,34 +35,34 @@
             if !page.truncated || last.is_none() {
                 return Ok((keys, store_revision));
             }
-            // A long read would spend the requests that renewals need too.
             tokio::time::sleep(PAGE_PAUSE).await;
         }
     }
 
-    /// Keeps the mirror: one full read, then one watch.
+    /// Keeps the mirror in sync: a full read, then a watch; starts over with a full read when
+    /// the watch cannot continue.
     pub(crate) async fn sync_mirror(self: Arc<Self>) {
         let mut failures = RepeatedFailures::default();
         loop {
-            self.load_until_read(&mut failures).await;
+            self.load_with_retries(&mut failures).await;
             self.watch_until_gone().await;
         }
     }
 
-    /// Tries a full read until one succeeds.
-    async fn load_until_read(self: &Arc<Self>, failures: &mut RepeatedFailures) {
+    /// Retries a full read until one succeeds.
+    async fn load_with_retries(self: &Arc<Self>, failures: &mut RepeatedFailures) {
         loop {
             let sent_at = self.now();
             match self.load().await {
                 Ok((keys, store_revision)) => {
                     self.with(|controller, now| controller.loaded(store_revision, sent_at, now));
-                    let failed = failures.worked();
+                    let failed = failures.record_success();
                     tracing::info!(keys, store_revision, failed, "state loaded");
                     return;
                 }
                 Err(e) => {
-                    if let Some(times) = failures.failed(Instant::now()) {
-                        tracing::info!(times, "state not loaded: {e}");
+                    if let Some(times) = failures.record_failure(Instant::now()) {
+                        tracing::info!(times, "failed to load the state: {e}");
                     }
                     tokio::time::sleep(jittered(LOAD_RETRY_MS)).await;
                 }
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Takes changes from a watch until its start is too old for the state service.
+    /// Applies changes from a watch until the state service no longer has the changes since the
+    /// mirror's revision, or they are too many for one response.
     async fn watch_until_gone(self: &Arc<Self>) {
         loop {
             let sent_at = self.now();
@@ -81,7 +83,7 @@
                     tokio::time::sleep(self.intervals.read).await;
                 }
                 Err(StateError::Gone) => {
-                    tracing::info!(since, "watch too old, loading the state again");
+                    tracing::info!(since, "watch cannot continue, loading the state again");
                     return;
                 }
                 Err(e) => {
--- a/crates/cherryyard/src/app/mod.rs
+++ b/crates/cherryyard/src/app/mod.rs
@@ -1,4 +1,5 @@
-//! The running controller: the core, and the tasks that feed it and carry out its effects.
+//! The running controller: the core, and the tasks that pass events to it and carry out its
+//! effects.
 
 mod barriers;
 mod effects;
@@ -28,69 +29,71 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{Notify, Semaphore, mpsc};
 
-/// What all tasks of the process share.
+/// State that all tasks of the process share.
 pub struct App {
+    /// The core, whose methods take events and return effects.
     pub(crate) controller: Mutex<Controller>,
-    /// Clients of the outside services and of the workers.
+    /// Clients of the external services and of the workers.
     pub(crate) clients: Clients,
-    /// Start of the process: zero of its steady clock.
+    /// Start of the process, from which its monotonic clock counts.
     pub(crate) started_at: Instant,
     /// Requests that wait until the mirror has caught up with the state service.
     pub(crate) barriers: Barriers,
-    /// How long users' requests took since the last log line, in milliseconds.
+    /// Latencies of users' requests since the last log line, in milliseconds.
     pub(crate) latency: Mutex<Histogram<u64>>,
-    /// Signals that a heartbeat is to be sent before its time.
-    pub(crate) heartbeat_wanted: Notify,
+    /// Signal to send a heartbeat before the interval ends.
+    pub(crate) heartbeat_requested: Notify,
     /// The other controllers.
     pub(crate) peers: Peers,
-    /// Submissions that wait for another controller or for the core.
+    /// Submissions that wait for a response from another controller or a verdict of the core.
     pub(crate) pending: PendingSubmissions,
-    /// Transactions that are not sent again.
+    /// Transactions that are not sent again because they were rejected.
     pub(crate) rejected: Mutex<RejectedTransactions>,
-    /// Look-ups in the history of jobs that are over.
+    /// Look-ups of ended jobs in the history.
     pub(crate) history: HistoryLookups,
-    /// Bytes that the bodies of all requests may take at once.
+    /// Budget of bytes for the bodies of all requests at once.
     pub(crate) body_bytes: Arc<Semaphore>,
-    /// How often outside services are asked.
+    /// Intervals and timeouts of requests to the external services.
     pub(crate) intervals: Intervals,
 }
 
-/// Clients of the outside services and of the workers.
+/// Clients of the external services and of the workers.
 pub(crate) struct Clients {
     pub state: StateClient,
     pub cloud: CloudClient,
     pub workers: HttpClient,
 }
 
-/// What is needed to send messages to the other controllers.
+/// Everything needed to send messages to the other controllers.
 pub(crate) struct Peers {
-    /// What this controller says of itself in each frame.
+    /// Description of this controller that each frame carries.
     pub sender: Arc<Sender>,
-    /// The queue of messages to each, by name.
+    /// Queues of messages to the other controllers, by controller name.
     pub queues: HashMap<String, mpsc::Sender<Arc<OutgoingMessage>>>,
-    /// Requests a new connection to each, by name.
+    /// Signals to open a new connection to a controller, by controller name.
     pub reconnect: HashMap<String, Arc<Notify>>,
 }
 
-/// How often outside services are asked, from their request budgets.
+/// Intervals and timeouts of requests to the external services, derived from their request
+/// budgets and the workers' lease.
 pub(crate) struct Intervals {
-    /// The least time between two reads of one kind from the state service.
+    /// Shortest time between two reads of one kind (watch or barrier) from the state service.
     pub read: Duration,
-    /// The time between two reads of the cloud's machine list.
+    /// Time between two reads of the cloud's machine list.
     pub machine_list: Duration,
-    /// How long a state lease lasts without a renewal, in milliseconds.
+    /// Time to live of a state lease without a renewal, in milliseconds.
     pub lease_ttl_ms: u64,
-    /// How long a watch waits for changes, in milliseconds.
+    /// Longest time that a watch waits for changes, in milliseconds.
     pub watch_wait_ms: u64,
 }
 
-/// A random duration from a half to one and a half times `ms` milliseconds.
+/// Returns a random duration between 0.5 and 1.5 times `ms` milliseconds.
 fn jittered(ms: u64) -> Duration {
     use rand::RngExt;
     Duration::from_millis(rand::rng().random_range(ms / 2..=ms + ms / 2))
 }
 
-/// The time of day, in milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -98,13 +101,13 @@
 }
 
 impl App {
-    /// The steady clock: milliseconds since the process started.
+    /// Returns the monotonic time in milliseconds since the process started.
     pub fn now(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Lets `work` use the controller at the current time, then performs the effects that
-    /// this has.
+    /// Calls `work` with the locked controller and the current time, then starts the effects that
+    /// the controller returns.
     pub fn with<T>(self: &Arc<Self>, work: impl FnOnce(&mut Controller, f64) -> T) -> T {
         let now = self.now();
         let (result, effects) = {
--- a/crates/cherryyard/src/app/peer_messages.rs
+++ b/crates/cherryyard/src/app/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers.
+//! Handling of messages from other controllers.
 
 use super::{App, wall_ms};
 use crate::routes;
@@ -6,11 +6,12 @@
 use cherryyard_wire::peer::{ForwardedSubmission, Frame, Message};
 use std::sync::Arc;
 
-/// Age at which a forwarded submission is not carried out any more, in milliseconds.
-const FORWARD_STALE_MS: f64 = 5000.0;
+/// Age in milliseconds beyond which a forwarded submission is ignored: packets may be held
+/// back for minutes, and by then the user has retried or given up.
+const MAX_FORWARDED_AGE_MS: f64 = 5000.0;
 
 impl App {
-    /// Takes another controller's frame.
+    /// Handles a frame from another controller.
     pub fn receive_frame(self: &Arc<Self>, frame: Frame) {
         if let Some(sender) = frame.sender {
             self.with(|controller, now| controller.note_peer_build(&sender, now));
@@ -25,24 +26,25 @@
             Message::Heartbeat(heartbeat) => {
                 self.with(|controller, now| controller.heartbeat_in(*heartbeat, now));
             }
-            Message::ForwardResponse(response) => self.pending.receive(response),
-            Message::ForwardedSubmission(submission) => self.receive_forwarded(submission),
+            Message::ForwardResponse(response) => self.pending.deliver_response(response),
+            Message::ForwardedSubmission(submission) => {
+                self.receive_forwarded_submission(submission)
+            }
         }
     }
 
-    fn receive_forwarded(self: &Arc<Self>, submission: ForwardedSubmission) {
-        // Packets may be held back for minutes; the user has long asked again, or
-        // given up.
-        if (wall_ms() - submission.at as f64).abs() > FORWARD_STALE_MS {
+    fn receive_forwarded_submission(self: &Arc<Self>, submission: ForwardedSubmission) {
+        if (wall_ms() - submission.at as f64).abs() > MAX_FORWARDED_AGE_MS {
             return;
         }
         let app = self.clone();
         tokio::spawn(async move {
-            let response = routes::answer_forwarded(&app, &submission).await;
+            let response = routes::answer_forwarded_submission(&app, &submission).await;
             if let Some(queue) = app.peers.queues.get(&submission.label) {
                 let response = Message::ForwardResponse(response);
                 let response = OutgoingMessage::new(response, app.peers.sender.clone());
-                // Full: the other controller writes the submission itself.
+                // If the queue is full, the other controller times out and writes the submission
+                // itself.
                 let _ = queue.try_send(response);
             }
         });
--- a/crates/cherryyard/src/app/periodic_tasks.rs
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -1,4 +1,5 @@
-//! Tasks that run periodically: the state lease, the clock, heartbeats, the machine list.
+//! Periodic tasks: renewal of the state lease, clock ticks, heartbeats, and reads of the machine
+//! types and the machine list.
 
 use super::repeated_failures::RepeatedFailures;
 use super::{App, jittered, wall_ms};
@@ -12,19 +13,20 @@
 
 /// Time between two ticks of the core's clock.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time between two heartbeats.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two heartbeats.
-const HEARTBEAT_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a state lease was not granted, in milliseconds, before jitter.
+/// Longest time between two heartbeats to the other controllers.
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Shortest time between two heartbeats to the other controllers.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause after a state lease was not granted, in milliseconds before jitter.
 const LEASE_RETRY_MS: u64 = 400;
-/// Pause while the machine types are unknown, in milliseconds, before jitter.
+/// Pause between reads while the machine types are unknown, in milliseconds before jitter.
 const UNKNOWN_TYPES_RETRY_MS: u64 = 1500;
 /// Time between two reads of the machine types.
 const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(120);
 
 impl App {
-    /// Keeps the state lease under which leases on shards are acquired.
+    /// Acquires and renews the state lease, under which shard leases are acquired. The interval
+    /// between renewals is a quarter of the lease's time to live.
     pub(crate) async fn keep_state_lease(self: Arc<Self>) {
         let renewal_interval = Duration::from_millis(self.intervals.lease_ttl_ms / 4);
         loop {
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Renews the state lease once; after a failure the next renewal follows in its time.
+    /// Renews the state lease once; after a failure other than the lease's expiry, the next
+    /// regular renewal is the retry.
     async fn renew_state_lease(self: &Arc<Self>, lease_id: u64) {
         let sent_at = self.now();
         match self.clients.state.renew_lease(lease_id).await {
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Drives the core's clock.
+    /// Sends the core its periodic ticks, and the offset between the wall clock and the monotonic
+    /// clock.
     pub(crate) async fn run_clock(self: Arc<Self>) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Measures how late the event loop runs a task that is due.
+    /// Measures how late the event loop runs a task after it is due, and reports it to the core.
     pub(crate) async fn measure_event_loop_lag(self: Arc<Self>) {
         loop {
             let due = self.now() + QUEUE_CHECK_MS;
@@ -86,16 +90,17 @@
         }
     }
 
-    /// Publishes heartbeats: regularly, and when the core wants one.
+    /// Publishes heartbeats regularly and when the core requests one, and requests new
+    /// connections to the controllers that need them.
     pub(crate) async fn publish_heartbeats(
         self: Arc<Self>,
-        out: watch::Sender<Option<Arc<OutgoingMessage>>>,
+        heartbeat_sender: watch::Sender<Option<Arc<OutgoingMessage>>>,
     ) {
         loop {
-            let wait = tokio::time::sleep(HEARTBEAT_INTERVAL);
+            let wait = tokio::time::sleep(MAX_HEARTBEAT_INTERVAL);
             tokio::select! {
                 () = wait => {}
-                () = self.heartbeat_wanted.notified() => {}
+                () = self.heartbeat_requested.notified() => {}
             }
             let heartbeat = self.with(|controller, now| {
                 for label in controller.peers_to_reconnect(now) {
@@ -110,26 +115,26 @@
                 Message::Heartbeat(Box::new(heartbeat)),
                 self.peers.sender.clone(),
             );
-            let _ = out.send(Some(heartbeat));
-            tokio::time::sleep(HEARTBEAT_PAUSE).await;
+            let _ = heartbeat_sender.send(Some(heartbeat));
+            tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Reads the machine types and the machine list.
+    /// Reads the machine types and the machine list from the cloud periodically.
     pub(crate) async fn watch_cloud(self: Arc<Self>) {
-        let mut machine_types_at: Option<Instant> = None;
+        let mut machine_types_read_at: Option<Instant> = None;
         let mut failures = RepeatedFailures::default();
         loop {
-            if machine_types_at.is_none_or(|at| at.elapsed() > MACHINE_TYPES_INTERVAL) {
+            if machine_types_read_at.is_none_or(|at| at.elapsed() > MACHINE_TYPES_INTERVAL) {
                 match self.clients.cloud.machine_types().await {
                     Ok(machine_types) => {
-                        machine_types_at = Some(Instant::now());
-                        failures.worked();
+                        machine_types_read_at = Some(Instant::now());
+                        failures.record_success();
                         self.with(|controller, now| controller.machine_types(machine_types, now));
                     }
                     Err(e) => {
-                        if let Some(times) = failures.failed(Instant::now()) {
-                            tracing::info!(times, "machine types not read: {e}");
+                        if let Some(times) = failures.record_failure(Instant::now()) {
+                            tracing::info!(times, "failed to read the machine types: {e}");
                         }
                     }
                 }
@@ -137,7 +142,7 @@
             if let Ok(hosts) = self.clients.cloud.list().await {
                 self.with(|controller, now| controller.listed(hosts, now));
             }
-            let unknown = machine_types_at.is_none();
+            let unknown = machine_types_read_at.is_none();
             tokio::time::sleep(if unknown {
                 jittered(UNKNOWN_TYPES_RETRY_MS)
             } else {
--- a/crates/cherryyard/src/app/rejected_transactions.rs
+++ b/crates/cherryyard/src/app/rejected_transactions.rs
@@ -1,31 +1,33 @@
-//! Transactions that the state service has called malformed, or that exceed its limits:
-//! none of them is sent again unchanged.
+//! Transactions that the state service has rejected as malformed, or that exceed its limits.
+//! Such a transaction is not sent again unchanged.
 
 use cherryyard_core::state_limits::LimitExceeded;
 use cherryyard_wire::state::Commit;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Rejected transactions that are remembered.
+/// Most rejected transactions that are remembered.
 const MAX_REMEMBERED: usize = 64;
 
-/// Transactions that were rejected lately.
+/// Transactions that were rejected recently.
 #[derive(Debug, Default)]
 pub(crate) struct RejectedTransactions {
-    /// Their hashes, the oldest first.
+    /// Hashes of the rejected transactions, oldest first.
     hashes: VecDeque<u64>,
-    /// Whether an excess has been logged; later ones are logged at debug level.
-    excess_logged: bool,
+    /// Whether a transaction beyond the limits has been logged as an error; later ones are
+    /// logged at debug level.
+    limit_exceeded_logged: bool,
 }
 
+/// Returns the hash of a transaction's JSON form.
 fn hash(commit: &Commit) -> u64 {
-    // A transaction without a JSON form is never sent.
+    // Empty if the transaction has no JSON form; such a transaction is never sent.
     let text = serde_json::to_vec(commit).unwrap_or_default();
     xxh3_64(&text)
 }
 
 impl RejectedTransactions {
-    /// Remembers a transaction that the state service has called malformed.
+    /// Remembers a transaction that the state service has rejected as malformed.
     pub(crate) fn remember(&mut self, commit: &Commit) {
         if self.hashes.len() >= MAX_REMEMBERED {
             self.hashes.pop_front();
@@ -33,11 +35,15 @@
         self.hashes.push_back(hash(commit));
     }
 
-    /// Whether a transaction is not to be sent: it has an `excess`, or it has been
-    /// refused as it is.
-    pub(crate) fn forbids(&mut self, commit: &Commit, excess: Option<LimitExceeded>) -> bool {
-        if let Some(excess) = excess {
-            self.log_excess(&excess);
+    /// Returns whether a transaction must not be sent: because it exceeds a limit, which is
+    /// logged, or because the same transaction was rejected recently.
+    pub(crate) fn forbids(
+        &mut self,
+        commit: &Commit,
+        limit_exceeded: Option<LimitExceeded>,
+    ) -> bool {
+        if let Some(limit_exceeded) = limit_exceeded {
+            self.log_limit_exceeded(&limit_exceeded);
             return true;
         }
         if self.hashes.is_empty() {
@@ -46,11 +52,11 @@
         self.hashes.contains(&hash(commit))
     }
 
-    fn log_excess(&mut self, excess: &LimitExceeded) {
-        if std::mem::replace(&mut self.excess_logged, true) {
-            tracing::debug!("transaction beyond the limits not sent: {excess}");
+    fn log_limit_exceeded(&mut self, limit_exceeded: &LimitExceeded) {
+        if std::mem::replace(&mut self.limit_exceeded_logged, true) {
+            tracing::debug!("transaction not sent, it exceeds a limit: {limit_exceeded}");
         } else {
-            tracing::error!("transaction beyond the limits not sent: {excess}");
+            tracing::error!("transaction not sent, it exceeds a limit: {limit_exceeded}");
         }
     }
 }
--- a/crates/cherryyard/src/app/repeated_failures.rs
+++ b/crates/cherryyard/src/app/repeated_failures.rs
@@ -1,32 +1,34 @@
-//! Failures that repeat: logged once, then counted and logged at growing intervals.
+//! Rate limit for log lines of repeated failures: the first failure is logged at once, further
+//! ones are counted and logged at growing intervals.
 
 use std::time::{Duration, Instant};
 
-/// Time after the first line until a further failure is logged.
+/// Time after the first log line during which no further failure is logged.
 const FIRST_INTERVAL: Duration = Duration::from_secs(5);
-/// Longest time between two lines.
+/// Longest time after a log line during which no further failure is logged.
 const MAX_INTERVAL: Duration = Duration::from_secs(300);
 
 /// Decides which failures of one kind are logged.
 #[derive(Debug, Default)]
 pub(crate) struct RepeatedFailures {
-    /// The last line, while the failure goes on.
+    /// Last log line since the last success, if there is one.
     last_line: Option<LogLine>,
-    /// Failures since it last worked.
+    /// Failures since the last success.
     count: u64,
 }
 
-/// A line that has been logged.
+/// A log line of a failure.
 #[derive(Debug)]
 struct LogLine {
     at: Instant,
-    /// How long no further line is logged.
+    /// Time after this line during which no further line is logged.
     interval: Duration,
 }
 
 impl RepeatedFailures {
-    /// Counts a failure; returns how many there have been if it is to be logged.
-    pub(crate) fn failed(&mut self, now: Instant) -> Option<u64> {
+    /// Counts a failure; returns the number of failures since the last success if this failure is
+    /// to be logged.
+    pub(crate) fn record_failure(&mut self, now: Instant) -> Option<u64> {
         self.count += 1;
         let interval = match &self.last_line {
             None => FIRST_INTERVAL,
@@ -37,8 +39,8 @@
         Some(self.count)
     }
 
-    /// Notes that it works again; returns how often it had failed, if it had.
-    pub(crate) fn worked(&mut self) -> Option<u64> {
+    /// Records a success; returns the number of failures before it, if there were any.
+    pub(crate) fn record_success(&mut self) -> Option<u64> {
         let count = std::mem::take(&mut self.count);
         self.last_line.take().map(|_| count)
     }
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -1,5 +1,5 @@
-//! Submissions of many jobs: their chunks, their state, their removal, and which
-//! machines a job could run on.
+//! Submissions of many jobs from HTCondor submit files: receipt of their chunks, queries of
+//! their state, their removal, and an explanation of which machines a job could run on.
 
 use super::response::ApiResponse;
 use super::retry::{MAX_ATTEMPTS, pause_after_refusal};
@@ -18,37 +18,40 @@
 use salvo::http::StatusCode;
 use std::sync::Arc;
 
-/// Submissions that may be under way at once, and when to come back for others.
-const MAX_UNDER_WAY: usize = 64;
-const UNDER_WAY_RETRY_S: u32 = 20;
-/// Submissions that a list names.
+/// Most submissions that are being received or created at once.
+const MAX_IN_PROGRESS: usize = 64;
+/// `Retry-After` in seconds of a submission beyond that limit.
+const IN_PROGRESS_RETRY_S: u32 = 20;
+/// Most submissions that a list contains.
 const MAX_LISTED: usize = 100;
-/// Leaves of the history that are read to find a block of ids that none uses.
-const MAX_READS: usize = 16;
+/// Most leaves of the history that are read to find a free block of job ids.
+const MAX_LEAF_READS: usize = 16;
 
-/// A submission's state, with this status.
-fn view(controller: &Controller, number: u64, status: StatusCode) -> ApiResponse {
+/// Returns a response with a submission's state and the given status, or a 404.
+fn submission_response(controller: &Controller, number: u64, status: StatusCode) -> ApiResponse {
     match controller.submission_view(number) {
-        Some(view) => ApiResponse::of(status, &view),
+        Some(view) => ApiResponse::json(status, &view),
         None => ApiResponse::error(StatusCode::NOT_FOUND, "no such submission"),
     }
 }
 
-/// What is to be done with a chunk that was received.
+/// Action to take for a received chunk.
 enum ChunkAction {
-    /// Only this response is to be sent.
+    /// Send this response and write nothing.
     Respond(ApiResponse),
-    /// This is to be committed, and then answered with the submission's state.
+    /// Commit the transaction, then respond with the submission's state and this status.
     Commit(Commit, StatusCode),
-    /// This is to be committed; whatever the outcome, this is the response.
+    /// Commit the transaction, which drops the submission; send this response whatever the
+    /// outcome.
     Drop(Commit, ApiResponse),
 }
 
-/// Checks that all of a chunk's jobs can run.
+/// Checks that all jobs of a chunk can run. Each template is checked with the largest task
+/// count among its jobs.
 fn admit_chunk(controller: &Controller, post: &mut ChunkPost, at: u64) -> Result<(), Reject> {
     for i in 0..post.jobs.templates.len() {
-        let uses = post.jobs.runs.iter().filter(|r| r.0 as usize == i);
-        let task_count = uses.map(|r| r.1).max().unwrap_or(1);
+        let runs = post.jobs.runs.iter().filter(|r| r.0 as usize == i);
+        let task_count = runs.map(|r| r.1).max().unwrap_or(1);
         let Template { spec, rules } = &mut post.jobs.templates[i];
         spec.task_count = task_count;
         if !spec.waits_on.is_empty() {
@@ -61,31 +64,36 @@
     Ok(())
 }
 
-/// The record that a chunk adds to; or the response, if it is not to be added.
-fn record_of(
+/// Returns the submission's record to which a chunk is added, or the response to send if the
+/// chunk must not be added.
+fn record_for_chunk(
     controller: &Controller,
     post: &ChunkPost,
     at: u64,
 ) -> Result<SubmissionRecord, ApiResponse> {
     let number = submission_number(&post.name);
-    let conflict = |why: String| Err(ApiResponse::error(StatusCode::CONFLICT, why));
+    let conflict = |reason: String| Err(ApiResponse::error(StatusCode::CONFLICT, reason));
     let known = controller.mirror.submissions.get(&number);
     let record = match known.map(|submission| submission.0.clone()) {
         Some(known) if known.name != post.name => {
             return conflict("name: another one has the same number; choose one anew".into());
         }
         Some(known) if known.phase == Phase::Dropped => {
-            let why = "what was sent under this name is being dropped";
-            return Err(ApiResponse::later(why));
+            let reason = "what was sent under this name is being dropped";
+            return Err(ApiResponse::retry_later(reason));
         }
         Some(known) if known.phase != Phase::Receiving => {
-            return Err(view(controller, number, StatusCode::OK));
+            return Err(submission_response(controller, number, StatusCode::OK));
         }
         Some(known) if known.of != post.of => {
             return conflict(format!("of: the chunks before said {}", known.of));
         }
         Some(known) if post.chunk < known.chunks => {
-            return Err(view(controller, number, StatusCode::ACCEPTED));
+            return Err(submission_response(
+                controller,
+                number,
+                StatusCode::ACCEPTED,
+            ));
         }
         Some(known) => known,
         None => new_record(controller, post, at)?,
@@ -96,17 +104,17 @@
     Ok(record)
 }
 
-/// The record of a new submission, unless too many are under way.
+/// Returns the record of a new submission, or a refusal if too many are in progress.
 fn new_record(
     controller: &Controller,
     post: &ChunkPost,
     at: u64,
 ) -> Result<SubmissionRecord, ApiResponse> {
     let all = controller.mirror.submissions.values();
-    let under_way = all.filter(|s| matches!(s.0.phase, Phase::Receiving | Phase::Creating));
-    if under_way.count() >= MAX_UNDER_WAY {
-        let why = "too many submissions are under way";
-        return Err(ApiResponse::later_in(why, UNDER_WAY_RETRY_S));
+    let in_progress = all.filter(|s| matches!(s.0.phase, Phase::Receiving | Phase::Creating));
+    if in_progress.count() >= MAX_IN_PROGRESS {
+        let reason = "too many submissions are under way";
+        return Err(ApiResponse::retry_after(reason, IN_PROGRESS_RETRY_S));
     }
     Ok(SubmissionRecord {
         name: post.name.clone(),
@@ -122,10 +130,15 @@
     })
 }
 
-/// Refuses a chunk: none of its submission's jobs is queued.
-fn refuse(controller: &Controller, before: &SubmissionRecord, answer: ApiResponse) -> ChunkAction {
+/// Refuses a chunk, and with it the whole submission, of which no job is queued then. Chunks
+/// that were stored before are dropped.
+fn refuse_submission(
+    controller: &Controller,
+    before: &SubmissionRecord,
+    response: ApiResponse,
+) -> ChunkAction {
     if before.chunks == 0 {
-        return ChunkAction::Respond(answer);
+        return ChunkAction::Respond(response);
     }
     let number = submission_number(&before.name);
     let mut dropped = before.clone();
@@ -136,51 +149,53 @@
         .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
     commit.apply.push(Apply::set(key, &dropped));
-    ChunkAction::Drop(commit, answer)
+    ChunkAction::Drop(commit, response)
 }
 
-/// Why a chunk cannot be added, if so; `jobs` is how many its submission has with it.
+/// Returns the refusal of a chunk that is too large, or with which its submission has too many
+/// jobs; `jobs` is the submission's number of jobs including the chunk's.
 fn chunk_refusal(controller: &Controller, chunk: &Json, jobs: u64) -> Option<ApiResponse> {
     if chunk.text().len() > controller.config.value_bytes {
-        let why = format!("larger than {} bytes", controller.config.value_bytes);
-        return Some(ApiResponse::error(StatusCode::PAYLOAD_TOO_LARGE, why));
+        let reason = format!("larger than {} bytes", controller.config.value_bytes);
+        return Some(ApiResponse::error(StatusCode::PAYLOAD_TOO_LARGE, reason));
     }
     if jobs > MAX_JOBS {
-        let why = format!("r: more than {MAX_JOBS} jobs");
-        return Some(ApiResponse::bad_request(why));
+        let reason = format!("r: more than {MAX_JOBS} jobs");
+        return Some(ApiResponse::bad_request(reason));
     }
     None
 }
 
-/// Decides on a chunk that was received at the time of day `at`; `free` is a block of ids
-/// for its submission, if it is the last one.
+/// Decides what to do with a chunk that was received at the wall-clock time `at`. If this is the
+/// submission's last chunk, `free_ids` is the block of ids for its jobs, as returned by
+/// [`free_block`].
 fn decide(
     controller: &Controller,
     post: &mut ChunkPost,
     at: u64,
-    free: Option<(u64, u64)>,
+    free_ids: Option<(u64, u64)>,
 ) -> ChunkAction {
-    let mut record = match record_of(controller, post, at) {
+    let mut record = match record_for_chunk(controller, post, at) {
         Ok(record) => record,
-        Err(answer) => return ChunkAction::Respond(answer),
+        Err(response) => return ChunkAction::Respond(response),
     };
     match admit_chunk(controller, post, record.at) {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => {
-            return ChunkAction::Respond(ApiResponse::later(&why.to_string()));
+        Err(Reject::NotYet(reason)) => {
+            return ChunkAction::Respond(ApiResponse::retry_later(&reason.to_string()));
         }
-        Err(Reject::Malformed(why)) => {
-            return refuse(controller, &record, ApiResponse::bad_request(why));
+        Err(Reject::Malformed(reason)) => {
+            return refuse_submission(controller, &record, ApiResponse::bad_request(reason));
         }
-        Err(Reject::Never(why)) => {
-            let answer = ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, why.to_string());
-            return refuse(controller, &record, answer);
+        Err(Reject::Never(reason)) => {
+            let response = ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, reason.to_string());
+            return refuse_submission(controller, &record, response);
         }
     }
     let chunk = Json::of(&post.jobs);
     let jobs = record.jobs + post.jobs.jobs();
-    if let Some(answer) = chunk_refusal(controller, &chunk, jobs) {
-        return refuse(controller, &record, answer);
+    if let Some(response) = chunk_refusal(controller, &chunk, jobs) {
+        return refuse_submission(controller, &record, response);
     }
     let number = submission_number(&post.name);
     let mut commit = Commit::default();
@@ -194,10 +209,12 @@
     record.chunks += 1;
     let mut status = StatusCode::ACCEPTED;
     if record.chunks == record.of {
-        let Some(free) = free else {
-            return ChunkAction::Respond(ApiResponse::later("no block of ids could be found"));
+        let Some(free_ids) = free_ids else {
+            return ChunkAction::Respond(ApiResponse::retry_later(
+                "no block of ids could be found",
+            ));
         };
-        accept(controller, &mut record, free, &mut commit);
+        accept_submission(controller, &mut record, free_ids, &mut commit);
         status = StatusCode::CREATED;
     }
     commit
@@ -206,12 +223,13 @@
     ChunkAction::Commit(commit, status)
 }
 
-/// Accepts a submission whose chunks have all come: it gets the block of ids that begins
-/// at `first`, free as of revision `moved` of the history's record.
-fn accept(
+/// Accepts a submission whose chunks have all been received. Its jobs get the block of ids that
+/// begins at `first`, which was free as of the history record's revision given second (0: there
+/// is no history).
+fn accept_submission(
     controller: &Controller,
     record: &mut SubmissionRecord,
-    (first, moved): (u64, u64),
+    (first, history_revision): (u64, u64),
     commit: &mut Commit,
 ) {
     record.phase = record.phase.after(PhaseEvent::Accepted);
@@ -220,16 +238,17 @@
     controller.mirror.require(commit, Key::Ids);
     let next = first + record.jobs;
     commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
-    if moved > 0 {
-        // What no leaf named may have come into one since.
-        commit.require(cherryyard_wire::record::PACKED, moved);
+    if history_revision > 0 {
+        // Since that revision, jobs with ids of this block may have been added to a leaf.
+        commit.require(cherryyard_wire::record::PACKED, history_revision);
     }
 }
 
-/// A block of ids that no job has, and as of which revision of the history's record:
-/// before submissions were turned on, users could choose any id.
+/// Finds a block of `jobs` ids that no job has; returns its first id, and the revision of the
+/// history's record as of which the block was free. Jobs in this range of ids may exist because
+/// users could choose any id before submit files were enabled.
 async fn free_block(app: &Arc<App>, jobs: u64) -> Option<(u64, u64)> {
-    let (mut first, moved, any) = app.with(|controller, _| {
+    let (mut first, history_revision, has_history) = app.with(|controller, _| {
         let next = controller.mirror.ids.next.max(FIRST_ID);
         (
             next,
@@ -243,11 +262,11 @@
             first += jobs;
             continue;
         }
-        for level in Controller::LOOKUP_ORDER.into_iter().filter(|_| any) {
+        for level in Controller::LOOKUP_ORDER.into_iter().filter(|_| has_history) {
             let mut from = first;
             while from < first + jobs {
                 reads += 1;
-                if reads > MAX_READS {
+                if reads > MAX_LEAF_READS {
                     return None;
                 }
                 let read = app.clients.state.read_leaf(level, from).await.ok()?;
@@ -262,15 +281,15 @@
                 from = last + 1;
             }
         }
-        return Some((first, moved));
+        return Some((first, history_revision));
     }
     None
 }
 
-/// Receives a chunk.
-pub(super) async fn receive(app: &Arc<App>, body: &[u8]) -> ApiResponse {
+/// Receives a chunk of a submission, and accepts the submission with its last chunk.
+pub(super) async fn receive_chunk(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     if app.with(|controller, now| controller.refuses_submissions(now)) {
-        return ApiResponse::later("this controller is behind");
+        return ApiResponse::retry_later("this controller is behind");
     }
     let mut post = match ChunkPost::parse(body) {
         Ok(post) => post,
@@ -278,43 +297,45 @@
     };
     let number = submission_number(&post.name);
     let at = wall_ms() as u64;
-    let mut paid = false;
+    let mut write_charged = false;
     for attempt in 0..MAX_ATTEMPTS {
-        if !app.caught_up().await {
-            return ApiResponse::later("the state service cannot be reached");
+        if !app.wait_until_caught_up().await {
+            return ApiResponse::retry_later("the state service cannot be reached");
         }
-        let free = free_block_for(app, &post).await;
-        let action = app.with(|controller, _| decide(controller, &mut post, at, free));
+        let free_ids = free_block_for(app, &post).await;
+        let action = app.with(|controller, _| decide(controller, &mut post, at, free_ids));
         let (commit, status) = match action {
-            ChunkAction::Respond(answer) => return answer,
-            ChunkAction::Drop(commit, answer) => {
-                // If this is lost, it is given up later, as no chunk follows.
+            ChunkAction::Respond(response) => return response,
+            ChunkAction::Drop(commit, response) => {
+                // If the commit fails, the submission is dropped later because no further chunk
+                // arrives.
                 app.commit_for_user(&commit).await;
-                return answer;
+                return response;
             }
             ChunkAction::Commit(commit, status) => (commit, status),
         };
-        if !paid {
+        if !write_charged {
             if let Err(seconds) = app.with(|controller, now| controller.take_user_write(now)) {
-                return ApiResponse::later_in("too many submissions at once", seconds);
+                return ApiResponse::retry_after("too many submissions at once", seconds);
             }
-            // The chunk was one write; its submission's record is another.
+            // The budget check above paid for the chunk's write; the submission's record is a
+            // second write.
             app.with(|controller, now| controller.spend_user_write(now));
-            paid = true;
+            write_charged = true;
         }
         match app.commit_for_user(&commit).await {
             Outcome::Applied(_) => {
-                return app.with(|controller, _| view(controller, number, status));
+                return app.with(|controller, _| submission_response(controller, number, status));
             }
             Outcome::Conflict(_) => {}
             Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown | Outcome::Malformed => break,
         }
     }
-    ApiResponse::later("the state service did not take the chunk")
+    ApiResponse::retry_later("the state service did not take the chunk")
 }
 
-/// A block of ids for the submission whose last chunk this is.
+/// Finds a block of ids for a submission if `post` is its last chunk.
 async fn free_block_for(app: &Arc<App>, post: &ChunkPost) -> Option<(u64, u64)> {
     if post.chunk + 1 != post.of {
         return None;
@@ -327,21 +348,23 @@
     free_block(app, before + post.jobs.jobs()).await
 }
 
-/// A submission's state.
-pub(super) async fn state(app: &Arc<App>, name: &str) -> ApiResponse {
+/// Returns a submission's state.
+pub(super) async fn submission_state(app: &Arc<App>, name: &str) -> ApiResponse {
     if let Err(e) = check_name(name) {
         return ApiResponse::error(StatusCode::NOT_FOUND, e.to_string());
     }
-    if !app.caught_up().await {
-        return ApiResponse::later("the state service cannot be reached");
+    if !app.wait_until_caught_up().await {
+        return ApiResponse::retry_later("the state service cannot be reached");
     }
-    app.with(|controller, _| view(controller, submission_number(name), StatusCode::OK))
+    app.with(|controller, _| {
+        submission_response(controller, submission_number(name), StatusCode::OK)
+    })
 }
 
-/// Lists submissions, the newest first.
-pub(super) async fn list(app: &Arc<App>) -> ApiResponse {
-    if !app.caught_up().await {
-        return ApiResponse::later("the state service cannot be reached");
+/// Lists the newest submissions, newest first.
+pub(super) async fn list_submissions(app: &Arc<App>) -> ApiResponse {
+    if !app.wait_until_caught_up().await {
+        return ApiResponse::retry_later("the state service cannot be reached");
     }
     app.with(|controller, _| {
         let all = controller.mirror.submissions.iter();
@@ -349,44 +372,50 @@
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MAX_LISTED);
         let list = SubmissionList {
-            // Admission may lengthen a chunk: it pools and spells out.
+            // Leaves 64 bytes because admission may lengthen a chunk by writing out what the sender
+            // left out, and the chunk must still fit into a value of the state service.
             chunk_bytes: controller.config.value_bytes.saturating_sub(64),
             submissions: views
-                .filter_map(|(_, k)| controller.submission_view(k))
+                .filter_map(|(_, number)| controller.submission_view(number))
                 .collect(),
         };
-        ApiResponse::of(StatusCode::OK, &list)
+        ApiResponse::json(StatusCode::OK, &list)
     })
 }
 
-/// Removes a submission: 200 once all of its jobs are over, 202 before.
-pub(super) async fn remove(app: &Arc<App>, name: &str) -> ApiResponse {
+/// Removes a submission; responds with 200 if there is nothing left to remove, and with 202
+/// while its jobs are being cancelled.
+pub(super) async fn remove_submission(app: &Arc<App>, name: &str) -> ApiResponse {
     let number = submission_number(name);
     for attempt in 0..MAX_ATTEMPTS {
-        if !app.caught_up().await {
-            return ApiResponse::later("the state service cannot be reached");
+        if !app.wait_until_caught_up().await {
+            return ApiResponse::retry_later("the state service cannot be reached");
         }
-        let commit = match app.with(|controller, _| removal(controller, number)) {
+        let commit = match app.with(|controller, _| removal_commit(controller, number)) {
             Ok(commit) => commit,
-            Err(status) => return app.with(|controller, _| view(controller, number, status)),
+            Err(status) => {
+                return app.with(|controller, _| submission_response(controller, number, status));
+            }
         };
-        // Like any cancellation never refused for the write budget.
+        // A cancellation is counted in the write budget but never refused because of it.
         app.with(|controller, now| controller.spend_user_write(now));
         match app.commit_for_user(&commit).await {
             Outcome::Applied(_) => {
-                return app.with(|controller, _| view(controller, number, StatusCode::ACCEPTED));
+                return app.with(|controller, _| {
+                    submission_response(controller, number, StatusCode::ACCEPTED)
+                });
             }
             Outcome::Conflict(_) => {}
             Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown | Outcome::Malformed => break,
         }
     }
-    ApiResponse::later("the state service did not take the removal")
+    ApiResponse::retry_later("the state service did not take the removal")
 }
 
-/// The transaction that removes a submission; or the status of the response, if there is
-/// nothing to be written.
-fn removal(controller: &Controller, number: u64) -> Result<Commit, StatusCode> {
+/// Returns the transaction that removes a submission, or the status of the response if there is
+/// nothing to write.
+fn removal_commit(controller: &Controller, number: u64) -> Result<Commit, StatusCode> {
     let known = controller.mirror.submissions.get(&number);
     let mut record = known.map(|s| s.0.clone()).ok_or(StatusCode::OK)?;
     let after = record.phase.after(PhaseEvent::Removed);
@@ -410,8 +439,8 @@
     Ok(commit)
 }
 
-/// Which machines a job could run on, and what others lack.
-pub(super) fn explain(app: &Arc<App>, body: &[u8]) -> ApiResponse {
+/// Explains which machines a job could run on, and what the others lack.
+pub(super) fn explain_match(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     let template = match parse_object::<Template>(body) {
         Ok(template) => template,
         Err(e) => return ApiResponse::bad_request(e),
@@ -423,7 +452,7 @@
     let at = wall_ms() as u64;
     app.with(|controller, _| {
         if controller.mirror.catalog.machine_types.is_empty() {
-            return ApiResponse::later("the machine types are not known yet");
+            return ApiResponse::retry_later("the machine types are not known yet");
         }
         let all = &controller.mirror.catalog.machine_types;
         match controller
@@ -432,7 +461,7 @@
             .matcher
             .explain(&template.spec, &rules, all, at)
         {
-            Ok(explanation) => ApiResponse::of(StatusCode::OK, &explanation),
+            Ok(explanation) => ApiResponse::json(StatusCode::OK, &explanation),
             Err(e) => ApiResponse::bad_request(e),
         }
     })
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -1,4 +1,4 @@
-//! Submissions, polls and cancellations.
+//! Submissions, polls and cancellations of single jobs.
 
 use super::response::ApiResponse;
 use super::retry::{MAX_ATTEMPTS, pause_after_refusal};
@@ -19,59 +19,68 @@
 use salvo::http::StatusCode;
 use std::sync::Arc;
 
-/// `Retry-After` in seconds of a poll of an old or unknown job that is not looked up.
+/// `Retry-After` in seconds if a job could not be looked up in the history.
 const LOOKUP_RETRY_S: u32 = 3;
 
-/// `Retry-After` in seconds of a poll that is refused for the event loop's lag.
-const BEHIND_RETRY_S: u32 = 5;
+/// `Retry-After` in seconds of a poll that is refused because of the event loop's lag.
+const OVERLOADED_RETRY_S: u32 = 5;
 
 fn is_terminal(view: &JobView) -> bool {
     matches!(view.status, JobStatus::Done | JobStatus::Cancelled)
 }
 
-/// `Retry-After` in seconds while a cancellation may not be confirmed yet.
+/// `Retry-After` in seconds while a cancellation must not be confirmed yet.
 const UNCONFIRMED_RETRY_S: u32 = 1;
 
-/// The job's state, as far as its user may know it.
+/// Returns the job's state if it may be reported to the user already; returns none if there is no
+/// such job.
 async fn lookup(app: &Arc<App>, job: u64) -> Result<Option<JobView>, ApiResponse> {
     let answer_for =
         |caught_up| app.with(|controller, now| controller.answer_for(job, caught_up, now));
     let answer = match answer_for(false) {
-        UserAnswer::Barrier if app.caught_up().await => answer_for(true),
+        UserAnswer::Barrier if app.wait_until_caught_up().await => answer_for(true),
         answer => answer,
     };
     match answer {
         UserAnswer::View(view) => return Ok(Some(view)),
         UserAnswer::Barrier => {
-            return Err(ApiResponse::later("the state service cannot be reached"));
+            return Err(ApiResponse::retry_later(
+                "the state service cannot be reached",
+            ));
         }
-        UserAnswer::NotYet => return Err(not_yet()),
+        UserAnswer::NotYet => return Err(unconfirmed_cancellation()),
         UserAnswer::Unknown => {}
     }
-    let Some(found) = app.find_in_history(job, LookupKind::Poll).await else {
-        let why = "old jobs cannot be looked up now";
-        return Err(ApiResponse::later_in(why, LOOKUP_RETRY_S));
+    let Some(result) = app.find_in_history(job, LookupKind::Poll).await else {
+        let reason = "old jobs cannot be looked up now";
+        return Err(ApiResponse::retry_after(reason, LOOKUP_RETRY_S));
     };
-    let cancelled = found.past.is_some_and(|p| p.end == End::Cancelled);
+    let cancelled = result
+        .finished_job
+        .is_some_and(|finished| finished.end == End::Cancelled);
     if cancelled && !app.with(|controller, now| controller.may_confirm_cancelled(job, now)) {
-        return Err(not_yet());
+        return Err(unconfirmed_cancellation());
     }
-    Ok(found.past.map(|p| over(job, p.end, p.done)))
+    Ok(result
+        .finished_job
+        .map(|finished| over(job, finished.end, finished.done)))
 }
 
-/// The answer while a job is cancelled and the other controllers may not know it.
-fn not_yet() -> ApiResponse {
-    ApiResponse::later_in(
+/// Returns the response for a cancelled job whose cancellation the other controllers may not have
+/// received yet.
+fn unconfirmed_cancellation() -> ApiResponse {
+    ApiResponse::retry_after(
         "the other controllers may not know it yet",
         UNCONFIRMED_RETRY_S,
     )
 }
 
-/// A submission as it was read: the job, its number, and its rules.
+/// A parsed submission: the job, its number, and its rules.
 type Submission = (JobSpec, u64, Option<Rules>);
 
-/// Reads a submission, and answers it if its job is known already.
-async fn read_submission(app: &Arc<App>, body: &[u8]) -> Result<Submission, ApiResponse> {
+/// Parses a submission. Returns the response instead if the submission is malformed or its job
+/// is known already.
+async fn parse_submission(app: &Arc<App>, body: &[u8]) -> Result<Submission, ApiResponse> {
     let spec = JobSpec::parse(body).map_err(ApiResponse::bad_request)?;
     let mut rules = None;
     if app.with(|controller, _| controller.config.tuning.condor) {
@@ -88,73 +97,78 @@
         .is_some()
     {
         return Err(match lookup(app, job).await {
-            Ok(Some(view)) => ApiResponse::view(StatusCode::OK, &view),
-            Ok(None) => ApiResponse::later("the job's state is not known yet"),
-            Err(answer) => answer,
+            Ok(Some(view)) => ApiResponse::job_view(StatusCode::OK, &view),
+            Ok(None) => ApiResponse::retry_later("the job's state is not known yet"),
+            Err(response) => response,
         });
     }
     if !spec.waits_on.is_empty() && !app.with(|controller, _| controller.accepts_dependencies()) {
-        let why = "waits_on: not all controllers are of a version that knows it";
-        return Err(ApiResponse::later(why));
+        let reason = "waits_on: not all controllers are of a version that knows it";
+        return Err(ApiResponse::retry_later(reason));
     }
     Ok((spec, job, rules))
 }
 
-/// What is stored of the jobs that a submission names. One that is not known here is
-/// looked for in all that was durable when this was asked for, and in the history:
-/// another controller may have accepted it a moment ago.
+/// Resolves the jobs that a submission waits for into the dependencies to store. A job that is
+/// not in the mirror is looked for once the mirror has caught up with the state service, because
+/// another controller may just have accepted it, and then in the history.
 async fn resolve_dependencies(
     app: &Arc<App>,
     spec: &JobSpec,
     job: u64,
 ) -> Result<Dependencies, ApiResponse> {
-    let mut past = PastEnds::new();
+    let mut past_ends = PastEnds::new();
     let mut caught_up = false;
     loop {
-        let unknown =
-            match app.with(|controller, _| controller.mirror.resolve_dependencies(spec, &past)) {
-                Resolution::Accepted(after) => return Ok(after),
-                Resolution::Never(why) => return Err(never(app, job, why.to_string()).await),
-                Resolution::Unknown(need) => need,
-            };
+        let unknown = match app
+            .with(|controller, _| controller.mirror.resolve_dependencies(spec, &past_ends))
+        {
+            Resolution::Accepted(dependencies) => return Ok(dependencies),
+            Resolution::Never(reason) => return Err(reject(app, job, reason.to_string()).await),
+            Resolution::Unknown(need) => need,
+        };
         if !caught_up {
-            if !app.caught_up().await {
-                return Err(ApiResponse::later("the state service cannot be reached"));
+            if !app.wait_until_caught_up().await {
+                return Err(ApiResponse::retry_later(
+                    "the state service cannot be reached",
+                ));
             }
             caught_up = true;
             continue;
         }
-        let Some(found) = app.find_in_history(unknown, LookupKind::Submission).await else {
-            let why = "old jobs cannot be looked up now";
-            return Err(ApiResponse::later_in(why, LOOKUP_RETRY_S));
+        let Some(result) = app.find_in_history(unknown, LookupKind::Submission).await else {
+            let reason = "old jobs cannot be looked up now";
+            return Err(ApiResponse::retry_after(reason, LOOKUP_RETRY_S));
         };
-        match found.past {
-            Some(p) => past.insert(unknown, p.end),
+        match result.finished_job {
+            Some(finished) => past_ends.insert(unknown, finished.end),
             None => {
-                let why = DependencyError::NeverAccepted(unknown);
-                return Err(never(app, job, why.to_string()).await);
+                let reason = DependencyError::NeverAccepted(unknown);
+                return Err(reject(app, job, reason.to_string()).await);
             }
         };
     }
 }
 
-/// The answer to a submission that can never run: accepted elsewhere, it must not be
-/// refused here.
-async fn never(app: &Arc<App>, job: u64, why: String) -> ApiResponse {
+/// Returns the response to a submission that can never run: a refusal, unless another controller
+/// has accepted the job already; then the job's state.
+async fn reject(app: &Arc<App>, job: u64, reason: String) -> ApiResponse {
     match lookup(app, job).await {
-        Ok(Some(view)) => ApiResponse::view(StatusCode::OK, &view),
-        Ok(None) => ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, why),
-        Err(answer) => answer,
+        Ok(Some(view)) => ApiResponse::job_view(StatusCode::OK, &view),
+        Ok(None) => ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, reason),
+        Err(response) => response,
     }
 }
 
-pub(super) async fn submit(app: &Arc<App>, body: &[u8]) -> ApiResponse {
+/// Handles a user's submission: forwards it to the controller that should write it, or writes
+/// it here.
+pub(super) async fn submit_job(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     if app.with(|controller, now| controller.refuses_submissions(now)) {
-        return ApiResponse::later("this controller is behind");
+        return ApiResponse::retry_later("this controller is behind");
     }
-    let submission = match read_submission(app, body).await {
+    let submission = match parse_submission(app, body).await {
         Ok(read) => read,
-        Err(answer) => return answer,
+        Err(response) => return response,
     };
     let at = wall_ms() as u64;
     if let Some(response) = app.forward(body, at).await
@@ -169,37 +183,42 @@
     submit_here(app, submission, at).await
 }
 
-/// Writes a submission that another controller has forwarded.
-pub async fn answer_forwarded(app: &Arc<App>, forwarded: &ForwardedSubmission) -> ForwardResponse {
-    let answer = match read_submission(app, &forwarded.body).await {
+/// Writes a submission that another controller has forwarded, and returns the response to that
+/// controller.
+pub async fn answer_forwarded_submission(
+    app: &Arc<App>,
+    forwarded: &ForwardedSubmission,
+) -> ForwardResponse {
+    let response = match parse_submission(app, &forwarded.body).await {
         Ok(submission) => submit_here(app, submission, forwarded.at).await,
-        Err(answer) => answer,
+        Err(response) => response,
     };
     ForwardResponse {
         ticket: forwarded.ticket,
-        status: answer.status.as_u16(),
-        retry_after: answer.retry_after_s,
-        body: String::from_utf8_lossy(&answer.body).into_owned(),
+        status: response.status.as_u16(),
+        retry_after: response.retry_after_s,
+        body: String::from_utf8_lossy(&response.body).into_owned(),
     }
 }
 
+/// Admits a submission and writes it through this controller's core.
 async fn submit_here(app: &Arc<App>, submission: Submission, at: u64) -> ApiResponse {
     let (mut spec, job, rules) = submission;
-    let (verdict, fresh) = app.with(|controller, now| {
+    let (verdict, state_fresh) = app.with(|controller, now| {
         let (mirror, config) = (&controller.mirror, &controller.config);
         let verdict = admit(&mut spec, rules.as_ref(), at, mirror, config);
         (verdict, controller.state_fresh(now))
     });
-    if !fresh {
-        return ApiResponse::later("the state service cannot be reached");
+    if !state_fresh {
+        return ApiResponse::retry_later("the state service cannot be reached");
     }
     match verdict {
         Ok(()) => {}
-        Err(Reject::NotYet(why)) => return ApiResponse::later(&why.to_string()),
-        Err(Reject::Malformed(why)) => return ApiResponse::bad_request(why),
-        Err(Reject::Never(why)) => return never(app, job, why.to_string()).await,
+        Err(Reject::NotYet(reason)) => return ApiResponse::retry_later(&reason.to_string()),
+        Err(Reject::Malformed(reason)) => return ApiResponse::bad_request(reason),
+        Err(Reject::Never(reason)) => return reject(app, job, reason.to_string()).await,
     }
-    let named = spec.clone();
+    let spec_with_dependencies = spec.clone();
     spec.waits_on.clear();
     let rules = rules.map(Box::new);
     let new = app.with(|controller, _| controller.mirror.new_job(spec, rules, at));
@@ -207,109 +226,120 @@
         return ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, "owner: unknown team");
     };
     for _ in 0..MAX_ATTEMPTS {
-        match offer_once(app, job, &named, &mut open).await {
-            Attempt::Answered(answer) => return answer,
+        match offer_once(app, job, &spec_with_dependencies, &mut open).await {
+            Attempt::Answered(response) => return response,
             Attempt::Retry => {}
             Attempt::Failed => break,
         }
     }
-    ApiResponse::later("the state service did not take the job")
+    ApiResponse::retry_later("the state service did not take the job")
 }
 
-/// What came of one attempt to write a new job.
+/// Outcome of one attempt to write a new job.
 enum Attempt {
+    /// The response is known.
     Answered(ApiResponse),
+    /// The attempt may be repeated.
     Retry,
+    /// The job was not written, or the outcome is unknown.
     Failed,
 }
 
-/// Offers a new job to the core once, with the dependencies that `named` asks for.
-async fn offer_once(app: &Arc<App>, job: u64, named: &JobSpec, open: &mut OpenJob) -> Attempt {
-    // It may be over, and only the history may know it.
-    let Some(found) = app.find_in_history(job, LookupKind::Submission).await else {
+/// Offers a new job to the core once, with the dependencies that
+/// `spec_with_dependencies` lists.
+async fn offer_once(
+    app: &Arc<App>,
+    job: u64,
+    spec_with_dependencies: &JobSpec,
+    open: &mut OpenJob,
+) -> Attempt {
+    // The job may have ended already and be recorded only in the history.
+    let Some(result) = app.find_in_history(job, LookupKind::Submission).await else {
         return Attempt::Failed;
     };
-    if let Some(past) = found.past {
-        let view = over(job, past.end, past.done);
-        return Attempt::Answered(ApiResponse::view(StatusCode::OK, &view));
+    if let Some(finished) = result.finished_job {
+        let view = over(job, finished.end, finished.done);
+        return Attempt::Answered(ApiResponse::job_view(StatusCode::OK, &view));
     }
     if is_reserved(job) && app.with(|controller, _| controller.config.tuning.condor) {
-        let why = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
-        return Attempt::Answered(ApiResponse::bad_request(why));
+        let reason = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
+        return Attempt::Answered(ApiResponse::bad_request(reason));
     }
-    open.dependencies = match resolve_dependencies(app, named, job).await {
-        Ok(after) => after,
-        Err(answer) => return Attempt::Answered(answer),
+    open.dependencies = match resolve_dependencies(app, spec_with_dependencies, job).await {
+        Ok(dependencies) => dependencies,
+        Err(response) => return Attempt::Answered(response),
     };
     let status = if open.dependencies.cancelled_by.is_some() {
         JobStatus::Cancelled
     } else {
         JobStatus::Queued
     };
-    match app.offer(job, open.clone(), found.moved).await {
+    match app.offer(job, open.clone(), result.history_revision).await {
         Verdict::Taken => {
-            let body = serde_json::json!({ "id": named.id, "status": status });
-            Attempt::Answered(ApiResponse::of(StatusCode::CREATED, &body))
+            let body = serde_json::json!({ "id": spec_with_dependencies.id, "status": status });
+            Attempt::Answered(ApiResponse::json(StatusCode::CREATED, &body))
         }
-        // Another controller may have accepted it meanwhile.
+        // Another controller may have accepted the job in the meantime.
         Verdict::Known => match lookup(app, job).await {
-            Ok(Some(view)) => Attempt::Answered(ApiResponse::view(StatusCode::OK, &view)),
+            Ok(Some(view)) => Attempt::Answered(ApiResponse::job_view(StatusCode::OK, &view)),
             Ok(None) => Attempt::Failed,
-            Err(answer) => Attempt::Answered(answer),
+            Err(response) => Attempt::Answered(response),
         },
         Verdict::Retry => Attempt::Retry,
         Verdict::Busy(seconds) => {
-            let why = "too many submissions at once";
-            Attempt::Answered(ApiResponse::later_in(why, seconds))
+            let reason = "too many submissions at once";
+            Attempt::Answered(ApiResponse::retry_after(reason, seconds))
         }
         Verdict::Failed => Attempt::Failed,
     }
 }
 
-pub(super) async fn poll(app: &Arc<App>, id: &str) -> ApiResponse {
+/// Returns the state of the job with this id.
+pub(super) async fn poll_job(app: &Arc<App>, id: &str) -> ApiResponse {
     let Some(job) = job_number(id) else {
         return ApiResponse::error(StatusCode::NOT_FOUND, "no such job");
     };
-    // Behind with reports: what would be too late is refused at once, but for
-    // final states, which cost no more than a refusal.
-    let (view, behind) =
+    // While the event loop lags, polls whose answer would be too late are refused at once.
+    // Terminal states are still returned: they cost no more than a refusal.
+    let (view, overloaded) =
         app.with(|controller, now| (controller.mirror.view(job), controller.refuses_polls(now)));
-    if behind && !view.as_ref().is_some_and(is_terminal) {
-        return ApiResponse::later_in("this controller is behind", BEHIND_RETRY_S);
+    if overloaded && !view.as_ref().is_some_and(is_terminal) {
+        return ApiResponse::retry_after("this controller is behind", OVERLOADED_RETRY_S);
     }
     match lookup(app, job).await {
-        Ok(Some(view)) => ApiResponse::view(StatusCode::OK, &view),
+        Ok(Some(view)) => ApiResponse::job_view(StatusCode::OK, &view),
         Ok(None) => ApiResponse::error(StatusCode::NOT_FOUND, "no such job"),
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
-pub(super) async fn cancel(app: &Arc<App>, id: &str) -> ApiResponse {
+/// Cancels the job with this id and returns its state.
+pub(super) async fn cancel_job(app: &Arc<App>, id: &str) -> ApiResponse {
     let Some(job) = job_number(id) else {
         return ApiResponse::error(StatusCode::NOT_FOUND, "no such job");
     };
     for attempt in 0..MAX_ATTEMPTS {
         match lookup(app, job).await {
-            Err(answer) => return answer,
+            Err(response) => return response,
             Ok(None) => return ApiResponse::error(StatusCode::NOT_FOUND, "no such job"),
             Ok(Some(view)) if is_terminal(&view) => {
-                return ApiResponse::view(StatusCode::OK, &view);
+                return ApiResponse::job_view(StatusCode::OK, &view);
             }
             Ok(Some(_)) => {}
         }
         let Some(commit) = app.with(|controller, _| controller.cancellation(job)) else {
             continue;
         };
-        // Never refused for the write budget: what runs for a cancelled job is in
-        // everybody's way.
+        // A cancellation is counted in the write budget but never refused because of it: the
+        // tasks of a cancelled job take resources from all others.
         app.with(|controller, now| controller.spend_user_write(now));
         match app.commit_for_user(&commit).await {
-            // Applied: the next look-up says so. Malformed: it is divided as the limits now
-            // are.
+            // Applied: the next look-up returns the new state. Malformed: the next attempt
+            // divides the cancellation by the limits as known by then.
             Outcome::Applied(_) | Outcome::Conflict(_) | Outcome::Malformed => {}
             Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown => break,
         }
     }
-    ApiResponse::later("the state service did not take the cancellation")
+    ApiResponse::retry_later("the state service did not take the cancellation")
 }
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of users and workers.
+//! HTTP interface for users and workers.
 
 mod body;
 mod condor;
@@ -12,8 +12,8 @@
 use cherryyard_wire::parse_object;
 use cherryyard_wire::settings::Limits;
 use cherryyard_wire::worker::{Misdirected, WorkerHeartbeat};
-pub use jobs::answer_forwarded;
-use jobs::{cancel, poll, submit};
+pub use jobs::answer_forwarded_submission;
+use jobs::{cancel_job, poll_job, submit_job};
 use response::ApiResponse;
 use salvo::conn::Acceptor;
 use salvo::fuse::FuseConfig;
@@ -37,20 +37,20 @@
 #[async_trait]
 impl Handler for ReceiveChunk {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let since = Instant::now();
-        let answer = match read_body(&self.0, req).await {
-            Ok(body) => condor::receive(&self.0, &body.text).await,
-            Err(answer) => answer,
+        let received_at = Instant::now();
+        let response = match read_body(&self.0, req).await {
+            Ok(body) => condor::receive_chunk(&self.0, &body.text).await,
+            Err(response) => response,
         };
-        self.0.record_latency(since);
-        answer.write(res);
+        self.0.record_latency(received_at);
+        response.write(res);
     }
 }
 
 #[async_trait]
 impl Handler for ListSubmissions {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        condor::list(&self.0).await.write(res);
+        condor::list_submissions(&self.0).await.write(res);
     }
 }
 
@@ -58,7 +58,7 @@
 impl Handler for PollSubmission {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let name = req.param::<String>("name").unwrap_or_default();
-        condor::state(&self.0, &name).await.write(res);
+        condor::submission_state(&self.0, &name).await.write(res);
     }
 }
 
@@ -66,53 +66,53 @@
 impl Handler for RemoveSubmission {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let name = req.param::<String>("name").unwrap_or_default();
-        condor::remove(&self.0, &name).await.write(res);
+        condor::remove_submission(&self.0, &name).await.write(res);
     }
 }
 
 #[async_trait]
 impl Handler for ExplainMatch {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let answer = match read_body(&self.0, req).await {
-            Ok(body) => condor::explain(&self.0, &body.text),
-            Err(answer) => answer,
+        let response = match read_body(&self.0, req).await {
+            Ok(body) => condor::explain_match(&self.0, &body.text),
+            Err(response) => response,
         };
-        answer.write(res);
+        response.write(res);
     }
 }
 
 #[async_trait]
 impl Handler for SubmitJob {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let since = Instant::now();
-        let answer = match read_body(&self.0, req).await {
-            Ok(body) => submit(&self.0, &body.text).await,
-            Err(answer) => answer,
+        let received_at = Instant::now();
+        let response = match read_body(&self.0, req).await {
+            Ok(body) => submit_job(&self.0, &body.text).await,
+            Err(response) => response,
         };
-        self.0.record_latency(since);
-        answer.write(res);
+        self.0.record_latency(received_at);
+        response.write(res);
     }
 }
 
 #[async_trait]
 impl Handler for PollJob {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let since = Instant::now();
+        let received_at = Instant::now();
         let id = req.param::<String>("id").unwrap_or_default();
-        let answer = poll(&self.0, &id).await;
-        self.0.record_latency(since);
-        answer.write(res);
+        let response = poll_job(&self.0, &id).await;
+        self.0.record_latency(received_at);
+        response.write(res);
     }
 }
 
 #[async_trait]
 impl Handler for CancelJob {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let since = Instant::now();
+        let received_at = Instant::now();
         let id = req.param::<String>("id").unwrap_or_default();
-        let answer = cancel(&self.0, &id).await;
-        self.0.record_latency(since);
-        answer.write(res);
+        let response = cancel_job(&self.0, &id).await;
+        self.0.record_latency(received_at);
+        response.write(res);
     }
 }
 
@@ -120,12 +120,14 @@
 impl Handler for Readiness {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let ready = self.0.with(|controller, now| controller.ready(now));
-        let answer = if ready {
-            ApiResponse::of(StatusCode::OK, &serde_json::json!({ "ready": true }))
+        let response = if ready {
+            ApiResponse::json(StatusCode::OK, &serde_json::json!({ "ready": true }))
         } else {
-            ApiResponse::later("not ready: the state service or the machine types are out of reach")
+            ApiResponse::retry_later(
+                "not ready: the state service or the machine types are out of reach",
+            )
         };
-        answer.write(res);
+        response.write(res);
     }
 }
 
@@ -133,57 +135,58 @@
 impl Handler for HistoryCounts {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let counts = self.0.with(|controller, _| controller.history_counts());
-        ApiResponse::of(StatusCode::OK, &counts).write(res);
+        ApiResponse::json(StatusCode::OK, &counts).write(res);
     }
 }
 
 #[async_trait]
 impl Handler for ReceiveHeartbeat {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        let answer = match read_body(&self.0, req).await {
+        let response = match read_body(&self.0, req).await {
             Ok(body) => receive_heartbeat(&self.0, &body.text),
-            Err(answer) => answer,
+            Err(response) => response,
         };
-        answer.write(res);
+        response.write(res);
     }
 }
 
+/// Handles a worker's heartbeat and returns the response to it.
 fn receive_heartbeat(app: &Arc<App>, body: &[u8]) -> ApiResponse {
     let heartbeat = match parse_object::<WorkerHeartbeat>(body) {
         Ok(heartbeat) => heartbeat,
         Err(e) => return ApiResponse::bad_request(e),
     };
     match app.with(|controller, now| controller.handle_worker_heartbeat(&heartbeat, now)) {
-        Reply::Answer(response) => ApiResponse::of(StatusCode::OK, &response),
+        Reply::Answer(response) => ApiResponse::json(StatusCode::OK, &response),
         Reply::Elsewhere(owner) => {
-            ApiResponse::of(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
+            ApiResponse::json(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
         }
-        Reply::Unavailable => ApiResponse::later("this part has no owner yet"),
+        Reply::Unavailable => ApiResponse::retry_later("this part has no owner yet"),
     }
 }
 
-/// Most bytes of a head, or of a part of a body, that a connection buffers: the
-/// least that hyper allows.
+/// Most bytes of a request head, or of a part of a body, that a connection buffers: the smallest
+/// size that hyper allows.
 const CONNECTION_BUFFER: usize = 8 * 1024;
-/// What a connection takes with its buffers, as measured with 1,125 of them. Again with
-/// 1,500 and 4,200 idle ones, kept after three reports each of 600 bytes: 16.7 and 16.5
-/// KB; of 4,000 bytes: 21 KB (release build on a developer's machine, growth of VmRSS).
+/// Memory of a connection with its buffers, in bytes, as found with 1,125 connections. An idle
+/// connection after three heartbeats of 600 bytes takes 16.7 KB (1,500 connections) or 16.5 KB
+/// (4,200), after three of 4,000 bytes 21 KB, each as growth of VmRSS.
 const CONNECTION_BYTES: usize = 16 * 1024;
 
-/// Connections that are served at once: a quarter of the sockets stays free for
-/// what this controller connects to itself, and they take at most half of the
-/// memory.
+/// Returns how many connections are served at once. A quarter of the sockets stays free for
+/// this controller's own outgoing connections, and the served connections take at most half of
+/// the memory.
 ///
-/// This is a budget, not a fixed limit, and has no floor: 4,096 connections take 67 MB,
-/// more than a controller of 53 MB has and all but 5 MB of one of 72 MB. It needs 135 MB and
-/// 5,462 sockets to serve so many at once. Further connections wait to be accepted until
-/// others are closed.
-fn most_connections(limits: &Limits) -> usize {
+/// The result depends on the limits and has no lower bound: 4,096 connections take 67 MB, which
+/// is more than the memory of a controller with 53 MB and all but 5 MB of one with 72 MB. To
+/// serve 4,096 at once takes 135 MB and 5,462 sockets. Further connections wait to be accepted
+/// until others are closed.
+fn connection_limit(limits: &Limits) -> usize {
     (limits.sockets * 3 / 4).min(limits.memory_bytes() / 2 / CONNECTION_BYTES)
 }
 
-/// The routes of users and workers; those of the history and of submit files only where the
-/// operators' settings turn them on.
+/// Returns the routes for users and workers. The routes of the history and of submit files exist
+/// only if the operators' settings enable them.
 fn router(app: &Arc<App>) -> Router {
     let (history, condor) = app.with(|controller, _| {
         let tuning = &controller.config.tuning;
@@ -209,6 +212,7 @@
     router
 }
 
+/// Returns the routes for submissions from HTCondor submit files.
 fn submit_file_router(app: &Arc<App>) -> Router {
     let submission = Router::with_path("{name}")
         .get(PollSubmission(app.clone()))
@@ -220,10 +224,10 @@
         .push(Router::with_path("submissions").push(submission))
 }
 
-/// Serves until the process is killed.
+/// Serves requests until the process is killed.
 pub async fn serve<A: Acceptor + Send + 'static>(acceptor: A, app: Arc<App>, limits: &Limits) {
     let router = router(&app);
-    // Slow or idle clients cost a bounded amount.
+    // Timeouts bound the cost of slow or idle clients.
     let fuse = FuseConfig::default()
         .with_http1_header_timeout(Duration::from_secs(30))
         .with_connection_idle_timeout(Duration::from_secs(60))
@@ -231,7 +235,7 @@
         .with_write_stall_timeout(Duration::from_secs(10));
     let mut server = Server::new(acceptor)
         .fuse_config(fuse)
-        .max_connections(most_connections(limits));
+        .max_connections(connection_limit(limits));
     server.http1_mut().max_buf_size(CONNECTION_BUFFER);
     server.serve(router).await;
 }
--- a/crates/cherryyard/src/routes/response.rs
+++ b/crates/cherryyard/src/routes/response.rs
@@ -1,4 +1,4 @@
-//! Responses to users and workers.
+//! HTTP responses to users and workers.
 
 use bytes::Bytes;
 use cherryyard_wire::job::JobView;
@@ -10,14 +10,14 @@
     pub status: StatusCode,
     /// The body, in JSON.
     pub body: Bytes,
-    /// `Retry-After` in seconds; 0: none.
+    /// Value of the `Retry-After` header in seconds; 0 if the response has none.
     pub retry_after_s: u32,
 }
 
 impl ApiResponse {
-    /// A response with the JSON of `body`, serialized once and sent as it is.
-    pub(super) fn of(status: StatusCode, body: &impl serde::Serialize) -> Self {
-        // None of our own types fails to have a JSON form.
+    /// Returns a response whose body is the JSON of `body`.
+    pub(super) fn json(status: StatusCode, body: &impl serde::Serialize) -> Self {
+        // Serialization of this project's own types does not fail.
         let body = serde_json::to_vec(body).unwrap_or_default();
         Self {
             status,
@@ -26,42 +26,43 @@
         }
     }
 
-    /// A job's state.
-    pub(super) fn view(status: StatusCode, view: &JobView) -> Self {
-        Self::of(status, view)
+    /// Returns a response with a job's state.
+    pub(super) fn job_view(status: StatusCode, view: &JobView) -> Self {
+        Self::json(status, view)
     }
 
-    /// A refusal with its reason.
+    /// Returns a refusal with its reason.
     pub(super) fn error(status: StatusCode, reason: impl Into<String>) -> Self {
-        Self::of(status, &serde_json::json!({ "error": reason.into() }))
+        Self::json(status, &serde_json::json!({ "error": reason.into() }))
     }
 
-    /// A refusal of the request as malformed.
+    /// Returns a refusal of a malformed request.
     pub(super) fn bad_request(reason: impl ToString) -> Self {
         Self::error(StatusCode::BAD_REQUEST, reason.to_string())
     }
 
-    /// A refusal for now: to be tried again in a second.
-    pub(super) fn later(reason: &str) -> Self {
-        Self::later_in(reason, 1)
+    /// Returns a temporary refusal (503) that asks the client to retry after a second.
+    pub(super) fn retry_later(reason: &str) -> Self {
+        Self::retry_after(reason, 1)
     }
 
-    /// A refusal for now: to be tried again in so many seconds.
-    pub(super) fn later_in(reason: &str, seconds: u32) -> Self {
+    /// Returns a temporary refusal (503) that asks the client to retry after `seconds`.
+    pub(super) fn retry_after(reason: &str, seconds: u32) -> Self {
         Self {
             retry_after_s: seconds,
             ..Self::error(StatusCode::SERVICE_UNAVAILABLE, reason)
         }
     }
 
+    /// Writes this response's status, headers and body to `res`.
     pub(super) fn write(self, res: &mut Response) {
         res.status_code(self.status);
         if self.retry_after_s > 0 {
             res.headers_mut()
                 .insert("retry-after", self.retry_after_s.into());
         }
-        let json = HeaderValue::from_static("application/json; charset=utf-8");
-        res.headers_mut().insert("content-type", json);
+        let content_type = HeaderValue::from_static("application/json; charset=utf-8");
+        res.headers_mut().insert("content-type", content_type);
         res.body(ResBody::Once(self.body));
     }
 }
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -142,7 +142,7 @@
             MAX_LATENCY_MS,
             LATENCY_DIGITS,
         )?),
-        heartbeat_wanted: Notify::new(),
+        heartbeat_requested: Notify::new(),
         peers,
         pending: PendingSubmissions::new(),
         rejected: Mutex::default(),
