--- a/crates/cherryyard-clients/src/http.rs
+++ b/crates/cherryyard-clients/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 client for all outside services.
+//! HTTP/1.1 client that the clients of the external services and of the workers share.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -7,16 +7,16 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use std::time::Duration;
 
-/// Why a request has no response.
+/// Error of a request without a usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// No connection was made, so it has no effect.
+    /// No connection was established, so the request has no effect.
     #[error("not sent")]
     NotSent,
-    /// No complete response: the request may have taken effect, or may yet.
+    /// No complete response was received: the request may have taken effect, or may still do so.
     #[error("no answer")]
     NoAnswer,
-    /// The response is larger than the caller's bound; the request has taken effect.
+    /// The response is larger than the caller's bound; the server has handled the request.
     #[error("too large an answer")]
     ResponseTooLarge,
 }
@@ -31,8 +31,8 @@
 }
 
 impl HttpClient {
-    /// A client whose connection attempts end after `connect_timeout`, and which keeps at
-    /// most `idle_per_host` idle connections to each host.
+    /// Returns a client whose connection attempts time out after `connect_timeout`, and which keeps
+    /// at most `idle_per_host` idle connections to each host.
     pub fn new(connect_timeout: Duration, idle_per_host: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
@@ -45,8 +45,8 @@
         Self { client }
     }
 
-    /// Sends a request and reads its whole response of at most `max_bytes`, both within
-    /// `timeout`. Returns the status and the body.
+    /// Sends a request and reads the whole response, whose body may have at most `max_bytes`, both
+    /// within `timeout`. Returns the status and the body.
     pub async fn call(
         &self,
         method: hyper::Method,
@@ -66,6 +66,7 @@
         response.unwrap_or(Err(RequestError::NoAnswer))
     }
 
+    /// Sends a request and reads the response, without a timeout.
     async fn exchange(
         &self,
         request: hyper::Request<Full<Bytes>>,
--- a/crates/cherryyard-clients/src/lib.rs
+++ b/crates/cherryyard-clients/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of everything outside one controller.
+//! Clients for the external services, the workers and the other controllers.
 //!
-//! Each call is bounded in time and size. Errors distinguish what matters after a failure:
-//! whether the request can still take effect.
+//! Each HTTP call is bounded in time and in the size of its response. Errors distinguish whether a
+//! failed request may have taken effect or may still do so.
 
 pub mod cloud;
 pub mod http;
--- a/crates/cherryyard-clients/src/peer.rs
+++ b/crates/cherryyard-clients/src/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers, over length-delimited frames.
+//! Exchange of messages between controllers as length-delimited frames over TCP.
 
 use bytes::Bytes;
 use cherryyard_wire::peer::{
@@ -12,19 +12,20 @@
 use tokio::sync::{Notify, Semaphore, mpsc, watch};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Time without a frame after which a connection is closed.
+/// Time without a frame after which the receiver closes a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Connections that are accepted at once.
+/// Most incoming connections that are served at once.
 const MAX_CONNECTIONS: usize = 32;
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Timeout of writing one frame.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause between two connections to the same controller.
+/// Pause between two connection attempts to the same controller.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(300);
-/// Pause after a connection could not be accepted.
+/// Pause after an incoming connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
+/// Wraps a connection in a codec for frames of at most [`MAX_FRAME`] bytes.
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
     let _ = stream.set_nodelay(true);
     LengthDelimitedCodec::builder()
@@ -32,18 +33,20 @@
         .new_framed(stream)
 }
 
-/// A message on its way to other controllers, encoded once for each version of frames
-/// that they read.
+/// A message to other controllers, encoded at most once for each version of frames that they
+/// read.
 #[derive(Debug)]
 pub struct OutgoingMessage {
     message: Message,
     sender: Arc<Sender>,
+    /// Payload that earlier builds read.
     legacy: OnceLock<Bytes>,
+    /// Payload of the current version of frames.
     current: OnceLock<Bytes>,
 }
 
 impl OutgoingMessage {
-    /// A message of this controller.
+    /// Returns a message of this controller, which `sender` describes.
     pub fn new(message: Message, sender: Arc<Sender>) -> Arc<Self> {
         Arc::new(Self {
             message,
@@ -53,10 +56,10 @@
         })
     }
 
-    /// The frame's payload: with sections where the receiver has greeted, else as earlier
-    /// builds read it.
-    fn payload(&self, greeted: bool) -> Bytes {
-        let payload = if greeted {
+    /// Returns the frame's payload: of the current version, with sections, if the receiver has sent
+    /// a greeting, else in the format that earlier builds read.
+    fn payload(&self, greeting_received: bool) -> Bytes {
+        let payload = if greeting_received {
             self.current
                 .get_or_init(|| encode(&self.message, &self.sender).into())
         } else {
@@ -67,17 +70,17 @@
     }
 }
 
-/// The newest heartbeat, once there is one.
+/// Channel with this controller's newest heartbeat; none until there is one.
 pub type Heartbeats = watch::Receiver<Option<Arc<OutgoingMessage>>>;
 
-/// Whether a frame that came back on our own connection is a greeting.
+/// Returns whether a frame received on an outgoing connection is a greeting.
 fn is_greeting(payload: &[u8]) -> bool {
     payload.first() == Some(&VERSION) && decode(payload).is_ok_and(|frame| frame.sender.is_some())
 }
 
-/// Sends each new heartbeat, and other messages, to the controller at `addr`, for ever.
-/// Opens a new connection on `reconnect`: one whose other end is gone without closing it
-/// accepts writes for a minute or more.
+/// Sends each new heartbeat and the messages in `others` to the controller at `addr` until a
+/// channel is closed. Opens a new connection when `reconnect` is signalled: if the other end is
+/// gone without closing the connection, writes to it succeed for a minute or more.
 pub async fn send(
     addr: SocketAddr,
     mut heartbeats: Heartbeats,
@@ -87,10 +90,11 @@
     loop {
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
         if let Ok(Ok(stream)) = connect.await {
-            // Nobody waits any more for what was queued while there was no connection.
+            // Drops messages queued while there was no connection: their senders no longer wait for
+            // a response.
             while others.try_recv().is_ok() {}
             heartbeats.mark_changed();
-            // A request to reconnect meant the connection before this one.
+            // A pending signal to reconnect refers to the previous connection.
             let _ = reconnect.notified().now_or_never();
             let end = serve_connection(stream, &mut heartbeats, &mut others, &reconnect).await;
             if end == ConnectionEnd::NoMoreMessages {
@@ -101,16 +105,16 @@
     }
 }
 
-/// Why a connection to another controller is not used any more.
+/// Reason why a connection to another controller is no longer used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// It failed, was closed, or is to be replaced.
+    /// The connection failed, was closed, or is to be replaced.
     Lost,
-    /// This process has stopped sending messages.
+    /// A channel of outgoing messages is closed: this process sends no more.
     NoMoreMessages,
 }
 
-/// Sends messages on one connection until it ends.
+/// Sends messages on one connection until it ends; returns why it ended.
 async fn serve_connection(
     stream: TcpStream,
     heartbeats: &mut Heartbeats,
@@ -118,7 +122,7 @@
     reconnect: &Notify,
 ) -> ConnectionEnd {
     let mut frames = framed(stream);
-    let mut greeted = false;
+    let mut greeting_received = false;
     loop {
         let next = tokio::select! {
             () = reconnect.notified() => return ConnectionEnd::Lost,
@@ -132,15 +136,15 @@
             },
             received = frames.next() => match received {
                 Some(Ok(payload)) => {
-                    greeted |= is_greeting(&payload);
+                    greeting_received |= is_greeting(&payload);
                     continue;
                 }
-                // The other end has closed the connection.
+                // The connection failed, or the other end has closed it.
                 Some(Err(_)) | None => return ConnectionEnd::Lost,
             },
         };
         let Some(next) = next else { continue };
-        let payload = next.payload(greeted);
+        let payload = next.payload(greeting_received);
         let sent = tokio::time::timeout(SEND_TIMEOUT, frames.send(payload)).await;
         if !matches!(sent, Ok(Ok(()))) {
             return ConnectionEnd::Lost;
@@ -148,8 +152,8 @@
     }
 }
 
-/// Greets every controller that connects, and hands its frames to `on_frame`; an invalid
-/// frame ends its connection.
+/// Accepts connections from other controllers, sends each a greeting, and passes the received
+/// frames to `on_frame`. An invalid frame closes its connection.
 pub async fn receive(
     listener: TcpListener,
     sender: Arc<Sender>,
@@ -169,7 +173,7 @@
         let greeting = greeting.clone();
         tokio::spawn(async move {
             let mut frames = framed(stream);
-            // A few bytes into an empty buffer: this waits for nobody.
+            // The greeting is a few bytes and the socket's buffer is empty, so this does not block.
             if frames.send(greeting).await.is_err() {
                 return;
             }
--- a/crates/cherryyard-clients/src/peer/tests.rs
+++ b/crates/cherryyard-clients/src/peer/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use cherryyard_wire::peer::ForwardResponse;
 
-/// A connection whose other end says nothing and closes nothing is made anew when
-/// that is asked for, once for each time. On each the other end is spoken to as one
-/// of an earlier build until it greets.
+/// Guards against a sender that keeps using a dead connection, whose other end neither responds nor
+/// closes it: each signal to reconnect must open exactly one new connection. On each connection,
+/// frames must be in the format of earlier builds until the other end has sent a greeting.
 #[test]
-fn a_dead_connection_is_made_anew() {
+fn a_dead_connection_is_replaced_on_a_signal() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -29,27 +29,31 @@
         let (_others, other) = mpsc::channel(1);
         let reconnect = Arc::new(Notify::new());
         tokio::spawn(send(addr, heartbeat, other, reconnect.clone()));
-        let mut held = Vec::new();
+        let mut open_connections = Vec::new();
         for _ in 0..3 {
             let (stream, _) = listener.accept().await.expect("a connection");
             let mut frames = framed(stream);
             let first = frames.next().await.expect("a frame").expect("a good frame");
-            let read = decode(&first).expect("a known version");
-            assert_eq!(read.message.as_ref(), Some(&message), "told at once");
+            let received = decode(&first).expect("a known version");
             assert_eq!(
-                read.sender, None,
-                "not greeted yet, so as earlier builds read"
+                received.message.as_ref(),
+                Some(&message),
+                "the newest heartbeat is sent at once"
             );
-            // This one greets.
-            let hello = Bytes::from(greeting(&sender));
-            frames.send(hello).await.expect("a greeting");
+            assert_eq!(
+                received.sender, None,
+                "no greeting received yet, so in the format of earlier builds"
+            );
+            // The other end sends its greeting.
+            let greeting_payload = Bytes::from(greeting(&sender));
+            frames.send(greeting_payload).await.expect("a greeting");
             tokio::time::sleep(Duration::from_millis(50)).await;
             let next = OutgoingMessage::new(message.clone(), sender.clone());
             heartbeats.send(Some(next)).expect("a listener");
             let next = frames.next().await.expect("a frame").expect("a good frame");
-            let read = decode(&next).expect("a known version");
-            assert_eq!(read.sender.as_ref(), Some(&*sender), "greeted");
-            held.push(frames);
+            let received = decode(&next).expect("a known version");
+            assert_eq!(received.sender.as_ref(), Some(&*sender), "greeted");
+            open_connections.push(frames);
             reconnect.notify_one();
         }
     });
--- a/crates/cherryyard-clients/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -1,4 +1,4 @@
-//! Client of the state service.
+//! Client for the state service.
 
 use crate::http::{HttpClient, RequestError};
 use cherryyard_wire::condor::{Chunk, chunk_key};
@@ -9,83 +9,84 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Largest response that is read, in bytes: a page of a full read has at most 512 KiB, and
-/// a watch response beyond this is replaced by a full read in pages. With the values taken
-/// out of it, it is held twice.
+/// Largest response that is read, in bytes. A page of a full read has at most 512 KiB; a larger
+/// watch response is replaced by a full read in pages. While its values are parsed, a response is
+/// in memory twice.
 const MAX_RESPONSE: usize = 4 * 1024 * 1024;
-/// Keys of one page of a full read.
+/// Keys per page of a full read.
 const PAGE_SIZE: usize = 1000;
 /// Timeout of one page of a full read.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Timeout of a read of one key, and of a lease's renewal.
+/// Timeout of a read of one key, and of a lease renewal.
 const KEY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Timeout of a transaction, and of a lease's grant.
+/// Timeout of a transaction, and of a lease grant.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// What a watch may take beyond the time that it waits for changes.
+/// Time added to a watch's wait for changes to get the timeout of its request.
 const WATCH_GRACE: Duration = Duration::from_millis(1500);
 
-/// Why a call has no result.
+/// Error of a call to the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// Refused as too much; try later.
+    /// The service refused the request because there were too many; try again later.
     #[error("too many requests")]
     Busy,
-    /// Not executed.
+    /// The service is unavailable; the request was not executed.
     #[error("unavailable")]
     Unavailable,
-    /// What was asked for is gone: an old watch, or an ended lease.
+    /// The requested object no longer exists: the changes since a watch's start, or a lease that has
+    /// ended.
     #[error("gone")]
     Gone,
-    /// No response; it may yet be executed.
-    #[error("no answer")]
+    /// No complete response was received; the request may have been executed, or may still be.
+    #[error("no response")]
     NoAnswer,
-    /// The response cannot be read.
-    #[error("a bad answer")]
+    /// The response cannot be parsed, or has an unexpected status.
+    #[error("invalid response")]
     InvalidResponse,
-    /// The request is malformed, or beyond the service's limits: not executed.
-    #[error("a malformed request")]
+    /// The request is malformed or exceeds the service's limits; it was not executed.
+    #[error("malformed request")]
     Malformed,
 }
 
-/// The outcome of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Applied at this revision.
+    /// The transaction was applied at this revision.
     Applied(u64),
     /// A condition failed as of this revision.
     Conflict(u64),
-    /// Its lease is over.
+    /// The transaction's lease has ended.
     NoLease,
 }
 
-/// What a read of a run of the history found.
+/// Result of a read of a run of the history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeafRead {
-    /// The revision that the read describes.
+    /// Revision of the store that the read describes.
     pub store_revision: u64,
-    /// The first leaf from there on, if there is one.
+    /// First leaf that may hold the requested job or a later one, if there is one.
     pub leaf: Option<StoredLeaf>,
 }
 
 /// A leaf of the history as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredLeaf {
-    /// The last job number that can be in it.
+    /// Largest job number that can be in the leaf.
     pub last_job: u64,
-    /// The revision of its key.
+    /// Revision of the leaf's key.
     pub revision: u64,
-    /// Its record.
+    /// Record of the leaf.
     pub record: LeafRecord,
 }
 
-/// A client of the state service.
+/// Client for the state service.
 #[derive(Clone, Debug)]
 pub struct StateClient {
     http: HttpClient,
-    base: String,
+    base_url: String,
 }
 
-/// The error that a status stands for.
+/// Returns the error for an unsuccessful HTTP status.
 fn status_error(status: u16) -> StateError {
     match status {
         429 => StateError::Busy,
@@ -105,14 +106,15 @@
 }
 
 impl StateClient {
-    /// The state service at `addr`.
+    /// Returns a client for the state service at `addr`.
     pub fn new(http: HttpClient, addr: &str) -> Self {
         Self {
             http,
-            base: format!("http://{addr}"),
+            base_url: format!("http://{addr}"),
         }
     }
 
+    /// Sends a request; returns the status and the body of the response.
     async fn call(
         &self,
         method: Method,
@@ -120,13 +122,14 @@
         body: Option<Vec<u8>>,
         timeout: Duration,
     ) -> Result<(u16, bytes::Bytes), StateError> {
-        let url = format!("{}{path}", self.base);
+        let url = format!("{}{path}", self.base_url);
         Ok(self
             .http
             .call(method, &url, body, timeout, MAX_RESPONSE)
             .await?)
     }
 
+    /// Parses the body of a response.
     fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StateError> {
         parse_object(body).map_err(|e| {
             tracing::warn!("invalid response from the state service: {e}");
@@ -134,7 +137,7 @@
         })
     }
 
-    /// Reads a page of all that is under our prefix, after `since`.
+    /// Reads a page of all keys under [`PREFIX`], from the first key after `since` on.
     pub async fn read_page(&self, since: Option<&str>) -> Result<Page, StateError> {
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
         let path = format!("/store?starts={PREFIX}{since}&page={PAGE_SIZE}");
@@ -145,8 +148,8 @@
         Self::parse(&body)
     }
 
-    /// Reads the first leaf of a run of the history whose last possible job is `job` or a
-    /// later one.
+    /// Reads the first leaf of a run of the history whose largest possible job number is `job` or
+    /// higher.
     pub async fn read_leaf(&self, level: Level, job: u64) -> Result<LeafRead, StateError> {
         let since = since_key(level, job);
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
@@ -180,7 +183,7 @@
         })
     }
 
-    /// Reads a chunk of a submission, if it is there.
+    /// Reads a chunk of a submission; returns none if there is no such chunk.
     pub async fn read_chunk(&self, number: u64, chunk: u32) -> Result<Option<Chunk>, StateError> {
         let path = format!("/store/{}", chunk_key(number, chunk));
         let (status, body) = self.call(Method::GET, &path, None, KEY_TIMEOUT).await?;
@@ -198,19 +201,19 @@
         }
     }
 
-    /// Waits up to `wait_ms` for changes after `since`.
+    /// Waits up to `wait_ms` milliseconds for changes after the revision `since`.
     pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<WatchResponse, StateError> {
         let path = format!("/follow?starts={PREFIX}&since={since}&wait_ms={wait_ms}");
-        let url = format!("{}{path}", self.base);
+        let url = format!("{}{path}", self.base_url);
         let timeout = Duration::from_millis(wait_ms) + WATCH_GRACE;
-        let answer = self
+        let response = self
             .http
             .call(Method::GET, &url, None, timeout, MAX_RESPONSE)
             .await;
-        let (status, body) = match answer {
-            // The same watch would be as large each time.
+        let (status, body) = match response {
+            // A retry would get the same large response, so the caller has to do a full read.
             Err(RequestError::ResponseTooLarge) => return Err(StateError::Gone),
-            answer => answer?,
+            response => response?,
         };
         if status != 200 {
             return Err(status_error(status));
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Gets a lease.
+    /// Requests a lease that ends `ttl_ms` milliseconds after its last renewal; returns its id.
     pub async fn grant_lease(&self, ttl_ms: u64) -> Result<u64, StateError> {
         let body = serde_json::json!({ "ttl_ms": ttl_ms })
             .to_string()
--- a/crates/cherryyard-clients/src/worker.rs
+++ b/crates/cherryyard-clients/src/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the workers' direct interface.
+//! Client for the workers' HTTP interface.
 
 use crate::http::{HttpClient, RequestError};
 use cherryyard_wire::parse_object;
@@ -6,12 +6,12 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Timeout of a query and of a command batch.
+/// Timeout of a status query and of a command batch.
 const TIMEOUT: Duration = Duration::from_millis(2500);
-/// Largest heartbeat that is read, in bytes.
+/// Largest heartbeat in a response that is read, in bytes.
 const MAX_HEARTBEAT: usize = 1024 * 1024;
 
-/// Asks a worker for its heartbeat with the status of its tasks.
+/// Queries a worker for a heartbeat with the status of its tasks.
 pub async fn query(http: &HttpClient, addr: &str) -> Result<WorkerHeartbeat, RequestError> {
     let url = format!("http://{addr}/status");
     let (status, body) = http
@@ -29,8 +29,8 @@
     }
 }
 
-/// Sends commands outside of a heartbeat's response. 200 and 409 both carry the worker's
-/// heartbeat.
+/// Sends commands to a worker directly, instead of in the response to its heartbeat. A response
+/// with 200 or 409 contains the worker's heartbeat.
 pub async fn send(
     http: &HttpClient,
     addr: &str,
--- a/crates/cherryyard/src/account.rs
+++ b/crates/cherryyard/src/account.rs
@@ -1,4 +1,4 @@
-//! The `account` command: sums the accounts of core-seconds in controllers' logs.
+//! The `account` command: sums up the core-seconds accounts in controllers' logs.
 
 use cherryyard_core::account::CoreSeconds;
 use comfy_table::{CellAlignment, Table, presets};
@@ -6,64 +6,64 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// What stands before the account in a log line.
+/// Text before the account in a log line.
 const CORES_FIELD: &str = "cores=";
-/// What stands before the shard's number, which comes before the account.
+/// Text before the shard's number, which precedes the account in the line.
 const SHARD_FIELD: &str = "shard=";
-/// The same in logs of earlier builds.
+/// Text before the shard's number in logs of earlier builds.
 const LEGACY_SHARD_FIELD: &str = "part=";
 
-/// Why logs cannot be summed.
+/// Error that prevents logs from being summed up.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum AccountError {
     /// A log cannot be read.
     #[error("{path}: {reason}")]
     Unreadable {
-        /// The log.
+        /// Path of the log.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         reason: String,
     },
-    /// An account in a log cannot be read.
+    /// An account in a log cannot be parsed.
     #[error("{path}: {source}")]
-    BadLog {
-        /// The log.
+    InvalidLog {
+        /// Path of the log.
         path: String,
-        /// Which line, and what is wrong with it.
-        source: BadLine,
+        /// Line that cannot be parsed.
+        source: InvalidLine,
     },
-    /// The logs hold no account.
+    /// The logs contain no account.
     #[error("no accounts in these logs: `account = true` turns them on")]
     NoAccounts,
 }
 
-/// A log line whose account cannot be read.
+/// A log line whose account cannot be parsed.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error("line {number}: {reason}")]
-pub struct BadLine {
-    /// Its number, from 1.
+pub struct InvalidLine {
+    /// Number of the line, from 1.
     number: usize,
-    /// What is wrong with it.
+    /// Error in the line.
     reason: String,
 }
 
-/// The shard that the part of a log line before the account names.
-fn shard_of(head: &str) -> Option<usize> {
-    let number = |field: &str| head.rsplit_once(field)?.1.trim().parse().ok();
+/// Returns the shard's number from the part of a log line before the account.
+fn shard_of(prefix: &str) -> Option<usize> {
+    let number = |field: &str| prefix.rsplit_once(field)?.1.trim().parse().ok();
     number(SHARD_FIELD).or_else(|| number(LEGACY_SHARD_FIELD))
 }
 
-/// Sums the accounts in the lines of a log by shard.
-fn sum(text: &str, by_shard: &mut BTreeMap<usize, CoreSeconds>) -> Result<(), BadLine> {
+/// Adds the accounts in a log to the sums by shard.
+fn add_log(text: &str, by_shard: &mut BTreeMap<usize, CoreSeconds>) -> Result<(), InvalidLine> {
     for (i, line) in text.lines().enumerate() {
-        let Some((head, json)) = line.split_once(CORES_FIELD) else {
+        let Some((prefix, json)) = line.split_once(CORES_FIELD) else {
             continue;
         };
-        // Other lines may have such a field too.
-        let Some(shard) = shard_of(head) else {
+        // Not an account line: other log lines may have a field `cores` too.
+        let Some(shard) = shard_of(prefix) else {
             continue;
         };
-        let cores = CoreSeconds::from_json(json).map_err(|e| BadLine {
+        let cores = CoreSeconds::from_json(json).map_err(|e| InvalidLine {
             number: i + 1,
             reason: e.to_string(),
         })?;
@@ -72,14 +72,16 @@
     Ok(())
 }
 
+/// Returns a table with one row per kind of core use: its total, its share, and its core-seconds
+/// in each shard.
 fn table(by_shard: &BTreeMap<usize, CoreSeconds>) -> Table {
     let mut total = CoreSeconds::default();
     by_shard.values().for_each(|shard| total.add(shard));
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     let shards = by_shard.keys().map(|shard| format!("part {shard}"));
-    let head = ["core-seconds".to_string(), "all".into(), "share".into()];
-    table.set_header(head.into_iter().chain(shards));
+    let header = ["core-seconds".to_string(), "all".into(), "share".into()];
+    table.set_header(header.into_iter().chain(shards));
     for (i, (name, seconds)) in total.figures().enumerate() {
         if seconds.abs() < 0.5 {
             continue;
@@ -97,8 +99,8 @@
     table
 }
 
-/// The table of all accounts in the controllers' logs.
-pub fn of_logs<'a>(logs: impl Iterator<Item = &'a Path>) -> Result<String, AccountError> {
+/// Returns the table of all accounts in the controllers' logs.
+pub fn summarize_logs<'a>(logs: impl Iterator<Item = &'a Path>) -> Result<String, AccountError> {
     let mut by_shard = BTreeMap::new();
     for path in logs {
         let name = || path.display().to_string();
@@ -106,8 +108,8 @@
             path: name(),
             reason: e.to_string(),
         })?;
-        sum(&String::from_utf8_lossy(&text), &mut by_shard).map_err(|source| {
-            AccountError::BadLog {
+        add_log(&String::from_utf8_lossy(&text), &mut by_shard).map_err(|source| {
+            AccountError::InvalidLog {
                 path: name(),
                 source,
             }
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -16,7 +16,7 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// A cluster scheduler: runs a controller, or talks to one.
+/// A cluster scheduler: runs a controller, or sends requests to one.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -28,7 +28,7 @@
     /// Run a controller with this settings file (JSON)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// Operators' own settings (HCL)
+    /// Settings of the operators, in addition to the settings file (HCL)
     #[arg(long, value_name = "FILE", requires = "config")]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -37,12 +37,12 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check settings files without running anything
+    /// Check settings files without running a controller
     Check {
         /// Settings file (JSON)
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Operators' own settings (HCL)
+        /// Settings of the operators, in addition to the settings file (HCL)
         #[arg(long, value_name = "FILE")]
         operator: Option<PathBuf>,
     },
@@ -53,11 +53,11 @@
         server: String,
         /// The job (JSON)
         file: PathBuf,
-        /// Jobs that must be done before it starts, beside those that the file names
+        /// Ids of jobs that must be done before this job starts, in addition to those in the file
         #[arg(long, value_name = "ID", value_delimiter = ',')]
         waits_on: Vec<String>,
     },
-    /// Print a job's state: what it waits for, and with which job it was cancelled
+    /// Print a job's state, with the jobs that it waits for and the job whose cancellation cancelled it
     Status {
         /// Address of a controller
         #[arg(long, value_name = "ADDR")]
@@ -73,24 +73,24 @@
         /// The job's id
         id: String,
     },
-    /// Print how many jobs are open, over, and in the history
+    /// Print how many jobs are open, ended, and in the history
     History {
         /// Address of a controller with `history = true`
         #[arg(long, value_name = "ADDR")]
         server: String,
     },
-    /// HTCondor submit files: queue, look, remove, match
+    /// Submit, list, remove and match jobs of HTCondor submit files
     #[command(subcommand)]
     Condor(Condor),
-    /// Sum up what cores did, from the logs of controllers that keep account
+    /// Sum up how cores were used, from the logs of controllers with `account = true`
     Account {
-        /// Logs of controllers
+        /// Log files of controllers
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
 }
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Error)]
 enum CliError {
     #[error("--config is missing")]
@@ -102,7 +102,7 @@
     },
     #[error("{path}: not UTF-8")]
     NotUtf8 { path: String },
-    /// A settings file or a job.
+    /// A settings file or a job is invalid.
     #[error("{path}: {source}")]
     Invalid { path: String, source: ReadError },
     #[error("{path}: {source}")]
@@ -128,21 +128,25 @@
     Account(#[from] AccountError),
 }
 
-/// A path as errors name it.
-fn name_of(path: &Path) -> String {
+/// Returns a path as error messages show it.
+fn path_text(path: &Path) -> String {
     path.display().to_string()
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, CliError> {
+fn read_file(path: &Path) -> Result<Vec<u8>, CliError> {
     std::fs::read(path).map_err(|source| CliError::Unreadable {
-        path: name_of(path),
+        path: path_text(path),
         source,
     })
 }
 
-fn load(config: &Path, operator_file: Option<&Path>) -> Result<(Settings, Tuning), CliError> {
-    let settings = Settings::parse(&read(config)?).map_err(|source| CliError::Invalid {
-        path: name_of(config),
+/// Reads the settings file, and the operators' settings if there is such a file.
+fn load_settings(
+    config: &Path,
+    operator_file: Option<&Path>,
+) -> Result<(Settings, Tuning), CliError> {
+    let settings = Settings::parse(&read_file(config)?).map_err(|source| CliError::Invalid {
+        path: path_text(config),
         source,
     })?;
     let tuning = match operator_file {
@@ -153,8 +157,8 @@
 }
 
 fn load_operator_settings(path: &Path) -> Result<Tuning, CliError> {
-    let path_name = name_of(path);
-    let Ok(text) = String::from_utf8(read(path)?) else {
+    let path_name = path_text(path);
+    let Ok(text) = String::from_utf8(read_file(path)?) else {
         return Err(CliError::NotUtf8 { path: path_name });
     };
     operator::parse(&text).map_err(|source| CliError::Operator {
@@ -163,13 +167,15 @@
     })
 }
 
-fn start_log() {
+/// Starts logging to stderr at the level that the variable `LOG_LEVEL` gives (default: info).
+fn init_logging() {
     use tracing_subscriber::filter::{LevelFilter, Targets};
     use tracing_subscriber::layer::SubscriberExt;
     use tracing_subscriber::util::SubscriberInitExt;
     let level = std::env::var("LOG_LEVEL").unwrap_or_default();
     let level: LevelFilter = level.parse().unwrap_or(LevelFilter::INFO);
-    // The libraries' own messages say nothing that an operator can act on.
+    // Messages of libraries below the level of warnings are left out: an operator cannot act on
+    // them.
     let targets = Targets::new()
         .with_default(level.min(LevelFilter::WARN))
         .with_target("cherryyard", level)
@@ -186,6 +192,7 @@
         .init();
 }
 
+/// Creates a single-threaded async runtime.
 fn runtime() -> Result<tokio::runtime::Runtime, CliError> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -205,15 +212,16 @@
     Ok(())
 }
 
+/// Runs the command, or a controller if there is no command.
 fn execute(cli: Cli) -> Result<(), CliError> {
     match cli.command {
         None => {
             let config = cli.config.ok_or(CliError::NoConfig)?;
-            let (settings, tuning) = load(&config, cli.operator.as_deref())?;
-            start_log();
+            let (settings, tuning) = load_settings(&config, cli.operator.as_deref())?;
+            init_logging();
             Ok(runtime()?.block_on(run::run(settings, tuning))?)
         }
-        Some(Command::Check { config, operator }) => check(&config, operator.as_deref()),
+        Some(Command::Check { config, operator }) => check_settings(&config, operator.as_deref()),
         Some(Command::Submit {
             server,
             file,
@@ -235,25 +243,30 @@
         }
         Some(Command::Condor(command)) => Ok(runtime()?.block_on(condor::execute(command))?),
         Some(Command::Account { logs }) => {
-            println!("{}", account::of_logs(logs.iter().map(PathBuf::as_path))?);
+            println!(
+                "{}",
+                account::summarize_logs(logs.iter().map(PathBuf::as_path))?
+            );
             Ok(())
         }
     }
 }
 
-fn check(config: &Path, operator_file: Option<&Path>) -> Result<(), CliError> {
-    let (settings, tuning) = load(config, operator_file)?;
+/// Checks settings files and prints a summary of them.
+fn check_settings(config: &Path, operator_file: Option<&Path>) -> Result<(), CliError> {
+    let (settings, tuning) = load_settings(config, operator_file)?;
     let shards = Config::new(&settings, tuning).shards();
     let (path, label) = (config.display(), &settings.label);
     println!("{path}: good, controller {label} of {shards}");
     Ok(())
 }
 
-/// The body of a submission: the file's, with further jobs that it waits for.
+/// Returns the body of a submission: the file's content, with `waits_on` added to the jobs that
+/// it waits for.
 fn submission(file: &Path, waits_on: Vec<String>) -> Result<Vec<u8>, CliError> {
-    let body = read(file)?;
+    let body = read_file(file)?;
     let mut spec = JobSpec::parse(&body).map_err(|source| CliError::Invalid {
-        path: name_of(file),
+        path: path_text(file),
         source,
     })?;
     if waits_on.is_empty() {
@@ -261,16 +274,18 @@
     }
     spec.waits_on.extend(waits_on);
     spec.check().map_err(CliError::WaitsOn)?;
-    // Fields of the file that this program does not know stay as they are.
+    // Edits the JSON value instead of serializing `spec`, to keep fields that this program does
+    // not know.
     let value: Result<serde_json::Value, _> = serde_json::from_slice(&body);
     let mut value = value.map_err(|source| CliError::NotJson {
-        path: name_of(file),
+        path: path_text(file),
         source,
     })?;
     value["waits_on"] = spec.waits_on.into();
     Ok(value.to_string().into_bytes())
 }
 
+/// Returns the id if it is a valid job id.
 fn checked_id(id: &str) -> Result<&str, CliError> {
     match cherryyard_wire::job::job_number(id) {
         Some(_) => Ok(id),
@@ -278,7 +293,7 @@
     }
 }
 
-/// Runs the program.
+/// Parses the command line and runs the program.
 pub fn run() -> ExitCode {
     match execute(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/cherryyard/src/condor.rs
+++ b/crates/cherryyard/src/condor.rs
@@ -1,4 +1,4 @@
-//! `cherryyard condor`: submit files from the command line.
+//! The `condor` commands: submit, list, remove and match the jobs of HTCondor submit files.
 
 use crate::server::{ServerError, ServerResponse, request};
 use cherryyard_condor::{Cluster, Options, Source, SourceError, SubmitError, read};
@@ -14,64 +14,64 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How long a request is retried while the service refuses it.
+/// Time for which a request is retried while it gets no response or a temporary refusal.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause before the first retry, in seconds; each further one is longer.
+/// Pause before the first retry, in seconds.
 const FIRST_PAUSE_S: f64 = 1.0;
-/// By how much each pause is longer than the one before.
+/// Factor by which each pause is longer than the one before.
 const PAUSE_GROWTH: f64 = 1.5;
 /// Longest pause between two retries, in seconds.
 const MAX_PAUSE_S: f64 = 10.0;
-/// Groups of jobs that a table shows.
+/// Most groups of jobs that a table shows.
 const MAX_ROWS: usize = 50;
 
-/// Why a command failed.
+/// Error of a `condor` command.
 #[derive(Debug, Error)]
 pub enum CondorError {
     /// A file cannot be read or written.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The submit file is wrong; the text shows its line, with a caret under the place.
+    /// The submit file has an error.
     #[error("{report}")]
     SubmitFile {
-        /// The text.
+        /// Report that shows the line, with a caret under the error.
         report: String,
     },
-    /// A name is not one that a submission can have.
+    /// The name is not valid for a submission.
     #[error(transparent)]
     Name(#[from] InvalidField),
-    /// There is no response.
+    /// No response was received.
     #[error(transparent)]
     Server(#[from] ServerError),
-    /// 404.
+    /// The service responded with 404.
     #[error("no such submission, or the service does not serve submit files")]
     NotFound,
-    /// Another refusal.
+    /// The service refused the request with another status.
     #[error("{status}: {reason}")]
     Refused {
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// What the service says.
+        /// Reason in the response.
         reason: String,
     },
-    /// A response cannot be read.
+    /// A response cannot be parsed.
     #[error("a bad answer: {0}")]
     BadResponse(serde_json::Error),
-    /// A submission's state without its first job.
+    /// The state of an accepted submission does not contain its first job.
     #[error("a bad answer: no first job")]
     NoFirstJob,
-    /// A request has no JSON form.
+    /// A request cannot be serialized.
     #[error("{0}")]
     Encode(serde_json::Error),
     /// The submit file has no chunks.
     #[error("nothing was sent")]
     NothingSent,
-    /// Some jobs could run nowhere.
+    /// Some of the jobs could not run on any machine.
     #[error("some of the jobs match no machine")]
     NoMatch,
 }
@@ -79,35 +79,35 @@
 /// Commands for HTCondor submit files.
 #[derive(Debug, Subcommand)]
 pub enum Condor {
-    /// Queue a submit file's jobs
+    /// Submit the jobs of a submit file
     Submit {
         /// The submit file
         file: PathBuf,
         /// Address of a controller with `condor = true`, such as 127.0.0.1:8080
         #[arg(long, value_name = "ADDR", required_unless_present = "dry_run")]
         server: Option<String>,
-        /// The submission's name: sent again under it, nothing is queued twice
+        /// Name of the submission; submitting again under the same name queues nothing twice (default: random)
         #[arg(long)]
         name: Option<String>,
-        /// The team, where the file has no accounting_group
+        /// Team of the jobs, if the file has no accounting_group
         #[arg(long)]
         team: Option<String>,
-        /// A statement that comes before the file's, such as `x = 3`
+        /// Statement to insert before those of the file, such as `x = 3`
         #[arg(short = 'a', long = "append", value_name = "STATEMENT")]
         append: Vec<String>,
-        /// Print what would be queued, and send nothing
+        /// Print what would be submitted, without sending it
         #[arg(long)]
         dry_run: bool,
-        /// Write what each job runs, a line of JSON each, for uploading to the workers
+        /// Write what each job runs to this file, one line of JSON per job, for uploading to the workers
         #[arg(long, value_name = "FILE")]
         describe: Option<PathBuf>,
     },
-    /// Print submissions and how far they are
+    /// Print submissions and their progress
     Q {
         /// Address of a controller
         #[arg(long, value_name = "ADDR")]
         server: String,
-        /// One submission's name
+        /// Name of a submission; without it, all are printed
         name: Option<String>,
     },
     /// Remove a submission: all of its jobs are cancelled
@@ -115,25 +115,26 @@
         /// Address of a controller
         #[arg(long, value_name = "ADDR")]
         server: String,
-        /// Its name
+        /// Name of the submission
         name: String,
     },
-    /// Print which machines match a submit file's jobs, and what others lack
+    /// Print which machines match the jobs of a submit file, and what the other machines lack
     Match {
         /// The submit file
         file: PathBuf,
         /// Address of a controller
         #[arg(long, value_name = "ADDR")]
         server: String,
-        /// The team, where the file has no accounting_group
+        /// Team of the jobs, if the file has no accounting_group
         #[arg(long)]
         team: Option<String>,
     },
 }
 
-/// Files beside the submit file, and this process's environment.
+/// Source of included files, found relative to the submit file, and of this process's environment
+/// variables.
 struct LocalFiles {
-    /// Where the submit file is.
+    /// Directory of the submit file.
     directory: PathBuf,
 }
 
@@ -145,21 +146,21 @@
     }
 
     fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, SourceError> {
-        let whole = self.directory.join(pattern);
-        let found = glob::glob(&whole.to_string_lossy())
+        let full_pattern = self.directory.join(pattern);
+        let paths = glob::glob(&full_pattern.to_string_lossy())
             .map_err(|error| SourceError::new(pattern, error))?;
-        let found = found
+        let paths = paths
             .filter_map(Result::ok)
             .filter(|p| p.is_dir() == directories);
-        // As the pattern names them, from where it is.
-        let bare = |p: PathBuf| {
-            let own = p
+        // Relative to the submit file, as the pattern is.
+        let relative_name = |p: PathBuf| {
+            let relative = p
                 .strip_prefix(&self.directory)
                 .map(Path::to_path_buf)
                 .unwrap_or(p.clone());
-            own.to_string_lossy().into_owned()
+            relative.to_string_lossy().into_owned()
         };
-        Ok(found.map(bare).collect())
+        Ok(paths.map(relative_name).collect())
     }
 
     fn variable(&mut self, name: &str) -> Option<String> {
@@ -167,7 +168,7 @@
     }
 }
 
-/// An error with its line and a caret under its place.
+/// Returns a report of an error that shows its line, with a caret under the error.
 fn report(error: &SubmitError) -> String {
     let theme = GraphicalTheme::unicode_nocolor();
     let mut text = String::new();
@@ -178,7 +179,12 @@
     }
 }
 
-fn load(file: &Path, team: Option<String>, append: Vec<String>) -> Result<Cluster, CondorError> {
+/// Reads a submit file and prints its warnings.
+fn load_cluster(
+    file: &Path,
+    team: Option<String>,
+    append: Vec<String>,
+) -> Result<Cluster, CondorError> {
     let text = std::fs::read_to_string(file).map_err(|source| CondorError::File {
         path: file.display().to_string(),
         source,
@@ -199,14 +205,15 @@
     Ok(cluster)
 }
 
-/// A request that is retried, after longer pauses each time, while the service refuses it.
+/// Sends a request, and retries it after growing pauses while there is no response or a temporary
+/// refusal (429, 503, 504).
 async fn request_with_retries(
     method: Method,
     server: &str,
     path: &str,
     body: Option<Vec<u8>>,
 ) -> Result<ServerResponse, ServerError> {
-    let since = Instant::now();
+    let started_at = Instant::now();
     let mut pause_s = FIRST_PAUSE_S;
     loop {
         let response = request(method.clone(), server, path, body.clone()).await;
@@ -214,7 +221,7 @@
             Ok(response) => matches!(response.status, 429 | 503 | 504),
             Err(_) => true,
         };
-        if !retry || since.elapsed() > RETRY_TIMEOUT {
+        if !retry || started_at.elapsed() > RETRY_TIMEOUT {
             return response;
         }
         let jitter: f64 = rand::random_range(0.7..1.3);
@@ -223,8 +230,8 @@
     }
 }
 
-/// The body of a response; a refusal is an error.
-fn accepted(response: ServerResponse) -> Result<String, CondorError> {
+/// Returns the body of a response; a refusal is an error.
+fn success_body(response: ServerResponse) -> Result<String, CondorError> {
     match response.status {
         200..=299 => Ok(response.text),
         404 => Err(CondorError::NotFound),
@@ -239,14 +246,15 @@
     }
 }
 
-fn parsed<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, CondorError> {
+/// Parses a JSON response.
+fn parse_response<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, CondorError> {
     serde_json::from_str(text).map_err(CondorError::BadResponse)
 }
 
-/// Reads what is at a path of the service.
+/// Gets a path of the service and parses the response.
 async fn get<T: serde::de::DeserializeOwned>(server: &str, path: &str) -> Result<T, CondorError> {
     let response = request_with_retries(Method::GET, server, path, None).await?;
-    parsed(&accepted(response)?)
+    parse_response(&success_body(response)?)
 }
 
 /// Posts a value to a path of the service.
@@ -259,7 +267,8 @@
     Ok(request_with_retries(Method::POST, server, path, Some(body)).await?)
 }
 
-/// Sends a submission chunk by chunk; returns its state.
+/// Sends a submission chunk by chunk; returns its state. Stops at a 200, which means that the
+/// submission was accepted before.
 async fn send(server: &str, name: &str, cluster: &Cluster) -> Result<SubmissionView, CondorError> {
     let list: SubmissionList = get(server, "/v2/condor").await?;
     let chunks: Vec<Chunk> = cluster.chunks(list.chunk_bytes);
@@ -273,16 +282,17 @@
             jobs,
         };
         let response = post(server, "/v2/condor", &chunk).await?;
-        let known = response.status == 200;
-        last = Some(parsed::<SubmissionView>(&accepted(response)?)?);
-        if known {
+        let already_accepted = response.status == 200;
+        last = Some(parse_response::<SubmissionView>(&success_body(response)?)?);
+        if already_accepted {
             break;
         }
     }
     last.ok_or(CondorError::NothingSent)
 }
 
-fn table_of(cluster: &Cluster) -> String {
+/// Returns a table of the groups of jobs in a submit file.
+fn jobs_table(cluster: &Cluster) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     table.set_header([
@@ -295,15 +305,15 @@
         "requirements",
     ]);
     for group in cluster.groups.iter().take(MAX_ROWS) {
-        let t = &cluster.templates[group.template];
-        let rules = t.rules.as_ref().and_then(|r| r.requirements.clone());
+        let template = &cluster.templates[group.template];
+        let rules = template.rules.as_ref().and_then(|r| r.requirements.clone());
         table.add_row([
             format!("{}", group.first),
             group.tasks.to_string(),
-            t.spec.team.clone(),
-            t.spec.cores.to_string(),
-            format!("{:.3} GB", t.spec.ram_gb),
-            t.spec.image.clone(),
+            template.spec.team.clone(),
+            template.spec.cores.to_string(),
+            format!("{:.3} GB", template.spec.ram_gb),
+            template.spec.image.clone(),
             rules.unwrap_or_else(|| "any".into()),
         ]);
     }
@@ -316,7 +326,8 @@
     format!("{table}{more}")
 }
 
-fn table_of_views(views: &[SubmissionView]) -> String {
+/// Returns a table of submissions with their progress.
+fn submissions_table(views: &[SubmissionView]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     table.set_header([
@@ -329,39 +340,46 @@
         "run",
         "over",
     ]);
-    for v in views {
+    for view in views {
         table.add_row([
-            v.name.clone(),
-            format!("{:?}", v.phase).to_lowercase(),
-            v.first.clone().unwrap_or_default(),
-            v.jobs.to_string(),
-            v.created.to_string(),
-            v.queued.to_string(),
-            v.running.to_string(),
-            v.over.to_string(),
+            view.name.clone(),
+            format!("{:?}", view.phase).to_lowercase(),
+            view.first.clone().unwrap_or_default(),
+            view.jobs.to_string(),
+            view.created.to_string(),
+            view.queued.to_string(),
+            view.running.to_string(),
+            view.over.to_string(),
         ]);
     }
     table.to_string()
 }
 
-fn explained(cluster: &Cluster, of: usize, e: &Explanation) -> String {
+/// Returns a text about which machines match a template of a submit file.
+fn match_report(cluster: &Cluster, template_index: usize, explanation: &Explanation) -> String {
     let mut out = String::new();
-    let t = &cluster.templates[of];
-    let rules = t.rules.as_ref().and_then(|r| r.requirements.as_deref());
+    let template = &cluster.templates[template_index];
+    let rules = template
+        .rules
+        .as_ref()
+        .and_then(|r| r.requirements.as_deref());
     out += &format!("requirements: {}\n", rules.unwrap_or("any machine"));
-    for pool in &e.matching {
+    for pool in &explanation.matching {
         out += &format!("  matches {pool}\n");
     }
-    if !e.unknown.is_empty() {
-        out += &format!("  no machine advertises {}\n", e.unknown.join(", "));
+    if !explanation.unknown.is_empty() {
+        out += &format!(
+            "  no machine advertises {}\n",
+            explanation.unknown.join(", ")
+        );
     }
-    for (pool, lacks) in &e.near {
-        out += &format!("  not {pool}: {}\n", lacks.join("; "));
+    for (pool, missing) in &explanation.near {
+        out += &format!("  not {pool}: {}\n", missing.join("; "));
     }
     out
 }
 
-/// Carries out a command.
+/// Runs a `condor` command.
 pub async fn execute(command: Condor) -> Result<(), CondorError> {
     match command {
         Condor::Submit {
@@ -373,7 +391,7 @@
             dry_run,
             describe,
         } => {
-            let cluster = load(&file, team, append)?;
+            let cluster = load_cluster(&file, team, append)?;
             match server.filter(|_| !dry_run) {
                 Some(server) => submit(&cluster, &server, name, describe.as_deref()).await,
                 None => {
@@ -385,18 +403,19 @@
         Condor::Q { server, name } => print_queue(&server, name).await,
         Condor::Rm { server, name } => remove(&server, &name).await,
         Condor::Match { file, server, team } => {
-            let cluster = load(&file, team, Vec::new())?;
+            let cluster = load_cluster(&file, team, Vec::new())?;
             print_matches(&cluster, &server).await
         }
     }
 }
 
 fn print_dry_run(cluster: &Cluster) {
-    println!("{}", table_of(cluster));
+    println!("{}", jobs_table(cluster));
     let (procs, jobs) = (cluster.procs(), cluster.groups.len());
     println!("{procs} proc(s) as {jobs} job(s)");
 }
 
+/// Submits the jobs of a submit file, and writes their descriptions if wanted.
 async fn submit(
     cluster: &Cluster,
     server: &str,
@@ -420,7 +439,8 @@
     Ok(())
 }
 
-/// Writes what each job runs, a line of JSON each.
+/// Writes what each job runs to a file, one line of JSON per job. `first` is the id of the first
+/// job.
 fn write_descriptions(cluster: &Cluster, first: &str, path: &Path) -> Result<(), CondorError> {
     let number = job_number(first).ok_or(CondorError::NoFirstJob)?;
     let lines = cluster.descriptions(number).map(|d| format!("{d}\n"));
@@ -430,6 +450,7 @@
     })
 }
 
+/// Prints one submission, or all of them.
 async fn print_queue(server: &str, name: Option<String>) -> Result<(), CondorError> {
     let views = match name {
         Some(name) => {
@@ -442,16 +463,17 @@
             list.submissions
         }
     };
-    println!("{}", table_of_views(&views));
+    println!("{}", submissions_table(&views));
     Ok(())
 }
 
+/// Removes a submission and prints whether its jobs have all ended.
 async fn remove(server: &str, name: &str) -> Result<(), CondorError> {
     check_name(name)?;
     let path = format!("/v2/condor/submissions/{name}/cancel");
     let response = post(server, &path, &serde_json::json!({})).await?;
     let all_over = response.status == 200;
-    accepted(response)?;
+    success_body(response)?;
     if all_over {
         println!("All jobs of cluster {name} are over.");
     } else {
@@ -460,13 +482,15 @@
     Ok(())
 }
 
+/// Prints which machines match each template of a submit file; a template without any is an
+/// error.
 async fn print_matches(cluster: &Cluster, server: &str) -> Result<(), CondorError> {
     let mut all_match = true;
     for (i, template) in cluster.templates.iter().enumerate() {
         let response = post(server, "/v2/condor/match", template).await?;
-        let explanation: Explanation = parsed(&accepted(response)?)?;
+        let explanation: Explanation = parse_response(&success_body(response)?)?;
         all_match &= !explanation.matching.is_empty();
-        print!("{}", explained(cluster, i, &explanation));
+        print!("{}", match_report(cluster, i, &explanation));
     }
     if !all_match {
         return Err(CondorError::NoMatch);
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings: an HCL file beside the platform's settings.
+//! Operators' settings: an optional HCL file in addition to the platform's settings file.
 
 use cherryyard_core::Tuning;
 use cherryyard_core::config::{Admission, ClassShare};
@@ -9,31 +9,31 @@
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Why operators' settings are refused.
+/// Error in operators' settings.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum OperatorError {
-    /// The file is no HCL, or has other fields or types.
+    /// The file is not valid HCL, or has unknown fields or wrong types.
     #[error("{reason}")]
     Unreadable {
-        /// What the HCL reader says, on one line.
+        /// Message of the HCL parser, on one line.
         reason: String,
     },
     /// A number is out of its range.
     #[error("{field}: must be from {from} to {to}")]
     OutOfRange {
-        /// The field's path.
+        /// Path of the field.
         field: String,
-        /// The least value.
+        /// Smallest allowed value.
         from: f64,
-        /// The largest value.
+        /// Largest allowed value.
         to: f64,
     },
-    /// An attribute of machines is refused.
+    /// An attribute of machines is invalid.
     #[error(transparent)]
     Attribute(#[from] AttributeError),
 }
 
-/// The file's fields; each may be left out.
+/// Fields of the file, all of them optional.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -51,15 +51,16 @@
     /// Attributes of all machines.
     #[serde(default)]
     machines: Group,
-    /// Attributes of a type's machines, by type.
+    /// Attributes of machines by machine type.
     #[serde(default)]
     machine_type: BTreeMap<String, Group>,
-    /// Attributes of a zone's machines, by zone.
+    /// Attributes of machines by zone.
     #[serde(default)]
     zone: BTreeMap<String, Group>,
 }
 
-/// Who is served when not all can be.
+/// Block with the fair-share guarantees of job classes, which decide whose jobs are served when
+/// there is not capacity for all.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AdmissionFile {
@@ -67,11 +68,12 @@
     share: Option<f64>,
     window_s: Option<f64>,
     turn_s: Option<f64>,
-    /// By class.
+    /// Settings of single job classes, which override those above.
     #[serde(default)]
     class: BTreeMap<String, ClassFile>,
 }
 
+/// Block with the settings of one job class.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ClassFile {
@@ -80,8 +82,12 @@
     share: Option<f64>,
 }
 
-/// A number within its range, or an error that names the field.
-fn within(field: &str, number: f64, range: &RangeInclusive<f64>) -> Result<f64, OperatorError> {
+/// Returns the number if it is within the range, else an error that names the field.
+fn check_range(
+    field: &str,
+    number: f64,
+    range: &RangeInclusive<f64>,
+) -> Result<f64, OperatorError> {
     if range.contains(&number) {
         return Ok(number);
     }
@@ -92,22 +98,24 @@
     })
 }
 
+/// Checks the settings of a class (`name` is their path); those left out are taken from `from`.
 fn class_share(
     name: &str,
     file: &ClassFile,
-    from: ClassShare,
+    defaults: ClassShare,
 ) -> Result<ClassShare, OperatorError> {
     let read = |field: &str, number: Option<f64>, default: f64, range: RangeInclusive<f64>| {
-        let number = number.map(|number| within(&format!("{name}.{field}"), number, &range));
+        let number = number.map(|number| check_range(&format!("{name}.{field}"), number, &range));
         number.unwrap_or(Ok(default))
     };
     Ok(ClassShare {
-        weight: read("weight", file.weight, from.weight, 0.01..=100.0)?,
-        least: read("least_served", file.least_served, from.least, 0.0..=1.0)?,
-        share: read("share", file.share, from.share, 0.0..=1.0)?,
+        weight: read("weight", file.weight, defaults.weight, 0.01..=100.0)?,
+        least: read("least_served", file.least_served, defaults.least, 0.0..=1.0)?,
+        share: read("share", file.share, defaults.share, 0.0..=1.0)?,
     })
 }
 
+/// Checks the admission block and fills in defaults.
 fn admission(file: AdmissionFile) -> Result<Admission, OperatorError> {
     let mut admission = Admission::default();
     let all = ClassFile {
@@ -116,11 +124,11 @@
         share: file.share,
     };
     admission.all = class_share("admission", &all, admission.all)?;
-    if let Some(x) = file.turn_s {
-        admission.turn_s = within("admission.turn_s", x, &(1.0..=3600.0))?;
+    if let Some(number) = file.turn_s {
+        admission.turn_s = check_range("admission.turn_s", number, &(1.0..=3600.0))?;
     }
-    if let Some(x) = file.window_s {
-        admission.window_s = within("admission.window_s", x, &(1.0..=600.0))?;
+    if let Some(number) = file.window_s {
+        admission.window_s = check_range("admission.window_s", number, &(1.0..=600.0))?;
     }
     for (class, own) in file.class {
         let name = format!("admission.class.{class}");
@@ -130,7 +138,7 @@
     Ok(admission)
 }
 
-/// Reads operators' settings; the error names the field.
+/// Parses operators' settings; errors name the field.
 pub fn parse(text: &str) -> Result<Tuning, OperatorError> {
     let file: File = hcl::from_str(text).map_err(|e| OperatorError::Unreadable {
         reason: e.to_string().replace('\n', " "),
@@ -171,7 +179,7 @@
     ];
     for (name, number, target, range) in number_fields {
         if let Some(number) = number {
-            *target = within(name, number, &range)?;
+            *target = check_range(name, number, &range)?;
         }
     }
     tuning.history_keep_days = keep_days as u32;
--- a/crates/cherryyard/src/operator/tests.rs
+++ b/crates/cherryyard/src/operator/tests.rs
@@ -1,8 +1,9 @@
 use super::parse;
 
-/// Attributes by type and zone are blocks with a label.
+/// Guards against attributes that are lost or assigned to the wrong machine type or zone: both
+/// are given as blocks with a label. Attributes that every machine has cannot be set.
 #[test]
-fn attributes_are_blocks() {
+fn attributes_are_read_from_labelled_blocks() {
     let text = r#"
             condor = true
             machines { OpSys = "LINUX" }
@@ -12,19 +13,23 @@
             }
             zone "lahore-east" { Department = "posting" }
         "#;
-    let t = parse(text).unwrap();
-    assert!(t.condor && t.attributes.all["OpSys"] == "LINUX");
-    assert_eq!(t.attributes.machine_types["g8"]["Licensed"], true);
-    assert_eq!(t.attributes.zones["lahore-east"]["Department"], "posting");
+    let tuning = parse(text).unwrap();
+    assert!(tuning.condor && tuning.attributes.all["OpSys"] == "LINUX");
+    assert_eq!(tuning.attributes.machine_types["g8"]["Licensed"], true);
+    assert_eq!(
+        tuning.attributes.zones["lahore-east"]["Department"],
+        "posting"
+    );
     let error = parse("machine_type \"g8\" { Cpus = 3 }")
         .unwrap_err()
         .to_string();
     assert!(error.contains("Cpus of g8"), "{error}");
 }
 
-/// Floors and weights are checked, each by its name.
+/// Guards against admission settings out of range or of a wrong name, whose errors must name the
+/// field, and against wrong defaults of classes.
 #[test]
-fn admission_is_checked() {
+fn admission_settings_are_checked() {
     let text = r#"
             admission {
               least_served = 0.5
@@ -35,9 +40,15 @@
               class "street-rebuild" { weight = 3 }
             }
         "#;
-    let a = parse(text).unwrap().admission;
-    let of = |class: &str| (a.of(class).weight, a.of(class).least, a.of(class).share);
-    assert_eq!((a.all.least, a.window_s), (0.5, 30.0));
+    let admission = parse(text).unwrap().admission;
+    let of = |class: &str| {
+        (
+            admission.of(class).weight,
+            admission.of(class).least,
+            admission.of(class).share,
+        )
+    };
+    assert_eq!((admission.all.least, admission.window_s), (0.5, 30.0));
     assert_eq!(of("calendar-api"), (2.0, 0.8, 0.25));
     assert_eq!(of("street-rebuild"), (3.0, 0.5, 0.25));
     assert_eq!(of("another"), (1.0, 0.5, 0.25));
@@ -50,12 +61,17 @@
     assert!(error("admission { window_s = 0 }").contains("window_s"));
 }
 
-/// Errors name the field; what is left out keeps its default.
+/// Guards against errors that do not name the field or span several lines, and against wrong
+/// defaults of fields that are left out.
 #[test]
-fn hcl_is_checked() {
-    let t = parse("headroom_share = 0.5\nroom_report_s = 2\n").unwrap();
+fn hcl_errors_name_the_field() {
+    let tuning = parse("headroom_share = 0.5\nroom_report_s = 2\n").unwrap();
     assert_eq!(
-        (t.headroom_share, t.capacity_report_s, t.idle_return_s),
+        (
+            tuning.headroom_share,
+            tuning.capacity_report_s,
+            tuning.idle_return_s
+        ),
         (0.5, 2.0, 150.0)
     );
     let errors: Vec<String> = [
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts a controller together and runs it.
+//! Builds a controller from its settings and runs it.
 
 use crate::app::{App, Barriers, Clients, HistoryLookups, Intervals, Peers, PendingSubmissions};
 use crate::routes;
@@ -20,58 +20,60 @@
 use thiserror::Error;
 use tokio::sync::{Notify, Semaphore, mpsc, watch};
 
-/// Messages that may wait for one other controller.
+/// Most messages queued for one other controller.
 const PEER_QUEUE: usize = 64;
 
-/// Bytes that all bodies may take at once: a sixteenth of the memory, and at least one body
-/// of the largest size.
+/// Returns how many bytes all request bodies may take at once: 1/16 of the memory, but at least
+/// one body of the largest size.
 fn body_budget(limits: &Limits) -> usize {
     (limits.memory_bytes() / 16).max(MAX_BODY)
 }
 
-/// Timeout of connection attempts to the outside services.
+/// Timeout of connection attempts to the external services.
 const SERVICE_CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Timeout of connection attempts to workers.
 const WORKER_CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Idle connections that are kept to the state service.
+/// Most idle connections kept open to the state service.
 const STATE_CONNECTIONS: usize = 8;
-/// Longest latency of a request that the histogram distinguishes, in milliseconds.
+/// Upper bound of the latency histogram, in milliseconds; longer latencies count as this one.
 const MAX_LATENCY_MS: u64 = 60_000;
-/// Significant digits of the latency histogram.
+/// Significant decimal digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 2;
 
-/// Why a controller cannot start.
+/// Error that prevents a controller from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The latency histogram cannot be made.
+    /// The latency histogram cannot be created.
     #[error("cannot start: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
     /// The port for other controllers cannot be bound.
     #[error("peer_listen: {addr}: {source}")]
     PeerListen {
-        /// The address in the settings.
+        /// Address in the settings.
         addr: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The port for users and workers cannot be bound.
     #[error("public_addr: {addr}: {source}")]
     PublicAddr {
-        /// The address in the settings.
+        /// Address in the settings.
         addr: String,
-        /// What the server says.
+        /// Error of the HTTP server.
         source: Box<salvo::Error>,
     },
 }
 
-/// The receiving end of the queue of one other controller.
+/// Receiving end of the queue of messages to one other controller.
 struct PeerQueue {
     addr: SocketAddr,
     messages: mpsc::Receiver<Arc<OutgoingMessage>>,
+    /// Signal to open a new connection.
     reconnect: Arc<Notify>,
 }
 
-/// Queues of messages to the other controllers that the settings name.
+/// Creates the queues of messages to the other controllers in the settings. A controller whose
+/// endpoint is not an address and port gets none.
 fn peer_queues(settings: &Settings) -> (Peers, Vec<PeerQueue>) {
     let mut peers = Peers {
         sender: Arc::new(Sender {
@@ -101,13 +103,13 @@
     (peers, queues)
 }
 
-/// How often outside services are asked, so that all controllers together keep to the
-/// request budgets.
+/// Derives intervals from the request budgets, so that all controllers together stay within
+/// them.
 fn intervals(settings: &Settings) -> Intervals {
     let cluster = &settings.cluster;
     let controllers = (settings.known.len() + 1) as f64;
-    // A third of the requests each for watch and barrier, the rest for renewals and
-    // transactions.
+    // The watch and the barriers get a third of the requests each, renewals and transactions
+    // the rest.
     let read_s = (controllers * 3.0 / cluster.state.rps).clamp(0.02, 2.0);
     let list_s = (controllers * 4.0 / cluster.cloud.rps).clamp(3.0, 30.0);
     let lease_s = cluster.workers.lease_s;
@@ -119,6 +121,7 @@
     }
 }
 
+/// Creates the clients of the external services and of the workers.
 fn clients(settings: &Settings) -> Clients {
     let services = &settings.services;
     let http = |idle_per_host| HttpClient::new(SERVICE_CONNECT_TIMEOUT, idle_per_host);
@@ -129,7 +132,8 @@
     }
 }
 
-fn assemble(settings: &Settings, tuning: Tuning, peers: Peers) -> Result<App, StartError> {
+/// Creates the state shared by all tasks.
+fn build_app(settings: &Settings, tuning: Tuning, peers: Peers) -> Result<App, StartError> {
     let limits = &settings.cluster.limits;
     let seed = rand::random();
     Ok(App {
@@ -157,7 +161,7 @@
     let (heartbeat_out, heartbeats) = watch::channel(None);
     let (peers, queues) = peer_queues(&settings);
     let sender = peers.sender.clone();
-    let app = Arc::new(assemble(&settings, tuning, peers)?);
+    let app = Arc::new(build_app(&settings, tuning, peers)?);
 
     let listener = tokio::net::TcpListener::bind(&settings.peer_listen).await;
     let listener = listener.map_err(|source| StartError::PeerListen {
@@ -165,7 +169,7 @@
         source,
     })?;
     let receiver = app.clone();
-    // In the order in which a controller that starts needs them.
+    // Spawned in the order in which a starting controller needs them.
     tokio::spawn(app.clone().keep_state_lease());
     tokio::spawn(app.clone().sync_mirror());
     tokio::spawn(peer::receive(listener, sender, move |frame| {
--- a/crates/cherryyard/src/server.rs
+++ b/crates/cherryyard/src/server.rs
@@ -1,4 +1,4 @@
-//! Requests of the command line to a controller.
+//! HTTP requests from the command line to a controller.
 
 use cherryyard_clients::http::{HttpClient, RequestError};
 use cherryyard_wire::MAX_BODY;
@@ -11,37 +11,38 @@
 /// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a controller did not do what it was asked for.
+/// Error of a request to a controller.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// There is no response.
+    /// No response was received.
     #[error("{server}: {source}")]
     NoResponse {
         /// The controller's address.
         server: String,
-        /// What is known of the request.
+        /// Cause, which says whether the request may have taken effect.
         source: RequestError,
     },
-    /// The response is a refusal.
+    /// The controller refused the request.
     #[error("{server}: {status} {text}")]
     Refused {
         /// The controller's address.
         server: String,
-        /// The status.
+        /// HTTP status.
         status: u16,
-        /// The body.
+        /// Body of the response.
         text: String,
     },
 }
 
 /// A response of any status.
 pub struct ServerResponse {
+    /// HTTP status.
     pub status: u16,
-    /// The body, without blanks around it.
+    /// Body without leading and trailing whitespace.
     pub text: String,
 }
 
-/// Sends a request; any response is good.
+/// Sends a request and returns the response, whatever its status.
 pub async fn request(
     method: Method,
     server: &str,
@@ -63,7 +64,7 @@
     })
 }
 
-/// Sends a request and returns the body of its response; a refusal is an error.
+/// Sends a request and returns the body of its response; a status of 300 or above is an error.
 pub async fn query(
     method: Method,
     server: &str,
--- a/crates/cherryyard/tests/condor.rs
+++ b/crates/cherryyard/tests/condor.rs
@@ -1,4 +1,5 @@
-//! The real program with submissions of many jobs turned on, over loopback.
+//! Submissions from HTCondor submit files (`condor = true`), with the real program over loopback
+//! and its command line.
 
 use cherryyard_simulation::http::HttpState;
 use cherryyard_simulation::process::{self, Client, Process};
@@ -9,11 +10,13 @@
 use std::path::Path;
 use std::time::Duration;
 
+/// Operators' settings of the controller.
 const OPERATOR: &str = r#"
 condor = true
 zone "a" { Department = "posting" }
 "#;
 
+/// Starts a controller and its state service, which knows one machine type in the zone `a`.
 async fn start() -> (HttpState, Process, Client) {
     let mut state = StateStandIn::default();
     state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
@@ -21,6 +24,7 @@
     Process::start_alone(program, state, OPERATOR).await
 }
 
+/// Returns the body of a chunk with 40 jobs of one task each.
 fn chunk(name: &str, chunk: u32, of: u32, requirements: Value) -> Option<String> {
     let spec = World::spec(NO_ID, "sweep", 1);
     let post = json!({ "name": name, "chunk": chunk, "of": of,
@@ -28,6 +32,7 @@
     Some(post.to_string())
 }
 
+/// Returns the state of a submission.
 async fn view(client: &Client, name: &str) -> SubmissionView {
     let path = format!("/v2/condor/submissions/{name}");
     let (status, body) = client.insist("GET", &path, None).await;
@@ -35,8 +40,9 @@
     serde_json::from_str(&body).expect("a view")
 }
 
-/// The submission once it has come to this phase, or as it is after some time.
-async fn reaches(client: &Client, name: &str, phase: Phase) -> SubmissionView {
+/// Waits until a submission reaches a phase; returns its state then, or its last state after about
+/// ten seconds.
+async fn wait_for_phase(client: &Client, name: &str, phase: Phase) -> SubmissionView {
     for _ in 0..200 {
         let reported = view(client, name).await;
         if reported.phase == phase {
@@ -47,14 +53,15 @@
     view(client, name).await
 }
 
-/// A submission comes in chunks and is accepted with the last; what comes again is
-/// known; one with a job that can never run is refused as one; a removal ends it.
+/// Guards against chunks that are lost, taken out of order or queued twice when they are sent
+/// again, against a submission of which only some jobs are queued because one of them can never
+/// run, and against a removal that leaves jobs open.
 #[tokio::test]
-async fn a_submission_from_chunk_to_removal() {
+async fn a_submission_from_its_first_chunk_to_its_removal() {
     let (service, _controller, client) = start().await;
     let post = async |body| client.insist("POST", "/v2/condor", body).await;
     let good = || json!("Department == \"POSTING\" && MY.Foo =?= undefined");
-    // Attributes are stored by the leader first.
+    // The leader has to store the machines' attributes before requirements can match them.
     for _ in 0..100 {
         if service.with(|s| s.get("c/attributes").is_some()) {
             break;
@@ -68,24 +75,34 @@
     assert_eq!(post(chunk("june", 1, 3, good())).await.0, 202);
     let (status, body) = post(chunk("june", 2, 3, good())).await;
     assert_eq!(status, 201, "{body}");
-    let first: SubmissionView = serde_json::from_str(&body).expect("a view");
-    assert_eq!((first.jobs, first.chunks), (120, 3));
-    for again in 0..3 {
-        let (status, _) = post(chunk("june", again, 3, good())).await;
+    let accepted: SubmissionView = serde_json::from_str(&body).expect("a view");
+    assert_eq!((accepted.jobs, accepted.chunks), (120, 3));
+    for chunk_number in 0..3 {
+        let (status, _) = post(chunk("june", chunk_number, 3, good())).await;
         assert_eq!(status, 200);
     }
-    // Users cannot choose its ids, and see its jobs as any others.
-    let id = first.first.expect("an id");
-    let known = serde_json::to_string(&World::spec(&id, "sweep", 1)).ok();
-    let mut last = World::spec(&id, "sweep", 1);
-    last.id = "j-899999999999999999".into();
-    let unknown = serde_json::to_string(&last).ok();
-    let created = reaches(&client, "june", Phase::Created).await;
+    // Users can poll and resubmit jobs of a submission like any other job, but cannot choose ids
+    // from the range that is reserved for submissions.
+    let id = accepted.first.expect("an id");
+    let job_of_submission = serde_json::to_string(&World::spec(&id, "sweep", 1)).ok();
+    let mut reserved = World::spec(&id, "sweep", 1);
+    reserved.id = "j-899999999999999999".into();
+    let job_with_reserved_id = serde_json::to_string(&reserved).ok();
+    let created = wait_for_phase(&client, "june", Phase::Created).await;
     assert_eq!((created.created, created.queued), (120, 120));
-    assert_eq!(client.insist("POST", "/v2/runs", known).await.0, 200);
-    assert_eq!(client.insist("POST", "/v2/runs", unknown).await.0, 400);
+    assert_eq!(
+        client.insist("POST", "/v2/runs", job_of_submission).await.0,
+        200
+    );
+    assert_eq!(
+        client
+            .insist("POST", "/v2/runs", job_with_reserved_id)
+            .await
+            .0,
+        400
+    );
 
-    // One of whose jobs can never run.
+    // A submission with a job that can never run is refused as a whole.
     let bad = || json!("HasGluster && Department == \"posting\"");
     assert_eq!(post(chunk("july", 0, 2, good())).await.0, 202);
     let (status, body) = post(chunk("july", 1, 2, bad())).await;
@@ -98,15 +115,15 @@
     let path = "/v2/condor/submissions/june/cancel";
     let (status, body) = client.insist("POST", path, Some("{}".into())).await;
     assert_eq!(status, 202, "{body}");
-    let gone = reaches(&client, "june", Phase::Cancelled).await;
-    assert_eq!((gone.phase, gone.over), (Phase::Cancelled, 120));
+    let removed = wait_for_phase(&client, "june", Phase::Cancelled).await;
+    assert_eq!((removed.phase, removed.over), (Phase::Cancelled, 120));
     assert_eq!(client.insist("POST", path, Some("{}".into())).await.0, 200);
     let (_, list) = client.insist("GET", "/v2/condor", None).await;
     assert!(
         list.contains("june") && list.contains("chunk_bytes"),
         "{list}"
     );
-    // What was refused is swept, and its name may be used anew.
+    // A refused submission is deleted after a while, and its name may be used again.
     for _ in 0..200 {
         let (status, _) = post(chunk("july", 0, 1, good())).await;
         if status == 201 {
@@ -117,8 +134,9 @@
     panic!("the name of a refused submission stays taken");
 }
 
-/// The command line against a running controller: what would be queued, what is, which
-/// machines match, the same file twice under one name, removal, and an error's place.
+/// Guards against errors of the command line with a running controller: a dry run, a match, the
+/// same file submitted twice under one name (queued once), the list, the removal, and the place
+/// of an error in a submit file.
 #[tokio::test]
 async fn the_command_line() {
     let (_service, controller, _client) = start().await;
@@ -151,8 +169,8 @@
         code == Some(0) && out.contains("matches m4 in a (ordinary)"),
         "{out}"
     );
-    let described = dir.join("jobs.json");
-    let described = described.to_str().expect("a path");
+    let descriptions = dir.join("jobs.json");
+    let descriptions = descriptions.to_str().expect("a path");
     for _ in 0..2 {
         let args = [
             "submit",
@@ -162,7 +180,7 @@
             "--name",
             "june",
             "--describe",
-            described,
+            descriptions,
         ];
         let (code, out) = run(&args).await;
         assert!(
@@ -170,7 +188,7 @@
             "{out}"
         );
     }
-    let lines = std::fs::read_to_string(described).expect("descriptions");
+    let lines = std::fs::read_to_string(descriptions).expect("descriptions");
     assert_eq!(lines.lines().count(), 300);
     assert!(
         lines.contains("\"arguments\":\"ledger-7 $(Process)\""),
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -1,5 +1,5 @@
-//! The real program on a stand-in of the state service over loopback: old jobs,
-//! unknown ones, and floods of polls for them.
+//! The real program with a simulated state service over loopback: polls of old and unknown jobs,
+//! and a flood of polls for jobs in the history.
 
 use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
 use cherryyard_simulation::http::{Budgets, HttpState};
@@ -12,7 +12,7 @@
 };
 use std::path::Path;
 
-/// Three old jobs, 10 to 30, in the large run.
+/// Returns a store whose history holds the ended jobs 10, 20 (cancelled) and 30 in the large run.
 fn store() -> StateStandIn {
     let mut state = StateStandIn::default();
     let machine_type = small_machine_type(vec!["a".into()]);
@@ -33,17 +33,18 @@
         ..PackedRecord::default()
     };
     state.seed(PACKED, &record);
-    let past = |job| FinishedJob {
+    let finished_job = |job| FinishedJob {
         job,
         end: if job == 20 { End::Cancelled } else { End::Done },
         done: 4,
         day: 1,
     };
-    let leaf = Leaf::new([10, 20, 30].map(past).to_vec());
+    let leaf = Leaf::new([10, 20, 30].map(finished_job).to_vec());
     state.seed(&leaf_key(Level::Large, LAST), &leaf.to_record());
     state
 }
 
+/// Polls a job; returns the HTTP status and the job's status.
 async fn poll(client: &Client, job: u64) -> (u16, Option<JobStatus>) {
     let path = format!("/v2/runs/{}", job_id(job));
     let (status, body) = client.call("GET", &path, None).await;
@@ -51,18 +52,18 @@
     (status, view.map(|v| v.status))
 }
 
-/// Until an answer other than 503 comes.
-async fn submitted(client: &Client, job: u64) -> (u16, String) {
+/// Submits a job, again until the response is not a 503; returns the response.
+async fn submit(client: &Client, job: u64) -> (u16, String) {
     let spec = World::spec(&job_id(job), "sweep", 1);
     let body = serde_json::json!(spec).to_string();
     client.insist("POST", "/v2/runs", Some(body)).await
 }
 
-/// Old jobs are answered with their ends, and are not run again; unknown ones get
-/// 404, floods of polls for them 404 or 503 at once, and a submission beside the
-/// flood is taken.
+/// Guards against old jobs that are not found or are run again, against unknown jobs that do not
+/// get a 404, and against a flood of polls for unknown jobs that delays submissions or uses more
+/// requests than the state service allows. Each poll of the flood must get a 404 or 503.
 #[tokio::test]
-async fn old_jobs_unknown_jobs_and_a_flood() {
+async fn polls_of_old_and_unknown_jobs_and_a_flood() {
     let budgets = Budgets {
         rps: 400.0,
         write_rps: 100.0,
@@ -77,7 +78,7 @@
     assert_eq!(poll(&client, 10).await, (200, Some(JobStatus::Done)));
     assert_eq!(poll(&client, 20).await, (200, Some(JobStatus::Cancelled)));
     assert_eq!(poll(&client, 11).await.0, 404);
-    let (status, body) = submitted(&client, 30).await;
+    let (status, body) = submit(&client, 30).await;
     assert_eq!(status, 200, "{body}");
     assert!(body.contains("done"), "{body}");
     let path = format!("/v2/runs/{}/cancel", job_id(20));
@@ -89,20 +90,20 @@
             tokio::spawn(async move { poll(&client, 1_000_000 + i * 7_919).await.0 })
         })
         .collect();
-    assert_eq!(submitted(&client, 40).await.0, 201);
-    let mut answers = Vec::new();
+    assert_eq!(submit(&client, 40).await.0, 201);
+    let mut statuses = Vec::new();
     for poll in flood {
-        answers.push(poll.await.expect("an answer"));
+        statuses.push(poll.await.expect("an answer"));
     }
     assert!(
-        answers.iter().all(|a| [404, 503].contains(a)),
-        "{answers:?}"
+        statuses.iter().all(|status| [404, 503].contains(status)),
+        "{statuses:?}"
     );
-    assert!(answers.contains(&404));
+    assert!(statuses.contains(&404));
     let (status, counts) = client.call("GET", "/v2/history", None).await;
     assert_eq!(status, 200);
     assert!(counts.contains("\"open\":1"), "{counts}");
-    // What was asked of the state service stayed within what it allows.
+    // The requests to the state service stayed within its budget: at most a tenth were refused.
     let queried = service.requests();
     assert!(queried.refused * 10 <= queried.all, "{queried:?}");
     assert_eq!(poll(&client, 10).await, (200, Some(JobStatus::Done)));
--- a/crates/cherryyard/tests/limits.rs
+++ b/crates/cherryyard/tests/limits.rs
@@ -1,5 +1,5 @@
-//! A state service whose limits are below what the settings say, with the real program:
-//! transactions get smaller, and none is sent again unchanged.
+//! The real program with a state service whose limits are lower than those in the settings:
+//! transactions become smaller, and no rejected transaction is sent again unchanged.
 
 use cherryyard_simulation::process::Process;
 use cherryyard_simulation::state::ServiceLimits;
@@ -7,8 +7,10 @@
 use cherryyard_wire::record::MACHINE_TYPES_KEY;
 use std::path::Path;
 
+/// Guards against a controller that sends the same rejected transaction again and again, and
+/// against submissions that fail because of it.
 #[tokio::test(flavor = "current_thread")]
-async fn a_service_with_smaller_limits() {
+async fn transactions_adapt_to_lower_limits_of_the_service() {
     let mut state = StateStandIn::default();
     state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
     state.limits = Some(ServiceLimits {
@@ -17,7 +19,7 @@
     });
     let program = Path::new(env!("CARGO_BIN_EXE_cherryyard"));
     let (service, _controller, client) = Process::start_alone(program, state, "").await;
-    // Settings allow 4 KiB: pages of new jobs grow beyond what the service takes.
+    // The settings allow values of 4 KiB, so pages of new jobs grow beyond the service's limit.
     for job in 0..40 {
         let mut spec = World::spec(&format!("j-{job:06}"), "sweep", 2);
         spec.job_class = format!("class-{job}");
@@ -27,7 +29,7 @@
     }
     let refused = service.with(|state| state.malformed);
     assert!((1..10).contains(&refused), "{refused} refused");
-    // Nothing goes on being refused.
+    // Afterwards at most one more transaction is rejected.
     tokio::time::sleep(std::time::Duration::from_secs(3)).await;
     let later = service.with(|state| state.malformed);
     assert!(later - refused <= 1, "{refused}, then {later} refused");
--- a/crates/cherryyard/tests/pipelines.rs
+++ b/crates/cherryyard/tests/pipelines.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait for others, with the real program over loopback and its command line.
+//! Jobs that wait for other jobs, with the real program over loopback and its command line.
 
 use cherryyard_simulation::http::HttpState;
 use cherryyard_simulation::process::{self, Client, Process};
@@ -7,6 +7,7 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
+/// Starts a controller and its state service, which knows one machine type.
 async fn start() -> (HttpState, Process, Client) {
     let mut state = StateStandIn::default();
     state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
@@ -14,36 +15,39 @@
     Process::start_alone(program, state, "").await
 }
 
+/// Returns the body of a submission with this value of `waits_on`.
 fn body(id: &str, waits_on: &Value) -> String {
     let mut value = serde_json::to_value(World::spec(id, "sweep", 2)).expect("a job");
     value["waits_on"] = waits_on.clone();
     value.to_string()
 }
 
-/// Statuses by what a submission names; what is odd is refused, and the reason names it.
+/// Guards against wrong statuses of submissions by their `waits_on`: an invalid value or an unknown
+/// job must be refused with a reason that names it, and a valid list is stored sorted and without
+/// duplicates.
 #[tokio::test(flavor = "current_thread")]
-async fn statuses() {
+async fn submissions_are_accepted_or_refused_by_waits_on() {
     let (_service, _controller, client) = start().await;
     let none = [Value::Null, json!([])];
-    for (n, nothing) in none.iter().enumerate() {
-        let text = body(&format!("j-00000{n}"), nothing);
+    for (n, no_dependencies) in none.iter().enumerate() {
+        let text = body(&format!("j-00000{n}"), no_dependencies);
         let (status, text) = client.insist("POST", "/v2/runs", Some(text)).await;
         assert_eq!(status, 201, "{text}");
     }
-    let many: Vec<String> = (0..65).map(|n| format!("j-{n:06}")).collect();
+    let too_many: Vec<String> = (0..65).map(|n| format!("j-{n:06}")).collect();
     let refused = [
         (json!("j-000001"), 400, "waits_on"),
         (json!([7]), 400, "waits_on[0]"),
         (json!(["j-000001", "job-2"]), 400, "waits_on[1]"),
-        (json!(many), 400, "65 jobs"),
+        (json!(too_many), 400, "65 jobs"),
         (json!(["j-000001", "j-000077"]), 422, "j-000077"),
         (json!(["j-000009"]), 422, "j-000009"),
     ];
-    for (waits_on, expected, why) in refused {
+    for (waits_on, expected, reason) in refused {
         let text = body("j-000009", &waits_on);
         let (status, text) = client.insist("POST", "/v2/runs", Some(text)).await;
         assert_eq!(status, expected, "{waits_on}: {text}");
-        assert!(text.contains(why), "{waits_on}: {text}");
+        assert!(text.contains(reason), "{waits_on}: {text}");
     }
     let text = body("j-000009", &json!(["j-000001", "j-000000", "j-000001"]));
     let (status, text) = client.insist("POST", "/v2/runs", Some(text)).await;
@@ -54,7 +58,8 @@
     assert_eq!(view["waits_on"], json!(["j-000000", "j-000001"]));
 }
 
-/// The command line submits, tells what a job waits for, and with what it was cancelled.
+/// Guards against a command line that loses `--waits-on` or does not show for which jobs a job waits
+/// and with which job it was cancelled.
 #[tokio::test(flavor = "current_thread")]
 async fn the_command_line() {
     let (_service, controller, client) = start().await;
@@ -82,8 +87,8 @@
     // Dependencies are accepted a few seconds after the start.
     let first = body("j-000001", &Value::Null);
     client.insist("POST", "/v2/runs", Some(first)).await;
-    let early = body("j-000008", &json!(["j-000001"]));
-    client.insist("POST", "/v2/runs", Some(early)).await;
+    let dependent = body("j-000008", &json!(["j-000001"]));
+    client.insist("POST", "/v2/runs", Some(dependent)).await;
     let (code, out) = run(&["submit", &files[1], "--waits-on", "j-1"]).await;
     assert!(
         code == Some(1) && out.contains("--waits-on: waits_on[0]"),
