--- a/crates/cherryyard-clients/src/cloud.rs
+++ b/crates/cherryyard-clients/src/cloud.rs
@@ -93,7 +93,7 @@
     }
 
     /// Lists the machines, page by page.
-    pub async fn list(&self) -> Result<Vec<Instance>, CloudError> {
+    pub async fn list_machines(&self) -> Result<Vec<Instance>, CloudError> {
         let mut all: Vec<Instance> = Vec::new();
         loop {
             let since = all
--- a/crates/cherryyard-clients/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -202,7 +202,7 @@
     }
 
     /// Waits up to `wait_ms` milliseconds for changes after the revision `since`.
-    pub async fn follow(&self, since: u64, wait_ms: u64) -> Result<WatchResponse, StateError> {
+    pub async fn watch(&self, since: u64, wait_ms: u64) -> Result<WatchResponse, StateError> {
         let path = format!("/follow?starts={PREFIX}&since={since}&wait_ms={wait_ms}");
         let url = format!("{}{path}", self.base_url);
         let timeout = Duration::from_millis(wait_ms) + WATCH_GRACE;
--- a/crates/cherryyard/src/app/barriers.rs
+++ b/crates/cherryyard/src/app/barriers.rs
@@ -87,7 +87,7 @@
         if !loaded {
             return false;
         }
-        match self.clients.state.follow(since, 0).await {
+        match self.clients.state.watch(since, 0).await {
             Ok(events) => {
                 self.with(|controller, now| controller.events(&events, sent_at, now));
                 true
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, oneshot};
 
 /// Most submissions that wait for a look-up at once.
-const MAX_WAITING: usize = 200;
+const MAX_WAITING_SUBMISSIONS: usize = 200;
 /// Longest time that a request waits for its look-up.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Share of the request budget that the leader's look-ups may use. The leader has more than
@@ -133,7 +133,7 @@
             let mut queues = lock(&self.history.queues);
             match kind {
                 LookupKind::Poll => queues.polls.add_poll(job, reply_sender, self.now() as u64),
-                LookupKind::Submission if queues.submissions.len() >= MAX_WAITING => {
+                LookupKind::Submission if queues.submissions.len() >= MAX_WAITING_SUBMISSIONS => {
                     lock(&self.history.counts).refused += 1;
                     return None;
                 }
--- a/crates/cherryyard/src/app/lookup_queue.rs
+++ b/crates/cherryyard/src/app/lookup_queue.rs
@@ -62,9 +62,8 @@
     }
 
     /// Removes and returns the job to look up next, with its waiting polls, all of
-    /// which may
-    /// have timed out. Jobs whose last poll is older than [`KEEP_AFTER_LAST_POLL_MS`] are
-    /// dropped.
+    /// which may have timed out. Drops jobs whose last poll is older than
+    /// [`KEEP_AFTER_LAST_POLL_MS`].
     pub(super) fn next(&mut self, now: u64) -> Option<(u64, Vec<T>)> {
         while let Some((_, job)) = self.order.pop_first() {
             let Some(waiting_job) = self.jobs.remove(&job) else {
--- a/crates/cherryyard/src/app/mirror_sync.rs
+++ b/crates/cherryyard/src/app/mirror_sync.rs
@@ -77,7 +77,7 @@
             let sent_at = self.now();
             let since = self.with(|controller, _| controller.mirror.store_revision);
             let wait_ms = self.intervals.watch_wait_ms;
-            match self.clients.state.follow(since, wait_ms).await {
+            match self.clients.state.watch(since, wait_ms).await {
                 Ok(events) => {
                     self.with(|controller, now| controller.events(&events, sent_at, now));
                     tokio::time::sleep(self.intervals.read).await;
--- a/crates/cherryyard/src/app/periodic_tasks.rs
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -139,8 +139,8 @@
                     }
                 }
             }
-            if let Ok(hosts) = self.clients.cloud.list().await {
-                self.with(|controller, now| controller.listed(hosts, now));
+            if let Ok(machines) = self.clients.cloud.list_machines().await {
+                self.with(|controller, now| controller.listed(machines, now));
             }
             let unknown = machine_types_read_at.is_none();
             tokio::time::sleep(if unknown {
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -98,7 +98,8 @@
     })
 }
 
-/// Checks the settings of a class (`name` is their path); those left out are taken from `from`.
+/// Checks the settings of a class (`name` is their path); those left out are taken from
+/// `defaults`.
 fn class_share(
     name: &str,
     file: &ClassFile,
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -245,8 +245,8 @@
     Failed,
 }
 
-/// Offers a new job to the core once, with the dependencies that
-/// `spec_with_dependencies` lists.
+/// Offers a new job to the core once, with the dependencies that `spec_with_dependencies`
+/// lists.
 async fn offer_once(
     app: &Arc<App>,
     job: u64,
