--- a/crates/cherryyard-history/src/cache.rs
+++ b/crates/cherryyard-history/src/cache.rs
@@ -1,64 +1,66 @@
-//! Recently read leaves, which make repeated look-ups of old and of unknown jobs cheap.
+//! Caches recently read leaves, so that repeated look-ups of old and of unknown jobs need
+//! no read of the state service.
 
 use crate::leaf::{FinishedJob, Leaf};
 use cherryyard_wire::history::Level;
 use lru::LruCache;
 use std::collections::BTreeSet;
 
-/// What a leaf costs beside its jobs, in jobs' entries: an empty one costs something too.
+/// Size that each cached leaf counts for in addition to its jobs, in entries: an empty leaf
+/// takes memory too.
 const LEAF_OVERHEAD: usize = 8;
 
-/// A leaf, as it was read.
+/// A cached leaf, with the job numbers and the revision that its read covered.
 #[derive(Clone, Debug)]
 struct CachedLeaf {
-    /// The first job number that the read covered; the last is that of the leaf's key.
+    /// The first job number that the read covered; the last one is in the leaf's key.
     first: u64,
-    /// The revision at which it was read.
+    /// The revision of the state service at which the leaf was read.
     revision: u64,
     leaf: Leaf,
 }
 
-/// What the cache knows about a job in one run.
+/// The cache's answer about a job in one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// It is finished.
+    /// The job is finished.
     Finished(FinishedJob),
-    /// It is not in this run, as of this revision.
+    /// The job is not in this run, as of this revision.
     Absent(u64),
-    /// No leaf that could tell is cached.
+    /// No cached leaf covers the job, or the one that does may be out of date.
     Unknown,
 }
 
-/// Recently read leaves of both runs, up to a bound on their jobs.
+/// Recently read leaves of both runs, bounded by the number of their entries.
 ///
-/// A job found in a leaf stays finished, however old the leaf is. That a job is *not* in
-/// a leaf holds only until the history changes: see [`LeafCache::lookup`].
+/// A job found in a leaf stays finished, however old the leaf is. The absence of a job from
+/// a leaf is valid only until the history changes: see [`LeafCache::lookup`].
 #[derive(Debug)]
 pub struct LeafCache {
-    /// By run and last job number; the least recently used is evicted first.
+    /// Leaves by run and last job number; the least recently used is evicted first.
     leaves: LruCache<(Level, u64), CachedLeaf>,
-    /// The same keys in order.
-    order: BTreeSet<(Level, u64)>,
-    jobs: usize,
+    /// The keys of `leaves` in order, to find the leaf whose range contains a job.
+    keys: BTreeSet<(Level, u64)>,
+    entries: usize,
     capacity: usize,
 }
 
 impl LeafCache {
-    /// A cache of at most `capacity` jobs' entries, 24 bytes each.
+    /// Creates a cache of at most `capacity` entries; the entry of a job takes 24 bytes.
     pub fn new(capacity: usize) -> Self {
         Self {
             leaves: LruCache::unbounded(),
-            order: BTreeSet::new(),
-            jobs: 0,
+            keys: BTreeSet::new(),
+            entries: 0,
             capacity,
         }
     }
 
-    /// What is known about a job in one run. `changed_at` is the revision at which the
-    /// history last changed, that of its record: a leaf read before it may lack jobs that
-    /// have been added since, so the job's absence from it proves nothing.
+    /// Looks a job up in one run. `changed_at` is the revision at which the history's
+    /// record last changed: a leaf that was read before it may lack jobs that have been
+    /// added since, so the absence of the job from that leaf proves nothing.
     pub fn lookup(&mut self, level: Level, job: u64, changed_at: u64) -> Lookup {
-        let Some(&key) = self.order.range((level, job)..=(level, u64::MAX)).next() else {
+        let Some(&key) = self.keys.range((level, job)..=(level, u64::MAX)).next() else {
             return Lookup::Unknown;
         };
         let Some(cached) = self.leaves.get(&key) else {
@@ -75,7 +77,7 @@
 
     /// Adds a leaf that covers the job numbers from `first` to `last`, read at `revision`.
     pub fn put(&mut self, level: Level, first: u64, last: u64, revision: u64, leaf: Leaf) {
-        self.jobs += cost(&leaf);
+        self.entries += entry_count(&leaf);
         let mut added = CachedLeaf {
             first,
             revision,
@@ -83,34 +85,35 @@
         };
         let key = (level, last);
         if let Some(replaced) = self.leaves.pop(&key) {
-            self.jobs -= cost(&replaced.leaf);
-            // A read at least as recent as this one, of more of the leaf, still covers it.
+            self.entries -= entry_count(&replaced.leaf);
+            // A replaced read that is at least as recent and covered more of the leaf
+            // remains valid for that part.
             if replaced.revision >= revision {
                 added.first = added.first.min(replaced.first);
             }
         }
         self.leaves.put(key, added);
-        self.order.insert(key);
-        while self.jobs > self.capacity
+        self.keys.insert(key);
+        while self.entries > self.capacity
             && let Some((key, evicted)) = self.leaves.pop_lru()
         {
-            self.order.remove(&key);
-            self.jobs -= cost(&evicted.leaf);
+            self.keys.remove(&key);
+            self.entries -= entry_count(&evicted.leaf);
         }
     }
 
-    /// How many jobs' entries it holds, with the overhead of their leaves.
+    /// Returns the number of cached entries: the jobs, and a fixed overhead for each leaf.
     pub fn len(&self) -> usize {
-        self.jobs
+        self.entries
     }
 
-    /// Whether it holds no leaf.
+    /// Returns whether the cache holds no leaf.
     pub fn is_empty(&self) -> bool {
         self.leaves.is_empty()
     }
 }
 
-fn cost(leaf: &Leaf) -> usize {
+fn entry_count(leaf: &Leaf) -> usize {
     leaf.jobs().len() + LEAF_OVERHEAD
 }
 
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -1,14 +1,15 @@
-//! The compactor: archives batches of finished jobs into the small run, and compacts the
-//! small run into the large one. It is a state machine that says what to read or write
-//! next ([`Compactor::step`]) and is told the result ([`Compactor::read`],
+//! Archives batches of finished jobs into the small run, and compacts the small run into
+//! the large one. The compactor is a state machine that returns what to read or write next
+//! ([`Compactor::step`]) and takes the result ([`Compactor::read`],
 //! [`Compactor::written`]).
 //!
 //! Every write depends on the revisions of the leaves that it changes and, added by the
-//! caller, on the leader's lease, so a late one, or one of a former leader, changes nothing.
-//! Every step may be repeated: adding jobs that are there already writes nothing. A finished
-//! job is always in its next place before it leaves the one before: in the small run before
-//! the history's record says so (`gen_done`), out of the watched records after that; in the
-//! large run before it leaves the small one.
+//! caller, on the leader's lease, so a delayed write, or one of a former leader, changes
+//! nothing. Every step may be repeated: adding jobs that are already stored writes nothing.
+//! A finished job is always stored in its next place before it is removed from the previous
+//! one: it is in the small run before the history's record includes it (`gen_done`), and
+//! only then removed from the watched records; it is in the large run before it is removed
+//! from the small one.
 
 mod phase;
 mod split;
@@ -22,69 +23,69 @@
 use phase::Event;
 use split::LeafSplit;
 
-/// Least number of leaves that a transaction may put: a split needs two.
+/// Lower bound on the leaves that a transaction may put: a split needs two.
 const MIN_TXN_OPS: usize = 2;
 
-/// What bounds the compactor's writes.
+/// Bounds on the compactor's writes, and the thresholds of compaction and retention.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most bytes of a leaf's record.
+    /// The largest size of a leaf's record, in bytes.
     pub leaf_bytes: usize,
-    /// Most changes in a transaction.
+    /// The largest number of changes in a transaction.
     pub txn_ops: usize,
-    /// Number of jobs in the small run beyond which it is compacted.
+    /// The number of jobs in the small run beyond which it is compacted.
     pub small_run: u64,
-    /// Days for which finished jobs are kept; 0 means forever.
+    /// The number of days for which finished jobs are kept; 0 means forever.
     pub keep_days: u32,
 }
 
-/// What a transaction of the compactor brings about when it is applied.
+/// The change of state that follows when a transaction has been applied.
 #[derive(Clone, Debug)]
 enum Completion {
     /// The first leaves of a split are written.
     SplitAdvanced,
-    /// So many jobs are in the small run.
+    /// This many of the first remaining jobs are in the small run.
     Archived(usize),
-    /// So many jobs are in the large run.
+    /// This many of the first remaining jobs are in the large run.
     Compacted(usize),
-    /// A leaf of the small run is gone.
+    /// The compacted leaf of the small run is deleted.
     LeafRemoved,
-    /// The history's record says that a batch is archived.
+    /// The history's record, as given, includes the archived batch.
     Recorded(PackedRecord),
-    /// The history's record says that the small run is empty.
+    /// The history's record, as given, marks the small run as empty.
     Emptied(PackedRecord),
 }
 
-/// The read or transaction at hand; there is at most one.
+/// The pending read or transaction; there is at most one.
 #[derive(Debug, Default)]
 enum Operation {
-    /// None.
+    /// Nothing is pending.
     #[default]
     None,
-    /// A read is under way.
+    /// A read is in flight.
     Reading,
-    /// A transaction follows from the last read.
+    /// A transaction that results from the last read is ready to be sent.
     Prepared(Transaction, Completion),
-    /// A transaction is under way.
+    /// A transaction is in flight.
     Writing(Completion),
 }
 
-/// The compactor.
+/// The state machine that archives and compacts finished jobs.
 #[derive(Debug)]
 pub struct Compactor {
     phase: Phase,
     limits: Limits,
-    /// The history's record, with what has been archived since it was written.
+    /// The history's record as last written, plus the jobs that have been archived since.
     record: PackedRecord,
     operation: Operation,
-    /// A leaf that is being split; the leaves before it are being read.
+    /// The leaf that is being split, while the leaves before it are read.
     split: Option<LeafSplit>,
-    /// The day of the current batch, in days since 1970.
+    /// The day on which the current batch is archived, in days since 1970-01-01.
     day: u32,
 }
 
 impl Compactor {
-    /// A compactor that has nothing to do.
+    /// Creates an idle compactor.
     pub fn new(limits: Limits) -> Self {
         Self {
             phase: Phase::Idle,
@@ -96,18 +97,18 @@
         }
     }
 
-    /// Sets the bounds of a transaction, which may be lowered while it works.
+    /// Sets the bounds of a transaction, which may be lowered while the compactor works.
     pub fn set_limits(&mut self, leaf_bytes: usize, txn_ops: usize) {
         self.limits.leaf_bytes = leaf_bytes;
         self.limits.txn_ops = txn_ops;
     }
 
-    /// Where it stands.
+    /// Returns the current phase.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// Whether a batch may be handed to it.
+    /// Returns whether the compactor can take a batch.
     pub fn is_idle(&self) -> bool {
         let busy = matches!(self.operation, Operation::Reading | Operation::Writing(_));
         self.phase == Phase::Idle && !busy
@@ -117,14 +118,14 @@
         self.phase = std::mem::replace(&mut self.phase, Phase::Idle).after(event);
     }
 
-    /// Gives up what is under way: another controller leads, or none does.
+    /// Abandons all work, because another controller leads, or none does.
     pub fn stop(&mut self) {
         self.change(Event::Stopped);
         self.operation = Operation::None;
         self.split = None;
     }
 
-    /// Resumes from the history's record, if nothing is under way: a former leader may
+    /// Resumes from the history's record, if the compactor is idle: a former leader may
     /// have stopped in the middle of a compaction.
     pub fn resume(&mut self, record: PackedRecord) {
         if self.is_idle() {
@@ -135,9 +136,9 @@
         }
     }
 
-    /// Takes a batch, if nothing is under way: all ends of generations up to `generation`,
-    /// and those in records of their own up to `revision`, that are not in the leaves yet.
-    /// `day` is the current one, in days since 1970.
+    /// Takes a batch, if the compactor is idle: all ends of generations up to `generation`,
+    /// and those in records of their own up to revision `revision`, that are not in the
+    /// leaves yet. `day` is the current day, in days since 1970-01-01.
     pub fn begin(&mut self, generation: u64, revision: u64, jobs: Vec<FinishedJob>, day: u32) {
         if self.is_idle() {
             self.day = day;
@@ -149,7 +150,7 @@
         }
     }
 
-    /// What is to be done now.
+    /// Returns the next read or write to carry out.
     pub fn step(&mut self) -> Step {
         match std::mem::take(&mut self.operation) {
             Operation::None => {}
@@ -197,7 +198,7 @@
         Step::Write(transaction)
     }
 
-    /// The history's record once a batch is archived.
+    /// Returns the history's record as it is once a batch is archived.
     fn record_of_archived(&self, batch: &Batch) -> PackedRecord {
         let mut record = self.record;
         record.gen_done = record.gen_done.max(batch.generation);
@@ -206,7 +207,7 @@
         record
     }
 
-    /// Takes the result of a read: the leaf, or none if there is no such leaf. After a
+    /// Takes the result of a read: the leaf, or `None` if there is no such leaf. After a
     /// failure the leaf is read again.
     pub fn read(&mut self, result: Result<Option<StoredLeaf>, ReadFailed>) {
         if !matches!(self.operation, Operation::Reading) {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Prepares the record that says that the small run is empty.
+    /// Prepares the write of the record that marks the small run as empty.
     fn prepare_emptied(&mut self) {
         let mut record = self.record;
         record.jobs_in_runs = [0, record.jobs_in_runs[0] + record.jobs_in_runs[1]];
@@ -244,9 +245,9 @@
     }
 
     /// Prepares the transaction that merges the first of `jobs` into a leaf: as many as
-    /// belong there and fit into the transaction.
+    /// belong to this leaf and fit into the transaction.
     fn merge_into(&mut self, level: Level, jobs: &[FinishedJob], found: Option<StoredLeaf>) {
-        // Jobs after the last leaf go into a new one that is open to the end.
+        // Jobs beyond the last leaf go into a new leaf, whose range has no upper end.
         let stored = found.unwrap_or(StoredLeaf {
             last: LAST,
             revision: 0,
@@ -271,7 +272,7 @@
         self.replace_leaf(level, stored.key(), &leaves, count);
     }
 
-    /// How many leaves one transaction may put.
+    /// Returns how many leaves one transaction may put.
     fn max_leaves(&self) -> usize {
         self.limits.txn_ops.max(MIN_TXN_OPS)
     }
@@ -284,7 +285,7 @@
         leaf.merged_with(jobs, oldest_day, self.limits.leaf_bytes)
     }
 
-    /// Prepares the transaction that puts these leaves in the place of one, which merges
+    /// Prepares the transaction that replaces a leaf with these leaves, which merges
     /// `count` jobs into their run.
     fn replace_leaf(
         &mut self,
@@ -298,7 +299,8 @@
             Level::Large => Completion::Compacted(count),
         };
         let Some((last, others)) = leaves.split_last() else {
-            // All of them are there already: a former leader came as far as this.
+            // All of the jobs are stored already: a former leader wrote them before it
+            // stopped.
             self.complete(completion);
             return;
         };
@@ -308,8 +310,9 @@
         self.operation = Operation::Prepared(transaction, completion);
     }
 
-    /// Takes the leaf that holds the first job of one that is being split: an earlier
-    /// leaf, or that leaf itself, which shows that what is left to split is known.
+    /// Continues a split with the leaf that was found for the first job left to split: an
+    /// earlier leaf, whose jobs are left out of the split, or the leaf itself, which shows
+    /// that no earlier leaf holds any job that is left.
     fn continue_split(&mut self, mut split: LeafSplit, found: Option<StoredLeaf>) {
         let Some(found) = found else {
             return;
@@ -321,7 +324,7 @@
                 return;
             }
         } else if found.key() != split.stored.key() {
-            // It has changed: the merge begins anew.
+            // The leaf has changed: the merge starts again from the stored state.
             return;
         }
         let key = split.stored.key();
@@ -336,12 +339,13 @@
         }
     }
 
-    /// Takes the result of the transaction under way. One that was not applied, or may not
-    /// have been, is prepared anew from what is stored then.
+    /// Takes the result of the transaction in flight. A transaction that was not applied,
+    /// or for which that is unknown, is prepared again from the state stored then.
     pub fn written(&mut self, applied: bool) {
         match std::mem::take(&mut self.operation) {
             Operation::Writing(completion) if applied => self.complete(completion),
-            // The leaf was deleted or has changed: it is looked for again.
+            // The leaf was deleted or has changed, so the first leaf of the small run is
+            // read again.
             Operation::Writing(Completion::LeafRemoved) => self.change(Event::LeafRemoved),
             Operation::Writing(_) => {}
             other => self.operation = other,
@@ -352,8 +356,8 @@
         match completion {
             Completion::SplitAdvanced => {}
             Completion::Archived(count) => {
-                // Jobs that are there already were written by a leader that stopped
-                // before it could count them.
+                // Jobs that were stored already are counted too: a former leader wrote them
+                // and stopped before it could count them.
                 self.record.jobs_in_runs[0] += count as u64;
                 self.change(Event::Archived(count));
             }
--- a/crates/cherryyard-history/src/compactor/phase.rs
+++ b/crates/cherryyard-history/src/compactor/phase.rs
@@ -1,4 +1,4 @@
-//! The phases of the compactor, and what moves it from one to another.
+//! Defines the phases of the compactor and the events that change them.
 
 use super::transaction::StoredLeafKey;
 use crate::leaf::FinishedJob;
@@ -6,61 +6,62 @@
 /// Finished jobs that are archived together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The generation whose ends, and those of all before, are in the batch.
+    /// The generation up to which, inclusive, the batch contains all ends.
     pub generation: u64,
-    /// The revision up to which ends in records of their own are in the batch.
+    /// The revision up to which the batch contains the ends in records of their own.
     pub revision: u64,
     /// The jobs, sorted by number.
     pub jobs: Vec<FinishedJob>,
 }
 
-/// Where the compactor stands.
+/// The work that the compactor is doing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing to do.
+    /// No work.
     Idle,
-    /// A batch of finished jobs goes into the small run, leaf by leaf; its jobs are those
-    /// that are not there yet.
+    /// A batch of finished jobs is written to the small run, leaf by leaf; the batch keeps
+    /// only the jobs that are not there yet.
     Archiving(Batch),
-    /// The first leaf of the small run is looked for.
+    /// The first leaf of the small run is read.
     SeekingLeaf,
-    /// That leaf's jobs go into the large run, leaf by leaf.
+    /// The jobs of the first leaf of the small run are written to the large run, leaf by
+    /// leaf.
     Compacting {
         /// The leaf of the small run.
         source: StoredLeafKey,
-        /// Its jobs that are not in the large run yet.
+        /// The jobs of that leaf that are not in the large run yet.
         remaining: Vec<FinishedJob>,
     },
 }
 
-/// What moves the compactor from one phase to another.
+/// An occurrence that may change the compactor's phase.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A batch has been handed over.
+    /// The caller has handed over a batch.
     BatchTaken(Batch),
-    /// So many of the batch's first jobs are in the small run.
+    /// This many of the batch's first jobs are in the small run.
     Archived(usize),
-    /// The history's record says that the batch is archived, and whether the small run is
-    /// to be compacted.
+    /// The history's record includes the batch, and states whether the small run is to be
+    /// compacted.
     Recorded { compact: bool },
     /// The first leaf of the small run has been read.
     LeafFound {
         source: StoredLeafKey,
         jobs: Vec<FinishedJob>,
     },
-    /// So many of the leaf's first jobs are in the large run.
+    /// This many of the leaf's first jobs are in the large run.
     Compacted(usize),
     /// The leaf is no longer in the small run.
     LeafRemoved,
-    /// The small run is empty, and the history's record says so.
+    /// The small run is empty, and the history's record is updated.
     Emptied,
-    /// Whatever is under way is given up.
+    /// All work is abandoned.
     Stopped,
 }
 
 impl Phase {
-    /// The phase that follows: the one place where it changes. An event that does not
-    /// belong to a phase leaves it as it is.
+    /// Returns the phase that follows an event; all changes of the phase are made here. An
+    /// event that does not apply to a phase leaves it unchanged.
     pub(super) fn after(self, event: Event) -> Self {
         match (self, event) {
             (_, Event::Stopped) => Self::Idle,
--- a/crates/cherryyard-history/src/compactor/transaction.rs
+++ b/crates/cherryyard-history/src/compactor/transaction.rs
@@ -1,43 +1,43 @@
-//! What the compactor asks to be read and written.
+//! Defines the reads and transactions that the compactor requests.
 
 use crate::leaf::Leaf;
 use cherryyard_wire::history::{LeafRecord, Level, PackedRecord, leaf_key};
 
-/// What the compactor wants to be done.
+/// The compactor's next request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing, or the result of the step before.
+    /// No request: the compactor is idle, or waits for the result of the previous step.
     Nothing,
-    /// A read of the first leaf of a run whose last job number is this one or a later one.
+    /// A read of the first leaf of a run whose last job number is at least this one.
     Read(Level, u64),
-    /// A transaction.
+    /// A transaction to apply.
     Write(Transaction),
 }
 
-/// A transaction: its changes are applied together if all preconditions hold.
+/// Changes that are applied together if all preconditions hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Keys that must not have changed.
+    /// The keys that must be unchanged, with their revisions.
     pub preconditions: Vec<Precondition>,
-    /// Leaves to put, by key.
+    /// The leaves to put, with their keys.
     pub put: Vec<(String, LeafRecord)>,
-    /// Keys to delete.
+    /// The keys to delete.
     pub delete: Vec<String>,
     /// The history's record to put, if it changes.
     pub record: Option<PackedRecord>,
 }
 
-/// A key that must have been written last at a certain revision.
+/// A condition that a key was last written at a certain revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Precondition {
-    /// The key.
+    /// The key in the state service.
     pub key: String,
-    /// The revision; 0 if the key must be absent.
+    /// The expected revision; 0 if the key must be absent.
     pub revision: u64,
 }
 
 impl Transaction {
-    /// A transaction that puts the history's record alone.
+    /// Creates a transaction that only puts the history's record.
     pub(super) fn of_record(record: PackedRecord) -> Self {
         Self {
             record: Some(record),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A transaction that deletes a leaf, unless it has changed.
+    /// Creates a transaction that deletes a leaf if it is unchanged.
     pub(super) fn of_deletion(level: Level, leaf: StoredLeafKey) -> Self {
         let key = leaf_key(level, leaf.last);
         Self {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// A transaction that puts new leaves before an existing one, unless that has changed.
+    /// Creates a transaction that puts new leaves before an existing one if that one is
+    /// unchanged.
     pub(super) fn of_new_leaves(level: Level, existing: StoredLeafKey, leaves: &[Leaf]) -> Self {
         let mut transaction = Self {
             preconditions: vec![Precondition {
@@ -81,23 +82,23 @@
     }
 }
 
-/// A leaf's key within its run, and its revision.
+/// The position of a leaf within its run, and its revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredLeafKey {
     /// The last job number that the leaf may hold.
     pub last: u64,
-    /// The revision at which it was written; 0 if it is not there.
+    /// The revision at which the leaf was written; 0 if it does not exist.
     pub revision: u64,
 }
 
 /// A leaf as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredLeaf {
-    /// The last job number that it may hold.
+    /// The last job number that the leaf may hold.
     pub last: u64,
-    /// The revision at which it was written; 0 if it is not there.
+    /// The revision at which the leaf was written; 0 if it does not exist.
     pub revision: u64,
-    /// Its jobs.
+    /// The jobs of the leaf.
     pub leaf: Leaf,
 }
 
@@ -110,7 +111,7 @@
     }
 }
 
-/// A leaf could not be read, or its record not be decoded.
+/// The error that a leaf could not be read, or that its record could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the leaf could not be read")]
 pub struct ReadFailed;
--- a/crates/cherryyard-history/src/leaf/codec.rs
+++ b/crates/cherryyard-history/src/leaf/codec.rs
@@ -1,4 +1,5 @@
-//! The stored form of leaves: a few bytes a job, as varints in base64.
+//! Encodes and decodes the stored form of leaves: a few bytes per job, as varints in
+//! base64.
 
 use super::jobs::{FinishedJob, Leaf};
 use base64::Engine;
@@ -7,46 +8,48 @@
 use cherryyard_wire::record::End;
 use integer_encoding::VarInt;
 
-/// The version of the encoding, its first byte.
+/// The version of the encoding, which is its first byte.
 const VERSION: u8 = 1;
-/// Bytes of a record's JSON beside its jobs.
-pub(super) const FRAME: usize = 40;
-/// Most jobs for which memory is reserved on the word of a record alone.
+/// Bytes of a record's JSON other than its base64 text.
+pub(super) const RECORD_OVERHEAD_BYTES: usize = 40;
+/// Upper bound on the jobs for which a decoder reserves memory based on a record's own
+/// count, which may be damaged.
 const MAX_RESERVED_JOBS: u32 = 20_000;
 
-/// What is wrong with a leaf's record.
+/// Faults of a leaf's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeafError {
     /// The jobs are not valid base64.
     #[error("b: not base64")]
     NotBase64,
-    /// The jobs' bytes are missing.
+    /// The encoded bytes are empty: even the version is missing.
     #[error("b: empty")]
     Empty,
-    /// The encoding has a version that is not known here.
+    /// The version of the encoding is unknown to this program: a later one wrote the record.
     #[error("b: written by a later version")]
     LaterVersion,
-    /// The jobs' bytes end before the last job does.
-    #[error("b: cut off")]
-    CutOff,
+    /// The encoded bytes end before the last job does.
+    #[error("b: truncated")]
+    Truncated,
     /// A number does not fit into its type.
     #[error("b: a number is too large")]
     NumberTooLarge,
-    /// A job's number is beyond the largest possible one.
-    #[error("b: an id is too large")]
+    /// A job's number exceeds the largest possible one.
+    #[error("b: a job id is too large")]
     IdTooLarge,
-    /// The jobs are not sorted, or one of them is there twice.
-    #[error("b: ids do not rise")]
-    IdsNotRising,
+    /// The jobs are not sorted, or one of them occurs twice.
+    #[error("b: job ids are not in increasing order")]
+    IdsNotIncreasing,
     /// A job's day does not fit into its type.
     #[error("b: a day is too large")]
     DayTooLarge,
 }
 
 impl Leaf {
-    /// The stored record: the first day, then for each job the gap to the number before,
-    /// the tasks done with the end as the lowest bit, and the days since the first day,
-    /// all as varints. Dense numbers take three bytes a job, those of 18 digits some eight.
+    /// Encodes the leaf as a stored record: the first day, then for each job the difference
+    /// to the job number before, the number of done tasks with the end in the lowest bit,
+    /// and the days since the first day, all as varints. Dense job numbers take three bytes
+    /// per job, sparse ones of 18 digits about eight.
     pub fn to_record(&self) -> LeafRecord {
         let mut bytes = vec![VERSION];
         let mut put = |number: u64| bytes.extend(number.encode_var_vec());
@@ -69,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with a record that is damaged, or of a later version.
+    /// Returns the fault of a record that is damaged, or written by a later version.
     pub fn from_record(record: &LeafRecord) -> Result<Self, LeafError> {
         let bytes = BASE64
             .decode(&record.base64)
@@ -89,7 +92,7 @@
                 .filter(|&job| job <= LAST)
                 .ok_or(LeafError::IdTooLarge)?;
             if gap == 0 && index > 0 {
-                return Err(LeafError::IdsNotRising);
+                return Err(LeafError::IdsNotIncreasing);
             }
             let done_and_end = varints.next_u64()?;
             let day = first_day.checked_add(varints.next_u32()?);
@@ -100,7 +103,7 @@
                 } else {
                     End::Done
                 },
-                done: narrow(done_and_end >> 1)?,
+                done: to_u32(done_and_end >> 1)?,
                 day: day.ok_or(LeafError::DayTooLarge)?,
             });
             previous = job;
@@ -108,8 +111,8 @@
         Ok(Self { jobs })
     }
 
-    /// Most bytes that the JSON of these jobs' record may have.
-    pub(super) fn size(jobs: &[FinishedJob]) -> usize {
+    /// Returns an upper bound on the bytes of the JSON of these jobs' record.
+    pub(super) fn max_json_bytes(jobs: &[FinishedJob]) -> usize {
         let first_day = first_day(jobs);
         let mut previous = 0;
         let mut bytes = 1 + u64::from(first_day).required_space();
@@ -119,7 +122,7 @@
                 + u64::from(finished.day - first_day).required_space();
             previous = finished.job;
         }
-        bytes.div_ceil(3) * 4 + FRAME
+        bytes.div_ceil(3) * 4 + RECORD_OVERHEAD_BYTES
     }
 }
 
@@ -127,28 +130,29 @@
     jobs.iter().map(|finished| finished.day).min().unwrap_or(0)
 }
 
-/// The tasks done, with the end as the lowest bit.
+/// Returns the number of done tasks, shifted left by one bit, with the end in the lowest
+/// bit.
 fn done_and_end(finished: &FinishedJob) -> u64 {
     u64::from(finished.done) << 1 | u64::from(finished.end == End::Cancelled)
 }
 
-fn narrow(number: u64) -> Result<u32, LeafError> {
+fn to_u32(number: u64) -> Result<u32, LeafError> {
     u32::try_from(number).map_err(|_| LeafError::NumberTooLarge)
 }
 
-/// Decodes varints one after another.
+/// Decodes consecutive varints.
 struct Varints<'a> {
     rest: &'a [u8],
 }
 
 impl Varints<'_> {
     fn next_u64(&mut self) -> Result<u64, LeafError> {
-        let (number, size) = u64::decode_var(self.rest).ok_or(LeafError::CutOff)?;
-        self.rest = self.rest.get(size..).ok_or(LeafError::CutOff)?;
+        let (number, size) = u64::decode_var(self.rest).ok_or(LeafError::Truncated)?;
+        self.rest = self.rest.get(size..).ok_or(LeafError::Truncated)?;
         Ok(number)
     }
 
     fn next_u32(&mut self) -> Result<u32, LeafError> {
-        narrow(self.next_u64()?)
+        to_u32(self.next_u64()?)
     }
 }
--- a/crates/cherryyard-history/src/leaf/jobs.rs
+++ b/crates/cherryyard-history/src/leaf/jobs.rs
@@ -1,40 +1,40 @@
-//! Finished jobs, and leaves of them.
+//! Defines finished jobs and leaves of them.
 
 use cherryyard_wire::record::End;
 
 /// A finished job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// Its number.
+    /// The job's number.
     pub job: u64,
-    /// How it ended.
+    /// The way in which the job ended.
     pub end: End,
-    /// How many of its tasks were done.
+    /// The number of the job's tasks that were done.
     pub done: u32,
-    /// The day on which it was archived, in days since 1970.
+    /// The day on which the job was archived, in days since 1970-01-01.
     pub day: u32,
 }
 
-/// The jobs of one leaf, sorted by number, each once.
+/// The jobs of one leaf, sorted by number, each only once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Leaf {
     pub(super) jobs: Vec<FinishedJob>,
 }
 
 impl Leaf {
-    /// A leaf of these jobs; the first of two with the same number counts.
+    /// Creates a leaf of these jobs; of two with the same number the first is kept.
     pub fn new(mut jobs: Vec<FinishedJob>) -> Self {
         jobs.sort_by_key(|finished| finished.job);
         jobs.dedup_by_key(|finished| finished.job);
         Self { jobs }
     }
 
-    /// The jobs, in order of their numbers.
+    /// Returns the jobs, in order of their numbers.
     pub fn jobs(&self) -> &[FinishedJob] {
         &self.jobs
     }
 
-    /// The job with this number, if it is in the leaf.
+    /// Returns the job with this number, if the leaf contains it.
     pub fn find(&self, job: u64) -> Option<&FinishedJob> {
         let index = self
             .jobs
--- a/crates/cherryyard-history/src/leaf/merge.rs
+++ b/crates/cherryyard-history/src/leaf/merge.rs
@@ -1,11 +1,12 @@
-//! Merging of jobs into a leaf, which may split it.
+//! Merges jobs into a leaf, which may split it.
 
 use super::jobs::{FinishedJob, Leaf};
 
 impl Leaf {
-    /// The leaf with these jobs added, as one or more leaves of at most `max_bytes` of
-    /// JSON each; empty if all of the jobs are in the leaf already. Jobs that are there
-    /// stay as they are, except that those archived before `oldest_day` are dropped.
+    /// Returns the leaf with these jobs added, as one or more leaves of at most `max_bytes`
+    /// of JSON each, or nothing if the leaf already contains all of the jobs. Jobs that the
+    /// leaf already contains are kept unchanged, except that those archived before
+    /// `oldest_day` are dropped.
     pub fn merged_with(
         &self,
         jobs: &[FinishedJob],
@@ -25,10 +26,10 @@
         merged.split(max_bytes)
     }
 
-    /// Splits a leaf into as few as fit into `max_bytes` each, of about the same size; a
-    /// leaf of a single job is never split.
+    /// Splits a leaf into as few leaves of about the same size as fit into `max_bytes`
+    /// each; a leaf of a single job is never split.
     fn split(self, max_bytes: usize) -> Vec<Self> {
-        let size = Self::size(&self.jobs);
+        let size = Self::max_json_bytes(&self.jobs);
         if size <= max_bytes || self.jobs.len() < 2 {
             return vec![self];
         }
--- a/crates/cherryyard-history/src/leaf/mod.rs
+++ b/crates/cherryyard-history/src/leaf/mod.rs
@@ -1,4 +1,4 @@
-//! Leaves: finished jobs, sorted by number, and their stored form.
+//! Provides leaves, which hold finished jobs sorted by number, and their stored form.
 
 mod codec;
 mod jobs;
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -1,4 +1,5 @@
-//! The compactor against a store: every cut, every reader, late transactions.
+//! Runs the compactor against a store, with leaders that crash at every transaction,
+//! readers at every moment, and delayed transactions.
 
 use cherryyard_history::{
     Compactor, FinishedJob, Leaf, Level, Limits, Phase, ReadFailed, Step, StoredLeaf, Transaction,
@@ -8,54 +9,63 @@
 use cherryyard_wire::record::End;
 use std::collections::BTreeMap;
 
-/// Keys, stamps, and the leader's claim, on which every write depends.
+/// Simulated state service: leaves and the history's record with their revisions, and the
+/// leader's epoch, on which every write depends.
 #[derive(Clone, Default)]
 struct Store {
     leaves: BTreeMap<String, (LeafRecord, u64)>,
     record: (PackedRecord, u64),
-    epoch: u64,
-    lead: u64,
+    last_revision: u64,
+    leader_epoch: u64,
     writes: usize,
 }
 
 impl Store {
-    fn apply(&mut self, write: &Transaction, lead: u64, record_stamp: u64) -> bool {
-        let stamp = |key: &str| self.leaves.get(key).map_or(0, |l| l.1);
-        let holds = write
+    fn apply(
+        &mut self,
+        transaction: &Transaction,
+        leader_epoch: u64,
+        record_revision: u64,
+    ) -> bool {
+        let revision = |key: &str| self.leaves.get(key).map_or(0, |stored| stored.1);
+        let preconditions_hold = transaction
             .preconditions
             .iter()
-            .all(|p| stamp(&p.key) == p.revision);
-        let recorded = write.record.is_none() || self.record.1 == record_stamp;
-        if lead != self.lead || !holds || !recorded {
+            .all(|precondition| revision(&precondition.key) == precondition.revision);
+        let record_unchanged = transaction.record.is_none() || self.record.1 == record_revision;
+        if leader_epoch != self.leader_epoch || !preconditions_hold || !record_unchanged {
             return false;
         }
-        self.epoch += 1;
-        for (key, leaf) in &write.put {
-            self.leaves.insert(key.clone(), (leaf.clone(), self.epoch));
+        self.last_revision += 1;
+        for (key, leaf) in &transaction.put {
+            self.leaves
+                .insert(key.clone(), (leaf.clone(), self.last_revision));
         }
-        for key in &write.delete {
+        for key in &transaction.delete {
             self.leaves.remove(key);
         }
-        if let Some(record) = write.record {
-            self.record = (record, self.epoch);
+        if let Some(record) = transaction.record {
+            self.record = (record, self.last_revision);
         }
-        self.writes += write.put.len() + write.delete.len() + usize::from(write.record.is_some());
+        self.writes += transaction.put.len()
+            + transaction.delete.len()
+            + usize::from(transaction.record.is_some());
         true
     }
 
     fn leaf(&self, level: Level, job: u64) -> Option<StoredLeaf> {
-        let (key, (record, stamp)) = self.leaves.range(leaf_key(level, job)..).next()?;
+        let (key, (record, revision)) = self.leaves.range(leaf_key(level, job)..).next()?;
         let last = leaf_of_key(level, key)?;
         Some(StoredLeaf {
             last,
-            revision: *stamp,
+            revision: *revision,
             leaf: Leaf::from_record(record).unwrap(),
         })
     }
 
-    fn has(&self, level: Level, job: u64) -> bool {
+    fn contains(&self, level: Level, job: u64) -> bool {
         self.leaf(level, job)
-            .is_some_and(|l| l.leaf.find(job).is_some())
+            .is_some_and(|stored| stored.leaf.find(job).is_some())
     }
 }
 
@@ -82,16 +92,18 @@
     (0..12).map(job).collect()
 }
 
-/// Archives three batches, the last of which leads to a compaction, with the leader ending at
-/// transaction `cut` (before it is applied, or after). Returns every state of the
-/// store in turn, the transaction that was held back, and the final store.
-fn play(cut: Option<(usize, bool)>) -> (Vec<Store>, Option<(Transaction, u64, u64)>, Store) {
+/// Archives three batches, the last of which starts a compaction; the leader crashes at
+/// transaction `crash` (before it is applied, or after). Returns every state of the store
+/// in order, the transaction that was not applied, and the final store.
+fn archive_three_batches(
+    crash: Option<(usize, bool)>,
+) -> (Vec<Store>, Option<(Transaction, u64, u64)>, Store) {
     let mut store = Store {
-        lead: 1,
+        leader_epoch: 1,
         ..Store::default()
     };
     let mut states = vec![store.clone()];
-    let mut held = None;
+    let mut not_applied = None;
     let mut sent = 0;
     let mut compactor = Compactor::new(limits(30));
     for round in 0..3u64 {
@@ -106,17 +118,20 @@
             match compactor.step() {
                 Step::Nothing => {}
                 Step::Read(level, job) => compactor.read(Ok(store.leaf(level, job))),
-                Step::Write(write) => {
+                Step::Write(transaction) => {
                     sent += 1;
-                    let (lead, stamp) = (store.lead, store.record.1);
-                    let ends = cut.filter(|c| c.0 == sent);
-                    if ends.is_none_or(|c| c.1) {
-                        assert!(store.apply(&write, lead, stamp), "{write:?}");
+                    let (leader_epoch, revision) = (store.leader_epoch, store.record.1);
+                    let crashes_here = crash.filter(|crash| crash.0 == sent);
+                    if crashes_here.is_none_or(|crash| crash.1) {
+                        assert!(
+                            store.apply(&transaction, leader_epoch, revision),
+                            "{transaction:?}"
+                        );
                         states.push(store.clone());
                     }
-                    if let Some((_, applied)) = ends {
-                        held = (!applied).then_some((write, lead, stamp));
-                        store.lead += 1;
+                    if let Some((_, applied)) = crashes_here {
+                        not_applied = (!applied).then_some((transaction, leader_epoch, revision));
+                        store.leader_epoch += 1;
                         compactor = Compactor::new(limits(30));
                     } else {
                         compactor.written(true);
@@ -125,56 +140,61 @@
             }
         }
     }
-    (states, held, store)
+    (states, not_applied, store)
 }
 
-/// Whatever the position of a cut, and however a reader's two reads fall between
-/// the compactor's writes: a job is found in the small run, then in the large one, as
-/// soon as the record says that its generation is there. A transaction of the
-/// leader before, held back, changes nothing whenever it arrives.
+/// Guards against finished jobs that a look-up misses: whichever transaction the leader
+/// crashes at, and however a reader's two reads fall between the compactor's writes, a job
+/// is found in the small run, then in the large one, as soon as the history's record
+/// includes its generation. A delayed transaction of a former leader changes nothing,
+/// whenever it arrives.
 #[test]
-fn every_cut_and_every_reader() {
-    let whole = play(None).0.len();
-    assert!(whole > 15, "{whole} states");
-    let mut cuts = vec![None];
-    cuts.extend((1..whole).flat_map(|n| [Some((n, false)), Some((n, true))]));
-    for cut in cuts {
-        let (states, held, last) = play(cut);
+fn jobs_are_found_after_any_crash_and_between_any_two_reads() {
+    let uninterrupted = archive_three_batches(None).0.len();
+    assert!(uninterrupted > 15, "{uninterrupted} states");
+    let mut crashes = vec![None];
+    crashes.extend((1..uninterrupted).flat_map(|n| [Some((n, false)), Some((n, true))]));
+    for crash in crashes {
+        let (states, not_applied, last) = archive_three_batches(crash);
         for round in 0..3u64 {
             let jobs = batch(round);
             for (i, first) in states.iter().enumerate() {
                 if first.record.0.gen_done <= round {
                     continue;
                 }
-                for past in &jobs {
-                    if first.has(Level::Small, past.job) {
+                for finished in &jobs {
+                    if first.contains(Level::Small, finished.job) {
                         continue;
                     }
                     let later = &states[i..];
                     assert!(
-                        later.iter().all(|s| s.has(Level::Large, past.job)),
-                        "{cut:?}: {} is in neither run",
-                        past.job
+                        later.iter().all(|s| s.contains(Level::Large, finished.job)),
+                        "{crash:?}: {} is in neither run",
+                        finished.job
                     );
                 }
             }
         }
-        assert_eq!(last.record.0.jobs_in_runs, [0, 36], "{cut:?}");
+        assert_eq!(last.record.0.jobs_in_runs, [0, 36], "{crash:?}");
         assert!(!last.record.0.spilling);
-        if let Some((write, lead, stamp)) = held {
-            for state in states.iter().filter(|s| s.lead != lead) {
-                assert!(!state.clone().apply(&write, lead, stamp), "{cut:?}");
+        if let Some((transaction, leader_epoch, revision)) = not_applied {
+            for state in states.iter().filter(|s| s.leader_epoch != leader_epoch) {
+                assert!(
+                    !state.clone().apply(&transaction, leader_epoch, revision),
+                    "{crash:?}"
+                );
             }
         }
     }
 }
 
-/// Reads that fail and transactions that conflict are tried again from what is
-/// there; a compactor that stops forgets what it had under way.
+/// Guards against jobs lost to failed reads and conflicting transactions, which must be
+/// repeated from the stored state, and against a stopped compactor that continues its
+/// earlier work.
 #[test]
-fn failures_are_tried_again() {
+fn failed_reads_and_writes_are_retried() {
     let mut store = Store {
-        lead: 1,
+        leader_epoch: 1,
         ..Store::default()
     };
     let mut compactor = Compactor::new(limits(1000));
@@ -191,17 +211,21 @@
                     Err(ReadFailed)
                 });
             }
-            Step::Write(write) => {
+            Step::Write(transaction) => {
                 failures += 1;
-                let stamp = store.record.1;
-                let applied = store.apply(&write, 1, stamp);
-                // Applied, but the answer was lost.
+                let revision = store.record.1;
+                let applied = store.apply(&transaction, 1, revision);
+                // The transaction may have been applied although its answer is lost.
                 compactor.written(applied && failures % 3 == 0);
             }
         }
         assert!(failures < 500);
     }
-    assert!(batch(0).iter().all(|p| store.has(Level::Small, p.job)));
+    assert!(
+        batch(0)
+            .iter()
+            .all(|finished| store.contains(Level::Small, finished.job))
+    );
     compactor.begin(2, 0, batch(1), 1);
     assert!(matches!(compactor.step(), Step::Read(..)));
     compactor.stop();
@@ -210,12 +234,13 @@
     assert_eq!(compactor.step(), Step::Nothing);
 }
 
-/// Writes a job, amortised, at full size: ids of up to 18 digits in no order, leaves
-/// of 4 KiB, batches of 8,192, a history of 600,000.
+/// Guards against write amplification: amortised writes per job at full size, with job
+/// numbers of up to 18 digits in no order, leaves of 4 KiB, batches of 8,192 jobs and a
+/// history of about 600,000.
 #[test]
-fn writes_a_job_stay_below_a_fifth() {
+fn writes_per_job_stay_below_one_fifth() {
     let mut store = Store {
-        lead: 1,
+        leader_epoch: 1,
         ..Store::default()
     };
     let mut compactor = Compactor::new(Limits {
@@ -244,9 +269,9 @@
             match compactor.step() {
                 Step::Nothing => {}
                 Step::Read(level, job) => compactor.read(Ok(store.leaf(level, job))),
-                Step::Write(write) => {
-                    let stamp = store.record.1;
-                    let applied = store.apply(&write, 1, stamp);
+                Step::Write(transaction) => {
+                    let revision = store.record.1;
+                    let applied = store.apply(&transaction, 1, revision);
                     compactor.written(applied);
                 }
             }
@@ -258,26 +283,26 @@
     assert_eq!(store.record.0.jobs_in_runs.iter().sum::<u64>(), jobs as u64);
 }
 
-/// Batches in the leaf of before.
+/// Batches in the leaf that was written under larger limits.
 const OLD_BATCHES: u64 = 14;
 
 /// Archives a batch in a store whose one leaf was written under larger limits; the leader
-/// ends with transaction `cut`, before it is applied or after.
-fn merge_into_a_large_leaf(txn_ops: usize, cut: Option<(usize, bool)>) -> Store {
+/// crashes at transaction `crash`, before it is applied or after.
+fn merge_into_an_oversized_leaf(txn_ops: usize, crash: Option<(usize, bool)>) -> Store {
     let mut store = Store {
-        lead: 1,
+        leader_epoch: 1,
         ..Store::default()
     };
     let old: Vec<FinishedJob> = (0..OLD_BATCHES).flat_map(batch).collect();
     let leaf = Leaf::new(old);
     let key = leaf_key(Level::Small, cherryyard_wire::history::LAST);
     store.leaves.insert(key, (leaf.to_record(), 1));
-    store.epoch = 1;
-    let lower = Limits {
+    store.last_revision = 1;
+    let lower_limits = Limits {
         txn_ops,
         ..limits(10_000)
     };
-    let mut compactor = Compactor::new(lower);
+    let mut compactor = Compactor::new(lower_limits);
     let mut sent = 0;
     for steps in 0.. {
         assert!(steps < 5000, "it never ends");
@@ -291,22 +316,33 @@
         match compactor.step() {
             Step::Nothing => {}
             Step::Read(level, job) => compactor.read(Ok(store.leaf(level, job))),
-            Step::Write(write) => {
-                assert!(write.put.len() <= txn_ops, "{} changes", write.put.len());
-                assert!(write.preconditions.len() + 2 <= txn_ops * 4);
-                let large = |put: &&(String, LeafRecord)| put.1.base64.len() > 120;
-                assert_eq!(write.put.iter().find(large), None);
+            Step::Write(transaction) => {
+                assert!(
+                    transaction.put.len() <= txn_ops,
+                    "{} changes",
+                    transaction.put.len()
+                );
+                assert!(transaction.preconditions.len() + 2 <= txn_ops * 4);
+                let oversized = |put: &&(String, LeafRecord)| put.1.base64.len() > 120;
+                assert_eq!(transaction.put.iter().find(oversized), None);
                 sent += 1;
-                let ends = cut.filter(|c| c.0 == sent);
-                if ends.is_none_or(|c| c.1) {
-                    assert!(store.apply(&write, store.lead, store.record.1), "{write:?}");
-                    for past in (0..OLD_BATCHES).flat_map(batch) {
-                        assert!(store.has(Level::Small, past.job), "{} is lost", past.job);
+                let crashes_here = crash.filter(|crash| crash.0 == sent);
+                if crashes_here.is_none_or(|crash| crash.1) {
+                    assert!(
+                        store.apply(&transaction, store.leader_epoch, store.record.1),
+                        "{transaction:?}"
+                    );
+                    for finished in (0..OLD_BATCHES).flat_map(batch) {
+                        assert!(
+                            store.contains(Level::Small, finished.job),
+                            "{} is lost",
+                            finished.job
+                        );
                     }
                 }
-                if ends.is_some() {
-                    store.lead += 1;
-                    compactor = Compactor::new(lower);
+                if crashes_here.is_some() {
+                    store.leader_epoch += 1;
+                    compactor = Compactor::new(lower_limits);
                 } else {
                     compactor.written(true);
                 }
@@ -316,17 +352,26 @@
     store
 }
 
-/// A leaf that was written under larger limits is divided in as many transactions as it
-/// takes, whenever a leader ends, and no job is missing from its place in between.
+/// Guards against jobs that are missing while an oversized leaf is split: a leaf that was
+/// written under larger limits takes several transactions, and the leader may crash at any
+/// of them.
 #[test]
-fn a_leaf_of_larger_limits_is_divided_in_steps() {
+fn an_oversized_leaf_is_split_over_several_transactions() {
     for txn_ops in [2, 4] {
-        let whole = merge_into_a_large_leaf(txn_ops, None);
-        assert!(whole.leaves.len() > 6, "{} leaves", whole.leaves.len());
-        for cut in (1..12).flat_map(|n| [(n, false), (n, true)]) {
-            let store = merge_into_a_large_leaf(txn_ops, Some(cut));
-            for past in (0..OLD_BATCHES).chain([50]).flat_map(batch) {
-                assert!(store.has(Level::Small, past.job), "{cut:?}: {}", past.job);
+        let uninterrupted = merge_into_an_oversized_leaf(txn_ops, None);
+        assert!(
+            uninterrupted.leaves.len() > 6,
+            "{} leaves",
+            uninterrupted.leaves.len()
+        );
+        for crash in (1..12).flat_map(|n| [(n, false), (n, true)]) {
+            let store = merge_into_an_oversized_leaf(txn_ops, Some(crash));
+            for finished in (0..OLD_BATCHES).chain([50]).flat_map(batch) {
+                assert!(
+                    store.contains(Level::Small, finished.job),
+                    "{crash:?}: {}",
+                    finished.job
+                );
             }
         }
     }
--- a/crates/cherryyard-history/tests/model.rs
+++ b/crates/cherryyard-history/tests/model.rs
@@ -1,9 +1,9 @@
-//! A model of how jobs are submitted, ended, archived in the history and dropped
-//! from the watched records, checked over every interleaving: two controllers whose
-//! mirrors lag, transactions that are applied as late as can be, a change of the
-//! leader in between, one job that is submitted again and again, one that is
-//! cancelled. What is checked: an id is accepted once; a user who was told that a
-//! job is accepted never gets 404, and one who was told its end never anything else.
+//! Checks a model of how jobs are submitted, ended, archived in the history and dropped
+//! from the watched records, over every interleaving: two controllers with lagging mirrors,
+//! transactions that are applied arbitrarily late, a change of the leader in between, one
+//! job that is submitted repeatedly and may be done or cancelled. The checked rules: a job
+//! id is accepted once; after a job was accepted, its status is never 404; after its end
+//! was reported, no other status is.
 
 use pathfinding::directed::bfs::bfs_reach;
 
@@ -11,12 +11,12 @@
 enum Entry {
     Absent,
     Open,
-    Over { cancelled: bool, generation: u8 },
+    Ended { cancelled: bool, generation: u8 },
 }
 
-/// What stands under the prefix that controllers watch.
+/// The records under the prefix that controllers watch.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct Watched {
+struct WatchedRecords {
     job: Entry,
     job_revision: u8,
     gen_now: u8,
@@ -29,24 +29,27 @@
 
 /// A transaction that was sent and may be applied at any later time.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-enum Sent {
-    /// Depends on the job's record and on the history's, as they were.
+enum Transaction {
+    /// Submits the job; depends on the job's record and on the history's, as the controller
+    /// read them.
     Submit {
         job_revision: u8,
         record_revision: u8,
     },
-    /// The same; the end carries the generation that its writer knew.
+    /// Ends the job; depends on the same records, and the end carries the generation that
+    /// its writer read.
     End {
         job_revision: u8,
         record_revision: u8,
         cancelled: bool,
         generation: u8,
     },
-    /// A write of the bucket for another job's sake, which leaves out what may go.
+    /// Drops an archived job, as part of a write of its bucket for another job.
     Drop {
         job_revision: u8,
     },
-    /// The leader's: they depend on its claim too.
+    /// Closes the current generation; like the other writes of the leader it depends on the
+    /// leader's record too.
     Close {
         record_revision: u8,
         leader_revision: u8,
@@ -70,7 +73,8 @@
 enum Archival {
     #[default]
     Idle,
-    /// All ends of generations up to this one were collected: the job's, if any.
+    /// All ends of generations up to `done` are collected; `end` is the job's, if it has
+    /// one.
     Collected {
         done: u8,
         end: Option<bool>,
@@ -82,13 +86,14 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct State {
-    now: Watched,
+    stored: WatchedRecords,
     leaf: Option<bool>,
-    mirror: [Watched; 2],
-    sent: [Option<Sent>; 2],
+    mirror: [WatchedRecords; 2],
+    in_flight: [Option<Transaction>; 2],
     archival: [Archival; 2],
-    /// A look into the history that found nothing, and the revision of the record before it.
-    looked_up: [Option<u8>; 2],
+    /// The revision of the history's record before a look-up in the history that found
+    /// nothing.
+    revision_of_empty_lookup: [Option<u8>; 2],
     accepted: u8,
     reported: Option<bool>,
     violation: Option<&'static str>,
@@ -102,11 +107,11 @@
     record_before_leaves: bool,
 }
 
-/// Applied transactions beyond which no interleaving is followed.
+/// The revision beyond which no interleaving is followed.
 const LAST_REVISION: u8 = 8;
 
 fn start() -> State {
-    let now = Watched {
+    let stored = WatchedRecords {
         job: Entry::Absent,
         job_revision: 1,
         gen_now: 1,
@@ -117,12 +122,12 @@
         revision: 1,
     };
     State {
-        now,
+        stored,
         leaf: None,
-        mirror: [now; 2],
-        sent: [None; 2],
+        mirror: [stored; 2],
+        in_flight: [None; 2],
         archival: [Archival::Idle; 2],
-        looked_up: [None; 2],
+        revision_of_empty_lookup: [None; 2],
         accepted: 0,
         reported: None,
         violation: None,
@@ -130,10 +135,10 @@
 }
 
 impl State {
-    /// What a user is told, from a mirror as of now and the leaves.
+    /// Reports the job's status to a user, from the current watched records and the leaves.
     fn poll(&mut self) {
-        let seen = match self.now.job {
-            Entry::Over { cancelled, .. } => Some(cancelled),
+        let end_found = match self.stored.job {
+            Entry::Ended { cancelled, .. } => Some(cancelled),
             Entry::Open => {
                 if self.reported.is_some() {
                     self.violation = Some("open again after its end was reported");
@@ -142,7 +147,7 @@
             }
             Entry::Absent => self.leaf,
         };
-        match (seen, self.reported) {
+        match (end_found, self.reported) {
             (None, _) if self.accepted > 0 => self.violation = Some("accepted, and 404"),
             (Some(end), Some(reported)) if end != reported => self.violation = Some("ended twice"),
             (Some(end), _) => self.reported = Some(end),
@@ -150,18 +155,19 @@
         }
     }
 
-    fn apply(&mut self, by: usize, sent: Sent, mutant: Mutant) {
-        let n = &mut self.now;
-        let leads = |revision: u8| n.leader_revision == revision;
-        let next_revision = n.revision + 1;
-        let applied = match sent {
-            Sent::Submit {
+    fn apply(&mut self, sender: usize, transaction: Transaction, mutant: Mutant) {
+        let records = &mut self.stored;
+        let is_led_at = |revision: u8| records.leader_revision == revision;
+        let next_revision = records.revision + 1;
+        let applied = match transaction {
+            Transaction::Submit {
                 job_revision,
                 record_revision,
             } => {
-                let ok = n.job_revision == job_revision && n.record_revision == record_revision;
+                let ok = records.job_revision == job_revision
+                    && records.record_revision == record_revision;
                 if ok {
-                    (n.job, n.job_revision) = (Entry::Open, next_revision);
+                    (records.job, records.job_revision) = (Entry::Open, next_revision);
                     self.accepted += 1;
                     if self.accepted > 1 {
                         self.violation = Some("accepted twice");
@@ -169,78 +175,78 @@
                 }
                 ok
             }
-            Sent::End {
+            Transaction::End {
                 job_revision,
                 record_revision,
                 cancelled,
                 generation,
             } => {
-                let ok = n.job_revision == job_revision
-                    && (n.record_revision == record_revision || mutant.end_without_record);
+                let ok = records.job_revision == job_revision
+                    && (records.record_revision == record_revision || mutant.end_without_record);
                 if ok {
-                    n.job = Entry::Over {
+                    records.job = Entry::Ended {
                         cancelled,
                         generation,
                     };
-                    n.job_revision = next_revision;
+                    records.job_revision = next_revision;
                 }
                 ok
             }
-            Sent::Drop { job_revision } => {
-                let ok = n.job_revision == job_revision;
+            Transaction::Drop { job_revision } => {
+                let ok = records.job_revision == job_revision;
                 if ok {
-                    (n.job, n.job_revision) = (Entry::Absent, next_revision);
+                    (records.job, records.job_revision) = (Entry::Absent, next_revision);
                 }
                 ok
             }
-            Sent::Close {
+            Transaction::Close {
                 record_revision,
                 leader_revision,
             } => {
-                let ok = n.record_revision == record_revision && leads(leader_revision);
+                let ok = records.record_revision == record_revision && is_led_at(leader_revision);
                 if ok {
-                    n.gen_now += 1;
-                    n.record_revision = next_revision;
+                    records.gen_now += 1;
+                    records.record_revision = next_revision;
                 }
                 ok
             }
-            Sent::Archive {
+            Transaction::Archive {
                 end,
                 leader_revision,
                 leaf_before,
             } => {
-                let ok = leads(leader_revision) && self.leaf == leaf_before;
+                let ok = is_led_at(leader_revision) && self.leaf == leaf_before;
                 if ok {
                     self.leaf = self.leaf.or(end);
-                    if let Archival::Collected { done, .. } = self.archival[by] {
-                        self.archival[by] = Archival::Archived { done };
+                    if let Archival::Collected { done, .. } = self.archival[sender] {
+                        self.archival[sender] = Archival::Archived { done };
                     }
                 }
                 ok
             }
-            Sent::Record {
+            Transaction::Record {
                 done,
                 record_revision,
                 leader_revision,
             } => {
-                let ok = n.record_revision == record_revision && leads(leader_revision);
+                let ok = records.record_revision == record_revision && is_led_at(leader_revision);
                 if ok {
-                    (n.gen_done, n.record_revision) = (done, next_revision);
-                    self.archival[by] = Archival::Idle;
+                    (records.gen_done, records.record_revision) = (done, next_revision);
+                    self.archival[sender] = Archival::Idle;
                 }
                 ok
             }
-            Sent::Elect { leader_revision } => {
-                let ok = n.leader_revision == leader_revision;
+            Transaction::Elect { leader_revision } => {
+                let ok = records.leader_revision == leader_revision;
                 if ok {
-                    (n.leader, n.leader_revision) = (by as u8, next_revision);
-                    self.archival[by] = Archival::Idle;
+                    (records.leader, records.leader_revision) = (sender as u8, next_revision);
+                    self.archival[sender] = Archival::Idle;
                 }
                 ok
             }
         };
         if applied {
-            self.now.revision = next_revision;
+            self.stored.revision = next_revision;
         }
     }
 
@@ -254,75 +260,77 @@
         if polled != *self {
             all.push(polled);
         }
-        for c in 0..2 {
-            // The watch tells what has happened.
-            if self.mirror[c] != self.now {
+        for controller in 0..2 {
+            // The watch delivers all changes so far.
+            if self.mirror[controller] != self.stored {
                 let mut s = self.clone();
-                s.mirror[c] = s.now;
-                s.looked_up[c] = None;
+                s.mirror[controller] = s.stored;
+                s.revision_of_empty_lookup[controller] = None;
                 all.push(s);
             }
-            if let Some(sent) = self.sent[c] {
+            if let Some(transaction) = self.in_flight[controller] {
                 let mut s = self.clone();
-                s.sent[c] = None;
-                s.apply(c, sent, mutant);
-                if s.now.revision <= LAST_REVISION {
+                s.in_flight[controller] = None;
+                s.apply(controller, transaction, mutant);
+                if s.stored.revision <= LAST_REVISION {
                     all.push(s);
                 }
-                // The controller ends; what it sent may yet be applied, and it
-                // starts again with what is there.
+                // The controller may crash; the transaction that it sent may still be
+                // applied, and the controller restarts from the stored state.
                 continue;
             }
-            let v = self.mirror[c];
-            let mut send = |sent: Sent| {
+            let view = self.mirror[controller];
+            let mut send = |transaction: Transaction| {
                 let mut s = self.clone();
-                s.sent[c] = Some(sent);
+                s.in_flight[controller] = Some(transaction);
                 all.push(s);
             };
-            match v.job {
+            match view.job {
                 Entry::Absent => {
                     if mutant.submit_without_lookup {
-                        send(Sent::Submit {
-                            job_revision: v.job_revision,
-                            record_revision: v.record_revision,
+                        send(Transaction::Submit {
+                            job_revision: view.job_revision,
+                            record_revision: view.record_revision,
                         });
-                    } else if let Some(record_revision) = self.looked_up[c] {
-                        send(Sent::Submit {
-                            job_revision: v.job_revision,
+                    } else if let Some(record_revision) = self.revision_of_empty_lookup[controller]
+                    {
+                        send(Transaction::Submit {
+                            job_revision: view.job_revision,
                             record_revision,
                         });
                     }
                 }
                 Entry::Open => {
                     for cancelled in [false, true] {
-                        send(Sent::End {
-                            job_revision: v.job_revision,
-                            record_revision: v.record_revision,
+                        send(Transaction::End {
+                            job_revision: view.job_revision,
+                            record_revision: view.record_revision,
                             cancelled,
-                            generation: v.gen_now,
+                            generation: view.gen_now,
                         });
                     }
                 }
-                Entry::Over { generation, .. } => {
-                    if generation <= v.gen_done {
-                        send(Sent::Drop {
-                            job_revision: v.job_revision,
+                Entry::Ended { generation, .. } => {
+                    if generation <= view.gen_done {
+                        send(Transaction::Drop {
+                            job_revision: view.job_revision,
                         });
                     }
                 }
             }
-            let is_leader = v.leader as usize == c;
-            let leader_revision = v.leader_revision;
-            let closed = v.gen_now - 1;
+            let is_leader = view.leader as usize == controller;
+            let leader_revision = view.leader_revision;
+            let closed = view.gen_now - 1;
             if !is_leader {
-                send(Sent::Elect { leader_revision });
+                send(Transaction::Elect { leader_revision });
             } else {
-                match self.archival[c] {
-                    Archival::Idle if closed > v.gen_done => {
-                        // Everything up to the record that closed it has been read.
-                        if v.revision >= v.record_revision {
-                            let end = match v.job {
-                                Entry::Over {
+                match self.archival[controller] {
+                    Archival::Idle if closed > view.gen_done => {
+                        // The mirror includes everything up to the record that closed the
+                        // generation.
+                        if view.revision >= view.record_revision {
+                            let end = match view.job {
+                                Entry::Ended {
                                     cancelled,
                                     generation,
                                 } if generation <= closed => Some(cancelled),
@@ -330,7 +338,7 @@
                             };
                             let done = closed;
                             let mut s = self.clone();
-                            s.archival[c] = if mutant.record_before_leaves {
+                            s.archival[controller] = if mutant.record_before_leaves {
                                 Archival::Archived { done }
                             } else {
                                 Archival::Collected { done, end }
@@ -338,25 +346,28 @@
                             all.push(s);
                         }
                     }
-                    Archival::Idle => send(Sent::Close {
-                        record_revision: v.record_revision,
+                    Archival::Idle => send(Transaction::Close {
+                        record_revision: view.record_revision,
                         leader_revision,
                     }),
-                    Archival::Collected { end, .. } => send(Sent::Archive {
+                    Archival::Collected { end, .. } => send(Transaction::Archive {
                         end,
                         leader_revision,
                         leaf_before: self.leaf,
                     }),
-                    Archival::Archived { done } => send(Sent::Record {
+                    Archival::Archived { done } => send(Transaction::Record {
                         done,
-                        record_revision: v.record_revision,
+                        record_revision: view.record_revision,
                         leader_revision,
                     }),
                 }
             }
-            if v.job == Entry::Absent && self.looked_up[c].is_none() && self.leaf.is_none() {
+            if view.job == Entry::Absent
+                && self.revision_of_empty_lookup[controller].is_none()
+                && self.leaf.is_none()
+            {
                 let mut s = self.clone();
-                s.looked_up[c] = Some(v.record_revision);
+                s.revision_of_empty_lookup[controller] = Some(view.record_revision);
                 all.push(s);
             }
         }
@@ -375,17 +386,19 @@
     (count, None)
 }
 
-/// No interleaving breaks a rule.
+/// Guards against a protocol that accepts a job twice, loses an accepted job, or reports
+/// two different ends.
 #[test]
-fn no_interleaving_breaks_a_rule() {
+fn every_interleaving_keeps_the_rules() {
     let (count, violation) = explore(Mutant::default());
     assert!(violation.is_none(), "{violation:#?}");
     assert!(count > 20_000, "{count} states");
 }
 
-/// The model can fail: each part of the design that is left out breaks a rule.
+/// Guards against a model that cannot fail: leaving out any of these parts of the design
+/// must break a rule.
 #[test]
-fn every_part_is_needed() {
+fn each_mutant_breaks_a_rule() {
     let mutants = [
         (
             "submissions look into the history",
@@ -409,7 +422,7 @@
             },
         ),
     ];
-    for (part, mutant) in mutants {
-        assert!(explore(mutant).1.is_some(), "{part}: not needed?");
+    for (design_part, mutant) in mutants {
+        assert!(explore(mutant).1.is_some(), "{design_part}: not needed?");
     }
 }
