--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -1,4 +1,5 @@
-//! A file's procs as jobs, and as the chunks in which they are sent.
+//! Groups a file's procs into jobs, and splits the jobs into the chunks in which they are
+//! sent.
 
 use crate::error::Warning;
 use crate::placeholders::{CLUSTER, PROCESS, STEP};
@@ -6,44 +7,44 @@
 use cherryyard_wire::job::{MAX_TASKS, job_id};
 use std::sync::Arc;
 
-/// Bytes of JSON that a chunk takes beside its templates and runs.
-const CHUNK_FRAME: usize = 20;
-/// Most bytes of JSON that a run of jobs takes.
-const RUN_BYTES: usize = 32;
+/// JSON bytes of a chunk in addition to its templates and runs.
+const CHUNK_OVERHEAD_BYTES: usize = 20;
+/// Upper bound on the JSON bytes of a run of jobs.
+const MAX_RUN_BYTES: usize = 32;
 
-/// Procs that differ by their numbers only: an array, which is one job.
+/// An array, which is one job: procs that differ only in their numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// The index of its template.
+    /// The index of the group's template.
     pub template: usize,
-    /// The number of its first proc.
+    /// The number of the group's first proc.
     pub first: u64,
-    /// How many procs there are.
+    /// The number of procs in the group.
     pub tasks: u32,
-    /// What its procs run, command by command; `$(Process)`, `$(Step)` and `$(Cluster)`
-    /// stand for what is each proc's own.
+    /// The commands and attributes of the group's procs, in which `$(Process)`, `$(Step)`
+    /// and `$(Cluster)` are placeholders for the numbers of each proc.
     pub described: Arc<Vec<(String, String)>>,
 }
 
-/// What a submit file queues.
+/// The result of reading a submit file: the jobs that it queues.
 #[derive(Clone, Debug, Default)]
 pub struct Cluster {
-    /// Templates of jobs.
+    /// The templates of the jobs.
     pub templates: Vec<Template>,
-    /// Jobs, in the order of their procs.
+    /// The jobs, in the order of their procs.
     pub groups: Vec<Group>,
-    /// What is accepted without effect.
+    /// The warnings about statements without effect and about possible mistakes.
     pub warnings: Vec<Warning>,
 }
 
 impl Cluster {
-    /// How many procs there are.
+    /// Returns the number of procs.
     pub fn procs(&self) -> u64 {
         self.groups.iter().map(|group| u64::from(group.tasks)).sum()
     }
 
-    /// Adds procs, to the last group if they differ from its procs by their numbers only.
-    pub(crate) fn add(
+    /// Adds procs, to the last group if they differ from its procs only in their numbers.
+    pub(crate) fn add_procs(
         &mut self,
         template: usize,
         described: &Arc<Vec<(String, String)>>,
@@ -53,7 +54,8 @@
             .groups
             .last()
             .map_or(0, |group| group.first + u64::from(group.tasks));
-        // Steps are counted from 0 again for each item.
+        // Steps are counted from 0 again for each item, so procs of different items that
+        // use `$(Step)` cannot share a group.
         let has_steps = described.iter().any(|(_, text)| text.contains(STEP));
         if let Some(last) = self.groups.last_mut()
             && last.template == template
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The chunks in which it is sent, each of at most `max_bytes` of JSON unless a single
+    /// Splits the cluster into chunks of at most `max_bytes` of JSON each, unless a single
     /// job takes more.
     pub fn chunks(&self, max_bytes: usize) -> Vec<Chunk> {
         let template_bytes = self
@@ -90,20 +92,20 @@
             templates: &self.templates,
             template_bytes,
             max_bytes,
-            done: Vec::new(),
+            full: Vec::new(),
             current: Chunk::default(),
             positions: vec![None; self.templates.len()],
-            bytes: CHUNK_FRAME,
+            bytes: CHUNK_OVERHEAD_BYTES,
         };
         for group in &self.groups {
-            chunks.add(group);
+            chunks.add_group(group);
         }
-        chunks.done.push(chunks.current);
-        chunks.done
+        chunks.full.push(chunks.current);
+        chunks.full
     }
 
-    /// What its jobs run, as a JSON object each, for whoever uploads descriptions to the
-    /// workers; `first` is the number of its first job.
+    /// Returns one JSON object for each job with the commands that it runs, for the user
+    /// who uploads descriptions to the workers; `first` is the number of the first job.
     pub fn descriptions(&self, first: u64) -> impl Iterator<Item = serde_json::Value> + '_ {
         self.groups.iter().enumerate().map(move |(index, group)| {
             let text = |text: &String| text.replace(CLUSTER, &first.to_string());
@@ -117,7 +119,8 @@
         })
     }
 
-    /// What one proc runs, with its numbers filled in; `None` if there is no such proc.
+    /// Returns the commands of one proc, with its numbers filled in; `None` if there is no
+    /// such proc.
     pub fn proc(&self, proc: u64) -> Option<Vec<(String, String)>> {
         let group = self.groups.iter().rev().find(|group| group.first <= proc)?;
         let step = proc - group.first;
@@ -137,23 +140,23 @@
     }
 }
 
-/// Distributes groups to chunks.
+/// Distributes groups among chunks.
 struct ChunkBuilder<'a> {
     templates: &'a [Template],
-    /// Bytes of JSON of each template.
+    /// JSON bytes of each template.
     template_bytes: Vec<usize>,
     max_bytes: usize,
     /// Chunks that are full.
-    done: Vec<Chunk>,
+    full: Vec<Chunk>,
     current: Chunk,
-    /// The position of each template in the current chunk, if it is there.
+    /// The position of each template within the current chunk, if the chunk contains it.
     positions: Vec<Option<u32>>,
-    /// Most bytes of JSON of the current chunk.
+    /// Upper bound on the JSON bytes of the current chunk.
     bytes: usize,
 }
 
 impl ChunkBuilder<'_> {
-    fn add(&mut self, group: &Group) {
+    fn add_group(&mut self, group: &Group) {
         let position = self.positions[group.template];
         if let Some(run) = self.current.runs.last_mut()
             && Some(run.0) == position
@@ -162,12 +165,14 @@
             run.2 += 1;
             return;
         }
-        if self.bytes + self.cost(group) > self.max_bytes && self.bytes > CHUNK_FRAME {
-            self.done.push(std::mem::take(&mut self.current));
+        if self.bytes + self.max_added_bytes(group) > self.max_bytes
+            && self.bytes > CHUNK_OVERHEAD_BYTES
+        {
+            self.full.push(std::mem::take(&mut self.current));
             self.positions.fill(None);
-            self.bytes = CHUNK_FRAME;
+            self.bytes = CHUNK_OVERHEAD_BYTES;
         }
-        self.bytes += self.cost(group);
+        self.bytes += self.max_added_bytes(group);
         let position = *self.positions[group.template].get_or_insert_with(|| {
             self.current
                 .templates
@@ -177,11 +182,11 @@
         self.current.runs.push((position, group.tasks, 1));
     }
 
-    /// Most bytes by which a group enlarges the current chunk.
-    fn cost(&self, group: &Group) -> usize {
+    /// Returns an upper bound on the bytes by which a group enlarges the current chunk.
+    fn max_added_bytes(&self, group: &Group) -> usize {
         match self.positions[group.template] {
-            Some(_) => RUN_BYTES,
-            None => RUN_BYTES + self.template_bytes[group.template],
+            Some(_) => MAX_RUN_BYTES,
+            None => MAX_RUN_BYTES + self.template_bytes[group.template],
         }
     }
 }
--- a/crates/cherryyard-condor/src/commands.rs
+++ b/crates/cherryyard-condor/src/commands.rs
@@ -1,45 +1,47 @@
-//! The table of submit commands.
+//! Lists the commands of submit files and how each of them is handled.
 
 use std::collections::HashMap;
 use std::sync::LazyLock;
 
-/// Least similarity, by Jaro and Winkler, of a name that may be a misspelled command's.
+/// Lower bound on the Jaro-Winkler similarity of a name that is reported as a possible
+/// misspelling of a command.
 const MIN_SIMILARITY: f64 = 0.92;
 
-/// What is done with a command.
+/// The treatment of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handling {
-    /// It decides where and how the job runs.
+    /// The command decides where or how the job runs.
     Honoured,
-    /// It is handed on in the job's description, which its user uploads.
+    /// The command is passed on in the job's description, which its user uploads to the
+    /// workers.
     Described,
-    /// It is accepted, and has no effect, for this reason.
+    /// The command is accepted but has no effect, for this reason.
     NoEffect(&'static str),
-    /// It is refused, for this reason.
+    /// The command is refused, for this reason.
     Refused(&'static str),
 }
 
 /// A command of the submit language.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// Its names in lower case, the usual one first.
+    /// The command's names in lower case, the usual one first.
     pub names: &'static [&'static str],
-    /// What is done with it.
+    /// The treatment of the command.
     pub handling: Handling,
 }
 
 impl Command {
-    /// The command with this name, in lower case.
+    /// Finds the command with this name, which is in lower case.
     pub(crate) fn find(name: &str) -> Option<&'static Self> {
         BY_NAME.get(name).copied()
     }
 
-    /// Its usual name.
+    /// Returns the command's usual name.
     pub(crate) fn name(&self) -> &'static str {
         self.names[0]
     }
 
-    /// Whether jobs use its value.
+    /// Returns whether jobs use the command's value.
     pub(crate) fn is_used(&self) -> bool {
         match self.handling {
             Handling::Honoured | Handling::Described => true,
@@ -76,11 +78,12 @@
     }
 }
 
-const RETRIES: &str = "failing tasks are tried again by themselves, ever further apart";
-const POLICY: &str = "jobs are neither held nor removed by expressions";
-const SUBMITTER: &str = "the scheduler runs nothing at the submitting side";
+const RETRIES_ARE_AUTOMATIC: &str =
+    "failing tasks are tried again by themselves, ever further apart";
+const NO_POLICY_EXPRESSIONS: &str = "jobs are neither held nor removed by expressions";
+const NOTHING_RUNS_AT_SUBMITTER: &str = "the scheduler runs nothing at the submitting side";
 
-/// Every command.
+/// All commands that submit files may use.
 pub const COMMANDS: &[Command] = &[
     honoured(&["universe"]),
     honoured(&["executable", "cmd"]),
@@ -124,18 +127,27 @@
     no_effect(&["notification"], "no mail is sent"),
     no_effect(&["notify_user", "notifyuser"], "no mail is sent"),
     no_effect(&["email_attributes"], "no mail is sent"),
-    no_effect(&["max_retries", "maxretries"], RETRIES),
-    no_effect(&["retry_until", "retryuntil"], RETRIES),
-    no_effect(&["success_exit_code", "successexitcode"], RETRIES),
-    no_effect(&["on_exit_remove", "onexitremove"], POLICY),
-    no_effect(&["on_exit_hold", "onexithold"], POLICY),
-    no_effect(&["on_exit_hold_reason"], POLICY),
-    no_effect(&["on_exit_hold_subcode"], POLICY),
-    no_effect(&["periodic_hold", "periodichold"], POLICY),
-    no_effect(&["periodic_hold_reason"], POLICY),
-    no_effect(&["periodic_hold_subcode"], POLICY),
-    no_effect(&["periodic_release", "periodicrelease"], POLICY),
-    no_effect(&["periodic_remove", "periodicremove"], POLICY),
+    no_effect(&["max_retries", "maxretries"], RETRIES_ARE_AUTOMATIC),
+    no_effect(&["retry_until", "retryuntil"], RETRIES_ARE_AUTOMATIC),
+    no_effect(
+        &["success_exit_code", "successexitcode"],
+        RETRIES_ARE_AUTOMATIC,
+    ),
+    no_effect(&["on_exit_remove", "onexitremove"], NO_POLICY_EXPRESSIONS),
+    no_effect(&["on_exit_hold", "onexithold"], NO_POLICY_EXPRESSIONS),
+    no_effect(&["on_exit_hold_reason"], NO_POLICY_EXPRESSIONS),
+    no_effect(&["on_exit_hold_subcode"], NO_POLICY_EXPRESSIONS),
+    no_effect(&["periodic_hold", "periodichold"], NO_POLICY_EXPRESSIONS),
+    no_effect(&["periodic_hold_reason"], NO_POLICY_EXPRESSIONS),
+    no_effect(&["periodic_hold_subcode"], NO_POLICY_EXPRESSIONS),
+    no_effect(
+        &["periodic_release", "periodicrelease"],
+        NO_POLICY_EXPRESSIONS,
+    ),
+    no_effect(
+        &["periodic_remove", "periodicremove"],
+        NO_POLICY_EXPRESSIONS,
+    ),
     no_effect(&["leave_in_queue", "leaveinqueue"], "ends are kept anyway"),
     no_effect(
         &["job_lease_duration"],
@@ -144,8 +156,8 @@
     no_effect(&["job_max_vacate_time"], "the image's time to save counts"),
     no_effect(&["keep_claim_idle"], "machines are not claimed by users"),
     no_effect(&["image_size", "imagesize"], "say request_memory"),
-    no_effect(&["copy_to_spool"], SUBMITTER),
-    no_effect(&["dagman_log"], SUBMITTER),
+    no_effect(&["copy_to_spool"], NOTHING_RUNS_AT_SUBMITTER),
+    no_effect(&["dagman_log"], NOTHING_RUNS_AT_SUBMITTER),
     no_effect(&["submit_event_notes"], "no event log is written"),
     described(&["description"]),
     no_effect(
@@ -201,15 +213,15 @@
         .collect()
 });
 
-/// Whether a command or attribute decides where or how a job runs, rather than what it
-/// runs; attributes begin with `+`.
+/// Returns whether a command or attribute decides where or how a job runs, rather than what
+/// it runs; the names of attributes begin with `+`.
 pub(crate) fn decides_placement(name: &str) -> bool {
     name.starts_with('+')
         || Command::find(name).is_some_and(|command| command.handling == Handling::Honoured)
 }
 
-/// The name of a command that is most like this one, if it is like it at all; of two
-/// equally similar ones the first in alphabetical order.
+/// Returns the name of the command that is most similar to this name, if any is similar
+/// enough; of two equally similar names the first in alphabetical order.
 pub(crate) fn similar_name(name: &str) -> Option<&'static str> {
     BY_NAME
         .keys()
--- a/crates/cherryyard-condor/src/conditions.rs
+++ b/crates/cherryyard-condor/src/conditions.rs
@@ -1,48 +1,49 @@
-//! Conditions: `if`, `elif`, `else` and `endif`.
+//! Evaluates the conditions `if`, `elif`, `else` and `endif`.
 
 use crate::error::SubmitErrorKind;
 use crate::limits::MAX_NESTED;
 use crate::macros::Definitions;
 
-/// The version of HTCondor whose published language is followed.
+/// The version of HTCondor whose published submit language is supported.
 const LANGUAGE_VERSION: [u32; 3] = [10, 0, 0];
 
-/// The branch at hand of an `if` statement.
+/// The current branch of an `if` statement.
 #[derive(Clone, Copy)]
 struct Branch {
-    /// Whether this branch or one before it has been taken.
+    /// Whether this branch or an earlier one of the same `if` has been taken.
     taken: bool,
     /// Whether this branch is taken.
     active: bool,
     is_else: bool,
 }
 
-/// The `if` statements around a line, the innermost last.
+/// The `if` statements that enclose the current line, the innermost last.
 #[derive(Default)]
 pub(crate) struct Conditions {
     branches: Vec<Branch>,
 }
 
 impl Conditions {
-    /// Whether statements count here.
+    /// Returns whether statements at this point are carried out.
     pub(crate) fn active(&self) -> bool {
         self.branches.iter().all(|branch| branch.active)
     }
 
-    /// Whether every `if` has its `endif`.
+    /// Returns whether every `if` has its `endif`.
     pub(crate) fn all_closed(&self) -> bool {
         self.branches.is_empty()
     }
 
-    /// Whether the condition of an `if` that begins here has to be evaluated.
-    pub(crate) fn before_if(&self) -> Result<bool, SubmitErrorKind> {
+    /// Checks that another `if` may begin here, and returns whether its condition has to be
+    /// evaluated.
+    pub(crate) fn check_new_if(&self) -> Result<bool, SubmitErrorKind> {
         if self.branches.len() >= MAX_NESTED {
             return Err(SubmitErrorKind::ConditionsTooDeep);
         }
         Ok(self.active())
     }
 
-    /// Begins an `if`.
+    /// Begins an `if` statement, whose condition evaluates to `holds`.
     pub(crate) fn begin_if(&mut self, holds: bool) {
         self.branches.push(Branch {
             taken: holds,
@@ -51,8 +52,8 @@
         });
     }
 
-    /// Whether the condition of an `elif`, or an `else`, may be taken here.
-    pub(crate) fn before_branch(&self) -> Result<bool, SubmitErrorKind> {
+    /// Checks that an `elif` or `else` is valid here, and returns whether it may be taken.
+    pub(crate) fn check_new_branch(&self) -> Result<bool, SubmitErrorKind> {
         let Some((current, around)) = self.branches.split_last() else {
             return Err(SubmitErrorKind::MissingIf);
         };
@@ -62,7 +63,7 @@
         Ok(!current.taken && around.iter().all(|branch| branch.active))
     }
 
-    /// Begins an `elif` or `else`.
+    /// Begins an `elif` or `else` branch.
     pub(crate) fn begin_branch(&mut self, holds: bool, is_else: bool) {
         if let Some(branch) = self.branches.last_mut() {
             branch.active = holds;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Ends an `if`.
+    /// Ends an `if` statement.
     pub(crate) fn end_if(&mut self) -> Result<(), SubmitErrorKind> {
         match self.branches.pop() {
             Some(_) => Ok(()),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Whether a condition holds; `expanded` is it with its macros replaced.
+/// Evaluates a condition; `expanded` is the condition after macro expansion.
 pub(crate) fn holds(
     condition: &str,
     expanded: &str,
@@ -94,11 +95,12 @@
     let lower = text.to_ascii_lowercase();
     let words: Vec<&str> = lower.split_whitespace().collect();
     let holds = match words.as_slice() {
-        // A macro that nothing defines has been replaced by nothing.
+        // A macro that nothing defines has expanded to nothing.
         ["defined"] => false,
         ["defined", name, ..] => {
             let name = name.trim_start_matches('+');
-            // A name that the condition itself does not have came from a macro.
+            // A name that is not in the condition as written results from expanding a
+            // macro, which is therefore defined.
             definitions.contains_key(name) || !condition.to_ascii_lowercase().contains(name)
         }
         ["version", operator, version] => version_holds(operator, version)?,
--- a/crates/cherryyard-condor/src/error/command.rs
+++ b/crates/cherryyard-condor/src/error/command.rs
@@ -1,39 +1,40 @@
-//! Errors in the values of commands and attributes.
+//! Defines the errors of values of commands and attributes.
 
 use cherryyard_classad::{ParseErrorKind, Value};
 use cherryyard_wire::rules::MAX_EXPRESSION;
 
-/// What is wrong with the value of a command or attribute.
+/// The reason why the value of a command or attribute is refused.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum CommandError {
-    /// It is no expression.
+    /// The value cannot be parsed as an expression.
     #[error(transparent)]
     Expression(#[from] ParseErrorKind),
-    /// The universe is none that jobs run in here.
+    /// The scheduler does not run jobs in this universe.
     #[error("{0} is not supported")]
     UnsupportedUniverse(String),
-    /// It refers to an attribute of the chosen machine, and decides which is chosen.
+    /// The value refers with `$$(...)` to an attribute of the chosen machine, although the
+    /// choice of the machine depends on the value.
     #[error("$$(...) is not known before a machine is chosen")]
     MachineAttribute,
-    /// It does not evaluate to a number without a machine.
+    /// The value does not evaluate to a number without a machine.
     #[error("must be a number that the job alone decides, and is {0}")]
     NotNumber(Value),
-    /// It is neither true nor false.
+    /// The value is neither `true` nor `false`.
     #[error("must be true or false")]
     NotBoolean,
-    /// It must be positive.
+    /// The value must be positive.
     #[error("must be above 0")]
     NotPositive,
-    /// It must not be negative.
+    /// The value must not be negative.
     #[error("must be 0 or more")]
     Negative,
-    /// The requirements have this value, which is not true, for all machines.
+    /// The requirements evaluate to this value, which is not true, for every machine.
     #[error("is {0} whatever the machine")]
     NeverTrue(Value),
-    /// Nested ads keep it from being evaluated without the job's ad.
+    /// The expression contains nested ads, so it cannot be evaluated without the job's ad.
     #[error("cannot be told apart from the job's own nested ads")]
     NestedAds,
-    /// The expression is too long once the job's attributes are filled in.
+    /// The expression is too long once the job's attributes have been filled in.
     #[error("comes to more than {MAX_EXPRESSION} bytes")]
     TooLong,
 }
--- a/crates/cherryyard-condor/src/grammar.rs
+++ b/crates/cherryyard-condor/src/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar of `submit.pest`: statements, the arguments of `queue`, and macros.
+//! Generates the parser of `submit.pest`: statements, the arguments of `queue`, and macros.
 
 #[derive(pest_derive::Parser)]
 #[grammar = "submit.pest"]
--- a/crates/cherryyard-condor/src/job/commands.rs
+++ b/crates/cherryyard-condor/src/job/commands.rs
@@ -1,4 +1,4 @@
-//! The values of one job's commands and attributes.
+//! Evaluates the commands and attributes of one job.
 
 use crate::commands::decides_placement;
 use crate::error::{CommandError, SubmitError, SubmitErrorKind, SubmitResult, Warning};
@@ -6,10 +6,10 @@
 use crate::location::Location;
 use cherryyard_classad::{Ad, Expr, Names, Scope, Value};
 
-/// One job's commands, and the ad that its expressions refer to.
+/// The commands of one job, and the ad that their expressions refer to.
 pub(super) struct JobCommands<'a> {
     commands: &'a ExpandedCommands,
-    /// The `queue` statement, where there is no better place for an error.
+    /// The location of the `queue` statement, for errors that belong to no other statement.
     pub(super) location: &'a Location,
     pub(super) names: Names,
     pub(super) ad: Ad,
@@ -25,26 +25,28 @@
         }
     }
 
-    /// A command's text, unless it is empty.
+    /// Returns a command's text, unless it is empty.
     pub(super) fn text(&self, name: &str) -> Option<&'a str> {
         let text = self.commands.get(name)?.text.trim();
         (!text.is_empty()).then_some(text)
     }
 
-    /// The statement that sets a command.
+    /// Returns the location of the statement that sets a command, or of the `queue`
+    /// statement if none does.
     pub(super) fn location_of(&self, name: &str) -> &'a Location {
         self.commands
             .get(name)
             .map_or(self.location, |command| &command.location)
     }
 
-    /// What is wrong with a command's value.
+    /// Returns an error of a command's value, with its location.
     pub(super) fn error(&self, name: &str, error: impl Into<CommandError>) -> Box<SubmitError> {
         command_error(self.location_of(name), name, error.into())
     }
 
-    /// Refuses references to attributes of machines in what decides about machines; they
-    /// stay as they are elsewhere, with a warning.
+    /// Refuses `$$(...)`, which refers to the chosen machine, in commands and attributes
+    /// that decide the choice of the machine; elsewhere such references stay unchanged,
+    /// with a warning.
     pub(super) fn check_machine_attributes(&self, warnings: &mut Vec<Warning>) -> SubmitResult<()> {
         for (name, command) in self.commands {
             if !command.text.contains("$$(") {
@@ -71,11 +73,12 @@
         Ok(())
     }
 
-    /// Parses the expression of a command that is set.
+    /// Parses the expression of a command or attribute that is set.
     pub(super) fn parse(&mut self, name: &str, text: &str) -> SubmitResult<Expr> {
         Expr::parse(text, &mut self.names).map_err(|error| {
             let location = self.location_of(name);
-            // The column is that in the file where the text stands there as it is.
+            // The column is exact if the statement in the file contains the text unchanged,
+            // that is, without expanded macros.
             let statement = location.file.text.get(location.start..).unwrap_or("");
             let position = statement.find(text).filter(|_| error.line == 1);
             let Some(position) = position else {
@@ -92,7 +95,7 @@
         })
     }
 
-    /// A command's value as a number that the job alone decides.
+    /// Evaluates a command to a number that does not depend on the machine.
     pub(super) fn number(&mut self, name: &str) -> SubmitResult<Option<f64>> {
         match self.text(name) {
             Some(text) => self.evaluate_number(name, text).map(Some),
@@ -100,7 +103,7 @@
         }
     }
 
-    /// The value of an expression as a number that the job alone decides.
+    /// Evaluates an expression to a number that does not depend on the machine.
     pub(super) fn evaluate_number(&mut self, name: &str, text: &str) -> SubmitResult<f64> {
         let expr = self.parse(name, text)?;
         let scope = Scope {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// An attribute's key among the commands, and its text unless that is empty.
+    /// Returns an attribute's key among the commands, and its text unless that is empty.
     pub(super) fn attribute(&self, name: &str) -> Option<(&'a str, &'a str)> {
         let has_name = |key: &&String| {
             key.strip_prefix('+')
@@ -125,7 +128,7 @@
         Some((key, self.text(key)?))
     }
 
-    /// An attribute's value as true or false; false if it is not set.
+    /// Returns an attribute's value as a boolean; `false` if the attribute is not set.
     pub(super) fn flag(&self, name: &str) -> SubmitResult<bool> {
         let Some((key, text)) = self.attribute(name) else {
             return Ok(false);
@@ -137,8 +140,8 @@
         }
     }
 
-    /// An attribute's value as a number that is not negative.
-    pub(super) fn amount(&mut self, name: &str) -> SubmitResult<Option<f64>> {
+    /// Returns an attribute's value as a number that is not negative.
+    pub(super) fn non_negative_number(&mut self, name: &str) -> SubmitResult<Option<f64>> {
         let Some((key, text)) = self.attribute(name) else {
             return Ok(None);
         };
--- a/crates/cherryyard-condor/src/job/mod.rs
+++ b/crates/cherryyard-condor/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! The template of the jobs that a set of expanded commands describes.
+//! Creates the template of the jobs that a set of expanded commands describes.
 
 mod commands;
 mod resources;
@@ -14,15 +14,15 @@
 use commands::JobCommands;
 use resources::{MB, Resources};
 
-/// Universes in which jobs run here; 5 is the number of `vanilla`.
+/// Universes in which this scheduler runs jobs; 5 is the number of `vanilla`.
 const UNIVERSES: [&str; 4] = ["vanilla", "container", "docker", "5"];
-/// `JobUniverse` of all jobs.
+/// Value of the attribute `JobUniverse` of all jobs.
 const VANILLA_UNIVERSE: i64 = 5;
-/// The class of jobs whose file names none.
+/// Class of jobs for which the file names none.
 const DEFAULT_JOB_CLASS: &str = "condor";
 
-/// The template that the commands come to. `location` is that of the `queue` statement;
-/// what is accepted without effect is added to `warnings`.
+/// Creates the template that the commands describe. `location` is that of the `queue`
+/// statement; warnings of statements without effect are added to `warnings`.
 pub(crate) fn template(
     commands: &ExpandedCommands,
     location: &Location,
@@ -36,12 +36,12 @@
     let resources = Resources::new(&mut commands, warnings)?;
     let accounting = Accounting::new(&commands, options)?;
     let priority = priority(&mut commands, warnings)?;
-    let spec = spec(&mut commands, &resources, &accounting.team, priority)?;
+    let spec = job_spec(&mut commands, &resources, &accounting.team, priority)?;
     set_attributes(&mut commands, &resources, &accounting, priority);
     let rules = Rules {
         pools: Vec::new(),
-        requirements: rule(&mut commands, "requirements")?,
-        rank: rule(&mut commands, "rank")?,
+        requirements: folded_rule(&mut commands, "requirements")?,
+        rank: folded_rule(&mut commands, "rank")?,
     };
     let rules = Some(rules).filter(|rules| !rules.is_empty());
     Ok(Template { spec, rules })
@@ -57,9 +57,10 @@
     }
 }
 
-/// Whom a job is accounted to.
+/// The team and group to which a job is accounted.
 struct Accounting {
-    /// The team and perhaps its parts, between dots, where the file names it.
+    /// The accounting group as named in the file: the team, optionally followed by
+    /// subgroups separated by dots.
     group: Option<String>,
     team: String,
 }
@@ -92,7 +93,7 @@
     Ok(priority)
 }
 
-fn spec(
+fn job_spec(
     commands: &mut JobCommands<'_>,
     resources: &Resources,
     team: &str,
@@ -126,16 +127,22 @@
         accelerators: resources.gpus,
         ram_gb: resources.memory_gb(),
         image: bundle.trim_matches('"').to_string(),
-        image_gb: commands.amount("ImageGB")?.unwrap_or(0.0),
+        image_gb: commands.non_negative_number("ImageGB")?.unwrap_or(0.0),
         machine_types: None,
         zone: None,
         together: commands.flag("Together")?,
         apart: commands.flag("Apart")?,
         spot: commands.flag("WantSpot")?,
-        expected_s: commands.amount("ExpectedSeconds")?.unwrap_or(0.0),
-        snapshot_every_s: commands.amount("CheckpointSeconds")?.unwrap_or(0.0),
-        snapshot_cost_s: commands.amount("CheckpointCostSeconds")?.unwrap_or(0.0),
-        due_s: commands.amount("DueSeconds")?,
+        expected_s: commands
+            .non_negative_number("ExpectedSeconds")?
+            .unwrap_or(0.0),
+        snapshot_every_s: commands
+            .non_negative_number("CheckpointSeconds")?
+            .unwrap_or(0.0),
+        snapshot_cost_s: commands
+            .non_negative_number("CheckpointCostSeconds")?
+            .unwrap_or(0.0),
+        due_s: commands.non_negative_number("DueSeconds")?,
         waits_on: Vec::new(),
     };
     spec.check().map_err(|error| {
@@ -173,7 +180,8 @@
     }
 }
 
-/// A number as an integer where it is one, as expressions expect it.
+/// Converts a number to an integer value if it is whole, as expressions expect, else to a
+/// real value.
 fn number_value(x: f64) -> Value {
     if x.fract() == 0.0 {
         Value::Int(x as i64)
@@ -182,9 +190,9 @@
     }
 }
 
-/// An expression over machines, with what the job alone decides folded in; `None` if it
-/// does not depend on the machine, and allows all of them.
-fn rule(commands: &mut JobCommands<'_>, name: &str) -> SubmitResult<Option<String>> {
+/// Returns an expression over machines, in which the parts that the job alone decides are
+/// folded; `None` if the expression does not depend on the machine and allows all of them.
+fn folded_rule(commands: &mut JobCommands<'_>, name: &str) -> SubmitResult<Option<String>> {
     let Some(text) = commands.text(name) else {
         return Ok(None);
     };
--- a/crates/cherryyard-condor/src/job/resources.rs
+++ b/crates/cherryyard-condor/src/job/resources.rs
@@ -1,24 +1,24 @@
-//! The resources that a job requests.
+//! Reads the resources that a job requests.
 
 use super::commands::JobCommands;
 use crate::error::{CommandError, SubmitResult, Warning};
 
-/// Bytes of a kilobyte, the unit of `request_disk`.
+/// Bytes per kilobyte, the unit of `request_disk`.
 pub(super) const KB: f64 = 1024.0;
-/// Bytes of a megabyte, the unit of `request_memory`.
+/// Bytes per megabyte, the unit of `request_memory`.
 pub(super) const MB: f64 = 1024.0 * 1024.0;
 const GB: f64 = 1024.0 * 1024.0 * 1024.0;
 const TB: f64 = 1024.0 * 1024.0 * 1024.0 * 1024.0;
-/// Memory in bytes of a job that requests none, as published.
+/// Memory in bytes of a job that requests none, which is the published default of HTCondor.
 const DEFAULT_MEMORY: f64 = 128.0 * MB;
 
 /// The resources that a job requests.
 pub(super) struct Resources {
     pub(super) cores: f64,
     pub(super) gpus: f64,
-    /// In bytes.
+    /// Memory in bytes.
     pub(super) memory: f64,
-    /// In bytes.
+    /// Disk space in bytes, if the file requests any.
     pub(super) disk: Option<f64>,
 }
 
@@ -51,8 +51,8 @@
     }
 }
 
-/// A command's value in bytes: a number of units, a number with a suffix such as `G` or
-/// `GiB`, or an expression in units.
+/// Returns a command's value in bytes. The value is a number of units, a number with a
+/// suffix such as `G` or `GiB`, or an expression that yields a number of units.
 fn bytes(commands: &mut JobCommands<'_>, name: &str, unit: f64) -> SubmitResult<Option<f64>> {
     let Some(text) = commands.text(name) else {
         return Ok(None);
@@ -67,7 +67,7 @@
     Ok(Some(bytes))
 }
 
-/// A number in bytes, if the text is a number with a suffix or without.
+/// Returns a number in bytes if the text is a number, with or without a suffix.
 fn number_with_suffix(text: &str, unit: f64) -> Option<f64> {
     let lower = text.to_ascii_lowercase();
     let bare = lower.trim_end_matches('b').trim_end_matches('i').trim_end();
--- a/crates/cherryyard-condor/src/lib.rs
+++ b/crates/cherryyard-condor/src/lib.rs
@@ -1,13 +1,14 @@
-//! HTCondor submit files: read, expanded, and translated into jobs of this scheduler.
+//! Reads HTCondor submit files, expands their macros, and translates them into jobs of this
+//! scheduler.
 //!
-//! [`read`] turns a file into a [`Cluster`]: templates of jobs, groups of procs that use
-//! them, and warnings. What a file refers to (included files, lists of items, the
-//! environment) comes from a [`Source`], so nothing here does I/O. `docs/condor.md` says
-//! which commands are honoured.
+//! [`read`] converts a file into a [`Cluster`]: templates of jobs, groups of procs that use
+//! them, and warnings. The data that a file refers to (included files, lists of items, the
+//! environment) comes from a [`Source`], so nothing in this crate does I/O.
+//! `docs/condor.md` lists the commands that are honoured.
 //!
-//! `logical_lines`, `reader` and `conditions` take a file apart into statements; `macros`
-//! and `queue` expand them; `translate` collects them and makes jobs of each `queue`, with
-//! `job` for the template of a job and `cluster` for the result.
+//! `logical_lines`, `reader` and `conditions` split a file into statements; `macros` and
+//! `queue` expand them; `translate` collects them and creates the jobs of each `queue`
+//! statement, with `job` for the template of a job and `cluster` for the result.
 
 mod cluster;
 mod commands;
--- a/crates/cherryyard-condor/src/location.rs
+++ b/crates/cherryyard-condor/src/location.rs
@@ -1,28 +1,28 @@
-//! Positions in submit files.
+//! Represents positions in submit files.
 
 use crate::error::{SubmitError, SubmitErrorKind, Warning};
 use miette::NamedSource;
 use std::sync::Arc;
 
-/// A file that is read or included.
+/// A submit file or an included file.
 #[derive(Clone, Debug)]
 pub(crate) struct File {
     pub(crate) name: Arc<str>,
     pub(crate) text: Arc<str>,
 }
 
-/// A part of a file.
+/// A span of text in a file.
 #[derive(Clone, Debug)]
 pub(crate) struct Location {
     pub(crate) file: File,
-    /// Where it begins, in bytes.
+    /// The offset of the span's beginning, in bytes.
     pub(crate) start: usize,
-    /// Its length in bytes.
+    /// The length of the span, in bytes.
     pub(crate) len: usize,
 }
 
 impl Location {
-    /// The end of a file's text, without blanks after it.
+    /// Returns the end of a file's text, without trailing blanks.
     pub(crate) fn end_of(file: &File) -> Self {
         Self {
             file: file.clone(),
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Line and column of the beginning, from 1; the column in characters.
+    /// Returns the line and column of the beginning, both from 1; the column counts
+    /// characters.
     fn line_and_column(&self) -> (usize, usize) {
         let text = &self.file.text;
         let before = text.get(..self.start).unwrap_or(text);
--- a/crates/cherryyard-condor/src/logical_lines.rs
+++ b/crates/cherryyard-condor/src/logical_lines.rs
@@ -1,24 +1,24 @@
-//! Logical lines of a file: continuations joined, comments left out, inline lists set
-//! apart.
+//! Splits a file into logical lines: joins continuations, drops comments, and separates
+//! inline lists.
 
 use crate::error::{SubmitErrorKind, SubmitResult};
 use crate::limits::MAX_LINE;
 use crate::location::{File, Location};
 
-/// Most bytes that an error marks of a line.
+/// Largest number of bytes of a line that an error marks.
 const MAX_MARKED: usize = 60;
 
-/// A line, its continuations joined.
+/// A line with its continuations joined.
 #[derive(Debug)]
 pub(crate) struct LogicalLine {
     pub(crate) text: String,
-    /// Where it begins in the file, in bytes.
+    /// The offset in the file at which the line begins, in bytes.
     pub(crate) start: usize,
-    /// The lines of the list in brackets that begins at its end.
+    /// The lines of the list in brackets that begins at the end of this line.
     pub(crate) inline_list: Option<String>,
 }
 
-/// The logical lines of a file.
+/// Splits a file into its logical lines.
 pub(crate) fn logical_lines(file: &File) -> SubmitResult<Vec<LogicalLine>> {
     let mut lines: Vec<LogicalLine> = Vec::new();
     let mut continued: Option<LogicalLine> = None;
--- a/crates/cherryyard-condor/src/macros/error.rs
+++ b/crates/cherryyard-condor/src/macros/error.rs
@@ -1,6 +1,6 @@
-//! Errors of macros.
+//! Defines the errors of macros.
 
-/// What is wrong with the macros of a text.
+/// The reason why the macros of a text cannot be compiled or expanded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MacroError {
     /// The text is too long, or its brackets nest too deep.
@@ -12,41 +12,42 @@
     /// The expanded text is too long, or takes too many steps.
     #[error("its macros come to too much text")]
     ExpansionTooLarge,
-    /// Macros name each other in a circle: these, the first of it last.
+    /// Macros refer to each other in a cycle; the names are those along it, and the last
+    /// one closes it.
     #[error("macros define each other: {}", .0.join(" -> "))]
     Cyclic(Vec<String>),
-    /// Macros name each other through too many definitions.
+    /// Macros refer to each other through too many definitions.
     #[error("macros are nested too deep")]
     TooDeep,
     /// No function has this name.
     #[error("${0}() is not known")]
     UnknownFunction(String),
-    /// An argument is no whole number.
+    /// An argument is not a whole number.
     #[error("${function}: `{text}` is not a whole number")]
     NotWholeNumber {
-        /// The function, as it is spelled.
+        /// The function's name, as spelled in the file.
         function: String,
-        /// The argument.
+        /// The text of the argument.
         text: String,
     },
-    /// The macro that an argument names is no number.
+    /// The macro that an argument names does not expand to a number.
     #[error("${function}: `{text}` is not a number")]
     NotNumber {
-        /// The function.
+        /// The function's name.
         function: &'static str,
-        /// What the macro expands to.
+        /// The text that the macro expands to.
         text: String,
     },
-    /// A list has no item of this number.
+    /// The list of `$CHOICE` has no item with this index.
     #[error("$CHOICE: there is no item {0}")]
     NoSuchItem(i64),
-    /// A random choice has no items.
+    /// `$RANDOM_CHOICE` has no arguments.
     #[error("$RANDOM_CHOICE: nothing to choose from")]
     NothingToChoose,
-    /// A random integer has no possible value.
+    /// The range of `$RANDOM_INTEGER` is empty.
     #[error("$RANDOM_INTEGER: an empty range")]
     EmptyRange,
-    /// The format of a number is malformed.
+    /// The format of a number is not supported.
     #[error("the format `{0}` is not known")]
     UnknownFormat(String),
 }
--- a/crates/cherryyard-condor/src/macros/expander.rs
+++ b/crates/cherryyard-condor/src/macros/expander.rs
@@ -1,4 +1,4 @@
-//! Expansion of compiled texts.
+//! Expands compiled texts.
 
 use super::error::MacroError;
 use super::text::{MacroText, Piece};
@@ -10,31 +10,31 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Definitions of a file so far, by name in lower case.
+/// Macros and commands that the file has defined so far, by name in lower case.
 pub(crate) type Definitions = HashMap<String, Arc<MacroText>>;
-/// Values of the variables of a proc, by name in lower case.
+/// Values of a proc's variables, by name in lower case.
 pub(crate) type Variables = HashMap<String, String>;
 
-/// What macros are looked up in.
+/// The values that macro names refer to.
 #[derive(Clone, Copy)]
 pub(crate) struct Bindings<'a> {
     pub(crate) definitions: &'a Definitions,
-    /// These come before definitions of the same name.
+    /// Variables, which take precedence over definitions of the same name.
     pub(crate) variables: &'a Variables,
 }
 
-/// Expands texts.
+/// Expands texts within bounds on their size and on the number of steps.
 pub(crate) struct Expander<'s> {
     pub(crate) source: &'s mut dyn Source,
     pub(super) rng: StdRng,
-    /// Steps of the expansion at hand.
+    /// Number of steps that the current expansion has taken.
     steps: usize,
     /// Names of the macros that are being expanded, the outermost first.
     path: Vec<String>,
 }
 
 impl<'s> Expander<'s> {
-    /// An expander whose random functions are seeded by `seed`.
+    /// Creates an expander whose random functions are seeded with `seed`.
     pub(crate) fn new(source: &'s mut dyn Source, seed: u64) -> Self {
         Self {
             source,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A text with its macros replaced.
+    /// Returns a text with its macros replaced by their values.
     pub(crate) fn expand(
         &mut self,
         text: &MacroText,
@@ -53,11 +53,11 @@
         self.steps = 0;
         self.path.clear();
         let mut out = String::new();
-        self.pieces(&text.pieces, bindings, &mut out)?;
+        self.expand_pieces(&text.pieces, bindings, &mut out)?;
         Ok(out)
     }
 
-    pub(super) fn pieces(
+    pub(super) fn expand_pieces(
         &mut self,
         pieces: &[Piece],
         bindings: Bindings<'_>,
@@ -71,7 +71,7 @@
             match piece {
                 Piece::Literal(text) | Piece::MachineAttribute(text) => out.push_str(text),
                 Piece::Macro { name, default } => {
-                    self.named(name, default.as_deref(), bindings, out)?;
+                    self.expand_named(name, default.as_deref(), bindings, out)?;
                 }
                 Piece::Call {
                     function,
@@ -82,9 +82,9 @@
         Ok(())
     }
 
-    /// Expands the macro with this name, or else the default; one that nothing defines is
-    /// empty.
-    pub(super) fn named(
+    /// Expands the macro with this name, or the default if nothing defines the name; an
+    /// undefined macro without a default expands to nothing.
+    pub(super) fn expand_named(
         &mut self,
         name: &str,
         default: Option<&[Piece]>,
@@ -102,7 +102,7 @@
             return Ok(());
         }
         let Some(definition) = bindings.definitions.get(name) else {
-            return self.pieces(default.unwrap_or_default(), bindings, out);
+            return self.expand_pieces(default.unwrap_or_default(), bindings, out);
         };
         if self.path.iter().any(|outer| outer == name) {
             let mut cycle = self.path.clone();
@@ -113,7 +113,7 @@
             return Err(MacroError::TooDeep);
         }
         self.path.push(name.into());
-        self.pieces(&definition.pieces, bindings, out)?;
+        self.expand_pieces(&definition.pieces, bindings, out)?;
         self.path.pop();
         Ok(())
     }
--- a/crates/cherryyard-condor/src/macros/format.rs
+++ b/crates/cherryyard-condor/src/macros/format.rs
@@ -1,24 +1,24 @@
-//! Formats of numbers and of file names in macro functions.
+//! Formats numbers and file names for the functions of macros.
 
 use super::error::MacroError;
 
 /// Letters that may follow `$F`.
 const FILE_NAME_OPTIONS: &[u8] = b"pdnxbqafuw";
-/// Fraction digits of a number whose format says none.
+/// Number of fraction digits if the format states none.
 const DEFAULT_PRECISION: usize = 6;
-/// Most fraction digits of a number.
+/// Largest number of fraction digits.
 const MAX_PRECISION: usize = 30;
-/// Widest field of a number.
+/// Largest width of a formatted number, in characters.
 const MAX_WIDTH: usize = 100;
 
-/// Whether these letters are all options of `$F`.
+/// Returns whether these letters are all options of `$F`.
 pub(super) fn is_file_name_options(letters: &str) -> bool {
     letters
         .bytes()
         .all(|letter| FILE_NAME_OPTIONS.contains(&letter))
 }
 
-/// `$F` with options: parts of a file's name.
+/// Returns the parts of a file's name that the options of `$F` select.
 pub(super) fn file_name(text: &str, options: &str) -> String {
     let text = text.trim().trim_matches('"');
     let (directory, base) = match text.rfind('/') {
@@ -57,7 +57,8 @@
     out
 }
 
-/// A number in a format such as `%05d` or `%.2f`, or as it is without one.
+/// Formats a number with a format such as `%05d` or `%.2f`; without a format the number is
+/// unchanged.
 pub(super) fn formatted_number(format: Option<&str>, text: &str) -> Result<String, MacroError> {
     let Some(format) = format else {
         return Ok(text.to_string());
--- a/crates/cherryyard-condor/src/macros/functions.rs
+++ b/crates/cherryyard-condor/src/macros/functions.rs
@@ -1,4 +1,4 @@
-//! The functions of macros: `$INT(...)`, `$CHOICE(...)` and the like.
+//! Evaluates the functions of macros, such as `$INT(...)` and `$CHOICE(...)`.
 
 use super::error::MacroError;
 use super::expander::{Bindings, Expander};
@@ -6,12 +6,12 @@
 use super::text::Piece;
 use rand::RngExt;
 
-/// What `$ENV` yields for a variable that is not set.
+/// The value of `$ENV` for a variable that is not set.
 const UNDEFINED_VARIABLE: &str = "UNDEFINED";
 
 /// A call whose arguments have been expanded.
 struct Call<'a> {
-    /// The function, as it is spelled.
+    /// The function's name, as spelled in the file.
     function: &'a str,
     arguments: Vec<String>,
     bindings: Bindings<'a>,
@@ -30,7 +30,7 @@
         })
     }
 
-    /// The argument at `index` as a whole number, or `default` if it is not given.
+    /// Returns the argument at `index` as a whole number, or `default` if it is not given.
     fn whole_number_at(&self, index: usize, default: i64) -> Result<i64, MacroError> {
         match self.arguments.get(index) {
             Some(text) => self.whole_number(text),
@@ -38,14 +38,14 @@
         }
     }
 
-    /// The format that is the second argument.
+    /// Returns the second argument, which is the format of functions that take one.
     fn format(&self) -> Option<&str> {
         self.arguments.get(1).map(String::as_str)
     }
 }
 
 impl Expander<'_> {
-    /// Expands a function call.
+    /// Expands a function call and appends its value to `out`.
     pub(super) fn call(
         &mut self,
         function: &str,
@@ -56,7 +56,7 @@
         let mut texts = Vec::new();
         for argument in arguments {
             let mut text = String::new();
-            self.pieces(argument, bindings, &mut text)?;
+            self.expand_pieces(argument, bindings, &mut text)?;
             texts.push(text.trim().to_string());
         }
         let call = Call {
@@ -88,11 +88,11 @@
         Ok(())
     }
 
-    /// What the macro expands to whose bare name is the first argument.
+    /// Expands the macro whose name, without `$(...)`, is the first argument.
     fn named_text(&mut self, call: &Call<'_>) -> Result<String, MacroError> {
         let mut text = String::new();
         let name = call.first().to_ascii_lowercase();
-        self.named(&name, None, call.bindings, &mut text)?;
+        self.expand_named(&name, None, call.bindings, &mut text)?;
         Ok(text)
     }
 
@@ -102,7 +102,7 @@
         number.map_err(|_| MacroError::NotNumber { function, text })
     }
 
-    /// `$ENV(name)` or `$ENV(name:default)`.
+    /// Evaluates `$ENV(name)` or `$ENV(name:default)`.
     fn environment_variable(&mut self, call: &Call<'_>) -> String {
         let (name, default) = match call.first().split_once(':') {
             Some((name, default)) => (name, default),
@@ -112,8 +112,8 @@
         value.unwrap_or_else(|| default.to_string())
     }
 
-    /// `$SUBSTR(name, start [, length])`, in characters; a negative start counts from the
-    /// end, a negative length leaves that many characters out at the end.
+    /// Evaluates `$SUBSTR(name, start [, length])`, which counts in characters; a negative
+    /// start counts from the end, a negative length omits that many characters at the end.
     fn substring(&mut self, call: &Call<'_>) -> Result<String, MacroError> {
         let chars: Vec<char> = self.named_text(call)?.chars().collect();
         let start = call.whole_number_at(1, 0)?;
@@ -129,8 +129,8 @@
         Ok(chars[start as usize..end as usize].iter().collect())
     }
 
-    /// `$CHOICE(index, list)` or `$CHOICE(index, a, b, ...)`, where the index is a number or
-    /// the name of a macro, and the list the name of one.
+    /// Evaluates `$CHOICE(index, list)` or `$CHOICE(index, a, b, ...)`, where the index is
+    /// a number or the name of a macro, and the list is the name of a macro.
     fn choice(&mut self, call: &Call<'_>) -> Result<String, MacroError> {
         let index = match call.whole_number(call.first()) {
             Ok(index) => index,
@@ -141,7 +141,7 @@
             && let Some(list) = call.bindings.definitions.get(&name.to_ascii_lowercase())
         {
             let mut expanded = String::new();
-            self.pieces(&list.pieces, call.bindings, &mut expanded)?;
+            self.expand_pieces(&list.pieces, call.bindings, &mut expanded)?;
             items = expanded
                 .split(',')
                 .map(|item| item.trim().to_string())
@@ -161,7 +161,7 @@
         Ok(call.arguments[index].clone())
     }
 
-    /// `$RANDOM_INTEGER(from, to [, step])`.
+    /// Evaluates `$RANDOM_INTEGER(from, to [, step])`.
     fn random_integer(&mut self, call: &Call<'_>) -> Result<i64, MacroError> {
         let from = call.whole_number(call.first())?;
         let to = call.whole_number_at(1, from)?;
--- a/crates/cherryyard-condor/src/macros/mod.rs
+++ b/crates/cherryyard-condor/src/macros/mod.rs
@@ -1,5 +1,5 @@
-//! Macros: texts with `$(name)` and `$FUNCTION(...)` in them, compiled once and expanded
-//! for each proc within bounds.
+//! Compiles texts that contain `$(name)` and `$FUNCTION(...)` once, and expands them for
+//! each proc within bounds.
 
 mod error;
 mod expander;
--- a/crates/cherryyard-condor/src/macros/text.rs
+++ b/crates/cherryyard-condor/src/macros/text.rs
@@ -1,4 +1,4 @@
-//! Compiled texts with macros.
+//! Compiles texts that contain macros.
 
 use super::error::MacroError;
 use crate::grammar::{Grammar, Rule};
@@ -9,9 +9,9 @@
 /// A part of a text with macros.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Piece {
-    /// Text that stands for itself.
+    /// Text without macros.
     Literal(String),
-    /// `$(name)` or `$(name:default)`; the name in lower case.
+    /// `$(name)` or `$(name:default)`, with the name in lower case.
     Macro {
         name: String,
         default: Option<Vec<Piece>>,
@@ -21,18 +21,19 @@
         function: String,
         arguments: Vec<Vec<Piece>>,
     },
-    /// `$$(name)`, which would be replaced by an attribute of the chosen machine.
+    /// `$$(name)`, as written; HTCondor replaces it with an attribute of the chosen
+    /// machine, which this scheduler does not.
     MachineAttribute(String),
 }
 
-/// A compiled text.
+/// A text whose macros have been parsed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct MacroText {
     pub(super) pieces: Vec<Piece>,
 }
 
 impl MacroText {
-    /// Compiles a text.
+    /// Compiles a text, within bounds on its length and on the nesting of its brackets.
     pub(crate) fn compile(text: &str) -> Result<Self, MacroError> {
         if !text.contains('$') {
             let pieces = vec![Piece::Literal(text.to_string())];
@@ -43,18 +44,19 @@
         }
         match Grammar::parse(Rule::text, text) {
             Ok(pairs) => Ok(Self {
-                pieces: pieces(pairs),
+                pieces: parse_pieces(pairs),
             }),
             Err(_) => Err(MacroError::NotClosed),
         }
     }
 
-    /// Whether the text itself refers to this macro; the name is in lower case.
+    /// Returns whether the text itself refers to this macro; the name is in lower case.
     pub(crate) fn refers_to(&self, name: &str) -> bool {
         any_refers_to(&self.pieces, name)
     }
 
-    /// The text with one macro replaced by its definition so far: `a = $(a) b`.
+    /// Returns the text with references to one macro replaced by the macro's previous
+    /// definition, as in `a = $(a) b`.
     pub(crate) fn with_definition(self, name: &str, definition: &Self) -> Self {
         let replaced = self.pieces.into_iter().flat_map(|piece| match piece {
             Piece::Macro { name: own, .. } if own == name => definition.pieces.clone(),
@@ -94,17 +96,17 @@
     })
 }
 
-fn pieces(pairs: Pairs<'_, Rule>) -> Vec<Piece> {
+fn parse_pieces(pairs: Pairs<'_, Rule>) -> Vec<Piece> {
     let mut all = Vec::new();
     for pair in pairs {
         match pair.as_rule() {
             Rule::EOI => {}
             Rule::macro_ => all.push(macro_reference(pair)),
             Rule::call => all.push(function_call(pair)),
-            Rule::late => all.push(Piece::MachineAttribute(pair.as_str().to_string())),
+            Rule::machine_attribute => all.push(Piece::MachineAttribute(pair.as_str().to_string())),
             Rule::group => {
                 all.push(Piece::Literal("(".into()));
-                all.extend(pieces(pair.into_inner()));
+                all.extend(parse_pieces(pair.into_inner()));
                 all.push(Piece::Literal(")".into()));
             }
             _ => all.push(Piece::Literal(pair.as_str().to_string())),
@@ -118,14 +120,16 @@
     let name = inner.next().map_or("", |name| name.as_str());
     Piece::Macro {
         name: name.to_ascii_lowercase(),
-        default: inner.next().map(|default| pieces(default.into_inner())),
+        default: inner
+            .next()
+            .map(|default| parse_pieces(default.into_inner())),
     }
 }
 
 fn function_call(pair: Pair<'_, Rule>) -> Piece {
     let mut inner = pair.into_inner();
     let function = inner.next().map_or("", |name| name.as_str()).to_string();
-    let arguments = inner.map(|argument| pieces(argument.into_inner()));
+    let arguments = inner.map(|argument| parse_pieces(argument.into_inner()));
     Piece::Call {
         function,
         arguments: arguments.collect(),
--- a/crates/cherryyard-condor/src/options.rs
+++ b/crates/cherryyard-condor/src/options.rs
@@ -1,12 +1,12 @@
-//! What decides beside the submit file.
+//! Defines the settings of a submission that do not come from the submit file.
 
-/// What decides beside the submit file.
+/// Settings of a submission that do not come from the submit file.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The team, where the file names none.
+    /// The team to which jobs are accounted if the file names none.
     pub team: Option<String>,
-    /// Statements that come before the file's.
+    /// Statements that are read before those of the file.
     pub before: Vec<String>,
-    /// Seed of `$RANDOM_CHOICE` and `$RANDOM_INTEGER`.
+    /// The seed of `$RANDOM_CHOICE` and `$RANDOM_INTEGER`.
     pub seed: u64,
 }
--- a/crates/cherryyard-condor/src/queue.rs
+++ b/crates/cherryyard-condor/src/queue.rs
@@ -1,4 +1,4 @@
-//! The arguments of `queue`: how many procs, for which items.
+//! Parses the arguments of `queue`: the number of procs and the items.
 
 use crate::grammar::{Grammar, Rule};
 use crate::limits::MAX_ITEMS;
@@ -6,10 +6,10 @@
 use pest::Parser;
 use pest::iterators::Pair;
 
-/// The variable that an item sets where the statement names none.
+/// Name of the variable that an item sets if the statement names none.
 const DEFAULT_VARIABLE: &str = "item";
 
-/// What is wrong with the arguments of `queue`.
+/// The reason why the arguments of `queue` are refused.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum QueueError {
     /// The arguments do not have the form of a `queue` statement.
@@ -24,7 +24,7 @@
     /// A slice has neither a bound nor a colon.
     #[error("an empty slice")]
     EmptySlice,
-    /// A slice goes backwards, or nowhere.
+    /// The step of a slice is 0 or negative.
     #[error("a slice's step must be 1 or more")]
     SliceStep,
     /// A list has no closing bracket.
@@ -44,22 +44,22 @@
     Source(#[from] SourceError),
 }
 
-/// The arguments of a `queue` statement.
+/// The parsed arguments of a `queue` statement.
 #[derive(Debug)]
 pub(crate) struct Queue {
-    /// Procs for each item.
+    /// The number of procs for each item.
     pub(crate) count: u32,
-    /// Variables that an item sets, in lower case.
+    /// The variables that an item sets, in lower case.
     pub(crate) variables: Vec<String>,
-    /// The items; an empty one where there is no list.
+    /// The items; a single empty item if there is no list.
     pub(crate) items: Vec<String>,
-    /// Whether there is a list.
+    /// Whether the statement has a list.
     pub(crate) has_list: bool,
 }
 
 impl Queue {
-    /// Parses the arguments. `inline_list` has the lines of a list in brackets that goes
-    /// over several.
+    /// Parses the arguments. `inline_list` contains the lines of a list in brackets that
+    /// spans several lines.
     pub(crate) fn parse(
         arguments: &str,
         inline_list: Option<&str>,
@@ -118,7 +118,8 @@
         Ok(())
     }
 
-    /// The value of each variable in an item; the last takes all that is left.
+    /// Returns the value of each variable for an item; the last variable takes the rest of
+    /// the item.
     pub(crate) fn values<'a>(&'a self, item: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
         let mut rest = item.trim();
         let last = self.variables.len().saturating_sub(1);
@@ -135,11 +136,12 @@
     }
 }
 
-/// `in`, `from` or `matching`, with what follows it.
+/// A clause `in`, `from` or `matching`, with the text after it.
 struct ItemList<'i> {
     rule: Rule,
     slice: Option<Pair<'i, Rule>>,
-    /// `files`, `dirs` or `any`, for `matching`.
+    /// The type of directory entries to match: `files`, `dirs` or `any`; for `matching`
+    /// only.
     file_type: String,
     rest: &'i str,
 }
@@ -155,14 +157,14 @@
         for part in pair.into_inner() {
             match part.as_rule() {
                 Rule::slice => list.slice = Some(part),
-                Rule::sort => list.file_type = part.as_str().to_ascii_lowercase(),
+                Rule::file_type => list.file_type = part.as_str().to_ascii_lowercase(),
                 _ => list.rest = part.as_str().trim(),
             }
         }
         list
     }
 
-    /// The items before the slice is applied.
+    /// Returns the items before the slice is applied.
     fn items(
         &self,
         inline_list: Option<&str>,
@@ -207,7 +209,7 @@
     }
 }
 
-/// Items in a row, between commas or blanks.
+/// Splits a text into items separated by commas or blanks.
 fn words(text: &str) -> Vec<String> {
     text.split(|c: char| c == ',' || c.is_whitespace())
         .filter(|word| !word.is_empty())
@@ -215,7 +217,7 @@
         .collect()
 }
 
-/// Items on lines of their own, without empty lines and comments.
+/// Splits a text into items on separate lines, without empty lines and comments.
 fn lines(text: &str) -> Vec<String> {
     text.lines()
         .map(str::trim)
@@ -224,8 +226,8 @@
         .collect()
 }
 
-/// The items that a slice `[index]` or `[from:to:step]` selects, as in Python; a negative
-/// bound counts from the end.
+/// Returns the items that a slice `[index]` or `[from:to:step]` selects, as in Python; a
+/// negative bound counts from the end.
 fn slice<T>(items: Vec<T>, pair: &Pair<'_, Rule>) -> Result<Vec<T>, QueueError> {
     let bounds: Vec<Option<i64>> = pair
         .clone()
--- a/crates/cherryyard-condor/src/reader.rs
+++ b/crates/cherryyard-condor/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a file's statements one after another, with included files and conditions.
+//! Reads a file's statements in order, with conditions and included files.
 
 use crate::conditions::{Conditions, holds};
 use crate::error::{SubmitErrorKind, SubmitResult};
@@ -21,14 +21,14 @@
     /// `queue ...`.
     Queue {
         arguments: String,
-        /// The lines of its list in brackets.
+        /// The lines of the list in brackets after the arguments, if there is one.
         inline_list: Option<String>,
     },
 }
 
-/// Carries out statements.
+/// Receives the statements of a file in order.
 pub(crate) trait StatementHandler {
-    /// Carries out a statement.
+    /// Carries out one statement.
     fn handle(
         &mut self,
         statement: Statement,
@@ -36,17 +36,17 @@
         expander: &mut Expander<'_>,
     ) -> SubmitResult<()>;
 
-    /// What is defined so far.
+    /// Returns the definitions made so far.
     fn definitions(&self) -> &Definitions;
 }
 
-/// Reads files.
+/// Reads files and passes their statements to a handler.
 pub(crate) struct Reader<'a, 's> {
     expander: Expander<'s>,
     handler: &'a mut dyn StatementHandler,
-    /// Statements read so far.
+    /// Number of statements read so far.
     statements: usize,
-    /// Names of the file at hand and of those that include it.
+    /// Names of the current file and of the files that include it.
     open_files: HashSet<String>,
 }
 
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Reads a file's statements, and those of the files that it includes.
-    pub(crate) fn file(&mut self, file: &File) -> SubmitResult<()> {
+    /// Reads the statements of a file and of the files that it includes.
+    pub(crate) fn read_file(&mut self, file: &File) -> SubmitResult<()> {
         let beginning = Location {
             file: file.clone(),
             start: 0,
@@ -86,7 +86,7 @@
             if self.statements > MAX_STATEMENTS {
                 return Err(location.error(SubmitErrorKind::TooManyStatements));
             }
-            self.line(&line, &location, &mut conditions)?;
+            self.read_line(&line, &location, &mut conditions)?;
         }
         if !conditions.all_closed() {
             return Err(Location::end_of(file).error(SubmitErrorKind::MissingEndif));
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    fn line(
+    fn read_line(
         &mut self,
         line: &LogicalLine,
         location: &Location,
@@ -106,10 +106,10 @@
         for pair in pairs {
             match pair.as_rule() {
                 Rule::if_ | Rule::elif | Rule::else_ | Rule::endif => {
-                    self.condition(pair, location, conditions)?;
+                    self.handle_condition(pair, location, conditions)?;
                 }
                 _ if !conditions.active() => {}
-                Rule::include => self.include(pair, location)?,
+                Rule::include => self.read_included_file(pair, location)?,
                 _ => {
                     if let Some(statement) = statement(pair, line) {
                         self.handler
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    fn condition(
+    fn handle_condition(
         &mut self,
         pair: Pair<'_, Rule>,
         location: &Location,
@@ -132,13 +132,13 @@
         match rule {
             Rule::if_ => {
                 let may_hold = conditions
-                    .before_if()
+                    .check_new_if()
                     .map_err(|kind| location.error(kind))?;
                 conditions.begin_if(may_hold && self.holds(text, location)?);
             }
             Rule::elif | Rule::else_ => {
                 let may_hold = conditions
-                    .before_branch()
+                    .check_new_branch()
                     .map_err(|kind| location.error(kind))?;
                 let is_else = rule == Rule::else_;
                 let holds = may_hold && (is_else || self.holds(text, location)?);
@@ -150,7 +150,7 @@
     }
 
     fn holds(&mut self, condition: &str, location: &Location) -> SubmitResult<bool> {
-        let expanded = self.expanded(condition, location)?;
+        let expanded = self.expand(condition, location)?;
         holds(condition, &expanded, self.handler.definitions()).map_err(|kind| {
             let is_unknown = matches!(kind, SubmitErrorKind::UnknownCondition(_));
             let error = location.error(kind);
@@ -162,7 +162,11 @@
         })
     }
 
-    fn include(&mut self, pair: Pair<'_, Rule>, location: &Location) -> SubmitResult<()> {
+    fn read_included_file(
+        &mut self,
+        pair: Pair<'_, Rule>,
+        location: &Location,
+    ) -> SubmitResult<()> {
         let mut words = pair.into_inner().map(|word| word.as_str());
         let first = words.next().unwrap_or("");
         let optional = first.eq_ignore_ascii_case("ifexist");
@@ -171,13 +175,13 @@
         } else {
             first
         };
-        let name = self.expanded(named, location)?;
+        let name = self.expand(named, location)?;
         let name = name.trim().trim_matches('"');
         if name.ends_with('|') {
             return Err(location.error(SubmitErrorKind::ProgramIncluded));
         }
         match self.expander.source.file(name) {
-            Ok(text) => self.file(&File {
+            Ok(text) => self.read_file(&File {
                 name: name.into(),
                 text: text.into(),
             }),
@@ -186,7 +190,7 @@
         }
     }
 
-    fn expanded(&mut self, text: &str, location: &Location) -> SubmitResult<String> {
+    fn expand(&mut self, text: &str, location: &Location) -> SubmitResult<String> {
         let bindings = Bindings {
             definitions: self.handler.definitions(),
             variables: &Variables::new(),
@@ -197,7 +201,7 @@
     }
 }
 
-/// The statement of an assignment or a `queue`; `None` for the end of the line.
+/// Converts an assignment or a `queue` into a statement; `None` for the end of the line.
 fn statement(pair: Pair<'_, Rule>, line: &LogicalLine) -> Option<Statement> {
     let rule = pair.as_rule();
     let mut words = pair.into_inner();
@@ -222,7 +226,7 @@
     })
 }
 
-/// Where the grammar found an error, within a line at `location`.
+/// Returns the location at which the grammar found an error, within a line at `location`.
 fn location_of(error: &pest::error::Error<Rule>, location: &Location) -> Location {
     let offset = match error.location {
         pest::error::InputLocation::Pos(start) | pest::error::InputLocation::Span((start, _)) => {
--- a/crates/cherryyard-condor/src/source.rs
+++ b/crates/cherryyard-condor/src/source.rs
@@ -1,40 +1,40 @@
-//! Where submit files and what they refer to come from.
+//! Defines the access to submit files and to the data that they refer to.
 
 use std::error::Error;
 use std::sync::Arc;
 
-/// Where a submit file's text, and what it names, comes from.
+/// Provides the files, file names and environment variables that submit files refer to.
 pub trait Source {
-    /// A file's text.
+    /// Returns a file's text.
     ///
     /// # Errors
     ///
-    /// The file does not exist or cannot be read.
+    /// Fails if the file does not exist or cannot be read.
     fn file(&mut self, path: &str) -> Result<String, SourceError>;
 
-    /// Names of files, or of directories, that match a pattern, in order.
+    /// Returns the names of files, or of directories, that match a pattern, in order.
     ///
     /// # Errors
     ///
-    /// The pattern is malformed, or matching names cannot be listed.
+    /// Fails if the pattern is malformed, or matching names cannot be listed.
     fn matching(&mut self, pattern: &str, directories: bool) -> Result<Vec<String>, SourceError>;
 
-    /// A variable of the environment.
+    /// Returns the value of an environment variable, if it is set.
     fn variable(&mut self, name: &str) -> Option<String>;
 }
 
-/// Something could not be read from a [`Source`].
+/// The error that a file or a pattern could not be read from a [`Source`].
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{name}: {source}")]
 pub struct SourceError {
-    /// The file or pattern.
+    /// The name of the file, or the pattern.
     pub name: String,
-    /// What is wrong with it.
+    /// The reason of the failure.
     pub source: Arc<dyn Error + Send + Sync>,
 }
 
 impl SourceError {
-    /// What is wrong with a file or pattern of this name.
+    /// Creates the error of a file or pattern with this name.
     pub fn new(name: impl Into<String>, source: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
         Self {
             name: name.into(),
--- a/crates/cherryyard-condor/src/translate.rs
+++ b/crates/cherryyard-condor/src/translate.rs
@@ -1,4 +1,4 @@
-//! From statements to jobs.
+//! Translates the statements of a submit file into jobs.
 
 use crate::cluster::Cluster;
 use crate::commands::{Command, Handling, decides_placement, similar_name};
@@ -17,16 +17,16 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// The name under which errors show the statements that come before the file's.
-const COMMAND_LINE: &str = "command line";
-/// What helps against a file that queues too much.
-const SPLIT_FILE: &str = "split the file";
+/// File name that errors show for the statements that are read before those of the file.
+const COMMAND_LINE_FILE_NAME: &str = "command line";
+/// Suggestion for the user of a file that queues too much.
+const SPLIT_FILE_HELP: &str = "split the file";
 
-/// Reads a submit file.
+/// Reads a submit file and returns the jobs that it queues.
 ///
 /// # Errors
 ///
-/// What is wrong with the file, or one that it includes, and where.
+/// Returns the first error in the file or in one that it includes, with its position.
 pub fn read(
     name: &str,
     text: &str,
@@ -36,8 +36,8 @@
     let mut translator = Translator::new(options);
     let mut reader = Reader::new(Expander::new(source, options.seed), &mut translator);
     if !options.before.is_empty() {
-        reader.file(&File {
-            name: COMMAND_LINE.into(),
+        reader.read_file(&File {
+            name: COMMAND_LINE_FILE_NAME.into(),
             text: options.before.join("\n").into(),
         })?;
     }
@@ -45,7 +45,7 @@
         name: name.into(),
         text: text.into(),
     };
-    reader.file(&file)?;
+    reader.read_file(&file)?;
     if !translator.has_queued {
         let error = Location::end_of(&file).error(SubmitErrorKind::NothingQueued);
         return Err(error.with_help("end the file with `queue`"));
@@ -56,30 +56,31 @@
     Ok(cluster)
 }
 
-/// An attribute of the job's ad, `+name = value`.
+/// An attribute of the job's ad, set with `+name = value`.
 struct Attribute {
-    /// Its name, as it is spelled.
+    /// The attribute's name, as spelled in the file.
     name: String,
     text: Arc<MacroText>,
     location: Location,
 }
 
-/// Translates statements into jobs.
+/// Collects definitions and translates `queue` statements into jobs.
 struct Translator<'a> {
     options: &'a Options,
     definitions: Definitions,
-    /// The statements that set commands, by the commands' usual names.
+    /// The locations of the statements that set commands, by the commands' usual names.
     command_locations: HashMap<String, Location>,
-    /// By name in lower case.
+    /// Attributes by name in lower case.
     attributes: BTreeMap<String, Attribute>,
     cluster: Cluster,
     /// Indices of templates by the commands that decide them.
     templates_by_commands: HashMap<Vec<(String, String)>, usize>,
-    /// Indices of templates by their JSON: different commands may come to the same.
+    /// Indices of templates by their JSON: different commands may lead to the same
+    /// template.
     templates_by_json: HashMap<String, usize>,
-    /// Procs so far.
+    /// Number of procs queued so far.
     procs: u64,
-    /// Whether there has been a `queue` statement.
+    /// Whether the file has had a `queue` statement.
     has_queued: bool,
 }
 
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Sets a command or macro.
+    /// Sets a command or defines a macro.
     fn set(&mut self, name: &str, value: &str, location: &Location) -> SubmitResult<()> {
         let lower = name.to_ascii_lowercase();
         let mut text =
@@ -132,7 +133,7 @@
         self.check_command(name, command, location)?;
         let key = command.map_or(lower, |command| command.name().to_string());
         if text.refers_to(&key) {
-            // Within its own definition a macro means its definition before.
+            // Within its own definition, a macro refers to its previous definition.
             let before = self.definitions.get(&key).cloned().unwrap_or_default();
             text = text.with_definition(&key, &before);
         }
@@ -143,8 +144,8 @@
         Ok(())
     }
 
-    /// Refuses a command that does not exist here, and warns of one without effect and of
-    /// a macro that may be a misspelled command.
+    /// Refuses a command that the scheduler does not support, and warns about a command
+    /// without effect and about a macro that may be a misspelled command.
     fn check_command(
         &mut self,
         name: &str,
@@ -217,13 +218,13 @@
             self.queue_item(&mut variables, queue.count, location, expander)?;
             if self.cluster.groups.len() as u64 > MAX_JOBS {
                 let error = location.error(SubmitErrorKind::TooManyJobs);
-                return Err(error.with_help(SPLIT_FILE));
+                return Err(error.with_help(SPLIT_FILE_HELP));
             }
         }
         Ok(())
     }
 
-    /// Adds the procs of one item: as one array, unless commands that decide where they
+    /// Adds the procs of one item: as one array, unless commands that decide where procs
     /// run differ between them.
     fn queue_item(
         &mut self,
@@ -238,14 +239,14 @@
         set_proc_variables(variables, PROCESS, STEP);
         let commands = self.expand_commands(variables, expander)?;
         if !placement_depends_on_proc(&commands) {
-            self.add(&commands, count, location)?;
+            self.add_procs(&commands, count, location)?;
             self.procs += u64::from(count);
             return Ok(());
         }
         for step in 0..count {
             set_proc_variables(variables, &self.procs.to_string(), &step.to_string());
             let commands = self.expand_commands(variables, expander)?;
-            self.add(&commands, 1, location)?;
+            self.add_procs(&commands, 1, location)?;
             self.procs += 1;
         }
         Ok(())
@@ -288,7 +289,7 @@
     }
 
     /// Adds procs that run with the same commands.
-    fn add(
+    fn add_procs(
         &mut self,
         commands: &ExpandedCommands,
         count: u32,
@@ -299,27 +300,29 @@
             .iter()
             .map(|(name, command)| (name.clone(), command.text.clone()))
             .collect();
-        self.cluster.add(template, &Arc::new(description), count);
+        self.cluster
+            .add_procs(template, &Arc::new(description), count);
         Ok(())
     }
 
-    /// The index of the template that these commands come to, which may be a new one.
+    /// Returns the index of the template that these commands describe, and adds the
+    /// template if it is new.
     fn template_index(
         &mut self,
         commands: &ExpandedCommands,
         location: &Location,
     ) -> SubmitResult<usize> {
-        let deciding: Vec<(String, String)> = commands
+        let placement_commands: Vec<(String, String)> = commands
             .iter()
             .filter(|(name, _)| decides_placement(name))
             .map(|(name, command)| (name.clone(), command.text.clone()))
             .collect();
-        if let Some(&index) = self.templates_by_commands.get(&deciding) {
+        if let Some(&index) = self.templates_by_commands.get(&placement_commands) {
             return Ok(index);
         }
         if self.templates_by_commands.len() >= MAX_TEMPLATES {
             let error = location.error(SubmitErrorKind::TooManyTemplates);
-            return Err(error.with_help(SPLIT_FILE));
+            return Err(error.with_help(SPLIT_FILE_HELP));
         }
         let warnings = &mut self.cluster.warnings;
         let template = job::template(commands, location, self.options, warnings)?;
@@ -329,12 +332,12 @@
         if index == next {
             self.cluster.templates.push(template);
         }
-        self.templates_by_commands.insert(deciding, index);
+        self.templates_by_commands.insert(placement_commands, index);
         Ok(index)
     }
 }
 
-/// The variables that an item sets.
+/// Returns the variables that an item sets.
 fn item_variables(queue: &Queue, index: usize, item: &str) -> Variables {
     let mut variables = Variables::new();
     if queue.has_list {
@@ -348,14 +351,14 @@
     variables
 }
 
-/// Sets a proc's numbers among its variables.
+/// Sets the variables that contain a proc's numbers.
 fn set_proc_variables(variables: &mut Variables, process: &str, step: &str) {
     for (name, value) in [("process", process), ("procid", process), ("step", step)] {
         variables.insert(name.into(), value.into());
     }
 }
 
-/// Whether commands that decide where a job runs have a proc's numbers in them.
+/// Returns whether commands that decide where a job runs contain a proc's numbers.
 fn placement_depends_on_proc(commands: &ExpandedCommands) -> bool {
     commands
         .iter()
--- a/crates/cherryyard-condor/tests/submit.rs
+++ b/crates/cherryyard-condor/tests/submit.rs
@@ -1,10 +1,11 @@
-//! Submit files: what they come to, what they are refused for, and hostile ones.
+//! Tests the translation of submit files into jobs, their errors and warnings, and the
+//! bounds on hostile files.
 
 use cherryyard_condor::{Cluster, Options, Source, SourceError, SubmitError, read};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Files and variables in memory.
+/// A source of files and variables that are kept in memory.
 #[derive(Default)]
 struct Memory(BTreeMap<&'static str, String>);
 
@@ -52,29 +53,31 @@
     read("job.sub", text, &options, &mut memory())
 }
 
-fn good(text: &str) -> Cluster {
-    submit(text).unwrap_or_else(|e| panic!("{text}\n{}:{}: {}", e.line, e.column, e.kind))
+fn read_valid(text: &str) -> Cluster {
+    submit(text)
+        .unwrap_or_else(|error| panic!("{text}\n{}:{}: {}", error.line, error.column, error.kind))
 }
 
-/// `executable`, and this.
-fn with(text: &str) -> Cluster {
-    good(&format!("executable = post\n{text}\n"))
+/// Reads a file that consists of an `executable` statement and these statements.
+fn read_commands(text: &str) -> Cluster {
+    read_valid(&format!("executable = post\n{text}\n"))
 }
 
 fn arguments(cluster: &Cluster) -> Vec<String> {
-    let one = |proc| {
+    let arguments_of_proc = |proc| {
         let run = cluster.proc(proc).unwrap();
         run.into_iter()
             .find(|d| d.0 == "arguments")
             .map_or(String::new(), |d| d.1)
     };
-    (0..cluster.procs()).map(one).collect()
+    (0..cluster.procs()).map(arguments_of_proc).collect()
 }
 
-/// What decides where a job runs.
+/// Guards against commands and attributes that are dropped or misread on their way into the
+/// job's fields and rules: units, accounting, and the folding of requirements.
 #[test]
-fn commands_become_fields() {
-    let c = good(
+fn commands_and_attributes_set_job_fields() {
+    let cluster = read_valid(
         "include : common.sub\n\
          universe = container\nexecutable = post\ncontainer_image = img-07\n\
          request_cpus = 2 * 2\nrequest_gpus=1\npriority = -5\n\
@@ -83,21 +86,21 @@
             && RequestCpus < 100\n\
          rank = Cpus\nqueue\n",
     );
-    let t = &c.templates[0];
-    let s = &t.spec;
+    let template = &cluster.templates[0];
+    let spec = &template.spec;
     assert_eq!(
-        (s.cores, s.accelerators, s.ram_gb, s.image_gb),
+        (spec.cores, spec.accelerators, spec.ram_gb, spec.image_gb),
         (4.0, 1.0, 2.0, 2.5)
     );
     assert_eq!(
-        (&*s.team, &*s.job_class, &*s.image),
+        (&*spec.team, &*spec.job_class, &*spec.image),
         ("posting", "posting", "img-07")
     );
     assert_eq!(
-        (s.rank, s.spot, s.expected_s),
+        (spec.rank, spec.spot, spec.expected_s),
         (cherryyard_wire::job::Rank::BestEffort, true, 60.0)
     );
-    let rules = t.rules.as_ref().unwrap();
+    let rules = template.rules.as_ref().unwrap();
     assert_eq!(
         rules.requirements.as_deref(),
         Some("TARGET.Memory >= 2048 && TARGET.Department =?= \"posting\" && true")
@@ -112,26 +115,31 @@
     ] {
         let text = format!("executable = x\nrequest_memory = {memory}\nqueue\n");
         match submit(&text) {
-            Ok(c) => assert_eq!(c.templates[0].spec.ram_gb, gb, "{memory}"),
-            // Its own attributes are not known before it is.
-            Err(e) => assert!(
-                gb == 0.0 && e.to_string().contains("request_memory"),
+            Ok(cluster) => assert_eq!(cluster.templates[0].spec.ram_gb, gb, "{memory}"),
+            // The attribute `RequestCpus` is not in the job's ad yet when `request_memory`
+            // is evaluated.
+            Err(error) => assert!(
+                gb == 0.0 && error.to_string().contains("request_memory"),
                 "{}",
-                e.kind
+                error.kind
             ),
         }
     }
 }
 
-/// Procs that differ by their numbers only are one array, others are several.
+/// Guards against arrays that are split although their procs differ only in their numbers,
+/// and against procs that share an array although their commands differ.
 #[test]
-fn queues_become_arrays() {
+fn procs_that_differ_only_in_numbers_form_one_array() {
     let shape = |text: &str| {
-        let c = with(text);
-        let groups = c.groups.iter().map(|g| format!("{}+{}", g.first, g.tasks));
+        let cluster = read_commands(text);
+        let groups = cluster
+            .groups
+            .iter()
+            .map(|g| format!("{}+{}", g.first, g.tasks));
         format!(
             "{} / {}",
-            c.templates.len(),
+            cluster.templates.len(),
             groups.collect::<Vec<_>>().join(" ")
         )
     };
@@ -168,16 +176,16 @@
     for (text, expected) in table {
         assert_eq!(shape(text), expected, "{text}");
     }
-    let c = with("arguments = $(item)\nqueue from many.txt");
-    assert_eq!((c.templates.len(), c.groups.len()), (1, 20_000));
-    let chunks = c.chunks(4000);
+    let cluster = read_commands("arguments = $(item)\nqueue from many.txt");
+    assert_eq!((cluster.templates.len(), cluster.groups.len()), (1, 20_000));
+    let chunks = cluster.chunks(4000);
     assert_eq!(chunks.len(), 1);
     assert_eq!(chunks[0].runs, [(0, 1, 20_000)]);
 }
 
-/// Items, their variables and slices, macros and their functions.
+/// Guards against wrong values of items, variables, slices, macros and their functions.
 #[test]
-fn items_and_macros() {
+fn items_and_macros_expand_to_their_values() {
     let table: &[(&str, &[&str])] = &[
         (
             "arguments = $(office) $(n)\nqueue office, n from ledgers.txt",
@@ -236,7 +244,7 @@
         ),
     ];
     for (text, expected) in table {
-        assert_eq!(arguments(&with(text)), *expected, "{text}");
+        assert_eq!(arguments(&read_commands(text)), *expected, "{text}");
     }
     let random = |seed| {
         let options = Options {
@@ -251,9 +259,10 @@
     assert_ne!(random(1), random(2));
 }
 
-/// What is refused or has no effect says so by name and place.
+/// Guards against errors and warnings without the name and position of the faulty
+/// statement.
 #[test]
-fn errors_and_warnings_have_their_place() {
+fn errors_and_warnings_name_the_statement() {
     let table = [
         (
             "executable = x\nuniverse = grid\nqueue",
@@ -328,13 +337,13 @@
         ("executable = x\nqueue 99999999999", 2, "too many"),
     ];
     for (text, line, what) in table {
-        let e = submit(text).expect_err(text);
+        let error = submit(text).expect_err(text);
         assert!(
-            e.line == line && e.to_string().contains(what),
+            error.line == line && error.to_string().contains(what),
             "{text}\n{}:{}: {}",
-            e.line,
-            e.column,
-            e.kind
+            error.line,
+            error.column,
+            error.kind
         );
     }
     let column = submit("executable = x\nrequirements = Cpus >= && 2\nqueue")
@@ -342,11 +351,16 @@
         .column;
     assert_eq!(column, 24);
     let options = Options::default();
-    let e = read("x", "executable = x\nqueue", &options, &mut memory()).unwrap_err();
-    assert!(e.to_string().contains("accounting_group"), "{}", e.kind);
-    let c =
-        with("log = x.log\nperiodic_remove = true\nrequirments = Cpus > 3\nmax_retries = 3\nqueue");
-    let warnings: Vec<String> = c
+    let error = read("x", "executable = x\nqueue", &options, &mut memory()).unwrap_err();
+    assert!(
+        error.to_string().contains("accounting_group"),
+        "{}",
+        error.kind
+    );
+    let cluster = read_commands(
+        "log = x.log\nperiodic_remove = true\nrequirments = Cpus > 3\nmax_retries = 3\nqueue",
+    );
+    let warnings: Vec<String> = cluster
         .warnings
         .iter()
         .map(|w| format!("{}: {}", w.line, w.message))
@@ -366,7 +380,7 @@
     assert_eq!(warnings.len(), 4);
 }
 
-/// Hostile files end in an error, in bounded time and room.
+/// Guards against hostile files that exhaust time or memory; they must lead to an error.
 #[test]
 fn hostile_files_are_refused() {
     let doubling: String = (0..60)
@@ -416,19 +430,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a file holds, it is read or refused, and never ends the program.
+    /// Guards against panics: any text is either read or refused.
     #[test]
-    fn any_text_is_read_or_refused(text in "(([a-z]{1,6}|queue|if|endif|requirements|\\+A|include) ?[=:]? ?[ -~]{0,30}\n){0,12}") {
+    fn arbitrary_text_does_not_panic(text in "(([a-z]{1,6}|queue|if|endif|requirements|\\+A|include) ?[=:]? ?[ -~]{0,30}\n){0,12}") {
         let _ = submit(&text);
     }
 
-    /// Slices never give more than there is, and keep the order.
+    /// Guards against slices that select wrong items or change their order.
     #[test]
-    fn slices_keep_order(from in -9i64..9, to in -9i64..9, step in 1i64..4) {
-        let c = with(&format!("arguments = $(x)\nqueue x in [{from}:{to}:{step}] (0 1 2 3 4 5)"));
-        let items: Vec<i64> = arguments(&c).iter().map(|a| a.parse().unwrap()).collect();
-        let place = |at: i64| (if at < 0 { at + 6 } else { at }).clamp(0, 6);
-        let expected: Vec<i64> = (place(from)..place(to)).step_by(step as usize).collect();
+    fn slices_select_items_in_order(from in -9i64..9, to in -9i64..9, step in 1i64..4) {
+        let cluster = read_commands(&format!("arguments = $(x)\nqueue x in [{from}:{to}:{step}] (0 1 2 3 4 5)"));
+        let items: Vec<i64> = arguments(&cluster).iter().map(|a| a.parse().unwrap()).collect();
+        let position = |at: i64| (if at < 0 { at + 6 } else { at }).clamp(0, 6);
+        let expected: Vec<i64> = (position(from)..position(to)).step_by(step as usize).collect();
         prop_assert_eq!(items, expected);
     }
 }
