--- a/crates/cherryyard-classad/benches/match.rs
+++ b/crates/cherryyard-classad/benches/match.rs
@@ -1,4 +1,4 @@
-//! How many expressions are read, and machines matched, a second:
+//! Measures how many expressions are parsed, and machines matched, per second:
 //! `cargo bench -p cherryyard-classad`.
 
 use cherryyard_classad::{Ad, Expr, Names, Scope, Value, fold};
@@ -9,7 +9,7 @@
 const REQUIREMENTS: &str = r#"(TARGET.Cpus >= RequestCpus) && (TARGET.Memory >= RequestMemory)
     && Wanted && (TARGET.Zone == "lahore-east" || regexp("^karachi-", TARGET.Zone))
     && (WantSpot || TARGET.Spot =!= true)"#;
-/// The machines of the larger fleet.
+/// Number of machines in the larger fleet.
 const MACHINES: i64 = 1344;
 
 fn main() {
@@ -22,7 +22,7 @@
     machines: Vec<Ad>,
 }
 
-fn a_match() -> Match {
+fn example_match() -> Match {
     let mut names = Names::default();
     let job = Ad::parse(JOB, &mut names).expect("a good ad");
     let requirements = Expr::parse(REQUIREMENTS, &mut names).expect("a good expression");
@@ -46,13 +46,14 @@
     }
 }
 
-fn matched(m: &Match, requirements: &Expr) -> usize {
+fn count_matches(example: &Match, requirements: &Expr) -> usize {
     let scope = |target| Scope {
-        my: &m.job,
+        my: &example.job,
         target: Some(target),
         now: 0,
     };
-    m.machines
+    example
+        .machines
         .iter()
         .filter(|machine| scope(*machine).holds(requirements))
         .count()
@@ -67,13 +68,13 @@
 
 #[divan::bench]
 fn match_1344(bencher: divan::Bencher) {
-    let m = a_match();
-    bencher.bench_local(|| matched(&m, &m.requirements));
+    let example = example_match();
+    bencher.bench_local(|| count_matches(&example, &example.requirements));
 }
 
 #[divan::bench]
 fn match_1344_folded(bencher: divan::Bencher) {
-    let m = a_match();
-    let folded = fold(&m.requirements, &m.job);
-    bencher.bench_local(|| matched(&m, &folded));
+    let example = example_match();
+    let folded = fold(&example.requirements, &example.job);
+    bencher.bench_local(|| count_matches(&example, &folded));
 }
--- a/crates/cherryyard-classad/src/ad.rs
+++ b/crates/cherryyard-classad/src/ad.rs
@@ -1,18 +1,18 @@
-//! Ads: sets of named expressions that describe a job or a machine.
+//! Defines ads: sets of named expressions that describe a job or a machine.
 
 use crate::expr::Expr;
 use crate::names::NameId;
 use crate::value::Value;
 use indexmap::IndexMap;
 
-/// A set of named expressions.
+/// A set of named expressions, which are called attributes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ad {
     attributes: IndexMap<NameId, Expr>,
 }
 
 impl Ad {
-    /// Sets an attribute.
+    /// Sets an attribute to an expression.
     pub fn set(&mut self, name: NameId, expr: Expr) {
         self.attributes.insert(name, expr);
     }
@@ -22,12 +22,12 @@
         self.set(name, Expr::constant(value));
     }
 
-    /// An attribute's expression.
+    /// Returns an attribute's expression, if the ad has the attribute.
     pub fn get(&self, name: NameId) -> Option<&Expr> {
         self.attributes.get(&name)
     }
 
-    /// All attributes, in the order in which they were first set.
+    /// Returns all attributes, in the order in which they were first set.
     pub fn iter(&self) -> impl Iterator<Item = (NameId, &Expr)> {
         self.attributes.iter().map(|(&name, expr)| (name, expr))
     }
--- a/crates/cherryyard-classad/src/builtins/arguments.rs
+++ b/crates/cherryyard-classad/src/builtins/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of a call.
+//! Provides typed access to the arguments of a call.
 
 use crate::value::Value;
 
@@ -17,12 +17,12 @@
         self.values
     }
 
-    /// The argument at `index`, from 0.
+    /// Returns the argument at `index`, from 0.
     pub(super) fn value(self, index: usize) -> Option<&'a Value> {
         self.values.get(index)
     }
 
-    /// The argument at `index`, if it is a string.
+    /// Returns the argument at `index`, if it is a string.
     pub(super) fn text(self, index: usize) -> Option<&'a str> {
         match self.values.get(index) {
             Some(Value::Str(text)) => Some(text),
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The optional argument at `index`: `default` if it is not given, `None` if it is no
-    /// string.
+    /// Returns the optional argument at `index`: `default` if it is not given, `None` if it
+    /// is not a string.
     pub(super) fn text_or(self, index: usize, default: &'static str) -> Option<&'a str> {
         match self.values.get(index) {
             None => Some(default),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The argument at `index`, if it is a list.
+    /// Returns the argument at `index`, if it is a list.
     pub(super) fn list(self, index: usize) -> Option<&'a [Value]> {
         match self.values.get(index) {
             Some(Value::List(items)) => Some(items),
--- a/crates/cherryyard-classad/src/builtins/list.rs
+++ b/crates/cherryyard-classad/src/builtins/list.rs
@@ -1,4 +1,4 @@
-//! Functions of lists.
+//! Implements the functions of lists.
 
 use super::arguments::Arguments;
 use super::numeric::Aggregate;
@@ -6,7 +6,7 @@
 use crate::value::Value;
 use std::cmp::Ordering;
 
-/// `min`, `max`, `sum` and `avg` of a list, whose undefined items do not count.
+/// Evaluates `min`, `max`, `sum` and `avg` of a list; undefined items are ignored.
 pub(super) fn aggregate(arguments: Arguments<'_>, aggregate: Aggregate) -> Option<Value> {
     let items = arguments.list(0)?;
     if items.contains(&Value::Error) {
@@ -15,10 +15,10 @@
     let defined = || items.iter().filter(|item| **item != Value::Undefined);
     let numbers: Vec<f64> = defined().map(Value::real).collect::<Option<_>>()?;
     let all_ints = defined().all(|item| item.int().is_some());
-    Some(aggregate.of(&numbers, all_ints))
+    Some(aggregate.apply(&numbers, all_ints))
 }
 
-/// The length of a list, of a string in characters, or of an ad in attributes.
+/// Returns the length of a list, of a string in characters, or of an ad in attributes.
 pub(super) fn size(arguments: Arguments<'_>) -> Option<Value> {
     let size = match arguments.value(0)? {
         Value::Str(text) => text.chars().count(),
@@ -41,19 +41,21 @@
     Some(Value::Bool(items.any(|item| item.identical(wanted))))
 }
 
-/// `anyCompare(symbol, list, value)`: whether the comparison holds for any item.
+/// Evaluates `anyCompare(symbol, list, value)`: whether the comparison is true for any
+/// item.
 pub(super) fn any_compare(arguments: Arguments<'_>) -> Option<Value> {
     let (holds, items) = comparison(arguments)?;
     Some(Value::Bool(items.iter().any(holds)))
 }
 
-/// `allCompare(symbol, list, value)`: whether the comparison holds for all items.
+/// Evaluates `allCompare(symbol, list, value)`: whether the comparison is true for all
+/// items.
 pub(super) fn all_compare(arguments: Arguments<'_>) -> Option<Value> {
     let (holds, items) = comparison(arguments)?;
     Some(Value::Bool(items.iter().all(holds)))
 }
 
-/// The comparison that the arguments name, and the list that it is applied to.
+/// Returns the comparison that the arguments name, and the list to apply it to.
 fn comparison<'a>(arguments: Arguments<'a>) -> Option<(impl Fn(&'a Value) -> bool, &'a [Value])> {
     let operator = BinaryOp::comparison(arguments.text(0)?)?;
     let items = arguments.list(1)?;
--- a/crates/cherryyard-classad/src/builtins/mod.rs
+++ b/crates/cherryyard-classad/src/builtins/mod.rs
@@ -1,8 +1,8 @@
-//! The strict functions: evaluated arguments in, a value out.
+//! Implements the strict functions, which compute a value from evaluated arguments.
 //!
-//! A strict function is `error` if any argument is, else `undefined` if any argument is.
-//! The implementations return `None` for arguments that they do not apply to, which
-//! evaluates to `error`.
+//! The value of a strict function is `error` if any argument is `error`, else `undefined`
+//! if any argument is `undefined`. The implementations return `None` for arguments that
+//! they do not apply to, and the call then evaluates to `error`.
 
 mod arguments;
 mod list;
@@ -16,7 +16,7 @@
 use arguments::Arguments;
 use numeric::Aggregate;
 
-/// The value of a call of a strict function.
+/// Evaluates a call of a strict function.
 pub(crate) fn call(function: Function, arguments: &[Value]) -> Value {
     if arguments.contains(&Value::Error) {
         return Value::Error;
@@ -68,7 +68,7 @@
         Function::StringListMin => string_list::aggregate(arguments, Aggregate::Min),
         Function::StringListMax => string_list::aggregate(arguments, Aggregate::Max),
         Function::StringListsIntersect => string_list::intersect(arguments),
-        // The evaluator handles these, as they are not strict or need its state.
+        // The evaluator handles these, because they are not strict or need its state.
         Function::IfThenElse
         | Function::IsUndefined
         | Function::IsError
--- a/crates/cherryyard-classad/src/builtins/numeric.rs
+++ b/crates/cherryyard-classad/src/builtins/numeric.rs
@@ -1,12 +1,13 @@
-//! Functions of numbers, and conversions to numbers and booleans.
+//! Implements the functions of numbers, and conversions to numbers and booleans.
 
 use super::arguments::Arguments;
 use crate::value::Value;
 
-/// Bound of the reals that are converted to integers, just below 2^63.
+/// Exclusive bound on the magnitude of reals that are converted to integers, just below
+/// 2^63.
 const INT_BOUND: f64 = 9.2e18;
 
-/// A number as an integer; `error` beyond the range of integers.
+/// Converts a number to an integer; `error` if it is out of range.
 pub(super) fn int_or_error(x: f64) -> Value {
     if x.is_finite() && x.abs() < INT_BOUND {
         Value::Int(x as i64)
@@ -15,7 +16,7 @@
     }
 }
 
-/// A number as an integer if it was computed from integers alone, else as a real.
+/// Returns a number as an integer if it was computed from integers alone, else as a real.
 pub(super) fn number(x: f64, from_ints: bool) -> Value {
     if from_ints {
         int_or_error(x)
@@ -24,13 +25,13 @@
     }
 }
 
-/// `int`, `floor`, `ceiling` and `round`, which differ in how they round.
-pub(super) fn round_by(arguments: Arguments<'_>, rounded: impl Fn(f64) -> f64) -> Option<Value> {
+/// Evaluates `int`, `floor`, `ceiling` and `round`, which differ in the rounding function.
+pub(super) fn round_by(arguments: Arguments<'_>, round: impl Fn(f64) -> f64) -> Option<Value> {
     Some(match arguments.value(0)? {
         Value::Int(n) => Value::Int(*n),
         Value::Bool(b) => Value::Int(i64::from(*b)),
-        Value::Real(x) => int_or_error(rounded(*x)),
-        Value::Str(text) => int_or_error(rounded(text.trim().parse().ok()?)),
+        Value::Real(x) => int_or_error(round(*x)),
+        Value::Str(text) => int_or_error(round(text.trim().parse().ok()?)),
         _ => return None,
     })
 }
@@ -67,8 +68,9 @@
     }
 }
 
-/// `quantize(x, step)`: the next multiple of `step`; `quantize(x, {a, b, ...})`: the first
-/// item that is not less than `x`, or else the next multiple of the last.
+/// Evaluates `quantize(x, step)`, the next multiple of `step`, and
+/// `quantize(x, {a, b, ...})`, the first item that is not less than `x`, or else the next
+/// multiple of the last item.
 pub(super) fn quantize(arguments: Arguments<'_>) -> Option<Value> {
     let steps = match arguments.value(1)? {
         Value::List(items) => items,
@@ -84,7 +86,7 @@
     Some(number((x / step).ceil() * step, last.int().is_some()))
 }
 
-/// How a sequence of numbers is reduced to one.
+/// A function that reduces a sequence of numbers to one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Aggregate {
     Sum,
@@ -94,9 +96,10 @@
 }
 
 impl Aggregate {
-    /// The result for `numbers`, an integer if all of them are (`all_ints`) except for the
-    /// average. An empty sequence has the sum and average 0, and no least or greatest.
-    pub(super) fn of(self, numbers: &[f64], all_ints: bool) -> Value {
+    /// Returns the result for `numbers`: an integer if all of them are integers
+    /// (`all_ints`), except for the average. An empty sequence has the sum and average 0,
+    /// and an undefined minimum and maximum.
+    pub(super) fn apply(self, numbers: &[f64], all_ints: bool) -> Value {
         let sum = || numbers.iter().sum::<f64>();
         let extreme = |worst: f64, better: fn(f64, f64) -> f64| match numbers {
             [] => Value::Undefined,
--- a/crates/cherryyard-classad/src/builtins/string_list.rs
+++ b/crates/cherryyard-classad/src/builtins/string_list.rs
@@ -1,16 +1,16 @@
-//! Functions of string lists: strings whose items stand between separators.
+//! Implements the functions of string lists: strings that contain items between separators.
 
 use super::arguments::Arguments;
 use super::numeric::Aggregate;
 use crate::value::Value;
 
-/// Separators of a string list whose call names none.
+/// Separators of a string list if the call names none.
 const DEFAULT_SEPARATORS: &str = ", ";
-/// Most items of a string list; those after them are ignored.
+/// Largest number of items of a string list; further items are ignored.
 const MAX_ITEMS: usize = 100_000;
 
-/// The items between any of the separators, without blanks around them; empty ones do
-/// not count.
+/// Returns the items between any of the separators, without surrounding blanks; empty items
+/// are skipped.
 fn items<'t>(list: &'t str, separators: &str) -> impl Iterator<Item = &'t str> {
     let separators: Vec<char> = separators.chars().collect();
     list.split(move |c| separators.contains(&c))
@@ -19,7 +19,8 @@
         .take(MAX_ITEMS)
 }
 
-/// The items of the argument at `list`, between the separators of the one at `separators`.
+/// Returns the items of the argument at index `list`, with the separators in the argument
+/// at index `separators`.
 fn items_at(
     arguments: Arguments<'_>,
     list: usize,
@@ -52,7 +53,8 @@
     Some(Value::Int(items_at(arguments, 0, 1)?.count() as i64))
 }
 
-/// `stringListSum` and the like; an integer if all items are, except for the average.
+/// Evaluates `stringListSum` and similar functions; the value is an integer if all items
+/// are integers, except for the average.
 pub(super) fn aggregate(arguments: Arguments<'_>, aggregate: Aggregate) -> Option<Value> {
     let mut numbers = Vec::new();
     let mut all_ints = true;
@@ -60,10 +62,10 @@
         all_ints &= item.parse::<i64>().is_ok();
         numbers.push(item.parse::<f64>().ok()?);
     }
-    Some(aggregate.of(&numbers, all_ints))
+    Some(aggregate.apply(&numbers, all_ints))
 }
 
-/// Whether two string lists have an item in common.
+/// Evaluates `stringListsIntersect`: whether two string lists have an item in common.
 pub(super) fn intersect(arguments: Arguments<'_>) -> Option<Value> {
     let second: Vec<&str> = items_at(arguments, 1, 2)?.collect();
     let mut first = items_at(arguments, 0, 2)?;
--- a/crates/cherryyard-classad/src/builtins/text.rs
+++ b/crates/cherryyard-classad/src/builtins/text.rs
@@ -1,13 +1,13 @@
-//! Functions of strings.
+//! Implements the functions of strings.
 
 use super::arguments::Arguments;
 use crate::value::Value;
 
-/// Longest string that a function returns, in bytes.
+/// Largest length of a string that a function returns, in bytes.
 const MAX_TEXT: usize = 1024 * 1024;
 
-/// A string value; `error` if it is too long.
-pub(super) fn bounded(text: &str) -> Value {
+/// Creates a string value; `error` if the text is too long.
+pub(super) fn bounded_string(text: &str) -> Value {
     if text.len() <= MAX_TEXT {
         Value::text(text)
     } else {
@@ -15,8 +15,9 @@
     }
 }
 
-/// A value as the functions that take strings convert it.
-fn converted(value: &Value) -> Option<String> {
+/// Converts a value to text for the functions that take strings; `None` for `undefined` and
+/// `error`.
+fn to_text(value: &Value) -> Option<String> {
     match value {
         Value::Str(text) => Some(text.to_string()),
         Value::Undefined | Value::Error => None,
@@ -24,32 +25,33 @@
     }
 }
 
-fn converted_at(arguments: Arguments<'_>, index: usize) -> Option<String> {
-    converted(arguments.value(index)?)
+fn argument_as_text(arguments: Arguments<'_>, index: usize) -> Option<String> {
+    to_text(arguments.value(index)?)
 }
 
 pub(super) fn string(arguments: Arguments<'_>) -> Option<Value> {
-    Some(bounded(&converted_at(arguments, 0)?))
+    Some(bounded_string(&argument_as_text(arguments, 0)?))
 }
 
 pub(super) fn strcat(arguments: Arguments<'_>) -> Option<Value> {
-    let texts: Option<Vec<String>> = arguments.all().iter().map(converted).collect();
-    Some(bounded(&texts?.concat()))
+    let texts: Option<Vec<String>> = arguments.all().iter().map(to_text).collect();
+    Some(bounded_string(&texts?.concat()))
 }
 
-/// `join(separator, a, b, ...)` or `join(separator, list)`; undefined items are left out.
+/// Evaluates `join(separator, a, b, ...)` or `join(separator, list)`; undefined items are
+/// omitted.
 pub(super) fn join(arguments: Arguments<'_>) -> Option<Value> {
     let separator = arguments.text(0)?;
     let items = match arguments.all() {
         [_, Value::List(items)] => items,
         all => all.get(1..)?,
     };
-    let texts: Vec<String> = items.iter().filter_map(converted).collect();
-    Some(bounded(&texts.join(separator)))
+    let texts: Vec<String> = items.iter().filter_map(to_text).collect();
+    Some(bounded_string(&texts.join(separator)))
 }
 
-/// `substr(text, start [, length])`, in characters; a negative start counts from the end,
-/// a negative length leaves that many characters out at the end.
+/// Evaluates `substr(text, start [, length])`, which counts in characters; a negative start
+/// counts from the end, a negative length omits that many characters at the end.
 pub(super) fn substr(arguments: Arguments<'_>) -> Option<Value> {
     let length = match arguments.value(2) {
         Some(length) => Some(length.int()?),
@@ -73,31 +75,38 @@
 }
 
 pub(super) fn strcmp(arguments: Arguments<'_>) -> Option<Value> {
-    let (a, b) = (converted_at(arguments, 0)?, converted_at(arguments, 1)?);
+    let (a, b) = (
+        argument_as_text(arguments, 0)?,
+        argument_as_text(arguments, 1)?,
+    );
     Some(Value::Int(a.cmp(&b) as i64))
 }
 
 pub(super) fn stricmp(arguments: Arguments<'_>) -> Option<Value> {
-    let a = converted_at(arguments, 0)?.to_ascii_lowercase();
-    let b = converted_at(arguments, 1)?.to_ascii_lowercase();
+    let a = argument_as_text(arguments, 0)?.to_ascii_lowercase();
+    let b = argument_as_text(arguments, 1)?.to_ascii_lowercase();
     Some(Value::Int(a.cmp(&b) as i64))
 }
 
 pub(super) fn to_upper(arguments: Arguments<'_>) -> Option<Value> {
-    Some(bounded(&converted_at(arguments, 0)?.to_ascii_uppercase()))
+    Some(bounded_string(
+        &argument_as_text(arguments, 0)?.to_ascii_uppercase(),
+    ))
 }
 
 pub(super) fn to_lower(arguments: Arguments<'_>) -> Option<Value> {
-    Some(bounded(&converted_at(arguments, 0)?.to_ascii_lowercase()))
+    Some(bounded_string(
+        &argument_as_text(arguments, 0)?.to_ascii_lowercase(),
+    ))
 }
 
-/// `user@domain` as a list of both; without `@` all of it is the user.
+/// Splits `user@domain` into a list of both; a name without `@` is the user.
 pub(super) fn split_user_name(arguments: Arguments<'_>) -> Option<Value> {
     let name = arguments.text(0)?;
     Some(pair(name.split_once('@').unwrap_or((name, ""))))
 }
 
-/// `slot@machine` as a list of both; without `@` all of it is the machine.
+/// Splits `slot@machine` into a list of both; a name without `@` is the machine.
 pub(super) fn split_slot_name(arguments: Arguments<'_>) -> Option<Value> {
     let name = arguments.text(0)?;
     Some(pair(name.split_once('@').unwrap_or(("", name))))
--- a/crates/cherryyard-classad/src/eval.rs
+++ b/crates/cherryyard-classad/src/eval.rs
@@ -1,4 +1,4 @@
-//! Evaluation of expressions, with three-valued logic.
+//! Evaluates expressions, with three-valued logic.
 
 use crate::ad::Ad;
 use crate::builtins;
@@ -8,25 +8,25 @@
 use crate::operator::BinaryOp;
 use crate::value::Value;
 
-/// Most nodes and attribute references that may be nested in one evaluation.
+/// Largest nesting depth of nodes and attribute references in one evaluation.
 const MAX_DEPTH: u32 = 400;
-/// Most nodes that one evaluation may visit.
+/// Largest number of nodes that one evaluation may visit.
 const MAX_STEPS: u32 = 200_000;
 
-/// The ads that an expression is evaluated against, and the time.
+/// The ads that an expression is evaluated against, and the current time.
 #[derive(Clone, Copy, Debug)]
 pub struct Scope<'a> {
     /// The ad that the expression belongs to.
     pub my: &'a Ad,
-    /// The other ad of a match.
+    /// The other ad of a match, if there is one.
     pub target: Option<&'a Ad>,
-    /// Seconds since 1970, the value of `time()`.
+    /// The value of `time()`, in seconds since 1970-01-01.
     pub now: i64,
 }
 
 impl<'a> Scope<'a> {
-    /// The value of an expression of `my`; `error` if it nests too deep, refers to itself
-    /// or takes too many steps.
+    /// Evaluates an expression of `my`; the value is `error` if the expression is nested
+    /// too deep, refers to itself or takes too many steps.
     pub fn evaluate(self, expr: &'a Expr) -> Value {
         let mut evaluator = Evaluator {
             scope: self,
@@ -34,23 +34,24 @@
             steps: 0,
             enclosing_ads: Vec::new(),
         };
-        evaluator.node(expr, expr.root())
+        evaluator.evaluate_node(expr, expr.root())
     }
 
-    /// The value of an attribute of `my`; `undefined` if it has none of that name.
+    /// Evaluates an attribute of `my`; the value is `undefined` if the ad has no attribute
+    /// with that name.
     pub fn attribute(self, name: NameId) -> Value {
         self.my
             .get(name)
             .map_or(Value::Undefined, |expr| self.evaluate(expr))
     }
 
-    /// Whether an expression is true; `undefined` and `error` are not.
+    /// Returns whether an expression is true; `undefined` and `error` are not true.
     pub fn holds(self, expr: &'a Expr) -> bool {
         self.evaluate(expr).truth() == Some(true)
     }
 }
 
-/// A nested ad under evaluation: the expression that it is part of, and its attributes.
+/// A nested ad under evaluation: the expression that contains it, and the ad's attributes.
 type EnclosingAd<'a> = (&'a Expr, &'a [(NameId, NodeId)]);
 
 /// The state of one evaluation.
@@ -58,63 +59,67 @@
     scope: Scope<'a>,
     depth: u32,
     steps: u32,
-    /// Nested ads around the node under evaluation, the innermost last.
+    /// Nested ads that enclose the current node, the innermost last.
     enclosing_ads: Vec<EnclosingAd<'a>>,
 }
 
 impl<'a> Evaluator<'a> {
-    /// The value of a node, within the bounds of depth and steps.
-    fn node(&mut self, expr: &'a Expr, id: NodeId) -> Value {
+    /// Evaluates a node, within the bounds on depth and steps.
+    fn evaluate_node(&mut self, expr: &'a Expr, id: NodeId) -> Value {
         self.steps += 1;
         if self.steps > MAX_STEPS || self.depth > MAX_DEPTH {
-            // Cyclic references end here too.
+            // Cyclic references exceed these bounds too.
             return Value::Error;
         }
         self.depth += 1;
-        let value = self.unbounded(expr, id);
+        let value = self.evaluate_node_unbounded(expr, id);
         self.depth -= 1;
         value
     }
 
-    fn unbounded(&mut self, expr: &'a Expr, id: NodeId) -> Value {
+    fn evaluate_node_unbounded(&mut self, expr: &'a Expr, id: NodeId) -> Value {
         let Some(node) = expr.nodes().get(id.index()) else {
             return Value::Error;
         };
         match node {
             Node::Constant(value) => value.clone(),
             Node::Attribute(side, name) => self.attribute(*side, *name),
-            Node::Unary(op, operand) => op.apply(&self.node(expr, *operand)),
-            Node::Binary(BinaryOp::And, left, right) => self.logic(expr, *left, *right, false),
-            Node::Binary(BinaryOp::Or, left, right) => self.logic(expr, *left, *right, true),
+            Node::Unary(op, operand) => op.apply(&self.evaluate_node(expr, *operand)),
+            Node::Binary(BinaryOp::And, left, right) => {
+                self.evaluate_logic(expr, *left, *right, false)
+            }
+            Node::Binary(BinaryOp::Or, left, right) => {
+                self.evaluate_logic(expr, *left, *right, true)
+            }
             Node::Binary(op, left, right) => {
-                let left = self.node(expr, *left);
-                op.apply(&left, &self.node(expr, *right))
+                let left = self.evaluate_node(expr, *left);
+                op.apply(&left, &self.evaluate_node(expr, *right))
             }
             Node::Conditional(condition, yes, no) => self.conditional(expr, *condition, *yes, *no),
-            Node::Elvis(value, default) => match self.node(expr, *value) {
-                Value::Undefined => self.node(expr, *default),
+            Node::Elvis(value, default) => match self.evaluate_node(expr, *value) {
+                Value::Undefined => self.evaluate_node(expr, *default),
                 value => value,
             },
             Node::Call(function, arguments) => self.call(*function, expr, arguments),
             Node::List(items) => {
-                let items = items.iter().map(|&item| self.node(expr, item));
+                let items = items.iter().map(|&item| self.evaluate_node(expr, item));
                 Value::List(items.collect())
             }
             Node::Ad(attributes) => self.nested_ad(expr, attributes),
             Node::Index(list, index) => {
-                let list = self.node(expr, *list);
-                item_at(&list, &self.node(expr, *index))
+                let list = self.evaluate_node(expr, *list);
+                item_at(&list, &self.evaluate_node(expr, *index))
             }
-            Node::Select(ad, name) => select(&self.node(expr, *ad), *name),
+            Node::Select(ad, name) => select(&self.evaluate_node(expr, *ad), *name),
         }
     }
 
     fn conditional(&mut self, expr: &'a Expr, condition: NodeId, yes: NodeId, no: NodeId) -> Value {
-        match self.node(expr, condition) {
+        match self.evaluate_node(expr, condition) {
             Value::Undefined => Value::Undefined,
             condition => match condition.truth() {
-                Some(true) => self.node(expr, yes),
-                Some(false) => self.node(expr, no),
+                Some(true) => self.evaluate_node(expr, yes),
+                Some(false) => self.evaluate_node(expr, no),
                 None => Value::Error,
             },
         }
@@ -124,14 +129,14 @@
         self.enclosing_ads.push((expr, attributes));
         let values: Vec<(NameId, Value)> = attributes
             .iter()
-            .map(|&(name, attribute)| (name, self.node(expr, attribute)))
+            .map(|&(name, attribute)| (name, self.evaluate_node(expr, attribute)))
             .collect();
         self.enclosing_ads.pop();
         Value::Ad(values.into())
     }
 
-    /// The value of a function call. Functions that take exceptional values or need not
-    /// evaluate all of their arguments are handled here, all others are strict.
+    /// Evaluates a function call. Functions that accept exceptional values or need not
+    /// evaluate all of their arguments are handled here; all others are strict.
     fn call(&mut self, function: Function, expr: &'a Expr, arguments: &[NodeId]) -> Value {
         if let (Function::IfThenElse, &[condition, yes, no]) = (function, arguments) {
             return self.conditional(expr, condition, yes, no);
@@ -149,14 +154,17 @@
             _ => None,
         };
         if let (Some(type_test), &[argument]) = (type_test, arguments) {
-            return Value::Bool(type_test(&self.node(expr, argument)));
+            return Value::Bool(type_test(&self.evaluate_node(expr, argument)));
         }
-        let arguments: Vec<Value> = arguments.iter().map(|&id| self.node(expr, id)).collect();
+        let arguments: Vec<Value> = arguments
+            .iter()
+            .map(|&id| self.evaluate_node(expr, id))
+            .collect();
         builtins::call(function, &arguments)
     }
 
-    /// The value of an attribute reference: looked up in the enclosing nested ads, then
-    /// in this ad, then in the other one, as far as its scope allows.
+    /// Evaluates an attribute reference. The name is looked up in the enclosing nested ads,
+    /// then in `my`, then in the target, as far as the scope of the reference allows.
     fn attribute(&mut self, side: Side, name: NameId) -> Value {
         if side == Side::Any
             && let Some(value) = self.attribute_of_enclosing_ad(name)
@@ -166,20 +174,20 @@
         let Scope { my, target, now } = self.scope;
         let own = my.get(name).filter(|_| side != Side::Target);
         if let Some(expr) = own {
-            return self.in_scope(expr, self.scope);
+            return self.evaluate_in_scope(expr, self.scope);
         }
         let Some(target) = target.filter(|_| side != Side::My) else {
             return Value::Undefined;
         };
         match target.get(name) {
-            // From the other ad's point of view, that ad is its own.
+            // An expression of the target is evaluated with the target as its own ad.
             Some(expr) => {
                 let reversed = Scope {
                     my: target,
                     target: Some(my),
                     now,
                 };
-                self.in_scope(expr, reversed)
+                self.evaluate_in_scope(expr, reversed)
             }
             None => Value::Undefined,
         }
@@ -189,9 +197,10 @@
         for level in (0..self.enclosing_ads.len()).rev() {
             let (expr, attributes) = self.enclosing_ads[level];
             if let Some(&(_, attribute)) = attributes.iter().find(|(n, _)| *n == name) {
-                // The attribute is not inside the ads further in.
+                // The attribute's expression is outside of the ads that are nested further
+                // inside.
                 let inner_ads = self.enclosing_ads.split_off(level + 1);
-                let value = self.node(expr, attribute);
+                let value = self.evaluate_node(expr, attribute);
                 self.enclosing_ads.extend(inner_ads);
                 return Some(value);
             }
@@ -199,21 +208,28 @@
         None
     }
 
-    /// The value of an attribute's expression, which is outside of all nested ads.
-    fn in_scope(&mut self, expr: &'a Expr, scope: Scope<'a>) -> Value {
+    /// Evaluates an attribute's expression, which is outside of all nested ads.
+    fn evaluate_in_scope(&mut self, expr: &'a Expr, scope: Scope<'a>) -> Value {
         let outer_scope = std::mem::replace(&mut self.scope, scope);
         let enclosing_ads = std::mem::take(&mut self.enclosing_ads);
-        let value = self.node(expr, expr.root());
+        let value = self.evaluate_node(expr, expr.root());
         self.enclosing_ads = enclosing_ads;
         self.scope = outer_scope;
         value
     }
 
-    /// `&&`, which a `false` operand decides, or `||`, which a `true` one does: `decisive`
-    /// is that truth value. A decisive first operand leaves the second unevaluated; a
-    /// decisive second operand outweighs an `undefined` first one.
-    fn logic(&mut self, expr: &'a Expr, left: NodeId, right: NodeId, decisive: bool) -> Value {
-        let left = match self.node(expr, left) {
+    /// Evaluates `&&`, whose result a `false` operand decides, or `||`, whose result a
+    /// `true` operand decides: `decisive` is that truth value. After a decisive first
+    /// operand the second is not evaluated; a decisive second operand takes precedence over
+    /// an `undefined` first one.
+    fn evaluate_logic(
+        &mut self,
+        expr: &'a Expr,
+        left: NodeId,
+        right: NodeId,
+        decisive: bool,
+    ) -> Value {
+        let left = match self.evaluate_node(expr, left) {
             Value::Undefined => None,
             value => match value.truth() {
                 Some(truth) if truth == decisive => return Value::Bool(decisive),
@@ -221,7 +237,7 @@
                 None => return Value::Error,
             },
         };
-        match self.node(expr, right) {
+        match self.evaluate_node(expr, right) {
             Value::Undefined => Value::Undefined,
             value => match (value.truth(), left) {
                 (Some(truth), _) if truth == decisive => Value::Bool(decisive),
@@ -233,7 +249,7 @@
     }
 }
 
-/// `list[index]`; `error` for an index out of bounds.
+/// Evaluates `list[index]`; the value is `error` for an index out of bounds.
 fn item_at(list: &Value, index: &Value) -> Value {
     if let Some(value) = list.exceptional_with(index) {
         return value;
@@ -246,7 +262,7 @@
     item.cloned().unwrap_or(Value::Error)
 }
 
-/// `ad.name`; `undefined` if the ad has no such attribute.
+/// Evaluates `ad.name`; the value is `undefined` if the ad has no such attribute.
 fn select(ad: &Value, name: NameId) -> Value {
     match ad {
         Value::Ad(attributes) => {
--- a/crates/cherryyard-classad/src/expr.rs
+++ b/crates/cherryyard-classad/src/expr.rs
@@ -1,16 +1,17 @@
-//! Expressions as flat lists of nodes.
+//! Represents expressions as flat lists of nodes.
 
 use crate::function::Function;
 use crate::names::NameId;
 use crate::operator::{BinaryOp, UnaryOp};
 use crate::value::Value;
 
-/// Which ad an attribute is looked up in.
+/// The ad in which an attribute is looked up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// No scope is written: this ad, or the other one if this has no such attribute.
+    /// No scope is written: the ad that the expression belongs to, or the other ad of the
+    /// match if the first has no such attribute.
     Any,
-    /// `MY.`: this ad.
+    /// `MY.`: the ad that the expression belongs to.
     My,
     /// `TARGET.`: the other ad of the match.
     Target,
@@ -26,7 +27,7 @@
     }
 }
 
-/// One node of an expression; operands stand before it in the list.
+/// One node of an expression; its operands precede it in the list of nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Node {
     /// A literal or computed value.
@@ -53,21 +54,21 @@
     Select(NodeId, NameId),
 }
 
-/// An expression: each node stands after its operands, and the last is the root.
+/// An expression: each node follows its operands, and the last node is the root.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expr {
     pub(crate) nodes: Vec<Node>,
 }
 
 impl Expr {
-    /// A constant.
+    /// Creates an expression that is a constant.
     pub fn constant(value: Value) -> Self {
         Self {
             nodes: vec![Node::Constant(value)],
         }
     }
 
-    /// The nodes, each after its operands.
+    /// Returns the nodes, each of which follows its operands.
     pub fn nodes(&self) -> &[Node] {
         &self.nodes
     }
@@ -76,12 +77,12 @@
         &self.nodes[id.index()]
     }
 
-    /// The position of the root.
+    /// Returns the position of the root.
     pub(crate) fn root(&self) -> NodeId {
         NodeId(self.nodes.len() as u32 - 1)
     }
 
-    /// The value, if the expression is a constant.
+    /// Returns the value if the expression is a constant.
     pub fn as_constant(&self) -> Option<&Value> {
         match self.nodes.as_slice() {
             [Node::Constant(value)] => Some(value),
@@ -89,8 +90,8 @@
         }
     }
 
-    /// The operands of the expression's outermost `&&`s, all of which must hold for the
-    /// expression to; the expression itself if it is no conjunction.
+    /// Returns the operands of the outermost `&&` operators, all of which must be true for
+    /// the expression to be true; the expression itself if it is not a conjunction.
     pub fn clauses(&self) -> Vec<Self> {
         let mut pending = vec![self.root()];
         let mut clauses = Vec::new();
@@ -105,15 +106,16 @@
         clauses
     }
 
-    /// Whether all of its attribute references are to the other ad of a match.
-    pub fn is_of_target(&self) -> bool {
-        let is_of_target =
+    /// Returns whether all attribute references are to the other ad of a match; an
+    /// expression with nested ads does not count as such.
+    pub fn refers_only_to_target(&self) -> bool {
+        let refers_only_to_target =
             |node: &Node| !matches!(node, Node::Attribute(Side::My | Side::Any, _) | Node::Ad(_));
-        self.nodes.iter().all(is_of_target)
+        self.nodes.iter().all(refers_only_to_target)
     }
 
-    /// Names of the attributes of the other ad that it may refer to, each once, in the
-    /// order in which they appear.
+    /// Returns the names of the attributes of the other ad that the expression may refer
+    /// to, each once, in the order in which they appear.
     pub fn attributes(&self) -> Vec<NameId> {
         let mut pending = vec![self.root()];
         let mut names = Vec::new();
--- a/crates/cherryyard-classad/src/fold.rs
+++ b/crates/cherryyard-classad/src/fold.rs
@@ -1,4 +1,4 @@
-//! Constant folding: what depends on one ad alone is evaluated once.
+//! Folds constants: evaluates once the parts of an expression that depend on one ad alone.
 
 use crate::ad::Ad;
 use crate::eval::Scope;
@@ -7,24 +7,26 @@
 use crate::operator::BinaryOp;
 use crate::value::Value;
 
-/// Most nodes and attribute references that may be nested; an expression beyond it stays
-/// as it is.
+/// Largest nesting depth of nodes and attribute references; an expression beyond it is
+/// returned unchanged.
 const MAX_DEPTH: u32 = 60;
-/// Most nodes of a folded expression; one beyond it stays as it is.
+/// Largest number of nodes of a folded expression; an expression beyond it is returned
+/// unchanged.
 const MAX_NODES: usize = 20_000;
 
-/// An expression of `my` in which all that `my` alone decides is replaced by its value,
-/// and the other attributes of `my` by their expressions. Evaluated against any target,
-/// with the same `my` or an empty one, it yields the same value. `time()` is not folded.
+/// Returns an expression of `my` in which all parts that `my` alone decides are replaced by
+/// their values, and the other attributes of `my` by their expressions. Evaluated against
+/// any target, with the same `my` or an empty one, the result yields the same value.
+/// `time()` is not folded.
 ///
-/// An expression that is too large to fold, or has nested ads, is returned as it is.
+/// An expression that is too large to fold, or contains nested ads, is returned unchanged.
 pub fn fold(expr: &Expr, my: &Ad) -> Expr {
     let mut folder = Folder {
         my,
         nodes: Vec::new(),
         depth: 0,
     };
-    match folder.node(expr, expr.root()) {
+    match folder.fold_node(expr, expr.root()) {
         Some(Folded::Value(value)) => Expr::constant(value),
         Some(Folded::Node(_)) => Expr {
             nodes: folder.nodes,
@@ -33,15 +35,16 @@
     }
 }
 
-/// What a node is folded to.
+/// The result of folding a node.
 enum Folded {
-    /// It does not depend on the target.
+    /// The value of a node that does not depend on the target.
     Value(Value),
-    /// It does; its position among the new nodes.
+    /// The position, among the new nodes, of a node that depends on the target.
     Node(NodeId),
 }
 
-/// Folds an expression; its methods return `None` for one that has to stay as it is.
+/// Folds an expression; its methods return `None` for an expression that has to stay
+/// unchanged.
 struct Folder<'a> {
     my: &'a Ad,
     /// The nodes of the folded expression.
@@ -59,122 +62,138 @@
         self.push(node).map(Folded::Node)
     }
 
-    /// The position of a folded operand, whose value becomes a node if it is one.
-    fn position(&mut self, folded: Folded) -> Option<NodeId> {
+    /// Returns the position of a folded operand, and adds a node for the operand if it is a
+    /// value.
+    fn node_id(&mut self, folded: Folded) -> Option<NodeId> {
         match folded {
             Folded::Node(id) => Some(id),
             Folded::Value(value) => self.push(Node::Constant(value)),
         }
     }
 
-    fn node(&mut self, expr: &Expr, id: NodeId) -> Option<Folded> {
+    fn fold_node(&mut self, expr: &Expr, id: NodeId) -> Option<Folded> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
             return None;
         }
-        let folded = self.unbounded(expr, expr.nodes().get(id.index())?);
+        let folded = self.fold_node_unbounded(expr, expr.nodes().get(id.index())?);
         self.depth -= 1;
         folded
     }
 
-    fn operands(&mut self, expr: &Expr, operands: &[NodeId]) -> Option<Vec<Folded>> {
-        operands.iter().map(|&id| self.node(expr, id)).collect()
+    fn fold_operands(&mut self, expr: &Expr, operands: &[NodeId]) -> Option<Vec<Folded>> {
+        operands
+            .iter()
+            .map(|&id| self.fold_node(expr, id))
+            .collect()
     }
 
-    fn unbounded(&mut self, expr: &Expr, node: &Node) -> Option<Folded> {
+    fn fold_node_unbounded(&mut self, expr: &Expr, node: &Node) -> Option<Folded> {
         match node {
             Node::Constant(value) => Some(Folded::Value(value.clone())),
             Node::Attribute(side, name) => match self.my.get(*name) {
-                Some(own) if *side != Side::Target => self.node(own, own.root()),
+                Some(own) if *side != Side::Target => self.fold_node(own, own.root()),
                 _ if *side == Side::My => Some(Folded::Value(Value::Undefined)),
                 _ => self.push_folded(Node::Attribute(Side::Target, *name)),
             },
             Node::Unary(op, operand) => {
-                let operands = self.operands(expr, &[*operand])?;
-                self.join(operands, |ids| Node::Unary(*op, ids[0]))
+                let operands = self.fold_operands(expr, &[*operand])?;
+                self.rebuild(operands, |ids| Node::Unary(*op, ids[0]))
+            }
+            Node::Binary(op, left, right) => self.fold_binary(expr, *op, *left, *right),
+            Node::Conditional(condition, yes, no) => {
+                self.fold_conditional(expr, *condition, *yes, *no)
             }
-            Node::Binary(op, left, right) => self.binary(expr, *op, *left, *right),
-            Node::Conditional(condition, yes, no) => self.conditional(expr, *condition, *yes, *no),
-            Node::Elvis(value, default) => self.elvis(expr, *value, *default),
+            Node::Elvis(value, default) => self.fold_elvis(expr, *value, *default),
             Node::Call(Function::Time, _) => {
                 self.push_folded(Node::Call(Function::Time, Box::new([])))
             }
             Node::Call(function, arguments) => {
-                let arguments = self.operands(expr, arguments)?;
-                self.join(arguments, |ids| Node::Call(*function, ids.into()))
+                let arguments = self.fold_operands(expr, arguments)?;
+                self.rebuild(arguments, |ids| Node::Call(*function, ids.into()))
             }
             Node::List(items) => {
-                let items = self.operands(expr, items)?;
-                self.join(items, |ids| Node::List(ids.into()))
+                let items = self.fold_operands(expr, items)?;
+                self.rebuild(items, |ids| Node::List(ids.into()))
             }
-            // The names in it refer to its own attributes first.
+            // Names inside a nested ad refer to that ad's own attributes first.
             Node::Ad(_) => None,
             Node::Index(list, index) => {
-                let operands = self.operands(expr, &[*list, *index])?;
-                self.join(operands, |ids| Node::Index(ids[0], ids[1]))
+                let operands = self.fold_operands(expr, &[*list, *index])?;
+                self.rebuild(operands, |ids| Node::Index(ids[0], ids[1]))
             }
             Node::Select(ad, name) => {
-                let operands = self.operands(expr, &[*ad])?;
-                self.join(operands, |ids| Node::Select(ids[0], *name))
+                let operands = self.fold_operands(expr, &[*ad])?;
+                self.rebuild(operands, |ids| Node::Select(ids[0], *name))
             }
         }
     }
 
-    fn binary(&mut self, expr: &Expr, op: BinaryOp, left: NodeId, right: NodeId) -> Option<Folded> {
-        let left = self.node(expr, left)?;
+    fn fold_binary(
+        &mut self,
+        expr: &Expr,
+        op: BinaryOp,
+        left: NodeId,
+        right: NodeId,
+    ) -> Option<Folded> {
+        let left = self.fold_node(expr, left)?;
         if let Folded::Value(value) = &left
             && let Some(result) = decided_by_first(op, value)
         {
             return Some(Folded::Value(result));
         }
-        let right = self.node(expr, right)?;
-        self.join(vec![left, right], |ids| Node::Binary(op, ids[0], ids[1]))
+        let right = self.fold_node(expr, right)?;
+        self.rebuild(vec![left, right], |ids| Node::Binary(op, ids[0], ids[1]))
     }
 
-    fn conditional(
+    fn fold_conditional(
         &mut self,
         expr: &Expr,
         condition: NodeId,
         yes: NodeId,
         no: NodeId,
     ) -> Option<Folded> {
-        match self.node(expr, condition)? {
+        match self.fold_node(expr, condition)? {
             Folded::Value(Value::Undefined) => Some(Folded::Value(Value::Undefined)),
             Folded::Value(value) => match value.truth() {
-                Some(true) => self.node(expr, yes),
-                Some(false) => self.node(expr, no),
+                Some(true) => self.fold_node(expr, yes),
+                Some(false) => self.fold_node(expr, no),
                 None => Some(Folded::Value(Value::Error)),
             },
             condition @ Folded::Node(_) => {
-                let (yes, no) = (self.node(expr, yes)?, self.node(expr, no)?);
-                self.join(vec![condition, yes, no], |ids| {
+                let (yes, no) = (self.fold_node(expr, yes)?, self.fold_node(expr, no)?);
+                self.rebuild(vec![condition, yes, no], |ids| {
                     Node::Conditional(ids[0], ids[1], ids[2])
                 })
             }
         }
     }
 
-    fn elvis(&mut self, expr: &Expr, value: NodeId, default: NodeId) -> Option<Folded> {
-        match self.node(expr, value)? {
-            Folded::Value(Value::Undefined) => self.node(expr, default),
+    fn fold_elvis(&mut self, expr: &Expr, value: NodeId, default: NodeId) -> Option<Folded> {
+        match self.fold_node(expr, value)? {
+            Folded::Value(Value::Undefined) => self.fold_node(expr, default),
             Folded::Value(value) => Some(Folded::Value(value)),
             value @ Folded::Node(_) => {
-                let default = self.node(expr, default)?;
-                self.join(vec![value, default], |ids| Node::Elvis(ids[0], ids[1]))
+                let default = self.fold_node(expr, default)?;
+                self.rebuild(vec![value, default], |ids| Node::Elvis(ids[0], ids[1]))
             }
         }
     }
 
-    /// The node that `build` makes of these operands' positions; its value if all of the
-    /// operands are values.
-    fn join(&mut self, operands: Vec<Folded>, build: impl Fn(&[NodeId]) -> Node) -> Option<Folded> {
+    /// Returns the node that `build` creates from these operands' positions, or its value
+    /// if all of the operands are values.
+    fn rebuild(
+        &mut self,
+        operands: Vec<Folded>,
+        build: impl Fn(&[NodeId]) -> Node,
+    ) -> Option<Folded> {
         let depends_on_target = operands
             .iter()
             .any(|operand| matches!(operand, Folded::Node(_)));
         if depends_on_target {
             let ids: Option<Vec<NodeId>> = operands
                 .into_iter()
-                .map(|operand| self.position(operand))
+                .map(|operand| self.node_id(operand))
                 .collect();
             return self.push_folded(build(&ids?));
         }
@@ -197,7 +216,7 @@
     }
 }
 
-/// The result of `&&` or `||` if its first operand alone decides it.
+/// Returns the result of `&&` or `||` if the first operand alone decides it.
 fn decided_by_first(op: BinaryOp, first: &Value) -> Option<Value> {
     let decisive = match op {
         BinaryOp::And => false,
--- a/crates/cherryyard-classad/src/function.rs
+++ b/crates/cherryyard-classad/src/function.rs
@@ -1,12 +1,12 @@
-//! The names and arities of the language's functions.
+//! Lists the names and arities of the language's functions.
 
-/// No function has this name.
+/// The error that no function has this name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no function `{0}`")]
 pub struct UnknownFunction(pub String);
 
 macro_rules! functions {
-    ($($variant:ident $name:literal $least:literal $most:literal,)*) => {
+    ($($variant:ident $name:literal $min_arguments:literal $max_arguments:literal,)*) => {
         /// A function of the language.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Function {
@@ -20,9 +20,10 @@
             /// All functions.
             pub const ALL: &[Self] = &[$(Self::$variant,)*];
 
-            /// The least and the greatest number of arguments that it takes.
+            /// Returns the smallest and the largest number of arguments that the function
+            /// takes.
             pub fn arity(self) -> (usize, usize) {
-                match self { $(Self::$variant => ($least, $most),)* }
+                match self { $(Self::$variant => ($min_arguments, $max_arguments),)* }
             }
         }
 
@@ -89,7 +90,7 @@
 impl std::str::FromStr for Function {
     type Err = UnknownFunction;
 
-    /// The function with this name, whatever its case.
+    /// Finds the function with this name, ignoring case.
     fn from_str(name: &str) -> Result<Self, UnknownFunction> {
         let has_name = |function: &&Self| <&str>::from(**function).eq_ignore_ascii_case(name);
         let found = Self::ALL.iter().find(has_name).copied();
--- a/crates/cherryyard-classad/src/lib.rs
+++ b/crates/cherryyard-classad/src/lib.rs
@@ -1,15 +1,17 @@
-//! ClassAd expressions, the language of HTCondor's `requirements` and `rank`.
+//! Parses and evaluates ClassAd expressions, the language of HTCondor's `requirements` and
+//! `rank`.
 //!
-//! An expression is parsed once ([`Expr::parse`]) into a flat list of nodes whose
-//! attribute names are interned ([`Names`]). Evaluating it ([`Scope::evaluate`])
-//! allocates nothing for numbers and booleans; an evaluation that goes too deep or takes
-//! too many steps yields `error`. [`fold`] evaluates in advance what depends on one ad
-//! alone, so that matching against many machines costs only what depends on them.
-//! `docs/condor.md` says which published version of the language this is.
+//! An expression is parsed once ([`Expr::parse`]) into a flat list of nodes whose attribute
+//! names are interned ([`Names`]). The evaluation of an expression ([`Scope::evaluate`])
+//! allocates nothing for numbers and booleans; an evaluation that is nested too deep or
+//! takes too many steps yields `error`. [`fold`] evaluates in advance the parts that depend
+//! on one ad alone, so that matching against many machines evaluates only the parts that
+//! depend on the machine. `docs/condor.md` names the published version of the language.
 //!
 //! The modules in the order of their dependencies: `names`, `value`, `operator` and
-//! `function` are the vocabulary; `expr` and `ad` the syntax tree; `parse` and `print`
-//! convert it from and to text; `builtins`, `eval` and `fold` give it its meaning.
+//! `function` define the elements of the language; `expr` and `ad` the syntax tree; `parse`
+//! and `print` convert the tree from and to text; `builtins`, `eval` and `fold` evaluate
+//! it.
 
 mod ad;
 mod builtins;
--- a/crates/cherryyard-classad/src/names.rs
+++ b/crates/cherryyard-classad/src/names.rs
@@ -1,12 +1,12 @@
-//! Interning of attribute names, which are compared without regard to case.
+//! Interns attribute names, which are compared ignoring case.
 
 use indexmap::IndexMap;
 
-/// An interned attribute name; meaningful only with the [`Names`] that issued it.
+/// An interned attribute name; valid only with the [`Names`] that issued it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NameId(pub(crate) u32);
 
-/// Interns attribute names: spellings that differ in case only share one id.
+/// Interns attribute names: spellings that differ only in case share one id.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// The first spelling of each name, by the name in lower case.
@@ -14,7 +14,7 @@
 }
 
 impl Names {
-    /// The id of `name`; a new one if the name was unknown.
+    /// Returns the id of `name`, a new one if the name was unknown.
     pub fn intern(&mut self, name: &str) -> NameId {
         let entry = self.spellings.entry(name.to_ascii_lowercase());
         let index = entry.index();
@@ -22,13 +22,14 @@
         NameId(index as u32)
     }
 
-    /// The id of `name`, if it is known.
+    /// Returns the id of `name`, if the name is known.
     pub fn get(&self, name: &str) -> Option<NameId> {
         let index = self.spellings.get_index_of(&name.to_ascii_lowercase())?;
         Some(NameId(index as u32))
     }
 
-    /// The name with this id, as it was first spelled; empty for an id issued elsewhere.
+    /// Returns the name with this id, in its first spelling; empty for an id issued by
+    /// another [`Names`].
     pub fn name(&self, id: NameId) -> &str {
         self.spellings
             .get_index(id.0 as usize)
--- a/crates/cherryyard-classad/src/operator.rs
+++ b/crates/cherryyard-classad/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: how they are written, how tightly they bind, and what they compute.
+//! Defines the operators: their symbols, their precedence, and their results.
 
 use crate::value::{NumericPair, Value};
 use std::cmp::Ordering;
@@ -17,7 +17,7 @@
 }
 
 impl UnaryOp {
-    /// How it is written.
+    /// Returns the operator's symbol.
     pub fn symbol(self) -> char {
         match self {
             Self::Minus => '-',
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The result for an evaluated operand.
+    /// Computes the result for an evaluated operand.
     pub(crate) fn apply(self, operand: &Value) -> Value {
         match (self, operand) {
             (_, Value::Undefined) => Value::Undefined,
@@ -91,7 +91,8 @@
 }
 
 impl BinaryOp {
-    /// How it is written, and its precedence: a higher one binds more tightly.
+    /// Returns the operator's symbol and its precedence: a higher precedence binds more
+    /// tightly.
     pub fn symbol_and_precedence(self) -> (&'static str, u8) {
         match self {
             Self::Or => ("||", 1),
@@ -118,7 +119,8 @@
         }
     }
 
-    /// The comparison with this symbol, as `anyCompare` and `allCompare` take it.
+    /// Returns the comparison with this symbol, as written in arguments of `anyCompare` and
+    /// `allCompare`.
     pub(crate) fn comparison(symbol: &str) -> Option<Self> {
         Some(match symbol {
             "<" => Self::Lt,
@@ -133,7 +135,7 @@
         })
     }
 
-    /// The result for two evaluated operands.
+    /// Computes the result for two evaluated operands.
     pub(crate) fn apply(self, left: &Value, right: &Value) -> Value {
         match self {
             Self::Is => return Value::Bool(left.identical(right)),
@@ -161,8 +163,8 @@
             Self::Shl => shift(left, right, i64::wrapping_shl),
             Self::Shr => shift(left, right, i64::wrapping_shr),
             Self::Ushr => shift(left, right, |n, by| (n as u64).wrapping_shr(by) as i64),
-            // The evaluator decides these, as they do not need both operands; `is` and
-            // `isnt` have been decided above.
+            // The evaluator handles `&&` and `||`, which do not need both operands; `is`
+            // and `isnt` are handled above.
             Self::And | Self::Or | Self::Is | Self::Isnt => Value::Error,
         }
     }
@@ -173,7 +175,7 @@
     ordering.map_or(Value::Error, |ordering| Value::Bool(holds(ordering)))
 }
 
-/// An integer operation that wraps on overflow, in the form of one that may fail.
+/// Converts an integer operation that wraps on overflow to the type of one that may fail.
 fn wrapping(operation: impl Fn(i64, i64) -> i64) -> impl Fn(i64, i64) -> Option<i64> {
     move |a, b| Some(operation(a, b))
 }
--- a/crates/cherryyard-classad/src/parse/builder.rs
+++ b/crates/cherryyard-classad/src/parse/builder.rs
@@ -1,4 +1,4 @@
-//! From the grammar's pairs to the nodes of an expression.
+//! Converts the grammar's pairs to the nodes of an expression.
 
 use super::error::{ParseError, ParseErrorKind};
 use super::grammar::{OPERATORS, Rule, binary_operator};
@@ -11,21 +11,21 @@
 use crate::value::Value;
 use pest::iterators::Pair;
 
-/// Collects the nodes of one expression.
+/// Builds the list of nodes of one expression.
 pub(super) struct Builder<'a> {
-    /// The whole text, for positions of errors.
+    /// The whole text, for the positions of errors.
     text: &'a str,
     names: &'a mut Names,
     nodes: Vec<Node>,
 }
 
-/// Operands and operators as a tree by precedence.
+/// A tree of operands and operators, structured by precedence.
 enum OperatorTree<'i> {
     Operand(Pair<'i, Rule>),
     Operator(BinaryOp, Box<OperatorTree<'i>>, Box<OperatorTree<'i>>),
 }
 
-/// A step of building an operator tree, whose left branch may be long.
+/// A step in converting an operator tree, whose left branch may be long, to nodes.
 enum TreeStep<'i> {
     Visit(OperatorTree<'i>),
     Join(BinaryOp),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The expression of a pair of the rule `expr`.
+    /// Builds the expression of a pair of the rule `expr`.
     pub(super) fn build(mut self, pair: Pair<'_, Rule>) -> Result<Expr, ParseError> {
         self.expr(pair, 0)?;
         Ok(Expr { nodes: self.nodes })
@@ -64,7 +64,8 @@
     }
 
     fn expr(&mut self, pair: Pair<'_, Rule>, depth: usize) -> Result<NodeId, ParseError> {
-        // Conditionals nest without brackets.
+        // Conditionals nest without brackets and add to the depth of brackets, hence the
+        // factor of two.
         if depth > 2 * MAX_DEPTH {
             return Err(self.error(&pair, ParseErrorKind::TooDeep));
         }
@@ -79,7 +80,7 @@
         let rule = conditional.as_rule();
         let branches = self.exprs(conditional.into_inner(), depth + 1)?;
         Ok(match (rule, &*branches) {
-            (Rule::choice, &[yes, no]) => self.push(Node::Conditional(first, yes, no)),
+            (Rule::conditional, &[yes, no]) => self.push(Node::Conditional(first, yes, no)),
             (_, &[default, ..]) => self.push(Node::Elvis(first, default)),
             (_, []) => first,
         })
@@ -96,8 +97,8 @@
                 OperatorTree::Operator(operator, Box::new(left), Box::new(right))
             })
             .parse(pair.into_inner());
-        // A chain of operators leans to the left and may be long: an explicit stack takes
-        // the place of recursion. Operands are visited in the order of the text.
+        // The tree of a chain of operators is deep on its left side and may be long: an
+        // explicit stack replaces recursion. Operands are visited in the order of the text.
         let mut steps = vec![TreeStep::Visit(tree)];
         let mut built = Vec::new();
         while let Some(step) = steps.pop() {
@@ -203,7 +204,8 @@
         }
     }
 
-    /// An attribute reference: `name`, `MY.name`, `TARGET.name`, or `.name` for `MY.name`.
+    /// Builds an attribute reference: `name`, `MY.name`, `TARGET.name`, or `.name` for
+    /// `MY.name`.
     fn attribute(&mut self, pair: Pair<'_, Rule>) -> Node {
         if pair.as_rule() == Rule::name {
             return Node::Attribute(Side::Any, self.name(&pair));
@@ -238,8 +240,8 @@
             self.error(pair, ParseErrorKind::UnknownFunction(name))
         })?;
         let arguments = self.exprs(parts, depth)?;
-        let (least, most) = function.arity();
-        if arguments.len() < least || arguments.len() > most {
+        let (min_arguments, max_arguments) = function.arity();
+        if arguments.len() < min_arguments || arguments.len() > max_arguments {
             let kind = ParseErrorKind::ArgumentCount {
                 function: name.to_string(),
                 given: arguments.len(),
@@ -249,7 +251,7 @@
         Ok(Node::Call(function, arguments))
     }
 
-    /// The id of a name, which may be quoted.
+    /// Returns the id of a name, which may be quoted.
     pub(super) fn name(&mut self, pair: &Pair<'_, Rule>) -> NameId {
         let text = pair.as_str();
         let quoted = text
--- a/crates/cherryyard-classad/src/parse/check.rs
+++ b/crates/cherryyard-classad/src/parse/check.rs
@@ -1,10 +1,10 @@
-//! The check before the grammar sees a text: the grammar recurses into it.
+//! Checks the size and nesting of a text before the recursive grammar parses it.
 
 use super::error::{ParseError, ParseErrorKind};
 use super::limits::{MAX_DEPTH, MAX_GRAMMAR_STEPS, MAX_TEXT};
 use std::sync::Once;
 
-/// Refuses a text that is too long or nests too deep, before the grammar recurses into it.
+/// Refuses a text that is too long or nested too deep, before the grammar recurses into it.
 pub(super) fn check(text: &str) -> Result<(), ParseError> {
     static CALL_LIMIT: Once = Once::new();
     CALL_LIMIT.call_once(|| pest::set_call_limit(Some(MAX_GRAMMAR_STEPS)));
@@ -26,7 +26,7 @@
         if matches!(c, '"' | '\'') {
             quote = Some(c);
         }
-        nesting.see(c);
+        nesting.advance(c);
         if nesting.is_too_deep() {
             return Err(ParseError::at(text, offset, ParseErrorKind::TooDeep));
         }
@@ -34,32 +34,34 @@
     Ok(())
 }
 
-/// How deep a text nests at a point, outside of quotes.
+/// The nesting depth at a position of a text, outside of quotes.
 #[derive(Default)]
 struct Nesting {
-    brackets: usize,
-    /// Signs in a row, each of which applies to what follows it.
-    signs: usize,
-    /// Conditionals so far, which nest without brackets.
+    open_brackets: usize,
+    /// The number of consecutive signs, each of which applies to the text after it.
+    consecutive_signs: usize,
+    /// The number of conditionals so far, which nest without brackets.
     conditionals: usize,
 }
 
 impl Nesting {
-    fn see(&mut self, c: char) {
+    fn advance(&mut self, c: char) {
         if matches!(c, '-' | '+' | '!' | '~') {
-            self.signs += 1;
+            self.consecutive_signs += 1;
         } else if !c.is_whitespace() {
-            self.signs = 0;
+            self.consecutive_signs = 0;
         }
         match c {
-            '(' | '[' | '{' => self.brackets += 1,
-            ')' | ']' | '}' => self.brackets = self.brackets.saturating_sub(1),
+            '(' | '[' | '{' => self.open_brackets += 1,
+            ')' | ']' | '}' => self.open_brackets = self.open_brackets.saturating_sub(1),
             '?' => self.conditionals += 1,
             _ => {}
         }
     }
 
     fn is_too_deep(&self) -> bool {
-        self.brackets > MAX_DEPTH || self.signs > MAX_DEPTH || self.conditionals > MAX_DEPTH
+        self.open_brackets > MAX_DEPTH
+            || self.consecutive_signs > MAX_DEPTH
+            || self.conditionals > MAX_DEPTH
     }
 }
--- a/crates/cherryyard-classad/src/parse/grammar.rs
+++ b/crates/cherryyard-classad/src/parse/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar of `classad.pest`, and the precedence of its operators.
+//! Generates the parser of `classad.pest` and defines the precedence of its operators.
 
 use crate::operator::BinaryOp;
 use pest::pratt_parser::{Assoc, Op, PrattParser};
@@ -8,7 +8,7 @@
 #[grammar = "classad.pest"]
 pub(super) struct Grammar;
 
-/// Parser of operators with two operands, from the loosest to the tightest.
+/// Parser of operators with two operands, from the lowest precedence to the highest.
 pub(super) static OPERATORS: LazyLock<PrattParser<Rule>> = LazyLock::new(|| {
     let left = |rule| Op::infix(rule, Assoc::Left);
     PrattParser::new()
@@ -24,7 +24,7 @@
         .op(left(Rule::mul) | left(Rule::div) | left(Rule::rem))
 });
 
-/// The operator of an infix rule.
+/// Returns the operator of an infix rule.
 pub(super) fn binary_operator(rule: Rule) -> BinaryOp {
     match rule {
         Rule::or => BinaryOp::Or,
@@ -47,7 +47,7 @@
         Rule::sub => BinaryOp::Sub,
         Rule::mul => BinaryOp::Mul,
         Rule::div => BinaryOp::Div,
-        // The only infix rule that is left.
+        // `rem` is the only remaining infix rule.
         _ => BinaryOp::Rem,
     }
 }
--- a/crates/cherryyard-classad/src/parse/limits.rs
+++ b/crates/cherryyard-classad/src/parse/limits.rs
@@ -1,12 +1,14 @@
-//! Bounds on the texts that are parsed.
+//! Defines bounds on the texts that are parsed.
 
 use std::num::NonZeroUsize;
 
-/// Longest text that is parsed, in bytes.
+/// Largest length of a text, in bytes.
 pub(super) const MAX_TEXT: usize = 64 * 1024;
-/// Deepest nesting of brackets, signs and conditionals: parsing and evaluation recurse.
+/// Largest nesting depth of brackets, signs and conditionals: parsing and evaluation are
+/// recursive.
 pub(super) const MAX_DEPTH: usize = 100;
-/// Most operators between two brackets: evaluation recurses down a chain of them.
+/// Largest number of operators between two brackets: evaluation recurses along a chain of
+/// them.
 pub(super) const MAX_CHAIN: usize = 250;
-/// Steps of the grammar after which it gives up.
+/// Number of grammar steps after which parsing is aborted.
 pub(super) const MAX_GRAMMAR_STEPS: NonZeroUsize = NonZeroUsize::new(4_000_000).expect("not 0");
--- a/crates/cherryyard-classad/src/parse/literal.rs
+++ b/crates/cherryyard-classad/src/parse/literal.rs
@@ -1,11 +1,11 @@
-//! Literals: numbers, and escapes in strings and quoted names.
+//! Parses literals: numbers, and escapes in strings and quoted names.
 
 use crate::value::Value;
 
-/// Factors that may follow a number, by their letter, as powers of 2: `2K` is 2048.
+/// Factors that may follow a number, by their letter, as exponents of 2: `2K` is 2048.
 const FACTORS: [(char, u32); 5] = [('b', 0), ('k', 10), ('m', 20), ('g', 30), ('t', 40)];
 
-/// An integer; `None` if it does not fit into 64 bits.
+/// Parses an integer; `None` if it does not fit into 64 bits.
 pub(super) fn integer(text: &str) -> Option<Value> {
     let lower = text.to_ascii_lowercase();
     if let Some(digits) = lower.strip_prefix("0x") {
@@ -18,7 +18,7 @@
     number.checked_mul(factor).map(Value::Int)
 }
 
-/// A floating-point number.
+/// Parses a floating-point number.
 pub(super) fn real(text: &str) -> Option<Value> {
     let lower = text.to_ascii_lowercase();
     let (digits, factor) = split_factor(&lower);
@@ -35,7 +35,7 @@
     (lower, 1)
 }
 
-/// Text with its escapes replaced; an octal one is a character by number.
+/// Replaces the escapes in a text; an octal escape is the number of a character.
 pub(super) fn unescape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     let mut chars = text.chars().peekable();
@@ -58,8 +58,8 @@
     out
 }
 
-/// The character of an octal escape: up to three digits, or two if it begins with 4 or
-/// more, as it is at most `\377`.
+/// Parses an octal escape into a character: up to three digits, or two if the first is 4 or
+/// more, because the largest escape is `\377`.
 fn octal(first: char, chars: &mut std::iter::Peekable<std::str::Chars<'_>>) -> Option<char> {
     let mut number = first.to_digit(8)?;
     let more_digits = if first <= '3' { 2 } else { 1 };
--- a/crates/cherryyard-classad/src/parse/mod.rs
+++ b/crates/cherryyard-classad/src/parse/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing of expressions and ads, by the grammar in `classad.pest`.
+//! Parses expressions and ads, according to the grammar in `classad.pest`.
 
 mod builder;
 mod check;
@@ -23,8 +23,8 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text and where: it is no expression, too long, or nested too
-    /// deep.
+    /// Returns the first error in the text, with its position: the text is not an
+    /// expression, too long, or nested too deep.
     pub fn parse(text: &str, names: &mut Names) -> Result<Self, ParseError> {
         check(text)?;
         let mut pairs = Grammar::parse(Rule::whole_expr, text)?;
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// What is wrong with the text and where, as for [`Expr::parse`].
+    /// Returns the first error in the text, with its position, as [`Expr::parse`] does.
     pub fn parse(text: &str, names: &mut Names) -> Result<Self, ParseError> {
         check(text)?;
         let mut pairs = Grammar::parse(Rule::whole_ad, text)?;
--- a/crates/cherryyard-classad/src/print.rs
+++ b/crates/cherryyard-classad/src/print.rs
@@ -1,4 +1,4 @@
-//! Expressions as text.
+//! Prints expressions as text.
 
 use crate::expr::{Expr, Node, NodeId, Side};
 use crate::names::{NameId, Names};
@@ -7,14 +7,15 @@
 
 /// Precedence of the conditional operators, the lowest.
 const CONDITIONAL: u8 = 0;
-/// Precedence above that of conditionals: the condition of one must not be one itself.
+/// Precedence just above conditionals, required of a condition: it must not be a
+/// conditional itself.
 const ABOVE_CONDITIONAL: u8 = 1;
 /// Precedence of operators with one operand, above that of all with two.
 const UNARY: u8 = 11;
 /// Precedence of literals, calls and postfix operators, the highest.
 const POSTFIX: u8 = 12;
 
-/// Words that mean something other than an attribute unless they are quoted.
+/// Words that are not attribute names unless they are quoted.
 const RESERVED_WORDS: [&str; 8] = [
     "true",
     "false",
@@ -27,7 +28,7 @@
 ];
 
 impl Expr {
-    /// The expression as text that parses to the same expression.
+    /// Returns the expression as text that parses to the same expression.
     pub fn print(&self, names: &Names) -> String {
         let mut printer = Printer {
             expr: self,
@@ -35,7 +36,7 @@
             out: String::new(),
         };
         // Writing to a string does not fail.
-        let _ = printer.node(self.root(), CONDITIONAL);
+        let _ = printer.write_node(self.root(), CONDITIONAL);
         printer.out
     }
 }
@@ -47,19 +48,19 @@
 }
 
 impl<'a> Printer<'a> {
-    /// Writes a node, in parentheses if it binds less tightly than `least`.
-    fn node(&mut self, id: NodeId, least: u8) -> Result {
+    /// Writes a node, in parentheses if its precedence is lower than `min_precedence`.
+    fn write_node(&mut self, id: NodeId, min_precedence: u8) -> Result {
         let node = self.expr.node(id);
-        if precedence(node) >= least {
-            return self.bare(node);
+        if precedence(node) >= min_precedence {
+            return self.write_node_without_parentheses(node);
         }
         write!(self.out, "(")?;
-        self.bare(node)?;
+        self.write_node_without_parentheses(node)?;
         write!(self.out, ")")
     }
 
     /// Writes a node without parentheses around it.
-    fn bare(&mut self, node: &'a Node) -> Result {
+    fn write_node_without_parentheses(&mut self, node: &'a Node) -> Result {
         match node {
             Node::Constant(value) => write!(self.out, "{value}"),
             Node::Attribute(side, name) => {
@@ -73,64 +74,65 @@
             }
             Node::Unary(op, operand) => {
                 write!(self.out, "{}", op.symbol())?;
-                self.node(*operand, UNARY)
+                self.write_node(*operand, UNARY)
             }
             Node::Binary(op, left, right) => {
                 let (symbol, precedence) = op.symbol_and_precedence();
-                self.infix(*left, precedence, symbol, *right, precedence + 1)
+                self.write_infix(*left, precedence, symbol, *right, precedence + 1)
             }
             Node::Conditional(condition, yes, no) => {
-                self.infix(*condition, ABOVE_CONDITIONAL, "?", *yes, CONDITIONAL)?;
+                self.write_infix(*condition, ABOVE_CONDITIONAL, "?", *yes, CONDITIONAL)?;
                 write!(self.out, " : ")?;
-                self.node(*no, CONDITIONAL)
+                self.write_node(*no, CONDITIONAL)
             }
             Node::Elvis(value, default) => {
-                self.infix(*value, ABOVE_CONDITIONAL, "?:", *default, CONDITIONAL)
+                self.write_infix(*value, ABOVE_CONDITIONAL, "?:", *default, CONDITIONAL)
             }
             Node::Call(function, arguments) => {
                 write!(self.out, "{}", <&str>::from(*function))?;
-                self.list("(", arguments, ")")
+                self.write_list("(", arguments, ")")
             }
-            Node::List(items) => self.list("{", items, "}"),
-            Node::Ad(attributes) => self.nested_ad(attributes),
+            Node::List(items) => self.write_list("{", items, "}"),
+            Node::Ad(attributes) => self.write_nested_ad(attributes),
             Node::Index(list, index) => {
-                self.node(*list, POSTFIX)?;
-                self.list("[", &[*index], "]")
+                self.write_node(*list, POSTFIX)?;
+                self.write_list("[", &[*index], "]")
             }
             Node::Select(ad, name) => {
-                // After a bare word the dot would end a scope, after digits a number.
-                self.list("(", &[*ad], ")")?;
+                // The parentheses are needed: after a bare name the dot would end a scope,
+                // and after digits it would belong to a number.
+                self.write_list("(", &[*ad], ")")?;
                 write!(self.out, ".")?;
                 write_name(&mut self.out, self.names.name(*name))
             }
         }
     }
 
-    fn infix(
+    fn write_infix(
         &mut self,
         left: NodeId,
-        left_least: u8,
+        left_min_precedence: u8,
         symbol: &str,
         right: NodeId,
-        right_least: u8,
+        right_min_precedence: u8,
     ) -> Result {
-        self.node(left, left_least)?;
+        self.write_node(left, left_min_precedence)?;
         write!(self.out, " {symbol} ")?;
-        self.node(right, right_least)
+        self.write_node(right, right_min_precedence)
     }
 
-    fn list(&mut self, open: &str, items: &[NodeId], close: &str) -> Result {
+    fn write_list(&mut self, open: &str, items: &[NodeId], close: &str) -> Result {
         write!(self.out, "{open}")?;
         for (i, &item) in items.iter().enumerate() {
             if i > 0 {
                 write!(self.out, ", ")?;
             }
-            self.node(item, CONDITIONAL)?;
+            self.write_node(item, CONDITIONAL)?;
         }
         write!(self.out, "{close}")
     }
 
-    fn nested_ad(&mut self, attributes: &[(NameId, NodeId)]) -> Result {
+    fn write_nested_ad(&mut self, attributes: &[(NameId, NodeId)]) -> Result {
         write!(self.out, "[")?;
         for (i, &(name, expr)) in attributes.iter().enumerate() {
             if i > 0 {
@@ -138,13 +140,13 @@
             }
             write_name(&mut self.out, self.names.name(name))?;
             write!(self.out, " = ")?;
-            self.node(expr, CONDITIONAL)?;
+            self.write_node(expr, CONDITIONAL)?;
         }
         write!(self.out, "]")
     }
 }
 
-/// How tightly a node binds when it is printed.
+/// Returns the precedence of a node when it is printed.
 fn precedence(node: &Node) -> u8 {
     match node {
         Node::Conditional(..) | Node::Elvis(..) => CONDITIONAL,
@@ -163,7 +165,7 @@
     }
 }
 
-/// Writes an attribute name, in quotes unless it is an identifier and not reserved.
+/// Writes an attribute name, quoted unless the name is an identifier and not reserved.
 fn write_name(out: &mut String, name: &str) -> Result {
     let mut bytes = name.bytes();
     let is_identifier = bytes
--- a/crates/cherryyard-classad/src/value.rs
+++ b/crates/cherryyard-classad/src/value.rs
@@ -1,18 +1,18 @@
-//! Values, and how they convert and compare.
+//! Defines the values of expressions and how they are converted and compared.
 
 use crate::names::NameId;
 use std::cmp::Ordering;
 use std::fmt;
 use std::sync::Arc;
 
-/// What an expression evaluates to.
+/// The result of evaluating an expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// The value of a missing attribute, and of most expressions that depend on one.
     Undefined,
     /// The result of an operation that does not apply to its operands.
     Error,
-    /// True or false.
+    /// A boolean.
     Bool(bool),
     /// An integer.
     Int(i64),
@@ -33,13 +33,14 @@
 }
 
 impl Value {
-    /// A string value.
+    /// Creates a string value.
     pub fn text(text: &str) -> Self {
         Self::Str(text.into())
     }
 
-    /// The result of a strict operator with an exceptional operand: `error` if either
-    /// operand is, else `undefined` if either is; `None` if both are ordinary values.
+    /// Returns the result of a strict operator with an exceptional operand: `error` if
+    /// either operand is `error`, else `undefined` if either is `undefined`; `None` if both
+    /// are ordinary values.
     pub(crate) fn exceptional_with(&self, other: &Self) -> Option<Self> {
         match (self, other) {
             (Self::Error, _) | (_, Self::Error) => Some(Self::Error),
@@ -48,8 +49,8 @@
         }
     }
 
-    /// The value as a condition: numbers are true unless they are 0; `None` for values
-    /// that cannot be a condition.
+    /// Returns the value as a condition: numbers are true unless they are 0; `None` for
+    /// values that cannot be a condition.
     pub fn truth(&self) -> Option<bool> {
         match self {
             Self::Bool(b) => Some(*b),
@@ -59,7 +60,8 @@
         }
     }
 
-    /// The value as an integer, if it is one; booleans are 0 and 1.
+    /// Returns the value as an integer, if it is an integer or a boolean; booleans are 0
+    /// and 1.
     pub fn int(&self) -> Option<i64> {
         match self {
             Self::Bool(b) => Some(i64::from(*b)),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The value as a number; booleans are 0 and 1.
+    /// Returns the value as a number, if it is a number or a boolean; booleans are 0 and 1.
     pub fn real(&self) -> Option<f64> {
         match self {
             Self::Real(x) => Some(*x),
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Both operands as numbers of one type: integers if both are, reals otherwise.
+    /// Converts both operands to numbers of one type: integers if both are integers, reals
+    /// otherwise.
     pub(crate) fn numeric_pair(&self, other: &Self) -> Option<NumericPair> {
         match (self.int(), other.int()) {
             (Some(a), Some(b)) => Some(NumericPair::Ints(a, b)),
@@ -84,8 +87,8 @@
         }
     }
 
-    /// The order that `<` and the other comparisons use: numbers by size, strings without
-    /// regard to case; `None` if the two cannot be compared.
+    /// Returns the order that `<` and the other comparisons use: numbers by size, strings
+    /// ignoring case; `None` if the two values cannot be compared.
     pub(crate) fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
             (Self::Str(a), Self::Str(b)) => Some(compare_ignoring_case(a, b)),
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Whether both have the same type and value, with regard to case (`=?=`).
+    /// Returns whether both have the same type and value; strings are compared with case
+    /// (`=?=`).
     pub fn identical(&self, other: &Self) -> bool {
         match (self, other) {
             // NaN is not identical to itself.
@@ -111,7 +115,7 @@
         let bytes = text.bytes();
         bytes.map(|byte| byte.to_ascii_lowercase()).collect()
     };
-    // Equality is the usual question, and needs no copies.
+    // Most comparisons are for equality, which needs no copies in lower case.
     if a.eq_ignore_ascii_case(b) {
         Ordering::Equal
     } else {
@@ -120,8 +124,8 @@
 }
 
 impl fmt::Display for Value {
-    /// Writes an expression that evaluates to the value; the names of a nested ad are
-    /// not known here and appear by number.
+    /// Writes an expression that evaluates to the value. The value does not contain the
+    /// names of a nested ad's attributes, so they are written as numbers.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Undefined => write!(f, "undefined"),
@@ -154,7 +158,7 @@
     }
 }
 
-/// Writes text between quotes, with escapes where the language needs them.
+/// Writes a text between quotes, with the escapes that the language requires.
 pub(crate) fn write_quoted(out: &mut impl fmt::Write, text: &str, quote: char) -> fmt::Result {
     write!(out, "{quote}")?;
     for c in text.chars() {
--- a/crates/cherryyard-classad/tests/language.rs
+++ b/crates/cherryyard-classad/tests/language.rs
@@ -1,4 +1,5 @@
-//! The language by tables, by properties, and by hostile texts.
+//! Tests the ClassAd language with tables of expressions, with properties, and with hostile
+//! texts.
 
 use cherryyard_classad::{Ad, Expr, Function, Names, Scope, Value, fold};
 use proptest::prelude::*;
@@ -20,31 +21,35 @@
         now: 1_000_000,
     };
     let value = scope.evaluate(&expr);
-    // Folded, and printed and read again, it gives the same.
+    // Folding an expression, and printing and parsing it again, must not change its value.
     let folded = fold(&expr, &my);
     assert!(
-        same(&scope.evaluate(&folded), &value),
+        have_same_text(&scope.evaluate(&folded), &value),
         "{text}, folded: {}",
         folded.print(&names)
     );
-    let again = Expr::parse(&expr.print(&names), &mut names).unwrap();
-    assert!(same(&scope.evaluate(&again), &value), "{text}, printed");
+    let reparsed = Expr::parse(&expr.print(&names), &mut names).unwrap();
+    assert!(
+        have_same_text(&scope.evaluate(&reparsed), &value),
+        "{text}, printed"
+    );
     value.to_string()
 }
 
-fn same(a: &Value, b: &Value) -> bool {
+fn have_same_text(a: &Value, b: &Value) -> bool {
     a.to_string() == b.to_string()
 }
 
-fn table(rows: &[(&str, &str)]) {
+fn check_table(rows: &[(&str, &str)]) {
     for (text, value) in rows {
         assert_eq!(eval(text), *value, "{text}");
     }
 }
 
+/// Guards against wrong values of literals and arithmetic operators.
 #[test]
 fn literals_and_arithmetic() {
-    table(&[
+    check_table(&[
         ("1 + 2 * 3", "7"),
         ("(1 + 2) * 3", "9"),
         ("7 / 2", "3"),
@@ -67,10 +72,13 @@
     ]);
 }
 
+/// Guards against wrong results of operators on `undefined` and `error`, and of comparisons
+/// across types.
 #[test]
-fn three_values_of_truth() {
+fn logic_with_undefined_and_error() {
     let values = ["true", "false", "undefined", "error"];
-    // Rows and columns in that order: t, f, u, e.
+    // Rows are the first operand and columns the second, in the order true, false,
+    // undefined, error.
     let and = ["tfue", "ffff", "ufue", "eeee"];
     let or = ["tttt", "tfue", "tuue", "eeee"];
     let letter = |v: &str| v.chars().next().unwrap();
@@ -82,7 +90,7 @@
             assert_eq!(got("||"), expect(or), "{a} || {b}");
         }
     }
-    table(&[
+    check_table(&[
         ("!undefined", "undefined"),
         ("undefined == 1", "undefined"),
         ("undefined + error", "error"),
@@ -106,9 +114,11 @@
     ]);
 }
 
+/// Guards against attributes that are looked up in the wrong ad, and cyclic references
+/// without end.
 #[test]
 fn attributes_and_scopes() {
-    table(&[
+    check_table(&[
         ("cPUS", "2"),
         ("TARGET.Cpus", "8"),
         ("target.memory", "16384"),
@@ -135,9 +145,11 @@
     ]);
 }
 
+/// Guards against wrong values of functions, and functions that cannot be found by their
+/// name.
 #[test]
 fn functions() {
-    table(&[
+    check_table(&[
         ("ifThenElse(undefined, 1, 2)", "undefined"),
         ("ifThenElse(Cpus > 1, \"many\", 1/0)", "\"many\""),
         ("isUndefined(NoSuch) && !isError(1)", "true"),
@@ -181,15 +193,16 @@
         ("pow(2, 10)", "1024"),
         ("time()", "1000000"),
     ]);
-    for f in Function::ALL {
-        let name = <&str>::from(*f);
-        assert_eq!(name.to_uppercase().parse(), Ok(*f), "{name}");
+    for function in Function::ALL {
+        let name = <&str>::from(*function);
+        assert_eq!(name.to_uppercase().parse(), Ok(*function), "{name}");
     }
 }
 
-/// What depends on the job alone is decided once; the rest keeps the target's names.
+/// Guards against folding that leaves parts that the job alone decides, or replaces parts
+/// that depend on the target.
 #[test]
-fn folding_leaves_what_depends_on_the_target() {
+fn folding_keeps_only_what_depends_on_the_target() {
     let mut names = Names::default();
     let my = Ad::parse(MY, &mut names).unwrap();
     let mut folded = |text: &str| {
@@ -207,6 +220,7 @@
     assert_eq!(folded("Loop || TARGET.P"), "Loop || TARGET.P");
 }
 
+/// Guards against parse errors with a wrong position or text.
 #[test]
 fn errors_name_line_and_column() {
     let error = |text: &str| {
@@ -223,7 +237,8 @@
     assert!(error("\"open").starts_with("1:1: "));
 }
 
-/// Hostile texts: an error, or a value, soon and within bounds.
+/// Guards against hostile texts that exhaust time or memory; each must lead to an error, or
+/// stay unfolded, within the bounds.
 #[test]
 fn hostile_texts_are_refused() {
     let mut names = Names::default();
@@ -241,7 +256,8 @@
         "more than 250 operators in a row"
     );
     assert_eq!(error(&"x".repeat(70_000)), "longer than 64 KiB");
-    // A tree of attributes, each the last one twice: 2^60 steps, were there no bound.
+    // Each attribute refers to the previous one twice, so an unbounded evaluation takes
+    // 2^60 steps.
     let mut ad = String::from("[a0 = 1");
     for i in 1..60 {
         ad += &format!("; a{i} = a{} + a{}", i - 1, i - 1);
@@ -306,27 +322,27 @@
 }
 
 proptest! {
-    /// Printed and read again, an expression is the same; folded, it gives the same
-    /// value; and none ends otherwise than in a value.
+    /// Guards against printing and folding that change the value of an expression, and
+    /// against panics: every evaluation must end in a value.
     #[test]
-    fn printing_and_folding_keep_the_meaning(text in any_expr()) {
+    fn printing_and_folding_preserve_values(text in any_expr()) {
         let mut names = Names::default();
         let my = Ad::parse(MY, &mut names).unwrap();
         let target = Ad::parse(TARGET, &mut names).unwrap();
         let expr = Expr::parse(&text, &mut names).unwrap();
         let printed = expr.print(&names);
-        let again = Expr::parse(&printed, &mut names).unwrap();
-        prop_assert_eq!(again.print(&names), printed);
+        let reparsed = Expr::parse(&printed, &mut names).unwrap();
+        prop_assert_eq!(reparsed.print(&names), printed);
         let scope = Scope { my: &my, target: Some(&target), now: 7 };
         let value = scope.evaluate(&expr);
-        prop_assert!(same(&scope.evaluate(&again), &value));
+        prop_assert!(have_same_text(&scope.evaluate(&reparsed), &value));
         let folded = fold(&expr, &my);
-        prop_assert!(same(&scope.evaluate(&folded), &value), "{}", folded.print(&names));
+        prop_assert!(have_same_text(&scope.evaluate(&folded), &value), "{}", folded.print(&names));
     }
 
-    /// Any text gives an expression or an error, never a panic.
+    /// Guards against panics: any text leads to an expression or an error.
     #[test]
-    fn any_text_is_read_or_refused(text in "[a-z0-9 .()\\[\\]{}\"'?:=<>&|!+*/%;,\\\\-]{0,60}") {
+    fn arbitrary_text_does_not_panic(text in "[a-z0-9 .()\\[\\]{}\"'?:=<>&|!+*/%;,\\\\-]{0,60}") {
         let _ = Expr::parse(&text, &mut Names::default());
         let _ = Ad::parse(&text, &mut Names::default());
     }
--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -23,7 +23,7 @@
     pub tasks: u32,
     /// The commands and attributes of the group's procs, in which `$(Process)`, `$(Step)`
     /// and `$(Cluster)` are placeholders for the numbers of each proc.
-    pub described: Arc<Vec<(String, String)>>,
+    pub description: Arc<Vec<(String, String)>>,
 }
 
 /// The result of reading a submit file: the jobs that it queues.
@@ -47,7 +47,7 @@
     pub(crate) fn add_procs(
         &mut self,
         template: usize,
-        described: &Arc<Vec<(String, String)>>,
+        description: &Arc<Vec<(String, String)>>,
         mut count: u32,
     ) {
         let mut first = self
@@ -56,11 +56,11 @@
             .map_or(0, |group| group.first + u64::from(group.tasks));
         // Steps are counted from 0 again for each item, so procs of different items that
         // use `$(Step)` cannot share a group.
-        let has_steps = described.iter().any(|(_, text)| text.contains(STEP));
+        let has_steps = description.iter().any(|(_, text)| text.contains(STEP));
         if let Some(last) = self.groups.last_mut()
             && last.template == template
             && !has_steps
-            && *last.described == **described
+            && *last.description == **description
         {
             let added = count.min(MAX_TASKS - last.tasks);
             last.tasks += added;
@@ -73,7 +73,7 @@
                 template,
                 first,
                 tasks,
-                described: described.clone(),
+                description: description.clone(),
             });
             first += u64::from(tasks);
             count -= tasks;
@@ -109,13 +109,13 @@
     pub fn descriptions(&self, first: u64) -> impl Iterator<Item = serde_json::Value> + '_ {
         self.groups.iter().enumerate().map(move |(index, group)| {
             let text = |text: &String| text.replace(CLUSTER, &first.to_string());
-            let described: serde_json::Map<String, serde_json::Value> = group
-                .described
+            let description: serde_json::Map<String, serde_json::Value> = group
+                .description
                 .iter()
                 .map(|(name, value)| (name.clone(), text(value).into()))
                 .collect();
             serde_json::json!({ "id": job_id(first + index as u64), "first_proc": group.first,
-                "tasks": group.tasks, "run": described })
+                "tasks": group.tasks, "run": description })
         })
     }
 
@@ -131,7 +131,7 @@
             text.replace(PROCESS, &proc.to_string())
                 .replace(STEP, &step.to_string())
         };
-        let commands = group.described.iter();
+        let commands = group.description.iter();
         Some(
             commands
                 .map(|(name, text)| (name.clone(), filled_in(text)))
--- a/crates/cherryyard-condor/src/commands.rs
+++ b/crates/cherryyard-condor/src/commands.rs
@@ -14,7 +14,7 @@
     Honoured,
     /// The command is passed on in the job's description, which its user uploads to the
     /// workers.
-    Described,
+    PassedOn,
     /// The command is accepted but has no effect, for this reason.
     NoEffect(&'static str),
     /// The command is refused, for this reason.
@@ -44,7 +44,7 @@
     /// Returns whether jobs use the command's value.
     pub(crate) fn is_used(&self) -> bool {
         match self.handling {
-            Handling::Honoured | Handling::Described => true,
+            Handling::Honoured | Handling::PassedOn => true,
             Handling::NoEffect(_) | Handling::Refused(_) => false,
         }
     }
@@ -57,10 +57,10 @@
     }
 }
 
-const fn described(names: &'static [&'static str]) -> Command {
+const fn passed_on(names: &'static [&'static str]) -> Command {
     Command {
         names,
-        handling: Handling::Described,
+        handling: Handling::PassedOn,
     }
 }
 
@@ -87,25 +87,25 @@
 pub const COMMANDS: &[Command] = &[
     honoured(&["universe"]),
     honoured(&["executable", "cmd"]),
-    described(&["arguments", "args", "arguments2"]),
-    described(&["environment", "env", "environment2"]),
-    described(&["getenv"]),
-    described(&["input", "stdin"]),
-    described(&["output", "stdout"]),
-    described(&["error", "stderr"]),
-    described(&["initialdir", "initial_dir", "iwd"]),
-    described(&["transfer_input_files", "transferinputfiles"]),
-    described(&["transfer_output_files", "transferoutputfiles"]),
-    described(&["transfer_output_remaps", "transferoutputremaps"]),
-    described(&["transfer_executable", "transferexecutable"]),
-    described(&["should_transfer_files", "shouldtransferfiles"]),
-    described(&["when_to_transfer_output", "whentotransferoutput"]),
-    described(&["stream_input"]),
-    described(&["stream_output"]),
-    described(&["stream_error"]),
-    described(&["kill_sig", "killsig"]),
-    described(&["encrypt_input_files"]),
-    described(&["preserve_relative_paths"]),
+    passed_on(&["arguments", "args", "arguments2"]),
+    passed_on(&["environment", "env", "environment2"]),
+    passed_on(&["getenv"]),
+    passed_on(&["input", "stdin"]),
+    passed_on(&["output", "stdout"]),
+    passed_on(&["error", "stderr"]),
+    passed_on(&["initialdir", "initial_dir", "iwd"]),
+    passed_on(&["transfer_input_files", "transferinputfiles"]),
+    passed_on(&["transfer_output_files", "transferoutputfiles"]),
+    passed_on(&["transfer_output_remaps", "transferoutputremaps"]),
+    passed_on(&["transfer_executable", "transferexecutable"]),
+    passed_on(&["should_transfer_files", "shouldtransferfiles"]),
+    passed_on(&["when_to_transfer_output", "whentotransferoutput"]),
+    passed_on(&["stream_input"]),
+    passed_on(&["stream_output"]),
+    passed_on(&["stream_error"]),
+    passed_on(&["kill_sig", "killsig"]),
+    passed_on(&["encrypt_input_files"]),
+    passed_on(&["preserve_relative_paths"]),
     honoured(&["request_cpus", "requestcpus", "request_cpu"]),
     honoured(&["request_memory", "requestmemory"]),
     honoured(&["request_disk", "requestdisk"]),
@@ -159,7 +159,7 @@
     no_effect(&["copy_to_spool"], NOTHING_RUNS_AT_SUBMITTER),
     no_effect(&["dagman_log"], NOTHING_RUNS_AT_SUBMITTER),
     no_effect(&["submit_event_notes"], "no event log is written"),
-    described(&["description"]),
+    passed_on(&["description"]),
     no_effect(
         &["want_graceful_removal"],
         "tasks that save are given time for it",
--- a/crates/cherryyard-condor/src/job/mod.rs
+++ b/crates/cherryyard-condor/src/job/mod.rs
@@ -204,7 +204,7 @@
             _ => Err(commands.error(name, CommandError::NeverTrue(value.clone()))),
         };
     }
-    if !folded.is_of_target() {
+    if !folded.refers_only_to_target() {
         return Err(commands.error(name, CommandError::NestedAds));
     }
     let printed = folded.print(&commands.names);
--- a/crates/cherryyard-condor/src/translate.rs
+++ b/crates/cherryyard-condor/src/translate.rs
@@ -162,7 +162,7 @@
             Some((command, Handling::NoEffect(reason))) => {
                 Some(format!("{} has no effect: {reason}", command.name()))
             }
-            Some((_, Handling::Honoured | Handling::Described)) => None,
+            Some((_, Handling::Honoured | Handling::PassedOn)) => None,
             None => similar_name(&name.to_ascii_lowercase())
                 .map(|similar| format!("{name} is taken as a macro; was {similar} meant?")),
         };
