--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -300,7 +300,7 @@
         });
     }
 
-    /// Handles the cloud's answer to a release of machines; `ok`: the cloud accepted it.
+    /// Handles the cloud's answer to a release of machines; `ok` means that the cloud accepted it.
     pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
         self.notice(now);
         for name in names {
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -103,6 +103,6 @@
     Answer(HeartbeatResponse),
     /// Status 421: another controller owns the shard; its name, if known.
     Elsewhere(Option<String>),
-    /// Status 503: the heartbeat cannot be accepted now, and no owner is known.
+    /// Status 503: the heartbeat cannot be answered now, and no other owner is named.
     Unavailable,
 }
--- a/crates/cherryyard-core/src/machine.rs
+++ b/crates/cherryyard-core/src/machine.rs
@@ -62,12 +62,12 @@
     pub lease_over: bool,
     /// Time at which the cloud will reclaim the machine, if the machine has announced one.
     pub reclaim_at: Option<Millis>,
-    /// Time at which the newest message arrived.
+    /// Time at which the newest message arrived, or the last heartbeat if the worker has restarted.
     pub last_heard_at: Millis,
     /// Time from which the machine's lease is counted: that of the last answer to one of its
     /// heartbeats, or of the first message from a newer incarnation or a restarted worker.
     pub answered_at: Millis,
-    /// Whether messages to the machine are known to arrive.
+    /// State of knowledge on whether messages to the machine arrive.
     pub reachability: Reachability,
     /// Incarnation in which the machine last became unreachable, and the highest attempt up to
     /// then. Assignments up to these that are not on the machine are abandoned, even if the machine
@@ -208,8 +208,9 @@
         self.reachability = after;
     }
 
-    /// Returns whether a query to the machine is due. A machine that is only suspected or known to
-    /// be unreachable is not queried once it has been silent for `silence_limit_ms`.
+    /// Returns whether a query to the machine is due, because the machine may be unreachable or
+    /// because stale messages have arrived. The first reason no longer applies once the machine has
+    /// been silent for `silence_limit_ms`.
     pub(crate) fn query_due(&self, silence_limit_ms: f64, now: Millis) -> bool {
         let since = now - self.last_query.0;
         let interval = self.reachability.query_interval_ms();
@@ -243,8 +244,8 @@
             .is_some_and(|at| at - now <= MIN_LEFT_FOR_START_MS)
     }
 
-    /// Returns whether the announced reclaim time has passed and no message has arrived for longer
-    /// than `silence_ms`.
+    /// Returns whether the machine counts as taken by the cloud after its announced reclaim, and no
+    /// message has arrived for longer than `silence_ms`.
     pub fn is_past_reclaim(&self, now: Millis, silence_ms: f64) -> bool {
         self.reclaim_at
             .is_some_and(|at| now > at + RECLAIMED_AFTER_MS)
--- a/crates/cherryyard-core/src/machine/messages.rs
+++ b/crates/cherryyard-core/src/machine/messages.rs
@@ -142,8 +142,9 @@
         self.confirmed_token = own_token;
         self.last_heard_at = now;
         self.addr.clone_from(&message.addr);
-        // The reclaim time only moves closer. A pending transaction may withdraw an assignment
-        // because of the reclaim, and that task must not be started again in the meantime.
+        // An announced reclaim time only moves closer as long as messages announce one. A pending
+        // transaction may withdraw an assignment because of the reclaim, and that task must not be
+        // started again in the meantime.
         let reclaim_at = message.reclaim_in_s.map(|s| now + s.max(0.0) * 1000.0);
         self.reclaim_at = match (reclaim_at, self.reclaim_at) {
             (Some(new), Some(old)) => Some(new.min(old)),
--- a/crates/cherryyard-core/src/misdirected_workers.rs
+++ b/crates/cherryyard-core/src/misdirected_workers.rs
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Returns how many misdirected workers of each shard can be reached from this controller. Hundreds of
-    /// workers may report at once and not all are queried, so the number is extrapolated from those
-    /// that were.
+    /// Returns how many misdirected workers of each shard can be reached from this controller.
+    /// Hundreds of workers may report at once and not all are queried, so the number is
+    /// extrapolated from those that were.
     pub(crate) fn counts(&mut self, now: Millis) -> Vec<(u32, u32)> {
         self.workers
             .retain(|_, worker| now - worker.last_report_at < REPORT_VALID_MS);
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -3,8 +3,8 @@
 //!
 //! Within a flow the job with the least work goes first, so a steady supply of small jobs would
 //! keep a large one from ever starting. All controllers see which jobs have started, so they agree
-//! on the oldest without exchanging messages. Only the first task of that job goes ahead of the
-//! others; after that the next job becomes the oldest one. A task belongs to one shard, so at most
+//! on the oldest without exchanging messages. Only the first task of that job is placed first;
+//! after that the next job becomes the oldest one. A task belongs to one shard, so at most
 //! one owner keeps a machine for it.
 
 use super::state::KeptMachine;
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -61,8 +61,8 @@
         Some(free)
     }
 
-    /// Returns the free capacity (cores, accelerators, RAM) if all preemptible arrays on the
-    /// machine were stopped.
+    /// Returns the free capacity (cores, accelerators, RAM) that a machine would have if all its
+    /// arrays of standard rank or below were stopped.
     fn free_if_preempted(&self, machine: &Machine, mut free: Needs) -> (f32, f32, f32) {
         for ((job, _), _) in self.mirror.on_host(machine.host) {
             let open = self.mirror.open.get(&job);
@@ -120,9 +120,9 @@
         reported.collect()
     }
 
-    /// Returns the capacity that each team uses and waits for, but beyond what it uses no more than
-    /// the shard's machines have: a shard cannot use more of a team's limit than that, and the rest
-    /// of the limit is of use to other shards.
+    /// Returns the capacity that each team uses and waits for, limited to the total capacity of the
+    /// shard's machines, but never less than the team uses. A shard cannot use more of a team's
+    /// limit than its machines have; the rest of the limit is of use to other shards.
     fn wants(
         &self,
         waiting: &[(u64, u32, f32)],
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -1,5 +1,5 @@
-//! Collection: the part of a scheduling cycle that withdraws assignments whose attempts are proven
-//! to have ended by machines' messages.
+//! Collection: the part of a scheduling cycle that withdraws assignments whose attempts have ended,
+//! as machines' messages prove.
 
 use super::cycle::Cycle;
 use super::state::PendingCycle;
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -1,5 +1,5 @@
-//! Search for the machine on which a waiting task's preemption costs least, and for the tasks to
-//! stop there.
+//! Search for the machine on which preempting tasks for a waiting one costs least, and for the
+//! tasks to stop there.
 
 use super::cycle::Cycle;
 use super::preemptible::{CORES_ROUNDING, EvictionScope, Preemption};
@@ -116,8 +116,8 @@
         let mut free = self.controller.free_on(machine, Some(self.cycle))?;
         let mut victims = Vec::new();
         let mut cost = 0.0;
-        // Flows that are entitled to go ahead of others regardless of rank lose no more cores than
-        // their allowance permits.
+        // Flows that are ahead of rank, because they have run less than their guarantee for long,
+        // lose no more cores than is allowed.
         let mut stoppable = preemption.stoppable_cores.clone();
         for victim in self.possible_victims(machine, preemption) {
             if self.needs.fits(&free) {
--- a/crates/cherryyard-core/src/owner/failure_attribution.rs
+++ b/crates/cherryyard-core/src/owner/failure_attribution.rs
@@ -43,7 +43,7 @@
 /// Failures of a job in a shard.
 #[derive(Clone, Debug)]
 pub(crate) struct JobFailures {
-    /// Whether the failures are attributed to the job.
+    /// Attribution of the failures, which is undecided until the job is quarantined.
     pub(crate) attribution: FailureAttribution,
     /// Machines on which the job has failed; cleared when the job is quarantined.
     pub(crate) hosts: BTreeSet<u32>,
--- a/crates/cherryyard-core/src/owner/fit.rs
+++ b/crates/cherryyard-core/src/owner/fit.rs
@@ -27,9 +27,10 @@
 /// Ranking of a machine for a task. Fields are compared in order, and the first difference decides.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// Whether the job has no failures on the machine that may be the machine's fault.
+    /// Whether the job has not failed on the machine. Failures of a quarantined job do not count,
+    /// because they are the job's own fault.
     has_not_failed: bool,
-    /// Preference tier of the machine's pool in the job's rules.
+    /// Preference tier of the machine's pool in the job's rules; a lower tier is preferred.
     tier: Reverse<Option<u16>>,
     image: ImageState,
     /// Whether the cloud cannot reclaim the machine. A spot machine may be lost with its tasks, so
--- a/crates/cherryyard-core/src/owner/job_ends.rs
+++ b/crates/cherryyard-core/src/owner/job_ends.rs
@@ -8,8 +8,8 @@
 impl Controller {
     /// Ends the jobs whose last tasks this cycle proves completed. Also ends jobs whose tasks are
     /// all completed but which are still open: two shards that wrote their last completed numbers
-    /// at the same time did not see each other's. The lowest-numbered shard with assignments of
-    /// such a job ends it.
+    /// at the same time did not see each other's. Such a job is ended by the lowest-numbered shard
+    /// that has an owner and holds assignments or completed numbers of the job.
     pub(super) fn end_jobs(&self, shard_id: usize, cycle: &mut Cycle) {
         for (job, completed) in cycle.take_completed() {
             // The completed numbers of each shard only grow while the job is open, so an outdated
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -171,8 +171,8 @@
         true
     }
 
-    /// Returns the page that can take `bytes` more bytes, which is the last one or a new one, or `None`
-    /// if all pages are full.
+    /// Returns the page that can take `bytes` more bytes, which is the last one or a new one, or
+    /// `None` if all pages are full.
     fn capacity_for(&mut self, bytes: usize) -> Option<&mut Page> {
         if self.pages.is_empty() || self.bytes + bytes > self.max_bytes {
             let exact = self
--- a/crates/cherryyard-core/src/owner/preemptible.rs
+++ b/crates/cherryyard-core/src/owner/preemptible.rs
@@ -30,8 +30,8 @@
     teams_beyond_guarantee: BTreeSet<u32>,
     /// Capacity that each team uses in all shards.
     pub(super) team_totals: Vec<Needs>,
-    /// Cores that may be preempted of each flow that is entitled to go ahead of others regardless
-    /// of rank. Tasks of other flows may be preempted as their rank permits.
+    /// Cores that may be preempted of each flow that is ahead of rank, because it has run less than
+    /// its guarantee for long. Tasks of other flows may be preempted as their rank permits.
     pub(super) stoppable_cores: HashMap<Flow, f64>,
     /// Jobs for which a search has found no victims.
     without_victims: HashSet<JobProfile>,
@@ -53,9 +53,9 @@
         self.without_victims.contains(&Self::profile(open, scope))
     }
 
-    /// Records that a search has found no victims for a job. Jobs whose tasks must be in different
-    /// zones are left out: the search may have found victims in the wrong zones, which proves
-    /// nothing for other jobs.
+    /// Records that a search has found no victims for a job. Jobs whose tasks are spread over zones
+    /// are left out: the victims may be in zones in which the job has reached its cap, so the
+    /// search proves nothing for other jobs.
     pub(super) fn note_without_victims(&mut self, open: &OpenJob, scope: EvictionScope) {
         if !open.spec.apart {
             self.without_victims.insert(Self::profile(open, scope));
--- a/crates/cherryyard-core/src/owner/queue_upkeep.rs
+++ b/crates/cherryyard-core/src/owner/queue_upkeep.rs
@@ -1,4 +1,4 @@
-//! Maintenance of a shard's queues: jobs are requeued when the inputs of their order change.
+//! Maintenance of a shard's queues: a job is requeued when anything that decides its place changes.
 
 use crate::Millis;
 use crate::admission::queue::Place;
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Requeues late jobs that have become due. A fixed share of the cores that a flow starts is
-    /// reserved for its late jobs.
+    /// Requeues the late jobs that are due by their share: a share of the cores that a flow starts
+    /// is credited to its late jobs, and the oldest one is due once the credit covers its cores.
     pub(super) fn requeue_late_share(&mut self, shard_id: usize, now: Millis) {
         let mirror = &self.mirror;
         let waiting_cores = |job| {
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -1,4 +1,5 @@
-//! Scale-in: releases of listed machines that are dead, never came up, are silent, or are idle.
+//! Scale-in: releases of listed machines that are dead, never came up, are silent, are unreachable,
+//! fail their tasks, or are idle.
 
 use super::failure_attribution::FAULTY_MACHINE_FAILURES;
 use super::release::{MAX_RELEASED, RELEASE_RETRY_MS, ReleaseReason};
@@ -37,11 +38,11 @@
 }
 
 impl Controller {
-    /// Releases listed machines that are dead, never came up, are silent or are idle, and machines
-    /// with assignments that are not listed.
+    /// Releases listed machines that are dead, never came up, are silent, are unreachable, fail
+    /// their tasks, or are idle, and machines with assignments that are not listed.
     pub(crate) fn scale_in_listed(&mut self, now: Millis) {
-        // If this process has stalled, other controllers may own its shards until it has read the
-        // state again.
+        // After this process was suspended, other controllers may have acquired its shards, which
+        // shows only once the state has been read again.
         if !self.caught_up() {
             return;
         }
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns each closed flow with the number of its jobs that were inspected after it was
-    /// closed, and the last of them.
+    /// closed, and its last inspected job.
     pub(crate) fn closed_flows(self) -> impl Iterator<Item = (Flow, usize, Option<Place>)> {
         self.closed
             .into_iter()
--- a/crates/cherryyard-core/src/owner/state.rs
+++ b/crates/cherryyard-core/src/owner/state.rs
@@ -64,7 +64,7 @@
     pub(crate) maintained_at: Millis,
     /// Time of the last scan of all assignments for silent machines.
     pub(crate) silence_scanned_at: Millis,
-    /// Time of the last placement, and the newest revisions of the state known then.
+    /// Time at which placement was last tried, and the newest revisions of the state known then.
     pub(crate) placed_at: Millis,
     pub(crate) placed_at_revisions: (u64, u64),
     /// Budget of the changes that the shard's scheduling cycles may write.
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -23,9 +23,10 @@
 const CONDITIONS_OF_GRANT: usize = 3;
 
 impl Controller {
-    /// Returns whether the team's limit permits starting a task of the job. If it does not and the
-    /// job is the oldest of its flow that has not started, the remainder of the grant in this shard
-    /// is kept for that job.
+    /// Returns whether a task of the job may start under its team's grant in the shard: the grant
+    /// is large enough, and its remainder is not kept for another job. If the grant is too small
+    /// and the job is the oldest of its flow that has not started, the remainder is kept for the
+    /// job, unless the team's services alone leave too little or it has been kept for too long.
     pub(super) fn may_start(
         &mut self,
         placement: &mut Placement,
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -160,8 +160,8 @@
         if self.mirror.end(job) != Some(End::Cancelled) || self.mirror.is_new_cancel(job) {
             return None;
         }
-        // If the time of the cancellation is no longer known, it was long ago or no controller
-        // knows it.
+        // If the time of the cancellation is no longer known here, it was long ago or is unknown to
+        // all controllers.
         let learnt_at = self.cancelled.learnt_at(job);
         match learnt_at.map(|at| (now - at) / self.config.cancel_ms) {
             Some(passed) if passed <= CANCELLED_RELEASE_SHARE => None,
@@ -206,9 +206,9 @@
         limits.any(|limit| silent > limit)
     }
 
-    /// Returns the time since which no message of a machine has arrived, but not from before this
-    /// controller acquired the shard or was last delayed. Returns `now` if the machine is gone or
-    /// its release was requested recently.
+    /// Returns the time since which no message of a machine has arrived, or the time at which this
+    /// controller acquired the shard or was last delayed, if that is later. Returns `now` if the
+    /// machine is gone or its release was requested recently.
     fn silent_since(&self, host: u32, shard_id: usize, now: Millis) -> Millis {
         let held_since = self.shards[shard_id].lease.held_since();
         let punctual_since = now - self.lag.punctual_for(now);
--- a/crates/cherryyard-core/src/reachability.rs
+++ b/crates/cherryyard-core/src/reachability.rs
@@ -19,13 +19,13 @@
 /// Time between two queries to an unreachable machine.
 const UNREACHABLE_QUERY_MS: f64 = 4000.0;
 
-/// Whether messages to a machine are known to arrive.
+/// State of knowledge on whether messages to a machine arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reachability {
     /// Nothing shows the contrary; holds the number of messages in a row that were not reflected.
     Reachable(u32),
-    /// A message was not reflected, so the machine is suspected and queried; holds the number of
-    /// queries that it has not answered.
+    /// Messages were not reflected, or the machine has a new incarnation, so the machine is
+    /// queried; holds the number of queries that it has not answered.
     Suspected(u32),
     /// The machine does not answer queries; holds the time since which this is so.
     Unreachable(Millis),
--- a/crates/cherryyard-core/src/shard_lease.rs
+++ b/crates/cherryyard-core/src/shard_lease.rs
@@ -164,14 +164,14 @@
         !self.transaction_pending && now >= self.acquire_after
     }
 
-    /// Returns whether the backoff after a release lasts. Until it ends no lease on the shard is
-    /// adopted.
+    /// Returns whether the backoff after a release is still running. Until the backoff ends, no
+    /// lease on the shard is adopted.
     pub(crate) fn is_backing_off(&self, now: Millis) -> bool {
         now < self.backoff_until
     }
 
-    /// Returns whether the backoff after a release lasts and no transaction to acquire the lease
-    /// has been tried since the release.
+    /// Returns whether the backoff after a release is still running and no transaction to acquire
+    /// the lease has been tried since the release.
     pub(crate) fn is_backing_off_untried(&self, now: Millis) -> bool {
         now < self.backoff_until.min(self.acquire_after)
     }
--- a/crates/cherryyard-core/src/state_contact.rs
+++ b/crates/cherryyard-core/src/state_contact.rs
@@ -1,6 +1,6 @@
 //! Freshness of a controller's view of the state service.
 //!
-//! Decisions that affect other controllers, workers or users require a view that is fresh enough.
+//! Every decision by which an outdated view could harm others requires a view that is fresh enough.
 //! The age of an answer counts from the time at which its request was *sent*, because the answer
 //! shows the state of that time or later.
 
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -111,7 +111,7 @@
 
     /// Lowers the limits to three quarters of what a refused transaction used: its largest value,
     /// and its number of changes or, if larger, the number of changes that its conditions require.
-    /// Returns whether a limit has changed.
+    /// No limit is raised, or lowered below its lower bound. Returns whether a limit has changed.
     fn lower_below(&mut self, refused: &Commit) -> bool {
         let before = (self.value_bytes, self.txn_ops);
         if let Some((bytes, _)) = largest_value(refused) {
--- a/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
@@ -27,8 +27,8 @@
             .filter(|label| label != own_label)
     }
 
-    /// Records that a worker of another controller's shard reports here, and sends the worker a
-    /// status query if one is due.
+    /// Records that a worker of another controller's shard reports to this controller, and sends
+    /// the worker a status query if one is due.
     pub(super) fn record_misdirected_worker(
         &mut self,
         shard_id: usize,
