--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -1,4 +1,4 @@
-//! Tracking and persistence of which images a shard's machines hold.
+//! Tracking of the images that a shard's machines hold, and the stored record of these images.
 
 use crate::Millis;
 use crate::controller::Controller;
