--- a/crates/cherryyard-core/src/machine/images.rs
+++ b/crates/cherryyard-core/src/machine/images.rs
@@ -1,39 +1,40 @@
-//! The images that a machine is believed to have.
+//! Container images that a machine is assumed to hold or to fetch.
 
 use super::Machine;
 
 /// An image on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Image {
-    /// Its name.
+    /// Name of the image.
     pub name: String,
-    /// Its size.
+    /// Size of the image in GB.
     pub gb: f64,
-    /// Whether it is there, not on its way.
-    pub whole: bool,
+    /// Whether the fetch of the image has completed.
+    pub is_complete: bool,
 }
 
-/// How near an image is to being on a machine.
+/// Progress of an image on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ImageState {
-    /// It would have to be fetched.
+    /// The image would have to be fetched.
     Absent,
-    /// It is being fetched.
+    /// The image is being fetched.
     Fetching,
-    /// It is there.
+    /// The image is on the machine.
     Held,
 }
 
 impl Machine {
-    /// Notes that an image was used, and drops what no longer fits the cache.
-    pub fn use_image(&mut self, name: &str, gb: f64, whole: bool, cache_gb: f64) {
+    /// Marks an image as the most recently used, and evicts the least recently used images until
+    /// the rest fit into `cache_gb`. The image itself is never evicted.
+    pub fn use_image(&mut self, name: &str, gb: f64, is_complete: bool, cache_gb: f64) {
         let known = self.images.iter().position(|image| image.name == name);
-        let before = known.map(|i| self.images.remove(i));
-        let was_whole = before.is_some_and(|image| image.whole);
+        let previous = known.map(|i| self.images.remove(i));
+        let was_complete = previous.is_some_and(|image| image.is_complete);
         self.images.push(Image {
             name: name.to_string(),
             gb,
-            whole: whole || was_whole,
+            is_complete: is_complete || was_complete,
         });
         let mut total: f64 = self.images.iter().map(|image| image.gb).sum();
         while total > cache_gb && self.images.len() > 1 {
@@ -41,10 +42,10 @@
         }
     }
 
-    /// Whether the machine holds or fetches an image.
+    /// Returns whether the machine holds or fetches an image.
     pub fn image(&self, name: &str) -> ImageState {
         match self.images.iter().find(|image| image.name == name) {
-            Some(image) if image.whole => ImageState::Held,
+            Some(image) if image.is_complete => ImageState::Held,
             Some(_) => ImageState::Fetching,
             None => ImageState::Absent,
         }
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -1,8 +1,8 @@
-//! When an owner does what: scheduling cycles, their outcomes, and what time alone brings about.
+//! Schedule of an owner's work: scheduling cycles, their outcomes, and timed maintenance.
 
 use super::TXN_BYTES;
 use super::cycle::Cycle;
-use super::state::Pending;
+use super::state::PendingCycle;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
@@ -10,31 +10,32 @@
 use cherryyard_wire::record;
 use cherryyard_wire::state::Commit;
 
-/// Least time between two scheduling cycles of a shard.
-const CYCLE_MS: f64 = 100.0;
-/// The same where nothing waits.
-const QUIET_CYCLE_MS: f64 = 700.0;
-/// Least time between two looks at leases and due commands.
-const MAINTENANCE_MS: f64 = 400.0;
-/// Least time between two looks at all assignments for machines not heard of.
-const UNHEARD_MS: f64 = 1200.0;
-/// Time before placement is tried again where nothing found room and nothing
-/// has changed since.
-const PLACE_AGAIN_MS: f64 = 400.0;
-/// Least time between two looks for pages that can go.
-const COMPACT_MS: f64 = 1000.0;
-/// Changes of the write budget that a compaction leaves at least.
-const COMPACT_BUDGET: f64 = 2.0;
-/// How much longer than by our clock a worker's lease may last: the worker counts from when
-/// it sent the heartbeat, on a clock that may be slow while ours is fast.
+/// Minimum time between two scheduling cycles of a shard.
+const CYCLE_INTERVAL_MS: f64 = 100.0;
+/// Minimum time between two scheduling cycles of a shard without waiting tasks.
+const QUIET_CYCLE_INTERVAL_MS: f64 = 700.0;
+/// Minimum time between two checks of worker leases and due commands.
+const MAINTENANCE_INTERVAL_MS: f64 = 400.0;
+/// Minimum time between two scans of all assignments for silent machines.
+const SILENCE_SCAN_MS: f64 = 1200.0;
+/// Time before placement is tried again if nothing could be placed and nothing has changed since.
+const PLACEMENT_RETRY_MS: f64 = 400.0;
+/// Minimum time between two searches for pages to compact.
+const COMPACTION_INTERVAL_MS: f64 = 1000.0;
+/// Minimum write budget for starting a compaction, in changes.
+const MIN_COMPACTION_BUDGET: f64 = 2.0;
+/// Factor and margin by which a worker's lease may last longer than by this controller's clock: the
+/// worker counts from when it sent the heartbeat, on a clock that may be slow while this one is
+/// fast.
 const CLOCK_DRIFT: f64 = 1.001;
 const LEASE_MARGIN_MS: f64 = 50.0;
-/// Time before the next cycle after a failed condition, and without the state lease.
+/// Delay before the next cycle after a failed condition, and after a refusal because the state
+/// lease that the transaction named had ended.
 const CONFLICT_RETRY_MS: f64 = 30.0;
 const NO_LEASE_RETRY_MS: f64 = 100.0;
 
 impl Controller {
-    /// One scheduling cycle of a shard, if one is due: collects, places, writes.
+    /// Runs a scheduling cycle of a shard if one is due: collects, places and writes.
     pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
         let Some(token) = self.owned(shard_id) else {
             return;
@@ -49,7 +50,7 @@
             return;
         }
         if let Some(commit) = self.divide_oversized_page(shard_id, token) {
-            self.send_cycle(shard_id, commit, Pending::default());
+            self.send_cycle(shard_id, commit, PendingCycle::default());
             return;
         }
         let (cycle, pending) = self.plan_cycle(shard_id, now);
@@ -61,7 +62,9 @@
         if commit.apply.len() < self.config.txn_ops
             && cycle.bytes() + self.config.page_bytes < TXN_BYTES
         {
-            commit.apply.extend(self.images_change(shard_id, now));
+            commit
+                .apply
+                .extend(self.images_record_change(shard_id, now));
         }
         let writes = commit.apply.len();
         tracing::debug!(shard = shard_id, writes, "scheduling cycle written");
@@ -69,42 +72,44 @@
         self.send_cycle(shard_id, commit, pending);
     }
 
-    /// What time alone brings about: leases that end, commands that are due, machines to
-    /// release.
+    /// Runs the timed maintenance of a shard: expires leases, releases machines, and sends due
+    /// queries and commands.
     fn maintain_shard(&mut self, shard_id: usize, now: Millis) {
-        if now - self.shards[shard_id].kept_at < MAINTENANCE_MS || !self.caught_up() {
+        if now - self.shards[shard_id].maintained_at < MAINTENANCE_INTERVAL_MS || !self.caught_up()
+        {
             return;
         }
-        self.shards[shard_id].kept_at = now;
+        self.shards[shard_id].maintained_at = now;
         self.expire_leases(shard_id, now);
         self.release_silent(shard_id, now);
         self.release_reclaimed(shard_id, now);
-        if now - self.shards[shard_id].unheard_at >= UNHEARD_MS {
-            self.shards[shard_id].unheard_at = now;
-            self.release_without_owner(shard_id, now);
+        if now - self.shards[shard_id].silence_scanned_at >= SILENCE_SCAN_MS {
+            self.shards[shard_id].silence_scanned_at = now;
+            self.release_not_reaching_owner(shard_id, now);
             self.release_with_cancelled_tasks(shard_id, now);
         }
         self.query_machines(shard_id, now);
         self.push_due(shard_id, now);
     }
 
-    /// Lets workers' leases run out.
+    /// Expires the leases of workers whose heartbeats have not been answered for the length of a
+    /// lease.
     fn expire_leases(&mut self, shard_id: usize, now: Millis) {
         let lease = self.config.lease_ms * CLOCK_DRIFT + LEASE_MARGIN_MS;
         let shard = &mut self.shards[shard_id];
         for machine in self.machines.values_mut() {
             if machine.shard == shard_id
                 && !machine.lease_over
-                && machine.shows_our_token()
+                && machine.shows_current_token()
                 && now - machine.answered_at > lease
             {
-                machine.change(MachineEvent::LeaseOver);
+                machine.change(MachineEvent::LeaseExpired);
                 shard.touched.insert(machine.host);
             }
         }
     }
 
-    /// Whether a scheduling cycle can be planned now.
+    /// Returns whether a scheduling cycle may be planned now.
     fn may_plan(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &self.shards[shard_id];
         shard.pending.is_none()
@@ -114,31 +119,32 @@
             && self.cycle_due(shard_id, now)
     }
 
-    /// Whether a shard's share of the write budget has room for a scheduling cycle. Many
-    /// heartbeats are served by one scheduling cycle: a write for each, from every owner,
-    /// would leave none for users and leases.
+    /// Returns whether the shard's share of the write budget and the time since the last cycle
+    /// permit a scheduling cycle. One cycle serves many heartbeats: a write for each heartbeat from
+    /// every owner would leave no writes for users and leases.
     fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let left = shard.budget.left(now);
-        // Where nothing waits, completions can wait a moment for each other;
-        // what that saves is there when something comes.
-        let spacing = if self.mirror.tasks.waiting[shard_id].is_empty() {
-            QUIET_CYCLE_MS
+        // Without waiting tasks the completions of several tasks can share one cycle, and the
+        // budget that this saves is available once tasks wait.
+        let min_interval_ms = if self.mirror.tasks.waiting[shard_id].is_empty() {
+            QUIET_CYCLE_INTERVAL_MS
         } else {
-            CYCLE_MS
+            CYCLE_INTERVAL_MS
         };
-        if now - shard.planned_at < spacing {
+        if now - shard.planned_at < min_interval_ms {
             return false;
         }
-        // A service that no cycle has seen yet need not wait for the budget of
-        // completions; what it takes is missing later.
+        // A service that no cycle has looked at yet may overdraw the budget instead of waiting for
+        // it; the overdraft is made up by later cycles.
         left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
     }
 
-    /// Plans a cycle: what is proven, what is placed, and if that is nothing, a compaction.
-    fn plan_cycle(&mut self, shard_id: usize, now: Millis) -> (Cycle, Pending) {
+    /// Plans a cycle: collects proven ends, places tasks, and compacts pages if there is nothing
+    /// else to write.
+    fn plan_cycle(&mut self, shard_id: usize, now: Millis) -> (Cycle, PendingCycle) {
         let mut cycle = Cycle::new(&self.config, &self.mirror, shard_id);
-        let mut pending = Pending::default();
+        let mut pending = PendingCycle::default();
         self.collect(shard_id, now, &mut cycle, &mut pending);
         self.end_jobs(shard_id, &mut cycle);
         if self.placement_due(shard_id, &cycle, now) {
@@ -150,47 +156,48 @@
         (cycle, pending)
     }
 
-    /// Whether anything new could be placed: a search over all waiting jobs
-    /// and machines for each heartbeat costs more than it finds.
+    /// Returns whether placement may find something new. A search over all waiting jobs and
+    /// machines for each heartbeat would cost more than it finds.
     fn placement_due(&mut self, shard_id: usize, cycle: &Cycle, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
         let events = (
             self.mirror.store_revision,
             self.state_contact.newest_revision(),
         );
-        let is_due = !cycle.gone.is_empty()
-            || shard.placed_as_of != events
-            || now - shard.placed_at >= PLACE_AGAIN_MS;
+        let is_due = !cycle.withdrawn.is_empty()
+            || shard.placed_at_revisions != events
+            || now - shard.placed_at >= PLACEMENT_RETRY_MS;
         if is_due {
-            shard.placed_as_of = events;
+            shard.placed_at_revisions = events;
             shard.placed_at = now;
         }
         is_due
     }
 
-    /// Whether pages may be compacted, with a cycle that has nothing else to write.
+    /// Returns whether a cycle without other changes may compact pages, and if so restarts the
+    /// interval.
     fn compaction_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let is_due =
-            shard.budget.left(now) >= COMPACT_BUDGET && now - shard.compacted_at >= COMPACT_MS;
+        let is_due = shard.budget.left(now) >= MIN_COMPACTION_BUDGET
+            && now - shard.compacted_at >= COMPACTION_INTERVAL_MS;
         if is_due {
             shard.compacted_at = now;
         }
         is_due
     }
 
-    /// Writes the record of the shard's images alone, if it is due.
+    /// Writes the record of the shard's images in a transaction of its own, if it is due.
     fn send_images(&mut self, shard_id: usize, token: u64, now: Millis) {
-        if let Some(images) = self.images_change(shard_id, now) {
+        if let Some(images) = self.images_record_change(shard_id, now) {
             let mut commit = Commit::default();
             commit.require(record::shard_key(shard_id), token);
             commit.apply.push(images);
-            self.send_cycle(shard_id, commit, Pending::default());
+            self.send_cycle(shard_id, commit, PendingCycle::default());
         }
     }
 
-    /// Sends a scheduling cycle's transaction; the shard's next cycle waits for its outcome.
-    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: Pending) {
+    /// Sends a scheduling cycle's transaction. The shard's next cycle waits for the outcome.
+    fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: PendingCycle) {
         let shard = &mut self.shards[shard_id];
         shard.budget.spend(commit.apply.len() as f64);
         shard.pending = Some(pending);
@@ -198,7 +205,7 @@
             .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
     }
 
-    /// Takes the outcome of an owner's scheduling cycle.
+    /// Handles the outcome of an owner's scheduling cycle.
     pub(crate) fn owner_committed(&mut self, shard_id: usize, outcome: Outcome, now: Millis) {
         let shard = &mut self.shards[shard_id];
         let Some(pending) = shard.pending.take() else {
@@ -211,8 +218,8 @@
         match outcome {
             Outcome::Applied(_) => self.cycle_applied(shard_id, pending, now),
             Outcome::Conflict(store_revision) => {
-                // Each failed condition costs write budget too, so the next
-                // try waits for the change that made it fail.
+                // A failed condition uses write budget too, so the next attempt waits for the
+                // change that made the condition fail.
                 shard.wait_revision = store_revision;
                 shard.retry_after = now + CONFLICT_RETRY_MS;
             }
@@ -226,24 +233,25 @@
         }
     }
 
-    /// What a cycle proved and assigned is durable: failures are attributed, commands sent.
-    fn cycle_applied(&mut self, shard_id: usize, pending: Pending, now: Millis) {
+    /// Handles a durable cycle: attributes failures, records images, and sends commands.
+    fn cycle_applied(&mut self, shard_id: usize, pending: PendingCycle, now: Millis) {
         self.capacity_changed = true;
         for (job, host) in pending.done {
-            self.note_done(shard_id, job, host);
+            self.record_completion(shard_id, job, host);
         }
         for (job, host) in pending.failed {
-            self.note_failed(shard_id, job, host, now);
+            self.attribute_failure(shard_id, job, host, now);
         }
         self.forget_job_failures(shard_id, now);
         for host in pending.hosts {
-            self.note_images(host);
+            self.record_image_use(host);
             self.push(host, now);
         }
     }
 
-    /// After any message of a machine: the owner's scheduling cycle is due.
-    pub(crate) fn after_message(&mut self, host: u32, now: Millis) {
+    /// Handles the arrival of a machine's message: marks its shard for a scheduling cycle, and
+    /// plans the cycle if one is due.
+    pub(crate) fn handle_message_arrival(&mut self, host: u32, now: Millis) {
         let Some(machine) = self.machines.get(&host) else {
             return;
         };
@@ -251,7 +259,7 @@
         self.shards[shard_id].dirty = true;
         self.shards[shard_id].touched.insert(host);
         if !machine.reported.is_empty() {
-            self.note_images(host);
+            self.record_image_use(host);
         }
         self.plan_shard(shard_id, now);
     }
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale in: listed machines that are dead, never came up, are silent or of no use.
+//! Scale-in: releases of listed machines that are dead, never came up, are silent, or are idle.
 
 use super::failure_attribution::FAULTY_MACHINE_FAILURES;
 use super::release::{MAX_RELEASED, RELEASE_RETRY_MS, ReleaseReason};
@@ -9,19 +9,19 @@
 use crate::reachability::Reachability;
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
-/// How much longer than its lease a machine may be unreachable before it is released.
-const UNREACHABLE_MS: f64 = 30_000.0;
-/// How much longer than its lease a machine may be silent before it is released.
-const SILENT_MS: f64 = 15_000.0;
-/// How much longer than two leases a listed machine may take to report to its owner.
+/// Time beyond its lease for which a machine may be unreachable before it is released.
+const UNREACHABLE_AFTER_LEASE_MS: f64 = 30_000.0;
+/// Time beyond its lease for which a machine may be silent before it is released.
+const SILENT_AFTER_LEASE_MS: f64 = 15_000.0;
+/// Time beyond two leases that a listed machine may take to report to its owner.
 const FIRST_REPORT_MS: f64 = 20_000.0;
-/// Share of a shard's cores that stay free when idle machines are released.
-const IDLE_SHARE: f64 = 0.6;
+/// Share of a shard's cores that must stay free when idle machines are released.
+const MIN_FREE_SHARE: f64 = 0.6;
 
-/// What a shard's machines are used for, before and while idle ones are released.
+/// Capacity and reachability of a shard's machines, updated as idle ones are chosen for release.
 #[derive(Clone, Copy, Debug, Default)]
 struct ShardUsage {
-    /// Cores of usable machines: those free, and all.
+    /// Free and total cores of the usable machines.
     free_cores: f64,
     cores: f64,
     unreachable_machines: usize,
@@ -29,18 +29,19 @@
 }
 
 impl ShardUsage {
-    /// Whether few enough machines are unreachable for it to be their fault: where many are,
-    /// the fault is between us and them.
+    /// Returns whether few enough machines are unreachable for the machines to be at fault. If many
+    /// are, the fault is in the network between this controller and the machines.
     fn few_unreachable(&self) -> bool {
         self.machines > 0 && self.unreachable_machines <= (self.machines / 5).max(1)
     }
 }
 
 impl Controller {
-    /// Releases listed machines that are dead, never came up, are silent or of no use, and
-    /// machines with assignments that are not listed.
+    /// Releases listed machines that are dead, never came up, are silent or are idle, and machines
+    /// with assignments that are not listed.
     pub(crate) fn scale_in_listed(&mut self, now: Millis) {
-        // What is owned may be an old belief.
+        // If this process has stalled, other controllers may own its shards until it has read the
+        // state again.
         if !self.caught_up() {
             return;
         }
@@ -52,7 +53,7 @@
         self.release_unlisted(now);
     }
 
-    /// Names of the listed machines to release.
+    /// Returns the names of the listed machines to release.
     fn choose_releases(&self, now: Millis) -> Vec<String> {
         let mut usage = self.shard_usage(now);
         let mut names: Vec<&String> = self.listed.keys().collect();
@@ -83,17 +84,18 @@
             if matches!(machine.reachability, Reachability::Unreachable(_)) {
                 shard.unreachable_machines += 1;
             }
-            if let (Some(whole), Some(free)) = (self.whole(machine), self.free_on(machine, None))
+            if let (Some(total), Some(free)) =
+                (self.total_capacity(machine), self.free_on(machine, None))
                 && machine.usable(now, self.silence_ms())
             {
                 shard.free_cores += free.cores;
-                shard.cores += whole.cores;
+                shard.cores += total.cores;
             }
         }
         usage
     }
 
-    /// Why a listed machine of ours is released now, if it is.
+    /// Returns the reason to release a listed machine of an owned shard now, if there is one.
     fn release_reason(
         &self,
         name: &str,
@@ -104,11 +106,12 @@
         let host = self.mirror.hosts.get(name);
         match host.and_then(|host| self.machines.get(&host)) {
             Some(machine) => self.release_reason_of_known(machine, entry, usage, now),
-            None => self.release_reason_of_unheard(name, entry, now),
+            None => self.release_reason_of_unreported(name, entry, now),
         }
     }
 
-    /// Why a machine is released that has reported, or whose release was requested before.
+    /// Returns the reason to release a machine that has reported or whose release was requested
+    /// before, if there is one.
     fn release_reason_of_known(
         &self,
         machine: &Machine,
@@ -125,7 +128,7 @@
         if entry.status == InstanceStatus::Failed {
             return Some(ReleaseReason::Failed);
         }
-        let silence_limit = self.config.lease_ms + SILENT_MS;
+        let silence_limit = self.config.lease_ms + SILENT_AFTER_LEASE_MS;
         if now - machine.last_heard_at > silence_limit && self.lag.punctual_for(now) > silence_limit
         {
             return Some(ReleaseReason::Silent);
@@ -136,16 +139,19 @@
         if self.is_long_unreachable(machine, now) && usage.few_unreachable() {
             return Some(ReleaseReason::Unreachable);
         }
-        let cores = self.whole(machine).map_or(0.0, |whole| whole.cores);
-        if self.is_idle(machine, now) && usage.free_cores - cores > IDLE_SHARE * usage.cores {
+        let cores = self
+            .total_capacity(machine)
+            .map_or(0.0, |total| total.cores);
+        if self.is_idle(machine, now) && usage.free_cores - cores > MIN_FREE_SHARE * usage.cores {
             usage.free_cores -= cores;
             return Some(ReleaseReason::Idle);
         }
         None
     }
 
-    /// Why a machine is released that is listed and has never reported.
-    fn release_reason_of_unheard(
+    /// Returns the reason to release a machine that is listed and has never reported, if there is
+    /// one.
+    fn release_reason_of_unreported(
         &self,
         name: &str,
         entry: &Instance,
@@ -159,31 +165,33 @@
             InstanceStatus::Running | InstanceStatus::Other => {
                 let shard_id = self.config.shard_map.shard(&entry.zone, name);
                 let owned_for = now - self.shards[shard_id].lease.token_since();
-                let patience = self.config.lease_ms * 2.0 + FIRST_REPORT_MS;
+                let max_wait_ms = self.config.lease_ms * 2.0 + FIRST_REPORT_MS;
                 let ready_ms = self.ready_s(&entry.machine_type) * 1000.0;
-                (owned_for > patience && entry.held_s * 1000.0 > ready_ms + patience)
-                    .then_some(ReleaseReason::NeverHeardOf)
+                (owned_for > max_wait_ms && entry.held_s * 1000.0 > ready_ms + max_wait_ms)
+                    .then_some(ReleaseReason::NeverReported)
             }
         }
     }
 
-    /// Whether a machine has been unreachable for so long that it is of no use.
+    /// Returns whether a machine has been unreachable for so long that it should be released.
     fn is_long_unreachable(&self, machine: &Machine, now: Millis) -> bool {
         match machine.reachability {
-            Reachability::Unreachable(since) => now - since > self.config.lease_ms + UNREACHABLE_MS,
-            Reachability::Reachable(_) | Reachability::Doubted(_) => false,
+            Reachability::Unreachable(since) => {
+                now - since > self.config.lease_ms + UNREACHABLE_AFTER_LEASE_MS
+            }
+            Reachability::Reachable(_) | Reachability::Suspected(_) => false,
         }
     }
 
-    /// Whether a machine has long had neither tasks nor assignments.
+    /// Returns whether a machine has had neither tasks nor assignments for a long time.
     fn is_idle(&self, machine: &Machine, now: Millis) -> bool {
         now - machine.busy_at > self.config.tuning.idle_return_s * 1000.0
             && machine.reported.is_empty()
             && self.mirror.on_host(machine.host).next().is_none()
     }
 
-    /// Notes that the release of a listed machine is requested. One that never reported
-    /// becomes known by it, so that its assignments can be resolved by the answer.
+    /// Records that the release of a listed machine is requested. A machine that has never reported
+    /// is registered, so that the answer to the request can resolve its assignments.
     fn note_listed_release(&mut self, name: &str, now: Millis) {
         let entry = &self.listed[name];
         let shard_id = self.config.shard_map.shard(&entry.zone, name);
@@ -191,13 +199,13 @@
         let machine = self
             .machines
             .entry(host)
-            .or_insert_with(|| Machine::unheard(host, shard_id, entry, now));
+            .or_insert_with(|| Machine::from_listing(host, shard_id, entry, now));
         machine.request_release(now + RELEASE_RETRY_MS);
     }
 
-    /// Assignments may name machines that neither report nor are listed (they were
-    /// taken, or died and were dropped from the list); only a release proves
-    /// that nothing of them is left.
+    /// Releases machines that have assignments but neither report nor are listed, because they were
+    /// reclaimed, or died and were dropped from the list. Only a release proves that none of their
+    /// tasks remain.
     fn release_unlisted(&mut self, now: Millis) {
         let mut released: Vec<String> = Vec::new();
         for host in self.mirror.assigned_hosts().collect::<Vec<_>>() {
@@ -212,8 +220,8 @@
         self.send_release(released);
     }
 
-    /// The shard of a machine with assignments that is not listed and should be, if it is
-    /// ours and its release can be requested.
+    /// Returns the owned shard of a machine that has assignments and is unexpectedly missing from
+    /// the list, if its release can be requested.
     fn shard_of_unlisted(&self, host: u32, now: Millis) -> Option<usize> {
         let is_known = self.machines.get(&host).is_some_and(|machine| {
             machine.state == MachineState::Gone
@@ -225,7 +233,7 @@
         }
         let shard_id = self.mirror.shard_of_assignment(host)?;
         self.owned(shard_id)?;
-        // The list is late; a machine that is merely new is not in it yet.
+        // The list is delayed, so a new machine may not be listed yet.
         let owned_for = now - self.shards[shard_id].lease.token_since();
         let list_delay = 3.0 * self.config.list_lag_ms + self.config.lease_ms;
         (owned_for >= list_delay).then_some(shard_id)
