--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -142,8 +142,8 @@
 
     /// Counts the cores of a machine's tasks.
     fn count_tasks(&self, machine: &Machine, seconds: f64, account: &mut Account) {
-        for (task, assignment) in self.mirror.on_host(machine.host) {
-            let Some((_, needs)) = self.mirror.uses(task.0) else {
+        for (task, assignment) in self.mirror.assignments_on(machine.host) {
+            let Some((_, needs)) = self.mirror.task_resources(task.0) else {
                 continue;
             };
             let reported = machine.reported.get(&task);
@@ -175,7 +175,7 @@
             if !reported.ended() && self.mirror.assignment_on(machine.host, *task).is_none() {
                 let cores = self
                     .mirror
-                    .uses(task.0)
+                    .task_resources(task.0)
                     .map_or(0.0, |(_, needs)| needs.cores);
                 account.sum.count(CoreUse::Strays, cores * seconds);
             }
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -15,7 +15,7 @@
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::machine::Task;
-use crate::mirror::MOST_ROWS;
+use crate::mirror::MAX_JOBS_PER_PAGE;
 use cherryyard_wire::peer::{DemandReport, Heartbeat};
 use cherryyard_wire::record::{BUCKETS, Key};
 use cherryyard_wire::state::Commit;
@@ -79,7 +79,7 @@
     }
 
     fn admission_form(&self) -> AdmissionForm {
-        if self.mirror.takes_pages() {
+        if self.mirror.is_admission_log_ready() {
             // The leader writes pages all the time. Other controllers receive few submissions
             // while there is a leader, and their pages would conflict with its pages and with one
             // another's.
@@ -89,7 +89,7 @@
             } else {
                 AdmissionForm::Page
             }
-        } else if self.mirror.format.by_pages {
+        } else if self.mirror.format.uses_admission_log {
             AdmissionForm::NotKnown
         } else {
             AdmissionForm::Records
@@ -100,7 +100,7 @@
     /// controller is the leader.
     fn admit_by_page(&mut self) -> Commit {
         let mut commit = Commit::default();
-        let mut batch = self.next_submissions(MOST_ROWS);
+        let mut batch = self.next_submissions(MAX_JOBS_PER_PAGE);
         if batch.is_empty() {
             return commit;
         }
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -12,7 +12,7 @@
 pub use super::submission::{Submission, SubmissionOutcome};
 use super::submission_queue::SubmissionQueue;
 use crate::effects::{Effect, Outcome};
-use crate::mirror::{MOST_ROWS, Mirror};
+use crate::mirror::{MAX_JOBS_PER_PAGE, Mirror};
 use crate::{Config, Millis};
 use cherryyard_wire::record::{BUCKETS, JobRecord, Key};
 use cherryyard_wire::state::Commit;
@@ -105,7 +105,7 @@
 /// Returns the estimated throughput under load in submissions per second: pages are half full on
 /// average.
 fn submissions_per_s(config: &Config) -> f64 {
-    config.user_writes_per_s * MOST_ROWS as f64 / 2.0
+    config.user_writes_per_s * MAX_JOBS_PER_PAGE as f64 / 2.0
 }
 
 impl Intake {
@@ -300,8 +300,8 @@
         if count > 0 {
             // The transaction must fail if pages or buckets exist that this mirror has not read.
             mirror.require(&mut written, Key::Format);
-            if mirror.format.by_pages {
-                mirror.require_pages(&mut written);
+            if mirror.format.uses_admission_log {
+                mirror.require_admission_log_unchanged(&mut written);
             }
             if needs_history {
                 mirror.require(&mut written, Key::Packed);
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -285,7 +285,7 @@
                 Some(learnt_at) => self.acknowledged_by_all_since(learnt_at),
                 // The list for heartbeats does not contain the cancellation: it was announced for
                 // [`ANNOUNCE_MS`] already, or it was learnt after the last heartbeat.
-                None => now - self.started_at > ANNOUNCE_MS && !self.mirror.is_new_cancel(job),
+                None => now - self.started_at > ANNOUNCE_MS && !self.mirror.is_newly_cancelled(job),
             }
     }
 
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -183,7 +183,7 @@
     pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
         self.notice(now);
         let changed = !events.events.is_empty();
-        self.mirror.events(events);
+        self.mirror.apply_events(events);
         if changed {
             self.mirror_changed(sent_at, now);
         } else {
@@ -223,7 +223,7 @@
     /// Applies the changes of a committed transaction of this controller to the mirror.
     pub(crate) fn mirror_commit(&mut self, commit: &Commit, revision: u64) {
         self.state_contact.applied(revision);
-        self.mirror.committed(commit, revision);
+        self.mirror.apply_committed(commit, revision);
     }
 
     fn commit_not_applied(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome) {
@@ -294,7 +294,7 @@
         let (mirror, listed) = (&self.mirror, &self.listed);
         self.machines.retain(|&host, machine| {
             now - machine.last_heard_at < FORGET_MS
-                || mirror.on_host(host).next().is_some()
+                || mirror.assignments_on(host).next().is_some()
                 || (machine.state != MachineState::Gone
                     && listed.contains_key(mirror.hosts.name(host)))
         });
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -90,8 +90,8 @@
         let misdirected = self.misdirected.counts(now);
         let demand = self.demand_reports();
         let short = self.teams_short_of_grants(now);
-        let has_gap = self.mirror.take_gap();
-        let new_cancellations = self.mirror.take_new_cancels();
+        let has_gap = self.mirror.take_missed_ends();
+        let new_cancellations = self.mirror.take_new_cancellations();
         let (cancelled, reach_ms) =
             self.cancelled
                 .list_for_heartbeat(new_cancellations, has_gap, now);
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -40,7 +40,7 @@
     /// Returns the transaction that enables the admission log for new jobs, once every controller
     /// can read it.
     pub(crate) fn enable_admission_log(&mut self) -> Option<Commit> {
-        if self.mirror.format.by_pages || !self.all_support_format(ADMISSION_LOG) {
+        if self.mirror.format.uses_admission_log || !self.all_support_format(ADMISSION_LOG) {
             return None;
         }
         tracing::info!("enabling the admission log for new jobs");
@@ -80,8 +80,8 @@
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         let last = self.mirror.admission_log.last_page();
         for &job in &self.mirror.undivided {
-            if self.mirror.in_page(job)
-                && let Some(page) = self.mirror.page_of(job)
+            if self.mirror.is_only_in_admission_log(job)
+                && let Some(page) = self.mirror.admission_page_of(job)
                 // A write to the last page would only conflict with this controller's pending
                 // transaction.
                 && !(self.intake.is_writing() && Some(page) == last)
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -102,13 +102,15 @@
     };
     let mut free_if_preempted = free;
     let machine = mirror.hosts.get(name);
-    let assigned = machine.into_iter().flat_map(|host| mirror.on_host(host));
+    let assigned = machine
+        .into_iter()
+        .flat_map(|host| mirror.assignments_on(host));
     for ((job, _), _) in assigned {
-        let Some((_, needs)) = mirror.uses(job) else {
+        let Some((_, needs)) = mirror.task_resources(job) else {
             continue;
         };
         free.subtract(&needs);
-        if !mirror.open.get(&job).is_some_and(OpenJob::makes_way) {
+        if !mirror.open.get(&job).is_some_and(OpenJob::is_preemptible) {
             free_if_preempted.subtract(&needs);
         }
     }
--- a/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
@@ -30,7 +30,7 @@
     let mut ops = 0;
     jobs.take(MAX_STEP_JOBS)
         .take_while(|&job| {
-            let key = mirror.home(job);
+            let key = mirror.record_key(job);
             if record_keys.insert(key) {
                 ops += if matches!(key, Key::Job(_)) {
                     1
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -14,7 +14,7 @@
     /// Returns whether submissions may name jobs that they wait for, and all state from before
     /// that was enabled has been read.
     pub fn accepts_dependencies(&self) -> bool {
-        self.mirror.takes_dependencies()
+        self.mirror.are_dependencies_ready()
     }
 
     /// Returns the transaction that enables dependencies, once every controller supports them. An
@@ -38,7 +38,7 @@
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
             jobs: self.mirror.format.jobs.max(1),
-            admission_log: self.mirror.format.by_pages,
+            admission_log: self.mirror.format.uses_admission_log,
             dependencies: true,
         };
         commit.apply.push(Apply::set(FORMAT, &record));
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -104,7 +104,9 @@
     /// Returns the undivided jobs that are not on pages of the admission log, by rank and age.
     fn undivided_outside_pages(&self) -> Vec<u64> {
         let undivided = self.mirror.undivided.iter().copied();
-        let mut jobs: Vec<u64> = undivided.filter(|&job| !self.mirror.in_page(job)).collect();
+        let mut jobs: Vec<u64> = undivided
+            .filter(|&job| !self.mirror.is_only_in_admission_log(job))
+            .collect();
         jobs.sort_by_cached_key(|job| {
             let open = &self.mirror.open[job];
             (Reverse(open.rank()), open.submitted_at, *job)
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -63,7 +63,7 @@
             tracing::info!(
                 "enabling buckets for job records, and compaction of finished jobs into the history"
             );
-            let commit = self.mirror.begin_buckets(self.config.txn_ops);
+            let commit = self.mirror.enable_buckets(self.config.txn_ops);
             self.send_other_transaction(commit);
         }
     }
@@ -175,7 +175,7 @@
             format: self.mirror.format.jobs.max(1),
             open: self.mirror.open.len(),
             recent: self.mirror.ended_count(),
-            to_move: self.mirror.own_ends().count(),
+            to_move: self.mirror.ended_jobs_with_own_record().count(),
             packed: record.jobs_in_runs[0] + record.jobs_in_runs[1],
             runs: record.jobs_in_runs,
             generation: record.generation(),
--- a/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
@@ -43,8 +43,8 @@
     }
     let own = mirror.packed.own;
     let archived = mirror
-        .own_ends()
-        .filter(|(job, ended)| ended.revision <= own && !mirror.named_in_pages(*job))
+        .ended_jobs_with_own_record()
+        .filter(|(job, ended)| ended.revision <= own && !mirror.is_listed_in_pages(*job))
         .filter(|(job, _)| !mirror.has_dependents(*job))
         .take(config.txn_ops);
     let mut commit = Commit::default();
--- a/crates/cherryyard-core/src/mirror/admission_compaction.rs
+++ b/crates/cherryyard-core/src/mirror/admission_compaction.rs
@@ -2,7 +2,7 @@
 //! and joins pages with few remaining jobs.
 
 use super::Mirror;
-use super::admission_log::{MOST_ROWS, PageDraft};
+use super::admission_log::{MAX_JOBS_PER_PAGE, PageDraft};
 use crate::Config;
 use cherryyard_wire::record::{Key, admission_log_key};
 use cherryyard_wire::state::{Apply, Commit};
@@ -42,7 +42,7 @@
             let remaining = existing
                 .jobs
                 .iter()
-                .filter(|job| self.in_page(**job))
+                .filter(|job| self.is_only_in_admission_log(**job))
                 .count();
             if page == 0 {
                 if remaining == 0 && !existing.jobs.is_empty() {
@@ -54,12 +54,12 @@
                 // same transaction.
                 sparse = sparse.filter(|earlier| earlier.page + 1 != page);
                 self.delete_page(&mut commit, page, config);
-            } else if remaining <= MOST_ROWS / 4 {
+            } else if remaining <= MAX_JOBS_PER_PAGE / 4 {
                 // The jobs move to the later of the two pages: a full read in progress, which
                 // reads keys in order, then finds them on at least one of the pages.
                 match sparse.take() {
                     Some(earlier)
-                        if earlier.jobs + remaining <= MOST_ROWS / 2
+                        if earlier.jobs + remaining <= MAX_JOBS_PER_PAGE / 2
                             && capacity >= CHANGES_PER_JOIN =>
                     {
                         if self.join_pages(&mut commit, earlier.page, page, config) {
@@ -109,7 +109,10 @@
         let (Some(moved), Some(mut draft)) = (moved, self.draft(into, config)) else {
             return false;
         };
-        let mut remaining = moved.jobs.iter().filter(|job| self.in_page(**job));
+        let mut remaining = moved
+            .jobs
+            .iter()
+            .filter(|job| self.is_only_in_admission_log(**job));
         let fits = remaining.all(|&job| {
             let open = self.open.get(&job);
             open.is_some_and(|open| draft.push(job, open))
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -31,7 +31,7 @@
 /// page whenever a job is added to it.
 const MAX_PAGE_BYTES: usize = 4096;
 /// Maximum number of jobs on a page.
-pub const MOST_ROWS: usize = 64;
+pub const MAX_JOBS_PER_PAGE: usize = 64;
 /// Bytes that the record of a page takes besides its rows and common fields.
 const PAGE_OVERHEAD_BYTES: usize = 50;
 /// Bytes by which a row may be larger than if it were the only one: submission times are relative
@@ -124,7 +124,7 @@
         if !self.record.common.contains(&single.common[0]) {
             bytes += size(serde_json::to_vec(&single.common).ok());
         }
-        let is_full = self.record.jobs.len() >= MOST_ROWS;
+        let is_full = self.record.jobs.len() >= MAX_JOBS_PER_PAGE;
         if is_full || self.bytes + bytes + PAGE_OVERHEAD_BYTES > self.max_bytes {
             return false;
         }
@@ -157,25 +157,25 @@
     /// Returns whether new jobs are added to the admission log, and the mirror has read up to the
     /// change that introduced it: a job that was added in another way just before must not be
     /// missed.
-    pub fn takes_pages(&self) -> bool {
-        self.format.by_pages && self.store_revision >= self.format.revision
+    pub fn is_admission_log_ready(&self) -> bool {
+        self.format.uses_admission_log && self.store_revision >= self.format.revision
     }
 
     /// Returns whether jobs may depend on other jobs, and the mirror has read up to the change
     /// that allowed this.
-    pub fn takes_dependencies(&self) -> bool {
+    pub fn are_dependencies_ready(&self) -> bool {
         self.format.dependencies && self.store_revision >= self.format.revision
     }
 
     /// Returns whether an open job is stored only on a page of the admission log, without a record
     /// of its own or an entry in a bucket.
-    pub fn in_page(&self, job: u64) -> bool {
+    pub fn is_only_in_admission_log(&self, job: u64) -> bool {
         let open = self.open.get(&job);
         open.is_some_and(|open| open.revision == 0) && !self.buckets.holds(job)
     }
 
     /// Returns the number of the page that lists a job, if there is one.
-    pub fn page_of(&self, job: u64) -> Option<u64> {
+    pub fn admission_page_of(&self, job: u64) -> Option<u64> {
         self.admission_log.pages.number_of(job)
     }
 
@@ -197,7 +197,9 @@
             new.has_unknown_team |= self.teams.get(&admitted.spec.team).is_none();
             self.admission_log.pages.assign(job, page);
             // The job's own record or its entry in a bucket takes precedence.
-            if !self.ended.contains(job) && (!self.open.contains_key(&job) || self.in_page(job)) {
+            if !self.ended.contains(job)
+                && (!self.open.contains_key(&job) || self.is_only_in_admission_log(job))
+            {
                 self.put_admitted_job(admitted);
             }
         }
@@ -234,7 +236,7 @@
     /// Drops those of the given jobs, which no page lists any more, that have no other record.
     fn drop_unlisted(&mut self, unlisted: &[u64]) {
         for &job in unlisted {
-            if self.in_page(job) {
+            if self.is_only_in_admission_log(job) {
                 self.drop_job(job);
             }
         }
@@ -246,7 +248,10 @@
         let existing = self.admission_log.writable(page)?;
         let mut draft = PageDraft::new(config);
         // Jobs with another record need not be listed any longer.
-        let mut remaining = existing.jobs.iter().filter(|job| self.in_page(**job));
+        let mut remaining = existing
+            .jobs
+            .iter()
+            .filter(|job| self.is_only_in_admission_log(**job));
         let fits = remaining.all(|&job| draft.push(job, &self.open[&job]));
         fits.then_some(draft)
     }
@@ -284,7 +289,7 @@
                 self.require(commit, Key::Job(job));
             }
         }
-        self.require_pages(commit);
+        self.require_admission_log_unchanged(commit);
         if added > 0 {
             commit.apply.push(draft.apply(page));
         }
@@ -293,7 +298,7 @@
 
     /// Adds the conditions that no job has been added to a page since this mirror was updated: the
     /// last page is unchanged, and there is none after it.
-    pub(crate) fn require_pages(&self, commit: &mut Commit) {
+    pub(crate) fn require_admission_log_unchanged(&self, commit: &mut Commit) {
         let last = self.admission_log.last_page();
         if let Some(last) = last {
             self.require(commit, Key::AdmissionPage(last));
@@ -316,7 +321,10 @@
         let mut draft = PageDraft::new(config);
         for &job in &existing.jobs {
             let new = changed.iter().find(|(changed_job, _)| *changed_job == job);
-            let old = self.open.get(&job).filter(|_| self.in_page(job));
+            let old = self
+                .open
+                .get(&job)
+                .filter(|_| self.is_only_in_admission_log(job));
             if let Some(open) = new.map(|(_, open)| open).or(old)
                 && !draft.push(job, open)
             {
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -191,7 +191,7 @@
 
     /// Returns the format for storing pages: packed as soon as every controller can read it.
     pub(crate) fn page_format(&self) -> PageFormat {
-        if self.takes_dependencies() {
+        if self.are_dependencies_ready() {
             PageFormat::Packed
         } else {
             PageFormat::Plain
@@ -231,7 +231,7 @@
     }
 
     /// Returns the assignments on a machine, by job and task number.
-    pub fn on_host(&self, host: u32) -> impl Iterator<Item = ((u64, u32), Assignment)> + '_ {
+    pub fn assignments_on(&self, host: u32) -> impl Iterator<Item = ((u64, u32), Assignment)> + '_ {
         let tasks = self.tasks.machine_tasks(host).into_iter().flatten();
         tasks.map(|(&task, &assignment)| (task, assignment))
     }
@@ -282,7 +282,7 @@
             if count == 0 {
                 continue;
             }
-            if let Some((team, needs)) = self.uses(job)
+            if let Some((team, needs)) = self.task_resources(job)
                 && let Some(used) = used.get_mut(team as usize)
             {
                 let count = count as f64;
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -73,7 +73,7 @@
 impl Mirror {
     /// Returns the key of the record that contains a job or would contain it: its own key or that
     /// of a bucket.
-    pub(crate) fn home(&self, job: u64) -> Key {
+    pub(crate) fn record_key(&self, job: u64) -> Key {
         if self.format.jobs < BUCKETS || self.has_own_record(job) {
             return Key::Job(job);
         }
@@ -143,7 +143,7 @@
         self.ended
             .get(job)
             .is_some_and(|ended| ended.generation <= self.packed.gen_done)
-            && !self.named_in_pages(job)
+            && !self.is_listed_in_pages(job)
     }
 
     /// Returns a job of a bucket as the mirror holds it, for rewriting the bucket.
@@ -154,7 +154,7 @@
         let ended = self.ended.get(job)?;
         // The demand of the job's tasks is needed only while a page lists the job.
         let demand = self.ended.demand(job);
-        let demand = demand.filter(|_| self.named_in_pages(job));
+        let demand = demand.filter(|_| self.is_listed_in_pages(job));
         Some(BucketItem::Ended {
             end: ended.end,
             task_count: ended.task_count,
@@ -188,7 +188,7 @@
         record: JobRecord,
         config: &Config,
     ) -> bool {
-        let added = !self.format.by_pages
+        let added = !self.format.uses_admission_log
             && self.view(job).is_none()
             && self.write_jobs(commit, vec![(job, record)], config);
         if added {
@@ -259,7 +259,7 @@
                 *stored = generation;
                 plan.has_ends = true;
             }
-            match self.home(job) {
+            match self.record_key(job) {
                 Key::Bucket(start) => {
                     let items = plan.buckets.entry(start).or_default();
                     items.insert(job, BucketItem::of(record, generation));
@@ -302,12 +302,12 @@
     /// Returns the transaction that introduces the format of buckets and creates as many empty
     /// buckets as it may have changes, up to a maximum. It changes the record of the formats, which
     /// transactions that add a job under its own key require to be unchanged.
-    pub(crate) fn begin_buckets(&self, txn_ops: usize) -> Commit {
+    pub(crate) fn enable_buckets(&self, txn_ops: usize) -> Commit {
         let mut commit = Commit::default();
         self.require(&mut commit, Key::Format);
         let format = record::FormatRecord {
             jobs: BUCKETS,
-            admission_log: self.format.by_pages,
+            admission_log: self.format.uses_admission_log,
             dependencies: self.format.dependencies,
         };
         commit.apply.push(Apply::set(record::FORMAT, &format));
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -45,7 +45,7 @@
 
     /// Applies one page of a full read, as if a watch had reported each of its keys. Keys that the
     /// read does not return are removed only at its end.
-    pub fn load_some(&mut self, pairs: &[Pair]) {
+    pub fn apply_read_page(&mut self, pairs: &[Pair]) {
         for pair in pairs {
             self.key_tracking.keys_in_read.extend(Key::parse(&pair.key));
             self.put(&pair.key, &pair.value, pair.revision);
@@ -76,7 +76,7 @@
     }
 
     /// Applies the changes that a watch or a barrier has reported.
-    pub fn events(&mut self, events: &WatchResponse) {
+    pub fn apply_events(&mut self, events: &WatchResponse) {
         for change in &events.events {
             // A watch and a barrier may report the same change. Changes that have been applied
             // are skipped, since an old put could otherwise restore a deleted key.
@@ -95,7 +95,7 @@
 
     /// Applies this controller's own transaction, which was committed at revision
     /// `store_revision`.
-    pub fn committed(&mut self, commit: &Commit, store_revision: u64) {
+    pub fn apply_committed(&mut self, commit: &Commit, store_revision: u64) {
         for change in &commit.apply {
             match change {
                 Apply::Set { set, value, .. } => self.put(set, value, store_revision),
@@ -140,7 +140,9 @@
         keys.extend(held.map(Key::Shard));
         let own = |job: &u64| !self.buckets.holds(*job);
         let open = self.open.keys().copied();
-        let open_with_own = open.filter(own).filter(|&job| !self.in_page(job));
+        let open_with_own = open
+            .filter(own)
+            .filter(|&job| !self.is_only_in_admission_log(job));
         keys.extend(open_with_own.map(Key::Job));
         let admission_pages = self.admission_log.pages().keys().copied();
         keys.extend(admission_pages.map(Key::AdmissionPage));
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -218,11 +218,11 @@
         if open.divided() {
             return false;
         }
-        self.graph.cancelled.contains_key(&job) || self.unmet_needs(open).next().is_some()
+        self.graph.cancelled.contains_key(&job) || self.unmet_dependencies(open).next().is_some()
     }
 
     /// Returns the jobs that an open job depends on and that are not done.
-    pub fn unmet_needs<'a>(&'a self, open: &'a OpenJob) -> impl Iterator<Item = u64> + 'a {
+    pub fn unmet_dependencies<'a>(&'a self, open: &'a OpenJob) -> impl Iterator<Item = u64> + 'a {
         let dependencies = open.dependencies.jobs.iter().copied();
         dependencies.filter(|dependency| self.end(*dependency) != Some(End::Done))
     }
--- a/crates/cherryyard-core/src/mirror/format.rs
+++ b/crates/cherryyard-core/src/mirror/format.rs
@@ -9,7 +9,7 @@
     /// Format in which jobs are stored: `BUCKETS` or later if they are stored in buckets.
     pub jobs: u32,
     /// Whether new jobs are added to the admission log.
-    pub by_pages: bool,
+    pub uses_admission_log: bool,
     /// Whether jobs may depend on other jobs, which all controllers have to support.
     pub dependencies: bool,
     /// Revision of the record of formats.
@@ -21,7 +21,7 @@
     pub(super) fn of(record: FormatRecord, revision: u64) -> Self {
         Self {
             jobs: record.jobs,
-            by_pages: record.admission_log,
+            uses_admission_log: record.admission_log,
             dependencies: record.dependencies,
             revision,
         }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -12,7 +12,7 @@
 use std::ops::Range;
 
 /// Returns the view of an ended job for its user.
-pub fn over(job: u64, end: End, done: u32) -> JobView {
+pub fn ended_job_view(job: u64, end: End, done: u32) -> JobView {
     let status = match end {
         End::Done => JobStatus::Done,
         End::Cancelled => JobStatus::Cancelled,
@@ -24,7 +24,7 @@
 fn cancelled_job_view(job: u64, dependency: u64) -> JobView {
     JobView {
         cancelled_by: Some(job_id(dependency)),
-        ..over(job, End::Cancelled, 0)
+        ..ended_job_view(job, End::Cancelled, 0)
     }
 }
 
@@ -172,19 +172,19 @@
     }
 
     /// Returns the jobs whose cancellation has been read since the last call.
-    pub fn take_new_cancels(&mut self) -> Vec<u64> {
+    pub fn take_new_cancellations(&mut self) -> Vec<u64> {
         self.ended.take_cancelled()
     }
 
     /// Returns whether the cancellation of a job has been read since the last call of
-    /// `take_new_cancels`.
-    pub(crate) fn is_new_cancel(&self, job: u64) -> bool {
+    /// `take_new_cancellations`.
+    pub(crate) fn is_newly_cancelled(&self, job: u64) -> bool {
         self.ended.is_newly_cancelled(job)
     }
 
     /// Returns whether jobs may have been cancelled since the last call whose cancellations this
     /// mirror has not read.
-    pub(crate) fn take_gap(&mut self) -> bool {
+    pub(crate) fn take_missed_ends(&mut self) -> bool {
         self.ended.take_missed_ends()
     }
 
@@ -201,15 +201,15 @@
 
     /// Returns whether any job with one of these numbers is open, or has ended and is still held by
     /// this mirror: in the watched records, or among the recent ends of the history.
-    pub fn knows_any(&self, jobs: Range<u64>) -> bool {
+    pub fn has_any_job(&self, jobs: Range<u64>) -> bool {
         self.open.range(jobs.clone()).next().is_some() || self.ended.contains_any(&jobs)
     }
 
     /// Returns whether a page of assignments or of the admission log lists the job. While a page of
     /// assignments does, tasks of the job may be on machines. While a page of the admission log
     /// does, the job would be open again if the record of its end were removed.
-    pub fn named_in_pages(&self, job: u64) -> bool {
-        self.page_of(job).is_some() || self.tasks.has_job(job)
+    pub fn is_listed_in_pages(&self, job: u64) -> bool {
+        self.admission_page_of(job).is_some() || self.tasks.has_job(job)
     }
 
     /// Returns the ended jobs that the watched records list.
@@ -218,7 +218,7 @@
     }
 
     /// Returns the ended jobs with records under their own keys, as earlier builds store them.
-    pub fn own_ends(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
+    pub fn ended_jobs_with_own_record(&self) -> impl Iterator<Item = (u64, &EndedJob)> {
         self.ended_jobs().filter(|(_, ended)| ended.revision != 0)
     }
 
@@ -264,7 +264,7 @@
 
     /// Returns a job's team and the resources of one of its tasks, for open jobs and for ended jobs
     /// of which tasks may still be on machines.
-    pub fn uses(&self, job: u64) -> Option<(u32, Resources)> {
+    pub fn task_resources(&self, job: u64) -> Option<(u32, Resources)> {
         if let Some(open) = self.open.get(&job) {
             return Some((open.team, open.needs()));
         }
@@ -282,7 +282,7 @@
                 End::Done => job_end.task_count,
                 End::Cancelled => self.done(job),
             };
-            return Some(over(job, job_end.end, done));
+            return Some(ended_job_view(job, job_end.end, done));
         }
         let open = self.open.get(&job)?;
         if let Some(dependency) = self.cancelled_with(job) {
@@ -294,7 +294,7 @@
         } else {
             JobStatus::Queued
         };
-        let unmet: Vec<u64> = self.unmet_needs(open).collect();
+        let unmet: Vec<u64> = self.unmet_dependencies(open).collect();
         Some(JobView {
             waits_on: dependency_ids(&unmet),
             ..JobView::new(job, status, self.done(job), running)
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -42,7 +42,7 @@
 use crate::names::Names;
 use crate::pages::Page;
 use admission_log::AdmissionLog;
-pub use admission_log::{AdmissionPage, MOST_ROWS};
+pub use admission_log::{AdmissionPage, MAX_JOBS_PER_PAGE};
 pub use assignments::TaskTable;
 use buckets::BucketIndex;
 pub use catalog::MachineCatalog;
@@ -60,7 +60,7 @@
 use ended::EndedJobs;
 pub use format::RecordFormat;
 pub use images::StoredImages;
-pub use jobs::over;
+pub use jobs::ended_job_view;
 pub use lease_holder::LeaseHolder;
 pub use open_job::OpenJob;
 use record_error::read;
@@ -319,7 +319,7 @@
     /// bucket.
     pub fn require(&self, commit: &mut Commit, key: Key) {
         let key = match key {
-            Key::Job(job) => self.home(job),
+            Key::Job(job) => self.record_key(job),
             key => key,
         };
         let text = match key {
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -86,7 +86,7 @@
     /// Returns whether the job's tasks may preempt those of another job because of their priority.
     /// For a service, the two jobs' own priorities are compared: with inherited ones, an array that
     /// inherits a service's priority from a dependent would keep services out.
-    pub fn goes_before(&self, other: &Self) -> bool {
+    pub fn may_preempt(&self, other: &Self) -> bool {
         if self.spec.shape == Shape::Service {
             return other.spec.rank < self.spec.rank;
         }
@@ -126,7 +126,7 @@
 
     /// Returns whether the job's tasks may be preempted for jobs of higher priority: the job is an
     /// array with standard priority or below.
-    pub fn makes_way(&self) -> bool {
+    pub fn is_preemptible(&self) -> bool {
         self.spec.shape == Shape::Array && self.spec.rank <= Rank::Standard
     }
 
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -138,7 +138,7 @@
     fn free_cores_if_fits_after_arrays(&self, machine: &Machine, open: &OpenJob) -> Option<f64> {
         let mut free = self.free_on(machine, None)?;
         let free_cores = free.cores;
-        for ((job, _), _) in self.mirror.on_host(machine.host) {
+        for ((job, _), _) in self.mirror.assignments_on(machine.host) {
             if let Some(other) = self.mirror.open.get(&job)
                 && other.spec.shape == Shape::Array
             {
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -38,9 +38,9 @@
     pub(crate) fn free_on(&self, machine: &Machine, cycle: Option<&Cycle>) -> Option<Resources> {
         let mut free = self.total_capacity(machine)?;
         let is_gone = |task: &Task| cycle.is_some_and(|cycle| cycle.withdrawn.contains(task));
-        for (task, _) in self.mirror.on_host(machine.host) {
+        for (task, _) in self.mirror.assignments_on(machine.host) {
             if !is_gone(&task) {
-                free.subtract(&self.mirror.uses(task.0)?.1);
+                free.subtract(&self.mirror.task_resources(task.0)?.1);
             }
         }
         for (task, reported) in &machine.reported {
@@ -48,14 +48,14 @@
             if !reported.ended() && (is_gone(task) || !is_assigned()) {
                 // The task has no assignment, or is losing it, and uses capacity until the machine
                 // no longer runs it.
-                free.subtract(&self.mirror.uses(task.0)?.1);
+                free.subtract(&self.mirror.task_resources(task.0)?.1);
             }
         }
         let assigned = cycle.and_then(|cycle| cycle.assigned.get(&machine.host));
         for task in assigned.into_iter().flatten() {
             let reported = machine.reported.get(task);
             if reported.is_none_or(|reported| reported.ended()) {
-                free.subtract(&self.mirror.uses(task.0)?.1);
+                free.subtract(&self.mirror.task_resources(task.0)?.1);
             }
         }
         Some(free)
@@ -64,9 +64,9 @@
     /// Returns the free capacity (cores, accelerators, RAM) that a machine would have if all its
     /// arrays of standard rank or below were stopped.
     fn free_if_preempted(&self, machine: &Machine, mut free: Resources) -> (f32, f32, f32) {
-        for ((job, _), _) in self.mirror.on_host(machine.host) {
+        for ((job, _), _) in self.mirror.assignments_on(machine.host) {
             let open = self.mirror.open.get(&job);
-            if let Some(open) = open.filter(|open| open.makes_way()) {
+            if let Some(open) = open.filter(|open| open.is_preemptible()) {
                 free.add(&open.needs());
             }
         }
@@ -131,7 +131,7 @@
     ) -> Vec<Resources> {
         let mut wants = used.to_vec();
         for &(job, tasks, _) in waiting {
-            if let Some((team, needs)) = self.mirror.uses(job)
+            if let Some((team, needs)) = self.mirror.task_resources(job)
                 && let Some(wanted) = wants.get_mut(team as usize)
             {
                 let tasks = f64::from(tasks);
--- a/crates/cherryyard-core/src/owner/collection.rs
+++ b/crates/cherryyard-core/src/owner/collection.rs
@@ -59,7 +59,7 @@
             runs: Vec::new(),
         };
         for host in hosts {
-            for (task, assignment) in self.mirror.on_host(host) {
+            for (task, assignment) in self.mirror.assignments_on(host) {
                 self.collect_task(shard_id, task, &assignment, now, &mut collection);
             }
         }
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -97,7 +97,7 @@
     /// preempted on it.
     fn is_unavailable(&self, machine: &Machine) -> bool {
         let shard = &self.controller.shards[self.shard_id];
-        let mut tasks = self.controller.mirror.on_host(machine.host);
+        let mut tasks = self.controller.mirror.assignments_on(machine.host);
         shard.reserved.contains_key(&machine.host)
             || self
                 .controller
@@ -152,7 +152,7 @@
     fn possible_victims(&self, machine: &Machine, preemption: &Preemption) -> Vec<Victim> {
         let mirror = &self.controller.mirror;
         let mut victims: Vec<Victim> = mirror
-            .on_host(machine.host)
+            .assignments_on(machine.host)
             .filter_map(|(task, assignment)| {
                 let open = mirror.open.get(&task.0)?;
                 self.may_preempt(open, preemption).then(|| Victim {
@@ -171,7 +171,7 @@
     /// Returns whether this job may preempt another: the other is less important, or the other's
     /// team uses more than its guarantee while this job's team stays within its own.
     fn may_preempt(&self, other: &OpenJob, preemption: &Preemption) -> bool {
-        if self.open.goes_before(other) {
+        if self.open.may_preempt(other) {
             return true;
         }
         let (team, other_team) = (self.open.team as usize, other.team as usize);
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -13,7 +13,11 @@
 impl Controller {
     /// Records the images of a machine's assigned tasks as used.
     pub(crate) fn record_image_use(&mut self, host: u32) {
-        let tasks: Vec<Task> = self.mirror.on_host(host).map(|(task, _)| task).collect();
+        let tasks: Vec<Task> = self
+            .mirror
+            .assignments_on(host)
+            .map(|(task, _)| task)
+            .collect();
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -245,7 +245,7 @@
     fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Resources> {
         let mut used = self.mirror.usage(shard_id);
         for task in &cycle.withdrawn {
-            if let Some((team, needs)) = self.mirror.uses(task.0)
+            if let Some((team, needs)) = self.mirror.task_resources(task.0)
                 && let Some(used) = used.get_mut(team as usize)
             {
                 used.subtract(&needs);
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -148,7 +148,7 @@
             && self.assignments_are_current
             && !self.machine.is_reclaimed_soon(self.now);
         let (machine, mirror) = (self.machine, &self.controller.mirror);
-        let assigned = may_start.then(|| mirror.on_host(machine.host));
+        let assigned = may_start.then(|| mirror.assignments_on(machine.host));
         let missing = assigned.into_iter().flatten().filter(|(task, assignment)| {
             assignment.incarnation == machine.newest.0
                 && !machine.is_abandoned(assignment.incarnation, assignment.attempt)
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -189,7 +189,7 @@
     fn is_idle(&self, machine: &Machine, now: Millis) -> bool {
         now - machine.busy_at > self.config.tuning.idle_return_s * 1000.0
             && machine.reported.is_empty()
-            && self.mirror.on_host(machine.host).next().is_none()
+            && self.mirror.assignments_on(machine.host).next().is_none()
     }
 
     /// Records that the release of a listed machine is requested. A machine that has never reported
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -60,7 +60,7 @@
     /// Returns whether the shard's other machines have capacity for as many tasks of a job as there
     /// are tasks on `machine`.
     fn has_capacity_for_tasks_of(&self, machine: &Machine, open: &OpenJob, now: Millis) -> bool {
-        let tasks = self.mirror.on_host(machine.host).count() as u32;
+        let tasks = self.mirror.assignments_on(machine.host).count() as u32;
         let mut capacity = 0;
         for other in self.machines.values() {
             if other.shard == machine.shard
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -138,7 +138,7 @@
     /// enough time.
     fn is_release_worthwhile(&self, host: u32, gain: f64) -> bool {
         let (mut services, mut others) = (0, 0);
-        for ((job, _), _) in self.mirror.on_host(host) {
+        for ((job, _), _) in self.mirror.assignments_on(host) {
             match self.mirror.open.get(&job).map(|open| open.spec.shape) {
                 Some(Shape::Service) => services += 1,
                 Some(Shape::Array) => others += 1,
@@ -157,7 +157,7 @@
     /// Returns the silence after which a machine is released because of a task of this job, or
     /// `None` if the job is not cancelled or enough time is left.
     fn silence_for_cancelled(&self, job: u64, now: Millis) -> Option<Millis> {
-        if self.mirror.end(job) != Some(End::Cancelled) || self.mirror.is_new_cancel(job) {
+        if self.mirror.end(job) != Some(End::Cancelled) || self.mirror.is_newly_cancelled(job) {
             return None;
         }
         // If the time of the cancellation is no longer known here, it was long ago or is unknown to
@@ -201,7 +201,7 @@
         }
         let mut limits = self
             .mirror
-            .on_host(host)
+            .assignments_on(host)
             .filter_map(|(task, _): (Task, _)| self.silence_for_cancelled(task.0, now));
         limits.any(|limit| silent > limit)
     }
--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -232,7 +232,7 @@
 /// Loads the whole state into a controller that has just started.
 pub(super) fn load(controller: &mut Controller, state: &StateStandIn, now: f64) {
     controller.mirror.begin_load();
-    controller.mirror.load_some(&state.pairs());
+    controller.mirror.apply_read_page(&state.pairs());
     controller.loaded(state.store_revision(), now, now);
 }
 
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -5,7 +5,7 @@
 use super::state_link::{catch_up, load};
 use cherryyard_core::Controller;
 use cherryyard_core::admission::intake::{Submission, SubmissionOutcome};
-use cherryyard_core::mirror::over;
+use cherryyard_core::mirror::ended_job_view;
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::condor::{
@@ -83,7 +83,7 @@
         if let Some(controller) = controller.filter(|c| c.mirror.loaded) {
             catch_up(controller, &self.state, now);
             let config = controller.config.clone();
-            let is_written = if controller.mirror.takes_pages() {
+            let is_written = if controller.mirror.is_admission_log_ready() {
                 let rules = rules.map(Box::new);
                 let open = controller.mirror.new_job(spec.clone(), rules, now as u64);
                 let jobs = open.iter().map(|open| (job, open));
@@ -215,7 +215,7 @@
         Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::from_record(&record).expect("a valid leaf");
-            leaf.find(job).map(|p| over(job, p.end, p.done))
+            leaf.find(job).map(|p| ended_job_view(job, p.end, p.done))
         })
     }
 }
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -164,8 +164,8 @@
         let page = |w: &World, job: u64| {
             let controller = w.controllers[leader(w)].as_ref().expect("it runs");
             (
-                controller.mirror.page_of(job),
-                controller.mirror.in_page(job),
+                controller.mirror.admission_page_of(job),
+                controller.mirror.is_only_in_admission_log(job),
             )
         };
         // Pages 0 and 1, the second one full.
@@ -418,7 +418,7 @@
     let in_page = |w: &World| {
         let controller = w.controllers[leader(w)].as_ref().expect("it runs");
         let job = cherryyard_wire::job::job_number(&divided[0]).expect("a job");
-        controller.mirror.in_page(job)
+        controller.mirror.is_only_in_admission_log(job)
     };
     assert!(in_page(&w), "it was divided in its page");
     w.state_link.held_commits.push(held);
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -139,7 +139,7 @@
     let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
     mirror.begin_load();
     for some in pairs.chunks(2) {
-        mirror.load_some(some);
+        mirror.apply_read_page(some);
         assert!(!mirror.loaded && mirror.store_revision == 0);
     }
     mirror.end_load(store_revision);
@@ -160,13 +160,13 @@
             .filter(|p| p.key != admission_log_key(0))
             .cloned()
             .collect();
-        mirror.load_some(&left);
+        mirror.apply_read_page(&left);
     }
     assert!(mirror.view(5).is_some());
     mirror.end_load(store_revision);
     assert!(mirror.view(5).is_none() && mirror.view(8).is_none());
     mirror.begin_load();
-    mirror.load_some(&pairs);
+    mirror.apply_read_page(&pairs);
     mirror.end_load(store_revision);
     mirror.begin_load();
     let old: Vec<_> = pairs
@@ -174,7 +174,7 @@
         .filter(|p| p.revision < newest)
         .cloned()
         .collect();
-    mirror.load_some(&old);
+    mirror.apply_read_page(&old);
     mirror.store_revision = newest - 1;
     mirror.end_load(newest - 1);
     assert!(mirror.view(8).is_some());
--- a/crates/cherryyard/src/app/mirror_sync.rs
+++ b/crates/cherryyard/src/app/mirror_sync.rs
@@ -27,7 +27,7 @@
             let page = self.clients.state.read_page(last.as_deref()).await?;
             let store_revision = *first.get_or_insert(page.store_revision);
             for pairs in page.pairs.chunks(LOAD_STEP) {
-                self.with(|controller, _| controller.mirror.load_some(pairs));
+                self.with(|controller, _| controller.mirror.apply_read_page(pairs));
                 tokio::task::yield_now().await;
             }
             keys += page.pairs.len();
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -258,7 +258,7 @@
     });
     let mut reads = 0;
     'block: while first + jobs < END_ID {
-        if app.with(|controller, _| controller.mirror.knows_any(first..first + jobs)) {
+        if app.with(|controller, _| controller.mirror.has_any_job(first..first + jobs)) {
             first += jobs;
             continue;
         }
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -7,7 +7,7 @@
 use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_core::admit::{Reject, admit};
 use cherryyard_core::dependencies::{DependencyError, PastEnds, Resolution};
-use cherryyard_core::mirror::{OpenJob, over};
+use cherryyard_core::mirror::{OpenJob, ended_job_view};
 use cherryyard_core::users::UserAnswer;
 use cherryyard_wire::condor::{FIRST_ID, is_reserved};
 use cherryyard_wire::dependencies::Dependencies;
@@ -63,7 +63,7 @@
     }
     Ok(result
         .finished_job
-        .map(|finished| over(job, finished.end, finished.done)))
+        .map(|finished| ended_job_view(job, finished.end, finished.done)))
 }
 
 /// Returns the response for a cancelled job whose cancellation the other controllers may not have
@@ -258,7 +258,7 @@
         return Attempt::Failed;
     };
     if let Some(finished) = result.finished_job {
-        let view = over(job, finished.end, finished.done);
+        let view = ended_job_view(job, finished.end, finished.done);
         return Attempt::Answered(ApiResponse::job_view(StatusCode::OK, &view));
     }
     if is_reserved(job) && app.with(|controller, _| controller.config.tuning.condor) {
