--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -242,7 +242,9 @@
             let offer = &waiting.offer;
             if mirror.view(offer.job).is_some() {
                 answer(effects, &waiting, SubmissionOutcome::AlreadyKnown);
-            } else if mirror.packed_revision != offer.history_revision && mirror.packed.any() {
+            } else if mirror.history_progress_revision != offer.history_revision
+                && mirror.history_progress.any()
+            {
                 answer(effects, &waiting, SubmissionOutcome::Retry);
             } else if jobs.insert(offer.job) {
                 batch.push(waiting);
@@ -270,7 +272,7 @@
             .iter()
             .any(|waiting| depends_on_history(waiting, mirror))
         {
-            mirror.require(commit, Key::Packed);
+            mirror.require(commit, Key::HistoryProgress);
         }
         let jobs = batch
             .iter()
@@ -304,7 +306,7 @@
                 mirror.require_admission_log_unchanged(&mut written);
             }
             if needs_history {
-                mirror.require(&mut written, Key::Packed);
+                mirror.require(&mut written, Key::HistoryProgress);
             }
         }
         self.sent = batch;
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::mirror::OpenJob;
-use cherryyard_wire::record::{ADMISSION_LOG, FORMAT, FormatRecord, Key};
+use cherryyard_wire::record::{ADMISSION_LOG, FORMAT_KEY, FormatRecord, Key};
 use cherryyard_wire::state::{Apply, Commit};
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
             admission_log: true,
             dependencies: self.mirror.format.dependencies,
         };
-        commit.apply.push(Apply::set(FORMAT, &record));
+        commit.apply.push(Apply::set(FORMAT_KEY, &record));
         Some(commit)
     }
 
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -253,7 +253,7 @@
         tracing::info!("storing operators' attributes of machines");
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Attributes);
-        commit.apply.push(Apply::put(record::ATTRIBUTES, value));
+        commit.apply.push(Apply::put(record::ATTRIBUTES_KEY, value));
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -3,7 +3,7 @@
 
 use crate::Millis;
 use crate::controller::Controller;
-use cherryyard_wire::record::{DEPENDENCIES, FORMAT, FormatRecord, Key};
+use cherryyard_wire::record::{DEPENDENCIES, FORMAT_KEY, FormatRecord, Key};
 use cherryyard_wire::state::{Apply, Commit};
 
 /// Time for which every controller must have supported dependencies before the leader enables
@@ -41,7 +41,7 @@
             admission_log: self.mirror.format.uses_admission_log,
             dependencies: true,
         };
-        commit.apply.push(Apply::set(FORMAT, &record));
+        commit.apply.push(Apply::set(FORMAT_KEY, &record));
         Some(commit)
     }
 
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -49,7 +49,7 @@
         compaction
             .compactor
             .set_limits(self.config.page_bytes, self.config.txn_ops);
-        compaction.compactor.resume(self.mirror.packed);
+        compaction.compactor.resume(self.mirror.history_progress);
         if compaction.compactor.is_idle() {
             compaction.scanned_at = now;
             self.next_batch(now);
@@ -71,12 +71,12 @@
     /// Begins to compact a closed generation of finished jobs, or closes the current one if that
     /// is due.
     fn next_batch(&mut self, now: Millis) {
-        let record = self.mirror.packed;
+        let record = self.mirror.history_progress;
         let compaction = &mut self.leader.history_compaction;
-        if let Some(done) = record.to_fold() {
+        if let Some(done) = record.closed_generation_to_compact() {
             // All finished jobs of a closed generation were written before the record that closed
             // it, so they are known once the state up to that record has been read.
-            let closed_at_revision = self.mirror.packed_revision;
+            let closed_at_revision = self.mirror.history_progress_revision;
             if self.mirror.store_revision >= closed_at_revision {
                 let day = ((now + self.wall_offset) / DAY_MS).max(0.0) as u32;
                 let jobs = finished_jobs_of_closed_generations(&self.mirror, &record, done, day);
@@ -170,7 +170,7 @@
     /// Returns the numbers of jobs that are open, finished and still watched, finished in records
     /// of their own, and (approximately) in each run of the history.
     pub fn history_counts(&self) -> HistoryCounts {
-        let record = self.mirror.packed;
+        let record = self.mirror.history_progress;
         HistoryCounts {
             format: self.mirror.format.jobs.max(1),
             open: self.mirror.open.len(),
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -9,7 +9,7 @@
 use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
 use cherryyard_history::{Compactor, FinishedJob, Limits};
-use cherryyard_wire::history::PackedRecord;
+use cherryyard_wire::history::HistoryProgressRecord;
 use cherryyard_wire::record::End;
 
 /// Time between two small batches, while finished jobs are left in records of their own, as
@@ -116,7 +116,7 @@
     /// Returns whether the current generation of finished jobs should be closed: it contains
     /// enough jobs, or some jobs are left in records of their own and the next small batch is due.
     fn should_close_generation(&self, mirror: &Mirror, config: &Config, now: Millis) -> bool {
-        let record = mirror.packed;
+        let record = mirror.history_progress;
         let (mut uncompacted, mut any_has_own_record) = (0, false);
         for (_, ended) in mirror.ended_jobs() {
             let has_own_record = ended.revision > record.own;
@@ -143,11 +143,11 @@
 /// Returns the finished jobs of closed generations up to `done`; `day` is the current day.
 fn finished_jobs_of_closed_generations(
     mirror: &Mirror,
-    record: &PackedRecord,
+    record: &HistoryProgressRecord,
     done: u64,
     day: u32,
 ) -> Vec<FinishedJob> {
-    let closed_at_revision = mirror.packed_revision;
+    let closed_at_revision = mirror.history_progress_revision;
     let closed = mirror.ended_jobs().filter(|(_, ended)| {
         if ended.revision != 0 {
             ended.revision > record.own && ended.revision <= closed_at_revision
--- a/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
@@ -18,30 +18,34 @@
     let deleted = write.delete.into_iter().map(Apply::delete);
     commit.apply.extend(deleted);
     if let Some(record) = write.record {
-        mirror.require(&mut commit, Key::Packed);
-        commit.apply.push(Apply::set(record::PACKED, &record));
+        mirror.require(&mut commit, Key::HistoryProgress);
+        commit
+            .apply
+            .push(Apply::set(record::HISTORY_PROGRESS_KEY, &record));
     }
     commit
 }
 
 /// Returns the transaction that closes the current generation of finished jobs.
 pub(super) fn close_generation(mirror: &Mirror) -> Commit {
-    let mut closed = mirror.packed;
+    let mut closed = mirror.history_progress;
     closed.gen_now = closed.generation() + 1;
     let mut commit = Commit::default();
-    mirror.require(&mut commit, Key::Packed);
-    commit.apply.push(Apply::set(record::PACKED, &closed));
+    mirror.require(&mut commit, Key::HistoryProgress);
+    commit
+        .apply
+        .push(Apply::set(record::HISTORY_PROGRESS_KEY, &closed));
     commit
 }
 
 /// Returns a transaction that deletes some of the records that earlier builds wrote for single
 /// finished jobs, if these jobs are in the history.
 pub(super) fn delete_archived_records(mirror: &Mirror, config: &Config) -> Option<Commit> {
-    if mirror.store_revision < mirror.packed_revision {
+    if mirror.store_revision < mirror.history_progress_revision {
         // The state not read yet may contain new jobs that wait for one of the finished jobs.
         return None;
     }
-    let own = mirror.packed.own;
+    let own = mirror.history_progress.own;
     let archived = mirror
         .ended_jobs_with_own_record()
         .filter(|(job, ended)| ended.revision <= own && !mirror.is_listed_in_pages(*job))
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -137,12 +137,12 @@
     /// since before it covered the end, so the mirror holds all dependents once it has read up to
     /// the current record.
     fn can_remove_ended(&self, job: u64) -> bool {
-        if self.store_revision < self.packed_revision || self.has_dependents(job) {
+        if self.store_revision < self.history_progress_revision || self.has_dependents(job) {
             return false;
         }
         self.ended
             .get(job)
-            .is_some_and(|ended| ended.generation <= self.packed.gen_done)
+            .is_some_and(|ended| ended.generation <= self.history_progress.gen_done)
             && !self.is_listed_in_pages(job)
     }
 
@@ -238,7 +238,7 @@
         }
         if has_ends {
             // No end may be added to a generation after it has been closed.
-            self.require(commit, Key::Packed);
+            self.require(commit, Key::HistoryProgress);
         }
         for start in starts {
             self.require(commit, Key::Bucket(start));
@@ -249,7 +249,7 @@
 
     fn plan_write(&self, records: Vec<(u64, JobRecord)>) -> WritePlan {
         let mut plan = WritePlan::default();
-        let generation = self.packed.generation();
+        let generation = self.history_progress.generation();
         for (job, mut record) in records {
             if let JobRecord::Ended {
                 generation: stored, ..
@@ -310,7 +310,7 @@
             admission_log: self.format.uses_admission_log,
             dependencies: self.format.dependencies,
         };
-        commit.apply.push(Apply::set(record::FORMAT, &format));
+        commit.apply.push(Apply::set(record::FORMAT_KEY, &format));
         let count = txn_ops.saturating_sub(1).clamp(1, MAX_INITIAL_BUCKETS) as u64;
         let width = (u64::MAX / count).saturating_add(1);
         for i in 0..count {
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -49,7 +49,7 @@
 use changes::KeyTracking;
 use cherryyard_wire::cloud::MachineType;
 use cherryyard_wire::condor::{IdsRecord, SubmissionRecord, submission_key};
-use cherryyard_wire::history::PackedRecord;
+use cherryyard_wire::history::HistoryProgressRecord;
 use cherryyard_wire::record;
 use cherryyard_wire::record::{Grant, Key};
 use cherryyard_wire::rules::Attributes;
@@ -101,9 +101,9 @@
     /// Formats of records in use.
     pub format: RecordFormat,
     /// Record of the progress of moving ended jobs to the history.
-    pub packed: PackedRecord,
-    /// Revision of `packed`.
-    pub packed_revision: u64,
+    pub history_progress: HistoryProgressRecord,
+    /// Revision of `history_progress`.
+    pub history_progress_revision: u64,
     /// Machine types and attributes of machines.
     pub catalog: MachineCatalog,
     /// Flows of jobs, one per class and team.
@@ -146,8 +146,8 @@
             ids: IdsRecord::default(),
             ids_revision: 0,
             format: RecordFormat::default(),
-            packed: PackedRecord::default(),
-            packed_revision: 0,
+            history_progress: HistoryProgressRecord::default(),
+            history_progress_revision: 0,
             catalog: MachineCatalog::default(),
             flows: Flows::new(config.teams.len()),
             open: BTreeMap::new(),
@@ -195,7 +195,7 @@
                 admission_page.map_or(0, |admission_page| admission_page.revision)
             }
             Key::Format => self.format.revision,
-            Key::Packed => self.packed_revision,
+            Key::HistoryProgress => self.history_progress_revision,
             Key::Assignment { shard, page } => self.tasks.page_revision(shard, page),
             Key::Grant { team, shard } => {
                 let grants = self.grants.get(team);
@@ -252,7 +252,10 @@
             Key::Bucket(start) => self.drop_bucket(start),
             Key::AdmissionPage(page) => self.drop_admission_page(page),
             Key::Format => self.format = RecordFormat::default(),
-            Key::Packed => (self.packed, self.packed_revision) = (PackedRecord::default(), 0),
+            Key::HistoryProgress => {
+                (self.history_progress, self.history_progress_revision) =
+                    (HistoryProgressRecord::default(), 0)
+            }
             Key::Assignment { shard, page } => self.set_page(shard, page, None),
             Key::Grant { team, shard } => {
                 let grants = self.grants.get_mut(team);
@@ -293,9 +296,9 @@
             Key::Bucket(start) => self.put_bucket(start, read(value)?, revision),
             Key::AdmissionPage(page) => self.put_admission_page(page, read(value)?, revision)?,
             Key::Format => self.format = RecordFormat::of(read(value)?, revision),
-            Key::Packed => {
-                self.packed = read(value)?;
-                self.packed_revision = revision;
+            Key::HistoryProgress => {
+                self.history_progress = read(value)?;
+                self.history_progress_revision = revision;
             }
             Key::Assignment { shard, page } => {
                 if shard >= self.shards.len() {
@@ -325,11 +328,11 @@
         let text = match key {
             Key::Leader => record::LEADER_KEY.to_string(),
             Key::MachineTypes => record::MACHINE_TYPES_KEY.to_string(),
-            Key::Attributes => record::ATTRIBUTES.to_string(),
-            Key::Ids => record::IDS.to_string(),
+            Key::Attributes => record::ATTRIBUTES_KEY.to_string(),
+            Key::Ids => record::IDS_KEY.to_string(),
             Key::Submission(number) => submission_key(number),
-            Key::Format => record::FORMAT.to_string(),
-            Key::Packed => record::PACKED.to_string(),
+            Key::Format => record::FORMAT_KEY.to_string(),
+            Key::HistoryProgress => record::HISTORY_PROGRESS_KEY.to_string(),
             Key::Shard(shard_id) => record::shard_key(shard_id),
             Key::Images(shard_id) => record::images_key(shard_id),
             Key::Job(job) => record::job_key(job),
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -19,7 +19,7 @@
 pub use transaction::{Precondition, ReadFailed, Step, StoredLeaf, StoredLeafKey, Transaction};
 
 use crate::leaf::{FinishedJob, Leaf};
-use cherryyard_wire::history::{LAST, Level, PackedRecord, leaf_key};
+use cherryyard_wire::history::{HistoryProgressRecord, LAST, Level, leaf_key};
 use phase::Event;
 use split::LeafSplit;
 
@@ -51,9 +51,9 @@
     /// The compacted leaf of the small run is deleted.
     LeafRemoved,
     /// The history's record, as given, includes the archived batch.
-    Recorded(PackedRecord),
+    Recorded(HistoryProgressRecord),
     /// The history's record, as given, marks the small run as empty.
-    Emptied(PackedRecord),
+    Emptied(HistoryProgressRecord),
 }
 
 /// The pending read or transaction; there is at most one.
@@ -76,7 +76,7 @@
     phase: Phase,
     limits: Limits,
     /// The history's record as last written, plus the jobs that have been archived since.
-    record: PackedRecord,
+    record: HistoryProgressRecord,
     operation: Operation,
     /// The leaf that is being split, while the leaves before it are read.
     split: Option<LeafSplit>,
@@ -90,7 +90,7 @@
         Self {
             phase: Phase::Idle,
             limits,
-            record: PackedRecord::default(),
+            record: HistoryProgressRecord::default(),
             operation: Operation::None,
             split: None,
             day: 0,
@@ -127,7 +127,7 @@
 
     /// Resumes from the history's record, if the compactor is idle: a former leader may
     /// have stopped in the middle of a compaction.
-    pub fn resume(&mut self, record: PackedRecord) {
+    pub fn resume(&mut self, record: HistoryProgressRecord) {
         if self.is_idle() {
             self.record = record;
             if record.spilling {
@@ -199,7 +199,7 @@
     }
 
     /// Returns the history's record as it is once a batch is archived.
-    fn record_of_archived(&self, batch: &Batch) -> PackedRecord {
+    fn record_of_archived(&self, batch: &Batch) -> HistoryProgressRecord {
         let mut record = self.record;
         record.gen_done = record.gen_done.max(batch.generation);
         record.own = record.own.max(batch.revision);
--- a/crates/cherryyard-history/src/compactor/transaction.rs
+++ b/crates/cherryyard-history/src/compactor/transaction.rs
@@ -1,7 +1,7 @@
 //! Defines the reads and transactions that the compactor requests.
 
 use crate::leaf::Leaf;
-use cherryyard_wire::history::{LeafRecord, Level, PackedRecord, leaf_key};
+use cherryyard_wire::history::{HistoryProgressRecord, LeafRecord, Level, leaf_key};
 
 /// The compactor's next request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// The keys to delete.
     pub delete: Vec<String>,
     /// The history's record to put, if it changes.
-    pub record: Option<PackedRecord>,
+    pub record: Option<HistoryProgressRecord>,
 }
 
 /// A condition that a key was last written at a certain revision.
@@ -38,7 +38,7 @@
 
 impl Transaction {
     /// Creates a transaction that only puts the history's record.
-    pub(super) fn of_record(record: PackedRecord) -> Self {
+    pub(super) fn of_record(record: HistoryProgressRecord) -> Self {
         Self {
             record: Some(record),
             ..Self::default()
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -5,7 +5,7 @@
     Compactor, FinishedJob, Leaf, Level, Limits, Phase, ReadFailed, Step, StoredLeaf, Transaction,
     leaf_key, leaf_of_key,
 };
-use cherryyard_wire::history::{LeafRecord, PackedRecord};
+use cherryyard_wire::history::{HistoryProgressRecord, LeafRecord};
 use cherryyard_wire::record::End;
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Default)]
 struct Store {
     leaves: BTreeMap<String, (LeafRecord, u64)>,
-    record: (PackedRecord, u64),
+    record: (HistoryProgressRecord, u64),
     last_revision: u64,
     leader_epoch: u64,
     writes: usize,
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -9,11 +9,11 @@
 use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
-use cherryyard_wire::history::{LAST, PackedRecord};
+use cherryyard_wire::history::{HistoryProgressRecord, LAST};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, MACHINE_TYPES_KEY, PACKED,
-    PageRecord, TaskUsage, assignments_key, bucket_key, job_hash, job_key,
+    BUCKETS, BucketRecord, End, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobRecord,
+    MACHINE_TYPES_KEY, PageRecord, TaskUsage, assignments_key, bucket_key, job_hash, job_key,
 };
 use clap::Parser;
 use rand::rngs::StdRng;
@@ -159,7 +159,7 @@
         return;
     }
     state.seed(
-        FORMAT,
+        FORMAT_KEY,
         &FormatRecord {
             jobs: BUCKETS,
             admission_log: false,
@@ -169,13 +169,13 @@
     for i in (0..8u64).filter(|_| args.open == 0) {
         state.seed(&bucket_key(i << 61), &BucketRecord::default());
     }
-    let record = PackedRecord {
+    let record = HistoryProgressRecord {
         gen_now: 2,
         gen_done: 1,
         jobs_in_runs: [0, ids.len() as u64],
-        ..PackedRecord::default()
+        ..HistoryProgressRecord::default()
     };
-    state.seed(PACKED, &record);
+    state.seed(HISTORY_PROGRESS_KEY, &record);
     // Leaves filled as much as merges leave them on average.
     let mut remaining = ids.chunks(350).peekable();
     while let Some(chunk) = remaining.next() {
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -106,7 +106,7 @@
             ticket: self.submissions.next_ticket(),
             job,
             open,
-            history_revision: controller.mirror.packed_revision,
+            history_revision: controller.mirror.history_progress_revision,
         };
         request.stage = Stage::Offered {
             ticket: offer.ticket,
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -14,7 +14,7 @@
 };
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobView, job_number};
-use cherryyard_wire::record::{IDS, JobRecord, job_key};
+use cherryyard_wire::record::{IDS_KEY, JobRecord, job_key};
 use cherryyard_wire::rules::Rules;
 use cherryyard_wire::state::{Apply, Commit};
 use serde_json::json;
@@ -122,7 +122,7 @@
                 ticket,
                 job,
                 open: created.expect("a known team"),
-                history_revision: controller.mirror.packed_revision,
+                history_revision: controller.mirror.history_progress_revision,
             };
             controller.submit(offer, now);
         }
@@ -134,7 +134,7 @@
     /// first job. The job numbers follow those of earlier submissions.
     pub fn queue(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
         let number = submission_number(name);
-        let ids = self.state.get(IDS).map(|(v, _)| v.read::<IdsRecord>());
+        let ids = self.state.get(IDS_KEY).map(|(v, _)| v.read::<IdsRecord>());
         let first = ids.map_or(FIRST_ID, |i| {
             i.expect("a valid record of the next job number").next
         });
@@ -158,7 +158,7 @@
             commit.apply.push(Apply::set(key, chunk));
         }
         let next = first + jobs;
-        commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
+        commit.apply.push(Apply::set(IDS_KEY, &IdsRecord { next }));
         commit
             .apply
             .push(Apply::set(submission_key(number), &record));
--- a/crates/cherryyard-simulation/tests/pipeline_submissions.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_submissions.rs
@@ -131,7 +131,10 @@
     }
     w.run(30.0);
     for controller in w.controllers.iter_mut().flatten() {
-        assert!(controller.mirror.packed.any(), "some are in the history");
+        assert!(
+            controller.mirror.history_progress.any(),
+            "some are in the history"
+        );
     }
     w.restart_all();
     w.run(10.0);
--- a/crates/cherryyard-wire/src/history.rs
+++ b/crates/cherryyard-wire/src/history.rs
@@ -68,7 +68,7 @@
 /// generation is closed, by a record with the next one, no further end of that generation can
 /// be written, and a process that has read all changes up to that record has read all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedRecord {
+pub struct HistoryProgressRecord {
     /// Current generation, with which ends of jobs are recorded; 0 counts as 1.
     pub gen_now: u64,
     /// Last generation whose finished jobs, and those of all before it, are in the leaves; 0:
@@ -86,14 +86,14 @@
     pub spilling: bool,
 }
 
-impl PackedRecord {
+impl HistoryProgressRecord {
     /// Returns the current generation; the first is 1.
     pub fn generation(&self) -> u64 {
         self.gen_now.max(1)
     }
 
     /// Returns the last closed generation, if its finished jobs are not in the leaves yet.
-    pub fn to_fold(&self) -> Option<u64> {
+    pub fn closed_generation_to_compact(&self) -> Option<u64> {
         let closed = self.generation() - 1;
         (closed > self.gen_done).then_some(closed)
     }
--- a/crates/cherryyard-wire/src/record/keys.rs
+++ b/crates/cherryyard-wire/src/record/keys.rs
@@ -14,13 +14,13 @@
 pub const MACHINE_TYPES_KEY: &str = "c/kinds";
 
 /// Key of the attributes of machines that operators define.
-pub const ATTRIBUTES: &str = "c/attributes";
+pub const ATTRIBUTES_KEY: &str = "c/attributes";
 /// Key of the record of ids allocated to bulk submissions.
-pub const IDS: &str = "c/ids";
+pub const IDS_KEY: &str = "c/ids";
 /// Key of the record of the formats in use; while it is absent, the first format is in use.
-pub const FORMAT: &str = "c/format";
+pub const FORMAT_KEY: &str = "c/format";
 /// Key of the record of the progress of moving ended jobs to the history.
-pub const PACKED: &str = "c/packed";
+pub const HISTORY_PROGRESS_KEY: &str = "c/packed";
 
 /// Returns the key of a page of the admission log. The order of the keys is that of the page
 /// numbers.
@@ -90,7 +90,7 @@
     /// Formats of records in use.
     Format,
     /// Progress of moving ended jobs to the history.
-    Packed,
+    HistoryProgress,
     /// Page of a shard's assignments.
     Assignment {
         /// Number of the shard.
@@ -121,10 +121,10 @@
         match key {
             LEADER_KEY => return Some(Self::Leader),
             MACHINE_TYPES_KEY => return Some(Self::MachineTypes),
-            ATTRIBUTES => return Some(Self::Attributes),
-            IDS => return Some(Self::Ids),
-            FORMAT => return Some(Self::Format),
-            PACKED => return Some(Self::Packed),
+            ATTRIBUTES_KEY => return Some(Self::Attributes),
+            IDS_KEY => return Some(Self::Ids),
+            FORMAT_KEY => return Some(Self::Format),
+            HISTORY_PROGRESS_KEY => return Some(Self::HistoryProgress),
             _ => {}
         }
         let mut segments = key.strip_prefix(PREFIX)?.split('/');
--- a/crates/cherryyard-wire/src/record/mod.rs
+++ b/crates/cherryyard-wire/src/record/mod.rs
@@ -12,7 +12,8 @@
 pub use images::{IMAGE_CHARS, ImagesRecord};
 pub use job::{BucketRecord, End, JobRecord, TaskUsage};
 pub use keys::{
-    ATTRIBUTES, FORMAT, IDS, Key, LEADER_KEY, MACHINE_TYPES_KEY, PACKED, PREFIX, admission_log_key,
-    assignments_key, bucket_key, grant_key, images_key, job_hash, job_key, shard_key,
+    ATTRIBUTES_KEY, FORMAT_KEY, HISTORY_PROGRESS_KEY, IDS_KEY, Key, LEADER_KEY, MACHINE_TYPES_KEY,
+    PREFIX, admission_log_key, assignments_key, bucket_key, grant_key, images_key, job_hash,
+    job_key, shard_key,
 };
 pub use lease::LeaseRecord;
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -103,8 +103,8 @@
 /// small run to the large one.
 fn history_state(controller: &Controller) -> (u64, bool) {
     (
-        controller.mirror.packed_revision,
-        controller.mirror.packed.spilling,
+        controller.mirror.history_progress_revision,
+        controller.mirror.history_progress.spilling,
     )
 }
 
@@ -116,8 +116,9 @@
         job: u64,
         kind: LookupKind,
     ) -> Option<LookupResult> {
-        if !self.with(|controller, _| controller.mirror.packed.any()) {
-            let history_revision = self.with(|controller, _| controller.mirror.packed_revision);
+        if !self.with(|controller, _| controller.mirror.history_progress.any()) {
+            let history_revision =
+                self.with(|controller, _| controller.mirror.history_progress_revision);
             return Some(LookupResult {
                 finished_job: None,
                 history_revision,
@@ -194,7 +195,7 @@
                 Lookup::Absent(_)
                     if !spilling
                         && self.with(|controller, _| {
-                            controller.mirror.packed_revision == revision_at_start
+                            controller.mirror.history_progress_revision == revision_at_start
                                 && controller.mirror.store_revision >= small_read_at
                         }) =>
                 {
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -12,7 +12,7 @@
     SubmissionRecord, Template, check_name, chunk_key, submission_key, submission_number,
 };
 use cherryyard_wire::parse_object;
-use cherryyard_wire::record::{IDS, Key};
+use cherryyard_wire::record::{IDS_KEY, Key};
 use cherryyard_wire::rules::Rules;
 use cherryyard_wire::state::{Apply, Commit, Json};
 use salvo::http::StatusCode;
@@ -237,10 +237,13 @@
     record.chunk = (0, first);
     controller.mirror.require(commit, Key::Ids);
     let next = first + record.jobs;
-    commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
+    commit.apply.push(Apply::set(IDS_KEY, &IdsRecord { next }));
     if history_revision > 0 {
         // Since that revision, jobs with ids of this block may have been added to a leaf.
-        commit.require(cherryyard_wire::record::PACKED, history_revision);
+        commit.require(
+            cherryyard_wire::record::HISTORY_PROGRESS_KEY,
+            history_revision,
+        );
     }
 }
 
@@ -252,8 +255,8 @@
         let next = controller.mirror.ids.next.max(FIRST_ID);
         (
             next,
-            controller.mirror.packed_revision,
-            controller.mirror.packed.any(),
+            controller.mirror.history_progress_revision,
+            controller.mirror.history_progress.any(),
         )
     });
     let mut reads = 0;
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -5,10 +5,11 @@
 use cherryyard_simulation::http::{Budgets, HttpState};
 use cherryyard_simulation::process::{self, Client, Process};
 use cherryyard_simulation::{StateStandIn, World, small_machine_type};
-use cherryyard_wire::history::{LAST, PackedRecord};
+use cherryyard_wire::history::{HistoryProgressRecord, LAST};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, MACHINE_TYPES_KEY, PACKED, bucket_key,
+    BUCKETS, BucketRecord, End, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, MACHINE_TYPES_KEY,
+    bucket_key,
 };
 use std::path::Path;
 
@@ -18,7 +19,7 @@
     let machine_type = small_machine_type(vec!["a".into()]);
     state.seed(MACHINE_TYPES_KEY, &[machine_type]);
     state.seed(
-        FORMAT,
+        FORMAT_KEY,
         &FormatRecord {
             jobs: BUCKETS,
             admission_log: false,
@@ -26,13 +27,13 @@
         },
     );
     state.seed(&bucket_key(0), &BucketRecord::default());
-    let record = PackedRecord {
+    let record = HistoryProgressRecord {
         gen_now: 2,
         gen_done: 1,
         jobs_in_runs: [0, 3],
-        ..PackedRecord::default()
+        ..HistoryProgressRecord::default()
     };
-    state.seed(PACKED, &record);
+    state.seed(HISTORY_PROGRESS_KEY, &record);
     let finished_job = |job| FinishedJob {
         job,
         end: if job == 20 { End::Cancelled } else { End::Done },
