--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -38,7 +38,7 @@
 impl Controller {
     /// Samples the shard `shard_id`, if this controller owns it and a sample is due.
     pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
-        if self.owned(shard_id).is_none() {
+        if self.owned_token(shard_id).is_none() {
             return;
         }
         let since = self.shards[shard_id].account.sampled_at;
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -37,7 +37,7 @@
     /// Queues a submission or refuses it. The answer follows as an effect, possibly during this
     /// call.
     pub fn submit(&mut self, offer: Submission, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.demand.count_offered(offer.open.flow, offer.job);
         let is_queued = self.intake.offer(
             offer,
@@ -289,7 +289,7 @@
         ShardOwner {
             token: self.mirror.revision(Key::Shard(shard_id)),
             has_lapsed,
-            is_own: self.owned(shard_id).is_some(),
+            is_own: self.owned_token(shard_id).is_some(),
         }
     }
 
@@ -385,7 +385,7 @@
                 let shard_id = grant.shard as usize;
                 let allowance = granted_allowance(grant, heartbeat.number, sent_at);
                 if shard_id < self.shards.len()
-                    && self.owned(shard_id) == Some(allowance.leases.shard_token)
+                    && self.owned_token(shard_id) == Some(allowance.leases.shard_token)
                 {
                     granted.push(ReceivedAllowance {
                         flow,
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -3,7 +3,7 @@
 //! The caller invokes one method of [`Controller`] for each event, and afterwards executes the
 //! effects that [`Controller::effects`] returns. An event is handled in three steps:
 //!
-//! 1. `Controller::notice` records the time of the event, and detects that the process was
+//! 1. `Controller::advance_clock` records the time of the event, and detects that the process was
 //!    suspended.
 //! 2. The method for the event updates the state concerned: the mirror of the state service
 //!    ([`crate::mirror`]), the machines, the peers, or the submissions.
@@ -15,12 +15,12 @@
 //!
 //! | source | methods | module |
 //! | --- | --- | --- |
-//! | the state service | [`loaded`](Controller::loaded), [`events`](Controller::events), [`committed`](Controller::committed) | here; leases in `lease_acquisition` |
+//! | the state service | [`handle_load_end`](Controller::loaded), [`handle_watch_response`](Controller::events), [`handle_transaction_outcome`](Controller::committed) | here; leases in `lease_acquisition` |
 //! | a worker's heartbeat, or its answer to a command or query | `handle_worker_heartbeat`, `handle_push_outcome`, `handle_status_answer` | `worker_heartbeats`, then [`crate::owner`] |
-//! | a peer's heartbeat | `heartbeat_in`, `heartbeat_out` | `heartbeats` |
+//! | a peer's heartbeat | `handle_peer_heartbeat`, `build_heartbeat` | `heartbeats` |
 //! | a user's request | `answer_for`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
-//! | the cloud | [`machine_types`](Controller::machine_types), [`listed`](Controller::listed), [`released`](Controller::released) | here; then [`crate::leader`] and [`crate::owner`] |
-//! | time | [`tick`](Controller::tick), [`queue_passed`](Controller::queue_passed) | here |
+//! | the cloud | [`handle_machine_types`](Controller::machine_types), [`handle_machine_list`](Controller::listed), [`handle_release_answer`](Controller::released) | here; then [`crate::leader`] and [`crate::owner`] |
+//! | time | [`tick`](Controller::tick), [`handle_lag_probe`](Controller::handle_lag_probe) | here |
 
 use crate::admission::demand::Demand;
 use crate::admission::entitlements::Entitlements;
@@ -60,7 +60,7 @@
     pub config: Config,
     /// Random number that distinguishes this process from earlier and later processes of the
     /// controller with the same name.
-    pub(crate) process: u64,
+    pub(crate) process_id: u64,
     pub(crate) started_at: Millis,
     pub(crate) rng: StdRng,
     /// Effects since the last call of [`Controller::effects`], in the order of execution.
@@ -130,7 +130,7 @@
         let process = StdRng::seed_from_u64(seed).random();
         let shard_count = config.shards();
         Self {
-            process,
+            process_id: process,
             started_at: now,
             rng: StdRng::seed_from_u64(seed),
             effects: Vec::new(),
@@ -173,15 +173,15 @@
     /// Completes a full read of the state, whose first page was requested at `sent_at` and
     /// described revision `store_revision`. The mirror has received the pages one by one before
     /// this call, so that a long read does not delay heartbeats.
-    pub fn loaded(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
-        self.notice(now);
+    pub fn handle_load_end(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
+        self.advance_clock(now);
         self.mirror.end_load(store_revision);
         self.mirror_changed(sent_at, now);
     }
 
     /// Handles the response to a watch or barrier request that was sent at `sent_at`.
-    pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
-        self.notice(now);
+    pub fn handle_watch_response(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
+        self.advance_clock(now);
         let changed = !events.events.is_empty();
         self.mirror.apply_events(events);
         if changed {
@@ -199,12 +199,18 @@
         }
         self.check_leases();
         self.mark_all_dirty();
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Handles the outcome of a transaction that this controller sent.
-    pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
-        self.notice(now);
+    pub fn handle_transaction_outcome(
+        &mut self,
+        ticket: Ticket,
+        commit: &Commit,
+        outcome: Outcome,
+        now: Millis,
+    ) {
+        self.advance_clock(now);
         match outcome {
             Outcome::Applied(revision) => self.mirror_commit(commit, revision),
             Outcome::Conflict(_)
@@ -217,7 +223,7 @@
         if outcome == Outcome::NoLease {
             self.lease_id = None;
         }
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Applies the changes of a committed transaction of this controller to the mirror.
@@ -256,27 +262,27 @@
     /// Sets the lease of the state service to which this controller's shard and leadership leases
     /// are bound, or clears it after its loss.
     pub fn state_lease_changed(&mut self, lease_id: Option<u64>, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.lease_id = lease_id;
-        self.run(now);
+        self.run_decisions(now);
     }
 
     // Events of the cloud.
 
     /// Handles a response of the cloud that lists its machine types.
-    pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
-        self.notice(now);
+    pub fn handle_machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
+        self.advance_clock(now);
         if self.mirror.catalog.machine_types_revision == 0 && !machine_types.is_empty() {
             self.mirror.set_machine_types(machine_types.clone());
         }
         self.machine_types_from_cloud = Some(machine_types);
         self.leader.needs_cycle = true;
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Handles a response of the cloud that lists its machines.
-    pub fn listed(&mut self, machines: Vec<Instance>, now: Millis) {
-        self.notice(now);
+    pub fn handle_machine_list(&mut self, machines: Vec<Instance>, now: Millis) {
+        self.advance_clock(now);
         self.learn_provisioning_times(&machines);
         let by_name = machines.into_iter().map(|entry| (entry.id.clone(), entry));
         self.listed = by_name.collect();
@@ -301,14 +307,14 @@
     }
 
     /// Handles the cloud's answer to a release of machines; `ok` means that the cloud accepted it.
-    pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
-        self.notice(now);
+    pub fn handle_release_answer(&mut self, names: &[String], ok: bool, now: Millis) {
+        self.advance_clock(now);
         for name in names {
             if let Some(host) = self.mirror.hosts.get(name) {
                 self.machine_released(host, ok, now);
             }
         }
-        self.run(now);
+        self.run_decisions(now);
     }
 
     fn machine_released(&mut self, host: u32, ok: bool, now: Millis) {
@@ -330,14 +336,14 @@
 
     /// Runs everything that depends on time alone. The caller invokes this every 100 ms.
     pub fn tick(&mut self, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.lag.ticked(now);
         for shard in &mut self.shards {
             if now - shard.planned_at >= SHARD_CYCLE_MS {
                 shard.needs_cycle = true;
             }
         }
-        self.run(now);
+        self.run_decisions(now);
         if self.accounting {
             for shard_id in 0..self.shards.len() {
                 self.sample(shard_id, now);
@@ -347,8 +353,8 @@
 
     /// Records that a probe of the event loop, due at `due`, ran at `now`, after all heartbeats
     /// and requests that arrived before it.
-    pub fn queue_passed(&mut self, due: Millis, now: Millis) {
-        self.notice(now);
+    pub fn handle_lag_probe(&mut self, due: Millis, now: Millis) {
+        self.advance_clock(now);
         self.lag.probe_handled(due, now);
     }
 
@@ -359,7 +365,7 @@
     /// of the state service that was sent after the gap. Otherwise a controller that was
     /// suspended for a minute would consider all its machines silent, and would act as the owner
     /// of shards that it lost long ago.
-    pub(crate) fn notice(&mut self, now: Millis) {
+    pub(crate) fn advance_clock(&mut self, now: Millis) {
         if let Some(gap) = self.state_contact.advance(now) {
             tracing::info!(ms = gap, "process was suspended");
             self.lag.process_suspended(now);
@@ -368,7 +374,7 @@
     }
 
     /// Runs all decision steps in their fixed order, once the mirror is loaded.
-    pub(crate) fn run(&mut self, now: Millis) {
+    pub(crate) fn run_decisions(&mut self, now: Millis) {
         if !self.mirror.loaded {
             return;
         }
--- a/crates/cherryyard-core/src/effects.rs
+++ b/crates/cherryyard-core/src/effects.rs
@@ -102,7 +102,7 @@
     /// Status 200: the heartbeat was accepted.
     Answer(HeartbeatResponse),
     /// Status 421: another controller owns the shard; its name, if known.
-    Elsewhere(Option<String>),
+    Misdirected(Option<String>),
     /// Status 503: the heartbeat cannot be answered now, and no other owner is named.
     Unavailable,
 }
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -22,9 +22,9 @@
 
 impl Controller {
     /// Handles another controller's heartbeat.
-    pub fn heartbeat_in(&mut self, heartbeat: Heartbeat, now: Millis) {
-        self.notice(now);
-        let Some(peer) = self.place_of(&heartbeat.label) else {
+    pub fn handle_peer_heartbeat(&mut self, heartbeat: Heartbeat, now: Millis) {
+        self.advance_clock(now);
+        let Some(peer) = self.controller_index(&heartbeat.label) else {
             return;
         };
         if peer == self.config.me {
@@ -56,7 +56,7 @@
 
     /// Returns the index of the controller with this name in the order on which all controllers
     /// agree.
-    pub(crate) fn place_of(&self, label: &str) -> Option<usize> {
+    pub(crate) fn controller_index(&self, label: &str) -> Option<usize> {
         self.config.labels.iter().position(|known| known == label)
     }
 
@@ -84,8 +84,8 @@
 
     /// Builds the heartbeat that this controller sends to all others now. The fields of the
     /// admission module are filled in last, together with the heartbeat's number.
-    pub fn heartbeat_out(&mut self, now: Millis) -> Heartbeat {
-        self.notice(now);
+    pub fn build_heartbeat(&mut self, now: Millis) -> Heartbeat {
+        self.advance_clock(now);
         let shards = self.due_capacity_reports(now);
         let misdirected = self.misdirected.counts(now);
         let demand = self.demand_reports();
@@ -137,7 +137,7 @@
         self.capacity_changed = false;
         let mut reports = Vec::new();
         for shard_id in 0..self.shards.len() {
-            if self.owned(shard_id).is_some() {
+            if self.owned_token(shard_id).is_some() {
                 reports.push(self.capacity_report(shard_id, now));
             }
         }
@@ -219,7 +219,7 @@
 
     /// Records the build and the record format that another controller reports of itself.
     pub fn note_peer_build(&mut self, sender: &Sender, now: Millis) {
-        let Some(peer) = self.place_of(&sender.label) else {
+        let Some(peer) = self.controller_index(&sender.label) else {
             return;
         };
         let format = sender.format;
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -27,7 +27,7 @@
             let token = self.mirror.revision(Key::Shard(shard_id));
             if token != 0
                 && !self.has_valid_capacity(shard_id, token, now)
-                && self.owned(shard_id).is_none()
+                && self.owned_token(shard_id).is_none()
             {
                 let report = self.assumed_report(shard_id, token);
                 self.leader.capacities.assume(shard_id, report, now);
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -208,7 +208,7 @@
         answer: Result<Option<Chunk>, ()>,
         now: Millis,
     ) {
-        self.notice(now);
+        self.advance_clock(now);
         if !self.leader.bulk_creation.is_reading() {
             return;
         }
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -38,7 +38,7 @@
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Leader);
         let label = &self.config.labels[self.config.me];
-        let holder = LeaseRecord::of(label, self.process, self.config.format);
+        let holder = LeaseRecord::of(label, self.process_id, self.config.format);
         commit.apply.push(Apply::Set {
             set: record::LEADER_KEY.into(),
             value: Json::of(&holder),
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -130,7 +130,7 @@
     /// Handles the answer to a read of a leaf: its last possible job number, revision and record,
     /// or none if there is no such leaf.
     pub fn leaf_read(&mut self, answer: Result<Option<(u64, u64, LeafRecord)>, ()>, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         let compaction = &mut self.leader.history_compaction;
         if compaction.pending != Pending::Compactor {
             return;
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -89,7 +89,7 @@
         let own_token = |holder: &Option<LeaseHolder>| {
             holder
                 .as_ref()
-                .filter(|holder| holder.process == Some(self.process))
+                .filter(|holder| holder.process == Some(self.process_id))
                 .map(|holder| holder.revision)
                 .filter(|token| self.mirror.store_revision >= *token)
         };
@@ -137,7 +137,7 @@
 
     /// Returns the shard's token, if this controller holds the lease and the mirror is as recent
     /// as the lease.
-    pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
+    pub(crate) fn owned_token(&self, shard_id: usize) -> Option<u64> {
         let token = self.shards[shard_id].lease.held_token()?;
         // Before the mirror has reached the revision of the lease, it may lack the last
         // assignments of the previous owner.
@@ -224,7 +224,9 @@
         }
         let count = self.shards.len();
         let rank = ((me + count - shard_id) % count) as f64;
-        let preferred_owner_is_alive = self.peers.has_state_within(shard_id, SUCCESSION_MS, now);
+        let preferred_owner_is_alive =
+            self.peers
+                .reaches_state_within(shard_id, SUCCESSION_MS, now);
         rank * SUCCESSION_STEP_MS
             + if preferred_owner_is_alive {
                 PREFERRED_OWNER_ALIVE_MS
@@ -237,7 +239,7 @@
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Shard(shard_id));
         let label = &self.config.labels[self.config.me];
-        let holder = LeaseRecord::of(label, self.process, self.config.format);
+        let holder = LeaseRecord::of(label, self.process_id, self.config.format);
         commit.apply.push(Apply::Set {
             set: record::shard_key(shard_id),
             value: Json::of(&holder),
@@ -312,7 +314,7 @@
     /// received its workers' heartbeats, no transaction for the shard is in flight, and the
     /// view of the state service is fresh.
     fn releasable(&self, shard_id: usize, silence_ms: Millis, now: Millis) -> Option<u64> {
-        let token = self.owned(shard_id)?;
+        let token = self.owned_token(shard_id)?;
         let shard = &self.shards[shard_id];
         let is_settled = !shard.lease.transaction_pending()
             && shard.pending.is_none()
--- a/crates/cherryyard-core/src/mirror/mod.rs
+++ b/crates/cherryyard-core/src/mirror/mod.rs
@@ -304,7 +304,7 @@
                 if shard >= self.shards.len() {
                     return Err(RecordProblem::UnknownShard);
                 }
-                let new = Page::of_stored(read(value)?, revision, &mut self.hosts);
+                let new = Page::from_stored(read(value)?, revision, &mut self.hosts);
                 self.set_page(shard, page, Some(new.ok_or(RecordProblem::BadAssignments)?));
             }
             Key::Grant { team, shard } => {
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -37,7 +37,7 @@
 impl Controller {
     /// Runs a scheduling cycle of a shard if one is due: collects, places and writes.
     pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
-        let Some(token) = self.owned(shard_id) else {
+        let Some(token) = self.owned_token(shard_id) else {
             return;
         };
         self.maintain_shard(shard_id, now);
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -192,7 +192,8 @@
             controller: self,
             machine,
             channel,
-            assignments_are_current: self.state_fresh(now) && self.owned(machine.shard).is_some(),
+            assignments_are_current: self.state_fresh(now)
+                && self.owned_token(machine.shard).is_some(),
             now,
         };
         for (&task, reported) in &machine.reported {
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -66,7 +66,7 @@
             }
             let entry = &self.listed[name];
             let shard_id = self.config.shard_map.shard(&entry.zone, name);
-            if self.owned(shard_id).is_none() {
+            if self.owned_token(shard_id).is_none() {
                 continue;
             }
             if let Some(reason) = self.release_reason(name, entry, &mut usage[shard_id], now) {
@@ -234,7 +234,7 @@
             return None;
         }
         let shard_id = self.mirror.shard_of_assignment(host)?;
-        self.owned(shard_id)?;
+        self.owned_token(shard_id)?;
         // The list is delayed, so a new machine may not be listed yet.
         let owned_for = now - self.shards[shard_id].lease.token_since();
         let list_delay = 3.0 * self.config.list_lag_ms + self.config.lease_ms;
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -138,7 +138,7 @@
     /// grant, by the parts that these shards do not need.
     pub(crate) fn lower_grants(&mut self, short_teams: &[String], now: Millis) {
         for shard_id in 0..self.shards.len() {
-            let Some(token) = self.owned(shard_id) else {
+            let Some(token) = self.owned_token(shard_id) else {
                 continue;
             };
             if self.shards[shard_id].pending.is_some() || !self.state_fresh(now) {
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -34,7 +34,7 @@
     pub revision: u64,
     /// Upper bound of the page's size as it is stored, in bytes, which holds even after its tasks
     /// end.
-    pub bytes_at_most: usize,
+    pub max_bytes: usize,
     /// Running and completed tasks by job.
     pub jobs: BTreeMap<u64, PageJob>,
 }
@@ -212,13 +212,17 @@
     }
 
     /// Reads a stored page; `None` if it is invalid.
-    pub(crate) fn of_stored(stored: StoredPage, revision: u64, hosts: &mut Names) -> Option<Self> {
+    pub(crate) fn from_stored(
+        stored: StoredPage,
+        revision: u64,
+        hosts: &mut Names,
+    ) -> Option<Self> {
         let packed_bytes = match &stored {
             StoredPage::Packed { base64 } => Some(base64.len() + StoredPage::FRAME),
             StoredPage::Plain(_) => None,
         };
         let mut page = Self::from_record(stored.read()?, revision, hosts)?;
-        page.bytes_at_most = packed_bytes.unwrap_or_else(|| page.plain_bytes(hosts));
+        page.max_bytes = packed_bytes.unwrap_or_else(|| page.plain_bytes(hosts));
         Some(page)
     }
 
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -46,7 +46,7 @@
 
     /// Returns whether a heartbeat of the peer arrived within the last `silence_ms`, and the newest
     /// one does not report that the peer is cut off from the state service.
-    pub(crate) fn has_state_within(&self, silence_ms: Millis, now: Millis) -> bool {
+    pub(crate) fn reaches_state_within(&self, silence_ms: Millis, now: Millis) -> bool {
         self.received_within(silence_ms, now) && !self.heartbeat.cut_off
     }
 
@@ -128,9 +128,14 @@
 
     /// Returns whether a heartbeat of a peer arrived within the last `silence_ms`, and the newest
     /// one does not report that the peer is cut off from the state service.
-    pub(crate) fn has_state_within(&self, peer: usize, silence_ms: Millis, now: Millis) -> bool {
+    pub(crate) fn reaches_state_within(
+        &self,
+        peer: usize,
+        silence_ms: Millis,
+        now: Millis,
+    ) -> bool {
         self.get(peer)
-            .is_some_and(|state| state.has_state_within(silence_ms, now))
+            .is_some_and(|state| state.reaches_state_within(silence_ms, now))
     }
 
     /// Returns whether a heartbeat of any peer arrived within the last `silence_ms`.
@@ -153,7 +158,7 @@
     /// shard's owner and are reachable by these peers, summed over all peers.
     pub(crate) fn misdirected_workers(&self, shard_id: usize, now: Millis) -> u32 {
         self.iter()
-            .filter(|peer| peer.has_state_within(MISDIRECTED_REPORTS_MS, now))
+            .filter(|peer| peer.reaches_state_within(MISDIRECTED_REPORTS_MS, now))
             .flat_map(|peer| &peer.heartbeat.misdirected)
             .filter(|(shard, _)| *shard as usize == shard_id)
             // A worker without an owner's answer tries one controller after the other, so no
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -110,7 +110,7 @@
     /// Returns whether this controller, which is not the leader, lends budget to the leader.
     fn lends_to_leader(&self, now: Millis) -> bool {
         let lease = self.mirror.leader_lease.as_ref();
-        let leader = lease.and_then(|lease| self.place_of(&lease.label));
+        let leader = lease.and_then(|lease| self.controller_index(&lease.label));
         let silence = leader.and_then(|leader| self.peers.silence(leader, now));
         silence.is_some_and(|silence| silence <= LOAN_MS * LOAN_DRIFT_FACTOR)
     }
@@ -140,7 +140,7 @@
             return None;
         }
         let is_able = |peer: &usize| {
-            *peer != self.config.me && self.peers.has_state_within(*peer, FORWARDING_MS, now)
+            *peer != self.config.me && self.peers.reaches_state_within(*peer, FORWARDING_MS, now)
         };
         let labels = &self.config.labels;
         let leader = (0..labels.len())
@@ -158,17 +158,19 @@
     /// there, in milliseconds: how long its oldest queued submission has waited, by its last
     /// heartbeat.
     pub fn intake_ms(&self, label: &str) -> u64 {
-        let peer = self.place_of(label).and_then(|index| self.peers.get(index));
+        let peer = self
+            .controller_index(label)
+            .and_then(|index| self.peers.get(index));
         peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
     }
 
     /// Applies to the mirror a user's transaction (a cancellation or a chunk of a submission) that
     /// was committed at `store_revision`, and runs the scheduling that follows from it.
     pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.mirror_commit(commit, store_revision);
         self.mark_all_dirty();
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Returns whether users' polls are refused at present, because the event loop lags.
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -39,7 +39,7 @@
     }
 
     fn answer_heartbeat(&mut self, heartbeat: &WorkerHeartbeat, now: Millis) -> Reply {
-        self.notice(now);
+        self.advance_clock(now);
         let shard_id = self
             .config
             .shard_map
@@ -51,7 +51,7 @@
             // Another controller holds a newer token. The worker would drop an answer under this
             // older token and would keep reporting to this controller instead of the owner.
             self.effects.push(Effect::Refresh);
-            return Reply::Elsewhere(self.other_owner_label(shard_id, now));
+            return Reply::Misdirected(self.other_owner_label(shard_id, now));
         }
         let Some(host) = self.reporting_machine(shard_id, heartbeat, now) else {
             return Reply::Unavailable;
@@ -98,7 +98,7 @@
             });
         }
         match self.other_owner_label(shard_id, now) {
-            Some(label) => Reply::Elsewhere(Some(label)),
+            Some(label) => Reply::Misdirected(Some(label)),
             None => Reply::Unavailable,
         }
     }
@@ -252,7 +252,7 @@
         outcome: PushOutcome,
         now: Millis,
     ) {
-        self.notice(now);
+        self.advance_clock(now);
         let Some(machine) = self.machines.get_mut(&host) else {
             return;
         };
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -40,7 +40,7 @@
         answer: Option<&WorkerHeartbeat>,
         now: Millis,
     ) {
-        self.notice(now);
+        self.advance_clock(now);
         self.misdirected.record_query_result(host, answer.is_some());
         let newest_attempt = self
             .mirror
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -98,10 +98,10 @@
 #[test]
 fn every_machine_of_another_shard_is_counted() {
     let mut controller = controller();
-    controller.heartbeat_in(peer_heartbeat(), 100.0);
+    controller.handle_peer_heartbeat(peer_heartbeat(), 100.0);
     for machine in 0..FLEET {
         let reply = controller.handle_worker_heartbeat(&worker_heartbeat(machine), 200.0);
-        assert!(matches!(reply, Reply::Elsewhere(Some(b)) if b == "b"));
+        assert!(matches!(reply, Reply::Misdirected(Some(b)) if b == "b"));
     }
     let mut queried = 0;
     for effect in controller.effects() {
@@ -112,7 +112,7 @@
     }
     assert_eq!(queried, 16, "only a sample is queried");
     assert_eq!(
-        controller.heartbeat_out(400.0).misdirected,
+        controller.build_heartbeat(400.0).misdirected,
         [(1, FLEET as u32)]
     );
 }
@@ -135,8 +135,8 @@
         // The first worker sends another heartbeat; the others are dropped 6 s after theirs.
         controller.handle_worker_heartbeat(&worker_heartbeat(0), 5000.0);
     });
-    controller.heartbeat_in(peer_heartbeat(), 6000.0);
-    controller.heartbeat_out(6500.0);
+    controller.handle_peer_heartbeat(peer_heartbeat(), 6000.0);
+    controller.build_heartbeat(6500.0);
     for machine in [0, MAX_MACHINES] {
         controller.handle_worker_heartbeat(&worker_heartbeat(machine), 6600.0);
     }
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -205,7 +205,7 @@
         let instances: Vec<Instance> = running.chain(starting).collect();
         for i in 0..self.controllers.len() {
             if let Some(controller) = &mut self.controllers[i] {
-                controller.listed(instances.clone(), now);
+                controller.handle_machine_list(instances.clone(), now);
             }
             self.apply_effects(i);
         }
--- a/crates/cherryyard-simulation/src/world/controllers.rs
+++ b/crates/cherryyard-simulation/src/world/controllers.rs
@@ -140,7 +140,7 @@
         }
         controller.tick(now);
         let lag_ms = self.processes.lag_ms.get(&i).copied().unwrap_or(0.0);
-        controller.queue_passed(now - lag_ms, now);
+        controller.handle_lag_probe(now - lag_ms, now);
         self.apply_effects(i);
     }
 
@@ -151,11 +151,11 @@
             let Some(controller) = self.active_controller(i) else {
                 continue;
             };
-            let heartbeat = controller.heartbeat_out(now);
+            let heartbeat = controller.build_heartbeat(now);
             for k in 0..self.controllers.len() {
                 if k != i && self.controllers_connected(i, k) {
                     if let Some(other) = &mut self.controllers[k] {
-                        other.heartbeat_in(heartbeat.clone(), now);
+                        other.handle_peer_heartbeat(heartbeat.clone(), now);
                     }
                     self.apply_effects(k);
                 }
--- a/crates/cherryyard-simulation/src/world/effects.rs
+++ b/crates/cherryyard-simulation/src/world/effects.rs
@@ -62,7 +62,7 @@
             self.cloud.releases_failed += 1;
         }
         if let Some(controller) = &mut self.controllers[i] {
-            controller.released(machines, is_released, self.now);
+            controller.handle_release_answer(machines, is_released, self.now);
         }
     }
 
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -148,11 +148,11 @@
             Some(Reply::Answer(response)) => {
                 return worker.handle_heartbeat_response(&response, sent_at, now);
             }
-            Some(Reply::Elsewhere(Some(label))) => {
+            Some(Reply::Misdirected(Some(label))) => {
                 worker.controller = controller_of_label(&label).expect("a label");
                 worker.report_at = now + REDIRECT_DELAY_MS;
             }
-            Some(Reply::Elsewhere(None) | Reply::Unavailable) | None => {
+            Some(Reply::Misdirected(None) | Reply::Unavailable) | None => {
                 worker.controller = (i + 1) % self.controllers.len();
                 worker.report_at = now + RETRY_DELAY_MS;
             }
--- a/crates/cherryyard-simulation/src/world/requests/serve.rs
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -147,7 +147,7 @@
     fn end_read(&mut self, request: &mut Request, sent_at: f64, read: &WatchResponse) -> bool {
         let now = self.now;
         self.controller_mut(request.controller)
-            .events(read, sent_at, now);
+            .handle_watch_response(read, sent_at, now);
         self.apply_effects(request.controller);
         request.stage = Stage::CaughtUp;
         true
--- a/crates/cherryyard-simulation/src/world/setup.rs
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -209,7 +209,7 @@
         }
         let mut controller = Controller::new(config, incarnation, self.now);
         controller.accounting = true;
-        controller.machine_types(self.setup.machine_types(), self.now);
+        controller.handle_machine_types(self.setup.machine_types(), self.now);
         controller
     }
 
--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -233,13 +233,13 @@
 pub(super) fn load(controller: &mut Controller, state: &StateStandIn, now: f64) {
     controller.mirror.begin_load();
     controller.mirror.apply_read_page(&state.pairs());
-    controller.loaded(state.store_revision(), now, now);
+    controller.handle_load_end(state.store_revision(), now, now);
 }
 
 /// Delivers all changes of the state to a controller at once.
 pub(super) fn catch_up(controller: &mut Controller, state: &StateStandIn, now: f64) {
     let events = state.events(controller.mirror.store_revision);
-    controller.events(&events, now, now);
+    controller.handle_watch_response(&events, now, now);
 }
 
 /// Renews a controller's state lease, or grants a new one if it has none or it has expired.
@@ -290,7 +290,7 @@
             self.state_link
                 .delay_outcome(i, incarnation, ticket, commit, outcome, now);
         } else if let Some(controller) = &mut self.controllers[i] {
-            controller.committed(ticket, commit, outcome, now);
+            controller.handle_transaction_outcome(ticket, commit, outcome, now);
         }
     }
 
@@ -324,13 +324,13 @@
             if let Some(controller) =
                 self.controller_of_incarnation(due.controller, due.incarnation)
             {
-                controller.committed(due.ticket, &due.commit, due.outcome, now);
+                controller.handle_transaction_outcome(due.ticket, &due.commit, due.outcome, now);
                 self.apply_effects(due.controller);
             }
         }
         for (i, read) in self.state_link.take_due_reads(&frozen, now) {
             if let Some(controller) = &mut self.controllers[i] {
-                controller.events(&read.response, read.sent_at, now);
+                controller.handle_watch_response(&read.response, read.sent_at, now);
                 self.apply_effects(i);
             }
         }
--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -33,7 +33,7 @@
     // The list no longer shows the machine; its release is the proof.
     let now = w.now;
     for controller in w.controllers.iter_mut().flatten() {
-        controller.listed(Vec::new(), now);
+        controller.handle_machine_list(Vec::new(), now);
     }
     w.run_until(40.0, |w| starts(w, "j-000001/0").len() == 2);
     assert!(!w.workers.contains_key(&host));
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -49,15 +49,15 @@
         let now = w.now;
         let names: Vec<String> = w.workers.keys().cloned().collect();
         let list = listed(&w, names.into_iter());
-        let heartbeat = w.controllers[1].as_mut().unwrap().heartbeat_out(now);
+        let heartbeat = w.controllers[1].as_mut().unwrap().build_heartbeat(now);
         let controller = w.controllers[0].as_mut().unwrap();
         controller.effects();
         for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
             for event in order {
                 match event {
                     0 => controller.tick(now),
-                    1 => controller.listed(list.clone(), now),
-                    2 => controller.heartbeat_in(heartbeat.clone(), now),
+                    1 => controller.handle_machine_list(list.clone(), now),
+                    2 => controller.handle_peer_heartbeat(heartbeat.clone(), now),
                     _ => {
                         if let Reply::Answer(a) = controller.handle_worker_heartbeat(&old, now) {
                             assert!(a.commands.is_empty(), "{frozen_s}: {:?}", a.commands);
@@ -170,7 +170,10 @@
         let seen = seen.filter(|(i, _)| i / 3 != missing).map(|n| n.1.clone());
         let list = listed(&w, seen);
         let now = w.now;
-        w.controllers[0].as_mut().unwrap().listed(list, now);
+        w.controllers[0]
+            .as_mut()
+            .unwrap()
+            .handle_machine_list(list, now);
         w.run(3.0);
     }
     assert_eq!(w.workers.len(), 9, "{}", w.trace.join("\n"));
--- a/crates/cherryyard-simulation/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -193,7 +193,7 @@
     let old = w.controllers[other]
         .as_mut()
         .expect("it runs")
-        .heartbeat_out(now);
+        .build_heartbeat(now);
     assert!(old.cut_off);
     w.state_link.refused.clear();
     w.run(14.0);
@@ -211,15 +211,15 @@
         let heartbeat = w.controllers[third]
             .as_mut()
             .expect("it runs")
-            .heartbeat_out(now);
+            .build_heartbeat(now);
         let heartbeat = cherryyard_wire::peer::Heartbeat {
             // The third one does not know of it either.
             cancelled: Vec::new(),
             ..heartbeat
         };
         let controller = w.controllers[leader].as_mut().expect("it runs");
-        controller.heartbeat_in(old.clone(), now);
-        controller.heartbeat_in(heartbeat, now);
+        controller.handle_peer_heartbeat(old.clone(), now);
+        controller.handle_peer_heartbeat(heartbeat, now);
     }
     whole(&w, "old heartbeats");
 }
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -224,7 +224,7 @@
     let answered = w.controllers[0]
         .as_mut()
         .expect("up")
-        .heartbeat_out(w.now)
+        .build_heartbeat(w.now)
         .cancelled;
     assert_eq!(answered, [1], "only what may have tasks is told");
     w.run(60.0);
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -42,7 +42,7 @@
     w.state_link.refused.insert(1);
     let now = w.now;
     let controller = w.controllers[1].as_mut().unwrap();
-    controller.events(&old, now, now);
+    controller.handle_watch_response(&old, now, now);
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
         delete: None,
@@ -55,7 +55,7 @@
             .clone(),
         revision: controller.mirror.store_revision + 5,
     };
-    controller.events(
+    controller.handle_watch_response(
         &WatchResponse {
             store_revision: controller.mirror.store_revision + 5,
             events: vec![late],
--- a/crates/cherryyard/src/app/barriers.rs
+++ b/crates/cherryyard/src/app/barriers.rs
@@ -89,7 +89,9 @@
         }
         match self.clients.state.watch(since, 0).await {
             Ok(events) => {
-                self.with(|controller, now| controller.events(&events, sent_at, now));
+                self.with(|controller, now| {
+                    controller.handle_watch_response(&events, sent_at, now)
+                });
                 true
             }
             Err(_) => false,
--- a/crates/cherryyard/src/app/effects.rs
+++ b/crates/cherryyard/src/app/effects.rs
@@ -58,7 +58,9 @@
 
     async fn perform_commit(self: Arc<Self>, ticket: Ticket, commit: Commit) {
         let outcome = self.commit(&commit).await;
-        self.with(|controller, now| controller.committed(ticket, &commit, outcome, now));
+        self.with(|controller, now| {
+            controller.handle_transaction_outcome(ticket, &commit, outcome, now)
+        });
         if matches!(ticket, Ticket::AcquireShard(_)) && outcome == Outcome::NoLease {
             tracing::info!("state lease expired before a shard lease could be acquired under it");
         }
@@ -99,7 +101,7 @@
 
     async fn release(self: Arc<Self>, machines: Vec<String>) {
         let released = self.clients.cloud.release(&machines).await.is_ok();
-        self.with(|controller, now| controller.released(&machines, released, now));
+        self.with(|controller, now| controller.handle_release_answer(&machines, released, now));
     }
 
     async fn provision(self: Arc<Self>, request: ProvisionRequest) {
--- a/crates/cherryyard/src/app/mirror_sync.rs
+++ b/crates/cherryyard/src/app/mirror_sync.rs
@@ -55,7 +55,9 @@
             let sent_at = self.now();
             match self.load().await {
                 Ok((keys, store_revision)) => {
-                    self.with(|controller, now| controller.loaded(store_revision, sent_at, now));
+                    self.with(|controller, now| {
+                        controller.handle_load_end(store_revision, sent_at, now)
+                    });
                     let failed = failures.record_success();
                     tracing::info!(keys, store_revision, failed, "state loaded");
                     return;
@@ -79,7 +81,9 @@
             let wait_ms = self.intervals.watch_wait_ms;
             match self.clients.state.watch(since, wait_ms).await {
                 Ok(events) => {
-                    self.with(|controller, now| controller.events(&events, sent_at, now));
+                    self.with(|controller, now| {
+                        controller.handle_watch_response(&events, sent_at, now)
+                    });
                     tokio::time::sleep(self.intervals.read).await;
                 }
                 Err(StateError::Gone) => {
--- a/crates/cherryyard/src/app/peer_messages.rs
+++ b/crates/cherryyard/src/app/peer_messages.rs
@@ -24,7 +24,7 @@
     fn receive_message(self: &Arc<Self>, message: Message) {
         match message {
             Message::Heartbeat(heartbeat) => {
-                self.with(|controller, now| controller.heartbeat_in(*heartbeat, now));
+                self.with(|controller, now| controller.handle_peer_heartbeat(*heartbeat, now));
             }
             Message::ForwardResponse(response) => self.pending.deliver_response(response),
             Message::ForwardedSubmission(submission) => {
--- a/crates/cherryyard/src/app/periodic_tasks.rs
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -86,7 +86,7 @@
         loop {
             let due = self.now() + QUEUE_CHECK_MS;
             tokio::time::sleep(Duration::from_secs_f64(QUEUE_CHECK_MS / 1000.0)).await;
-            self.with(|controller, now| controller.queue_passed(due, now));
+            self.with(|controller, now| controller.handle_lag_probe(due, now));
         }
     }
 
@@ -109,7 +109,7 @@
                         reconnect.notify_one();
                     }
                 }
-                controller.heartbeat_out(now)
+                controller.build_heartbeat(now)
             });
             let heartbeat = OutgoingMessage::new(
                 Message::Heartbeat(Box::new(heartbeat)),
@@ -130,7 +130,9 @@
                     Ok(machine_types) => {
                         machine_types_read_at = Some(Instant::now());
                         failures.record_success();
-                        self.with(|controller, now| controller.machine_types(machine_types, now));
+                        self.with(|controller, now| {
+                            controller.handle_machine_types(machine_types, now)
+                        });
                     }
                     Err(e) => {
                         if let Some(times) = failures.record_failure(Instant::now()) {
@@ -140,7 +142,7 @@
                 }
             }
             if let Ok(machines) = self.clients.cloud.list_machines().await {
-                self.with(|controller, now| controller.listed(machines, now));
+                self.with(|controller, now| controller.handle_machine_list(machines, now));
             }
             let unknown = machine_types_read_at.is_none();
             tokio::time::sleep(if unknown {
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -158,7 +158,7 @@
     };
     match app.with(|controller, now| controller.handle_worker_heartbeat(&heartbeat, now)) {
         Reply::Answer(response) => ApiResponse::json(StatusCode::OK, &response),
-        Reply::Elsewhere(owner) => {
+        Reply::Misdirected(owner) => {
             ApiResponse::json(StatusCode::MISDIRECTED_REQUEST, &Misdirected { owner })
         }
         Reply::Unavailable => ApiResponse::retry_later("this part has no owner yet"),
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -158,7 +158,7 @@
 
 /// Runs a controller until it is killed.
 pub async fn run(settings: Settings, tuning: Tuning) -> Result<(), StartError> {
-    let (heartbeat_out, heartbeats) = watch::channel(None);
+    let (build_heartbeat, heartbeats) = watch::channel(None);
     let (peers, queues) = peer_queues(&settings);
     let sender = peers.sender.clone();
     let app = Arc::new(build_app(&settings, tuning, peers)?);
@@ -183,7 +183,7 @@
             queue.reconnect,
         ));
     }
-    tokio::spawn(app.clone().publish_heartbeats(heartbeat_out));
+    tokio::spawn(app.clone().publish_heartbeats(build_heartbeat));
     tokio::spawn(app.clone().run_clock());
     tokio::spawn(app.clone().serve_barriers());
     tokio::spawn(app.clone().measure_event_loop_lag());
