--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -118,7 +118,7 @@
 
     /// Counts the cores of the shard's machines that are provisioned and not up yet.
     fn count_booting(&self, shard_id: usize, seconds: f64, account: &mut Account) {
-        for (name, entry) in &self.listed {
+        for (name, entry) in &self.cloud_machines {
             if entry.status == InstanceStatus::Starting
                 && self.config.shard_map.shard(&entry.zone, name) == shard_id
             {
--- a/crates/cherryyard-core/src/admission/entitlements/usage.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/usage.rs
@@ -92,8 +92,8 @@
             demand: used.total_running() + used.total_waiting() * startable_share,
             team: team as u32,
             weight: settings.weight,
-            least_served: settings.least,
-            max_share: settings.share,
+            least_served: settings.least_served,
+            max_share: settings.max_share,
         }
     };
     usage.iter().enumerate().map(demand).collect()
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -38,11 +38,12 @@
     /// call.
     pub fn submit(&mut self, offer: Submission, now: Millis) {
         self.advance_clock(now);
-        self.demand.count_offered(offer.open.flow, offer.job);
+        self.submission_counts
+            .count_offered(offer.open.flow, offer.job);
         let is_queued = self.intake.offer(
             offer,
             &self.config,
-            &mut self.demand,
+            &mut self.submission_counts,
             &mut self.effects,
             now,
         );
@@ -55,8 +56,12 @@
     /// way, the state service is out of reach or the budget for users' writes is spent.
     pub(crate) fn send_submissions(&mut self, now: Millis) {
         self.intake.end_delay(self.mirror.store_revision, now);
-        self.intake
-            .refuse_expired(&self.config, &mut self.demand, &mut self.effects, now);
+        self.intake.refuse_expired(
+            &self.config,
+            &mut self.submission_counts,
+            &mut self.effects,
+            now,
+        );
         if !self.intake.is_ready() || !self.state_fresh(now) {
             return;
         }
@@ -188,8 +193,12 @@
                 }
             }
         };
-        self.intake
-            .committed(outcome, event, &mut self.demand, &mut self.effects);
+        self.intake.committed(
+            outcome,
+            event,
+            &mut self.submission_counts,
+            &mut self.effects,
+        );
         if matches!(outcome, Outcome::Applied(_)) {
             for shard in &mut self.shards {
                 shard.needs_cycle = true;
@@ -205,14 +214,14 @@
         let own_reports = self.demand_reports();
         let peers = self.peers.enumerate();
         let peer_reports = peers.map(|(i, peer)| (i, peer.heartbeat.demand.as_slice()));
-        let counted = peer_reports.chain([(self.config.me, own_reports.as_slice())]);
-        self.demand
+        let counted = peer_reports.chain([(self.config.own_index, own_reports.as_slice())]);
+        self.submission_counts
             .since_last_report(counted, &self.config.team_names)
     }
 
     /// Returns this controller's counts of submissions for its heartbeat.
     pub(crate) fn demand_reports(&self) -> Vec<DemandReport> {
-        self.demand.reports(&self.mirror.flows)
+        self.submission_counts.reports(&self.mirror.flows)
     }
 }
 
@@ -279,7 +288,7 @@
             labels.position(|label| *label == lease.label)
         });
         let has_lapsed = match owner {
-            Some(owner) if owner == self.config.me => false,
+            Some(owner) if owner == self.config.own_index => false,
             Some(owner) => {
                 let received_at = self.entitlements.last_received_at(owner);
                 received_at.is_none_or(|at| has_lapsed(at, now))
@@ -323,7 +332,9 @@
     /// this controller sent the heartbeat that it acknowledges. The result is negative infinity if
     /// that was too long ago, or by an earlier process of this controller.
     pub(crate) fn earliest_created_at(&self, heartbeat: &Heartbeat) -> Millis {
-        let acknowledgement = self.entitlements.acknowledgement(heartbeat, self.config.me);
+        let acknowledgement = self
+            .entitlements
+            .acknowledgement(heartbeat, self.config.own_index);
         acknowledgement.sent_at.unwrap_or(f64::NEG_INFINITY)
     }
 
@@ -345,7 +356,7 @@
     /// Handles the acknowledgement in a peer's heartbeat and, if the peer is the leader, the
     /// allowances that it grants.
     pub(crate) fn read_entitlements(&mut self, peer: usize, heartbeat: &Heartbeat, now: Millis) {
-        let me = self.config.me;
+        let me = self.config.own_index;
         let acknowledgement = self
             .entitlements
             .heartbeat_received(peer, heartbeat, me, now);
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -338,11 +338,11 @@
         report: &WorkerHeartbeat,
         now: Millis,
     ) -> bool {
-        let label = &self.config.labels[self.config.me];
+        let label = &self.config.labels[self.config.own_index];
         let reach_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
         let heartbeat = &peer.heartbeat;
         heartbeat.complete
-            && now - peer.earliest_created_at <= self.config.relied_ms()
+            && now - peer.earliest_created_at <= self.config.heartbeat_validity_ms()
             && f64::from(heartbeat.reach_ms) >= reach_ms
             && heartbeat.leases.iter().any(|(shard, token, holder)| {
                 *shard as usize == shard_id && *token == report.fencing_token && holder == label
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -93,22 +93,22 @@
     /// Weight of the class if not all guarantees can be met.
     pub weight: f64,
     /// Fraction of the demand that is to be served whatever the rank.
-    pub least: f64,
+    pub least_served: f64,
     /// Upper limit of that part of the demand, as a fraction of all cores.
-    pub share: f64,
+    pub max_share: f64,
 }
 
 /// Settings of admission and fair sharing under overload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admission {
     /// Parameters of classes without parameters of their own.
-    pub all: ClassShare,
+    pub default_class: ClassShare,
     /// Time in seconds for which a flow may run less than its guarantee before it is served ahead
     /// of rank, that is before jobs of higher rank.
     pub window_s: f64,
     /// Time in seconds for which a job waits without a started task before aging can put it first
     /// in its flow, before jobs with less work.
-    pub turn_s: f64,
+    pub aging_s: f64,
     /// Parameters of the other classes, by class.
     pub classes: HashMap<String, ClassShare>,
 }
@@ -116,13 +116,13 @@
 impl Default for Admission {
     fn default() -> Self {
         Self {
-            all: ClassShare {
+            default_class: ClassShare {
                 weight: 1.0,
-                least: 0.6,
-                share: 0.25,
+                least_served: 0.6,
+                max_share: 0.25,
             },
             window_s: 30.0,
-            turn_s: 60.0,
+            aging_s: 60.0,
             classes: HashMap::new(),
         }
     }
@@ -131,7 +131,10 @@
 impl Admission {
     /// Returns the parameters of a class.
     pub fn of(&self, class: &str) -> ClassShare {
-        self.classes.get(class).copied().unwrap_or(self.all)
+        self.classes
+            .get(class)
+            .copied()
+            .unwrap_or(self.default_class)
     }
 }
 
@@ -168,7 +171,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Index of this controller among all controllers.
-    pub me: usize,
+    pub own_index: usize,
     /// Labels of all controllers, in the same order at each controller.
     pub labels: Vec<String>,
     /// Assignment of machines to shards.
@@ -223,7 +226,7 @@
         let controllers = settings.controllers();
         let cluster = &settings.cluster;
         let mut config = Self {
-            me: controllers
+            own_index: controllers
                 .iter()
                 .position(|(label, _)| *label == settings.label)
                 .unwrap_or(0),
@@ -283,7 +286,7 @@
     /// Returns for how many milliseconds after a peer created a heartbeat its statements about the
     /// state service are relied on. This is at most [`Self::cut_off_bound_ms`]: a cancellation that
     /// the peer accepts after creating the heartbeat has its full time limit from then on.
-    pub fn relied_ms(&self) -> f64 {
+    pub fn heartbeat_validity_ms(&self) -> f64 {
         MAX_HEARTBEAT_AGE_MS.min(self.cut_off_bound_ms())
     }
 
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -7,7 +7,7 @@
 //!    suspended.
 //! 2. The method for the event updates the state concerned: the mirror of the state service
 //!    ([`crate::mirror`]), the machines, the peers, or the submissions.
-//! 3. `Controller::run` runs the decision steps in a fixed order: leases on shards, leadership,
+//! 3. `Controller::run_decisions` runs the decision steps in a fixed order: leases on shards, leadership,
 //!    the scheduling cycles of the shards, the leader's scheduling cycle, and the transactions
 //!    that write submissions, history and the jobs of bulk submissions.
 //!
@@ -15,11 +15,11 @@
 //!
 //! | source | methods | module |
 //! | --- | --- | --- |
-//! | the state service | [`handle_load_end`](Controller::loaded), [`handle_watch_response`](Controller::events), [`handle_transaction_outcome`](Controller::committed) | here; leases in `lease_acquisition` |
+//! | the state service | [`handle_load_end`](Controller::handle_load_end), [`handle_watch_response`](Controller::handle_watch_response), [`handle_transaction_outcome`](Controller::handle_transaction_outcome) | here; leases in `lease_acquisition` |
 //! | a worker's heartbeat, or its answer to a command or query | `handle_worker_heartbeat`, `handle_push_outcome`, `handle_status_answer` | `worker_heartbeats`, then [`crate::owner`] |
 //! | a peer's heartbeat | `handle_peer_heartbeat`, `build_heartbeat` | `heartbeats` |
 //! | a user's request | `answer_for`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
-//! | the cloud | [`handle_machine_types`](Controller::machine_types), [`handle_machine_list`](Controller::listed), [`handle_release_answer`](Controller::released) | here; then [`crate::leader`] and [`crate::owner`] |
+//! | the cloud | [`handle_machine_types`](Controller::handle_machine_types), [`handle_machine_list`](Controller::handle_machine_list), [`handle_release_answer`](Controller::handle_release_answer) | here; then [`crate::leader`] and [`crate::owner`] |
 //! | time | [`tick`](Controller::tick), [`handle_lag_probe`](Controller::handle_lag_probe) | here |
 
 use crate::admission::demand::Demand;
@@ -95,15 +95,15 @@
     // The cloud.
     pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
     /// The newest response of the cloud's machine list, by machine name.
-    pub(crate) listed: HashMap<String, Instance>,
+    pub(crate) cloud_machines: HashMap<String, Instance>,
     /// Time at which that response arrived.
-    pub(crate) listed_at: Millis,
+    pub(crate) cloud_machines_at: Millis,
 
     // Users and admission.
     /// Submissions that are not yet written to the state service.
     pub(crate) intake: Intake,
     /// Outcomes of the submissions that this controller has handled.
-    pub(crate) demand: Demand,
+    pub(crate) submission_counts: Demand,
     /// Fair-share guarantees, and the resources to which they entitle flows.
     pub(crate) entitlements: Entitlements,
     /// Budget of writes to the state service that this controller may make for users.
@@ -142,16 +142,16 @@
                 .collect(),
             machines: BTreeMap::new(),
             leader: Leader::new(&config, now),
-            peers: Peers::new(config.me, shard_count, now),
+            peers: Peers::new(config.own_index, shard_count, now),
             misdirected: MisdirectedWorkers::default(),
             cancelled: Cancellations::new(now),
             capacity_reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
             machine_types_from_cloud: None,
-            listed: HashMap::new(),
-            listed_at: f64::NEG_INFINITY,
+            cloud_machines: HashMap::new(),
+            cloud_machines_at: f64::NEG_INFINITY,
             intake: Intake::new(&config, now),
-            demand: Demand::new(),
+            submission_counts: Demand::new(),
             entitlements: Entitlements::new(process),
             user_write_budget: TokenBucket::new(config.user_writes_per_s / shard_count as f64, now),
             lag: EventLoopLag::new(now),
@@ -285,8 +285,8 @@
         self.advance_clock(now);
         self.learn_provisioning_times(&machines);
         let by_name = machines.into_iter().map(|entry| (entry.id.clone(), entry));
-        self.listed = by_name.collect();
-        self.listed_at = now;
+        self.cloud_machines = by_name.collect();
+        self.cloud_machines_at = now;
         self.forget_machines(now);
         self.scale_in_listed(now);
     }
@@ -297,7 +297,7 @@
     /// cloud, are dropped although they are still listed: the cloud reclaims some hundreds a day
     /// of a busy fleet.
     fn forget_machines(&mut self, now: Millis) {
-        let (mirror, listed) = (&self.mirror, &self.listed);
+        let (mirror, listed) = (&self.mirror, &self.cloud_machines);
         self.machines.retain(|&host, machine| {
             now - machine.last_heard_at < FORGET_MS
                 || mirror.assignments_on(host).next().is_some()
--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Ends of jobs that were found in the history, by job number.
-pub type PastEnds = BTreeMap<u64, End>;
+pub type HistoryEnds = BTreeMap<u64, End>;
 
 /// Result of resolving the dependencies of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// Resolves the dependencies of a submission by the jobs in this mirror and by the ends that
     /// were found in the history (`history_ends`). Dependencies that are done are left out; if one
     /// is cancelled, the result names it and no jobs to wait for.
-    pub fn resolve_dependencies(&self, spec: &JobSpec, history_ends: &PastEnds) -> Resolution {
+    pub fn resolve_dependencies(&self, spec: &JobSpec, history_ends: &HistoryEnds) -> Resolution {
         let dependency_jobs = match dependency_numbers(&spec.waits_on) {
             Ok(dependency_jobs) => dependency_jobs,
             Err(error) => return Resolution::Never(DependencyError::Malformed(error.to_string())),
--- a/crates/cherryyard-core/src/event_loop_lag.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -1,6 +1,6 @@
 //! Event-loop lag: the time that an incoming event waits before the controller handles it.
 //!
-//! The lag is measured by a probe, a task that is scheduled every [`QUEUE_CHECK_MS`] and waits
+//! The lag is measured by a probe, a task that is scheduled every [`PROBE_INTERVAL_MS`] and waits
 //! behind the heartbeats and requests that arrived before it.
 
 use crate::Millis;
@@ -8,7 +8,7 @@
 /// Wait of a probe, or gap between two ticks, beyond which the controller is late.
 const LATE_MS: Millis = 700.0;
 /// Time between two probes.
-pub const QUEUE_CHECK_MS: Millis = 100.0;
+pub const PROBE_INTERVAL_MS: Millis = 100.0;
 
 /// Measurements of a controller's event-loop lag.
 #[derive(Clone, Copy, Debug)]
@@ -49,7 +49,7 @@
     /// Records that a probe which became due at `due` has been handled.
     pub fn probe_handled(&mut self, due: Millis, now: Millis) {
         self.last_wait = (now - due).max(0.0);
-        self.due_at = now + QUEUE_CHECK_MS;
+        self.due_at = now + PROBE_INTERVAL_MS;
         if self.last_wait > LATE_MS {
             self.late_at = now;
         }
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -27,7 +27,7 @@
         let Some(peer) = self.controller_index(&heartbeat.label) else {
             return;
         };
-        if peer == self.config.me {
+        if peer == self.config.own_index {
             return;
         }
         let earliest_created_at = self.earliest_created_at(&heartbeat);
@@ -66,7 +66,7 @@
         for (shard, newer, label) in &heartbeat.leases {
             let shard_id = *shard as usize;
             if shard_id < self.shards.len()
-                && *label != self.config.labels[self.config.me]
+                && *label != self.config.labels[self.config.own_index]
                 && let Some(mine) = self.shards[shard_id].lease.held_token()
                 && *newer > mine
             {
@@ -100,7 +100,7 @@
             self.cancelled.cut_off_reported(now);
         }
         let mut heartbeat = Heartbeat {
-            label: self.config.labels[self.config.me].clone(),
+            label: self.config.labels[self.config.own_index].clone(),
             cut_off,
             silent_ms: self.state_silence_ms(now),
             cancelled,
@@ -198,7 +198,8 @@
     /// Returns whether every other controller has recently reported that it is cut off from the
     /// state service.
     pub(crate) fn all_cut_off(&self, now: Millis) -> bool {
-        self.peers.all_cut_off(self.config.relied_ms(), now)
+        self.peers
+            .all_cut_off(self.config.heartbeat_validity_ms(), now)
     }
 
     /// Returns the controllers to which the connections are due to be reestablished, because they
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -27,7 +27,7 @@
     /// Returns whether a controller runs a build that supports a format, according to the lease on
     /// its own shard or to its recent frames.
     fn supports_format(&self, controller: usize, format: u32) -> bool {
-        if controller == self.config.me {
+        if controller == self.config.own_index {
             return self.config.format >= format;
         }
         let lease = self.mirror.shards[controller].as_ref();
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -62,7 +62,7 @@
             waiting: Vec::new(),
             wants: Vec::new(),
         };
-        for (name, instance) in &self.listed {
+        for (name, instance) in &self.cloud_machines {
             if instance.status != InstanceStatus::Running
                 || self.config.shard_map.shard(&instance.zone, name) != shard_id
             {
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -37,7 +37,7 @@
         }
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Leader);
-        let label = &self.config.labels[self.config.me];
+        let label = &self.config.labels[self.config.own_index];
         let holder = LeaseRecord::of(label, self.process_id, self.config.format);
         commit.apply.push(Apply::Set {
             set: record::LEADER_KEY.into(),
@@ -52,14 +52,14 @@
     /// Returns whether this controller should try to acquire the leadership.
     fn wants_leadership(&mut self, now: Millis) -> bool {
         match &self.mirror.leader_lease {
-            Some(lease) if lease.label == self.config.labels[self.config.me] => {
+            Some(lease) if lease.label == self.config.labels[self.config.own_index] => {
                 !self.leader.leadership.leads_under(lease.revision)
             }
             Some(lease) => self.should_replace_leader(&lease.label, now),
             None => {
                 let controllers = self.shards.len();
                 let first = self.mirror.store_revision as usize % controllers;
-                let rank = (self.config.me + controllers - first) % controllers;
+                let rank = (self.config.own_index + controllers - first) % controllers;
                 let leaderless_ms = self.leader.leadership.leaderless_ms(now);
                 leaderless_ms >= LEADERLESS_STEP_MS * rank as f64
             }
@@ -96,7 +96,7 @@
         let is_reachable = |index: &usize| self.peers.received_within(*index, SUCCESSION_MS, now);
         (1..controllers)
             .map(|step| (from + step) % controllers)
-            .take_while(|&index| index != self.config.me)
+            .take_while(|&index| index != self.config.own_index)
             .filter(is_reachable)
             .count()
     }
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -154,20 +154,20 @@
 impl Controller {
     /// Provisions machines ahead of need.
     pub(crate) fn scale_out(&mut self, now: Millis) {
-        if !self.leader.scale_out.is_due(now) || self.listed_at < 0.0 {
+        if !self.leader.scale_out.is_due(now) || self.cloud_machines_at < 0.0 {
             return;
         }
         let list_lag_ms = self.config.list_lag_ms;
         self.leader.scale_out.begin_check(list_lag_ms, now);
         let fleet = Fleet {
             current: self.current_capacities(now),
-            listed: &self.listed,
+            listed: &self.cloud_machines,
             scale_out: &self.leader.scale_out,
         };
         let Some(machines_to_provision) = fleet.machines_to_provision() else {
             return;
         };
-        let label = &self.config.labels[self.config.me];
+        let label = &self.config.labels[self.config.own_index];
         let token = self.mirror.revision(Key::Leader);
         let request = self
             .leader
@@ -214,7 +214,7 @@
         let machine_types = &self.mirror.catalog.machine_types;
         let ready_s = |sku: &str| ready_s(machine_types, sku);
         let times = &mut self.leader.scale_out.provisioning_times;
-        times.record_list(instances, &self.listed, ready_s);
+        times.record_list(instances, &self.cloud_machines, ready_s);
     }
 
     /// Returns the progress of a listed machine that is not up yet.
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -167,7 +167,7 @@
     fn late_lease(&self, shard_id: usize, now: Millis) -> Option<u64> {
         let shard = &self.shards[shard_id];
         let holder = self.mirror.shards[shard_id].as_ref()?;
-        let is_late = holder.label == self.config.labels[self.config.me]
+        let is_late = holder.label == self.config.labels[self.config.own_index]
             && shard.lease.is_backing_off_untried(now)
             && now >= shard.retry_at
             && !shard.lease.transaction_pending()
@@ -194,7 +194,7 @@
             // then sees the newer lease and redirects the workers.
             StoredHolder::Peer => {
                 lease.note_owner();
-                shard_id == self.config.me
+                shard_id == self.config.own_index
                     && now - self.started_at > MIN_UPTIME_FOR_TAKEOVER_MS
                     && self.state_fresh(now)
             }
@@ -206,7 +206,7 @@
 
     fn stored_holder(&self, shard_id: usize) -> StoredHolder {
         match &self.mirror.shards[shard_id] {
-            Some(holder) if holder.label == self.config.labels[self.config.me] => {
+            Some(holder) if holder.label == self.config.labels[self.config.own_index] => {
                 StoredHolder::ThisController
             }
             Some(_) => StoredHolder::Peer,
@@ -218,7 +218,7 @@
     /// its lease: none for the preferred owner, and a longer one for each further controller in
     /// the order of succession.
     fn succession_delay(&self, shard_id: usize, now: Millis) -> Millis {
-        let me = self.config.me;
+        let me = self.config.own_index;
         if shard_id == me {
             return 0.0;
         }
@@ -238,7 +238,7 @@
     fn acquire_shard(&mut self, shard_id: usize, lease_id: u64) {
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Shard(shard_id));
-        let label = &self.config.labels[self.config.me];
+        let label = &self.config.labels[self.config.own_index];
         let holder = LeaseRecord::of(label, self.process_id, self.config.format);
         commit.apply.push(Apply::Set {
             set: record::shard_key(shard_id),
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -30,7 +30,7 @@
     /// front of its flow, and requeues the jobs whose place has changed.
     pub(super) fn prioritize_oldest_jobs(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
-        let min_wait_ms = self.config.tuning.admission.turn_s * 1000.0;
+        let min_wait_ms = self.config.tuning.admission.aging_s * 1000.0;
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
         // A quarantined job is passed over: it fails wherever it runs, so at the front it would
         // keep every other job from going first.
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -57,14 +57,14 @@
     /// Returns the names of the listed machines to release.
     fn choose_releases(&self, now: Millis) -> Vec<String> {
         let mut usage = self.shard_usage(now);
-        let mut names: Vec<&String> = self.listed.keys().collect();
+        let mut names: Vec<&String> = self.cloud_machines.keys().collect();
         names.sort();
         let mut released = Vec::new();
         for name in names {
             if released.len() >= MAX_RELEASED {
                 break;
             }
-            let entry = &self.listed[name];
+            let entry = &self.cloud_machines[name];
             let shard_id = self.config.shard_map.shard(&entry.zone, name);
             if self.owned_token(shard_id).is_none() {
                 continue;
@@ -195,7 +195,7 @@
     /// Records that the release of a listed machine is requested. A machine that has never reported
     /// is registered, so that the answer to the request can resolve its assignments.
     fn note_listed_release(&mut self, name: &str, now: Millis) {
-        let entry = &self.listed[name];
+        let entry = &self.cloud_machines[name];
         let shard_id = self.config.shard_map.shard(&entry.zone, name);
         let host = self.mirror.hosts.intern(name);
         let machine = self
@@ -230,7 +230,11 @@
                 || now < machine.release_after
                 || now - machine.last_heard_at < self.config.lease_ms
         });
-        if is_known || self.listed.contains_key(self.mirror.hosts.name(host)) {
+        if is_known
+            || self
+                .cloud_machines
+                .contains_key(self.mirror.hosts.name(host))
+        {
             return None;
         }
         let shard_id = self.mirror.shard_of_assignment(host)?;
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -145,11 +145,11 @@
     }
 
     /// Returns whether every other controller has reported, in a heartbeat made within the last
-    /// `relied_ms`, that it is cut off from the state service.
-    pub(crate) fn all_cut_off(&self, relied_ms: Millis, now: Millis) -> bool {
+    /// `heartbeat_validity_ms`, that it is cut off from the state service.
+    pub(crate) fn all_cut_off(&self, heartbeat_validity_ms: Millis, now: Millis) -> bool {
         self.other_states().all(|state| {
             state.is_some_and(|peer| {
-                now - peer.earliest_created_at <= relied_ms && peer.heartbeat.cut_off
+                now - peer.earliest_created_at <= heartbeat_validity_ms && peer.heartbeat.cut_off
             })
         })
     }
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -42,7 +42,7 @@
 impl Controller {
     /// Returns the answer to a poll of a job. A final status is returned at once, any other only if
     /// everything that was durable when the poll arrived has been read (`caught_up`).
-    pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
+    pub fn poll_answer(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
             // Other controllers may rely on the cancellation not being confirmed to any user yet.
@@ -140,7 +140,8 @@
             return None;
         }
         let is_able = |peer: &usize| {
-            *peer != self.config.me && self.peers.reaches_state_within(*peer, FORWARDING_MS, now)
+            *peer != self.config.own_index
+                && self.peers.reaches_state_within(*peer, FORWARDING_MS, now)
         };
         let labels = &self.config.labels;
         let leader = (0..labels.len())
@@ -157,7 +158,7 @@
     /// Returns how much longer than usual a submission forwarded to the controller `label` may take
     /// there, in milliseconds: how long its oldest queued submission has waited, by its last
     /// heartbeat.
-    pub fn intake_ms(&self, label: &str) -> u64 {
+    pub fn forwarded_delay_ms(&self, label: &str) -> u64 {
         let peer = self
             .controller_index(label)
             .and_then(|index| self.peers.get(index));
--- a/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/misdirected.rs
@@ -21,7 +21,7 @@
                 }
             }
         }
-        let own_label = &self.config.labels[self.config.me];
+        let own_label = &self.config.labels[self.config.own_index];
         newest
             .map(|(_, label)| label)
             .filter(|label| label != own_label)
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -6,7 +6,7 @@
 use cherryyard_core::Controller;
 use cherryyard_core::admission::intake::Submission;
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::dependencies::{PastEnds, Resolution};
+use cherryyard_core::dependencies::{HistoryEnds, Resolution};
 use cherryyard_history::Leaf;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, job_number};
@@ -150,7 +150,7 @@
         request: &mut Request,
         spec: &JobSpec,
     ) -> Result<Dependencies, Option<Response>> {
-        let mut past = PastEnds::new();
+        let mut past = HistoryEnds::new();
         loop {
             let controller = self.controller(request.controller);
             let unknown = match controller.mirror.resolve_dependencies(spec, &past) {
--- a/crates/cherryyard-simulation/src/world/requests/serve.rs
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -230,7 +230,7 @@
             return Some(Response::Later);
         }
         let needs_no_barrier = is_caught_up || self.requests.without_barrier;
-        let view = match controller.answer_for(job, needs_no_barrier, now) {
+        let view = match controller.poll_answer(job, needs_no_barrier, now) {
             UserAnswer::Barrier => {
                 self.await_barrier(request);
                 return None;
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -40,7 +40,7 @@
 #[test]
 fn broken_builds_are_caught() {
     let scenario = |turn_s: f64, never: Option<&str>, skip: bool| {
-        let mut w = cluster(|s| s.tuning.admission.turn_s = turn_s);
+        let mut w = cluster(|s| s.tuning.admission.aging_s = turn_s);
         let mut users = Users::default();
         users.never_answers = never.map(Into::into);
         flood(&mut users, &mut w, 250);
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -80,14 +80,15 @@
             let timeout = if controller.state_fresh(now) {
                 // The timeout grows with the time that submissions take at the target: while many
                 // wait there, a second write of the same submission would only add load.
-                FORWARD_TIMEOUT + Duration::from_millis(2 * controller.intake_ms(target).min(200))
+                FORWARD_TIMEOUT
+                    + Duration::from_millis(2 * controller.forwarded_delay_ms(target).min(200))
             } else {
                 FORWARD_ONLY_TIMEOUT
             };
             Some((
                 queue,
                 timeout,
-                controller.config.labels[controller.config.me].clone(),
+                controller.config.labels[controller.config.own_index].clone(),
             ))
         })?;
         let ticket = self.pending.issue_ticket();
--- a/crates/cherryyard/src/app/periodic_tasks.rs
+++ b/crates/cherryyard/src/app/periodic_tasks.rs
@@ -5,7 +5,7 @@
 use super::{App, jittered, wall_ms};
 use cherryyard_clients::peer::OutgoingMessage;
 use cherryyard_clients::state::StateError;
-use cherryyard_core::event_loop_lag::QUEUE_CHECK_MS;
+use cherryyard_core::event_loop_lag::PROBE_INTERVAL_MS;
 use cherryyard_wire::peer::Message;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -84,8 +84,8 @@
     /// Measures how late the event loop runs a task after it is due, and reports it to the core.
     pub(crate) async fn measure_event_loop_lag(self: Arc<Self>) {
         loop {
-            let due = self.now() + QUEUE_CHECK_MS;
-            tokio::time::sleep(Duration::from_secs_f64(QUEUE_CHECK_MS / 1000.0)).await;
+            let due = self.now() + PROBE_INTERVAL_MS;
+            tokio::time::sleep(Duration::from_secs_f64(PROBE_INTERVAL_MS / 1000.0)).await;
             self.with(|controller, now| controller.handle_lag_probe(due, now));
         }
     }
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -111,8 +111,13 @@
     };
     Ok(ClassShare {
         weight: read("weight", file.weight, defaults.weight, 0.01..=100.0)?,
-        least: read("least_served", file.least_served, defaults.least, 0.0..=1.0)?,
-        share: read("share", file.share, defaults.share, 0.0..=1.0)?,
+        least_served: read(
+            "least_served",
+            file.least_served,
+            defaults.least_served,
+            0.0..=1.0,
+        )?,
+        max_share: read("share", file.share, defaults.max_share, 0.0..=1.0)?,
     })
 }
 
@@ -124,16 +129,16 @@
         least_served: file.least_served,
         share: file.share,
     };
-    admission.all = class_share("admission", &all, admission.all)?;
+    admission.default_class = class_share("admission", &all, admission.default_class)?;
     if let Some(number) = file.turn_s {
-        admission.turn_s = check_range("admission.turn_s", number, &(1.0..=3600.0))?;
+        admission.aging_s = check_range("admission.turn_s", number, &(1.0..=3600.0))?;
     }
     if let Some(number) = file.window_s {
         admission.window_s = check_range("admission.window_s", number, &(1.0..=600.0))?;
     }
     for (class, own) in file.class {
         let name = format!("admission.class.{class}");
-        let own = class_share(&name, &own, admission.all)?;
+        let own = class_share(&name, &own, admission.default_class)?;
         admission.classes.insert(class, own);
     }
     Ok(admission)
--- a/crates/cherryyard/src/operator/tests.rs
+++ b/crates/cherryyard/src/operator/tests.rs
@@ -44,11 +44,14 @@
     let of = |class: &str| {
         (
             admission.of(class).weight,
-            admission.of(class).least,
-            admission.of(class).share,
+            admission.of(class).least_served,
+            admission.of(class).max_share,
         )
     };
-    assert_eq!((admission.all.least, admission.window_s), (0.5, 30.0));
+    assert_eq!(
+        (admission.default_class.least_served, admission.window_s),
+        (0.5, 30.0)
+    );
     assert_eq!(of("calendar-api"), (2.0, 0.8, 0.25));
     assert_eq!(of("street-rebuild"), (3.0, 0.5, 0.25));
     assert_eq!(of("another"), (1.0, 0.5, 0.25));
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -6,7 +6,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::dependencies::{DependencyError, PastEnds, Resolution};
+use cherryyard_core::dependencies::{DependencyError, HistoryEnds, Resolution};
 use cherryyard_core::mirror::{OpenJob, ended_job_view};
 use cherryyard_core::users::UserAnswer;
 use cherryyard_wire::condor::{FIRST_ID, is_reserved};
@@ -36,7 +36,7 @@
 /// such job.
 async fn lookup(app: &Arc<App>, job: u64) -> Result<Option<JobView>, ApiResponse> {
     let answer_for =
-        |caught_up| app.with(|controller, now| controller.answer_for(job, caught_up, now));
+        |caught_up| app.with(|controller, now| controller.poll_answer(job, caught_up, now));
     let answer = match answer_for(false) {
         UserAnswer::Barrier if app.wait_until_caught_up().await => answer_for(true),
         answer => answer,
@@ -117,7 +117,7 @@
     spec: &JobSpec,
     job: u64,
 ) -> Result<Dependencies, ApiResponse> {
-    let mut past_ends = PastEnds::new();
+    let mut past_ends = HistoryEnds::new();
     let mut caught_up = false;
     loop {
         let unknown = match app
