--- a/crates/cherryyard-core/src/admission/entitlements/mod.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/mod.rs
@@ -16,7 +16,7 @@
 use super::fair_share_status::{Coverage, FairShareStatus};
 use super::flows::{Flow, Flows};
 use crate::Millis;
-use cherryyard_wire::peer::{FlowShare, Heartbeat, LevelGrant};
+use cherryyard_wire::peer::{FlowGrant, Heartbeat, ShardGrant};
 pub(crate) use division::ShardOwner;
 use division::{Accounts, FlowShard, divide_guarantee, update_leases};
 use heartbeat_numbers::HeartbeatNumbers;
@@ -244,7 +244,7 @@
     /// controller.
     pub(crate) fn number_heartbeat(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
         heartbeat.number = self.heartbeats.send(now);
-        heartbeat.heard = self.heartbeats.received_numbers().collect();
+        heartbeat.last_received_numbers = self.heartbeats.received_numbers().collect();
     }
 
     /// Adds the leader's grants to a heartbeat.
@@ -255,16 +255,16 @@
             }
             let flow = index as Flow;
             let accounts = self.accounts.range((flow, 0)..=(flow, usize::MAX));
-            let levels = accounts.map(|(&(_, shard_id), account)| LevelGrant {
+            let levels = accounts.map(|(&(_, shard_id), account)| ShardGrant {
                 shard: shard_id as u32,
-                under: (account.leases.leader_token, account.leases.shard_token),
-                level: account.current(),
+                lease_tokens: (account.leases.leader_token, account.leases.shard_token),
+                amount_millicores: account.current(),
             });
-            heartbeat.shares.push(FlowShare {
+            heartbeat.fair_share_grants.push(FlowGrant {
                 class: flows.class(flow).into(),
                 team: flows.team(flow),
-                floor: share.guarantee as f32,
-                levels: levels.collect(),
+                guarantee_cores: share.guarantee as f32,
+                shard_grants: levels.collect(),
             });
         }
     }
@@ -294,7 +294,7 @@
         own_index: usize,
     ) -> Acknowledgement {
         let number = heartbeat
-            .heard
+            .last_received_numbers
             .iter()
             .find(|entry| entry.0 == own_index as u32);
         let number = number.map(|entry| entry.1);
@@ -356,17 +356,17 @@
 /// Returns the allowance that heartbeat `number` of the leader grants. `sent_at` is when this
 /// controller sent the heartbeat that it acknowledges, from which the lifetime counts.
 pub(crate) fn granted_allowance(
-    grant: &LevelGrant,
+    grant: &ShardGrant,
     number: u64,
     sent_at: Millis,
 ) -> Allowance<Millis> {
     Allowance {
         leases: GrantLeases {
-            leader_token: grant.under.0,
-            shard_token: grant.under.1,
+            leader_token: grant.lease_tokens.0,
+            shard_token: grant.lease_tokens.1,
         },
         number,
-        amount: grant.level,
+        amount: grant.amount_millicores,
         from: sent_at,
     }
 }
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -383,16 +383,16 @@
     ) {
         let mut ahead = Vec::new();
         let mut granted = Vec::new();
-        for share in &heartbeat.shares {
+        for share in &heartbeat.fair_share_grants {
             if share.team as usize >= self.config.teams.len() {
                 continue;
             }
             let flow = self.mirror.flows.intern(share.team, &share.class);
-            ahead.push((flow, f64::from(share.floor)));
+            ahead.push((flow, f64::from(share.guarantee_cores)));
             let Some(sent_at) = acknowledgement.sent_at else {
                 continue;
             };
-            for grant in &share.levels {
+            for grant in &share.shard_grants {
                 let shard_id = grant.shard as usize;
                 let allowance = granted_allowance(grant, heartbeat.number, sent_at);
                 if shard_id < self.shards.len()
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -77,7 +77,7 @@
     fn with_contact(before: Option<Self>, heartbeat: &Heartbeat, now: Millis) -> Self {
         let last_contact = match (heartbeat.silent_ms, before) {
             (u32::MAX, Some(before)) => before.last_contact,
-            (u32::MAX, None) => peer_time(heartbeat.reach_ms, now),
+            (u32::MAX, None) => peer_time(heartbeat.cancellations_cover_ms, now),
             (since_answer_ms, _) => peer_time(since_answer_ms, now),
         };
         let before = before.unwrap_or(Self {
@@ -167,9 +167,9 @@
             self.recent.pop_front();
             self.gapless_since = self.gapless_since.max(at);
         }
-        let reach_ms = (now - self.gapless_since).clamp(0.0, ANNOUNCE_MS);
+        let cancellations_cover_ms = (now - self.gapless_since).clamp(0.0, ANNOUNCE_MS);
         let jobs = self.recent.iter().map(|(_, job)| *job).collect();
-        (jobs, reach_ms as u32)
+        (jobs, cancellations_cover_ms as u32)
     }
 
     /// Records that this controller reports to the others that it is cut off.
@@ -231,7 +231,7 @@
         self.drop_ended_announcements();
         let before = self.peers.get(peer).map(|state| state.coverage);
         let coverage = CancellationCoverage::with_contact(before, heartbeat, now);
-        let list_from = peer_time(heartbeat.reach_ms, now);
+        let list_from = peer_time(heartbeat.cancellations_cover_ms, now);
         // The list must begin before the coverage or the newest answered read ends. A read that
         // was sent at the moment at which the list begins may have been executed just before.
         let is_gapless =
@@ -339,11 +339,11 @@
         now: Millis,
     ) -> bool {
         let label = &self.config.labels[self.config.own_index];
-        let reach_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
+        let cancellations_cover_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
         let heartbeat = &peer.heartbeat;
-        heartbeat.complete
+        heartbeat.all_cancellations_known
             && now - peer.earliest_created_at <= self.config.heartbeat_validity_ms()
-            && f64::from(heartbeat.reach_ms) >= reach_ms
+            && f64::from(heartbeat.cancellations_cover_ms) >= cancellations_cover_ms
             && heartbeat.leases.iter().any(|(shard, token, holder)| {
                 *shard as usize == shard_id && *token == report.fencing_token && holder == label
             })
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -18,7 +18,7 @@
 //! | the state service | [`handle_load_end`](Controller::handle_load_end), [`handle_watch_response`](Controller::handle_watch_response), [`handle_transaction_outcome`](Controller::handle_transaction_outcome) | here; leases in `lease_acquisition` |
 //! | a worker's heartbeat, or its answer to a command or query | `handle_worker_heartbeat`, `handle_push_outcome`, `handle_status_answer` | `worker_heartbeats`, then [`crate::owner`] |
 //! | a peer's heartbeat | `handle_peer_heartbeat`, `build_heartbeat` | `heartbeats` |
-//! | a user's request | `answer_for`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
+//! | a user's request | `poll_answer`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
 //! | the cloud | [`handle_machine_types`](Controller::handle_machine_types), [`handle_machine_list`](Controller::handle_machine_list), [`handle_release_answer`](Controller::handle_release_answer) | here; then [`crate::leader`] and [`crate::owner`] |
 //! | time | [`tick`](Controller::tick), [`handle_lag_probe`](Controller::handle_lag_probe) | here |
 
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -45,8 +45,10 @@
         for report in &heartbeat.shards {
             self.leader.record_capacity_report(report.clone(), now);
         }
-        if self.leader.is_held_by(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
-            self.lower_grants(&heartbeat.short, now);
+        if self.leader.is_held_by(&self.mirror, &heartbeat.label)
+            && !heartbeat.teams_short_of_grants.is_empty()
+        {
+            self.lower_grants(&heartbeat.teams_short_of_grants, now);
         }
         self.read_entitlements(peer, &heartbeat, now);
         let coverage = self.learn_cancellations(peer, &heartbeat, earliest_created_at, now);
@@ -92,7 +94,7 @@
         let short = self.teams_short_of_grants(now);
         let has_gap = self.mirror.take_missed_ends();
         let new_cancellations = self.mirror.take_new_cancellations();
-        let (cancelled, reach_ms) =
+        let (cancelled, cancellations_cover_ms) =
             self.cancelled
                 .list_for_heartbeat(new_cancellations, has_gap, now);
         let cut_off = self.state_contact.is_cut_off(now);
@@ -104,18 +106,20 @@
             cut_off,
             silent_ms: self.state_silence_ms(now),
             cancelled,
-            reach_ms,
-            complete: self.mirror.loaded && self.all_cut_off(now) && self.knows_cancellations(),
+            cancellations_cover_ms,
+            all_cancellations_known: self.mirror.loaded
+                && self.all_cut_off(now)
+                && self.knows_cancellations(),
             store_revision: self.mirror.store_revision,
             leases: self.known_leases(),
             shards,
-            short,
+            teams_short_of_grants: short,
             handover_candidates: self.handover_candidates(),
-            misdirected,
+            misdirected_workers: misdirected,
             number: 0,
-            heard: Vec::new(),
-            shares: Vec::new(),
-            intake_ms: self.intake.wait_ms(now) as u32,
+            last_received_numbers: Vec::new(),
+            fair_share_grants: Vec::new(),
+            longest_submission_wait_ms: self.intake.wait_ms(now) as u32,
             demand,
         };
         self.write_entitlements(&mut heartbeat, now);
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -60,7 +60,7 @@
             images: stored.record.images.iter().map(|i| i.0.clone()).collect(),
             machines: Vec::new(),
             waiting: Vec::new(),
-            wants: Vec::new(),
+            team_demand: Vec::new(),
         };
         for (name, instance) in &self.cloud_machines {
             if instance.status != InstanceStatus::Running
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -73,7 +73,7 @@
     fn lacks_grant(&self, index: usize, team: &Team, shard_id: usize, now: Millis) -> bool {
         let grant = self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now);
-        let wants = capacity.and_then(|capacity| capacity.report.wants.get(index));
+        let wants = capacity.and_then(|capacity| capacity.report.team_demand.get(index));
         wants.is_some_and(|&(_, cores, accelerators)| {
             cores > grant.cores + ROUNDING_TOLERANCE && team.cores_max.is_finite()
                 || accelerators > grant.accelerators + ROUNDING_TOLERANCE
@@ -174,7 +174,7 @@
     ) -> Option<Grant> {
         let grant = &self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now)?;
-        let &(_, wanted_cores, wanted_accelerators) = capacity.report.wants.get(index)?;
+        let &(_, wanted_cores, wanted_accelerators) = capacity.report.team_demand.get(index)?;
         if wanted_cores <= grant.cores + ROUNDING_TOLERANCE
             && wanted_accelerators <= grant.accelerators + ROUNDING_TOLERANCE
         {
--- a/crates/cherryyard-core/src/owner/capacity.rs
+++ b/crates/cherryyard-core/src/owner/capacity.rs
@@ -96,7 +96,7 @@
                 .map(|image| images.name(image).to_string())
                 .collect(),
             waiting,
-            wants: teams
+            team_demand: teams
                 .map(|(team, wanted)| {
                     let name = self.config.team_names.name(team as u32);
                     (name.to_string(), wanted.cores, wanted.accelerators)
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -206,7 +206,10 @@
 /// Returns the part of a grant that a shard keeps: what it wants, which is never below what is
 /// assigned, and half of the rest, so that its next job need not wait for the leader.
 fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
-    let (cores, accelerators) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
+    let (cores, accelerators) = report
+        .team_demand
+        .get(team)
+        .map_or((0.0, 0.0), |w| (w.1, w.2));
     let kept = |have: f64, want: f64| {
         let half_of_remainder = (have - want) / 2.0;
         if half_of_remainder < 1.0 {
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -159,7 +159,7 @@
     pub(crate) fn misdirected_workers(&self, shard_id: usize, now: Millis) -> u32 {
         self.iter()
             .filter(|peer| peer.reaches_state_within(MISDIRECTED_REPORTS_MS, now))
-            .flat_map(|peer| &peer.heartbeat.misdirected)
+            .flat_map(|peer| &peer.heartbeat.misdirected_workers)
             .filter(|(shard, _)| *shard as usize == shard_id)
             // A worker without an owner's answer tries one controller after the other, so no
             // single peer receives the heartbeats of all of them.
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -162,7 +162,9 @@
         let peer = self
             .controller_index(label)
             .and_then(|index| self.peers.get(index));
-        peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
+        peer.map_or(0, |peer| {
+            u64::from(peer.heartbeat.longest_submission_wait_ms)
+        })
     }
 
     /// Applies to the mirror a user's transaction (a cancellation or a chunk of a submission) that
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -56,18 +56,18 @@
         cut_off: false,
         silent_ms: 0,
         cancelled: Vec::new(),
-        reach_ms: 0,
-        complete: false,
+        cancellations_cover_ms: 0,
+        all_cancellations_known: false,
         store_revision: 1,
         leases: vec![(1, 1, "b".into())],
         shards: Vec::new(),
-        short: Vec::new(),
+        teams_short_of_grants: Vec::new(),
         handover_candidates: Vec::new(),
-        misdirected: Vec::new(),
+        misdirected_workers: Vec::new(),
         number: 1,
-        heard: Vec::new(),
-        shares: Vec::new(),
-        intake_ms: 0,
+        last_received_numbers: Vec::new(),
+        fair_share_grants: Vec::new(),
+        longest_submission_wait_ms: 0,
         demand: Vec::new(),
     }
 }
@@ -112,7 +112,7 @@
     }
     assert_eq!(queried, 16, "only a sample is queried");
     assert_eq!(
-        controller.build_heartbeat(400.0).misdirected,
+        controller.build_heartbeat(400.0).misdirected_workers,
         [(1, FLEET as u32)]
     );
 }
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -108,10 +108,10 @@
     /// that are cut off from the state service.
     pub cancelled: Vec<u64>,
     /// Age of the start of the period that `cancelled` covers without a gap, in milliseconds.
-    pub reach_ms: u32,
+    pub cancellations_cover_ms: u32,
     /// Whether all controllers are cut off from the state service, and the sender has read the
     /// state and has received every cancellation that any controller can have accepted.
-    pub complete: bool,
+    pub all_cancellations_known: bool,
     /// State revision up to which the sender has read the state.
     pub store_revision: u64,
     /// Shard leases known to the sender, as (shard, revision of the lease, name of the
@@ -122,24 +122,24 @@
     pub shards: Vec<CapacityReport>,
     /// From the leader: names of teams whose shards need more than the grants of the team's
     /// limit that they hold. Owners return the grants that their shards do not need.
-    pub short: Vec<String>,
+    pub teams_short_of_grants: Vec<String>,
     /// Services that the sender offers to hand over to other shards because only these hold
     /// the services' images, as (shard, job number).
     pub handover_candidates: Vec<(u32, u64)>,
     /// Workers of other controllers' shards that have recently sent their heartbeats to the
     /// sender and that the sender can reach, as (shard, estimated number of workers).
-    pub misdirected: Vec<(u32, u32)>,
+    pub misdirected_workers: Vec<(u32, u32)>,
     /// Sequence number of this heartbeat at the sender: ascending, from an arbitrary start.
     pub number: u64,
     /// Last sequence number received from each other controller, as (index of the controller
     /// in [`Settings::controllers`](crate::settings::Settings::controllers), sequence number).
-    pub heard: Vec<(u32, u64)>,
+    pub last_received_numbers: Vec<(u32, u64)>,
     /// From the leader: flows (the jobs of one class and team) that are scheduled ahead of
     /// rank, up to their fair-share guarantees.
-    pub shares: Vec<FlowShare>,
+    pub fair_share_grants: Vec<FlowGrant>,
     /// Longest time that a submission has been waiting at the sender to be written, in
     /// milliseconds; 0 if the state service does not answer the sender.
-    pub intake_ms: u32,
+    pub longest_submission_wait_ms: u32,
     /// Counts of submissions at the sender since its start.
     pub demand: Vec<DemandReport>,
 }
@@ -147,29 +147,29 @@
 /// Flow (the jobs of one class and team) that is scheduled ahead of rank because it has long run
 /// less than its fair-share guarantee.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct FlowShare {
+pub struct FlowGrant {
     /// Class of the flow.
     pub class: String,
     /// Team of the flow, by its index in the settings.
     pub team: u32,
     /// Fair-share guarantee of the flow, in cores.
-    pub floor: f32,
+    pub guarantee_cores: f32,
     /// Division of the guarantee among the shards.
-    pub levels: Vec<LevelGrant>,
+    pub shard_grants: Vec<ShardGrant>,
 }
 
 /// Part of a flow's guarantee granted to a shard. The shard's owner may start tasks of the flow
 /// ahead of rank until they use this much there, and preempt tasks of the flow for other jobs
 /// only down to this much.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct LevelGrant {
+pub struct ShardGrant {
     /// Shard whose owner receives the grant.
     pub shard: u32,
     /// Revisions (fencing tokens) of the leader's lease and of the shard's lease at the time of
     /// the grant.
-    pub under: (u64, u64),
+    pub lease_tokens: (u64, u64),
     /// Granted amount, in thousandths of a core.
-    pub level: u64,
+    pub amount_millicores: u64,
 }
 
 /// Counts of a flow's submissions at one controller since its start.
@@ -204,7 +204,7 @@
     /// seconds).
     pub waiting: Vec<(u64, u32, f32)>,
     /// What the shard uses and needs of each team's limit, as (team, cores, accelerators).
-    pub wants: Vec<(String, f64, f64)>,
+    pub team_demand: Vec<(String, f64, f64)>,
 }
 
 /// Pool of machines: a machine type in a zone, either spot or ordinary.
--- a/crates/cherryyard-wire/tests/fleet_size.rs
+++ b/crates/cherryyard-wire/tests/fleet_size.rs
@@ -52,7 +52,7 @@
                 )
             })
             .collect(),
-        wants: (0..20)
+        team_demand: (0..20)
             .map(|i| (format!("team-{i}"), f64::from(i) * 1.7, 0.0))
             .collect(),
     }
@@ -65,18 +65,18 @@
         cut_off: false,
         silent_ms: 400,
         cancelled: (0..200).map(|i| 800_000_000_000 + i * 104_729).collect(),
-        reach_ms: 60_000,
-        complete: false,
+        cancellations_cover_ms: 60_000,
+        all_cancellations_known: false,
         store_revision: 7,
         leases: (0..7).map(|p| (p, 3, format!("controller-{p}"))).collect(),
         shards: vec![report()],
-        short: Vec::new(),
+        teams_short_of_grants: Vec::new(),
         handover_candidates: (0..200).map(|i| (0, 800_000_000_000 + i)).collect(),
-        misdirected: Vec::new(),
+        misdirected_workers: Vec::new(),
         number: 3,
-        heard: (0..7).map(|p| (p, 7)).collect(),
-        shares: Vec::new(),
-        intake_ms: 0,
+        last_received_numbers: (0..7).map(|p| (p, 7)).collect(),
+        fair_share_grants: Vec::new(),
+        longest_submission_wait_ms: 0,
         demand: Vec::new(),
     }));
     let sender = Sender {
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -9,8 +9,8 @@
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::page::StoredPage;
 use cherryyard_wire::peer::{
-    CapacityReport, DemandReport, FlowShare, ForwardResponse, ForwardedSubmission, Heartbeat,
-    LevelGrant, MachineCapacity, MachinePool, Message, decode, encode_legacy,
+    CapacityReport, DemandReport, FlowGrant, ForwardResponse, ForwardedSubmission, Heartbeat,
+    MachineCapacity, MachinePool, Message, ShardGrant, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
     ADMISSION_LOG, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
@@ -89,8 +89,8 @@
         cut_off: true,
         silent_ms: 400,
         cancelled: vec![412, 398_405],
-        reach_ms: 60_000,
-        complete: true,
+        cancellations_cover_ms: 60_000,
+        all_cancellations_known: true,
         store_revision: 70_123,
         leases: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
         shards: vec![CapacityReport {
@@ -109,24 +109,24 @@
                 images: vec![0],
             }],
             waiting: vec![(412, 7, 2.5)],
-            wants: vec![("member-care".into(), 12.0, 0.0)],
+            team_demand: vec![("member-care".into(), 12.0, 0.0)],
         }],
-        short: vec!["servicing".into()],
+        teams_short_of_grants: vec!["servicing".into()],
         handover_candidates: vec![(1, 77)],
-        misdirected: vec![(0, 3)],
+        misdirected_workers: vec![(0, 3)],
         number: 9,
-        heard: vec![(0, 7), (2, 8)],
-        shares: vec![FlowShare {
+        last_received_numbers: vec![(0, 7), (2, 8)],
+        fair_share_grants: vec![FlowGrant {
             class: "ledger-extract".into(),
             team: 1,
-            floor: 12.5,
-            levels: vec![LevelGrant {
+            guarantee_cores: 12.5,
+            shard_grants: vec![ShardGrant {
                 shard: 2,
-                under: (40, 41),
-                level: 12_500,
+                lease_tokens: (40, 41),
+                amount_millicores: 12_500,
             }],
         }],
-        intake_ms: 12,
+        longest_submission_wait_ms: 12,
         demand: vec![DemandReport {
             class: "ledger-extract".into(),
             team: 1,
