--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -40,7 +40,7 @@
         self.advance_clock(now);
         self.submission_counts
             .count_offered(offer.open.flow, offer.job);
-        let is_queued = self.intake.offer(
+        let is_queued = self.intake.enqueue(
             offer,
             &self.config,
             &mut self.submission_counts,
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -172,7 +172,7 @@
 
     /// Queues a submission, if need be in place of one that it evicts. Returns false if it is
     /// refused.
-    pub(crate) fn offer(
+    pub(crate) fn enqueue(
         &mut self,
         offer: Submission,
         config: &Config,
