--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -160,13 +160,13 @@
         let now = self.state_contact.clock();
         let Some(token) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in batch {
-                waiting.offer.open.division = Vec::new();
+                waiting.submission.open.division = Vec::new();
                 waiting.divided_under = None;
             }
             return;
         };
         for waiting in batch {
-            let open = &mut waiting.offer.open;
+            let open = &mut waiting.submission.open;
             // A retry keeps its division: a second one would count twice against the capacity.
             if open.dependencies.is_none() && waiting.divided_under != Some(token) {
                 open.division = Vec::new();
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -182,7 +182,7 @@
     ) -> bool {
         let waiting = WaitingSubmission::new(offer, now);
         if self.queue.is_full() {
-            match self.queue.evict_for(waiting.offer.open.flow) {
+            match self.queue.evict_for(waiting.submission.open.flow) {
                 Some(evicted) => self.refuse(&evicted, config, demand, effects, now),
                 None => {
                     self.refuse(&waiting, config, demand, effects, now);
@@ -217,7 +217,7 @@
         effects: &mut Vec<Effect>,
         now: Millis,
     ) {
-        let flow = waiting.offer.open.flow;
+        let flow = waiting.submission.open.flow;
         demand.count_refused(flow);
         let flow_rate = submissions_per_s(config) / self.queue.flow_count().max(1) as f64;
         let retry_s = self.retry_schedule.next_retry_s(flow, flow_rate, now);
@@ -239,7 +239,7 @@
         while batch.len() < max_count
             && let Some(waiting) = self.queue.pop(weights)
         {
-            let offer = &waiting.offer;
+            let offer = &waiting.submission;
             if mirror.view(offer.job).is_some() {
                 answer(effects, &waiting, SubmissionOutcome::AlreadyKnown);
             } else if mirror.history_progress_revision != offer.history_revision
@@ -276,7 +276,7 @@
         }
         let jobs = batch
             .iter()
-            .map(|waiting| (waiting.offer.job, &waiting.offer.open));
+            .map(|waiting| (waiting.submission.job, &waiting.submission.open));
         let added = mirror.add_jobs(commit, jobs, config);
         let rest = batch.split_off(added);
         self.put_back_rest(rest, added, effects);
@@ -354,7 +354,7 @@
         match outcome {
             Outcome::Applied(_) => {
                 for waiting in sent {
-                    demand.count_taken(waiting.offer.open.flow);
+                    demand.count_taken(waiting.submission.open.flow);
                     answer(effects, &waiting, SubmissionOutcome::Stored);
                 }
             }
@@ -392,14 +392,14 @@
 }
 
 fn answer(effects: &mut Vec<Effect>, waiting: &WaitingSubmission, verdict: SubmissionOutcome) {
-    effects.push(Effect::Answer(waiting.offer.ticket, verdict));
+    effects.push(Effect::Answer(waiting.submission.ticket, verdict));
 }
 
 /// Returns whether writing a submission requires the history to be unchanged: its job was looked up
 /// there and may have been added since, or ends of jobs that it waits for may have been.
 fn depends_on_history(waiting: &WaitingSubmission, mirror: &Mirror) -> bool {
-    let waits_for_others = !waiting.offer.open.dependencies.jobs.is_empty();
-    waiting.offer.history_revision > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
+    let waits_for_others = !waiting.submission.open.dependencies.jobs.is_empty();
+    waiting.submission.history_revision > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
 }
 
 /// Returns `commit` with one record each for as many submissions of `batch` as fit, and their
@@ -413,7 +413,7 @@
     let mut records: Vec<(u64, JobRecord)> = Vec::new();
     let mut written = Commit::default();
     for waiting in batch {
-        records.push((waiting.offer.job, waiting.offer.open.record()));
+        records.push((waiting.submission.job, waiting.submission.open.record()));
         let mut attempt = commit.clone();
         let fits = mirror.write_jobs(&mut attempt, records.clone(), config);
         if !fits || attempt.bytes() > MAX_RECORDS_BYTES {
--- a/crates/cherryyard-core/src/admission/submission.rs
+++ b/crates/cherryyard-core/src/admission/submission.rs
@@ -35,7 +35,7 @@
 /// A submission that the intake has queued or sent.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingSubmission {
-    pub(crate) offer: Submission,
+    pub(crate) submission: Submission,
     /// Time at which the submission arrived.
     pub(crate) queued_at: Millis,
     /// Number of transactions with this submission that failed.
@@ -48,7 +48,7 @@
     /// Creates a submission that has just arrived.
     pub(crate) fn new(offer: Submission, now: Millis) -> Self {
         Self {
-            offer,
+            submission: offer,
             queued_at: now,
             tries: 0,
             divided_under: None,
--- a/crates/cherryyard-core/src/admission/submission_queue.rs
+++ b/crates/cherryyard-core/src/admission/submission_queue.rs
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn push(&mut self, waiting: WaitingSubmission) {
-        let flow = waiting.offer.open.flow;
+        let flow = waiting.submission.open.flow;
         let queue = self.queues.entry(flow).or_default();
         if queue.is_empty() {
             self.fair_queue.join(flow);
@@ -66,7 +66,7 @@
 
     /// Puts a submission that was taken back to the front of its flow's queue.
     pub(super) fn put_back(&mut self, waiting: WaitingSubmission) {
-        let flow = waiting.offer.open.flow;
+        let flow = waiting.submission.open.flow;
         self.queues.entry(flow).or_default().push_front(waiting);
         self.len += 1;
     }
