--- a/crates/cherryyard-clients/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{HttpClient, RequestError};
 use cherryyard_wire::condor::{Chunk, chunk_key};
-use cherryyard_wire::history::{LeafRecord, Level, leaf_of_key, since_key};
+use cherryyard_wire::history::{LeafRecord, Level, key_before_leaf, last_job_of_leaf_key};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::PREFIX;
 use cherryyard_wire::state::{Commit, LeaseGrant, Page, Pair, StoreRevision, WatchResponse};
@@ -151,7 +151,7 @@
     /// Reads the first leaf of a run of the history whose largest possible job number is `job` or
     /// higher.
     pub async fn read_leaf(&self, level: Level, job: u64) -> Result<LeafRead, StateError> {
-        let since = since_key(level, job);
+        let since = key_before_leaf(level, job);
         let since = since.map(|key| format!("&since={key}")).unwrap_or_default();
         let path = format!("/store?starts={}{since}&page=1", level.prefix());
         let (status, body) = self.call(Method::GET, &path, None, KEY_TIMEOUT).await?;
@@ -167,7 +167,7 @@
                 leaf,
             });
         };
-        let last_job = leaf_of_key(level, &pair.key).ok_or(StateError::InvalidResponse)?;
+        let last_job = last_job_of_leaf_key(level, &pair.key).ok_or(StateError::InvalidResponse)?;
         let record = pair.value.read().map_err(|e| {
             tracing::error!("invalid leaf of the history: {}: {e}", pair.key);
             StateError::InvalidResponse
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -50,7 +50,7 @@
         match step {
             NextStep::Cancel => self.cancel_next_jobs(submission, now),
             NextStep::Create => self.create_next_jobs(submission, now),
-            NextStep::Abandon => self.change_phase(submission, PhaseEvent::GivenUp),
+            NextStep::Abandon => self.change_phase(submission, PhaseEvent::Abandoned),
             NextStep::DeleteChunks => self.delete_chunks(submission, now),
             NextStep::DeleteRecord => self.delete_submission_record(submission, now),
         }
@@ -162,7 +162,7 @@
         let open = self.mirror.open.range(record.block());
         let mut jobs: Vec<u64> = open.map(|(&job, _)| job).take(CANCEL_BATCH).collect();
         if jobs.is_empty() {
-            self.change_phase(submission, PhaseEvent::NoneOpen);
+            self.change_phase(submission, PhaseEvent::AllJobsEnded);
             return;
         }
         // Like every cancellation, this step takes precedence over writes that can wait and may
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -24,7 +24,7 @@
             if count == 0 {
                 RangeSet::new()
             } else {
-                RangeSet::span(next - count, next - 1)
+                RangeSet::from_range(next - count, next - 1)
             }
         })
         .collect()
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -285,11 +285,11 @@
     /// Returns the job with its tasks moved.
     fn applied_to(&self, open: &OpenJob, from: usize) -> OpenJob {
         let mut moved = open.clone();
-        moved.division[from] = moved.division[from].minus(&self.tasks);
+        moved.division[from] = moved.division[from].difference(&self.tasks);
         let mut left = self.tasks.clone();
         for (shard_id, &share) in self.shares.iter().enumerate() {
             let tasks = left.first(share);
-            left = left.minus(&tasks);
+            left = left.difference(&tasks);
             moved.division[shard_id] = moved.division[shard_id].union(&tasks);
         }
         moved
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -137,7 +137,9 @@
             (Some(share), None) => share.clone(),
             (Some(share), Some(job_assignments)) => {
                 let assigned: RangeSet = job_assignments.assignments.keys().copied().collect();
-                share.minus(&job_assignments.done).minus(&assigned)
+                share
+                    .difference(&job_assignments.done)
+                    .difference(&assigned)
             }
         };
         let is_waiting = !unassigned.is_empty();
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -84,7 +84,7 @@
                 job_tasks
                     .assignments
                     .retain(|number, assignment| copy.assignments.get(number) != Some(assignment));
-                job_tasks.done = job_tasks.done.minus(&copy.done);
+                job_tasks.done = job_tasks.done.difference(&copy.done);
             }
         }
         page.jobs.retain(|_, job_tasks| {
@@ -157,7 +157,9 @@
             return false;
         };
         let job_tasks = page.jobs.entry(job).or_default();
-        job_tasks.done = job_tasks.done.union(&RangeSet::span(range.0, range.1));
+        job_tasks.done = job_tasks
+            .done
+            .union(&RangeSet::from_range(range.0, range.1));
         true
     }
 
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -283,7 +283,7 @@
             return None;
         }
         if let Some(&last) = placement.last_tried.get(&job) {
-            waiting = waiting.minus(&RangeSet::span(0, last));
+            waiting = waiting.difference(&RangeSet::from_range(0, last));
         }
         let team = open.team;
         let is_limited = self.config.teams[team as usize].limited();
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -148,7 +148,9 @@
             // A packed page never grows as its tasks end.
             PageFormat::Packed => {
                 let packed = page::pack(&self.record(hosts));
-                packed.map_or(usize::MAX / 2, |text| text.len() + StoredPage::FRAME)
+                packed.map_or(usize::MAX / 2, |text| {
+                    text.len() + StoredPage::JSON_OVERHEAD_BYTES
+                })
             }
         }
     }
@@ -218,7 +220,7 @@
         hosts: &mut Names,
     ) -> Option<Self> {
         let packed_bytes = match &stored {
-            StoredPage::Packed { base64 } => Some(base64.len() + StoredPage::FRAME),
+            StoredPage::Packed { base64 } => Some(base64.len() + StoredPage::JSON_OVERHEAD_BYTES),
             StoredPage::Plain(_) => None,
         };
         let mut page = Self::from_record(stored.read()?, revision, hosts)?;
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -19,7 +19,7 @@
 pub use transaction::{Precondition, ReadFailed, Step, StoredLeaf, StoredLeafKey, Transaction};
 
 use crate::leaf::{FinishedJob, Leaf};
-use cherryyard_wire::history::{HistoryProgressRecord, LAST, Level, leaf_key};
+use cherryyard_wire::history::{HistoryProgressRecord, Level, MAX_JOB_NUMBER, leaf_key};
 use phase::Event;
 use split::LeafSplit;
 
@@ -249,7 +249,7 @@
     fn merge_into(&mut self, level: Level, jobs: &[FinishedJob], found: Option<StoredLeaf>) {
         // Jobs beyond the last leaf go into a new leaf, whose range has no upper end.
         let stored = found.unwrap_or(StoredLeaf {
-            last: LAST,
+            last: MAX_JOB_NUMBER,
             revision: 0,
             leaf: Leaf::default(),
         });
--- a/crates/cherryyard-history/src/leaf/codec.rs
+++ b/crates/cherryyard-history/src/leaf/codec.rs
@@ -4,7 +4,7 @@
 use super::jobs::{FinishedJob, Leaf};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
-use cherryyard_wire::history::{LAST, LeafRecord};
+use cherryyard_wire::history::{LeafRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::record::End;
 use integer_encoding::VarInt;
 
@@ -89,7 +89,7 @@
             let gap = varints.next_u64()?;
             let job = previous
                 .checked_add(gap)
-                .filter(|&job| job <= LAST)
+                .filter(|&job| job <= MAX_JOB_NUMBER)
                 .ok_or(LeafError::IdTooLarge)?;
             if gap == 0 && index > 0 {
                 return Err(LeafError::IdsNotIncreasing);
--- a/crates/cherryyard-history/src/leaf/tests.rs
+++ b/crates/cherryyard-history/src/leaf/tests.rs
@@ -1,18 +1,22 @@
 use super::codec::RECORD_OVERHEAD_BYTES;
 use super::*;
-use cherryyard_wire::history::{LAST, LeafRecord};
+use cherryyard_wire::history::{LeafRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::record::End;
 use proptest::prelude::*;
 
 fn finished_job() -> impl Strategy<Value = FinishedJob> {
-    (0..=LAST, any::<bool>(), 0u32..100_000, 20_000u32..20_400).prop_map(
-        |(job, is_done, done, day)| FinishedJob {
+    (
+        0..=MAX_JOB_NUMBER,
+        any::<bool>(),
+        0u32..100_000,
+        20_000u32..20_400,
+    )
+        .prop_map(|(job, is_done, done, day)| FinishedJob {
             job,
             end: if is_done { End::Done } else { End::Cancelled },
             done,
             day,
-        },
-    )
+        })
 }
 
 proptest! {
--- a/crates/cherryyard-history/src/lib.rs
+++ b/crates/cherryyard-history/src/lib.rs
@@ -24,4 +24,6 @@
 };
 pub use leaf::{FinishedJob, Leaf, LeafError};
 
-pub use cherryyard_wire::history::{LAST, Level, leaf_key, leaf_of_key, since_key};
+pub use cherryyard_wire::history::{
+    Level, MAX_JOB_NUMBER, key_before_leaf, last_job_of_leaf_key, leaf_key,
+};
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -3,7 +3,7 @@
 
 use cherryyard_history::{
     Compactor, FinishedJob, Leaf, Level, Limits, Phase, ReadFailed, Step, StoredLeaf, Transaction,
-    leaf_key, leaf_of_key,
+    last_job_of_leaf_key, leaf_key,
 };
 use cherryyard_wire::history::{HistoryProgressRecord, LeafRecord};
 use cherryyard_wire::record::End;
@@ -55,7 +55,7 @@
 
     fn leaf(&self, level: Level, job: u64) -> Option<StoredLeaf> {
         let (key, (record, revision)) = self.leaves.range(leaf_key(level, job)..).next()?;
-        let last = leaf_of_key(level, key)?;
+        let last = last_job_of_leaf_key(level, key)?;
         Some(StoredLeaf {
             last,
             revision: *revision,
@@ -295,7 +295,7 @@
     };
     let old: Vec<FinishedJob> = (0..OLD_BATCHES).flat_map(batch).collect();
     let leaf = Leaf::new(old);
-    let key = leaf_key(Level::Small, cherryyard_wire::history::LAST);
+    let key = leaf_key(Level::Small, cherryyard_wire::history::MAX_JOB_NUMBER);
     store.leaves.insert(key, (leaf.to_record(), 1));
     store.last_revision = 1;
     let lower_limits = Limits {
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -9,7 +9,7 @@
 use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
-use cherryyard_wire::history::{HistoryProgressRecord, LAST};
+use cherryyard_wire::history::{HistoryProgressRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
     BUCKETS, BucketRecord, End, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobRecord,
@@ -46,7 +46,7 @@
     #[arg(long, default_value_t = 2)]
     format: u32,
     /// The ids of the ended jobs are drawn at random from this many
-    #[arg(long, default_value_t = LAST)]
+    #[arg(long, default_value_t = MAX_JOB_NUMBER)]
     ids: u64,
     /// Requests per second that the state service allows
     #[arg(long, default_value_t = 80.0)]
@@ -81,7 +81,7 @@
     let mut rng = StdRng::seed_from_u64(args.jobs);
     let most = args.ids.max(args.jobs * 2);
     let mut ids: Vec<u64> = (0..args.jobs + args.jobs / 2)
-        .map(|_| rng.random_range(0..=most.min(LAST)))
+        .map(|_| rng.random_range(0..=most.min(MAX_JOB_NUMBER)))
         .collect();
     ids.sort_unstable();
     ids.dedup();
@@ -97,7 +97,7 @@
     let record = |id: u64| JobRecord::Open {
         spec: Box::new(World::spec(&job_id(id), "sweep", args.tasks)),
         at: 0,
-        div: vec![RangeSet::span(0, args.tasks.max(1) - 1)],
+        div: vec![RangeSet::from_range(0, args.tasks.max(1) - 1)],
         zone: None,
         caps: Vec::new(),
         rules: None,
@@ -183,9 +183,9 @@
         let leaves = Leaf::default().merged_with(&jobs, 0, 4032);
         let count = leaves.len();
         for (i, leaf) in leaves.into_iter().enumerate() {
-            let last = leaf.jobs().last().map_or(LAST, |p| p.job);
+            let last = leaf.jobs().last().map_or(MAX_JOB_NUMBER, |p| p.job);
             let open = remaining.peek().is_none() && i + 1 == count;
-            let last = if open { LAST } else { last };
+            let last = if open { MAX_JOB_NUMBER } else { last };
             state.seed(&leaf_key(Level::Large, last), &leaf.to_record());
         }
     }
@@ -270,7 +270,7 @@
         let id = if is_known {
             ids[rng.random_range(0..ids.len())]
         } else {
-            rng.random_range(0..LAST)
+            rng.random_range(0..MAX_JOB_NUMBER)
         };
         let sent_at = Instant::now();
         let status = client.get(&format!("/v2/runs/{}", job_id(id))).await;
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -2,7 +2,7 @@
 //! and a log of its changes.
 
 use cherryyard_core::Outcome;
-use cherryyard_wire::history::{LeafRecord, Level, leaf_key, leaf_of_key};
+use cherryyard_wire::history::{LeafRecord, Level, last_job_of_leaf_key, leaf_key};
 use cherryyard_wire::record::PREFIX;
 use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse, When};
 use std::collections::{BTreeMap, BTreeSet};
@@ -116,7 +116,7 @@
         let from = leaf_key(level, job);
         let (key, stored) = self.keys.range(from..).next()?;
         let record = stored.value.read().expect("a leaf");
-        Some((leaf_of_key(level, key)?, stored.revision, record))
+        Some((last_job_of_leaf_key(level, key)?, stored.revision, record))
     }
 
     /// Returns a page of the pairs whose keys have this prefix and follow `since`, and whether
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -9,8 +9,8 @@
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::condor::{
-    Chunk, FIRST_ID, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key, submission_key,
-    submission_number,
+    Chunk, FIRST_RESERVED_JOB, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key,
+    submission_key, submission_number,
 };
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobView, job_number};
@@ -135,7 +135,7 @@
     pub fn queue(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
         let number = submission_number(name);
         let ids = self.state.get(IDS_KEY).map(|(v, _)| v.read::<IdsRecord>());
-        let first = ids.map_or(FIRST_ID, |i| {
+        let first = ids.map_or(FIRST_RESERVED_JOB, |i| {
             i.expect("a valid record of the next job number").next
         });
         let jobs: u64 = chunks.iter().map(Chunk::jobs).sum();
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -259,7 +259,7 @@
         w.run(20.0);
         w.run_until(150.0, |w| {
             all.iter()
-                .all(|s| w.submission(s.0).unwrap().phase.chunks_may_go())
+                .all(|s| w.submission(s.0).unwrap().phase.chunks_are_deletable())
                 && open_jobs(w) == 0
         });
         for (number, first, jobs, removed) in all {
--- a/crates/cherryyard-wire/src/admission_log.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -273,7 +273,7 @@
         for (shard, first, last) in self.division {
             div.resize(shards, RangeSet::new());
             let set = div.get_mut(shard as usize)?;
-            *set = set.union(&RangeSet::span(first, last));
+            *set = set.union(&RangeSet::from_range(first, last));
         }
         let spec = JobSpec {
             id: job_id(self.job),
--- a/crates/cherryyard-wire/src/admission_log/tests.rs
+++ b/crates/cherryyard-wire/src/admission_log/tests.rs
@@ -18,7 +18,7 @@
         let mut spec = spec.clone();
         spec.id = job_id(1_000_000 + n);
         let mut div = vec![RangeSet::new(); 7];
-        div[n as usize % 7] = RangeSet::span(0, 0);
+        div[n as usize % 7] = RangeSet::from_range(0, 0);
         let rest = Rest {
             zone: (n == 3).then(|| "a".into()),
             ..Rest::default()
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -14,13 +14,13 @@
 
 /// First job number that is reserved for bulk submissions; users cannot choose it or a higher
 /// one.
-pub const FIRST_ID: u64 = 800_000_000_000_000_000;
+pub const FIRST_RESERVED_JOB: u64 = 800_000_000_000_000_000;
 /// End (exclusive) of the job numbers: ids have at most 18 digits.
-pub const END_ID: u64 = 1_000_000_000_000_000_000;
+pub const END_OF_JOB_NUMBERS: u64 = 1_000_000_000_000_000_000;
 
 /// Returns whether a job number is reserved for bulk submissions.
 pub fn is_reserved(job: u64) -> bool {
-    job >= FIRST_ID
+    job >= FIRST_RESERVED_JOB
 }
 
 /// Returns the number of the submission with this name: a hash of the name.
@@ -171,13 +171,13 @@
     /// The last chunk was received, and all jobs can run.
     Accepted,
     /// One of the jobs can never run, or no further chunks were received in time.
-    GivenUp,
+    Abandoned,
     /// The last job was created.
     LastCreated,
     /// The user removed the submission.
     Removed,
     /// None of the jobs is open any more.
-    NoneOpen,
+    AllJobsEnded,
 }
 
 impl Phase {
@@ -187,16 +187,16 @@
         use Phase::*;
         match (self, event) {
             (Receiving, PhaseEvent::Accepted) => Creating,
-            (Receiving, PhaseEvent::GivenUp | PhaseEvent::Removed) => Dropped,
+            (Receiving, PhaseEvent::Abandoned | PhaseEvent::Removed) => Dropped,
             (Creating, PhaseEvent::LastCreated) => Created,
             (Creating | Created, PhaseEvent::Removed) => Cancelling,
-            (Cancelling, PhaseEvent::NoneOpen) => Cancelled,
+            (Cancelling, PhaseEvent::AllJobsEnded) => Cancelled,
             (unchanged, _) => unchanged,
         }
     }
 
     /// Returns whether the submission's chunks are no longer needed and may be deleted.
-    pub fn chunks_may_go(self) -> bool {
+    pub fn chunks_are_deletable(self) -> bool {
         matches!(self, Self::Created | Self::Cancelled | Self::Dropped)
     }
 }
@@ -252,7 +252,7 @@
 /// Record of the ids that submissions have been given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdsRecord {
-    /// Lowest job number that the next submission can be given; a number below [`FIRST_ID`]
+    /// Lowest job number that the next submission can be given; a number below [`FIRST_RESERVED_JOB`]
     /// counts as that.
     pub next: u64,
 }
--- a/crates/cherryyard-wire/src/condor/tests.rs
+++ b/crates/cherryyard-wire/src/condor/tests.rs
@@ -48,7 +48,7 @@
 #[test]
 fn phases_only_go_forward() {
     use PhaseEvent::*;
-    let events = [Accepted, GivenUp, LastCreated, Removed, NoneOpen];
+    let events = [Accepted, Abandoned, LastCreated, Removed, AllJobsEnded];
     for event in events {
         for final_phase in [Phase::Cancelled, Phase::Dropped] {
             assert_eq!(final_phase.after(event), final_phase);
--- a/crates/cherryyard-wire/src/error.rs
+++ b/crates/cherryyard-wire/src/error.rs
@@ -4,8 +4,8 @@
 //! file.
 
 use crate::limits::{
-    MAX_ATTRIBUTES, MAX_BLOCKS, MAX_CHUNKS, MAX_DEPENDENCIES, MAX_EXPRESSION, MAX_JOBS,
-    MAX_NAME_BYTES, MAX_TASKS, NO_ID,
+    MAX_ATTRIBUTES, MAX_CHUNKS, MAX_DEPENDENCIES, MAX_EXPRESSION, MAX_JOBS, MAX_NAME_BYTES,
+    MAX_POOL_BLOCKS, MAX_TASKS, NO_ID,
 };
 use thiserror::Error;
 
@@ -116,8 +116,8 @@
     /// Expression is longer than [`MAX_EXPRESSION`].
     #[error("more than {MAX_EXPRESSION} bytes")]
     ExpressionTooLong,
-    /// Rules have more than [`MAX_BLOCKS`] blocks of pools.
-    #[error("more than {MAX_BLOCKS} blocks")]
+    /// Rules have more than [`MAX_POOL_BLOCKS`] blocks of pools.
+    #[error("more than {MAX_POOL_BLOCKS} blocks")]
     TooManyBlocks,
     /// Value is not a socket address.
     #[error("`{text}` is not an IP address and port")]
--- a/crates/cherryyard-wire/src/history.rs
+++ b/crates/cherryyard-wire/src/history.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest possible job number: ids have at most 18 digits.
-pub const LAST: u64 = 999_999_999_999_999_999;
+pub const MAX_JOB_NUMBER: u64 = 999_999_999_999_999_999;
 
 /// Sorted run of leaves; the history has two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
 
 /// Returns the highest job number that the leaf with this key covers; `None` if this is not the
 /// key of a leaf of this run.
-pub fn leaf_of_key(level: Level, key: &str) -> Option<u64> {
+pub fn last_job_of_leaf_key(level: Level, key: &str) -> Option<u64> {
     let digits = key.strip_prefix(level.prefix())?;
     let is_numeric = digits.len() == 18 && digits.bytes().all(|b| b.is_ascii_digit());
     if is_numeric {
@@ -46,7 +46,7 @@
 
 /// Returns the key after which the next key is that of the leaf that covers `job`, for a range
 /// read; `None` for job 0, whose leaf is the run's first.
-pub fn since_key(level: Level, job: u64) -> Option<String> {
+pub fn key_before_leaf(level: Level, job: u64) -> Option<String> {
     Some(leaf_key(level, job.checked_sub(1)?))
 }
 
--- a/crates/cherryyard-wire/src/limits.rs
+++ b/crates/cherryyard-wire/src/limits.rs
@@ -13,7 +13,7 @@
 pub const MAX_EXPRESSION: usize = 2048;
 
 /// Maximum number of blocks of pools in a job's rules.
-pub const MAX_BLOCKS: usize = 64;
+pub const MAX_POOL_BLOCKS: usize = 64;
 
 /// Maximum number of custom machine attributes in a group: of all machines, of a machine type or
 /// of a zone.
--- a/crates/cherryyard-wire/src/page.rs
+++ b/crates/cherryyard-wire/src/page.rs
@@ -48,7 +48,7 @@
 
 impl StoredPage {
     /// Bytes that the JSON of a packed page takes in addition to its base64 text.
-    pub const FRAME: usize = 8;
+    pub const JSON_OVERHEAD_BYTES: usize = 8;
 
     /// Returns the page's record; `None` if it is malformed.
     pub fn read(self) -> Option<PageRecord> {
@@ -216,7 +216,7 @@
         }
     }
     let running_numbers: RangeSet = running.keys().copied().collect();
-    let completed_only = completed.minus(&running_numbers);
+    let completed_only = completed.difference(&running_numbers);
     let mut all: Vec<Entry> = completed_only
         .ranges()
         .iter()
@@ -354,7 +354,7 @@
             group.extend([machine, first.into()]);
         }
         match kind {
-            COMPLETED | BOTH => completed = completed.union(&RangeSet::span(first, last)),
+            COMPLETED | BOTH => completed = completed.union(&RangeSet::from_range(first, last)),
             RUNNING => {}
             _ => return None,
         }
--- a/crates/cherryyard-wire/src/ranges.rs
+++ b/crates/cherryyard-wire/src/ranges.rs
@@ -15,7 +15,7 @@
 
     /// Returns the numbers from `first` to `last`, both included; the empty set if `first` is
     /// above `last`.
-    pub fn span(first: u32, last: u32) -> Self {
+    pub fn from_range(first: u32, last: u32) -> Self {
         if first > last {
             Self::new()
         } else {
@@ -100,7 +100,7 @@
     }
 
     /// Returns the difference: the numbers of `self` that are not in `other`.
-    pub fn minus(&self, other: &Self) -> Self {
+    pub fn difference(&self, other: &Self) -> Self {
         let mut difference = Vec::new();
         // The first range of `other` that does not end before the current range of `self`.
         let mut next_other = 0;
@@ -162,7 +162,7 @@
     /// Returns the set of the `n` highest numbers; all if there are fewer.
     pub fn last(&self, n: u32) -> Self {
         let len = self.len();
-        self.minus(&self.first(len.saturating_sub(n)))
+        self.difference(&self.first(len.saturating_sub(n)))
     }
 }
 
--- a/crates/cherryyard-wire/src/ranges/tests.rs
+++ b/crates/cherryyard-wire/src/ranges/tests.rs
@@ -36,7 +36,7 @@
         assert!(left.is_canonical() && right.is_canonical());
         assert!(left.iter().eq(expected_left.iter().copied()));
         assert!(
-            left.minus(&right)
+            left.difference(&right)
                 .iter()
                 .eq(expected_left.difference(&expected_right).copied())
         );
--- a/crates/cherryyard-wire/src/rules.rs
+++ b/crates/cherryyard-wire/src/rules.rs
@@ -7,7 +7,7 @@
 //! a pool must satisfy both. The fields `machine_types`, `zone` and `spot` of the job apply too.
 
 use crate::error::{AttributeError, AttributeProblem, FieldProblem, InvalidField};
-pub use crate::limits::{MAX_ATTRIBUTES, MAX_BLOCKS, MAX_EXPRESSION};
+pub use crate::limits::{MAX_ATTRIBUTES, MAX_EXPRESSION, MAX_POOL_BLOCKS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -66,7 +66,7 @@
                 return Err(InvalidField::new(path, FieldProblem::ExpressionTooLong));
             }
         }
-        if self.pools.len() > MAX_BLOCKS {
+        if self.pools.len() > MAX_POOL_BLOCKS {
             return Err(InvalidField::new(
                 "rules.cells",
                 FieldProblem::TooManyBlocks,
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -79,7 +79,11 @@
 }
 
 fn division() -> Vec<RangeSet> {
-    vec![RangeSet::span(0, 3), RangeSet::new(), RangeSet::span(4, 5)]
+    vec![
+        RangeSet::from_range(0, 3),
+        RangeSet::new(),
+        RangeSet::from_range(4, 5),
+    ]
 }
 
 #[test]
@@ -226,7 +230,7 @@
                 vec![vec![88, 1, 0, 0, 1, 3], vec![91, 2, 1, 4]],
                 [1u32, 2].into_iter().collect(),
             ),
-            (398_405, Vec::new(), RangeSet::span(0, 5)),
+            (398_405, Vec::new(), RangeSet::from_range(0, 5)),
         ],
     };
     assert_json_sample("page", &StoredPage::Plain(page));
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -8,7 +8,7 @@
 use super::lookup_queue::LookupQueue;
 use cherryyard_core::Controller;
 use cherryyard_history::{FinishedJob, Leaf, LeafCache, Lookup};
-use cherryyard_wire::history::{LAST, Level};
+use cherryyard_wire::history::{Level, MAX_JOB_NUMBER};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -238,7 +238,7 @@
                 });
                 (last, leaf.ok()?)
             }
-            None => (LAST, Leaf::default()),
+            None => (MAX_JOB_NUMBER, Leaf::default()),
         };
         let finished_job = leaf.find(job).copied();
         let mut cache = lock(&self.history.cache);
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -8,8 +8,9 @@
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::condor::{
-    ChunkPost, END_ID, FIRST_ID, IdsRecord, MAX_JOBS, Phase, PhaseEvent, SubmissionList,
-    SubmissionRecord, Template, check_name, chunk_key, submission_key, submission_number,
+    ChunkPost, END_OF_JOB_NUMBERS, FIRST_RESERVED_JOB, IdsRecord, MAX_JOBS, Phase, PhaseEvent,
+    SubmissionList, SubmissionRecord, Template, check_name, chunk_key, submission_key,
+    submission_number,
 };
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::{IDS_KEY, Key};
@@ -142,7 +143,7 @@
     }
     let number = submission_number(&before.name);
     let mut dropped = before.clone();
-    dropped.phase = dropped.phase.after(PhaseEvent::GivenUp);
+    dropped.phase = dropped.phase.after(PhaseEvent::Abandoned);
     let mut commit = Commit::default();
     controller
         .mirror
@@ -252,7 +253,7 @@
 /// users could choose any id before submit files were enabled.
 async fn free_block(app: &Arc<App>, jobs: u64) -> Option<(u64, u64)> {
     let (mut first, history_revision, has_history) = app.with(|controller, _| {
-        let next = controller.mirror.ids.next.max(FIRST_ID);
+        let next = controller.mirror.ids.next.max(FIRST_RESERVED_JOB);
         (
             next,
             controller.mirror.history_progress_revision,
@@ -260,7 +261,7 @@
         )
     });
     let mut reads = 0;
-    'block: while first + jobs < END_ID {
+    'block: while first + jobs < END_OF_JOB_NUMBERS {
         if app.with(|controller, _| controller.mirror.has_any_job(first..first + jobs)) {
             first += jobs;
             continue;
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -9,7 +9,7 @@
 use cherryyard_core::dependencies::{DependencyError, HistoryEnds, Resolution};
 use cherryyard_core::mirror::{OpenJob, ended_job_view};
 use cherryyard_core::users::UserAnswer;
-use cherryyard_wire::condor::{FIRST_ID, is_reserved};
+use cherryyard_wire::condor::{FIRST_RESERVED_JOB, is_reserved};
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, job_id, job_number};
 use cherryyard_wire::parse_object;
@@ -262,7 +262,10 @@
         return Attempt::Answered(ApiResponse::job_view(StatusCode::OK, &view));
     }
     if is_reserved(job) && app.with(|controller, _| controller.config.tuning.condor) {
-        let reason = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
+        let reason = format!(
+            "id: from {} on they are for submissions",
+            job_id(FIRST_RESERVED_JOB)
+        );
         return Attempt::Answered(ApiResponse::bad_request(reason));
     }
     open.dependencies = match resolve_dependencies(app, spec_with_dependencies, job).await {
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -5,7 +5,7 @@
 use cherryyard_simulation::http::{Budgets, HttpState};
 use cherryyard_simulation::process::{self, Client, Process};
 use cherryyard_simulation::{StateStandIn, World, small_machine_type};
-use cherryyard_wire::history::{HistoryProgressRecord, LAST};
+use cherryyard_wire::history::{HistoryProgressRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
     BUCKETS, BucketRecord, End, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, MACHINE_TYPES_KEY,
@@ -41,7 +41,7 @@
         day: 1,
     };
     let leaf = Leaf::new([10, 20, 30].map(finished_job).to_vec());
-    state.seed(&leaf_key(Level::Large, LAST), &leaf.to_record());
+    state.seed(&leaf_key(Level::Large, MAX_JOB_NUMBER), &leaf.to_record());
     state
 }
 
