--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -78,7 +78,7 @@
             }
         };
         if self.intake.send(now) {
-            self.user_write_budget.spend(commit.apply.len() as f64);
+            self.user_write_budget.spend(commit.changes.len() as f64);
             self.effects.push(Effect::Commit(Ticket::Admission, commit));
         }
     }
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -243,7 +243,7 @@
             if mirror.view(offer.job).is_some() {
                 answer(effects, &waiting, SubmissionOutcome::AlreadyKnown);
             } else if mirror.history_progress_revision != offer.history_revision
-                && mirror.history_progress.any()
+                && mirror.history_progress.may_have_jobs()
             {
                 answer(effects, &waiting, SubmissionOutcome::Retry);
             } else if jobs.insert(offer.job) {
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::mirror::OpenJob;
 use cherryyard_wire::record::{ADMISSION_LOG, FORMAT_KEY, FormatRecord, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 use std::collections::BTreeMap;
 
 /// Least time between two attempts to compact pages.
@@ -51,7 +51,7 @@
             admission_log: true,
             dependencies: self.mirror.format.dependencies,
         };
-        commit.apply.push(Apply::set(FORMAT_KEY, &record));
+        commit.changes.push(Change::set(FORMAT_KEY, &record));
         Some(commit)
     }
 
@@ -60,7 +60,8 @@
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
         let mut commit = Commit::default();
         for (page, jobs) in self.undivided_by_page() {
-            if commit.apply.len() >= self.config.txn_ops || commit.bytes() > MAX_TRANSACTION_BYTES {
+            if commit.changes.len() >= self.config.txn_ops || commit.bytes() > MAX_TRANSACTION_BYTES
+            {
                 break;
             }
             let mut divided = Vec::new();
@@ -72,7 +73,7 @@
             }
             self.write_divided(&mut commit, page, &divided);
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Returns the undivided jobs on pages, by page.
@@ -97,7 +98,7 @@
         let (mirror, config) = (&self.mirror, &self.config);
         if divided.is_empty()
             || mirror.rewrite_page(commit, page, divided, config)
-            || !commit.apply.is_empty()
+            || !commit.changes.is_empty()
         {
             return;
         }
@@ -129,7 +130,7 @@
         }
         self.leader.pages_compacted_at = now;
         let commit = self.mirror.compact_pages(&self.config)?;
-        self.user_write_budget.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.changes.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -14,7 +14,7 @@
 };
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{End, Key, job_hash};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Number of open jobs from which on creation waits for some to finish: a submission takes little
 /// memory, open jobs do not.
@@ -61,7 +61,7 @@
         self.mirror.require(&mut commit, Key::Leader);
         self.mirror
             .require(&mut commit, Key::Submission(submission));
-        let spent = commit.apply.len() as f64;
+        let spent = commit.changes.len() as f64;
         self.leader.bulk_creation.stage = Stage::Writing;
         self.leader.bulk_creation.write_budget.spend(spent);
         self.user_write_budget.spend(spent);
@@ -195,7 +195,9 @@
     fn delete_submission_record(&mut self, submission: u64, now: Millis) {
         if self.may_create(now) {
             let mut commit = Commit::default();
-            commit.apply.push(Apply::delete(submission_key(submission)));
+            commit
+                .changes
+                .push(Change::delete(submission_key(submission)));
             self.send_step(submission, commit);
         }
     }
--- a/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
@@ -4,7 +4,7 @@
 use crate::{Config, Mirror};
 use cherryyard_wire::condor::{PhaseEvent, SubmissionRecord, chunk_key, submission_key};
 use cherryyard_wire::record::{JobRecord, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 use std::collections::HashSet;
 
 /// Largest number of jobs in one step.
@@ -69,8 +69,8 @@
 /// Returns the transaction that writes a submission's record.
 pub(super) fn submission_write(submission: u64, record: &SubmissionRecord) -> Commit {
     let mut commit = Commit::default();
-    let set = Apply::set(submission_key(submission), record);
-    commit.apply.push(set);
+    let set = Change::set(submission_key(submission), record);
+    commit.changes.push(set);
     commit
 }
 
@@ -84,10 +84,10 @@
     let end = record.chunks.min(record.swept + max_ops);
     let mut commit = Commit::default();
     let keys = (record.swept..end).map(|chunk| chunk_key(submission, chunk));
-    commit.apply.extend(keys.map(Apply::delete));
+    commit.changes.extend(keys.map(Change::delete));
     record.swept = end;
-    let set = Apply::set(submission_key(submission), &record);
-    commit.apply.push(set);
+    let set = Change::set(submission_key(submission), &record);
+    commit.changes.push(set);
     commit
 }
 
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -5,7 +5,7 @@
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::peers::SUCCESSION_MS;
 use cherryyard_wire::record::{self, Key, LeaseRecord};
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 
 /// Time without a heartbeat after which a leader is replaced.
 const LEADER_SILENCE_MS: f64 = 1800.0;
@@ -39,7 +39,7 @@
         self.mirror.require(&mut commit, Key::Leader);
         let label = &self.config.labels[self.config.own_index];
         let holder = LeaseRecord::of(label, self.process_id, self.config.format);
-        commit.apply.push(Apply::Set {
+        commit.changes.push(Change::Set {
             set: record::LEADER_KEY.into(),
             value: Json::of(&holder),
             lease_id: Some(lease_id),
@@ -228,8 +228,8 @@
         }
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::MachineTypes);
-        let put = Apply::put(record::MACHINE_TYPES_KEY, value);
-        commit.apply.push(put);
+        let put = Change::put(record::MACHINE_TYPES_KEY, value);
+        commit.changes.push(put);
         Some(commit)
     }
 
@@ -253,7 +253,9 @@
         tracing::info!("storing operators' attributes of machines");
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Attributes);
-        commit.apply.push(Apply::put(record::ATTRIBUTES_KEY, value));
+        commit
+            .changes
+            .push(Change::put(record::ATTRIBUTES_KEY, value));
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::controller::Controller;
 use cherryyard_wire::record::{DEPENDENCIES, FORMAT_KEY, FormatRecord, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Time for which every controller must have supported dependencies before the leader enables
 /// them. A controller that is being replaced by an earlier build is noticed within this time.
@@ -41,7 +41,7 @@
             admission_log: self.mirror.format.uses_admission_log,
             dependencies: true,
         };
-        commit.apply.push(Apply::set(FORMAT_KEY, &record));
+        commit.changes.push(Change::set(FORMAT_KEY, &record));
         Some(commit)
     }
 
@@ -71,10 +71,10 @@
             }
             commit = attempt;
         }
-        if commit.apply.is_empty() {
+        if commit.changes.is_empty() {
             return None;
         }
-        self.user_write_budget.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.changes.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -98,7 +98,7 @@
             }
             commit = attempt;
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Returns the undivided jobs that are not on pages of the admission log, by rank and age.
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -121,7 +121,7 @@
     }
 
     fn send_compaction(&mut self, pending: Pending, commit: Commit) {
-        let changes = commit.apply.len();
+        let changes = commit.changes.len();
         self.leader.history_compaction.begin_write(pending, changes);
         self.effects
             .push(Effect::Commit(Ticket::HistoryCompaction, commit));
@@ -179,7 +179,7 @@
             packed: record.jobs_in_runs[0] + record.jobs_in_runs[1],
             runs: record.jobs_in_runs,
             generation: record.generation(),
-            spilling: record.spilling,
+            spilling: record.merging_runs,
             buckets: self.mirror.bucket_count(),
         }
     }
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -119,9 +119,9 @@
         let record = mirror.history_progress;
         let (mut uncompacted, mut any_has_own_record) = (0, false);
         for (_, ended) in mirror.ended_jobs() {
-            let has_own_record = ended.revision > record.own;
-            let is_uncompacted =
-                has_own_record || (ended.revision == 0 && ended.generation > record.gen_done);
+            let has_own_record = ended.revision > record.archived_revision;
+            let is_uncompacted = has_own_record
+                || (ended.revision == 0 && ended.generation > record.archived_generation);
             uncompacted += usize::from(is_uncompacted);
             any_has_own_record |= has_own_record;
         }
@@ -150,9 +150,9 @@
     let closed_at_revision = mirror.history_progress_revision;
     let closed = mirror.ended_jobs().filter(|(_, ended)| {
         if ended.revision != 0 {
-            ended.revision > record.own && ended.revision <= closed_at_revision
+            ended.revision > record.archived_revision && ended.revision <= closed_at_revision
         } else {
-            ended.generation > record.gen_done && ended.generation <= done
+            ended.generation > record.archived_generation && ended.generation <= done
         }
     });
     closed
--- a/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/transactions.rs
@@ -3,7 +3,7 @@
 use crate::{Config, Mirror};
 use cherryyard_history::{Precondition, Transaction};
 use cherryyard_wire::record::{self, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Returns the transaction that the compactor requested.
 pub(super) fn compactor_transaction(write: Transaction, mirror: &Mirror) -> Commit {
@@ -13,15 +13,15 @@
         commit.require(key, revision);
     }
     for (key, leaf) in write.put {
-        commit.apply.push(Apply::set(key, &leaf));
+        commit.changes.push(Change::set(key, &leaf));
     }
-    let deleted = write.delete.into_iter().map(Apply::delete);
-    commit.apply.extend(deleted);
+    let deleted = write.delete.into_iter().map(Change::delete);
+    commit.changes.extend(deleted);
     if let Some(record) = write.record {
         mirror.require(&mut commit, Key::HistoryProgress);
         commit
-            .apply
-            .push(Apply::set(record::HISTORY_PROGRESS_KEY, &record));
+            .changes
+            .push(Change::set(record::HISTORY_PROGRESS_KEY, &record));
     }
     commit
 }
@@ -29,12 +29,12 @@
 /// Returns the transaction that closes the current generation of finished jobs.
 pub(super) fn close_generation(mirror: &Mirror) -> Commit {
     let mut closed = mirror.history_progress;
-    closed.gen_now = closed.generation() + 1;
+    closed.current_generation = closed.generation() + 1;
     let mut commit = Commit::default();
     mirror.require(&mut commit, Key::HistoryProgress);
     commit
-        .apply
-        .push(Apply::set(record::HISTORY_PROGRESS_KEY, &closed));
+        .changes
+        .push(Change::set(record::HISTORY_PROGRESS_KEY, &closed));
     commit
 }
 
@@ -45,7 +45,7 @@
         // The state not read yet may contain new jobs that wait for one of the finished jobs.
         return None;
     }
-    let own = mirror.history_progress.own;
+    let own = mirror.history_progress.archived_revision;
     let archived = mirror
         .ended_jobs_with_own_record()
         .filter(|(job, ended)| ended.revision <= own && !mirror.is_listed_in_pages(*job))
@@ -54,7 +54,7 @@
     let mut commit = Commit::default();
     for (job, ended) in archived {
         commit.require(record::job_key(job), ended.revision);
-        commit.apply.push(Apply::delete(record::job_key(job)));
+        commit.changes.push(Change::delete(record::job_key(job)));
     }
-    (!commit.apply.is_empty()).then_some(commit)
+    (!commit.changes.is_empty()).then_some(commit)
 }
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::needs::Resources;
 use cherryyard_wire::record::{self, Grant, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Tolerance for rounding errors in amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
@@ -91,14 +91,14 @@
                 continue;
             }
             // The transaction requires all of the team's grants and the leader's lease.
-            if commit.when.len() + shards + 1 > self.config.max_conditions() {
+            if commit.conditions.len() + shards + 1 > self.config.max_conditions() {
                 break;
             }
             let mut changes = self.raised_grants(index, team, now);
             // Changes that do not fit into this transaction are left to a later one. When all of a
             // team's changes had to fit into one transaction, a team with a limit got no grant at
             // all if there were more shards than changes in a transaction.
-            changes.truncate(self.config.txn_ops.saturating_sub(commit.apply.len()));
+            changes.truncate(self.config.txn_ops.saturating_sub(commit.changes.len()));
             if changes.is_empty() {
                 continue;
             }
@@ -110,10 +110,10 @@
             }
             for change in changes {
                 let key = record::grant_key(index, change.shard_id);
-                commit.apply.push(Apply::set(key, &change.grant));
+                commit.changes.push(Change::set(key, &change.grant));
             }
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Returns the grants of a team that are to be raised: at first all, by an even part of the
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -15,7 +15,7 @@
 use crate::peers::SUCCESSION_MS;
 use crate::shard_lease::{LeaseEvent, LeasePhase};
 use cherryyard_wire::record::{self, Key, LeaseRecord};
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 
 /// Time since its start after which a controller takes over its preferred shard from a peer.
 const MIN_UPTIME_FOR_TAKEOVER_MS: Millis = 12_000.0;
@@ -240,7 +240,7 @@
         self.mirror.require(&mut commit, Key::Shard(shard_id));
         let label = &self.config.labels[self.config.own_index];
         let holder = LeaseRecord::of(label, self.process_id, self.config.format);
-        commit.apply.push(Apply::Set {
+        commit.changes.push(Change::Set {
             set: record::shard_key(shard_id),
             value: Json::of(&holder),
             lease_id: Some(lease_id),
@@ -344,8 +344,8 @@
         let mut commit = Commit::default();
         commit.require(record::shard_key(shard_id), token);
         commit
-            .apply
-            .push(Apply::delete(record::shard_key(shard_id)));
+            .changes
+            .push(Change::delete(record::shard_key(shard_id)));
         self.shards[shard_id].lease.release_sent();
         self.effects
             .push(Effect::Commit(Ticket::ReleaseShard(shard_id), commit));
--- a/crates/cherryyard-core/src/mirror/admission_compaction.rs
+++ b/crates/cherryyard-core/src/mirror/admission_compaction.rs
@@ -5,7 +5,7 @@
 use super::admission_log::{MAX_JOBS_PER_PAGE, PageDraft};
 use crate::Config;
 use cherryyard_wire::record::{Key, admission_log_key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Maximum number of changes for deleting a page: the deletion, and the rewrite of the page
 /// before it.
@@ -35,7 +35,7 @@
             if existing.has_unknown_team {
                 continue;
             }
-            let capacity = config.txn_ops.saturating_sub(commit.apply.len());
+            let capacity = config.txn_ops.saturating_sub(commit.changes.len());
             if capacity < CHANGES_PER_DELETION {
                 break;
             }
@@ -47,7 +47,7 @@
             if page == 0 {
                 if remaining == 0 && !existing.jobs.is_empty() {
                     self.require(&mut commit, Key::AdmissionPage(0));
-                    commit.apply.push(PageDraft::new(config).apply(0));
+                    commit.changes.push(PageDraft::new(config).apply(0));
                 }
             } else if remaining == 0 {
                 // The deletion rewrites the page before it, so that page is not joined in the
@@ -75,7 +75,7 @@
                 }
             }
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Adds the deletion of a page to a transaction; returns false, and adds nothing, if the page
@@ -85,7 +85,7 @@
     fn delete_page(&self, commit: &mut Commit, page: u64, config: &Config) -> bool {
         let is_changed = |page: u64| {
             let key = admission_log_key(page);
-            commit.apply.iter().any(|change| change.key() == key)
+            commit.changes.iter().any(|change| change.key() == key)
         };
         let previous = page.checked_sub(1);
         let is_known = |page: &u64| self.admission_log.get(*page).is_some();
@@ -95,10 +95,10 @@
                 return false;
             };
             self.require(commit, Key::AdmissionPage(previous));
-            commit.apply.push(draft.apply(previous));
+            commit.changes.push(draft.apply(previous));
         }
         self.require(commit, Key::AdmissionPage(page));
-        commit.apply.push(Apply::delete(admission_log_key(page)));
+        commit.changes.push(Change::delete(admission_log_key(page)));
         true
     }
 
@@ -124,7 +124,7 @@
         // never drops the moved jobs.
         let mut joined = commit.clone();
         self.require(&mut joined, Key::AdmissionPage(into));
-        joined.apply.push(draft.apply(into));
+        joined.changes.push(draft.apply(into));
         let deleted = self.delete_page(&mut joined, from, config);
         if deleted {
             *commit = joined;
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -22,9 +22,9 @@
 use super::record_error::RecordProblem;
 use super::{Mirror, OpenJob};
 use crate::Config;
-use cherryyard_wire::admission_log::{AdmissionPageRecord, AdmittedJob, Rest};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, AdmittedJob, UncommonFields};
 use cherryyard_wire::record::{BUCKETS, Key, admission_log_key};
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum size of a page, even if the value limit is higher: all controllers receive the whole
@@ -134,7 +134,7 @@
     }
 
     fn add_row(record: &mut AdmissionPageRecord, job: u64, open: &OpenJob) {
-        let rest = Rest {
+        let rest = UncommonFields {
             zone: open.zone.clone(),
             caps: open.zone_caps.clone(),
             rules: open.rules.as_ref().map(|(rules, _)| rules.clone()),
@@ -148,8 +148,8 @@
     }
 
     /// Returns the change that stores the draft as the given page.
-    pub fn apply(&self, page: u64) -> Apply {
-        Apply::put(admission_log_key(page), Json::of(&self.record))
+    pub fn apply(&self, page: u64) -> Change {
+        Change::put(admission_log_key(page), Json::of(&self.record))
     }
 }
 
@@ -270,7 +270,7 @@
         let (mut page, mut draft) = drafted.unwrap_or_else(|| (next, PageDraft::new(config)));
         let mut added = 0;
         for (job, open) in jobs {
-            let conditions = commit.when.len() + JOB_AND_PAGE_CONDITIONS;
+            let conditions = commit.conditions.len() + JOB_AND_PAGE_CONDITIONS;
             if self.format.jobs < BUCKETS && conditions > config.max_conditions() {
                 break;
             }
@@ -291,7 +291,7 @@
         }
         self.require_admission_log_unchanged(commit);
         if added > 0 {
-            commit.apply.push(draft.apply(page));
+            commit.changes.push(draft.apply(page));
         }
         added
     }
@@ -332,7 +332,7 @@
             }
         }
         self.require(commit, Key::AdmissionPage(page));
-        commit.apply.push(draft.apply(page));
+        commit.changes.push(draft.apply(page));
         true
     }
 }
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -17,7 +17,7 @@
 use cherryyard_wire::record::{
     self, BUCKETS, BucketRecord, JobRecord, Key, TaskUsage, bucket_key, job_hash, job_key,
 };
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of buckets that are created when the format of buckets is introduced.
@@ -142,7 +142,7 @@
         }
         self.ended
             .get(job)
-            .is_some_and(|ended| ended.generation <= self.history_progress.gen_done)
+            .is_some_and(|ended| ended.generation <= self.history_progress.archived_generation)
             && !self.is_listed_in_pages(job)
     }
 
@@ -211,12 +211,12 @@
             buckets,
             has_ends,
         } = self.plan_write(records);
-        let mut puts: Vec<Apply> = Vec::new();
+        let mut puts: Vec<Change> = Vec::new();
         for (job, value) in &own_records {
             if value.text().len() > config.value_bytes {
                 return false;
             }
-            puts.push(Apply::put(job_key(*job), value.clone()));
+            puts.push(Change::put(job_key(*job), value.clone()));
         }
         let starts: Vec<u64> = buckets.keys().copied().collect();
         for (start, items) in buckets {
@@ -225,7 +225,7 @@
             };
             puts.extend(changed);
         }
-        if commit.apply.len() + puts.len() > config.txn_ops {
+        if commit.changes.len() + puts.len() > config.txn_ops {
             return false;
         }
         for (job, _) in own_records {
@@ -243,7 +243,7 @@
         for start in starts {
             self.require(commit, Key::Bucket(start));
         }
-        commit.apply.extend(puts);
+        commit.changes.extend(puts);
         true
     }
 
@@ -278,7 +278,7 @@
         start: u64,
         mut items: BTreeMap<u64, BucketItem>,
         value_bytes: usize,
-    ) -> Option<Vec<Apply>> {
+    ) -> Option<Vec<Change>> {
         let bucket = self.buckets.get(start)?;
         for &job in &bucket.jobs {
             if !items.contains_key(&job)
@@ -294,7 +294,7 @@
             if value.text().len() > value_bytes {
                 return None;
             }
-            puts.push(Apply::put(bucket_key(start), value));
+            puts.push(Change::put(bucket_key(start), value));
         }
         Some(puts)
     }
@@ -310,14 +310,16 @@
             admission_log: self.format.uses_admission_log,
             dependencies: self.format.dependencies,
         };
-        commit.apply.push(Apply::set(record::FORMAT_KEY, &format));
+        commit
+            .changes
+            .push(Change::set(record::FORMAT_KEY, &format));
         let count = txn_ops.saturating_sub(1).clamp(1, MAX_INITIAL_BUCKETS) as u64;
         let width = (u64::MAX / count).saturating_add(1);
         for i in 0..count {
             let start = width * i;
             commit.require(bucket_key(start), 0);
             let empty = BucketRecord::default();
-            commit.apply.push(Apply::set(bucket_key(start), &empty));
+            commit.changes.push(Change::set(bucket_key(start), &empty));
         }
         commit
     }
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -7,7 +7,7 @@
 
 use super::{Mirror, RecordError};
 use cherryyard_wire::record::Key;
-use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchResponse};
+use cherryyard_wire::state::{Change, Commit, Json, Pair, WatchResponse};
 use std::collections::{HashMap, HashSet};
 
 /// State of keys besides their values: tombstones, and keys of the full read in progress.
@@ -96,10 +96,10 @@
     /// Applies this controller's own transaction, which was committed at revision
     /// `store_revision`.
     pub fn apply_committed(&mut self, commit: &Commit, store_revision: u64) {
-        for change in &commit.apply {
+        for change in &commit.changes {
             match change {
-                Apply::Set { set, value, .. } => self.put(set, value, store_revision),
-                Apply::Delete { delete } => self.remove(delete, store_revision),
+                Change::Set { set, value, .. } => self.put(set, value, store_revision),
+                Change::Delete { delete } => self.remove(delete, store_revision),
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/cycle/commit.rs
+++ b/crates/cherryyard-core/src/owner/cycle/commit.rs
@@ -3,7 +3,7 @@
 use super::Cycle;
 use crate::controller::Controller;
 use cherryyard_wire::record::{self, End, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 impl Controller {
     /// Returns the transaction of a cycle, which depends on the shard's token.
@@ -38,9 +38,9 @@
             let key = record::assignments_key(shard_id, number);
             if !edited.page.jobs.is_empty() || number == 0 {
                 let stored = edited.page.stored(&self.mirror.hosts, cycle.format);
-                commit.apply.push(Apply::set(key, &stored));
+                commit.changes.push(Change::set(key, &stored));
             } else if self.mirror.tasks.pages[shard_id].contains_key(&number) {
-                commit.apply.push(Apply::delete(key));
+                commit.changes.push(Change::delete(key));
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/images.rs
+++ b/crates/cherryyard-core/src/owner/images.rs
@@ -4,7 +4,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, ReportedTask, Task};
 use cherryyard_wire::record::{self, ImagesRecord};
-use cherryyard_wire::state::{Apply, Json};
+use cherryyard_wire::state::{Change, Json};
 use cherryyard_wire::worker::{ExitCause, TaskStatus, WorkerHeartbeat};
 
 /// Minimum time between two records of a shard's images.
@@ -58,7 +58,7 @@
     /// changed, and is not too large. The record is rarely written, because it uses write budget
     /// that others may need more. It is nevertheless also added to the transactions of a busy
     /// shard, whose owner would otherwise lose all image information in a restart.
-    pub(super) fn images_record_change(&mut self, shard_id: usize, now: Millis) -> Option<Apply> {
+    pub(super) fn images_record_change(&mut self, shard_id: usize, now: Millis) -> Option<Change> {
         // A new owner first waits for reports of all machines: a record of the few that have
         // reported would drop the images of the others.
         let shard = &mut self.shards[shard_id];
@@ -75,7 +75,7 @@
         {
             return None;
         }
-        Some(Apply::put(record::images_key(shard_id), value))
+        Some(Change::put(record::images_key(shard_id), value))
     }
 
     /// Returns the record of the images that the shard's machines hold.
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -15,7 +15,7 @@
 use crate::pages::{Assignment, Page, PageFormat};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::record::{self, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 impl Controller {
     /// Returns the transaction for the next step of dividing a shard's first oversized page, or
@@ -31,7 +31,7 @@
         self.mirror.require(&mut commit, source);
         let copies = self.copies(shard_id, &self.without_copies(shard_id, number, page));
         if copies.is_empty() {
-            commit.apply.push(delete_page(shard_id, number));
+            commit.changes.push(delete_page(shard_id, number));
             tracing::info!(shard = shard_id, page = number, "oversized page divided");
             return Some(commit);
         }
@@ -45,7 +45,7 @@
             self.mirror.require(&mut commit, key);
             let stored = copy.stored(&self.mirror.hosts, format);
             let key = record::assignments_key(shard_id, number);
-            commit.apply.push(Apply::set(key, &stored));
+            commit.changes.push(Change::set(key, &stored));
         }
         Some(commit)
     }
@@ -126,13 +126,13 @@
 }
 
 /// Returns the change that deletes a page; the first page is replaced by an empty one.
-fn delete_page(shard_id: usize, number: u32) -> Apply {
+fn delete_page(shard_id: usize, number: u32) -> Change {
     let key = record::assignments_key(shard_id, number);
     if number == 0 {
         let empty = Page::default().stored(&Names::default(), PageFormat::Plain);
-        return Apply::set(key, &empty);
+        return Change::set(key, &empty);
     }
-    Apply::delete(key)
+    Change::delete(key)
 }
 
 /// New pages that are filled one after the other.
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -59,14 +59,14 @@
             return;
         }
         let mut commit = self.cycle_commit(shard_id, token, &cycle);
-        if commit.apply.len() < self.config.txn_ops
+        if commit.changes.len() < self.config.txn_ops
             && cycle.bytes() + self.config.page_bytes < TXN_BYTES
         {
             commit
-                .apply
+                .changes
                 .extend(self.images_record_change(shard_id, now));
         }
-        let writes = commit.apply.len();
+        let writes = commit.changes.len();
         tracing::debug!(shard = shard_id, writes, "scheduling cycle written");
         self.log_ends(&cycle, now);
         self.send_cycle(shard_id, commit, pending);
@@ -191,7 +191,7 @@
         if let Some(images) = self.images_record_change(shard_id, now) {
             let mut commit = Commit::default();
             commit.require(record::shard_key(shard_id), token);
-            commit.apply.push(images);
+            commit.changes.push(images);
             self.send_cycle(shard_id, commit, PendingCycle::default());
         }
     }
@@ -199,7 +199,7 @@
     /// Sends a scheduling cycle's transaction. The shard's next cycle waits for the outcome.
     fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: PendingCycle) {
         let shard = &mut self.shards[shard_id];
-        shard.budget.spend(commit.apply.len() as f64);
+        shard.budget.spend(commit.changes.len() as f64);
         shard.pending = Some(pending);
         self.effects
             .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -12,7 +12,7 @@
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::{self, Grant};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Time for which a shard keeps the remainder of a grant that none of its waiting tasks fits into.
 const UNUSABLE_REMAINDER_MS: f64 = 2000.0;
@@ -145,7 +145,7 @@
                 continue;
             }
             let mut commit = self.lowered_grants(shard_id, token, short_teams, now);
-            if !commit.apply.is_empty() {
+            if !commit.changes.is_empty() {
                 // Requires that no assignment has been made since, as the leader's moves do: if the
                 // answer is lost, this transaction may be applied after later scheduling cycles,
                 // which rely on the old grant and do not change it.
@@ -173,8 +173,8 @@
         let mut commit = Commit::default();
         commit.require(record::shard_key(shard_id), token);
         for name in short_teams {
-            if commit.apply.len() >= self.config.txn_ops
-                || commit.when.len() + CONDITIONS_OF_GRANT > self.config.max_conditions()
+            if commit.changes.len() >= self.config.txn_ops
+                || commit.conditions.len() + CONDITIONS_OF_GRANT > self.config.max_conditions()
             {
                 break;
             }
@@ -196,7 +196,7 @@
             if revision != 0 && is_lower {
                 let key = record::grant_key(team, shard_id);
                 commit.require(key.clone(), revision);
-                commit.apply.push(Apply::set(key, &kept));
+                commit.changes.push(Change::set(key, &kept));
             }
         }
         commit
--- a/crates/cherryyard-core/src/state_limits.rs
+++ b/crates/cherryyard-core/src/state_limits.rs
@@ -10,7 +10,7 @@
 
 use crate::controller::Controller;
 use crate::{Config, Millis};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Number of conditions that a transaction may have for each change that it may have.
 pub const CONDITIONS_PER_CHANGE: usize = 4;
@@ -63,18 +63,18 @@
 
 /// Returns the size in bytes of the largest value that a transaction sets, and its key.
 fn largest_value(commit: &Commit) -> Option<(usize, &str)> {
-    let sizes = commit.apply.iter().filter_map(|change| match change {
-        Apply::Set { set, value, .. } => Some((value.text().len(), set.as_str())),
-        Apply::Delete { .. } => None,
+    let sizes = commit.changes.iter().filter_map(|change| match change {
+        Change::Set { set, value, .. } => Some((value.text().len(), set.as_str())),
+        Change::Delete { .. } => None,
     });
     sizes.max_by_key(|size| size.0)
 }
 
 /// Returns the approximate size of a transaction in bytes.
 fn approximate_bytes(commit: &Commit) -> usize {
-    let conditions = commit.when.iter();
+    let conditions = commit.conditions.iter();
     let conditions = conditions.map(|condition| condition.key.len() + OVERHEAD_BYTES);
-    let changes = commit.apply.iter();
+    let changes = commit.changes.iter();
     let changes = changes.map(|change| change.key().len() + OVERHEAD_BYTES);
     commit.bytes() + conditions.sum::<usize>() + changes.sum::<usize>()
 }
@@ -89,11 +89,11 @@
             let limit = self.value_bytes;
             return Err(LimitExceeded::Value { key, bytes, limit });
         }
-        let (count, limit) = (commit.apply.len(), self.txn_ops);
+        let (count, limit) = (commit.changes.len(), self.txn_ops);
         if count > limit {
             return Err(LimitExceeded::Changes { count, limit });
         }
-        let (count, limit) = (commit.when.len(), self.max_conditions());
+        let (count, limit) = (commit.conditions.len(), self.max_conditions());
         if count > limit {
             return Err(LimitExceeded::Conditions { count, limit });
         }
@@ -118,8 +118,8 @@
             let lowered = (bytes * 3 / 4).max(MIN_VALUE_BYTES);
             self.set_value_bytes(self.value_bytes.min(lowered));
         }
-        let conditions = refused.when.len().div_ceil(CONDITIONS_PER_CHANGE);
-        let used = refused.apply.len().max(conditions);
+        let conditions = refused.conditions.len().div_ceil(CONDITIONS_PER_CHANGE);
+        let used = refused.changes.len().max(conditions);
         let lowered = (used * 3 / 4).max(MIN_TXN_OPS);
         self.txn_ops = self.txn_ops.min(lowered);
         before != (self.value_bytes, self.txn_ops)
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -130,7 +130,7 @@
     pub fn resume(&mut self, record: HistoryProgressRecord) {
         if self.is_idle() {
             self.record = record;
-            if record.spilling {
+            if record.merging_runs {
                 self.change(Event::Recorded { compact: true });
             }
         }
@@ -201,9 +201,9 @@
     /// Returns the history's record as it is once a batch is archived.
     fn record_of_archived(&self, batch: &Batch) -> HistoryProgressRecord {
         let mut record = self.record;
-        record.gen_done = record.gen_done.max(batch.generation);
-        record.own = record.own.max(batch.revision);
-        record.spilling = record.jobs_in_runs[0] > self.limits.small_run;
+        record.archived_generation = record.archived_generation.max(batch.generation);
+        record.archived_revision = record.archived_revision.max(batch.revision);
+        record.merging_runs = record.jobs_in_runs[0] > self.limits.small_run;
         record
     }
 
@@ -239,7 +239,7 @@
     fn prepare_emptied(&mut self) {
         let mut record = self.record;
         record.jobs_in_runs = [0, record.jobs_in_runs[0] + record.jobs_in_runs[1]];
-        record.spilling = false;
+        record.merging_runs = false;
         let transaction = Transaction::of_record(record);
         self.operation = Operation::Prepared(transaction, Completion::Emptied(record));
     }
@@ -366,7 +366,7 @@
             Completion::Recorded(record) => {
                 self.record = record;
                 self.change(Event::Recorded {
-                    compact: record.spilling,
+                    compact: record.merging_runs,
                 });
             }
             Completion::Emptied(record) => {
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -110,7 +110,7 @@
         loop {
             compactor.resume(store.record.0);
             if compactor.is_idle() {
-                if store.record.0.gen_done > round {
+                if store.record.0.archived_generation > round {
                     break;
                 }
                 compactor.begin(round + 1, 0, batch(round), 1);
@@ -159,7 +159,7 @@
         for round in 0..3u64 {
             let jobs = batch(round);
             for (i, first) in states.iter().enumerate() {
-                if first.record.0.gen_done <= round {
+                if first.record.0.archived_generation <= round {
                     continue;
                 }
                 for finished in &jobs {
@@ -176,7 +176,7 @@
             }
         }
         assert_eq!(last.record.0.jobs_in_runs, [0, 36], "{crash:?}");
-        assert!(!last.record.0.spilling);
+        assert!(!last.record.0.merging_runs);
         if let Some((transaction, leader_epoch, revision)) = not_applied {
             for state in states.iter().filter(|s| s.leader_epoch != leader_epoch) {
                 assert!(
@@ -308,7 +308,7 @@
         assert!(steps < 5000, "it never ends");
         compactor.resume(store.record.0);
         if compactor.is_idle() {
-            if store.record.0.gen_done > 0 {
+            if store.record.0.archived_generation > 0 {
                 break;
             }
             compactor.begin(1, 0, batch(50), 1);
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -170,8 +170,8 @@
         state.seed(&bucket_key(i << 61), &BucketRecord::default());
     }
     let record = HistoryProgressRecord {
-        gen_now: 2,
-        gen_done: 1,
+        current_generation: 2,
+        archived_generation: 1,
         jobs_in_runs: [0, ids.len() as u64],
         ..HistoryProgressRecord::default()
     };
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -3,7 +3,7 @@
 
 use crate::StateStandIn;
 use cherryyard_core::Outcome;
-use cherryyard_wire::state::{Apply, Commit, Json, When};
+use cherryyard_wire::state::{Change, Commit, Condition, Json};
 use salvo::prelude::*;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -115,7 +115,7 @@
 #[derive(Deserialize)]
 struct CommitBody {
     #[serde(default)]
-    when: Vec<When>,
+    when: Vec<Condition>,
     #[serde(default)]
     apply: Vec<ApplyBody>,
 }
@@ -132,14 +132,14 @@
 
 impl ApplyBody {
     /// Converts the entry to a change; returns none for an entry without a key.
-    fn into_change(self) -> Option<Apply> {
+    fn into_change(self) -> Option<Change> {
         match (self.set, self.delete) {
-            (Some(set), _) => Some(Apply::Set {
+            (Some(set), _) => Some(Change::Set {
                 set,
                 value: self.v,
                 lease_id: self.lease_id,
             }),
-            (None, Some(delete)) => Some(Apply::Delete { delete }),
+            (None, Some(delete)) => Some(Change::Delete { delete }),
             (None, None) => None,
         }
     }
@@ -149,8 +149,8 @@
     fn from(body: CommitBody) -> Self {
         let changes = body.apply.into_iter();
         Self {
-            when: body.when,
-            apply: changes.filter_map(ApplyBody::into_change).collect(),
+            conditions: body.when,
+            changes: changes.filter_map(ApplyBody::into_change).collect(),
         }
     }
 }
@@ -296,7 +296,7 @@
             return Reply::error("malformed");
         };
         let commit = Commit::from(body);
-        if !self.admit(commit.apply.len()) {
+        if !self.admit(commit.changes.len()) {
             return Reply::empty(429);
         }
         match self.lock().state.commit_within_limits(&commit) {
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -4,7 +4,7 @@
 use cherryyard_core::Outcome;
 use cherryyard_wire::history::{LeafRecord, Level, last_job_of_leaf_key, leaf_key};
 use cherryyard_wire::record::PREFIX;
-use cherryyard_wire::state::{Apply, Commit, Json, Pair, WatchEvent, WatchResponse, When};
+use cherryyard_wire::state::{Change, Commit, Condition, Json, Pair, WatchEvent, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Prefix of the keys that hold assignments of tasks to machines.
@@ -78,14 +78,14 @@
 
 impl ServiceLimits {
     fn allow(&self, commit: &Commit) -> bool {
-        let fits = |change: &Apply| match change {
-            Apply::Set { value: v, .. } => v.text().len() <= self.value_bytes,
-            Apply::Delete { .. } => true,
+        let fits = |change: &Change| match change {
+            Change::Set { value: v, .. } => v.text().len() <= self.value_bytes,
+            Change::Delete { .. } => true,
         };
-        commit.apply.len() <= self.txn_ops
-            && commit.when.len() <= MAX_CONDITIONS_PER_CHANGE * self.txn_ops
+        commit.changes.len() <= self.txn_ops
+            && commit.conditions.len() <= MAX_CONDITIONS_PER_CHANGE * self.txn_ops
             && commit.bytes() <= MAX_COMMIT_BYTES
-            && commit.apply.iter().all(fits)
+            && commit.changes.iter().all(fits)
     }
 }
 
@@ -251,31 +251,31 @@
     /// Applies a transaction if its conditions hold.
     pub fn commit(&mut self, commit: &Commit) -> Outcome {
         self.record_cost(commit);
-        let is_unchanged = |when: &When| {
+        let is_unchanged = |when: &Condition| {
             let stored = self.keys.get(&when.key);
             stored.map_or(0, |stored| stored.revision) == when.revision
         };
-        if !commit.when.iter().all(is_unchanged) {
+        if !commit.conditions.iter().all(is_unchanged) {
             return Outcome::Conflict(self.store_revision);
         }
-        let is_leased = |change: &Apply| match change {
-            Apply::Set { lease_id, .. } => {
+        let is_leased = |change: &Change| match change {
+            Change::Set { lease_id, .. } => {
                 lease_id.is_none_or(|lease_id| self.leases.contains_key(&lease_id))
             }
-            Apply::Delete { .. } => true,
+            Change::Delete { .. } => true,
         };
-        if !commit.apply.iter().all(is_leased) {
+        if !commit.changes.iter().all(is_leased) {
             return Outcome::NoLease;
         }
         self.store_revision += 1;
-        for change in &commit.apply {
+        for change in &commit.changes {
             match change {
-                Apply::Set {
+                Change::Set {
                     set,
                     value: v,
                     lease_id,
                 } => self.set_key(set, v, *lease_id),
-                Apply::Delete { delete } => self.delete_key(delete),
+                Change::Delete { delete } => self.delete_key(delete),
             }
         }
         Outcome::Applied(self.store_revision)
@@ -284,11 +284,11 @@
     /// Counts the changes and conditions of a transaction; those of a failed transaction cost
     /// the service as much.
     fn record_cost(&mut self, commit: &Commit) {
-        self.writes += commit.apply.len();
-        let is_assignment = |change: &&Apply| change.key().starts_with(ASSIGNMENTS);
-        self.assignment_writes += commit.apply.iter().filter(is_assignment).count();
-        self.most_ops = self.most_ops.max(commit.apply.len());
-        self.most_conditions = self.most_conditions.max(commit.when.len());
+        self.writes += commit.changes.len();
+        let is_assignment = |change: &&Change| change.key().starts_with(ASSIGNMENTS);
+        self.assignment_writes += commit.changes.iter().filter(is_assignment).count();
+        self.most_ops = self.most_ops.max(commit.changes.len());
+        self.most_conditions = self.most_conditions.max(commit.conditions.len());
     }
 
     fn set_key(&mut self, key: &str, value: &Json, lease_id: Option<u64>) {
--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -282,7 +282,7 @@
             self.state_link.commit(&mut self.state, commit, now)
         };
         if matches!(ticket, Ticket::AcquireShard(_)) {
-            let keys: Vec<&str> = commit.apply.iter().map(|a| a.key()).collect();
+            let keys: Vec<&str> = commit.changes.iter().map(|a| a.key()).collect();
             self.say(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
         }
         if self.state_link.latency_ms > 0.0 && outcome != Outcome::Refused {
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -16,7 +16,7 @@
 use cherryyard_wire::job::{JobSpec, JobView, job_number};
 use cherryyard_wire::record::{IDS_KEY, JobRecord, job_key};
 use cherryyard_wire::rules::Rules;
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -96,7 +96,7 @@
             assert!(is_written, "{} cannot be written", spec.id);
         } else {
             commit.require(job_key(job), 0);
-            commit.apply.push(Apply::set(job_key(job), &record));
+            commit.changes.push(Change::set(job_key(job), &record));
         }
         let outcome = self.state.commit(&commit);
         self.say(format!("{} submitted: {outcome:?}", spec.id));
@@ -155,13 +155,15 @@
         for (i, chunk) in chunks.iter().enumerate() {
             chunk.check().expect("a valid chunk");
             let key = chunk_key(number, i as u32);
-            commit.apply.push(Apply::set(key, chunk));
+            commit.changes.push(Change::set(key, chunk));
         }
         let next = first + jobs;
-        commit.apply.push(Apply::set(IDS_KEY, &IdsRecord { next }));
         commit
-            .apply
-            .push(Apply::set(submission_key(number), &record));
+            .changes
+            .push(Change::set(IDS_KEY, &IdsRecord { next }));
+        commit
+            .changes
+            .push(Change::set(submission_key(number), &record));
         let outcome = self.state.commit(&commit);
         self.say(format!("{name} queued: {jobs} jobs, {outcome:?}"));
         (number, first)
@@ -181,7 +183,7 @@
         let key = submission_key(number);
         let revision = self.state.get(&key).map_or(0, |(_, revision)| revision);
         commit.require(key.clone(), revision);
-        commit.apply.push(Apply::set(key, &record));
+        commit.changes.push(Change::set(key, &record));
         let outcome = self.state.commit(&commit);
         self.say(format!("{} removed: {outcome:?}", record.name));
     }
--- a/crates/cherryyard-simulation/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -168,7 +168,7 @@
         let controller = w.controllers[0].as_ref().expect("it runs");
         let mut commit = controller.cancellation(job).expect("it is open");
         if job == 1
-            && let cherryyard_wire::state::Apply::Set { value: v, .. } = &mut commit.apply[0]
+            && let cherryyard_wire::state::Change::Set { value: v, .. } = &mut commit.changes[0]
         {
             let text = v.text().replace("cancelled", "done");
             *v = serde_json::from_str(&text).expect("a record");
--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -247,7 +247,7 @@
     assert!(
         moves
             .iter()
-            .all(|c| c.apply.iter().all(|a| a.key() == job_key(1)))
+            .all(|c| c.changes.iter().all(|a| a.key() == job_key(1)))
     );
     w.run(8.0);
     for commit in moves {
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -4,7 +4,7 @@
 use cherryyard_simulation::{CrashPoint, Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
 use cherryyard_wire::record::{LeaseRecord, job_key, shard_key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 use serde_json::json;
 
 fn cluster(batch: usize) -> World {
@@ -179,7 +179,7 @@
             "use": { "team": "team", "cores": 2.0, "acc": 0.0, "ram": 1.0 } });
         let mut commit = Commit::default();
         let id = job_id(n * 7919);
-        commit.apply.push(Apply::set(job_key(n * 7919), &record));
+        commit.changes.push(Change::set(job_key(n * 7919), &record));
         w.state.commit(&commit);
         let status = if n % 2 == 0 {
             JobStatus::Done
@@ -220,7 +220,7 @@
         newest_format: None,
         process: None,
     };
-    commit.apply.push(Apply::Set {
+    commit.changes.push(Change::Set {
         set: shard_key(2),
         value: cherryyard_wire::state::Json::of(&holder),
         lease_id: Some(lease_id),
@@ -242,7 +242,7 @@
     let mut old = Commit::default();
     old.require(job_key(2), 0);
     old.require("c/format", 0);
-    old.apply.push(Apply::set(job_key(2), &json!({})));
+    old.changes.push(Change::set(job_key(2), &json!({})));
     assert!(matches!(w.state.commit(&old), Outcome::Conflict(_)));
     assert_eq!(w.state.store_revision(), store_revision);
 }
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -7,7 +7,7 @@
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::page::StoredPage;
 use cherryyard_wire::record::{PageRecord, admission_log_key, assignments_key};
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 use std::collections::BTreeSet;
 
 fn settled(setup: Setup) -> World {
@@ -56,7 +56,7 @@
     let zone = |p: usize| ["a", "b", "c"][p];
     w.state_link.hold_owner_commits.insert(low);
     w.submit(&in_zone("j-000001", "service", 11, zone(more)));
-    let lowers = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/grant"));
+    let lowers = |c: &Commit| c.changes.iter().any(|a| a.key().starts_with("c/grant"));
     w.run_until(10.0, |w| w.state_link.held_commits.iter().any(lowers));
     w.state_link.held_commits.retain(lowers);
     w.state_link.hold_owner_commits.clear();
@@ -103,10 +103,10 @@
     // It is placed elsewhere: the machine's notice, far ahead, makes it unusable.
     let first = w.state_link.held_commits.len();
     let assigned = w.state_link.held_commits[0]
-        .apply
+        .changes
         .iter()
         .find_map(|a| match a {
-            Apply::Set { set, value: v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
+            Change::Set { set, value: v, .. } if set.starts_with("c/mark") => Some(page_of(v)),
             _ => None,
         });
     let host = assigned.expect("a page").machines[0].clone();
@@ -206,7 +206,7 @@
             w.run(0.2);
             w.state_link.hold_admission_commits.clear();
             let commits = w.state_link.held_commits.split_off(before);
-            let begins = |c: &Commit| c.when.iter().any(|x| x.key == admission_log_key(4));
+            let begins = |c: &Commit| c.conditions.iter().any(|x| x.key == admission_log_key(4));
             assert!(commits.iter().all(begins), "{commits:?}");
             // The user asks the leader.
             w.submit(&service(next));
@@ -260,7 +260,7 @@
     let lease_id = w.controllers[0].as_ref().and_then(Controller::lease_id);
     let mut late = Commit::default();
     late.require("c/part/0", 0);
-    late.apply.push(cherryyard_wire::state::Apply::Set {
+    late.changes.push(cherryyard_wire::state::Change::Set {
         set: "c/part/0".into(),
         value,
         lease_id,
@@ -393,7 +393,7 @@
         spec.image = format!("img-{id}");
         w.submit(&spec);
     }
-    let by_records = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/job/"));
+    let by_records = |c: &Commit| c.changes.iter().any(|a| a.key().starts_with("c/job/"));
     w.run_until(10.0, |w| w.state_link.held_commits.iter().any(by_records));
     let held = w
         .state_link
@@ -403,7 +403,7 @@
         .expect("it was held");
     let held = held.clone();
     let divided: Vec<String> = held
-        .apply
+        .changes
         .iter()
         .map(|a| a.key().replace("c/job/", ""))
         .collect();
--- a/crates/cherryyard-simulation/tests/pipeline_submissions.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_submissions.rs
@@ -132,7 +132,7 @@
     w.run(30.0);
     for controller in w.controllers.iter_mut().flatten() {
         assert!(
-            controller.mirror.history_progress.any(),
+            controller.mirror.history_progress.may_have_jobs(),
             "some are in the history"
         );
     }
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -120,7 +120,7 @@
     let late = std::mem::take(&mut w.state_link.held_commits);
     assert!(
         late.iter()
-            .any(|c| c.apply.iter().any(|a| a.key().starts_with("c/mark/")))
+            .any(|c| c.changes.iter().any(|a| a.key().starts_with("c/mark/")))
     );
     w.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
     w.state_link.hold_owner_commits.clear();
@@ -129,8 +129,11 @@
     w.kill(2);
     let changed = serde_json::to_value(attributes(json!({ "c": { "Ledger": true } }))).unwrap();
     w.state.commit(&cherryyard_wire::state::Commit {
-        when: Vec::new(),
-        apply: vec![cherryyard_wire::state::Apply::set("c/attributes", &changed)],
+        conditions: Vec::new(),
+        changes: vec![cherryyard_wire::state::Change::set(
+            "c/attributes",
+            &changed,
+        )],
     });
     for commit in &late {
         let outcome = w.state.commit(commit);
--- a/crates/cherryyard-wire/src/admission_log.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -78,7 +78,7 @@
 
 /// Fields that only few jobs have: chosen zone, caps, rules and dependencies.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Rest {
+pub struct UncommonFields {
     /// Zone chosen for all tasks of a job that must run in one zone (`JobSpec::together`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -122,7 +122,7 @@
     /// empty: not yet divided.
     pub division: Vec<(u32, u32, u32)>,
     /// Fields that only few jobs have; `None`: all have their defaults.
-    pub rest: Option<Box<Rest>>,
+    pub rest: Option<Box<UncommonFields>>,
 }
 
 /// Fields of an [`AdmissionRow`] in the order of the JSON array.
@@ -138,7 +138,7 @@
     f64,
     Option<f64>,
     Vec<(u32, u32, u32)>,
-    Option<Box<Rest>>,
+    Option<Box<UncommonFields>>,
 );
 
 impl From<RowFields> for AdmissionRow {
@@ -205,12 +205,19 @@
     /// Division: the task numbers of each shard, by shard; empty: not yet divided.
     pub div: Vec<RangeSet>,
     /// Fields that only few jobs have.
-    pub rest: Rest,
+    pub rest: UncommonFields,
 }
 
 impl AdmissionPageRecord {
     /// Appends a job, submitted at `at` (milliseconds since the Unix epoch).
-    pub fn push(&mut self, job: u64, spec: &JobSpec, at: u64, div: &[RangeSet], rest: Rest) {
+    pub fn push(
+        &mut self,
+        job: u64,
+        spec: &JobSpec,
+        at: u64,
+        div: &[RangeSet],
+        rest: UncommonFields,
+    ) {
         let common = CommonFields::from_spec(spec);
         let existing = self.common.iter().position(|fields| *fields == common);
         let common = existing.unwrap_or_else(|| {
@@ -243,7 +250,7 @@
             expected_s: spec.expected_s,
             due_s: spec.due_s,
             division: division.collect(),
-            rest: (rest != Rest::default()).then(|| Box::new(rest)),
+            rest: (rest != UncommonFields::default()).then(|| Box::new(rest)),
         });
     }
 
--- a/crates/cherryyard-wire/src/admission_log/tests.rs
+++ b/crates/cherryyard-wire/src/admission_log/tests.rs
@@ -19,9 +19,9 @@
         spec.id = job_id(1_000_000 + n);
         let mut div = vec![RangeSet::new(); 7];
         div[n as usize % 7] = RangeSet::from_range(0, 0);
-        let rest = Rest {
+        let rest = UncommonFields {
             zone: (n == 3).then(|| "a".into()),
-            ..Rest::default()
+            ..UncommonFields::default()
         };
         // Some jobs are older than the first one, so that the page's time has to be lowered.
         let at = 1_790_000_000_000 + (n * 37 + 5) % 60;
--- a/crates/cherryyard-wire/src/history.rs
+++ b/crates/cherryyard-wire/src/history.rs
@@ -70,37 +70,39 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryProgressRecord {
     /// Current generation, with which ends of jobs are recorded; 0 counts as 1.
-    pub gen_now: u64,
+    #[serde(rename = "gen_now")]
+    pub current_generation: u64,
     /// Last generation whose finished jobs, and those of all before it, are in the leaves; 0:
     /// none are.
-    pub gen_done: u64,
+    #[serde(rename = "gen_done")]
+    pub archived_generation: u64,
     /// State revision up to which finished jobs that have records of their own, outside of
     /// buckets, are in the leaves.
-    #[serde(default)]
-    pub own: u64,
+    #[serde(default, rename = "own")]
+    pub archived_revision: u64,
     /// Approximate number of jobs in the small and in the large run.
     #[serde(default, rename = "n")]
     pub jobs_in_runs: [u64; 2],
     /// Whether the small run is being merged into the large one.
-    #[serde(default)]
-    pub spilling: bool,
+    #[serde(default, rename = "spilling")]
+    pub merging_runs: bool,
 }
 
 impl HistoryProgressRecord {
     /// Returns the current generation; the first is 1.
     pub fn generation(&self) -> u64 {
-        self.gen_now.max(1)
+        self.current_generation.max(1)
     }
 
     /// Returns the last closed generation, if its finished jobs are not in the leaves yet.
     pub fn closed_generation_to_compact(&self) -> Option<u64> {
         let closed = self.generation() - 1;
-        (closed > self.gen_done).then_some(closed)
+        (closed > self.archived_generation).then_some(closed)
     }
 
     /// Returns whether any leaf may contain jobs.
-    pub fn any(&self) -> bool {
-        self.gen_done > 0 || self.generation() > 1
+    pub fn may_have_jobs(&self) -> bool {
+        self.archived_generation > 0 || self.generation() > 1
     }
 }
 
--- a/crates/cherryyard-wire/src/rules.rs
+++ b/crates/cherryyard-wire/src/rules.rs
@@ -78,7 +78,7 @@
 
 /// Fields of a submission that are not in [`JobSpec`](crate::job::JobSpec).
 #[derive(Debug, Default, Deserialize)]
-pub struct Additions {
+pub struct SubmissionExtensions {
     /// Rules on where the job may run.
     #[serde(default)]
     pub rules: Option<Rules>,
@@ -86,7 +86,7 @@
 
 /// Custom attributes of a group of machines, by name. Values are booleans, numbers, strings, or
 /// lists of these.
-pub type Group = BTreeMap<String, serde_json::Value>;
+pub type AttributeGroup = BTreeMap<String, serde_json::Value>;
 
 /// Custom machine attributes, set by operators. Attributes of a zone take precedence over those of
 /// a machine type, and these over those of all machines.
@@ -94,14 +94,14 @@
 pub struct Attributes {
     /// Attributes of all machines.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub all: Group,
+    pub all: AttributeGroup,
     /// Attributes of the machines of a type, by type.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     #[serde(rename = "kinds")]
-    pub machine_types: BTreeMap<String, Group>,
+    pub machine_types: BTreeMap<String, AttributeGroup>,
     /// Attributes of the machines in a zone, by zone.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub zones: BTreeMap<String, Group>,
+    pub zones: BTreeMap<String, AttributeGroup>,
 }
 
 /// Names of the attributes that every machine has and that operators cannot set.
@@ -131,7 +131,7 @@
     }
 }
 
-fn check_group(group_name: &str, group: &Group) -> Result<(), AttributeError> {
+fn check_group(group_name: &str, group: &AttributeGroup) -> Result<(), AttributeError> {
     if group.len() > MAX_ATTRIBUTES {
         return Err(AttributeError::TooMany {
             group: group_name.into(),
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -67,7 +67,7 @@
 
 /// Condition of a transaction on the revision of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct When {
+pub struct Condition {
     /// Key.
     pub key: String,
     /// Revision of the last change that the key must have; 0: the key must be absent.
@@ -78,7 +78,7 @@
 /// Change of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
-pub enum Apply {
+pub enum Change {
     /// Put of a value.
     Set {
         /// Key that is put.
@@ -97,7 +97,7 @@
     },
 }
 
-impl Apply {
+impl Change {
     /// Returns a put without a lease.
     pub fn set(key: impl Into<String>, value: &impl Serialize) -> Self {
         Self::put(key, Json::of(value))
@@ -130,26 +130,28 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Commit {
     /// Conditions.
-    pub when: Vec<When>,
+    #[serde(rename = "when")]
+    pub conditions: Vec<Condition>,
     /// Changes.
-    pub apply: Vec<Apply>,
+    #[serde(rename = "apply")]
+    pub changes: Vec<Change>,
 }
 
 impl Commit {
     /// Returns the total size of the values that are put, in bytes.
     pub fn bytes(&self) -> usize {
-        let size = |change: &Apply| match change {
-            Apply::Set { value, .. } => value.text().len(),
-            Apply::Delete { .. } => 0,
+        let size = |change: &Change| match change {
+            Change::Set { value, .. } => value.text().len(),
+            Change::Delete { .. } => 0,
         };
-        self.apply.iter().map(size).sum()
+        self.changes.iter().map(size).sum()
     }
 
     /// Adds a condition, unless there is already one for the same key.
     pub fn require(&mut self, key: impl Into<String>, revision: u64) {
         let key = key.into();
-        if !self.when.iter().any(|w| w.key == key) {
-            self.when.push(When { key, revision });
+        if !self.conditions.iter().any(|w| w.key == key) {
+            self.conditions.push(Condition { key, revision });
         }
     }
 }
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -5,7 +5,7 @@
 //! same bytes as long as such a version may read them.
 
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::admission_log::{AdmissionPageRecord, Rest};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, UncommonFields};
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::page::StoredPage;
 use cherryyard_wire::peer::{
@@ -190,12 +190,18 @@
     };
     assert_json_sample("bucket", &bucket);
     let mut page = AdmissionPageRecord::default();
-    let rest = Rest {
+    let rest = UncommonFields {
         zone: Some("lahore-east".into()),
-        ..Rest::default()
+        ..UncommonFields::default()
     };
     let at = 1_790_000_000_000;
-    page.push(412, &spec(412), at + 500, &division(), Rest::default());
+    page.push(
+        412,
+        &spec(412),
+        at + 500,
+        &division(),
+        UncommonFields::default(),
+    );
     page.push(398_405, &spec(398_405), at, &[], rest);
     assert_json_sample("arrivals", &page);
 }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -104,7 +104,7 @@
 fn history_state(controller: &Controller) -> (u64, bool) {
     (
         controller.mirror.history_progress_revision,
-        controller.mirror.history_progress.spilling,
+        controller.mirror.history_progress.merging_runs,
     )
 }
 
@@ -116,7 +116,7 @@
         job: u64,
         kind: LookupKind,
     ) -> Option<LookupResult> {
-        if !self.with(|controller, _| controller.mirror.history_progress.any()) {
+        if !self.with(|controller, _| controller.mirror.history_progress.may_have_jobs()) {
             let history_revision =
                 self.with(|controller, _| controller.mirror.history_progress_revision);
             return Some(LookupResult {
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::Tuning;
 use cherryyard_core::config::{Admission, ClassShare};
 use cherryyard_wire::error::AttributeError;
-use cherryyard_wire::rules::{Attributes, Group};
+use cherryyard_wire::rules::{AttributeGroup, Attributes};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -50,13 +50,13 @@
     admission: AdmissionFile,
     /// Attributes of all machines.
     #[serde(default)]
-    machines: Group,
+    machines: AttributeGroup,
     /// Attributes of machines by machine type.
     #[serde(default)]
-    machine_type: BTreeMap<String, Group>,
+    machine_type: BTreeMap<String, AttributeGroup>,
     /// Attributes of machines by zone.
     #[serde(default)]
-    zone: BTreeMap<String, Group>,
+    zone: BTreeMap<String, AttributeGroup>,
 }
 
 /// Block with the fair-share guarantees of job classes, which decide whose jobs are served when
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -15,7 +15,7 @@
 use cherryyard_wire::parse_object;
 use cherryyard_wire::record::{IDS_KEY, Key};
 use cherryyard_wire::rules::Rules;
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 use salvo::http::StatusCode;
 use std::sync::Arc;
 
@@ -149,7 +149,7 @@
         .mirror
         .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
-    commit.apply.push(Apply::set(key, &dropped));
+    commit.changes.push(Change::set(key, &dropped));
     ChunkAction::Drop(commit, response)
 }
 
@@ -204,8 +204,8 @@
         .mirror
         .require(&mut commit, Key::Submission(number));
     commit
-        .apply
-        .push(Apply::put(chunk_key(number, record.chunks), chunk));
+        .changes
+        .push(Change::put(chunk_key(number, record.chunks), chunk));
     record.jobs = jobs;
     record.chunks += 1;
     let mut status = StatusCode::ACCEPTED;
@@ -219,8 +219,8 @@
         status = StatusCode::CREATED;
     }
     commit
-        .apply
-        .push(Apply::set(submission_key(number), &record));
+        .changes
+        .push(Change::set(submission_key(number), &record));
     ChunkAction::Commit(commit, status)
 }
 
@@ -238,7 +238,9 @@
     record.chunk = (0, first);
     controller.mirror.require(commit, Key::Ids);
     let next = first + record.jobs;
-    commit.apply.push(Apply::set(IDS_KEY, &IdsRecord { next }));
+    commit
+        .changes
+        .push(Change::set(IDS_KEY, &IdsRecord { next }));
     if history_revision > 0 {
         // Since that revision, jobs with ids of this block may have been added to a leaf.
         commit.require(
@@ -257,7 +259,7 @@
         (
             next,
             controller.mirror.history_progress_revision,
-            controller.mirror.history_progress.any(),
+            controller.mirror.history_progress.may_have_jobs(),
         )
     });
     let mut reads = 0;
@@ -439,7 +441,7 @@
         .mirror
         .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
-    commit.apply.push(Apply::set(key, &record));
+    commit.changes.push(Change::set(key, &record));
     Ok(commit)
 }
 
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -15,7 +15,7 @@
 use cherryyard_wire::parse_object;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission};
 use cherryyard_wire::record::End;
-use cherryyard_wire::rules::{Additions, Rules};
+use cherryyard_wire::rules::{Rules, SubmissionExtensions};
 use salvo::http::StatusCode;
 use std::sync::Arc;
 
@@ -84,7 +84,7 @@
     let spec = JobSpec::parse(body).map_err(ApiResponse::bad_request)?;
     let mut rules = None;
     if app.with(|controller, _| controller.config.tuning.condor) {
-        rules = parse_object::<Additions>(body)
+        rules = parse_object::<SubmissionExtensions>(body)
             .map_err(ApiResponse::bad_request)?
             .rules;
         rules = rules.filter(|r| !r.is_empty());
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -28,8 +28,8 @@
     );
     state.seed(&bucket_key(0), &BucketRecord::default());
     let record = HistoryProgressRecord {
-        gen_now: 2,
-        gen_done: 1,
+        current_generation: 2,
+        archived_generation: 1,
         jobs_in_runs: [0, 3],
         ..HistoryProgressRecord::default()
     };
