--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -114,12 +114,12 @@
     }
 
     fn create_from_chunk(&mut self, chunk: &ChunkJobs, record: &SubmissionRecord, now: Millis) {
-        let remaining = chunk.remaining(record.next);
+        let remaining = chunk.remaining(record.created_in_chunk);
         let numbers = remaining.iter().map(|chunk_job| chunk_job.job);
         let count = jobs_within_limit(numbers, &self.mirror, &self.config);
         let records: Vec<MaybeRecord> = remaining[..count]
             .iter()
-            .map(|chunk_job| self.new_record(chunk, chunk_job, record.at, now))
+            .map(|chunk_job| self.new_record(chunk, chunk_job, record.started_at_ms, now))
             .collect();
         let commit = records_that_fit(
             chunk.submission,
@@ -264,7 +264,7 @@
             queued,
             running,
             over: created.saturating_sub(queued + running),
-            chunks: record.chunks,
+            chunks: record.received_chunks,
         })
     }
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/mod.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/mod.rs
@@ -141,13 +141,15 @@
 
 /// Returns the step that a submission needs next at this wall-clock time, if any.
 fn next_step(record: &SubmissionRecord, mirror: &Mirror, wall_ms: f64) -> Option<NextStep> {
-    let age_ms = wall_ms - record.at as f64;
+    let age_ms = wall_ms - record.started_at_ms as f64;
     let any_open = || mirror.open.range(record.block()).next().is_some();
     match record.phase {
         Phase::Cancelling => Some(NextStep::Cancel),
         Phase::Creating => Some(NextStep::Create),
         Phase::Receiving => (age_ms > MAX_RECEIVING_MS).then_some(NextStep::Abandon),
-        Phase::Created | Phase::Cancelled | Phase::Dropped if record.swept < record.chunks => {
+        Phase::Created | Phase::Cancelled | Phase::Dropped
+            if record.deleted_chunks < record.received_chunks =>
+        {
             Some(NextStep::DeleteChunks)
         }
         Phase::Dropped => Some(NextStep::DeleteRecord),
@@ -169,7 +171,7 @@
         let step = next_step(record, mirror, wall_ms)?;
         Some(PendingStep {
             step,
-            at: record.at,
+            at: record.started_at_ms,
             submission,
         })
     });
--- a/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
@@ -81,11 +81,11 @@
     config: &Config,
 ) -> Commit {
     let max_ops = config.txn_ops.saturating_sub(1).max(1) as u32;
-    let end = record.chunks.min(record.swept + max_ops);
+    let end = record.received_chunks.min(record.deleted_chunks + max_ops);
     let mut commit = Commit::default();
-    let keys = (record.swept..end).map(|chunk| chunk_key(submission, chunk));
+    let keys = (record.deleted_chunks..end).map(|chunk| chunk_key(submission, chunk));
     commit.changes.extend(keys.map(Change::delete));
-    record.swept = end;
+    record.deleted_chunks = end;
     let set = Change::set(submission_key(submission), &record);
     commit.changes.push(set);
     commit
@@ -98,11 +98,11 @@
     created: usize,
 ) -> SubmissionRecord {
     let mut after = record.clone();
-    after.next += created as u64;
-    if after.next as usize >= chunk.jobs.len() {
+    after.created_in_chunk += created as u64;
+    if after.created_in_chunk as usize >= chunk.jobs.len() {
         after.chunk = (after.chunk.0 + 1, after.chunk.1 + chunk.jobs.len() as u64);
-        after.next = 0;
-        if after.chunk.0 >= after.of {
+        after.created_in_chunk = 0;
+        if after.chunk.0 >= after.chunk_count {
             after.phase = after.phase.after(PhaseEvent::LastCreated);
         }
     }
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -7,7 +7,7 @@
 //! caller, on the leader's lease, so a delayed write, or one of a former leader, changes
 //! nothing. Every step may be repeated: adding jobs that are already stored writes nothing.
 //! A finished job is always stored in its next place before it is removed from the previous
-//! one: it is in the small run before the history's record includes it (`gen_done`), and
+//! one: it is in the small run before the history's record includes it (`archived_generation`), and
 //! only then removed from the watched records; it is in the large run before it is removed
 //! from the small one.
 
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -142,14 +142,14 @@
         let record = SubmissionRecord {
             name: name.into(),
             phase: Phase::Creating,
-            at: self.now as u64,
-            of: chunks.len() as u32,
-            chunks: chunks.len() as u32,
+            started_at_ms: self.now as u64,
+            chunk_count: chunks.len() as u32,
+            received_chunks: chunks.len() as u32,
             jobs,
             first,
             chunk: (0, first),
-            next: 0,
-            swept: 0,
+            created_in_chunk: 0,
+            deleted_chunks: 0,
         };
         let mut commit = Commit::default();
         for (i, chunk) in chunks.iter().enumerate() {
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -74,7 +74,7 @@
         let (count, tasks) = starts(&w, first, 100);
         assert_eq!((count, tasks.len()), (143, 143));
         let record = w.submission(number).unwrap();
-        assert_eq!((record.swept, record.created()), (2, 100));
+        assert_eq!((record.deleted_chunks, record.created()), (2, 100));
         assert!(
             w.state
                 .get(&cherryyard_wire::condor::chunk_key(number, 0))
@@ -114,7 +114,7 @@
             w.run(3.0);
             w.start(ended);
             w.run_until(60.0, |w| {
-                w.submission(number).unwrap().swept == 2 && open_jobs(w) == 0
+                w.submission(number).unwrap().deleted_chunks == 2 && open_jobs(w) == 0
             });
             let (_, tasks) = starts(&w, first, 21);
             assert_eq!(tasks.len(), 23, "{what}");
@@ -128,14 +128,16 @@
 fn an_outage_midway_with_all_controllers_ending() {
     let mut w = cluster(Some(400), 0.0);
     let (number, first) = w.queue("june", &[chunk(&[(150, 1)])]);
-    w.run_until(30.0, |w| w.submission(number).unwrap().next > 20);
+    w.run_until(30.0, |w| {
+        w.submission(number).unwrap().created_in_chunk > 20
+    });
     w.state_link.refused = [0, 1, 2].into();
     w.run(5.0);
     w.restart_all();
     w.run(15.0);
     w.state_link.refused.clear();
     w.run_until(120.0, |w| {
-        w.submission(number).unwrap().swept == 1 && open_jobs(w) == 0
+        w.submission(number).unwrap().deleted_chunks == 1 && open_jobs(w) == 0
     });
     assert_eq!(starts(&w, first, 150).1.len(), 150);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -209,11 +209,14 @@
     /// Current phase.
     pub phase: Phase,
     /// Time at which the first chunk was received, in milliseconds since the Unix epoch.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub started_at_ms: u64,
     /// Number of chunks of the submission.
-    pub of: u32,
+    #[serde(rename = "of")]
+    pub chunk_count: u32,
     /// Number of chunks received so far.
-    pub chunks: u32,
+    #[serde(rename = "chunks")]
+    pub received_chunks: u32,
     /// Number of jobs in the chunks received so far.
     pub jobs: u64,
     /// Number of the first job; 0 before the submission is accepted.
@@ -224,11 +227,11 @@
     pub chunk: (u32, u64),
     /// Number of jobs of that chunk that have been created, in the order of their hashes
     /// ([`job_hash`](crate::record::job_hash)).
-    #[serde(default)]
-    pub next: u64,
+    #[serde(default, rename = "next")]
+    pub created_in_chunk: u64,
     /// Number of chunks that have been deleted.
-    #[serde(default)]
-    pub swept: u32,
+    #[serde(default, rename = "swept")]
+    pub deleted_chunks: u32,
 }
 
 impl SubmissionRecord {
@@ -245,7 +248,7 @@
         if self.phase == Phase::Created {
             return self.jobs;
         }
-        (self.chunk.1 + self.next).saturating_sub(self.first)
+        (self.chunk.1 + self.created_in_chunk).saturating_sub(self.first)
     }
 }
 
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -86,10 +86,10 @@
         Some(known) if known.phase != Phase::Receiving => {
             return Err(submission_response(controller, number, StatusCode::OK));
         }
-        Some(known) if known.of != post.of => {
-            return conflict(format!("of: the chunks before said {}", known.of));
+        Some(known) if known.chunk_count != post.of => {
+            return conflict(format!("of: the chunks before said {}", known.chunk_count));
         }
-        Some(known) if post.chunk < known.chunks => {
+        Some(known) if post.chunk < known.received_chunks => {
             return Err(submission_response(
                 controller,
                 number,
@@ -99,8 +99,8 @@
         Some(known) => known,
         None => new_record(controller, post, at)?,
     };
-    if post.chunk != record.chunks {
-        return conflict(format!("chunk: {} is the next one", record.chunks));
+    if post.chunk != record.received_chunks {
+        return conflict(format!("chunk: {} is the next one", record.received_chunks));
     }
     Ok(record)
 }
@@ -120,14 +120,14 @@
     Ok(SubmissionRecord {
         name: post.name.clone(),
         phase: Phase::Receiving,
-        at,
-        of: post.of,
-        chunks: 0,
+        started_at_ms: at,
+        chunk_count: post.of,
+        received_chunks: 0,
         jobs: 0,
         first: 0,
         chunk: (0, 0),
-        next: 0,
-        swept: 0,
+        created_in_chunk: 0,
+        deleted_chunks: 0,
     })
 }
 
@@ -138,7 +138,7 @@
     before: &SubmissionRecord,
     response: ApiResponse,
 ) -> ChunkAction {
-    if before.chunks == 0 {
+    if before.received_chunks == 0 {
         return ChunkAction::Respond(response);
     }
     let number = submission_number(&before.name);
@@ -180,7 +180,7 @@
         Ok(record) => record,
         Err(response) => return ChunkAction::Respond(response),
     };
-    match admit_chunk(controller, post, record.at) {
+    match admit_chunk(controller, post, record.started_at_ms) {
         Ok(()) => {}
         Err(Reject::NotYet(reason)) => {
             return ChunkAction::Respond(ApiResponse::retry_later(&reason.to_string()));
@@ -203,13 +203,14 @@
     controller
         .mirror
         .require(&mut commit, Key::Submission(number));
-    commit
-        .changes
-        .push(Change::put(chunk_key(number, record.chunks), chunk));
+    commit.changes.push(Change::put(
+        chunk_key(number, record.received_chunks),
+        chunk,
+    ));
     record.jobs = jobs;
-    record.chunks += 1;
+    record.received_chunks += 1;
     let mut status = StatusCode::ACCEPTED;
-    if record.chunks == record.of {
+    if record.received_chunks == record.chunk_count {
         let Some(free_ids) = free_ids else {
             return ChunkAction::Respond(ApiResponse::retry_later(
                 "no block of ids could be found",
@@ -374,7 +375,7 @@
     }
     app.with(|controller, _| {
         let all = controller.mirror.submissions.iter();
-        let mut all: Vec<(u64, u64)> = all.map(|(&k, (r, _))| (r.at, k)).collect();
+        let mut all: Vec<(u64, u64)> = all.map(|(&k, (r, _))| (r.started_at_ms, k)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MAX_LISTED);
         let list = SubmissionList {
