--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -211,13 +211,13 @@
     fn put_admitted_job(&mut self, admitted: AdmittedJob) {
         let job = admitted.job;
         let existing = self.open.get(&job);
-        if existing.is_some_and(|open| open.division == admitted.div) {
+        if existing.is_some_and(|open| open.division == admitted.division) {
             return;
         }
         let rules = admitted.rest.rules;
-        if let Some(new) = self.new_job(admitted.spec, rules, admitted.at) {
+        if let Some(new) = self.new_job(admitted.spec, rules, admitted.submitted_at_ms) {
             let open = OpenJob {
-                division: admitted.div,
+                division: admitted.division,
                 zone: admitted.rest.zone,
                 zone_caps: admitted.rest.caps,
                 dependencies: admitted.rest.after,
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -57,12 +57,12 @@
             }
             JobRecord::Open {
                 spec,
-                at: submitted_at,
-                div: division,
+                submitted_at_ms: submitted_at,
+                division: division,
                 zone,
-                caps: zone_caps,
+                zone_caps: zone_caps,
                 rules,
-                after: dependencies,
+                dependencies: dependencies,
             } => {
                 // A job's end is final, so a record of the job as open is outdated or wrong
                 // and is ignored.
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -134,12 +134,12 @@
     pub fn record(&self) -> JobRecord {
         JobRecord::Open {
             spec: Box::new(self.spec.clone()),
-            at: self.submitted_at,
-            div: self.division.clone(),
+            submitted_at_ms: self.submitted_at,
+            division: self.division.clone(),
             zone: self.zone.clone(),
-            caps: self.zone_caps.clone(),
+            zone_caps: self.zone_caps.clone(),
             rules: self.rules.as_ref().map(|(rules, _)| rules.clone()),
-            after: self.dependencies.clone(),
+            dependencies: self.dependencies.clone(),
         }
     }
 
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -96,12 +96,12 @@
 fn fill_open(state: &mut StateStandIn, args: &Args) {
     let record = |id: u64| JobRecord::Open {
         spec: Box::new(World::spec(&job_id(id), "sweep", args.tasks)),
-        at: 0,
-        div: vec![RangeSet::from_range(0, args.tasks.max(1) - 1)],
+        submitted_at_ms: 0,
+        division: vec![RangeSet::from_range(0, args.tasks.max(1) - 1)],
         zone: None,
-        caps: Vec::new(),
+        zone_caps: Vec::new(),
         rules: None,
-        after: Dependencies::default(),
+        dependencies: Dependencies::default(),
     };
     let mut jobs: Vec<u64> = (0..args.open).collect();
     if args.format < BUCKETS {
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -72,12 +72,12 @@
         let mut commit = Commit::default();
         let record = JobRecord::Open {
             spec: Box::new(spec.clone()),
-            at: now as u64,
-            div: Vec::new(),
+            submitted_at_ms: now as u64,
+            division: Vec::new(),
             zone: None,
-            caps: Vec::new(),
+            zone_caps: Vec::new(),
             rules: rules.clone().map(Box::new),
-            after: Dependencies::default(),
+            dependencies: Dependencies::default(),
         };
         let controller = available.and_then(|i| self.controllers[i].as_mut());
         if let Some(controller) = controller.filter(|c| c.mirror.loaded) {
--- a/crates/cherryyard-wire/src/admission_log.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -201,9 +201,9 @@
     /// Submitted job.
     pub spec: JobSpec,
     /// Time of the submission, in milliseconds since the Unix epoch.
-    pub at: u64,
+    pub submitted_at_ms: u64,
     /// Division: the task numbers of each shard, by shard; empty: not yet divided.
-    pub div: Vec<RangeSet>,
+    pub division: Vec<RangeSet>,
     /// Fields that only few jobs have.
     pub rest: UncommonFields,
 }
@@ -308,8 +308,8 @@
         Some(AdmittedJob {
             job: self.job,
             spec,
-            at: start.saturating_add(self.after_ms),
-            div,
+            submitted_at_ms: start.saturating_add(self.after_ms),
+            division: div,
             rest: self.rest.map(|rest| *rest).unwrap_or_default(),
         })
     }
--- a/crates/cherryyard-wire/src/admission_log/tests.rs
+++ b/crates/cherryyard-wire/src/admission_log/tests.rs
@@ -30,8 +30,8 @@
         expected.push(AdmittedJob {
             job,
             spec,
-            at,
-            div,
+            submitted_at_ms: at,
+            division: div,
             rest,
         });
     }
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -50,24 +50,29 @@
         /// Job as it was submitted.
         spec: Box<JobSpec>,
         /// Wall-clock time of the submission, in milliseconds.
-        at: u64,
+        #[serde(rename = "at")]
+        submitted_at_ms: u64,
         /// Division of the job: each shard's task numbers; empty until the leader has divided
         /// the job.
-        #[serde(default)]
-        div: Vec<RangeSet>,
+        #[serde(default, rename = "div")]
+        division: Vec<RangeSet>,
         /// Zone in which all tasks run, if the user asked for a single zone.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         zone: Option<String>,
         /// Maximum number of tasks by shard and zone, if the user asked for tasks to be spread;
         /// otherwise empty.
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        caps: Vec<Vec<u32>>,
+        #[serde(default, rename = "caps", skip_serializing_if = "Vec::is_empty")]
+        zone_caps: Vec<Vec<u32>>,
         /// Placement rules beyond the fields of the submission.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         rules: Option<Box<Rules>>,
         /// Jobs that this one depends on.
-        #[serde(default, skip_serializing_if = "Dependencies::is_none")]
-        after: Dependencies,
+        #[serde(
+            default,
+            rename = "after",
+            skip_serializing_if = "Dependencies::is_none"
+        )]
+        dependencies: Dependencies,
     },
 }
 
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -69,12 +69,12 @@
 fn open_job(job: u64, at: u64, div: Vec<RangeSet>) -> JobRecord {
     JobRecord::Open {
         spec: Box::new(spec(job)),
-        at,
-        div,
+        submitted_at_ms: at,
+        division: div,
         zone: None,
-        caps: Vec::new(),
+        zone_caps: Vec::new(),
         rules: None,
-        after: Default::default(),
+        dependencies: Default::default(),
     }
 }
 
@@ -161,12 +161,12 @@
     assert_json_sample("open", &open_job(412, 1_790_000_000_000, division()));
     let undivided = JobRecord::Open {
         spec: Box::new(spec(413)),
-        at: 1_790_000_000_000,
-        div: Vec::new(),
+        submitted_at_ms: 1_790_000_000_000,
+        division: Vec::new(),
         zone: Some("lahore-east".into()),
-        caps: vec![vec![1, 2]],
+        zone_caps: vec![vec![1, 2]],
         rules: None,
-        after: Default::default(),
+        dependencies: Default::default(),
     };
     assert_json_sample("undivided", &undivided);
     let usage = cherryyard_wire::record::TaskUsage {
