--- a/crates/cherryyard-wire/src/settings.rs
+++ b/crates/cherryyard-wire/src/settings.rs
@@ -9,14 +9,15 @@
     /// Name of this controller.
     pub label: String,
     /// Zone of this controller.
-    pub domain: String,
+    #[serde(rename = "domain")]
+    pub zone: String,
     /// Address on which this controller serves users, workers and health checks.
     pub public_addr: String,
     /// Address on which this controller accepts connections of other controllers.
     pub peer_listen: String,
     /// Other controllers.
-    #[serde(default)]
-    pub known: Vec<Peer>,
+    #[serde(default, rename = "known")]
+    pub peers: Vec<Peer>,
     /// Addresses of the external services.
     pub services: Services,
     /// Settings that all controllers share.
@@ -29,7 +30,8 @@
     /// Name of the controller.
     pub label: String,
     /// Zone of the controller.
-    pub domain: String,
+    #[serde(rename = "domain")]
+    pub zone: String,
     /// Address on which the controller accepts connections of other controllers.
     pub endpoint: String,
 }
@@ -62,8 +64,8 @@
     /// Resource limits of the controller process.
     pub limits: Limits,
     /// Maximum error of the wall clock, in milliseconds.
-    #[serde(default)]
-    pub clock_off_ms: f64,
+    #[serde(default, rename = "clock_off_ms")]
+    pub max_clock_error_ms: f64,
 }
 
 impl Cluster {
@@ -295,9 +297,9 @@
         check_address("peer_listen", &self.peer_listen)?;
         check_address("services.cloud", &self.services.cloud)?;
         check_address("services.state", &self.services.state)?;
-        for (i, peer) in self.known.iter().enumerate() {
+        for (i, peer) in self.peers.iter().enumerate() {
             check_address(&format!("known[{i}].endpoint"), &peer.endpoint)?;
-            let is_duplicate = self.known[..i].iter().any(|p| p.label == peer.label);
+            let is_duplicate = self.peers[..i].iter().any(|p| p.label == peer.label);
             if peer.label == self.label || is_duplicate {
                 let name = peer.label.clone();
                 let path = format!("known[{i}].label");
@@ -311,11 +313,11 @@
     /// every controller.
     pub fn controllers(&self) -> Vec<(String, String)> {
         let mut all: Vec<_> = self
-            .known
+            .peers
             .iter()
-            .map(|p| (p.label.clone(), p.domain.clone()))
+            .map(|p| (p.label.clone(), p.zone.clone()))
             .collect();
-        all.push((self.label.clone(), self.domain.clone()));
+        all.push((self.label.clone(), self.zone.clone()));
         all.sort();
         all
     }
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -85,7 +85,7 @@
         reconnect: HashMap::new(),
     };
     let mut queues = Vec::new();
-    for peer in &settings.known {
+    for peer in &settings.peers {
         if let Ok(addr) = peer.endpoint.parse() {
             let (queue, messages) = mpsc::channel(PEER_QUEUE);
             let reconnect = Arc::new(Notify::new());
@@ -107,7 +107,7 @@
 /// them.
 fn intervals(settings: &Settings) -> Intervals {
     let cluster = &settings.cluster;
-    let controllers = (settings.known.len() + 1) as f64;
+    let controllers = (settings.peers.len() + 1) as f64;
     // The watch and the barriers get a third of the requests each, renewals and transactions
     // the rest.
     let read_s = (controllers * 3.0 / cluster.state.rps).clamp(0.02, 2.0);
