--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -15,8 +15,8 @@
 use cherryyard_wire::worker::{TaskReport, WorkerHeartbeat, parse_task_name};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time for which a cancellation is announced in heartbeats: longer than the suspension of a
-/// controller lasts.
+/// Time for which a cancellation is announced in heartbeats: longer than a controller stays
+/// suspended.
 const ANNOUNCE_MS: Millis = 60_000.0;
 /// Largest number of cancellations that a heartbeat lists.
 const MAX_LISTED: usize = 200;
--- a/crates/cherryyard-core/src/event_loop_lag.rs
+++ b/crates/cherryyard-core/src/event_loop_lag.rs
@@ -60,9 +60,9 @@
         self.last_wait.max(now - self.due_at)
     }
 
-    /// Returns for how long the controller has not been late, or 0 if it is late now. While the
-    /// controller is late, a peer or worker may seem silent only because its messages have not
-    /// been handled yet.
+    /// Returns for how long the controller has not been late, or 0 if it is late now. A silence
+    /// from before that time may be due to this controller itself, which was late to handle the
+    /// messages.
     pub fn punctual_for(&self, now: Millis) -> Millis {
         if self.now(now) > LATE_MS || now - self.ticked_at > LATE_MS {
             0.0
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -178,8 +178,8 @@
             .collect()
     }
 
-    /// Returns services that this controller's shards hold back for the leader to move to other
-    /// shards, with their present shards.
+    /// Returns the services that this controller's shards hold back for the leader to move to other
+    /// shards, with their present shards; at most [`MAX_HANDOVERS_LISTED`].
     fn handover_candidates(&self) -> Vec<(u32, u64)> {
         let shards = self.shards.iter().enumerate();
         shards
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -19,7 +19,7 @@
 
 impl Controller {
     /// Returns whether every controller runs a build that supports a format. An earlier build
-    /// would not see the jobs in it.
+    /// would not see jobs that are stored in this format.
     pub(crate) fn all_support_format(&self, format: u32) -> bool {
         (0..self.config.labels.len()).all(|controller| self.supports_format(controller, format))
     }
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -10,7 +10,8 @@
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::Key;
 
-/// Time without an owner's report after which its shard's capacity is assumed.
+/// Time by which an owner's report must be overdue before its shard's capacity is assumed. A new
+/// leader assumes no capacity for the same time.
 const ASSUME_AFTER_MS: f64 = 2500.0;
 /// Time for which an assumed capacity is valid.
 const ASSUMED_LIFETIME_MS: f64 = 1000.0;
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -16,7 +16,7 @@
 use cherryyard_wire::record::{End, Key, job_hash};
 use cherryyard_wire::state::{Apply, Commit};
 
-/// Number of open jobs from which on creation waits for some to finish: a submission takes little
+/// Number of open jobs at which creation waits for some to finish: a submission takes little
 /// memory, open jobs do not.
 const MAX_OPEN_JOBS: usize = 20_000;
 /// Largest number of a removed submission's open jobs that one step considers.
@@ -146,7 +146,7 @@
             let rules = template.rules.clone().map(Box::new);
             self.mirror.new_job(spec, rules, at)
         });
-        // Blocks of ids are handed out only once, and only if none of their ids is in use.
+        // Blocks of ids are allocated only once, and only if none of their ids is in use.
         let Some(mut open) = new.filter(|_| self.mirror.view(job).is_none()) else {
             tracing::error!(job, "a submission's job cannot be created");
             return None;
--- a/crates/cherryyard-core/src/leader/capacity_reports.rs
+++ b/crates/cherryyard-core/src/leader/capacity_reports.rs
@@ -1,5 +1,5 @@
-//! The shards' free capacities, as reported by their owners, less what has been divided among the
-//! shards since.
+//! The shards' free capacities, as reported by their owners, less the resources of the tasks that
+//! have been divided among the shards since.
 
 use crate::Millis;
 use crate::mirror::OpenJob;
@@ -66,7 +66,7 @@
     query: FitQuery,
 }
 
-/// Resources of tasks that have been divided to a shard since its report.
+/// Resources of tasks that a division has given to a shard since the shard's report.
 #[derive(Clone, Copy, Debug)]
 struct Debit {
     at: Millis,
@@ -144,11 +144,11 @@
         machines.filter(move |machine| is_allowed[usize::from(machine.pool)])
     }
 
-    /// Returns how many of a job's tasks fit, less what has been divided to the shard since its
-    /// report.
+    /// Returns how many of a job's tasks fit, less the tasks that divisions have given to the shard
+    /// since its report.
     ///
     /// The tasks that fit on a report's machines are counted once for all jobs that are alike.
-    /// With a new count for each waiting job, a leader did little else on a day of overload.
+    /// Under overload, a new count for each waiting job takes most of a leader's time.
     pub(crate) fn fitting(&self, open: &OpenJob, signature: u64, query: FitQuery) -> f64 {
         let key = FitKey { signature, query };
         let known = self.fit_counts.borrow().get(&key).copied();
--- a/crates/cherryyard-core/src/leader/current_capacities.rs
+++ b/crates/cherryyard-core/src/leader/current_capacities.rs
@@ -40,7 +40,8 @@
         0..self.config.shards()
     }
 
-    /// Returns a shard's capacity, if its current owner has recently reported it.
+    /// Returns a shard's capacity, if it was recently reported by the current owner, or assumed for
+    /// the current owner's lease.
     pub(crate) fn of(&self, shard_id: usize) -> Option<&'a ShardCapacity> {
         let capacity = self.reports.last(shard_id)?;
         let report_ms = self.config.tuning.capacity_report_s * 1000.0;
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -113,7 +113,8 @@
     }
 
     /// Makes this controller the leader under the lease with this token. A repeated call for the
-    /// same lease has no effect, because provisioning requests are numbered within a lease.
+    /// same lease has no effect: it would restart the numbering of provisioning requests, which are
+    /// numbered within a lease.
     pub(crate) fn become_leader(&mut self, token: u64, now: Millis) {
         if !self.leader.leadership.acquired(token, now) {
             return;
@@ -123,8 +124,8 @@
         self.effects.push(Effect::Heartbeat);
     }
 
-    /// Returns the token of the leader lease, on which a division at submission depends, if this
-    /// controller leads.
+    /// Returns the token of the leader lease if this controller leads. A division at submission
+    /// depends on this token.
     pub fn leadership_token(&self) -> Option<u64> {
         let leads = self.leader.leads(&self.mirror);
         leads.then(|| self.mirror.revision(Key::Leader))
--- a/crates/cherryyard-core/src/leader/division.rs
+++ b/crates/cherryyard-core/src/leader/division.rs
@@ -44,7 +44,7 @@
 
 impl CurrentCapacities<'_> {
     /// Divides a job among the shards and sets its zone, zone caps and division. Returns false if
-    /// nothing is known to divide the job by.
+    /// the known capacities, machines and owners give no basis for a division.
     pub(crate) fn divide(&self, open: &mut OpenJob, missing: MissingReports) -> bool {
         if open.spec.together && open.zone.is_none() {
             match self.choose_zone(open) {
@@ -73,7 +73,7 @@
         true
     }
 
-    /// Returns how many of a job's tasks go to each shard, if anything is known to divide the job
+    /// Returns how many of a job's tasks go to each shard, if there are weights to divide the job
     /// by.
     fn shares(&self, open: &OpenJob, missing: MissingReports) -> Option<Vec<u32>> {
         let weights = self.known_weights(open, missing)?;
@@ -100,7 +100,7 @@
 
     /// Returns the shards' weights by free capacity. If there is none, weights are by number of
     /// machines; if no machines are known either, they are the same for all shards that have an
-    /// owner, unless `missing` requires to wait for reports.
+    /// owner, unless `missing` is [`MissingReports::Await`].
     fn known_weights(&self, open: &OpenJob, missing: MissingReports) -> Option<Vec<f64>> {
         let by_capacity = self.weights(open);
         if sum(&by_capacity) > 0.0 {
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -31,7 +31,8 @@
         CurrentCapacities::new(&self.leader.capacities, &self.mirror, &self.config, now)
     }
 
-    /// Returns a shard's capacity, if its current owner has recently reported it.
+    /// Returns a shard's capacity, if it was recently reported by the current owner, or assumed for
+    /// the current owner's lease.
     pub(crate) fn current_capacity(&self, shard_id: usize, now: Millis) -> Option<&ShardCapacity> {
         self.current_capacities(now).of(shard_id)
     }
@@ -42,7 +43,8 @@
         self.current_capacities(now).held_elsewhere(shard_id, open)
     }
 
-    /// Divides one job. Returns false if nothing is known to divide the job by.
+    /// Divides one job. Returns false if the known capacities, machines and owners give no basis
+    /// for a division.
     pub(crate) fn fill_division(&mut self, open: &mut OpenJob, now: Millis) -> bool {
         let missing = if now - self.leader.since() < REPORTS_WAIT_MS {
             MissingReports::Await
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -167,8 +167,8 @@
         self.leader.history_compaction.committed(is_applied, now);
     }
 
-    /// Returns the numbers of jobs that are open, finished and still watched, finished in records
-    /// of their own, and (approximately) in each run of the history.
+    /// Returns how many jobs are open, finished and still watched, finished with records of their
+    /// own, and (approximately) in each run of the history.
     pub fn history_counts(&self) -> HistoryCounts {
         let record = self.mirror.packed;
         HistoryCounts {
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -15,7 +15,7 @@
 /// Time between two small batches, while finished jobs are left in records of their own, as
 /// earlier builds wrote them.
 const SMALL_BATCH_MS: f64 = 60_000.0;
-/// Size, in batches, from which on the small run of leaves is spilled into the large one.
+/// Size of the small run of leaves, in batches, beyond which it is spilled into the large one.
 const SPILL_BATCHES: u64 = 32;
 /// Delay before the next attempt while other work has priority.
 const BUSY_RETRY_MS: f64 = 250.0;
@@ -44,8 +44,8 @@
 pub(crate) struct HistoryCompaction {
     compactor: Compactor,
     write_budget: TokenBucket,
-    /// Budget for reads of leaves. A repeated compaction finds what it would write there already,
-    /// so it would read leaf after leaf without a pause.
+    /// Budget for reads of leaves. A repeated compaction finds its leaves already written, so
+    /// without this budget it would read leaf after leaf without a pause.
     read_budget: TokenBucket,
     pending: Pending,
     retry_after: Millis,
--- a/crates/cherryyard-core/src/leader/history_compaction/tests.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/tests.rs
@@ -16,6 +16,9 @@
             reads += 1;
         }
     }
-    let most = config.history_reads_per_s * 62.0;
-    assert!(reads > 30 && f64::from(reads) <= most, "{reads}, {most}");
+    let max_reads = config.history_reads_per_s * 62.0;
+    assert!(
+        reads > 30 && f64::from(reads) <= max_reads,
+        "{reads}, {max_reads}"
+    );
 }
--- a/crates/cherryyard-core/src/leader/leadership.rs
+++ b/crates/cherryyard-core/src/leader/leadership.rs
@@ -51,7 +51,8 @@
     phase: LeadershipPhase,
     /// Token of the last lease under which this controller has led.
     token: u64,
-    /// Time at which that lease was known to be applied; before that, the start of the controller.
+    /// Time at which this controller learnt that the last lease was applied; before the first
+    /// lease, the start of the controller.
     since: Millis,
     acquire_after: Millis,
     /// Time since which no controller has held the lease.
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Returns the time at which this controller's last lease was known to be applied; before
-    /// that, the start of the controller.
+    /// Returns the time at which this controller learnt that its last lease was applied; before its
+    /// first lease, the start of the controller.
     pub(crate) fn since(&self) -> Millis {
         self.since
     }
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -52,7 +52,7 @@
 }
 
 impl Controller {
-    /// Returns the teams of which some shard wants more of the limits than its grant.
+    /// Returns the names of the teams of whose limits some shard wants more than its grant.
     pub(crate) fn short_teams(&self, now: Millis) -> Vec<String> {
         let teams = self.config.teams.iter().enumerate();
         let limited = teams.filter(|(_, team)| team.limited());
@@ -88,9 +88,9 @@
                 break;
             }
             let mut changes = self.raised_grants(index, team, now);
-            // Changes that do not fit into this transaction are left to a later one. When all of a
-            // team's changes had to fit into one transaction, a team with a limit got no grant at
-            // all if there were more shards than changes in a transaction.
+            // Changes that do not fit into this transaction are left to a later one. If all of a
+            // team's changes had to fit into one transaction, a team with a limit would get no
+            // grant at all when there are more shards than changes in a transaction.
             changes.truncate(self.config.txn_ops.saturating_sub(commit.apply.len()));
             if changes.is_empty() {
                 continue;
--- a/crates/cherryyard-core/src/leader/provisioning_times.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -24,10 +24,11 @@
 const MIN_EXPECTATION: f64 = 1.6;
 /// Upper bound of expected times, as a multiple of the published time.
 const MAX_EXPECTATION: f64 = 6.0;
-/// Cores of overdue machines that are replaced at a time, as a share of all cores.
+/// Limit on the cores of overdue machines that are replaced at a time, as a share of the cores that
+/// are up.
 const REPLACED_SHARE: f64 = 0.08;
-/// Number of overdue machines, of the largest size, that are replaced at a time if their cores are
-/// more than that share.
+/// Least value of the limit that [`REPLACED_SHARE`] sets, as a number of machines of the largest
+/// size among those that are starting.
 const MIN_REPLACED_MACHINES: f64 = 4.0;
 /// Multiple of its expected time, plus [`GIVE_UP_EXTRA_S`], after which a machine is considered
 /// never to come up.
@@ -145,8 +146,9 @@
     }
 }
 
-/// Returns how many cores of provisioned machines are still to come. Those of overdue machines are
-/// not, except for the part beyond what is replaced at a time.
+/// Returns how many cores of provisioned machines count as still to come: the `expected` ones, and
+/// those of the `overdue` ones that exceed the limit on what is replaced at a time. `total` is the
+/// number of cores that are up, `largest` the cores of the largest machine that is starting.
 pub(crate) fn cores_to_come(expected: f64, overdue: f64, total: f64, largest: f64) -> f64 {
     let replaced = (total * REPLACED_SHARE).max(MIN_REPLACED_MACHINES * largest);
     expected + (overdue - replaced).max(0.0)
--- a/crates/cherryyard-core/src/leader/provisioning_times/tests.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Checks that machines that have come up determine the expected time of their type and zone,
-/// within bounds.
+/// Guards against expected times that ignore how long machines of the same type and zone took to
+/// come up, or that leave their bounds.
 #[test]
 fn expected_time_follows_recorded_times() {
     let mut times = ProvisioningTimes::default();
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns the transaction that moves overdue tasks of some jobs from one shard to others, and
-    /// debits the free capacity of those.
+    /// debits the free capacity of the receiving shards.
     pub(crate) fn step(
         &mut self,
         hand_overs: &HashSet<HandOver>,
--- a/crates/cherryyard-core/src/leader/scale_out/fleet.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/fleet.rs
@@ -59,7 +59,8 @@
 #[derive(Clone, Copy, Debug)]
 struct RestrictedJob<'a> {
     open: &'a OpenJob,
-    /// Whether the job lacks capacity on machines that it may use, including those on their way.
+    /// Whether the job lacks capacity on machines that it may use, including those that are being
+    /// provisioned.
     lacks_capacity: bool,
 }
 
--- a/crates/cherryyard-core/src/leader/scale_out/requests.rs
+++ b/crates/cherryyard-core/src/leader/scale_out/requests.rs
@@ -61,7 +61,7 @@
 /// Machines that the cloud has promised, and that may not be in its list yet.
 #[derive(Clone, Debug)]
 pub(super) struct ProvisionedBatch {
-    at: Millis,
+    promised_at: Millis,
     pub(super) pool: PoolKey,
     machines: Vec<String>,
 }
@@ -78,10 +78,10 @@
 #[derive(Debug)]
 pub(crate) struct ScaleOut {
     /// Number of requests made under the current lease.
-    counter: u64,
+    request_count: u64,
     /// Request that has no answer yet.
     pending: Option<ProvisionRequest>,
-    next_at: Millis,
+    next_check_at: Millis,
     /// Pools that had too few machines, each with the time until which it is not requested again.
     refused: HashMap<PoolKey, Millis>,
     pub(super) batches: Vec<ProvisionedBatch>,
@@ -92,9 +92,9 @@
 impl ScaleOut {
     pub(crate) fn new(now: Millis) -> Self {
         Self {
-            counter: 0,
+            request_count: 0,
             pending: None,
-            next_at: now + START_DELAY_MS,
+            next_check_at: now + START_DELAY_MS,
             refused: HashMap::new(),
             batches: Vec::new(),
             provisioning_times: ProvisioningTimes::default(),
@@ -103,23 +103,23 @@
 
     /// Resets the requests when this controller becomes the leader.
     pub(crate) fn start_leading(&mut self, now: Millis) {
-        self.next_at = now + LEADER_DELAY_MS;
+        self.next_check_at = now + LEADER_DELAY_MS;
         self.pending = None;
-        self.counter = 0;
+        self.request_count = 0;
     }
 
     /// Returns whether a check for lacking capacity is due.
     pub(crate) fn is_due(&self, now: Millis) -> bool {
-        self.pending.is_none() && now >= self.next_at
+        self.pending.is_none() && now >= self.next_check_at
     }
 
     /// Begins a check, and removes refusals and batches that are too old to count.
     pub(crate) fn begin_check(&mut self, list_lag_ms: f64, now: Millis) {
-        self.next_at = now + CHECK_INTERVAL_MS;
+        self.next_check_at = now + CHECK_INTERVAL_MS;
         self.refused.retain(|_, until| *until > now);
         let listed_after_ms = 2.0 * list_lag_ms + LISTING_MARGIN_MS;
         self.batches
-            .retain(|batch| now - batch.at < listed_after_ms);
+            .retain(|batch| now - batch.promised_at < listed_after_ms);
     }
 
     /// Returns whether the cloud recently had too few machines of a pool.
@@ -129,12 +129,12 @@
 
     /// Creates a request. `lease` is the controller's name and the token of its leader lease.
     pub(crate) fn request(&mut self, wanted: Provision, lease: (&str, u64)) -> ProvisionRequest {
-        self.counter += 1;
+        self.request_count += 1;
         let (label, token) = lease;
         let request = ProvisionRequest {
-            // The id is never used again: the token is unique among leases, the counter within the
-            // lease.
-            request_id: format!("{label}-{token}-{}", self.counter),
+            // The id is never used again: the token is unique among leases, the request count
+            // within the lease.
+            request_id: format!("{label}-{token}-{}", self.request_count),
             machine_type: wanted.machine_type,
             zone: wanted.zone,
             spot: wanted.spot,
@@ -162,7 +162,7 @@
             self.refused.insert(PoolKey::of(request), until);
         }
         self.batches.push(ProvisionedBatch {
-            at: now,
+            promised_at: now,
             pool: PoolKey::of(request),
             machines,
         });
@@ -179,6 +179,6 @@
         if self.is_pending(request) {
             self.pending = None;
         }
-        self.next_at = now + AFTER_ANSWER_MS;
+        self.next_check_at = now + AFTER_ANSWER_MS;
     }
 }
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -66,8 +66,8 @@
         })
     }
 
-    /// Returns the time at which this controller last acquired the leader lease; before that, its
-    /// start.
+    /// Returns the time at which this controller last learnt that it had acquired the leader lease;
+    /// before its first lease, the start of the controller.
     pub(crate) fn since(&self) -> Millis {
         self.leadership.since()
     }
--- a/crates/cherryyard-core/src/mirror/admission_compaction.rs
+++ b/crates/cherryyard-core/src/mirror/admission_compaction.rs
@@ -24,9 +24,8 @@
 impl Mirror {
     /// Returns the transaction that compacts the admission log, if there is anything to compact.
     /// The transaction deletes pages whose jobs all have other records or are gone, and joins two
-    /// pages on which few jobs remain. The last page is left unchanged, since its revision
-    /// shows to transactions that add jobs whether other jobs have been added. Page 0 is emptied
-    /// instead of deleted.
+    /// pages on which few jobs remain. The last page is left unchanged, since transactions that add
+    /// jobs depend on its revision to detect other additions. Page 0 is emptied instead of deleted.
     pub(crate) fn compact_pages(&self, config: &Config) -> Option<Commit> {
         let mut commit = Commit::default();
         let last = self.admission_log.last_page()?;
--- a/crates/cherryyard-core/src/mirror/admission_log.rs
+++ b/crates/cherryyard-core/src/mirror/admission_log.rs
@@ -3,8 +3,8 @@
 //! A new job is added to the last page or to a new page after it. In the format in which jobs
 //! have keys of their own, it may also be added by a record under its own key. All these
 //! transactions depend on the revision of the last page, on the absence of a page after it, and
-//! on the absence of a record of the job itself. So a controller that adds a job has seen all
-//! jobs that were added by pages before, and the job has not been added in another way: no job is
+//! on the absence of a record of the job itself. So a controller that adds a job has read all
+//! jobs that were added to pages before, and the job has not been added in another way: no job is
 //! added twice. One put of a page can add many jobs, and transactions that add jobs by records of
 //! their own do not conflict with each other.
 //!
@@ -37,8 +37,8 @@
 /// Bytes by which a row may be larger than if it were the only one: submission times are relative
 /// to the page's time, so those of later rows have more digits.
 const ROW_GROWTH_BYTES: usize = 12;
-/// Number of conditions for one more job and for the two pages: the last page, and the absence of
-/// the next one.
+/// Number of conditions for one more job, the unchanged last page, and the absence of the next
+/// page.
 const JOB_AND_PAGE_CONDITIONS: usize = 3;
 
 /// Page of the admission log as the mirror holds it.
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -79,8 +79,8 @@
         let old = self.assignments.remove(&(shard, job)).unwrap_or_default();
         self.index_by_machine(job, &old, &new);
         if new.done.len() != old.done.len() {
-            // The order of a job's waiting tasks depends on how much work it has left, in every
-            // shard.
+            // The position of a job among the waiting jobs of every shard depends on how much work
+            // it has left.
             self.note_waiting_change(job);
         }
         let total = self.done_counts.entry(job).or_default();
--- a/crates/cherryyard-core/src/mirror/changes.rs
+++ b/crates/cherryyard-core/src/mirror/changes.rs
@@ -69,7 +69,7 @@
         self.store_revision = self.store_revision.max(store_revision);
         if !self.loaded {
             // The first read does not show when its ended jobs ended, so recent cancellations
-            // among them cannot be named.
+            // among them cannot be identified.
             self.ended.note_missed_ends();
         }
         self.loaded = true;
--- a/crates/cherryyard-core/src/needs.rs
+++ b/crates/cherryyard-core/src/needs.rs
@@ -2,7 +2,7 @@
 
 /// Tolerance for rounding errors in sums of fractional resource amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Number of times that an amount counts as fitting by a resource of which it requires nothing.
+/// Number of times that an amount is assumed to fit by a resource of which it requires nothing.
 const UNBOUNDED_TIMES: f64 = 1e6;
 
 /// Amounts of a machine's resources.
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -34,7 +34,7 @@
     /// controller sent the heartbeat that it acknowledges. The network may have delayed the
     /// peer's heartbeat for any time.
     pub(crate) made_at: Millis,
-    /// Time up to which the cancellations that the peer has learnt of are known here.
+    /// Extent to which the cancellations that the peer has learnt of are known here.
     pub(crate) coverage: CancellationCoverage,
 }
 
--- a/crates/cherryyard-core/src/token_bucket.rs
+++ b/crates/cherryyard-core/src/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 
-/// Time, in seconds, whose refill may be saved up, or overdrawn.
+/// Seconds of refill that may be saved up, or overdrawn.
 const BURST_S: f64 = 2.0;
 /// Least capacity in tokens, however low the rate is.
 const MIN_CAPACITY: f64 = 3.0;
