--- a/crates/cherryyard-core/src/leader/provisioning_times.rs
+++ b/crates/cherryyard-core/src/leader/provisioning_times.rs
@@ -33,7 +33,7 @@
 /// Multiple of its expected time, plus [`GIVE_UP_EXTRA_S`], after which a machine is considered
 /// never to come up.
 const GIVE_UP_FACTOR: f64 = 3.0;
-/// Additional time, in seconds, after which a machine is considered never to come up.
+/// Time in seconds that is added to the multiple which [`GIVE_UP_FACTOR`] sets.
 const GIVE_UP_EXTRA_S: f64 = 30.0;
 
 /// Progress of a machine that has been provisioned and is not up yet.
--- a/crates/cherryyard-core/src/mirror/bucket_division.rs
+++ b/crates/cherryyard-core/src/mirror/bucket_division.rs
@@ -22,7 +22,7 @@
     Open(JobRecord),
     /// Job that has ended.
     Ended {
-        /// How the job ended.
+        /// Outcome of the job: done or cancelled.
         end: End,
         /// Number of the job's tasks.
         task_count: u32,
--- a/crates/cherryyard-core/src/mirror/ended.rs
+++ b/crates/cherryyard-core/src/mirror/ended.rs
@@ -11,7 +11,7 @@
 /// Ended job that the watched records list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedJob {
-    /// How the job ended.
+    /// Outcome of the job: done or cancelled.
     pub end: End,
     /// Number of the job's tasks.
     pub task_count: u32,
@@ -35,7 +35,7 @@
 /// End of a job, in the reduced form kept for jobs that only the history lists.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobEnd {
-    /// How the job ended.
+    /// Outcome of the job: done or cancelled.
     pub end: End,
     /// Number of the job's tasks.
     pub task_count: u32,
