--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -31,7 +31,7 @@
     /// cores count as idle while tasks wait only up to these numbers.
     usable_here: f64,
     usable_elsewhere: f64,
-    /// Use as which free cores beyond these numbers count.
+    /// Use that is counted for free cores beyond `usable_here` and `usable_elsewhere`.
     surplus_use: CoreUse,
 }
 
--- a/crates/cherryyard-core/src/admission/allowance.rs
+++ b/crates/cherryyard-core/src/admission/allowance.rs
@@ -39,7 +39,8 @@
 /// Time that the leader adds to the lifetime of an allowance, in milliseconds, because clocks run
 /// at different rates.
 const CLOCK_DRIFT_MS: u32 = ALLOWANCE_LIFETIME_MS / 50;
-/// Largest number of grants in an account. Further changes wait for an acknowledgement.
+/// Largest number of grants in an account: the last acknowledged one, if there is one, and those
+/// that are not acknowledged yet. A full account takes no further grant before an acknowledgement.
 const MAX_GRANTS: usize = 6;
 
 /// A reading of any clock of which only differences and order are used.
@@ -102,8 +103,8 @@
         amounts.max().unwrap_or(0)
     }
 
-    /// Grants an allowance of `amount` from heartbeat `number` on. Does nothing if the account is
-    /// full of grants that wait for an acknowledgement.
+    /// Grants an allowance of `amount` from heartbeat `number` on. Does nothing if the allowance is
+    /// that large already or the account holds `MAX_GRANTS` grants.
     pub fn grant(&mut self, number: u64, amount: Amount) {
         if self.current() == amount || self.grants.len() >= MAX_GRANTS {
             return;
@@ -146,8 +147,8 @@
     now.is_after(since, predecessor_lifetime) && !now.is_after(lease_seen, LEASE_SEEN_LIFETIME_MS)
 }
 
-/// Returns whether all allowances of an owner have expired whose last heartbeat the leader received
-/// at `heard_at`.
+/// Returns whether all allowances of an owner have expired, given that the leader received the last
+/// heartbeat from this owner at `heard_at`.
 pub fn has_lapsed<T: Time>(heard_at: T, now: T) -> bool {
     now.is_after(heard_at, ALLOWANCE_LIFETIME_MS + CLOCK_DRIFT_MS)
 }
@@ -166,9 +167,10 @@
 }
 
 impl<T: Time> Allowance<T> {
-    /// Returns the allowance that the owner holds after it has received `new`. A grant from an
-    /// earlier leader, an earlier lease of the shard or an earlier heartbeat changes nothing, and
-    /// under the same leases the start of the lifetime never moves back.
+    /// Returns the allowance that the owner holds after it has received `new`: the one with the
+    /// higher token of the leader's lease; if these are equal, with the higher token of the shard's
+    /// lease; if these are equal too, with the higher heartbeat number. Under the same leases the
+    /// start of the lifetime never moves back.
     pub fn newer(known: Option<Self>, new: Self) -> Self {
         match known {
             Some(known) if (known.leases, known.number) > (new.leases, new.number) => known,
--- a/crates/cherryyard-core/src/admission/entitlements/division.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/division.rs
@@ -12,12 +12,12 @@
 /// Accounts of what the leader has granted, by flow and shard.
 pub(super) type Accounts = BTreeMap<FlowShard, AllowanceAccount>;
 
-/// Divisor of a flow's guarantee that gives the smallest change of an allowance: the leader skips
-/// smaller changes, because changes wait for acknowledgements and the number of unacknowledged ones
-/// is limited.
+/// Divisor of a flow's guarantee that gives the threshold for a change: the leader changes an
+/// allowance only if the wanted amount differs from it by more than this part of the guarantee,
+/// because each change has to be acknowledged and an account holds a limited number of grants.
 const MIN_CHANGE_DIVISOR: Amount = 50;
 
-/// State of a shard's owner as the leader has it.
+/// State of a shard's owner, as recorded by the leader.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShardOwner {
     /// Fencing token of the shard's lease.
--- a/crates/cherryyard-core/src/admission/entitlements/mod.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/mod.rs
@@ -5,8 +5,8 @@
 //! waiting cores of each flow with its fair-share guarantee. If a flow has run less for long
 //! enough, the leader divides the guarantee into allowances for the owners ([`division`]), which
 //! are sent in heartbeats ([`heartbeat_numbers`]). An owner without an allowance in force starts
-//! nothing ahead of rank, and still preempts no tasks of a flow that it was told is ahead of rank
-//! until that information is a window old. Both are the conservative choices.
+//! nothing ahead of rank, and still preempts no tasks of a flow that the leader last reported as
+//! ahead of rank until that report is a window old. Both are the conservative choices.
 
 mod division;
 mod heartbeat_numbers;
@@ -42,13 +42,13 @@
     guarantee: 0.0,
 };
 
-/// What the owner of a shard may do for flows that are ahead of rank, in cores by flow.
+/// Limits on what the owner of a shard may do for flows that are ahead of rank, in cores by flow.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnerEntitlement {
-    /// Cores that it may start ahead of rank.
+    /// Cores of the flow that the owner may start ahead of rank.
     pub start: HashMap<Flow, f64>,
-    /// Cores of the flow that it may preempt for others. Flows that are not in this map may be
-    /// preempted as their rank allows.
+    /// Cores of the flow that the owner may preempt for others. Flows that are not in this map may
+    /// be preempted as their rank allows.
     pub stop: HashMap<Flow, f64>,
 }
 
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acknowledgement {
     pub(crate) number: Option<u64>,
-    /// Time at which this controller sent it, if that is still kept.
+    /// Time at which this controller sent that heartbeat, if the time is still kept.
     pub(crate) sent_at: Option<Millis>,
 }
 
@@ -325,7 +325,8 @@
     }
 
     /// Applies a heartbeat of the leader: `ahead` are the flows that are ahead of rank with their
-    /// guarantees in cores, `granted` the allowances for shards of this controller.
+    /// guarantees in cores, `granted` the allowances for shards of this controller. All other flows
+    /// count as served from now on, and their allowances are dropped.
     pub(crate) fn grants_received(
         &mut self,
         ahead: &[(Flow, f64)],
@@ -354,7 +355,7 @@
 }
 
 /// Returns the allowance that heartbeat `number` of the leader grants. `sent_at` is when this
-/// controller sent the heartbeat that it acknowledges, from which the lifetime counts.
+/// controller sent the heartbeat that the leader's acknowledges; the lifetime counts from then.
 pub(crate) fn granted_allowance(
     grant: &LevelGrant,
     number: u64,
--- a/crates/cherryyard-core/src/admission/fair_share_guarantee.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_guarantee.rs
@@ -54,7 +54,8 @@
 /// Returns the weighted max-min fair shares of `total`, each at most its claim.
 pub fn weighted_max_min(claims: &[f64], weights: &[f64], total: f64) -> Vec<f64> {
     let mut shares = vec![0.0; claims.len()];
-    // Sorted by claim per unit of weight: a claim that is smaller in this order is met earlier.
+    // By claim per unit of weight: shares that grow in proportion to the weights meet the claims in
+    // this order.
     let mut order: Vec<usize> = (0..claims.len()).filter(|&i| weights[i] > 0.0).collect();
     order.sort_by(|&a, &b| (claims[a] / weights[a]).total_cmp(&(claims[b] / weights[b])));
     let mut remaining = total.max(0.0);
--- a/crates/cherryyard-core/src/admission/fair_share_status.rs
+++ b/crates/cherryyard-core/src/admission/fair_share_status.rs
@@ -9,7 +9,8 @@
 /// Multiple of its guarantee that a flow has to run for [`Coverage::Ample`].
 const AMPLE_MULTIPLE: f64 = 1.2;
 
-/// Fair-share status of a flow, and the time since which it has lasted where it has to last.
+/// Fair-share status of a flow. The time in a variant is the start of the window after which the
+/// status changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FairShareStatus {
     /// The flow has its guarantee, or has nothing waiting.
@@ -25,7 +26,7 @@
     Easing(Millis),
 }
 
-/// How much of its guarantee a flow runs.
+/// Part of its guarantee that a flow runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Coverage {
     /// Less than the guarantee, beyond the tolerance.
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -115,8 +115,9 @@
         commit
     }
 
-    /// Returns a transaction with one record for each of the next submissions: used before the
-    /// admission log is, and for the few submissions at a controller that is not the leader.
+    /// Returns a transaction with one record for each of the next submissions. This form is used
+    /// until the admission log is in use, and for the few submissions at a controller that is not
+    /// the leader.
     fn admit_by_records(&mut self, now: Millis) -> Commit {
         let affordable = self.user_write_budget.left(now) as usize;
         let max_count = self.config.txn_ops.min(affordable);
@@ -289,7 +290,8 @@
         }
     }
 
-    /// Returns whether a flow is served ahead of rank, as far as this controller has been told.
+    /// Returns whether a flow is served ahead of rank, by the status that this controller last
+    /// computed or received from the leader.
     pub(crate) fn is_ahead(&self, flow: Flow, now: Millis) -> bool {
         let window_ms = self.fair_share_window_ms();
         self.entitlements.is_ahead(flow, window_ms, now)
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -18,14 +18,14 @@
 use cherryyard_wire::state::Commit;
 use std::collections::HashSet;
 
-/// Longest time for which a submission is queued, in milliseconds. Users give up after 5 s, and one
-/// who is told earlier to retry may reach a controller that is less busy.
+/// Longest time for which a submission is queued, in milliseconds. Users give up after 5 s, and a
+/// user who is refused earlier may reach a less busy controller with the retry.
 const MAX_QUEUED_MS: f64 = 1200.0;
 /// Capacity of the queue, in seconds of the throughput that the write budget allows.
 const QUEUE_CAPACITY_S: f64 = 0.8;
-/// Lower bound of the queue's capacity, and the number of job ends kept in memory for each
-/// submission of its upper bound. A submission takes about 1 KiB, so that a full queue takes at
-/// most 1/64 of the memory.
+/// Lower bound of the queue's capacity, and the divisor of the number of job ends kept in memory
+/// that gives the upper bound. A submission takes about 1 KiB, so that a full queue takes at most
+/// 1/64 of the memory.
 const MIN_QUEUE_CAPACITY: usize = 16;
 const RECENT_ENDS_PER_SUBMISSION: usize = 16;
 /// Time in milliseconds after which a transaction without an answer counts as stuck.
@@ -34,6 +34,7 @@
 /// record each instead of as a page.
 const MAX_SEPARATE_RECORDS: usize = 3;
 /// Number of failed writes of a submission after which it is answered with [`Verdict::Failed`].
+/// Writes that the state service refused do not count.
 const MAX_TRIES: u32 = 4;
 /// Largest transaction with one record per submission, in bytes.
 const MAX_RECORDS_BYTES: usize = 40 * 1024;
@@ -124,7 +125,8 @@
 
     /// Returns how long the oldest queued submission has waited, in milliseconds; 0 if the state
     /// service does not answer. Other controllers wait longer for the submissions that they forward
-    /// to a controller with a long queue, which is useless if that controller cannot write.
+    /// to a controller that reports a long wait. If a controller that is cut off from the state
+    /// service reported one, they would wait too long for a controller that cannot write.
     pub(crate) fn wait_ms(&self, now: Millis) -> f64 {
         if self.is_writing() && now - self.sent_at > STUCK_AFTER_MS {
             return 0.0;
--- a/crates/cherryyard-core/src/admission/queue/late_jobs.rs
+++ b/crates/cherryyard-core/src/admission/queue/late_jobs.rs
@@ -54,7 +54,7 @@
         while let Some(&(at, job)) = self.jobs_by_age.first() {
             let cost = cores(job);
             if self.credit + ROUNDING < cost {
-                // The credit is limited to the cores of one job.
+                // The saved credit is limited to the cores of one job.
                 self.credit = self.credit.min(cost);
                 break;
             }
--- a/crates/cherryyard-core/src/admission/queue/service_order.rs
+++ b/crates/cherryyard-core/src/admission/queue/service_order.rs
@@ -92,8 +92,8 @@
         Some((flow as Flow, place))
     }
 
-    /// Puts back the job of a flow that was returned last, so that [`Self::step`] returns it once
-    /// more. Does nothing if the flow is closed.
+    /// Puts back the job of a flow that was returned last, so that [`Self::step`] returns it again
+    /// when its place in the order is reached. Does nothing if the flow is closed.
     pub fn back(&mut self, flow: Flow, place: Place) {
         let index = flow as usize;
         if let Some(queue) = self.queues.get(index)
--- a/crates/cherryyard-core/src/admission/submission.rs
+++ b/crates/cherryyard-core/src/admission/submission.rs
@@ -38,7 +38,8 @@
     pub(crate) offer: Offer,
     /// Time at which the submission arrived.
     pub(crate) queued_at: Millis,
-    /// Number of transactions with this submission that failed.
+    /// Number of transactions with this submission that failed, without those that the state
+    /// service refused.
     pub(crate) tries: u32,
     /// Fencing token of the leader's lease under which the job was divided among the shards.
     pub(crate) divided_under: Option<u64>,
--- a/crates/cherryyard-core/src/admission/submission_queue.rs
+++ b/crates/cherryyard-core/src/admission/submission_queue.rs
@@ -64,15 +64,15 @@
         self.len += 1;
     }
 
-    /// Puts a submission that was taken back to the front of its flow's queue.
+    /// Inserts a submission that was taken from its flow's queue again at the front.
     pub(super) fn put_back(&mut self, waiting: WaitingSubmission) {
         let flow = waiting.offer.open.flow;
         self.queues.entry(flow).or_default().push_front(waiting);
         self.len += 1;
     }
 
-    /// Evicts the newest submission of the longest queue to make room for one of `flow`, if that
-    /// queue is longer than the queue of `flow` becomes by the new submission.
+    /// Evicts the newest submission of the longest queue in favor of a new one of `flow`, if that
+    /// queue is longer than the queue of `flow` with the new submission.
     pub(super) fn evict_for(&mut self, flow: Flow) -> Option<WaitingSubmission> {
         let own = self.queues.get(&flow).map_or(0, VecDeque::len);
         let longest = self.queues.values_mut().max_by_key(|queue| queue.len())?;
--- a/crates/cherryyard-core/src/admit.rs
+++ b/crates/cherryyard-core/src/admit.rs
@@ -23,7 +23,7 @@
     /// The job can never run.
     #[error(transparent)]
     Never(NeverRuns),
-    /// Whether the job can run cannot be decided yet.
+    /// The check is not possible yet, because information is missing.
     #[error(transparent)]
     NotYet(NotYet),
 }
@@ -216,8 +216,8 @@
     }))
 }
 
-/// Checks the team's limit: all tasks of a service have to fit it together, the tasks of an array
-/// one by one.
+/// Checks the team's limit: all tasks of a service together have to be within it, but only one task
+/// of an array.
 fn check_team_limit(spec: &JobSpec, team: u32, config: &Config) -> Result<(), NeverRuns> {
     let team = &config.teams[team as usize];
     let count = match spec.shape {
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -35,9 +35,10 @@
 const RECENT_ENDS_MEMORY_DIVISOR: usize = 64;
 const RECENT_END_BYTES: usize = 64;
 
-/// Largest drift of a clock against another, as a factor of the measured time.
+/// Largest factor by which a time measured by one clock can be longer by another clock.
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-/// Rate of the slowest clock relative to another.
+/// Lowest rate of a clock relative to another: the factor by which a time can be shorter by the
+/// slowest clock.
 const SLOWEST_CLOCK: f64 = 0.999;
 
 /// Settings that operators may change, each with a default.
@@ -157,7 +158,7 @@
 
 /// Longest time in milliseconds for which a peer's heartbeat is relied on. The time counts from
 /// when this controller sent the heartbeat that the peer's acknowledges, which is up to a second
-/// earlier.
+/// before the peer's was sent.
 const MAX_HEARTBEAT_AGE_MS: f64 = 3500.0;
 /// Safety margin as a share of the time within which the tasks of a cancelled job must be gone, and
 /// the smallest margin in milliseconds.
--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -23,7 +23,7 @@
     Never(DependencyError),
 }
 
-/// Fault in its dependencies because of which a submission could never run.
+/// Fault in the dependencies of a submission because of which it could never run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DependencyError {
     /// The list of dependencies is malformed.
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -46,8 +46,8 @@
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
             // Other controllers may rely on the cancellation not being confirmed to any user yet.
-            // This does not apply to a job cancelled because of a job that it depends on: it has
-            // never had a task.
+            // This does not matter for a job that was cancelled with a job that it depends on,
+            // because such a job has never had a task.
             Some((JobStatus::Cancelled, view))
                 if view.cancelled_by.is_none() && !self.may_confirm_cancelled(job, now) =>
             {
@@ -155,8 +155,8 @@
     }
 
     /// Returns how much longer than usual a submission forwarded to the controller `label` may take
-    /// there, in milliseconds: how long its oldest queued submission has waited, by its last
-    /// heartbeat.
+    /// there, in milliseconds: the wait of the oldest submission queued there, by the controller's
+    /// last heartbeat.
     pub fn intake_ms(&self, label: &str) -> u64 {
         let peer = self.place_of(label).and_then(|index| self.peers.get(index));
         peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
--- a/crates/cherryyard-core/tests/hang_model.rs
+++ b/crates/cherryyard-core/tests/hang_model.rs
@@ -46,8 +46,8 @@
     token: u8,
     /// Time since which the present owner owns the shard.
     owned_since: u8,
-    /// Time since which the owner has received nothing from the machine, at the earliest the start of
-    /// its ownership.
+    /// Time since which the owner has received nothing from the machine; at the earliest the time
+    /// at which it became the owner.
     silent_since: u8,
     /// Highest fencing token that the worker has seen.
     worker_token: u8,
@@ -192,7 +192,7 @@
     });
     add(state.is_hanging, &|after| {
         // The machine resumes, and executes the start before it notices that its incarnation may
-        // have ended.
+        // have ended. In the other order the start would be dropped.
         after.is_hanging = false;
         execute_start(after);
     });
--- a/crates/cherryyard-core/tests/lease_model.rs
+++ b/crates/cherryyard-core/tests/lease_model.rs
@@ -25,10 +25,10 @@
 const REPORT_VALIDITY: u8 = 1;
 /// Longest time that the list of cancellations in a heartbeat reaches back.
 const LIST_REACH: u8 = 2;
-/// Longest time between the last covered heartbeat of a process that was cut off and the start of a
-/// later list for which the list counts as following without a gap. For longer than this a
-/// controller that has reported itself as cut off confirms no cancellation that the other may not
-/// know of.
+/// Longest time from the end of the coverage to the start of a later list of cancellations, such as
+/// that of a restarted process, for which the list counts as following without a gap. The heartbeat
+/// that extended the coverage must have reported its sender as cut off: a controller that has
+/// reported this waits for longer before it confirms a cancellation that the other may not know of.
 const CONFIRMATION_PAUSE: u8 = 1;
 /// Time since its last read for which an owner answers the worker without relying on an outage.
 const CUT_OFF_BOUND: u8 = CANCEL_DEADLINE - WORKER_LEASE - 1;
@@ -70,17 +70,18 @@
     newest_received: Option<u8>,
     /// Time at which the newest heartbeat that the other controller has acknowledged was sent.
     newest_acknowledged: Option<u8>,
-    /// Token of its own lease on the shard; 0 if it holds none.
+    /// Token of the controller's own lease on the shard; 0 if there is none.
     token: u8,
-    /// Token and owner of the shard's newest lease that it has read.
+    /// Token and owner of the shard's newest lease that the controller has read.
     shard_lease: (u8, usize),
     /// Time of its last answer to the worker.
     answered: u8,
     /// Whether the worker has shown the controller's token.
     token_confirmed: bool,
-    /// Time at which it learnt of the cancellation, by the state service or by a heartbeat.
+    /// Time at which the controller learnt of the cancellation, by the state service or by a
+    /// heartbeat.
     learnt: Option<u8>,
-    /// Whether a heartbeat has announced the cancellation to it.
+    /// Whether a heartbeat has announced the cancellation to the controller.
     announced: bool,
     /// Whether its own heartbeats list the cancellation, which they do not if it was found in the
     /// first read.
@@ -226,7 +227,8 @@
         self.last_contact <= self.covered_to.max(self.last_read)
     }
 
-    /// Returns whether it may confirm to the user the cancellation that it has learnt of.
+    /// Returns whether the controller may confirm to the user the cancellation that it has learnt
+    /// of.
     fn may_confirm(&self, now: u8) -> bool {
         let acknowledged_since = |at: u8| self.newest_acknowledged.is_some_and(|sent| sent > at);
         let listed = self.learnt.filter(|_| self.listed);
@@ -521,7 +523,8 @@
             state.reachable[index] && !state.controllers[index].has_read
         });
         let is_fresh = controller.has_read && state.reachable[index];
-        // A controller that reads the current state acquires the shard's lease.
+        // A controller that reads the current state acquires the shard's lease. This stands for an
+        // acquisition after the owner's lease has expired, which the model does not check.
         add(&|successor| {
             successor.shard_lease = (state.shard_lease.0 + 1, index);
             let controller = &mut successor.controllers[index];
--- a/crates/cherryyard-core/tests/share_model.rs
+++ b/crates/cherryyard-core/tests/share_model.rs
@@ -35,7 +35,7 @@
 const FIRST_STEP: u8 = 4;
 /// Last step of a run.
 const LAST_STEP: u8 = 9;
-/// Number of an owner's last messages whose times of sending it remembers.
+/// Number of its last messages for which an owner records when they were sent.
 const REMEMBERED_MESSAGES: u64 = 4;
 /// Number of states at which a run is aborted; the runs of this file need far fewer.
 const MAX_STATES: usize = 12_000_000;
@@ -69,11 +69,11 @@
 struct Leader {
     /// Fencing token of its leadership lease.
     token: u64,
-    /// Whether it believes that it leads.
+    /// Whether the controller assumes that it leads.
     leads: bool,
-    /// Time since which it leads.
+    /// Time since which the controller leads.
     leads_since: Step,
-    /// Time at which it last read its own lease from the state service.
+    /// Time at which the controller last read its own lease from the state service.
     lease_seen_at: Step,
     /// Allowances granted to each owner.
     accounts: [AllowanceAccount; 2],
