--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -26,10 +26,11 @@
     waiting: Vec<(u64, &'a OpenJob)>,
     /// Resources that each team uses in the shard.
     used: Vec<Needs>,
-    /// Cores that waiting tasks of this shard, and this shard's part of the cores that waiting
-    /// tasks of other shards, could use, without the idle cores counted against them so far. Free
-    /// cores count as idle while tasks wait only up to these numbers.
+    /// Cores that waiting tasks of this shard could use, without the idle cores counted so far for
+    /// these tasks. No more free cores than this count as idle while tasks wait in the shard.
     usable_here: f64,
+    /// This shard's part of the cores that waiting tasks of other shards could use, without the
+    /// idle cores counted so far for these tasks.
     usable_elsewhere: f64,
     /// Use that is counted for free cores beyond `usable_here` and `usable_elsewhere`.
     surplus_use: CoreUse,
--- a/crates/cherryyard-core/src/admission/entitlements/mod.rs
+++ b/crates/cherryyard-core/src/admission/entitlements/mod.rs
@@ -23,9 +23,9 @@
 use std::collections::{BTreeMap, HashMap};
 use usage::FlowUse;
 
-/// Time between two reviews by the leader in milliseconds, without and with a flow that is ahead of
-/// rank.
+/// Time between two reviews by the leader in milliseconds while no flow is ahead of rank.
 const REVIEW_INTERVAL_MS: f64 = 1000.0;
+/// Time between two reviews by the leader in milliseconds while a flow is ahead of rank.
 const REVIEW_INTERVAL_AHEAD_MS: f64 = 500.0;
 
 /// Fair-share status and guarantee of a flow.
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -23,10 +23,10 @@
 const MAX_QUEUED_MS: f64 = 1200.0;
 /// Capacity of the queue, in seconds of the throughput that the write budget allows.
 const QUEUE_CAPACITY_S: f64 = 0.8;
-/// Lower bound of the queue's capacity, and the divisor of the number of job ends kept in memory
-/// that gives the upper bound. A submission takes about 1 KiB, so that a full queue takes at most
-/// 1/64 of the memory.
+/// Lower bound of the queue's capacity.
 const MIN_QUEUE_CAPACITY: usize = 16;
+/// Divisor of the number of job ends kept in memory that gives the upper bound of the queue's
+/// capacity. A submission takes about 1 KiB, so that a full queue takes at most 1/64 of the memory.
 const RECENT_ENDS_PER_SUBMISSION: usize = 16;
 /// Time in milliseconds after which a transaction without an answer counts as stuck.
 const STUCK_AFTER_MS: f64 = 300.0;
@@ -97,8 +97,9 @@
 pub struct Intake {
     phase: Phase,
     queue: SubmissionQueue,
-    /// Submissions in the transaction that is under way, and when it was sent.
+    /// Submissions in the transaction that is under way.
     sent: Vec<WaitingSubmission>,
+    /// Time at which the last transaction was sent.
     sent_at: Millis,
     retry_schedule: RetrySchedule,
 }
--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -16,9 +16,9 @@
 /// Largest page of assignments in bytes, whatever the state service's limit on values: each page is
 /// sent to all controllers whenever it changes.
 const MAX_PAGE_BYTES: usize = 12 * 1024;
-/// Number of bytes of the largest value that a page of assignments leaves free, and the lower bound
-/// of the page's size in bytes.
+/// Number of bytes of the largest value that a page of assignments leaves free.
 const PAGE_MARGIN_BYTES: usize = 64;
+/// Lower bound of the largest page of assignments in bytes.
 const MIN_PAGE_BYTES: usize = 256;
 
 /// Shares of the write budget for the scheduling cycles of all owners together, for users' writes,
@@ -30,9 +30,9 @@
 /// Share of the rate of all requests to the state service that reads of the history may use.
 const HISTORY_READS_SHARE: f64 = 0.1;
 
-/// Divisor of the memory that gives the part for the ends of jobs, and the approximate size of one
-/// end in bytes.
+/// Divisor of the memory that gives the part for the ends of jobs.
 const RECENT_ENDS_MEMORY_DIVISOR: usize = 64;
+/// Approximate size of one end of a job in memory, in bytes.
 const RECENT_END_BYTES: usize = 64;
 
 /// Largest factor by which a time measured by one clock can be longer by another clock.
@@ -160,9 +160,9 @@
 /// when this controller sent the heartbeat that the peer's acknowledges, which is up to a second
 /// before the peer's was sent.
 const MAX_HEARTBEAT_AGE_MS: f64 = 3500.0;
-/// Safety margin as a share of the time within which the tasks of a cancelled job must be gone, and
-/// the smallest margin in milliseconds.
+/// Safety margin as a share of the time within which the tasks of a cancelled job must be gone.
 const CANCEL_MARGIN_SHARE: f64 = 0.05;
+/// Lower bound of that safety margin in milliseconds.
 const MIN_CANCEL_MARGIN_MS: f64 = 1500.0;
 
 /// Configuration of one controller.
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -16,8 +16,9 @@
 /// Longest time in milliseconds for which a leader relies on the last time that it saw its own
 /// lease.
 const LEASE_SEEN_MS: Millis = 3000.0;
-/// Factors by which the other side waits longer than these two times, as clocks drift apart.
+/// Factor by which a lender waits longer than [`LOAN_MS`], as clocks drift apart.
 const LOAN_DRIFT_FACTOR: f64 = 1.25;
+/// Factor by which a new leader waits longer than [`LEASE_SEEN_MS`], as clocks drift apart.
 const LEASE_SEEN_DRIFT_FACTOR: f64 = 1.01;
 
 /// Event-loop lag in milliseconds above which polls are refused at once: together with the wait for
