--- a/crates/cherryyard-clients/src/http.rs
+++ b/crates/cherryyard-clients/src/http.rs
@@ -16,7 +16,7 @@
     /// No complete response was received: the request may have taken effect, or may still do so.
     #[error("no answer")]
     NoAnswer,
-    /// The response is larger than the caller's bound; the server has handled the request.
+    /// The response is larger than the caller's bound; the server has already handled the request.
     #[error("too large an answer")]
     ResponseTooLarge,
 }
--- a/crates/cherryyard-clients/src/state.rs
+++ b/crates/cherryyard-clients/src/state.rs
@@ -9,9 +9,9 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Largest response that is read, in bytes. A page of a full read has at most 512 KiB; a larger
-/// watch response is replaced by a full read in pages. While its values are parsed, a response is
-/// in memory twice.
+/// Largest response that is read, in bytes. A page of a full read has at most 512 KiB. A watch
+/// response beyond this maximum is replaced by a full read in pages. While the values are taken
+/// out of a response, it is in memory twice.
 const MAX_RESPONSE: usize = 4 * 1024 * 1024;
 /// Keys per page of a full read.
 const PAGE_SIZE: usize = 1000;
--- a/crates/cherryyard-wire/src/cloud.rs
+++ b/crates/cherryyard-wire/src/cloud.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceStatus {
-    /// The machine boots, or is up and the list does not show that yet.
+    /// The machine boots. As the list lags behind, the machine may already be in another state.
     Starting,
     /// The machine is up.
     Running,
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -280,7 +280,7 @@
     pub chunks: u32,
 }
 
-/// Response with the limit that a client needs before it sends chunks, and all submissions.
+/// Response with the limit that a client needs before it sends chunks, and the newest submissions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmissionList {
     /// Maximum size of the JSON of a chunk's jobs (fields `t` and `r`), in bytes.
--- a/crates/cherryyard-wire/src/error.rs
+++ b/crates/cherryyard-wire/src/error.rs
@@ -104,7 +104,7 @@
     /// Number is below the minimum, or not finite.
     #[error("must be {least} or more")]
     BelowLeast {
-        /// Minimum.
+        /// Smallest allowed value.
         least: u32,
     },
     /// Job has more than [`MAX_DEPENDENCIES`] dependencies.
--- a/crates/cherryyard-wire/src/job.rs
+++ b/crates/cherryyard-wire/src/job.rs
@@ -145,7 +145,7 @@
     Running,
     /// All tasks are completed.
     Done,
-    /// The job is cancelled.
+    /// The job was cancelled, by its user or because a job that it depends on was cancelled.
     Cancelled,
 }
 
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -10,8 +10,8 @@
 //! The version is negotiated per connection: the accepting controller sends a greeting, a frame
 //! of version 9, and the connecting controller writes version 9 only after it has received that
 //! greeting, else version 8. A connecting controller of an earlier build never reads from the
-//! connection, so the greeting does not disturb it. So every controller receives only versions
-//! that it can read, whichever build it is of.
+//! connection, so it ignores the greeting. Thus every controller receives only versions that it
+//! can read, whichever build it is of.
 
 use bitcode::{Decode, Encode};
 use thiserror::Error;
@@ -120,11 +120,11 @@
     /// Capacity reports of the shards that the sender owns; empty in heartbeats in which none
     /// is due.
     pub shards: Vec<CapacityReport>,
-    /// From the leader: names of teams whose shards need more than the grants of the team's
-    /// limit that they hold. Owners return the grants that their shards do not need.
+    /// From the leader: names of teams of which some shard needs more of the team's limit than
+    /// its grant. Owners return the parts of grants that their shards do not need.
     pub short: Vec<String>,
     /// Services that the sender offers to hand over to other shards because only these hold
-    /// the services' images, as (shard, job number).
+    /// the services' images, as (present shard, job number).
     pub handing: Vec<(u32, u64)>,
     /// Workers of other controllers' shards that have recently sent their heartbeats to the
     /// sender and that the sender can reach, as (shard, estimated number of workers).
@@ -203,7 +203,7 @@
     /// Waiting tasks by job, as (job number, number of tasks, waiting time in
     /// seconds).
     pub waiting: Vec<(u64, u32, f32)>,
-    /// What the shard uses and needs of each team's limit, as (team, cores, accelerators).
+    /// Part of each team's limit that the shard uses and needs, as (team, cores, accelerators).
     pub wants: Vec<(String, f64, f64)>,
 }
 
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -28,12 +28,13 @@
 pub enum JobRecord {
     /// Record of a job that has ended.
     Ended {
-        /// How the job ended.
+        /// Way in which the job ended.
         end: End,
         /// Number of the job's tasks.
         #[serde(rename = "n")]
         task_count: u32,
-        /// What each task counts against the team's limit while it may still be on a machine.
+        /// Resources that each task counts against the team's limit while it may still be on a
+        /// machine.
         #[serde(default, rename = "use")]
         usage: TaskUsage,
         /// Generation of the history that the end belongs to; 0 in records written before the
@@ -49,7 +50,7 @@
     Open {
         /// Job as it was submitted.
         spec: Box<JobSpec>,
-        /// Wall-clock time of the submission, in milliseconds.
+        /// Time of the submission, in milliseconds since the Unix epoch.
         at: u64,
         /// Division of the job: each shard's task numbers; empty until the leader has divided
         /// the job.
--- a/crates/cherryyard-wire/src/settings.rs
+++ b/crates/cherryyard-wire/src/settings.rs
@@ -14,7 +14,7 @@
     pub public_addr: String,
     /// Address on which this controller accepts connections of other controllers.
     pub peer_listen: String,
-    /// Other controllers.
+    /// Addresses and zones of the other controllers.
     #[serde(default)]
     pub known: Vec<Peer>,
     /// Addresses of the external services.
@@ -136,7 +136,8 @@
 pub struct Workers {
     /// Usual interval between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Time for which a heartbeat with a response keeps a worker's tasks running, in seconds.
+    /// Time for which a worker's tasks keep running after a heartbeat that was answered, in
+    /// seconds.
     pub lease_s: f64,
     /// Time within which the tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
--- a/crates/cherryyard-wire/src/state.rs
+++ b/crates/cherryyard-wire/src/state.rs
@@ -42,7 +42,7 @@
 /// Key with its value.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Pair {
-    /// Key.
+    /// Name of the key.
     pub key: String,
     /// Value of the key.
     #[serde(rename = "v")]
@@ -68,7 +68,7 @@
 /// Condition of a transaction on the revision of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct When {
-    /// Key.
+    /// Name of the key.
     pub key: String,
     /// Revision of the last change that the key must have; 0: the key must be absent.
     #[serde(rename = "stamp")]
@@ -129,9 +129,9 @@
 /// Transaction: changes that are applied together if all conditions are met.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Commit {
-    /// Conditions.
+    /// Conditions, all of which must be met for the changes to be applied.
     pub when: Vec<When>,
-    /// Changes.
+    /// Changes, which are applied all or not at all.
     pub apply: Vec<Apply>,
 }
 
--- a/crates/cherryyard-wire/src/worker.rs
+++ b/crates/cherryyard-wire/src/worker.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Heartbeat of a worker: its machine, and the status of all tasks on that.
+/// Heartbeat of a worker: its machine, and the status of all tasks on the machine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
     /// Name of the machine.
--- a/crates/cherryyard-wire/tests/page.rs
+++ b/crates/cherryyard-wire/tests/page.rs
@@ -112,7 +112,8 @@
 }
 
 /// Three hundred tasks of five jobs on a hundred machines take less than 1500 bytes, and less than
-/// half of their JSON. Guards against an encoding that lets a page hold fewer tasks.
+/// half of their JSON. Guards against a less compact encoding, with which a page would hold fewer
+/// tasks.
 #[test]
 fn pages_are_small() {
     let mut contents = PageContent::new();
--- a/crates/cherryyard/src/app/barriers.rs
+++ b/crates/cherryyard/src/app/barriers.rs
@@ -20,7 +20,7 @@
 }
 
 impl Barriers {
-    /// Asks the task that serves barriers for a read of the newest state.
+    /// Requests a read of the newest state from the task that serves barriers.
     pub(super) fn request(&self) {
         self.read_requested.notify_one();
     }
--- a/crates/cherryyard/src/cli.rs
+++ b/crates/cherryyard/src/cli.rs
@@ -274,8 +274,8 @@
     }
     spec.waits_on.extend(waits_on);
     spec.check().map_err(CliError::WaitsOn)?;
-    // Edits the JSON value instead of serializing `spec`, to keep fields that this program does
-    // not know.
+    // Edits the JSON value instead of serializing `spec`, to keep fields of the file that are not
+    // in `JobSpec`.
     let value: Result<serde_json::Value, _> = serde_json::from_slice(&body);
     let mut value = value.map_err(|source| CliError::NotJson {
         path: path_text(file),
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -239,7 +239,8 @@
     let next = first + record.jobs;
     commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
     if history_revision > 0 {
-        // Since that revision, jobs with ids of this block may have been added to a leaf.
+        // The transaction fails if the history's record has changed since: jobs with ids of this
+        // block may have been added to a leaf.
         commit.require(cherryyard_wire::record::PACKED, history_revision);
     }
 }
@@ -372,8 +373,9 @@
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MAX_LISTED);
         let list = SubmissionList {
-            // Leaves 64 bytes because admission may lengthen a chunk by writing out what the sender
-            // left out, and the chunk must still fit into a value of the state service.
+            // Leaves 64 bytes because a chunk must fit into a value of the state service as it is
+            // after admission, which may be longer than the chunk that was sent: admission sets
+            // the task count of each template, and numbers are written out (`1` as `1.0`).
             chunk_bytes: controller.config.value_bytes.saturating_sub(64),
             submissions: views
                 .filter_map(|(_, number)| controller.submission_view(number))
@@ -383,8 +385,8 @@
     })
 }
 
-/// Removes a submission; responds with 200 if there is nothing left to remove, and with 202
-/// while its jobs are being cancelled.
+/// Removes a submission; responds with 202 when the removal is recorded and while jobs are being
+/// cancelled, and with 200 once all of its jobs are over or the submission is dropped.
 pub(super) async fn remove_submission(app: &Arc<App>, name: &str) -> ApiResponse {
     let number = submission_number(name);
     for attempt in 0..MAX_ATTEMPTS {
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -334,8 +334,8 @@
         // tasks of a cancelled job take resources from all others.
         app.with(|controller, now| controller.spend_user_write(now));
         match app.commit_for_user(&commit).await {
-            // Applied: the next look-up returns the new state. Malformed: the next attempt
-            // divides the cancellation by the limits as known by then.
+            // Applied: the next look-up returns the new state. Malformed: the next attempt builds
+            // a transaction that is divided to fit the limits as known by then.
             Outcome::Applied(_) | Outcome::Conflict(_) | Outcome::Malformed => {}
             Outcome::Refused => pause_after_refusal(attempt).await,
             Outcome::NoLease | Outcome::Unknown => break,
--- a/crates/cherryyard/src/routes/mod.rs
+++ b/crates/cherryyard/src/routes/mod.rs
@@ -168,9 +168,10 @@
 /// Most bytes of a request head, or of a part of a body, that a connection buffers: the smallest
 /// size that hyper allows.
 const CONNECTION_BUFFER: usize = 8 * 1024;
-/// Memory of a connection with its buffers, in bytes, as found with 1,125 connections. An idle
-/// connection after three heartbeats of 600 bytes takes 16.7 KB (1,500 connections) or 16.5 KB
-/// (4,200), after three of 4,000 bytes 21 KB, each as growth of VmRSS.
+/// Memory that a connection takes with its buffers, in bytes, with 1,125 connections. In a release
+/// build VmRSS grows by 16.7 KB (with 1,500 connections) or 16.5 KB (with 4,200) for each
+/// connection that is idle after three heartbeats of 600 bytes, and by 21 KB after three of 4,000
+/// bytes.
 const CONNECTION_BYTES: usize = 16 * 1024;
 
 /// Returns how many connections are served at once. A quarter of the sockets stays free for
--- a/crates/cherryyard/src/routes/response.rs
+++ b/crates/cherryyard/src/routes/response.rs
@@ -15,7 +15,7 @@
 }
 
 impl ApiResponse {
-    /// Returns a response whose body is the JSON of `body`.
+    /// Returns a response whose body is the JSON of `body`, which is serialized here, once.
     pub(super) fn json(status: StatusCode, body: &impl serde::Serialize) -> Self {
         // Serialization of this project's own types does not fail.
         let body = serde_json::to_vec(body).unwrap_or_default();
--- a/crates/cherryyard/tests/condor.rs
+++ b/crates/cherryyard/tests/condor.rs
@@ -16,7 +16,7 @@
 zone "a" { Department = "posting" }
 "#;
 
-/// Starts a controller and its state service, which knows one machine type in the zone `a`.
+/// Starts a controller and its state service, which holds one machine type, in the zone `a`.
 async fn start() -> (HttpState, Process, Client) {
     let mut state = StateStandIn::default();
     state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -1,5 +1,5 @@
 //! The real program with a simulated state service over loopback: polls of old and unknown jobs,
-//! and a flood of polls for jobs in the history.
+//! and a flood of polls for unknown jobs.
 
 use cherryyard_history::{FinishedJob, Leaf, Level, leaf_key};
 use cherryyard_simulation::http::{Budgets, HttpState};
--- a/crates/cherryyard/tests/pipelines.rs
+++ b/crates/cherryyard/tests/pipelines.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// Starts a controller and its state service, which knows one machine type.
+/// Starts a controller and its state service, which holds one machine type.
 async fn start() -> (HttpState, Process, Client) {
     let mut state = StateStandIn::default();
     state.seed(MACHINE_TYPES_KEY, &[small_machine_type(vec!["a".into()])]);
