--- a/crates/cherryyard-simulation/tests/account.rs
+++ b/crates/cherryyard-simulation/tests/account.rs
@@ -1,11 +1,11 @@
-//! The account of core-seconds: every core is counted once, whatever fails.
+//! Accounting of core-seconds: every core is counted exactly once, whatever fails.
 
 use cherryyard_core::account::CoreUse;
 use cherryyard_simulation::{Setup, World};
 
-/// Twelve machines of 4 cores under one controller; tasks run for 20 s. Idle cores
-/// count as idle only as far as waiting tasks could fill them, and what a dead
-/// machine had done is lost.
+/// Guards against core-seconds that are counted twice or not at all. Idle cores count as idle
+/// only as far as waiting tasks could use them, and the work of a machine that fails counts as
+/// lost. Twelve machines of 4 cores belong to one controller; tasks run for 20 s.
 #[test]
 fn every_core_second_is_accounted_for() {
     let mut w = World::new(Setup {
@@ -18,7 +18,7 @@
         worker.run_ms = 20_000.0;
     }
     w.account();
-    // 12 of 24 places are used.
+    // 12 tasks of 2 cores use half of the 48 cores.
     w.submit(&World::spec("j-000001", "sweep", 12));
     w.run(15.0);
     let half = w.account();
@@ -28,7 +28,7 @@
     assert!((arrays - cores / 2.0).abs() < 0.1 * cores, "{half:?}");
     assert_eq!(half.get(CoreUse::Lost), 0.0);
 
-    // A machine dies with its task; 17 s of 2 cores are lost.
+    // A machine fails with its tasks: about 17 s of 2 cores are lost for each task.
     let dead = w.workers.values().find(|x| !x.tasks.is_empty()).unwrap();
     let (dead, tasks) = (dead.host.clone(), dead.tasks.len() as f64);
     w.workers.remove(&dead);
--- a/crates/cherryyard-simulation/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission under overload: nobody starves, whatever fails meanwhile.
+//! Admission under overload: no class of jobs is starved, whatever fails meanwhile.
 
 use cherryyard_core::admission::intake::Verdict;
 use cherryyard_simulation::{Setup, World};
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// The class of higher rank has ids from here on.
+/// First job number of the class of higher rank; lower numbers belong to the steady class.
 const URGENT: u64 = 1_000_000;
 const CORES: f64 = 2.0;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Cores that each class's tasks take now.
+/// Returns the cores that the running tasks of the steady and of the urgent class use.
 fn running(w: &World) -> (f64, f64) {
     let (mut steady, mut urgent) = (0.0, 0.0);
     for name in w.workers.values().flat_map(|x| x.running_tasks()) {
@@ -52,7 +52,7 @@
     (steady, urgent)
 }
 
-/// Arrivals of both classes: one job every so often, as long as someone can take it.
+/// Jobs of both classes that arrive at fixed intervals while some controller can accept them.
 struct Arrivals {
     next: [u64; 2],
     due: [f64; 2],
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Lets a second pass.
+    /// Submits the jobs due in the next second and runs the world for that second.
     fn second(&mut self, w: &mut World) {
         for class in 0..2 {
             self.due[class] += 1.0 / self.every_s[class];
@@ -92,7 +92,7 @@
     }
 }
 
-/// The mean of what the steady class runs, each second of these.
+/// Returns the mean number of cores that the steady class uses over these seconds.
 fn steady_over(w: &mut World, arrivals: &mut Arrivals, seconds: usize) -> f64 {
     let mut sum = 0.0;
     for _ in 0..seconds {
@@ -111,9 +111,10 @@
     (0..w.controllers.len()).find(leads)
 }
 
-/// The higher rank asks for several times all there is, for minutes. The other class
-/// asks for a third: it gets its floor, whatever its rank, and keeps it while the
-/// leader ends, another controller is frozen and one is cut off from its peers.
+/// Guards against starvation by a class of higher rank that demands several times the capacity
+/// for minutes. The other class demands a third of the cores and gets its guaranteed share
+/// despite its lower rank, also while the leader ends, another controller is frozen and a third
+/// is cut off from its peers.
 #[test]
 fn a_flood_of_the_higher_rank_starves_nobody() {
     let mut w = cluster(fleet(3, 40));
@@ -144,9 +145,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The lower rank floods: the higher one loses nothing by it. A class that comes up after
-/// long silence gets its floor from a flood of the other, and so does one of single
-/// tasks beside one of large arrays.
+/// Guards against starvation in three cases: the class of higher rank loses nothing to a flood
+/// of the lower one; a class that submits again after a long pause gets its guaranteed share
+/// during a flood of the other; and so does a class of single tasks beside one of large arrays.
 #[test]
 fn floods_of_the_lower_rank_and_classes_after_silence() {
     let mut w = cluster(fleet(3, 40));
@@ -170,9 +171,10 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The burst begins while the leader stands still; the state service is down for 12 s in
-/// it; half of the machines are lost with their zone. Nothing is broken, and once there
-/// is a leader the class of lower rank has its floor of what is left.
+/// Guards against starvation and broken rules when faults overlap a burst of jobs: the leader
+/// is frozen as the burst begins, the state service is down for 12 s, and a zone with half of
+/// the machines is lost. Once there is a leader, the class of lower rank has its guaranteed
+/// share of the remaining cores.
 #[test]
 fn a_burst_with_troubles() {
     let mut w = cluster(Setup {
@@ -209,13 +211,14 @@
         let steady = steady.filter(|name| name.len() < 12);
         had += steady.count() as f64 * CORES / 20.0;
     }
-    // 120 cores are left, so the floor is 30.
+    // 120 cores are left, so the guaranteed share is 30.
     assert!(had > 20.0, "{had}");
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// What one class floods is its own loss: the other's submissions all go in at once,
-/// those who are sent away are told different times, and all that is taken runs.
+/// Guards against a flood of submissions of one class that delays another class: all
+/// submissions of the other class are accepted within a second, rejected users get different
+/// times to retry, and every accepted job runs.
 #[test]
 fn a_flood_of_submissions_lengthens_its_own_queue() {
     let mut w = cluster(Setup {
@@ -233,7 +236,7 @@
             few.push(w.offer(leader_index, &spec(1 + i, 1), None));
         }
     }
-    // Thousands come again, as if nobody had answered.
+    // All submissions are repeated, as if no response had arrived.
     for i in 0..3000 {
         flood.push(w.offer(leader_index, &spec(URGENT + i, 1), None));
     }
@@ -246,7 +249,7 @@
     let all: Vec<Verdict> = flood.iter().filter_map(|t| verdict(&w, t)).collect();
     assert_eq!(all.len(), flood.len(), "each gets an answer");
     let taken = all.iter().filter(|v| **v == Verdict::Taken).count();
-    // Four writes a second, with some forty jobs each.
+    // Four writes a second, with about forty jobs each.
     assert!(taken >= 60, "{taken}");
     let waits: Vec<u32> = all
         .iter()
@@ -275,8 +278,8 @@
     assert!(w.state.largest("c/new/") <= 4096);
 }
 
-/// Submissions share values: a second's worth costs a few writes. And one that nobody
-/// can write does not hold up its neighbours.
+/// Guards against one write for each submission: 400 submissions in a second share fewer than
+/// 60 writes. A submission that is too large for any write does not delay the others.
 #[test]
 fn many_submissions_with_one_put() {
     let mut w = cluster(fleet(3, 9));
@@ -303,7 +306,7 @@
         w.submissions.verdicts.get(&odd),
         None | Some(Verdict::Taken)
     ));
-    // The same job through two controllers at once: one takes it, the other knows it.
+    // The same job goes to two controllers at once: one accepts it, the other reports it as known.
     let other = (leader_index + 1) % 3;
     let controller = w.controllers[other].as_ref().unwrap().mirror.store_revision;
     let one = w.offer(leader_index, &spec(URGENT + 502, 1), None);
@@ -314,9 +317,9 @@
     assert_eq!(w.submissions.verdicts.get(&two), Some(&Verdict::Known));
 }
 
-/// While no controller hears another, each writes what comes to it, the leader by pages
-/// and the others by records: all goes in at once, and what comes to two of them at once
-/// is taken by one.
+/// Guards against controllers that block each other's writes while all of them are isolated:
+/// the leader writes submissions into pages and the others into records of single jobs. All
+/// are accepted within seconds, and a job submitted to two controllers is accepted by one.
 #[test]
 fn controllers_that_hear_nobody_do_not_get_in_each_others_way() {
     let mut w = cluster(fleet(7, 21));
@@ -352,7 +355,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Twelve controllers with the smallest transactions and values.
+/// Guards against starvation with twelve controllers at the smallest transactions and values.
 #[test]
 fn the_smallest_limits_and_twelve_controllers() {
     let mut w = cluster(Setup {
@@ -370,7 +373,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// What a scheduling cycle looks at does not grow with what waits.
+/// Guards against scheduling cycles whose cost grows with the number of waiting jobs or tasks.
 #[test]
 fn a_rounds_cost_does_not_grow_with_what_waits() {
     let inspected_machines = |jobs: u64, task_count: u32| {
@@ -404,7 +407,7 @@
     assert!(many < most && large < most, "{few} {many} {large}");
 }
 
-/// Pages that nothing depends on any more go, and little that is left goes together.
+/// Guards against admission pages that stay: unreferenced pages are deleted and small ones merged.
 #[test]
 fn pages_are_tidied() {
     let mut w = cluster(fleet(3, 30));
@@ -429,22 +432,22 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Many more of the short scenarios below; takes minutes.
+/// Runs a hundred of the random scenarios of `random_overlaps`; takes minutes.
 #[test]
 #[ignore = "takes minutes"]
 fn random_overlaps_by_the_hundred() {
     (1000..1100).for_each(short_day);
 }
 
-/// Short scenarios by seed: floods of either class or both, controllers that end, stand
-/// still, lose their peers or the state service. Once nothing has failed for a while,
-/// each class has its floor or all that it asks for.
+/// Runs short scenarios by seed: floods of either class or both, while controllers end, freeze,
+/// or lose their peers or the state service. Some time after the last fault, each class must
+/// have its guaranteed share or all that it demands.
 #[test]
 fn random_overlaps() {
     (0..12).for_each(short_day);
 }
 
-/// Nothing fails any more.
+/// Ends all faults and restarts the controllers that have ended.
 fn mend(w: &mut World) {
     w.processes.frozen.clear();
     w.network.isolated.clear();
@@ -486,7 +489,7 @@
         let now = running(&w);
         (steady, urgent) = (steady + now.0 / 20.0, urgent + now.1 / 20.0);
     }
-    // 144 cores in all; a floor of a quarter, which each shard scheduling cycles to whole tasks.
+    // 144 cores in all; the guaranteed share is a quarter, which each shard rounds to whole tasks.
     let asks = |class: usize| f64::from([5, 8][class]) * 2.0 * 12.0 / every[class];
     let floor = |class: usize| (asks(class) * 0.6).min(144.0 * 0.25);
     assert!(
--- a/crates/cherryyard-simulation/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker itself: each rule that it judges is broken once on purpose, and seen.
+//! Tests of the checker itself: each rule that it checks is broken on purpose and must be reported.
 
 use cherryyard_simulation::{Question, Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
@@ -16,7 +16,7 @@
     w
 }
 
-/// A build that starts a task where and when it likes.
+/// Starts a task on a machine directly, past the scheduler, as a faulty build might.
 fn start_anyway(w: &mut World, host: &str, task_name: &str) {
     let worker = w.workers.get_mut(host).expect("it is up");
     let start = WorkerCommand::Start {
@@ -40,7 +40,7 @@
     );
 }
 
-/// A machine of a zone without tasks.
+/// Returns a machine of the zone that has no tasks.
 fn free_host(w: &World, zone: &str) -> String {
     let mut free = w
         .workers
@@ -49,12 +49,12 @@
     free.next().expect("a free machine").host.clone()
 }
 
-/// A team over its limit, while some of it hangs.
+/// The checker must report a team over its limit while one of its machines hangs.
 #[test]
 fn a_team_over_its_limit() {
     let mut w = cluster(8.0);
     w.submit(&World::spec("j-000001", "service", 6));
-    // The limit is spread over the shards at first.
+    // The limit is divided among the shards at first.
     w.run_until(60.0, |w| w.running() == 4);
     let on = w.workers.values().find(|x| x.runs("j-000001/0"));
     let hung = on.expect("it runs").host.clone();
@@ -68,7 +68,7 @@
     sees(&w, "team uses 10 of 8 cores");
 }
 
-/// Starts in a zone, on a type, beside and apart from others where they may not be.
+/// The checker must report starts that violate a job's zone, machine type or (anti-)affinity.
 #[test]
 fn wrong_places() {
     type Place = (&'static str, fn(&mut JobSpec));
@@ -85,7 +85,7 @@
         w.submit(&spec);
         let host = free_host(&w, "c");
         if spec.together || spec.apart {
-            // Two tasks run; the third is started in the wrong place.
+            // Two tasks run; the third is started in the wrong zone.
             w.workers
                 .values_mut()
                 .for_each(|x| x.run_ms = f64::INFINITY);
@@ -108,7 +108,7 @@
     }
 }
 
-/// A cancelled task that starts, in time and too late.
+/// The checker must accept a start shortly after a cancellation and report one long after it.
 #[test]
 fn cancelled_tasks_that_start() {
     let mut w = cluster(0.0);
@@ -126,7 +126,7 @@
     sees(&w, "runs though cancelled");
 }
 
-/// A build that answers from what it happens to know.
+/// The checker must report responses older than earlier ones when reads skip the barrier.
 #[test]
 fn answers_that_go_back() {
     let mut w = cluster(0.0);
@@ -144,7 +144,7 @@
     sees(&w, "after something newer");
 }
 
-/// A build that takes whatever comes.
+/// The checker must report that a build without admission checks accepts jobs that cannot run.
 #[test]
 fn jobs_taken_that_cannot_run() {
     let mut w = cluster(8.0);
@@ -157,7 +157,7 @@
     sees(&w, "it is taken though it cannot run");
 }
 
-/// Jobs called done before they are, and cancelled though nobody asked for that.
+/// The checker must report jobs marked done before they are, and cancelled without a request.
 #[test]
 fn ends_that_are_none() {
     let mut w = cluster(0.0);
@@ -185,7 +185,7 @@
     );
 }
 
-/// A job that waits though there is room for it, and its team is under its limit.
+/// The checker must report a job that waits although there is room and its team's limit allows it.
 #[test]
 fn a_job_that_waits_beside_room() {
     let mut w = cluster(0.0);
@@ -212,7 +212,7 @@
     spec
 }
 
-/// A build that starts a job before what it needs is done.
+/// The checker must report a start of a job whose dependencies are not done.
 #[test]
 fn a_start_before_all_that_is_needed_is_done() {
     let mut w = cluster(0.0);
@@ -226,12 +226,12 @@
     sees(&w, "j-000002/0 starts before all that it needs is done");
 }
 
-/// A build that forgets what a job waits for: it is called queued long after its user was
-/// told that the job before it is cancelled.
+/// The checker must report a build that loses a job's dependencies: the job is reported as queued
+/// long after its user was told that the job it depends on is cancelled.
 #[test]
 fn a_job_that_outlives_what_it_needs() {
     let mut w = cluster(0.0);
-    // All cores are taken, so that neither starts.
+    // All cores are in use, so that neither job starts.
     w.submit(&World::spec("j-000009", "service", 18));
     w.run(3.0);
     w.submit_at(0, &World::spec("j-000001", "sweep", 1));
@@ -250,7 +250,7 @@
     sees(&w, "j-000002: called Queued long after what it needs");
 }
 
-/// A build that cancels a job that nobody called off, nor anything that it needs.
+/// The checker must report a cancelled job when nobody cancelled it or one of its dependencies.
 #[test]
 fn a_job_that_is_cancelled_for_nothing() {
     let mut w = cluster(0.0);
@@ -259,7 +259,7 @@
     w.run(3.0);
     w.submit_at(1, &waits_for("j-000002", "j-000001"));
     w.run(3.0);
-    // Another one's cancellation says nothing of it.
+    // The cancellation of an unrelated job does not justify this one.
     w.insist(0, "j-000003", Question::Cancel);
     w.run(3.0);
     let controller = w.controllers[0].as_ref().expect("it is up");
--- a/crates/cherryyard-simulation/tests/common/combinations.rs
+++ b/crates/cherryyard-simulation/tests/common/combinations.rs
@@ -1,10 +1,10 @@
-//! Clusters of twelve machines for tests in which several things fail at once.
+//! Clusters of twelve machines for tests in which several faults overlap.
 
 use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
-/// A cluster with a guest team, whose tasks run so many seconds.
+/// Returns a running cluster with a limited `guests` team, whose tasks run for `run_s` seconds.
 pub fn cluster(limit: f64, run_s: f64) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
@@ -22,14 +22,14 @@
     w
 }
 
-/// A job by number, of this shape and so many tasks.
+/// Returns the specification of job `number` with the given shape and number of tasks.
 pub fn job(number: u64, shape: &str, task_count: u32) -> JobSpec {
     let mut spec = World::spec(&format!("j-{number:06}"), shape, task_count);
     spec.expected_s = 4.0;
     spec
 }
 
-/// Ends all faults; nothing may be wrong after time to recover.
+/// Ends all faults, waits for recovery, and panics if a rule is broken or a job unfinished.
 pub fn whole(w: &mut World, users: &mut Users, state: &str) {
     let wrong = users.see_out(w);
     if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
@@ -38,7 +38,7 @@
     assert!(wrong.is_empty(), "{state}: {wrong:?}");
 }
 
-/// Machines with a task of one of these jobs.
+/// Returns the machines that run a task of one of these jobs.
 pub fn hosts_of(w: &World, ids: &[String]) -> BTreeSet<String> {
     let on = |x: &&cherryyard_simulation::WorkerStandIn| {
         x.running_tasks()
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// What keeps machines away.
+/// Faults that keep a machine from communicating.
 #[derive(Clone, Copy, Debug)]
 pub enum Away {
     Hang,
--- a/crates/cherryyard-simulation/tests/common/concurrent.rs
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -1,15 +1,15 @@
-//! Clusters of fifteen machines for two and more faults at once, and how such a scenario
-//! ends.
+//! Clusters of fifteen machines for scenarios with several faults at once, and the check at
+//! the end of such a scenario.
 
 use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 
-/// A cluster without further teams, whose tasks run so many seconds.
+/// Returns a cluster without further teams, whose tasks run for the given seconds.
 pub fn cluster(seconds: f64) -> World {
     cluster_of(seconds, Vec::new(), vec!["a", "b", "c"])
 }
 
-/// The same with further teams, and controllers in these zones.
+/// Returns the same cluster with further teams and with one controller in each given zone.
 pub fn cluster_of(
     seconds: f64,
     teams: Vec<(&'static str, f64, f64)>,
@@ -30,14 +30,14 @@
     w
 }
 
-/// An array of so many tasks.
+/// Returns an array job with this number of tasks.
 pub fn sweep(job: u64, task_count: u32) -> JobSpec {
     let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     spec.expected_s = 10.0;
     spec
 }
 
-/// Nothing fails any more; the scenario is judged after time to recover.
+/// Ends all faults, waits for recovery, and panics if a rule or the limit of 48 cores is broken.
 pub fn end(w: &mut World, users: &mut Users, state: &str) {
     let wrong = users.see_out(w);
     if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
--- a/crates/cherryyard-simulation/tests/common/gap.rs
+++ b/crates/cherryyard-simulation/tests/common/gap.rs
@@ -1,13 +1,13 @@
-//! Clusters whose services all run, and the outage that the heartbeat gap ends with.
+//! Clusters that run services, and the general outage at the end of a heartbeat gap.
 
 use cherryyard_simulation::{Setup, World};
 
-/// A job's id.
+/// Returns the id of a job number.
 pub fn id(job: usize) -> String {
     format!("j-{job:06}")
 }
 
-/// Services of two tasks, all running; who leads.
+/// Starts services of two tasks each, waits until all run, and returns the leader's index too.
 pub fn running(jobs: usize) -> (World, usize) {
     let mut w = World::new(Setup {
         machines: vec![("a", 6), ("b", 6), ("c", 6)],
@@ -24,12 +24,12 @@
     (w, leader)
 }
 
-/// Who leads.
+/// Returns the index of the leader.
 pub fn leader(w: &World) -> Option<usize> {
     w.leader()
 }
 
-/// No rule has been broken.
+/// Panics if a rule has been broken.
 pub fn whole(w: &World, state: &str) {
     assert!(
         w.broken.is_empty(),
@@ -39,7 +39,7 @@
     );
 }
 
-/// Everybody is refused for so many seconds; then everything works.
+/// Makes the state service refuse every controller for the given seconds, then serve all again.
 pub fn outage(w: &mut World, seconds: f64) {
     w.say("the state service refuses everybody");
     w.state_link.refused = [0, 1, 2].into();
--- a/crates/cherryyard-simulation/tests/common/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/common/pipelines.rs
@@ -1,9 +1,9 @@
-//! Clusters that accept jobs that wait for others, and users of them.
+//! Clusters that accept jobs with dependencies, and requests of their users.
 
 use cherryyard_simulation::{Question, Response, Setup, World};
 use cherryyard_wire::job::{JobSpec, JobStatus};
 
-/// A cluster of twelve machines whose tasks run so many seconds.
+/// Returns a cluster of twelve machines whose tasks run for the given seconds.
 pub fn cluster(seconds: f64) -> World {
     cluster_of(
         seconds,
@@ -15,7 +15,7 @@
     )
 }
 
-/// A cluster that accepts jobs that wait for others.
+/// Returns a cluster whose controllers all accept jobs with dependencies.
 pub fn cluster_of(seconds: f64, setup: Setup) -> World {
     let mut w = World::new(setup);
     for worker in w.workers.values_mut() {
@@ -30,12 +30,12 @@
     w
 }
 
-/// A job's id.
+/// Returns the id of a job number.
 pub fn id(job: u64) -> String {
     format!("j-{job:06}")
 }
 
-/// An array of so many tasks that waits for these jobs.
+/// Returns an array job with this number of tasks that depends on the jobs `needs`.
 pub fn sweep(job: u64, task_count: u32, needs: &[u64]) -> JobSpec {
     let mut spec = World::spec(&id(job), "sweep", task_count);
     spec.waits_on = needs.iter().copied().map(id).collect();
@@ -43,28 +43,28 @@
     spec
 }
 
-/// Submits a job at a controller and waits until it is answered.
+/// Submits a job to controller `i` and waits for the response.
 pub fn submit(w: &mut World, i: usize, spec: &JobSpec) -> Response {
     let body = serde_json::to_vec(spec).expect("a job");
     ask(w, i, &spec.id, Question::Submit(body))
 }
 
-/// Submits a job that must be accepted; a repetition, by a controller that passed it on
-/// and did not wait for the answer, may be told its state.
+/// Submits a job that must be accepted. The response may also be the job's state: a controller
+/// that forwarded the submission and got no response in time submits it again.
 pub fn accepted(w: &mut World, i: usize, spec: &JobSpec) {
     let response = submit(w, i, spec);
     let taken = response == Response::Taken || status(&response).is_some();
     assert!(taken, "{}: {response:?}", spec.id);
 }
 
-/// Asks a controller once and waits for the answer.
+/// Sends a request to controller `i` once and waits for the response.
 pub fn ask(w: &mut World, i: usize, id: &str, question: Question) -> Response {
     let request = w.ask_once(i, id, question);
     w.run_until(6.0, |w| w.requests.answers.contains_key(&request));
     w.requests.answers[&request].clone()
 }
 
-/// Cancels a job, which must be confirmed at once.
+/// Cancels a job; the first response must confirm the cancellation.
 pub fn cancel(w: &mut World, i: usize, id: &str) {
     let response = ask(w, i, id, Question::Cancel);
     assert_eq!(
@@ -74,7 +74,7 @@
     );
 }
 
-/// The status in an answer.
+/// Returns the status in a response, if it has one.
 pub fn status(response: &Response) -> Option<JobStatus> {
     match response {
         Response::View(view) => Some(view.status),
@@ -82,13 +82,13 @@
     }
 }
 
-/// A job's status by a poll.
+/// Returns the status that controller `i` reports for a job when polled.
 pub fn status_at(w: &mut World, i: usize, job: u64) -> Option<JobStatus> {
     let response = ask(w, i, &id(job), Question::Poll);
     status(&response)
 }
 
-/// No rule has been broken.
+/// Panics if a rule has been broken or a transaction exceeded the limits of the state service.
 pub fn whole(w: &World) {
     assert!(
         w.broken.is_empty(),
--- a/crates/cherryyard-simulation/tests/common/settled.rs
+++ b/crates/cherryyard-simulation/tests/common/settled.rs
@@ -1,16 +1,17 @@
-//! A cluster that has settled, and what the tests of its rules look at.
+//! A cluster after its startup, and queries that tests of its rules use.
 
 use cherryyard_simulation::{Setup, World};
 
-/// A running cluster whose shards are owned and whose machines have reported.
+/// Returns a running cluster whose shards are owned and whose machines have reported.
 pub fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
     w
 }
 
-/// Pages of assignments, but for a shard's first one if it names no job and no machine: that
-/// one stays, so that its absence is no ground for a transaction that comes late.
+/// Returns the stored pages of assignments, except for a shard's first page when it names no job
+/// and no machine. An empty first page is kept so that a late transaction cannot apply on the
+/// condition that the page does not exist.
 pub fn assignments_left(w: &World) -> Vec<String> {
     let pairs = w.state.pairs().into_iter();
     let empty =
@@ -21,7 +22,7 @@
         .collect()
 }
 
-/// The trace's lines of a task's starts.
+/// Returns the lines of the trace that report a start of this task.
 pub fn starts(w: &World, task_name: &str) -> Vec<String> {
     let needle = format!("starts {task_name} ");
     w.trace
--- a/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
@@ -1,4 +1,4 @@
-//! Random scenarios of two and three faults at once, within each other's span.
+//! Random scenarios of two or three faults that overlap in time.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use cherryyard_wire::job::Shape;
 use common::concurrent::{cluster, cluster_of, end, sweep};
 
-/// A pair of faults that begin and end within each other's span, one after the other,
-/// while users submit, cancel, repeat and poll at every controller.
+/// Runs three rounds of faults that overlap in time, while users submit, cancel, repeat and poll
+/// at every controller.
 fn scenario(seed: u64, faults: &[Fault], at_once: usize) {
     scenario_of(seed, faults, at_once, vec!["a", "b", "c"]);
 }
@@ -16,8 +16,8 @@
 fn scenario_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
     let mut draw = draws(seed);
     let seconds = 4.0 + draw(12) as f64;
-    // With the newer faults users' requests come as in the program, and a guest team is
-    // at its limit.
+    // With the newer faults, users' requests come as in the program, and a guest team is at its
+    // limit.
     let newer = faults.len() > OLDER.len();
     let mut w = match newer {
         false => cluster(seconds),
@@ -66,7 +66,7 @@
         }
     };
     for _ in 0..3 {
-        // The pairs come in turn, so that so many seeds have them all.
+        // The pairs are enumerated by seed, so that enough seeds cover all of them.
         let (pair, all) = (seed * 3 + draw(3), faults.len() as u64);
         let fault = |n: u64| faults[(n % all) as usize];
         let (first, second) = (fault(pair), fault(pair / all));
@@ -107,7 +107,7 @@
     (0..24).for_each(|seed| scenario(seed, &OLDER, 2));
 }
 
-/// All faults, the newer ones first.
+/// Returns all faults, the newer ones first.
 fn every() -> Vec<Fault> {
     NEWER.into_iter().chain(OLDER).collect()
 }
@@ -122,7 +122,7 @@
     (0..12).for_each(|seed| scenario(seed, &every(), 3));
 }
 
-/// With six controllers, two of them in each zone.
+/// Zones of six controllers, two in each zone.
 const SIX: [&str; 6] = ["a", "b", "c", "a", "b", "c"];
 
 #[test]
@@ -130,14 +130,14 @@
     (0..8).for_each(|seed| scenario_of(seed, &every(), 3, SIX.to_vec()));
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_by_the_thousand() {
     play_seeds(24, 1000, |seed| scenario(seed, &OLDER, 2));
 }
 
-/// The same with all faults, two and three at once.
+/// Runs pairs of all faults on demand.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_of_all_by_the_thousand() {
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -1,6 +1,6 @@
-//! Two faults at once: the combinations that broke schedulers, each by itself.
-//! `docs/restart.md` has the table of combinations and tests; the gap, late transactions and
-//! random scenarios have files of their own.
+//! Two faults at once, one test for each combination that has broken schedulers.
+//! `docs/restart.md` lists the combinations and their tests. Heartbeat gaps, late transactions
+//! and random scenarios are in files of their own.
 
 mod common;
 
@@ -15,8 +15,9 @@
     w.trace.iter().filter(|l| l.contains(&needle)).count()
 }
 
-/// Controllers hand over and back, all end, and one returns, within 0, 50, 500 and 1000
-/// ms, at every other step of a home's asking for its shard.
+/// Guards against lost tasks when all controllers end during a handover of a shard. A controller's
+/// shard moves to another one and the restarted controller asks for it back; all end at one of
+/// eight moments, 150 ms apart, around that request, and one returns after 0, 50, 500 or 1000 ms.
 #[test]
 fn hand_over_and_back_then_all_end_and_one_returns() {
     for back_ms in [0.0, 50.0, 500.0, 1000.0] {
@@ -27,11 +28,11 @@
                 users.submit(&mut w, &World::spec(&format!("j-00000{job}"), "service", 4));
             }
             users.run(&mut w, 4.0);
-            // Its part goes to another.
+            // Another controller takes over its shard.
             w.kill(1);
             users.run(&mut w, 9.0);
             w.start(1);
-            // Home asks for it 12 s after its start.
+            // The restarted controller asks for its shard back 12 s after its start.
             users.run(&mut w, 11.5);
             w.run(f64::from(step) * 0.05);
             for i in 0..3 {
@@ -48,9 +49,9 @@
     }
 }
 
-/// Jobs of two and three tasks whose tasks end 5 to 60 s apart, across one or two changes
-/// of leader and owners: done neither early nor never, and nothing that is done runs
-/// again.
+/// Guards against jobs that are reported done too early or never, and against completed tasks
+/// that run again. Jobs of two and three tasks end 5 to 60 s apart, across one or two changes of
+/// the leader and the owners.
 #[test]
 fn tasks_that_end_far_apart_across_changes_of_leader() {
     for apart_s in [5.0, 20.0, 60.0] {
@@ -65,7 +66,7 @@
                 let state = format!("{apart_s} s, {changes} changes, {late}% late");
                 assert_eq!(w.running(), 5, "{state}");
                 w.state_link.delayed_percent = late;
-                // The first task of each ends, then a leader and an owner, then the rest.
+                // The first task of each job ends, then a leader that also owns a shard, then the rest.
                 for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
                     for job in ["j-000001", "j-000002"] {
                         let task_name = format!("{job}{task_name}");
@@ -100,9 +101,10 @@
     }
 }
 
-/// A leader ends while machines with long tasks can't be reached, or don't hear the new
-/// leader's answer: nothing of theirs is started elsewhere without proof, nothing that
-/// reports is released by an old picture, and they are found again.
+/// Guards against duplicate tasks and wrong releases when the leader ends while machines with long
+/// tasks are unreachable or do not receive the new leader's responses. Nothing of theirs starts
+/// elsewhere without proof, no reporting machine is released because of outdated state, and all
+/// are found again.
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_are_away() {
     for (deaf, away_s) in [
@@ -152,9 +154,9 @@
     }
 }
 
-/// The state service takes hundreds of milliseconds, seconds, or just longer than a
-/// controller waits, alone and before it refuses one and then all; jobs are cancelled in
-/// it.
+/// Guards against broken rules when the state service is slow: its latency is hundreds of
+/// milliseconds, seconds, or just above a controller's timeout, alone and before it refuses one
+/// controller and then all. Jobs are cancelled meanwhile.
 #[test]
 fn a_slow_state_service() {
     for slow_ms in [300.0, 1500.0, 2100.0, 4000.0] {
@@ -190,9 +192,8 @@
     }
 }
 
-/// A command or its answer is held up for seconds and the machine goes on after; in
-/// between its job is cancelled, it is started again elsewhere, or its shard changes
-/// hands.
+/// Guards against stale commands: a command or its response is delayed for seconds. Meanwhile
+/// its job is cancelled, its machines are unreachable, the leader restarts, or a controller ends.
 #[test]
 fn a_command_held_up() {
     for between in 0..4 {
@@ -226,10 +227,10 @@
     }
 }
 
-/// The same start is sent twice, as the first one's answer is lost; the second one is
-/// answered. Whatever becomes of the task, the first one may arrive after all: it must
-/// not start there once more. (Found by seed 31 of the pairs: it did, after its job was
-/// cancelled and the attempt cleared.)
+/// Guards against a duplicate of a start command that arrives late. The response to the first
+/// start is lost, the second one is answered, and then the job is cancelled and its attempt
+/// cleared. The first command must not start the task again when it arrives after that (it did
+/// at seed 31 of the random pairs).
 #[test]
 fn a_command_sent_twice() {
     for late_s in [12.0, 45.0, 80.0] {
@@ -250,9 +251,9 @@
     }
 }
 
-/// Machines hang with a start on its way to them, for longer than a lease, and carry it
-/// out before they see that their incarnation is over. It must not run elsewhere by then.
-/// (Found by a hunted scenario, rahbar-lahore-hunt hunt-bc60-5.)
+/// Guards against a task that runs twice: machines hang for longer than their lease with a start
+/// command in flight and carry it out before they notice that their incarnation is over. The
+/// task must not run elsewhere by then.
 #[test]
 fn a_start_to_a_machine_that_hangs_beyond_its_lease() {
     for hangs_s in [4.0, 12.0, 16.0, 24.0] {
@@ -280,8 +281,8 @@
     }
 }
 
-/// Reports come again after newer ones, from earlier incarnations and attempts, at the owner,
-/// at the controller after it and at a new owner, at every delay around a lease.
+/// Guards against old reports: reports of earlier incarnations and attempts arrive again after
+/// newer ones, at the owner, its successor and a new owner, with delays around a lease.
 #[test]
 fn old_reports_from_earlier_sessions_and_attempts() {
     for late_ms in [500.0, 2500.0, 9000.0, 11_000.0, 25_000.0, 45_000.0] {
@@ -292,7 +293,7 @@
             users.submit(&mut w, &sweep(job, 24));
         }
         users.run(&mut w, 3.0);
-        // Sessions end, and attempts are made anew.
+        // Incarnations end, and tasks get new attempts.
         let some: Vec<String> = w.workers.keys().step_by(3).cloned().collect();
         w.network.unreachable.extend(some.iter().cloned());
         users.run(&mut w, 13.0);
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -1,5 +1,5 @@
-//! What is checked at the end of a scenario: nothing forgotten, nobody left out, and the
-//! newer faults alone, overlapping, and at every step of a lease.
+//! Checks at the end of a scenario: no job is lost or starved. Scenarios of the newer faults
+//! alone, overlapping, and at every step of a lease.
 
 use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
@@ -25,7 +25,7 @@
     spec
 }
 
-/// A flood of small jobs with a few that are large, for `seconds`.
+/// Submits many small jobs and a few large arrays for `seconds`.
 fn flood(users: &mut Users, w: &mut World, seconds: usize) {
     for second in 0..seconds {
         users.submit(w, &spec(100 + second, 8, 2.0));
@@ -36,7 +36,7 @@
     }
 }
 
-/// The checker itself: a scenario passes, and each deliberately broken build is caught.
+/// Tests the check itself: a correct build passes, and each deliberately broken build is detected.
 #[test]
 fn broken_builds_are_caught() {
     let scenario = |turn_s: f64, never: Option<&str>, skip: bool| {
@@ -45,7 +45,7 @@
         users.never_answers = never.map(Into::into);
         flood(&mut users, &mut w, 250);
         if skip {
-            // A build that loses what it accepted.
+            // A broken build that loses a job that it accepted.
             let key = cherryyard_wire::record::job_key(5);
             assert!(w.state.get(&key).is_none());
             users.submit(&mut w, &spec(5, 1, 2.0));
@@ -68,10 +68,10 @@
     );
 }
 
-/// A controller loses the state service and the others, not its workers, again and again
-/// for times around each threshold, with a cancellation and a submission inside. The
-/// cancelled job is gone in time, what runs is not started twice, and it comes back
-/// without a release.
+/// Guards against duplicate tasks and wrong releases when a controller loses the state service
+/// and its peers, but not its workers, twice in a row. The durations lie around each threshold,
+/// with a cancellation and a submission meanwhile. The cancelled job's tasks stop in time, no
+/// running task starts twice, and the controller recovers without a release of a machine.
 #[test]
 fn alone_with_its_workers() {
     for seconds in [1.0, 4.9, 5.1, 9.0, 10.5, 20.0, 28.0, 31.0, 39.0, 41.0, 60.0] {
@@ -106,7 +106,7 @@
     }
 }
 
-/// One story of it, kept.
+/// Records the trace of one such fault.
 #[test]
 fn trace_of_a_controller_alone_with_its_workers() {
     let mut w = World::new(Setup {
@@ -131,7 +131,7 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// One story of a machine that does not hear, kept.
+/// Records the trace of a machine that receives neither responses nor commands.
 #[test]
 fn trace_of_a_machine_that_does_not_hear() {
     let mut w = World::new(Setup {
@@ -156,9 +156,10 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// A controller, the leader or its successor too, ends at every step of the first three
-/// seconds of a takeover and is back after 0, 50 and 500 ms. Nobody holds two leases on
-/// a shard, all shards are owned again within seconds, and what runs goes on.
+/// Guards against shards with two leases or without an owner: the leader ends and restarts, and
+/// at every step of the first three seconds of the takeover it and its successor end once more
+/// and restart after 0, 50 or 500 ms. All shards are owned again within seconds, and running
+/// tasks go on.
 #[test]
 fn ends_at_every_step_of_a_claim() {
     for back in [0.0, 0.05, 0.5] {
@@ -196,8 +197,8 @@
     }
 }
 
-/// The newer faults in random overlaps with the old ones, while users submit, cancel and
-/// poll; at the end nothing is forgotten and nobody left out.
+/// Runs a random scenario of overlapping newer and older faults while users submit, cancel and
+/// poll; at the end no job may be lost or starved.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let mut w = cluster(|_| {});
@@ -264,7 +265,7 @@
     (0..10).for_each(scenario);
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_days_by_the_hundred() {
--- a/crates/cherryyard-simulation/tests/event_loop_lag.rs
+++ b/crates/cherryyard-simulation/tests/event_loop_lag.rs
@@ -1,17 +1,17 @@
-//! Controllers that are behind, and what scheduling cycles cost.
+//! Controllers whose event loop lags, and the cost of scheduling cycles.
 
 use cherryyard_simulation::{Setup, World};
 
-/// A running cluster whose shards are owned and whose machines have reported.
+/// Returns a running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
     let mut w = World::new(setup);
     w.run(5.0);
     w
 }
 
-/// A controller that is behind takes its own lateness for nobody's silence: no
-/// machine is released, no lease taken for over, no lease lost, nothing runs
-/// twice; what is late is only late.
+/// Guards against a lagging controller that mistakes its own delay for silence of its machines:
+/// no machine is released, no lease is considered expired or lost, and no task runs twice. Its
+/// actions are only late.
 #[test]
 fn trace_of_a_late_controller() {
     let mut w = settled(Setup::default());
@@ -34,8 +34,8 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// So far behind that no answer comes in time, a controller still breaks no
-/// rule: leases run out, and what was lost starts again once that is proven.
+/// Guards against broken rules when a controller lags so far that no response arrives in time:
+/// leases expire, and lost tasks start again once the expiry is proven.
 #[test]
 fn a_controller_too_late_for_its_workers_breaks_nothing() {
     let mut w = settled(Setup {
@@ -54,9 +54,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Work follows what changed: reports that tell nothing new have no round look
-/// at their machines' assignments, and one completion costs as much in a shard ten
-/// times as large. All machines are looked at every 5 s, in case.
+/// Guards against scheduling cycles that inspect machines without need: reports without news
+/// cause no inspection of their machines' assignments, and one completion costs the same in a
+/// shard ten times as large. As a safety net, all machines are inspected every 5 s.
 #[test]
 fn rounds_look_at_what_changed() {
     let inspected_machines = |machines: usize, change: bool| {
@@ -78,7 +78,7 @@
     };
     for machines in [6, 60] {
         let all = inspected_machines(machines, false);
-        // 4 looks at all; each report had one before, 40 in all.
+        // All machines are inspected 4 times; an inspection for each report would make about 40.
         assert!(all <= 5 * machines as u64, "{all} for {machines}");
     }
     let cost = |n: usize| inspected_machines(n, true).saturating_sub(inspected_machines(n, false));
@@ -86,10 +86,10 @@
     assert!(small > 0 && large <= small + 70, "{small} {large}");
 }
 
-/// An owner that loses its workers, all of them, hears of fewer and fewer: the first
-/// few that are overdue are not released as dead, one after the other, with what runs
-/// on them; it gives the shard up, and all goes on under another owner. One machine
-/// that falls silent alone is released.
+/// Guards against an owner that is cut off from all its workers and releases the first overdue
+/// machines as dead, one by one, with the tasks on them. The owner must give up its shard
+/// instead, and all tasks go on under another owner. A machine that falls silent alone is
+/// released.
 #[test]
 fn workers_lost_one_by_one_are_not_released() {
     let all = 24;
@@ -103,7 +103,7 @@
     spec.cores = 4.0;
     w.submit(&spec);
     w.run_until(20.0, |w| w.running() == all);
-    // Reports are spread over the time between two.
+    // Reports are spread over the report interval.
     for (i, x) in w.workers.values_mut().enumerate() {
         x.report_at = w.now + 85.0 * i as f64;
     }
--- a/crates/cherryyard-simulation/tests/failure_attribution.rs
+++ b/crates/cherryyard-simulation/tests/failure_attribution.rs
@@ -1,9 +1,9 @@
-//! Jobs submitted with a mistake, and machines that are faulty.
+//! Attribution of task failures to faulty jobs or to faulty machines.
 
 use cherryyard_simulation::{Setup, World};
 use std::collections::BTreeSet;
 
-/// A cluster of twelve machines on which tasks run for `run_ms`.
+/// Returns a cluster of twelve machines on which tasks run for `run_ms` and jobs `bad` fail.
 fn cluster(run_ms: f64, bad: &[&str]) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
@@ -28,10 +28,10 @@
         .is_some_and(|v| v.status == cherryyard_wire::job::JobStatus::Done)
 }
 
-/// Three bad arrays fail wherever they run, beside good ones. No machine is returned for
-/// it or left alone, the good ones are served as without them, and what the bad ones
-/// start is counted. Before, four failures returned a machine: one array of forty
-/// emptied the fleet.
+/// Guards against machines that are returned because of faulty jobs: once, four failures returned
+/// a machine, and one array of forty tasks emptied the fleet. Three arrays fail on every machine,
+/// beside good ones. No machine is returned or avoided, the good jobs complete in time, and the
+/// starts of the faulty ones are bounded.
 #[test]
 fn bad_jobs_cost_no_machines() {
     let mut w = cluster(2000.0, &["j-000001", "j-000002", "j-000003"]);
@@ -53,13 +53,13 @@
     }
     for job in 1..=3 {
         let tries = starts(&w, 0, &format!("j-00000{job}")).len();
-        // A first batch on each shard, then one at a time, some seconds apart.
+        // A first batch on each shard, then one start at a time, some seconds apart.
         assert!((9..=100).contains(&tries), "{tries}");
     }
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A cancelled bad job is tried no more.
+/// Guards against further attempts of a failing job after its cancellation.
 #[test]
 fn a_cancelled_bad_job_is_over() {
     let mut w = cluster(2000.0, &["j-000001"]);
@@ -72,8 +72,8 @@
     assert!(starts(&w, from, "j-000001").is_empty());
 }
 
-/// A faulty machine fails whatever it gets. The jobs that it fails complete elsewhere,
-/// none of them is held off, and it is returned.
+/// Guards against a faulty machine that fails every task and stays: the failed jobs complete on
+/// other machines, none of them is delayed, and the machine is returned.
 #[test]
 fn a_faulty_machine_is_found() {
     let mut w = cluster(3000.0, &[]);
@@ -96,8 +96,9 @@
     assert_eq!(w.workers.len(), 11);
 }
 
-/// A job that fails a few times everywhere and then runs is served, within the longest
-/// wait; also if its shard's owner ends meanwhile and another begins to count anew.
+/// Guards against a job that fails everywhere for some time and is then never retried: it
+/// completes within the longest backoff, also if its shard's owner ends meanwhile and its
+/// successor starts to count failures from zero.
 #[test]
 fn a_job_that_fails_for_a_while_is_served() {
     for ends in [false, true] {
--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -1,5 +1,5 @@
-//! Fencing: what an owner cut off, dead or late may still have under way changes nothing,
-//! and nothing starts elsewhere without proof that it has ended.
+//! Fencing: actions in flight of an isolated, ended or late owner change nothing, and nothing
+//! starts elsewhere without proof that it has ended.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use cherryyard_wire::record::job_key;
 use common::settled::{assignments_left, settled, starts};
 
-/// A number that a dead owner had assigned on a machine that cannot be reached
-/// is started elsewhere only once the machine is released: the new owner never
-/// showed that machine its token, so silence proves nothing.
+/// Guards against a task that runs twice: its owner ends while its machine is unreachable. The
+/// new owner never showed that machine its token, so the machine's silence proves nothing, and
+/// the task starts elsewhere only once the machine is released.
 #[test]
 fn dead_owners_number_waits_for_proof() {
     let mut w = settled(Setup::default());
@@ -30,7 +30,7 @@
     w.run(120.0);
     assert_eq!(starts(&w, "j-000001/0").len(), 1, "{}", w.trace.join("\n"));
     assert!(w.broken.is_empty());
-    // The list no longer shows the machine; its release is the proof.
+    // The list no longer shows the machine, which proves that it is released.
     let now = w.now;
     for controller in w.controllers.iter_mut().flatten() {
         controller.listed(Vec::new(), now);
@@ -40,7 +40,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// An old owner's transaction that is applied late changes nothing.
+/// Guards against a previous owner's transaction that is carried out late: it must not apply.
 #[test]
 fn late_transaction_dies() {
     let mut w = settled(Setup {
@@ -66,7 +66,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The same before the new owner has written anything: the claim alone decides.
+/// Guards against the same before the new owner has written anything: its claim alone rejects it.
 #[test]
 fn late_transaction_dies_by_the_claim() {
     let mut w = settled(Setup {
@@ -92,9 +92,9 @@
     }
 }
 
-/// A machine that has reported to its new owner, but not yet under the new
-/// token, is not given up when it falls silent: the old owner may have answered
-/// it since.
+/// Guards against a task that runs twice: a machine that has reported to its new owner, but not
+/// yet under the new token, falls silent. Its silence is no proof of an expired lease, because
+/// the previous owner may have answered it since.
 #[test]
 fn silence_before_the_token_is_shown_proves_nothing() {
     let mut w = settled(Setup {
@@ -119,7 +119,7 @@
             .any(|l| l.contains("node-1 claims c/part/0: Applied"))
     });
     w.run(0.5);
-    // Its report gets through; the answer, and with it the token, is lost.
+    // Its report arrives; the response, and with it the token, is lost.
     let report = w.workers.get_mut(&host).unwrap().report(w.now);
     let now = w.now;
     w.controllers[1]
@@ -131,7 +131,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// An old owner's direct command that arrives late is not executed.
+/// Guards against a previous owner's direct command that arrives late: it must not be executed.
 #[test]
 fn late_direct_command_dies() {
     let mut w = settled(Setup {
@@ -152,8 +152,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A direct start whose answer is lost, of a job cancelled meanwhile: the owner
-/// takes a new token, so that the start dies wherever it is.
+/// Guards against a direct start whose response is lost and whose job is cancelled meanwhile:
+/// the owner takes a new token, so that the start is rejected wherever it arrives.
 #[test]
 fn cancel_against_a_start_in_flight() {
     let mut w = settled(Setup {
@@ -175,8 +175,9 @@
     assert_eq!(assignments_left(&w), Vec::<String>::new());
 }
 
-/// An owner that the state service refuses, and that no peer reaches, cannot
-/// see a cancellation. It stops answering in time for every lease to end.
+/// Guards against a cancelled task that runs on under an owner that is refused by the state
+/// service and isolated from its peers, and so cannot see the cancellation. The owner stops
+/// answering its workers in time for every lease to expire.
 #[test]
 fn cancel_against_an_owner_cut_off() {
     let mut w = settled(Setup {
@@ -199,8 +200,8 @@
     assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
 }
 
-/// An owner that only the workers cannot reach gives its shard up in time for
-/// another to keep their leases.
+/// Guards against expired leases when only the workers cannot reach their owner: it gives up its
+/// shard early enough for another owner to renew their leases.
 #[test]
 fn owner_cut_off_from_workers_yields() {
     let mut w = settled(Setup {
@@ -225,9 +226,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A move that reaches the state service late, after its owner has assigned
-/// numbers of the job, changes nothing: a page of assignments has changed. Applied,
-/// it would have given a running task to another shard.
+/// Guards against a move of tasks to another shard that is carried out after its owner has
+/// assigned some of them: the page of assignments has changed, so the move must not apply. It
+/// would have moved a running task to another shard.
 #[test]
 fn a_move_by_an_old_view_dies() {
     let mut w = settled(Setup::default());
@@ -265,10 +266,9 @@
     assert_eq!(view.done + view.running, 12, "{view:?}");
 }
 
-/// The trace of a machine that is lost with its owner: it never shows the next
-/// owner its token, so no lease of it ends there. It is released once the other
-/// machines have come, and its task starts again; not while the fault may be
-/// the network's.
+/// Records the trace of a machine that is lost with its owner. It never shows the next owner its
+/// token, so that owner cannot prove that its lease expired. It is released, and its task starts
+/// again, once the other machines have reported, but not while a network fault may be the cause.
 #[test]
 fn trace_of_a_machine_lost_with_its_owner() {
     let mut w = settled(Setup {
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -1,5 +1,4 @@
-//! Controllers that stand still while their clocks run on, packets held back,
-//! and lists that disagree.
+//! Frozen controllers whose clocks run on, delayed packets, and inconsistent machine lists.
 
 use cherryyard_core::{Effect, Reply};
 use cherryyard_simulation::{Setup, World, draws};
@@ -27,10 +26,10 @@
     names.map(entry).collect()
 }
 
-/// A controller that stood still wakes with all its timers due, a machine list
-/// and reports that waited for it. Whatever it believes to own, and however long
-/// all its machines seem silent, it writes nothing and commands nobody before it
-/// has read what happened.
+/// Guards against actions on outdated state: a controller that was frozen resumes with all timers
+/// due, and with a machine list and reports waiting for it. Whichever shards it still considers
+/// its own, and however long all its machines seem silent, it writes nothing and sends no command
+/// before it has read the current state.
 #[test]
 fn a_thawed_controller_reads_before_it_acts() {
     for frozen_s in [3.0, 20.0, 35.0, 70.0] {
@@ -42,7 +41,7 @@
             8,
         );
         w.processes.frozen.insert(0);
-        // A report that waits, in the controller's own socket, all the while.
+        // A report that waits in the controller's own socket during the freeze.
         let name = w.workers.keys().next().unwrap().clone();
         let old = w.workers.get_mut(&name).unwrap().report(w.now);
         w.run(frozen_s);
@@ -64,7 +63,7 @@
                         }
                     }
                 }
-                // A question to a machine changes nothing.
+                // A status query to a machine changes nothing.
                 let acts = |e: &Effect| {
                     !matches!(
                         e,
@@ -85,8 +84,8 @@
     }
 }
 
-/// A controller stands still for half a minute and another takes its shard over;
-/// kept as a story.
+/// Records the trace of a controller that is frozen for half a minute while another takes over
+/// its shard.
 #[test]
 fn trace_of_a_freeze() {
     let mut w = running(Setup::default(), 4);
@@ -101,9 +100,9 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// Reports held back for 51 s, of machines that were given up meanwhile and whose
-/// tasks run elsewhere, change nothing: no assignment, no order but to stop what their
-/// old incarnations show, no placement on them.
+/// Guards against reports delayed by 51 s, of machines that were given up meanwhile and whose
+/// tasks run elsewhere: they cause no assignment, no placement on these machines, and no command
+/// except to stop the tasks of the old incarnations.
 #[test]
 fn reports_held_for_long_change_nothing() {
     let mut w = running(
@@ -136,7 +135,7 @@
     let before = assignments(&w);
     let now = w.now;
     for report in &held {
-        // What the answer commands reaches nobody: its worker gave up long ago.
+        // Commands in the response reach nobody: the worker closed the connection long ago.
         w.controllers[0]
             .as_mut()
             .unwrap()
@@ -150,9 +149,9 @@
     assert_eq!(w.running(), 10);
 }
 
-/// Pages of a machine list may disagree in age: one shows machines that are gone,
-/// the next lacks some that run. Neither releases a machine that reports, nor
-/// brings back one that was released.
+/// Guards against wrong releases when pages of a machine list differ in age: one page shows
+/// machines that are gone, the next lacks some that run. No reporting machine is released, and
+/// no released machine returns.
 #[test]
 fn lists_whose_pages_disagree_release_nothing_that_runs() {
     let mut w = running(
@@ -177,10 +176,9 @@
     assert_eq!(w.running(), 12);
 }
 
-/// What a step of the clock costs does not grow with the fleet: with nothing new
-/// to tell, the machines whose assignments scheduling cycles look at are bounded by the machines
-/// that all are looked at for every 5 s; one completion costs the same at 130 and
-/// at 1,300 machines.
+/// Guards against ticks whose cost grows with the fleet: one completion makes scheduling cycles
+/// inspect the same number of machines in fleets of 130 and 1,300 machines. Beyond that, only the
+/// full inspection every 5 s depends on the fleet.
 #[test]
 fn one_completion_costs_the_same_in_a_fleet_ten_times_as_large() {
     let cost = |machines: usize| {
@@ -194,7 +192,7 @@
         w.run_until(30.0, |w| w.running() == machines);
         w.run(10.0);
         let inspected_machines = |w: &World| w.controllers[0].as_ref().unwrap().inspected_machines;
-        // Between two looks at all machines, which come every 5 s.
+        // Measured between two inspections of all machines, which come every 5 s.
         let before = inspected_machines(&w);
         w.run_until(6.0, |w| inspected_machines(w) > before);
         let quiet = inspected_machines(&w);
@@ -207,10 +205,10 @@
     assert!(large <= small + 5, "{small} {large}");
 }
 
-/// A controller stands still, a cancellation is taken elsewhere, the state service goes
-/// down for everybody, and the controller goes on: every other says that it is cut off
-/// too, and yet there is a cancellation that it has never seen. It went on answering
-/// its workers for as long as the outage lasted, and the cancelled job's tasks ran on.
+/// Guards against a cancelled job that runs on during an outage. A controller is frozen, another
+/// accepts a cancellation, the state service goes down for all, and the first resumes. Every peer
+/// reports that it is cut off too, and yet there is a cancellation that the first controller has
+/// not seen. Once, it answered its workers for the whole outage, so the cancelled tasks ran on.
 #[test]
 fn a_cancellation_missed_by_a_freeze_before_an_outage() {
     for (frozen_s, gone) in [(8.0, true), (0.0, false)] {
@@ -228,8 +226,8 @@
         if gone {
             assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
         } else {
-            // Nothing was missed: what runs goes on, and a freeze in the outage, when
-            // nobody can have taken anything, changes nothing.
+            // No cancellation was missed: running tasks go on. A freeze during the outage, when no
+            // controller can have accepted one, changes nothing.
             assert_eq!(w.running(), 6);
             w.processes.frozen.insert(0);
             w.run(5.0);
@@ -240,8 +238,8 @@
     }
 }
 
-/// The same where the state service refuses one controller alone, a cancellation is
-/// taken elsewhere, and then it refuses everybody.
+/// Guards against the same when the state service refuses one controller alone, another accepts
+/// a cancellation, and then the state service refuses all.
 #[test]
 fn a_cancellation_missed_by_a_cut_before_an_outage() {
     let mut w = running(Setup::default(), 6);
@@ -255,8 +253,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Freezes, cuts of one, outages, ends and cancellations in random overlaps: no task
-/// is on two machines, and none of a cancelled job 40 s after.
+/// Runs random overlaps of freezes, refusals of one controller, outages, ends and cancellations:
+/// no task runs on two machines, and no task of a cancelled job runs 40 s later.
 #[test]
 fn random_overlaps_with_cancellations() {
     for seed in 0..60u64 {
@@ -295,11 +293,11 @@
                     }
                 }
             }
-            // Mostly close together, at times long.
+            // The pauses are mostly short and sometimes long.
             let s = if next(4) == 0 { next(300) } else { next(30) };
             w.run(s as f64 / 10.0);
         }
-        // Mostly an outage that lasts, soon after one was cut off or stood still.
+        // Mostly, a long outage follows soon after one controller was cut off or frozen.
         if next(3) > 0 {
             w.processes.frozen.clear();
             w.state_link.refused.clear();
@@ -323,7 +321,7 @@
             w.state_link.refused = [0, 1, 2].into();
             w.run(next(60) as f64 / 10.0);
             w.processes.frozen.clear();
-            // Ends in it, so that peers vouch.
+            // Controllers end during the outage, so that peers' reports decide on lease extensions.
             for _ in 0..next(3) {
                 let k = next(3) as usize;
                 w.kill(k);
--- a/crates/cherryyard-simulation/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -1,15 +1,17 @@
 //! The heartbeat gap: the state service refuses the leader alone, other controllers confirm
-//! cancellations, then it refuses everybody for longer than a cancellation has.
-//! What an owner may take for known of the others' cancellations decides.
+//! cancellations, and then it refuses all for longer than a cancelled task may run on. An owner
+//! must not renew leases of tasks whose cancellation it may have missed. These tests check which
+//! heartbeats show it that it has missed none.
 
 mod common;
 
 use cherryyard_simulation::{Setup, Task, World};
 use common::gap::{id, leader, outage, running, whole};
 
-/// The gap, twice in a row, 20 s apart, with a cancellation at each place of the first
-/// two seconds; the confirming controller ends after it, before a heartbeat or soon after,
-/// and is back at once, after 0.5 s or after 4 s, or does not end.
+/// Guards against cancelled tasks that run on after the gap occurs twice, 20 s apart, with
+/// cancellations at several points of the first two seconds. The confirming controller ends
+/// before or soon after its next heartbeat and restarts at once, after 0.5 s or after 4 s, or
+/// does not end.
 #[test]
 fn the_gap_twice_in_a_row() {
     for before_ms in [1950.0, 1000.0, 450.0, 100.0, 50.0, 0.0] {
@@ -58,8 +60,8 @@
     }
 }
 
-/// One story of it, kept: the confirming controller ends before its next heartbeat, and the
-/// process after it says, in heartbeat after heartbeat, that it is cut off.
+/// Records the trace of a gap in which the confirming controller ends before its next heartbeat,
+/// and its next process reports in every heartbeat that it is cut off.
 #[test]
 fn trace_of_a_confirmation_that_nobody_heard() {
     let mut w = World::new(Setup::default());
@@ -87,9 +89,10 @@
     w.run(10.0);
 }
 
-/// The service is back for a moment in the outage, for one who has said that it is cut
-/// off: it takes a cancellation and ends before its next heartbeat. The others take the
-/// process after it for one that stayed cut off, so no user may have been told.
+/// Guards against a cancellation that is confirmed too early. During an outage the state service
+/// briefly serves one controller that has reported that it is cut off. That controller commits a
+/// cancellation and ends before its next heartbeat. Its peers assume that it was cut off all the
+/// time, so it must not have confirmed the cancellation to a user.
 #[test]
 fn back_for_less_than_a_restart() {
     for (back_s, tells) in [(0.3, true), (0.3, false), (2.0, true), (12.0, true)] {
@@ -98,7 +101,7 @@
         w.run(8.0);
         w.state_link.refused.remove(&1);
         if back_s > 11.0 {
-            // None of the others hears it, so only time lets it tell its user.
+            // None of its peers receives its heartbeats, so only elapsed time lets it confirm to its user.
             w.network.isolated.insert(1);
         }
         w.run(back_s - 0.3);
@@ -119,9 +122,10 @@
     }
 }
 
-/// What one controller reads and another has taken: the one that took it ends without an
-/// answer, and the one that read it, in a full read in place of its watch, tells a user.
-/// The owner, refused all the while, is told of it all the same.
+/// Guards against an owner that misses a cancellation confirmed by a controller that only read
+/// it. The controller that committed it ends without a response; another one reads it, in a full
+/// read in place of its watch, and confirms it. The owner, refused by the state service all the
+/// while, must still learn of it.
 #[test]
 fn confirmed_by_one_that_only_read_it() {
     for ends in [false, true] {
@@ -149,8 +153,8 @@
     }
 }
 
-/// Hundreds of cancellations at once, more than a heartbeat names: what an owner has not been
-/// told of is not taken for known.
+/// Guards against cancellations that do not fit into one heartbeat: an owner that has not been
+/// told of all of hundreds must not assume that it has.
 #[test]
 fn hundreds_of_cancellations_at_once() {
     let mut w = World::new(Setup {
@@ -180,9 +184,9 @@
     assert_eq!(w.running(), 10);
 }
 
-/// A heartbeat that says that its sender is cut off is held back until, minutes or seconds
-/// later, its receiver is alone in the gap. By the echo of the receiver's own heartbeats it is
-/// known to be old.
+/// Guards against a delayed heartbeat whose sender was cut off when it sent it, and which arrives
+/// seconds or minutes later, when its receiver is alone in the gap. The receiver recognizes the
+/// heartbeat as old by the echo of its own heartbeats in it.
 #[test]
 fn old_beats_that_say_cut_off() {
     let (mut w, leader) = running(6);
@@ -197,7 +201,7 @@
     assert!(old.cut_off);
     w.state_link.refused.clear();
     w.run(14.0);
-    // The owner is cut from the other, which is served and takes a cancellation.
+    // The owner is isolated; the other controller is served and accepts a cancellation.
     w.network.isolated.insert(leader);
     w.state_link.refused = [leader].into();
     w.run(0.5);
@@ -213,7 +217,7 @@
             .expect("it runs")
             .heartbeat_out(now);
         let heartbeat = cherryyard_wire::peer::Heartbeat {
-            // The third one does not know of it either.
+            // The third controller has not learned of the cancellation either.
             cancelled: Vec::new(),
             ..heartbeat
         };
@@ -224,8 +228,8 @@
     whole(&w, "old heartbeats");
 }
 
-/// An owner is told of the cancellation of a job that it has never read of, as it adopted
-/// the shard just before it was refused, and a machine there runs it.
+/// Guards against an owner that ignores the cancellation of a job that it has never read, because
+/// the state service refuses it, while a machine of its shard runs a task of that job.
 #[test]
 fn told_of_a_job_that_it_never_read() {
     let (mut w, leader) = running(3);
@@ -233,7 +237,7 @@
     let other = (leader + 1) % 3;
     w.state_link.refused.insert(leader);
     w.run(0.2);
-    // It may run anywhere: nobody places it, as it is cancelled in the same moment.
+    // Nobody places the job, as it is cancelled at once; the test starts its task on a machine.
     w.submit(&World::spec("j-000099", "service", 1));
     w.ask_cancel(other, "j-000099");
     let worker = w.workers.values_mut().find(|x| x.zone == zone[leader]);
@@ -245,10 +249,10 @@
     whole(&w, "never read");
 }
 
-/// An owner confirms a cancellation in a moment in which only it is served, says so in a
-/// heartbeat, ends and starts again in the outage. The others have only been told of it; they
-/// tell it on, so that the owner's new process lets no lease of it go on by their word.
-/// (Found by the model: a heartbeat named only what its sender had read.)
+/// Guards against heartbeats that name only the cancellations that their sender has read. An owner
+/// confirms a cancellation while the state service serves it alone, reports it in a heartbeat,
+/// ends, and starts again during the outage. Its peers have learned of it by that heartbeat alone
+/// and must forward it, so that the new process renews no lease of the cancelled tasks.
 #[test]
 fn told_on_to_one_that_starts_again() {
     let mut w = World::new(Setup::default());
@@ -260,7 +264,7 @@
     w.run(3.0);
     w.state_link.refused.remove(&0);
     w.run(1.2);
-    // Its own workers do not come to hear of it before it ends.
+    // The owner's workers must not receive the cancellation before it ends.
     let names: Vec<String> = w.workers.keys().cloned().collect();
     w.network.unreachable.extend(names);
     w.ask_cancel(0, "j-000001");
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
@@ -1,20 +1,20 @@
 //! The heartbeat gap: the state service refuses the leader alone, other controllers confirm
-//! cancellations, then it refuses everybody for longer than a cancellation has.
-//! Here the gap meets shards, machines and starts that change hands.
+//! cancellations, and then it refuses all for longer than a cancelled task may run on. These tests
+//! combine the gap with takeovers of shards, returned machines and starts in flight.
 
 mod common;
 
 use cherryyard_simulation::{Setup, World};
 use common::gap::{id, outage, running, whole};
 
-/// An owner has just adopted a shard and is refused before it reads what runs there. It
-/// is told of a cancellation of a job that it has never heard of.
+/// Guards against an owner that ignores a cancellation of a job that it has never read: it has
+/// just taken over a shard and is refused by the state service before it reads what runs there.
 #[test]
 fn a_part_adopted_just_before() {
     for step in 0..40 {
         let (mut w, _) = running(6);
         w.kill(2);
-        // The others come to own its shard within these seconds.
+        // One of the others takes over its shard within these seconds.
         w.run(4.5 + f64::from(step) * 0.05);
         let owner = (0..2).find(|&i| {
             let controller = w.controllers[i].as_ref();
@@ -38,9 +38,9 @@
     }
 }
 
-/// The machine of a cancelled task is being returned, and the cloud does not answer: it
-/// goes on reporting, and its tasks are stopped all the same. Guards against an owner
-/// that keeps a lease and sends nothing to a machine that is not `Ready`.
+/// Guards against an owner that renews the lease of a machine that is not `Ready` without sending
+/// it commands. The machine of a cancelled task is being returned, but the cloud does not respond.
+/// The machine goes on reporting, and its tasks must be stopped.
 #[test]
 fn a_machine_that_is_being_returned() {
     let (mut w, _) = running(6);
@@ -50,7 +50,7 @@
         .into_iter()
         .filter(|n| w.workers[n].tasks.keys().any(|p| p.starts_with("j-000001")))
         .collect();
-    // Silent for longer than a service waits, so that they are to be returned.
+    // They are silent for longer than a service waits, so that they are returned.
     w.network.unreachable.extend(held.iter().cloned());
     w.run(7.5);
     assert!(w.cloud.releases_failed > 0, "{}", w.trace.join("\n"));
@@ -63,9 +63,9 @@
     whole(&w, "returned");
 }
 
-/// A direct start of a task is on its way when its job is cancelled, just before an
-/// outage: nobody can get the token that would stop it, so the incarnation has to end before
-/// it may arrive.
+/// Guards against a direct start that is in flight when its job is cancelled, just before an
+/// outage. No controller can take the token that would reject the start, so the machine's
+/// incarnation has to end before the start may arrive.
 #[test]
 fn a_start_on_its_way_in_an_outage() {
     for late_s in [5.0, 30.0, 39.0, 50.0, 60.0] {
@@ -76,7 +76,7 @@
         w.run(8.0);
         let hosts: Vec<String> = w.workers.keys().cloned().collect();
         w.machines.slow_commands.extend(hosts);
-        // In between two reports, so that the start goes directly.
+        // Submitted between two reports, so that the start is sent directly.
         w.submit(&World::spec("j-000001", "service", 6));
         w.run_until(3.0, |w| !w.machines.held_commands.is_empty());
         w.state_link.refused = [0].into();
@@ -91,9 +91,10 @@
     }
 }
 
-/// An owner is served again just when its leases are about to end: it leases its shard,
-/// answers machines that still show the token before, and ends. What it knows to be
-/// cancelled must not have a lease more by that. (Found by seed 286 of the gaps.)
+/// Guards against a lease renewed for a cancelled task: an owner is served again just before its
+/// workers' leases end, claims its shard anew, answers machines that still show the previous
+/// token, and ends. Tasks that it knows to be cancelled must not get another lease by that
+/// (found at seed 286 of the random gaps).
 #[test]
 fn a_new_claim_just_before_an_owner_ends() {
     for back in 2..20 {
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
@@ -1,5 +1,5 @@
 //! The heartbeat gap: the state service refuses the leader alone, other controllers confirm
-//! cancellations, then it refuses everybody for longer than a cancellation has.
+//! cancellations, and then it refuses all for longer than a cancelled task may run on.
 //! Random scenarios of it.
 
 mod common;
@@ -7,9 +7,10 @@
 use cherryyard_simulation::{draws, play_seeds};
 use common::gap::{id, leader, running, whole};
 
-/// Draws of all of it: who is refused, when cancellations come in the gap and where,
-/// whether the confirming controller ends, heartbeats are lost, machines are cut, deaf or
-/// held up, commands and transactions late; twice.
+/// Runs a random scenario of two gaps. The seed decides which controller is refused, when and
+/// where cancellations come, whether the confirming controller ends, and which controllers are
+/// isolated, heartbeats duplicated, machines unreachable or without inbound traffic, and commands
+/// and transactions late.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let (mut w, _) = running(12);
@@ -71,7 +72,7 @@
             w.run(draw(80) as f64 / 20.0);
             w.start(at);
         }
-        // At times it is back for a moment, for one or all.
+        // In some scenarios the state service briefly serves one controller again.
         let mut left = 60.0;
         if draw(3) == 0 {
             let (after, back) = (draw(25) as f64, 0.2 + draw(240) as f64 / 20.0);
@@ -114,7 +115,7 @@
     (0..40).for_each(scenario);
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_gaps_by_the_thousand() {
--- a/crates/cherryyard-simulation/tests/largest.rs
+++ b/crates/cherryyard-simulation/tests/largest.rs
@@ -1,4 +1,4 @@
-//! The largest jobs of a class begin, whatever else comes.
+//! Starvation of large jobs: the largest jobs of a class start despite a flood of small ones.
 
 use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
@@ -27,8 +27,8 @@
     spec
 }
 
-/// One job a second that takes more than there is, for `seconds`; `at` each second
-/// something else. Gives how long the job `large` waited for its first task.
+/// Submits one small job a second, together more than the capacity, for `seconds`, and calls
+/// `each` every second. Returns how many seconds the job `large` waited for its first task.
 fn flood(
     w: &mut World,
     small: (u32, f64),
@@ -57,8 +57,8 @@
     None
 }
 
-/// Small jobs take all there is, and as the least work goes first a large array of the
-/// same class would never begin.
+/// Guards against starvation of a large array: small jobs of the same class use all cores and are
+/// preferred, as the job with the least work is served first.
 #[test]
 fn a_large_array_begins_in_a_flood_of_small_jobs() {
     let mut w = cluster(3, 4);
@@ -68,8 +68,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A task that takes a whole machine, where machines only ever have cracks free: one is
-/// kept for it, whatever ends meanwhile.
+/// Guards against starvation of a task that needs a whole machine while machines only ever have
+/// fractions free: one machine is reserved for it, also when controllers end meanwhile.
 #[test]
 fn a_task_that_fills_a_machine_begins_among_cracks() {
     for ends in [false, true] {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Several at once, each with its turn: all begin within four minutes.
+/// Guards against starvation among several large jobs: all start within four minutes.
 #[test]
 fn large_jobs_take_turns() {
     let mut w = cluster(3, 4);
@@ -108,8 +108,8 @@
     }
 }
 
-/// A guest's swarm of single tiny tasks: what scheduling cycles write and look at follows scheduling cycles,
-/// not tasks, and the job of a team with a guarantee begins at once in the middle of it.
+/// Guards against a guest's thousands of tiny single-task jobs: the number of writes follows the
+/// scheduling cycles and not the tasks, and a job of a team with a guarantee starts within 5 s.
 #[test]
 fn a_swarm_costs_rounds_not_tasks() {
     let mut w = World::new(Setup {
@@ -160,10 +160,10 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// At its team's limit a large job of large tasks begins too, though small tasks come all
-/// the time and take each core that comes free: what is left of the limit in a shard is kept
-/// for the task whose turn it is, once that is all it needs. (Found by seed 330 of late
-/// writes: six of eight of the largest had not begun after four minutes.)
+/// Guards against starvation of large tasks at their team's limit, while small tasks take each
+/// core that becomes free: the rest of the limit in a shard is reserved for the task that aging
+/// serves first, once that is all it needs (at seed 330 of the late writes, six of eight of the
+/// largest jobs had not started after four minutes).
 #[test]
 fn a_large_task_at_its_teams_limit() {
     let mut w = World::new(Setup {
@@ -184,7 +184,7 @@
     };
     let large: Vec<usize> = (2..5).collect();
     for second in 0..280 {
-        // Some 35 cores of small tasks for 24, and a backlog before the large ones come.
+        // Small tasks demand about 35 of 24 cores, with a backlog before the large jobs come.
         users.submit(&mut w, &job(100 + second, 5, 1.0));
         for &n in large.iter().filter(|_| second == 40) {
             users.submit(&mut w, &job(n, 12, 4.0));
@@ -200,8 +200,9 @@
     assert!(w.checker.most_cores <= 24.0, "{}", w.checker.most_cores);
 }
 
-/// Where a team's services hold so much of its limit that a large task never fits in the
-/// part, or what runs there runs for long, its small tasks go on all the same.
+/// Guards against small tasks blocked by a reservation that cannot be used: a team's services hold
+/// so much of its limit in the shard that a large task never fits, or the tasks there run for
+/// long. The team's small tasks go on.
 #[test]
 fn small_tasks_go_on_beside_a_turn_that_finds_no_room() {
     for long in [false, true] {
@@ -224,7 +225,7 @@
         users.run(&mut w, 3.0);
         assert_eq!(w.running(), 5);
         for worker in w.workers.values_mut().filter(|_| long) {
-            // What runs there goes on; what comes is short.
+            // The running tasks go on for long; later ones are short.
             let now = w.now;
             worker
                 .tasks
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -1,6 +1,6 @@
-//! Transactions without an answer that are carried out after newer ones of the same
-//! controller, under the same lease. `docs/protocol.md` has the table of all kinds; here
-//! are those that did harm, and random scenarios in which any transaction may be so late.
+//! Transactions without a response that are carried out after newer ones of the same controller,
+//! under the same lease. `docs/protocol.md` lists all kinds. These tests cover those that caused
+//! faults, and random scenarios in which any transaction may be late.
 
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
@@ -31,7 +31,7 @@
     leader.expect("a leader")
 }
 
-/// Whatever was held back changes nothing once newer ones have been carried out.
+/// Carries out the held transactions and panics if one of them is applied.
 fn nothing_applied(w: &mut World) {
     let late = w.deliver_commits();
     assert!(!late.is_empty(), "something was held back");
@@ -39,9 +39,9 @@
     assert!(late.iter().all(dead), "{late:?}\n{}", w.trace.join("\n"));
 }
 
-/// An owner lowers its grant and gets no answer; then it assigns tasks by the grant as it
-/// was; then the lowering is carried out. What it gave back was in use, and went to
-/// another shard: the team had more than its limit.
+/// Guards against a team above its limit: an owner lowers its grant and gets no response, assigns
+/// tasks by the previous grant, and then the lowering is carried out. The cores that it gave back
+/// were in use and went to another shard.
 #[test]
 fn a_grant_lowered_late() {
     let mut w = settled(Setup {
@@ -50,8 +50,7 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    // Each shard has 8 cores; one asks for more than its own, and others are to lower
-    // theirs.
+    // Each shard has a grant of 8 cores; one needs more than its own, and others are to lower theirs.
     let (low, more) = ((leader(&w) + 1) % 3, (leader(&w) + 2) % 3);
     let zone = |p: usize| ["a", "b", "c"][p];
     w.state_link.hold_owner_commits.insert(low);
@@ -72,17 +71,18 @@
     assert_eq!(w.running() * 2, 24, "{}", w.trace.join("\n"));
 }
 
-/// An owner's first assignment goes into the first page and gets no answer; the same task is
-/// assigned on another machine; more assignments follow, the first page's last ones move on, and
-/// it would have gone: then the first assignment is carried out. One number had two assignments.
-/// With plain pages, as earlier builds write them, and with packed ones, which hold more.
+/// Guards against two assignments of one task. An owner's first assignment goes into the first
+/// page and gets no response, and the task is assigned on another machine. More assignments
+/// follow, the last ones of the first page move to other pages, and the page would be deleted;
+/// then the first assignment is carried out. Runs with plain pages, as earlier builds write them,
+/// and with packed ones, which hold more.
 #[test]
 fn a_first_mark_carried_out_when_its_page_has_gone() {
     first_mark_when_its_page_has_gone([0].into(), 60);
     first_mark_when_its_page_has_gone([].into(), 300);
 }
 
-/// A page of assignments as it is stored.
+/// Reads a stored page of assignments.
 fn page_of(value: &Json) -> PageRecord {
     let stored: StoredPage = value.read().expect("a page");
     stored.read().expect("a good page")
@@ -100,7 +100,7 @@
     w.state_link.hold_owner_commits.insert(0);
     w.submit(&World::spec("j-000001", "service", 1));
     w.run_until(5.0, |w| !w.state_link.held_commits.is_empty());
-    // It is placed elsewhere: the machine's notice, far ahead, makes it unusable.
+    // The task is placed elsewhere: a reclaim notice, far ahead, makes the machine unusable.
     let first = w.state_link.held_commits.len();
     let assigned = w.state_link.held_commits[0]
         .apply
@@ -120,7 +120,7 @@
     for worker in w.workers.values_mut() {
         worker.run_ms = 2500.0;
     }
-    // The service must outlive them: it runs on a machine of its own.
+    // The service must outlive the arrays, so its machine runs tasks without end.
     let on: Vec<String> = w
         .workers
         .iter()
@@ -146,10 +146,9 @@
     assert_eq!(w.copies("j-000001/0"), 1);
 }
 
-/// A submission's write gets no answer, and its user asks the leader, which takes it
-/// with a new page; that page goes, as what is left of it is joined with the next one:
-/// then the first write is carried out. The job, long divided and running, came again
-/// undivided.
+/// Guards against a job that returns as undivided while it runs. The write of its submission gets
+/// no response, and its user submits it to the leader, which accepts it with a new page. That page
+/// is deleted when its rest is merged with the next one; then the first write is carried out.
 #[test]
 fn a_submission_carried_out_when_its_page_has_gone() {
     for at_leader in [false, true] {
@@ -168,7 +167,7 @@
                 controller.mirror.in_page(job),
             )
         };
-        // Pages 0 and 1, the second one full.
+        // Fills pages until one job is in page 2.
         let mut last = 0;
         while page(&w, last).0 != Some(2) {
             last += 1;
@@ -177,8 +176,7 @@
         }
         w.run(2.0);
         let add = |w: &mut World, i: usize, job: u64| w.offer(i, &service(job), None);
-        // The one that began page 2 is cancelled, so that a new page would be page 3;
-        // page 2 is filled first.
+        // Fills page 2 until one job is in page 3.
         let mut next = last + 1;
         while page(&w, next - 1).0 != Some(3) {
             w.submit(&service(next));
@@ -186,14 +184,14 @@
             next += 1;
         }
         let first = next;
-        // Page 3 is filled but for one; what comes next begins page 4.
+        // Fills page 3; the next job is in page 4.
         while page(&w, next - 1).0 == Some(3) {
             w.submit(&service(next));
             w.run(0.1);
             next += 1;
         }
         let _ = first;
-        // Now page 4 has one job: fill it, and hold back what would begin page 5.
+        // Page 4 has one job: fills it, and holds back the write that would begin page 5.
         let job = loop {
             let i = if at_leader {
                 leader(&w)
@@ -208,7 +206,7 @@
             let commits = w.state_link.held_commits.split_off(before);
             let begins = |c: &Commit| c.when.iter().any(|x| x.key == admission_log_key(4));
             assert!(commits.iter().all(begins), "{commits:?}");
-            // The user asks the leader.
+            // The user submits the job to the leader.
             w.submit(&service(next));
             w.run(0.2);
             next += 1;
@@ -217,7 +215,7 @@
                 break next - 1;
             }
         };
-        // Page 6 begins; all of page 5 but that job goes, and little is left of page 6.
+        // Fills page 6; then all jobs of page 5 but that one are cancelled, and of page 6 all but one.
         while page(&w, next - 1).0 != Some(7) {
             w.submit(&service(next));
             w.run(0.1);
@@ -243,8 +241,9 @@
     }
 }
 
-/// An owner that its workers do not reach gives its shard up; then a lease of its own from
-/// before is carried out. Nobody served the shard for as long as it stayed away.
+/// Guards against a shard without service: an owner that its workers do not reach gives up the
+/// shard, and then an earlier claim of its own is carried out. Once, nobody served the shard for
+/// as long as that owner was cut off.
 #[test]
 fn a_claim_carried_out_after_its_part_was_given_up() {
     let mut w = settled(Setup {
@@ -276,9 +275,9 @@
     assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
 }
 
-/// Scenarios in which any transaction gets no answer and is carried out 2 to 12 s later, or
-/// at once, among the older faults. The users submit and cancel until they are told;
-/// the team has a limit.
+/// Runs a random scenario of the older faults in which any transaction may get no response and be
+/// carried out at once or 2 to 12 s later. Users repeat submissions and cancellations until they
+/// are confirmed; in half of the scenarios the team has a limit.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let limit = [0.0, 24.0][draw(2) as usize];
@@ -364,18 +363,18 @@
     (0..12).for_each(scenario);
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_days_by_the_hundred() {
     play_seeds(12, 200, scenario);
 }
 
-/// New jobs stand undivided in a page that has no room for their divisions, so the leader
-/// divides them by records of their own, and gets no answer. The page has room then, and
-/// they are divided in it, another way, and assigned; then the first division is carried out.
-/// It depended on the jobs' having no records alone, which still held: a running task was
-/// given to another shard (found by seed 5091).
+/// Guards against a running task that moves to another shard. New jobs are undivided in a page
+/// without room for their divisions, so the leader divides them by records of their own and gets
+/// no response. Later the page has room, they are divided in it, differently, and assigned; then
+/// the first division is carried out. It depended only on the absence of the jobs' records, which
+/// still held (found at seed 5091).
 #[test]
 fn a_division_by_records_carried_out_after_one_in_the_page() {
     let mut w = settled(Setup {
@@ -386,7 +385,7 @@
     });
     let ids: Vec<String> = (1..=14).map(|n| format!("j-{n:06}")).collect();
     let leader_index = leader(&w);
-    // None is divided, and no answer comes to the leader's transactions.
+    // None is divided, as the leader gets no response to its transactions.
     w.state_link.hold_leader_commits = true;
     for id in &ids {
         let mut spec = World::spec(id, "service", 4);
@@ -407,7 +406,7 @@
         .iter()
         .map(|a| a.key().replace("c/job/", ""))
         .collect();
-    // The page gets room: of those that were not among them some are cancelled.
+    // The cancellation of some jobs that are not among the divided ones makes room in the page.
     for id in ids.iter().filter(|id| !divided.contains(id)) {
         w.ask_cancel(leader_index, id);
     }
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -1,5 +1,5 @@
-//! Leaders and owners that change while something else fails: answers lost, controllers
-//! away, old heartbeats. `docs/restart.md` has the table of combinations and their tests.
+//! Changes of leaders and owners during other faults: lost responses, absent controllers, old
+//! heartbeats. `docs/restart.md` lists the combinations and their tests.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use common::combinations::{Away, cluster, job, whole};
 use std::collections::BTreeSet;
 
-/// A transaction is carried out at once and only its answer is lost, for three seconds
-/// around each step of a job's life, while other controllers read what it wrote and
-/// users ask there; its sender ends then, or goes on.
+/// Guards against transactions that are carried out and whose response is lost, for three seconds
+/// at each point of a sequence of jobs, while other controllers read their result and users ask
+/// there. In half of the cases the leader restarts then.
 #[test]
 fn only_the_answer_is_lost() {
     for from in 0..12 {
@@ -44,10 +44,11 @@
     }
 }
 
-/// The answers of all transactions are lost for half a minute, claims' too, just as an
-/// owner ends, or the leader: another sees its own claim in the state and serves the shard
-/// at once. (It claimed anew, again and again, as for a claim of a process before, and the
-/// shard's leases ran out. Found by seed 5092 of three faults.)
+/// Guards against an owner that does not recognize its own claim. The responses to all or most
+/// transactions, claims included, are lost for half a minute, just as the leader, itself an owner,
+/// ends. A controller that sees its own claim in the state must serve the shard at once. Once, it
+/// treated the claim as one of a previous process and claimed again and again until the shard's
+/// leases expired (found at seed 5092 of three faults).
 #[test]
 fn a_claim_whose_answer_is_lost() {
     for lost in [100, 60] {
@@ -75,7 +76,7 @@
     }
 }
 
-/// What makes a controller's work change hands.
+/// Causes of a change of ownership of a controller's shard.
 #[derive(Clone, Copy, Debug)]
 enum HandOver {
     Ends,
@@ -84,9 +85,9 @@
     Back,
 }
 
-/// Jobs are cancelled at steps through the seconds in which a controller's work
-/// changes hands, by the one before, by the one after and by the third, with a command
-/// of the one before on its way.
+/// Guards against cancelled tasks that run on, and against tasks lost, when a shard changes its
+/// owner. Jobs are cancelled at steps through that change, at the previous owner, its successor
+/// or the third controller, with a start of the previous owner in flight.
 #[test]
 fn cancelled_while_work_changes_hands() {
     for change in [
@@ -109,10 +110,10 @@
                     w.kill(i);
                     users.run(&mut w, 8.0);
                     w.start(i);
-                    // It asks for its shard 12 s after its start.
+                    // The controller asks for its shard back 12 s after its start.
                     users.run(&mut w, 11.0);
                 }
-                // Starts of the one before are on their way.
+                // Starts of the previous owner are in flight.
                 let hosts: Vec<String> = w.workers.keys().cloned().collect();
                 w.machines.slow_commands.extend(hosts);
                 users.submit(&mut w, &job(4, "service", 8));
@@ -140,8 +141,8 @@
     }
 }
 
-/// An old report of every machine, of an earlier incarnation and attempt, reaches every
-/// controller just as a new leader begins, or is held back until it has acted.
+/// Guards against an old report of every machine, of an earlier incarnation and attempt, that
+/// reaches every controller just as a new leader begins, or after that leader has acted.
 #[test]
 fn an_old_report_reaches_all_as_a_leader_begins() {
     for lost_s in [0.0, 4.0, 13.0, 26.0] {
@@ -187,8 +188,8 @@
     }
 }
 
-/// All controllers are away for longer than a lease, and are back within 0 to 2 s of each
-/// other, or one alone at first.
+/// Guards against lost state when all controllers are down, for up to longer than a lease, and
+/// restart 0 to 15 s apart.
 #[test]
 fn all_away_for_longer_than_a_lease() {
     for away_s in [8.0, 11.0, 30.0, 60.0] {
@@ -218,8 +219,8 @@
     }
 }
 
-/// Leaders change ten times in two minutes, also inside an outage, with submissions,
-/// cancellations and provisioning requests under way.
+/// Guards against broken rules when leaders change ten times in two minutes, also during an
+/// outage, with submissions, cancellations and provisioning requests in flight.
 #[test]
 fn leaders_change_ten_times() {
     for outage in [false, true] {
--- a/crates/cherryyard-simulation/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -1,8 +1,8 @@
-//! Leases of workers whose owner ends in an outage of the state service.
+//! Extension of workers' leases when their owner restarts during an outage of the state service.
 
 use cherryyard_simulation::{Setup, World};
 
-/// Six replicas on three machines, one in each shard.
+/// Returns a cluster with six replicas on three machines, one machine in each shard.
 fn running() -> World {
     let mut w = World::new(Setup::default());
     w.run(5.0);
@@ -28,9 +28,9 @@
     w.state_link.refused.clear();
 }
 
-/// An owner ends in an outage and starts again: its workers' leases go on by the word
-/// of a peer that lived through, and nothing is started anew after it. Two may end one
-/// after the other; kept as a story.
+/// Records the trace of owners that restart, one after the other, during an outage. Their workers'
+/// leases are extended because peers that have run throughout confirm them, and no task restarts
+/// after the outage.
 #[test]
 fn trace_of_ends_in_an_outage() {
     let mut w = running();
@@ -57,7 +57,8 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// All end at once: nobody knows a token, nor what was cancelled, and the leases end.
+/// Guards against lease extensions without evidence: all controllers restart at once, so none
+/// knows the tokens or the cancellations, and the leases must expire.
 #[test]
 fn nobody_vouches_where_nobody_remembers() {
     let mut w = running();
@@ -72,8 +73,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The state service refuses one controller only, which ends: the others can take
-/// cancellations, and its shard has another owner; it answers no worker.
+/// Guards against lease extensions when the state service refuses only one controller and that one
+/// restarts: the others can accept cancellations, and its shard gets another owner, so it must
+/// answer no worker.
 #[test]
 fn nobody_vouches_where_it_is_no_outage() {
     let mut w = running();
@@ -89,8 +91,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A cancellation taken just before the outage by one that then ends, of a job whose
-/// owner ends too: the third has been told, and no lease of its tasks goes on.
+/// Guards against lease extensions of cancelled tasks: a controller accepts a cancellation just
+/// before an outage and ends, and the job's owner ends too. The third controller has been told of
+/// the cancellation, so no lease of the job's tasks is extended.
 #[test]
 fn nobody_vouches_for_what_was_cancelled() {
     for owner_reads in [true, false] {
@@ -119,7 +122,8 @@
     }
 }
 
-/// The one that remembers stands still: its word is 3 s old at the most.
+/// Guards against lease extensions by outdated evidence: the peers that know the cancellations are
+/// frozen, and their reports count for 3 s at most.
 #[test]
 fn nobody_vouches_by_the_word_of_one_that_stands_still() {
     let mut w = running();
--- a/crates/cherryyard-simulation/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -1,10 +1,10 @@
-//! The state service lowers its limits: announced while controllers are upgraded one
-//! after the other, or without a word.
+//! The state service lowers its limits: announced, while controllers are upgraded one after the
+//! other, or without an announcement.
 
 use cherryyard_simulation::{Setup, World};
 use cherryyard_wire::job::JobSpec;
 
-/// Arrays that run while the limits fall.
+/// Number of arrays that run while the limits are lowered.
 const JOBS: u64 = 19;
 
 fn sweep(job: u64, task_count: u32) -> JobSpec {
@@ -13,8 +13,8 @@
     spec
 }
 
-/// Three controllers of an earlier build with 210 machines and some 800 tasks on them,
-/// whose pages are larger than what comes later allows.
+/// Returns a cluster of three controllers of an earlier build with 210 machines and more than 720
+/// running tasks, whose pages are larger than the later limits allow.
 fn before_the_upgrade(team_limit: f64) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 70), ("b", 70), ("c", 70)],
@@ -49,8 +49,8 @@
     }
 }
 
-/// Whatever was stored before is worked on, nothing too large is ever sent, and all jobs
-/// get done.
+/// Guards against pages that exceed announced limits: all stored jobs are processed, no
+/// transaction or value is too large, and all jobs complete.
 #[test]
 fn announced_limits_come_into_force_after_an_upgrade() {
     for (value_kb, txn_ops, team_limit) in [(2.0, 5, 0.0), (2.0, 4, 840.0), (1.0, 2, 840.0)] {
@@ -72,7 +72,7 @@
         }
         assert_eq!(w.running(), 20, "{state}");
         let now = w.state.pairs();
-        // Pages of new jobs of before stay as they are while nothing in them changes.
+        // Earlier pages of new jobs stay as they are while nothing in them changes.
         let pages = now.iter().filter(|p| p.key.starts_with("c/mark"));
         let largest = pages.map(|p| (p.value.text().len(), &p.key)).max();
         let bytes = (value_kb * 1024.0) as usize;
@@ -84,8 +84,9 @@
     }
 }
 
-/// The limits fall while the upgrade is not over: those of before are divided by new
-/// controllers, also of shards that they adopt, and by nobody twice.
+/// Guards against pages that are divided twice or never when a controller ends while limits are
+/// lowered during an upgrade: upgraded controllers divide the earlier pages, also those of shards
+/// that they take over.
 #[test]
 fn a_controller_ends_while_its_pages_are_divided() {
     for step in 0..6 {
@@ -96,7 +97,7 @@
         w.run(0.5);
         w.start(0);
         w.run(0.2 + f64::from(step) * 0.3);
-        // Its part goes to a controller of the earlier build, or is taken back.
+        // Its shard goes to a controller of the earlier build, or the restarted controller keeps it.
         w.kill(0);
         w.run(if step % 2 == 0 { 0.5 } else { 9.0 });
         w.start(0);
@@ -112,8 +113,8 @@
     }
 }
 
-/// Limits fall without a word: each controller has a few transactions refused, plans
-/// smaller ones from then on, and gets all its work done.
+/// Guards against controllers that cannot work after limits are lowered without an announcement:
+/// a few of their transactions are refused, then they plan smaller ones, and all jobs complete.
 #[test]
 fn limits_that_nobody_announced() {
     let mut w = before_the_upgrade(840.0);
--- a/crates/cherryyard-simulation/tests/machine_faults.rs
+++ b/crates/cherryyard-simulation/tests/machine_faults.rs
@@ -1,6 +1,5 @@
-//! Machines that hang, are cut off, or come up fast, while controllers end, jobs are
-//! cancelled or links are slow. `docs/restart.md` has the table of combinations and their
-//! tests.
+//! Machines that hang, are cut off, or start fast, while controllers end, jobs are cancelled or
+//! links are slow. `docs/restart.md` lists the combinations and their tests.
 
 mod common;
 
@@ -9,9 +8,9 @@
 use common::combinations::{Away, cluster, hosts_of, job, whole};
 use std::collections::BTreeSet;
 
-/// New machines are up within two seconds and get work at once while writes lag, are
-/// late, or are carried out without an answer, provisioning requests too; the leader that provisioned them
-/// ends at each step of it.
+/// Guards against machines that are provisioned twice or stay unused when they start within two
+/// seconds. Writes are slow, late, or carried out without a response, provisioning requests are
+/// unanswered in some cases too, and the leader ends at several steps after the first request.
 #[test]
 fn machines_up_within_two_seconds() {
     for (provisioning_ms, unanswered) in
@@ -65,8 +64,8 @@
     }
 }
 
-/// Machines hang with a cancelled task and go on within their lease, or just after it;
-/// the cancellation is told before, during or at the end of that.
+/// Guards against cancelled tasks on machines that hang and resume within their lease or after
+/// it. The cancellation comes before the hang, during it or at its end.
 #[test]
 fn a_hung_machine_goes_on_with_a_cancelled_task() {
     for hang_s in [1.0, 6.0, 9.5, 10.5, 20.0, 39.0, 45.0] {
@@ -96,11 +95,12 @@
     }
 }
 
-/// Machines hang with starts on their way, the job is cancelled, and the owner that sent
-/// them ends. Its successor knows nothing of the starts and has never heard the machines,
-/// too many for them to be taken for lost; what goes on after its incarnation is over carries
-/// out first what was sent to it. (Found by seed 1029 of three faults at once: such a
-/// start came long after the time that cancelled tasks have.)
+/// Guards against a start that is executed long after its job was cancelled. Machines hang with
+/// starts in flight, the job is cancelled, and the owner that sent the starts ends. Its successor
+/// has no record of the starts, and the machines, too many to be considered lost, have never
+/// reported to it. A machine that resumes after the end of its incarnation first carries out what
+/// was sent to it (at seed 1029 of three faults, a start came long after the time allowed for
+/// cancelled tasks).
 #[test]
 fn a_start_to_a_hung_machine_whose_owner_ends() {
     for hang_s in [20.0, 38.0, 47.0, 70.0] {
@@ -114,7 +114,7 @@
                 w.machines.slow_commands.extend(hosts.clone());
                 users.submit(&mut w, &job(2, "service", 15));
                 w.run_until(3.0, |w| w.machines.held_commands.len() >= 10);
-                // Half of the machines of zone a, and one of each other.
+                // Half of the machines of zone a, one of zone b and one of zone c.
                 let hung = hosts
                     .iter()
                     .enumerate()
@@ -124,7 +124,7 @@
                 w.kill(0);
                 users.run(&mut w, told_s);
                 w.insist(1, "j-000002", Question::Cancel);
-                // What is not for those is lost.
+                // Commands to other machines are lost.
                 w.machines
                     .held_commands
                     .retain(|held| hung.contains(&held.machine));
@@ -141,8 +141,8 @@
     }
 }
 
-/// Machines reach no controller while direct commands reach them: what is cancelled there
-/// is gone in time, what else ran there runs elsewhere once their leases are over.
+/// Guards against machines whose reports reach no controller while direct commands reach them:
+/// cancelled tasks there stop in time, and other tasks run elsewhere once the leases expire.
 #[test]
 fn mute_machines() {
     for mute_s in [3.0, 9.0, 12.0, 30.0, 60.0] {
@@ -177,8 +177,8 @@
     }
 }
 
-/// A zone with workers and its controller is cut off, for longer than a lease too, with
-/// cancellations from outside; users inside ask its controller.
+/// Guards against broken rules when a zone with its workers and its controller is cut off, also
+/// for longer than a lease, while users inside and outside the zone cancel jobs.
 #[test]
 fn a_zone_with_its_controller_is_cut_off() {
     for cut_s in [3.0, 8.0, 14.0, 30.0, 60.0] {
@@ -200,16 +200,17 @@
             w.submit_at(i, &job(5, "service", 2));
             users.run(&mut w, cut_s);
             whole(&mut w, &mut users, &state);
-            // One who looks closely may have cancelled the last.
+            // A user who sends additional requests may have cancelled the last job.
             let last = if w.asked_to_cancel("j-000005") { 0 } else { 2 };
             assert_eq!(w.running(), 6 + last, "{state}");
         }
     }
 }
 
-/// Jobs bound to one zone, arrays too, lose machines there, while other zones are full, or
-/// empty: nothing of them starts elsewhere, and what waits is served by what is provisioned
-/// there. (Empty zones' room once counted for them, and nothing was provisioned.)
+/// Guards against jobs bound to one zone that wait for ever after machines there are lost, while
+/// other zones are full or empty. No task of them starts in another zone, and machines for the
+/// waiting tasks are provisioned in theirs. Once, free cores of other zones counted for them, and
+/// nothing was provisioned.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     for (lost, rents, ends, full) in [
@@ -258,8 +259,8 @@
     }
 }
 
-/// More work than room, urgent and not, over slow links: commands and answers are held
-/// up, tasks that make way are killed late, and what takes their room starts after.
+/// Guards against overlapping use of cores under preemption over slow links: commands and responses
+/// are delayed, preempted tasks stop late, and their successors must start after that.
 #[test]
 fn more_work_than_room_over_slow_links() {
     for late_s in [0.5, 2.0, 5.0] {
--- a/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
@@ -1,4 +1,4 @@
-//! Random scenarios of pipelines and faults.
+//! Random scenarios of jobs with dependencies and of faults.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use cherryyard_simulation::{Fault, Pipelines, Question, Setup, Users, World, draws, play_seeds};
 use common::pipelines::{cluster_of, id, sweep};
 
-/// Scenarios by seed: pipelines and faults, two at once.
+/// Runs a random scenario of pipelines with two faults at once.
 fn scenario(seed: u64, faults: &[Fault]) {
     let mut draw = draws(seed);
     let mut w = cluster_of(
@@ -100,7 +100,7 @@
     (0..24).for_each(|seed| scenario(seed, &every()));
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_days_with_pipelines_by_the_thousand() {
--- a/crates/cherryyard-simulation/tests/pipeline_submissions.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs that wait for others: which are accepted, and what they name.
+//! Submissions of jobs with dependencies: which are accepted, and which jobs they may name.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use cherryyard_wire::record::ADMISSION_LOG;
 use common::pipelines::{accepted, cancel, cluster, cluster_of, id, status, submit, sweep, whole};
 
-/// Jobs that were never accepted, the job itself among them, are refused, but only once
-/// all that is durable has been read; services are refused too.
+/// Guards against accepted dependencies on jobs that were never accepted, on the job itself, or
+/// on services. Such submissions are refused, but only after all durable state has been read.
 #[test]
 fn what_was_never_accepted_is_refused() {
     let mut w = cluster(f64::INFINITY);
@@ -23,14 +23,14 @@
     w.state_link.refused.clear();
     w.run(3.0);
     assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[1])), Response::Taken);
-    // A repetition of an accepted job is never refused, whatever it names.
+    // A repeated submission of an accepted job is never refused, whatever it names.
     let again = submit(&mut w, 2, &sweep(6, 1, &[79]));
     assert_eq!(status(&again), Some(JobStatus::Queued));
     whole(&w);
 }
 
-/// A job that was accepted by another controller a moment ago, with its answer lost or
-/// while reads are slow, is known at the next one.
+/// Guards against a refused dependency on a job that another controller has just accepted, with
+/// its response lost or while reads are slow.
 #[test]
 fn what_was_accepted_elsewhere_a_moment_ago() {
     for slow_ms in [0.0, 400.0] {
@@ -43,7 +43,7 @@
                 let first = submit(&mut w, i, &sweep(1, 1, &[]));
                 w.state_link.lost_response_percent = 0;
                 if lost {
-                    // Its user asks again, elsewhere.
+                    // Its user submits it again at another controller.
                     let again = submit(&mut w, (i + 2) % 3, &sweep(1, 1, &[]));
                     assert!(
                         again == Response::Taken || status(&again).is_some(),
@@ -63,8 +63,8 @@
     }
 }
 
-/// Before every controller knows of dependencies none is accepted, and what is stored is
-/// as before.
+/// Guards against dependencies stored before every controller supports them: until then, jobs
+/// with dependencies are not accepted, and the stored format stays as before.
 #[test]
 fn nothing_new_before_all_controllers_know_it() {
     for last in 0..3 {
@@ -87,7 +87,7 @@
         let all = w.state.pairs();
         assert!(!all.iter().any(|p| p.value.text().contains("dependencies")));
         assert!(!all.iter().any(|p| p.value.text().contains("\"after\"")));
-        // It ends and is back as it was, then it is upgraded too.
+        // The last controller restarts with the earlier build; later it is upgraded too.
         w.kill(last);
         w.run(1.0);
         w.start(last);
@@ -108,8 +108,9 @@
     }
 }
 
-/// Ends go into the history: what names a job that is only there is decided by it, and
-/// ends that jobs wait for stay until those are divided.
+/// Guards against lost dependencies on ended jobs: a dependency on a job that is only in the
+/// history is decided by the history, and ended jobs stay available until their dependents are
+/// divided.
 #[test]
 fn needs_that_are_only_in_the_history() {
     let mut w = cluster_of(
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait for others: order, cancellations, urgency, large graphs.
+//! Jobs with dependencies: order, cancellations, urgency, large graphs.
 
 mod common;
 
@@ -9,8 +9,8 @@
     accepted, ask, cancel, cluster, cluster_of, id, status, status_at, submit, sweep, whole,
 };
 
-/// Two jobs after one, one after both, and one after that: each starts only when all that
-/// it needs are done, and says what it waits for.
+/// Guards against jobs that start before their dependencies are done: stages run in order, and a
+/// poll returns the dependencies that are not done.
 #[test]
 fn stages_run_one_after_the_other() {
     let mut w = cluster(3.0);
@@ -35,14 +35,14 @@
     for i in 0..3 {
         assert_eq!(status_at(&mut w, i, 5), Some(JobStatus::Done));
     }
-    // A wait of half a second and less for each of four stages.
+    // At most about half a second of delay for each of four stages.
     assert!(w.now < 32_000.0, "{}", w.now);
     whole(&w);
 }
 
-/// When a job is cancelled all that need it, directly and through others, are called
-/// cancelled at once at every controller, also at one that starts only then; their ends
-/// are written down, and repeats are answered.
+/// Guards against dependents that survive a cancellation: all direct and indirect dependents are
+/// reported as cancelled at once at every controller, also at one that restarts later. Their ends
+/// are stored, and repeated requests are answered.
 #[test]
 fn dependents_are_cancelled_with_what_they_need() {
     let mut w = cluster(f64::INFINITY);
@@ -76,7 +76,7 @@
     assert_eq!(view.cancelled_by, Some(id(3)));
     let again = submit(&mut w, 2, &sweep(5, 1, &[3, 4]));
     assert_eq!(status(&again), Some(JobStatus::Cancelled));
-    // One that names a cancelled job is accepted, and cancelled.
+    // A new job that depends on a cancelled one is accepted and is cancelled.
     assert_eq!(submit(&mut w, 1, &sweep(6, 1, &[5])), Response::Taken);
     assert_eq!(status_at(&mut w, 0, 6), Some(JobStatus::Cancelled));
     w.run(60.0);
@@ -84,7 +84,7 @@
     whole(&w);
 }
 
-/// A job that is done when its cancellation comes stays done, and what needs it goes on.
+/// Guards against the cancellation of a completed job: it stays done, and its dependents run.
 #[test]
 fn what_is_done_keeps_its_dependents() {
     let mut w = cluster(2.0);
@@ -98,8 +98,8 @@
     whole(&w);
 }
 
-/// A cancellation is confirmed, and right after it the state service is gone for longer
-/// than a cancellation may take: what needs the job is not called by an older state.
+/// Guards against outdated responses for dependents: a cancellation is confirmed, and right after
+/// that the state service is down for longer than a cancelled task may run on.
 #[test]
 fn a_cancellation_just_before_an_outage() {
     for i in 0..3 {
@@ -126,8 +126,8 @@
     }
 }
 
-/// The leader ends at every moment around the end of the first stage and the division of
-/// the second.
+/// Guards against a second stage that is never divided: the leader ends at each of thirty moments
+/// after the end of the first stage.
 #[test]
 fn the_leader_ends_between_an_end_and_the_division() {
     for step in 0..30 {
@@ -145,8 +145,8 @@
     }
 }
 
-/// Jobs that wait hold nothing of their team's limit, whose ever the jobs are that they
-/// wait for, and no machine is provisioned for them.
+/// Guards against waiting jobs that use up their team's limit or cause machines to be provisioned,
+/// also when the job they depend on belongs to another team.
 #[test]
 fn waiting_jobs_hold_nothing() {
     let mut w = cluster_of(
@@ -189,8 +189,9 @@
     whole(&w);
 }
 
-/// A thousand jobs behind one and a chain of a hundred: cancelled at once, with ends
-/// written at the pace that users leave, and no list of cancellations that overflows.
+/// Guards against slow cancellation of large graphs: a thousand dependents of one job and a chain
+/// of a hundred are cancelled at once. Their ends are written at the rate left over by users'
+/// requests, and the list of cancellations in heartbeats does not overflow.
 #[test]
 fn wide_and_deep_graphs() {
     let mut w = cluster_of(
@@ -235,7 +236,8 @@
     whole(&w);
 }
 
-/// A job is as urgent as the most urgent one that needs it, directly or through others.
+/// Guards against priority inversion: a job is as urgent as its most urgent dependent, direct or
+/// indirect.
 #[test]
 fn what_is_needed_inherits_urgency() {
     let mut w = cluster(f64::INFINITY);
--- a/crates/cherryyard-simulation/tests/placement.rs
+++ b/crates/cherryyard-simulation/tests/placement.rs
@@ -1,4 +1,4 @@
-//! What starts where and when: preemption, deadlines, failing jobs, lost replicas.
+//! Placement and start order of tasks: preemption, deadlines, failing jobs, lost replicas.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use cherryyard_wire::job::Rank;
 use common::settled::{settled, starts};
 
-/// A job that fails everywhere neither spins nor costs machines.
+/// Guards against a job that fails everywhere and is retried without a backoff or costs machines.
 #[test]
 fn a_job_that_always_fails_is_held_off() {
     let mut w = settled(Setup::default());
@@ -21,9 +21,9 @@
     assert_eq!(w.workers.len(), 3);
 }
 
-/// The trace of a service that needs a whole machine: both tasks there are
-/// stopped, and the machine is kept for it. Once, the first freed cores went
-/// to a waiting task, and the service never started.
+/// Records the trace of a service that needs a whole machine: both tasks there are stopped, and
+/// the machine is reserved for it. Once, the first freed cores went to a waiting task, and the
+/// service never started.
 #[test]
 fn trace_of_making_room() {
     let mut w = settled(Setup {
@@ -42,8 +42,8 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// A job that can no longer make its deadline comes after one that can, though
-/// it was submitted first and is due first.
+/// Guards against delays by lost causes: a job that can no longer meet its deadline starts after
+/// one that can, although it was submitted first and is due first.
 #[test]
 fn late_jobs_delay_no_others() {
     let mut w = settled(Setup {
@@ -72,9 +72,9 @@
     );
 }
 
-/// The trace of a replica whose machine is lost. The image is held in another
-/// part only: the replica goes there at once, neither fetching the image in its
-/// own shard nor waiting for the delay.
+/// Records the trace of a replica whose machine is lost. Only another shard holds its image: the
+/// replica starts there at once, without a fetch of the image in its own shard and without the
+/// delay.
 #[test]
 fn trace_of_a_lost_replica() {
     let mut w = settled(Setup {
@@ -89,7 +89,7 @@
         spec.zone = zone.map(str::to_string);
         spec
     };
-    // One machine in each zone comes to hold the image.
+    // One machine in each zone gets the image.
     for (id, zone) in [("j-000001", "a"), ("j-000002", "b")] {
         w.submit(&service(id, Some(zone)));
     }
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Jobs with rules of their own: where they may run, whatever changes.
+//! Jobs with their own placement rules: they run only where the rules allow, whatever changes.
 
 use cherryyard_core::Tuning;
 use cherryyard_simulation::{Setup, World};
@@ -32,7 +32,7 @@
     })
 }
 
-/// Types and zones in which a job's tasks were ever started from line `from` on.
+/// Returns the machine types and zones in which the job's tasks started from line `from` on.
 fn started(w: &World, from: usize, id: &str) -> BTreeSet<String> {
     let needle = format!("starts {id}/");
     let lines = w.trace[from..].iter().filter(|l| l.contains(&needle));
@@ -46,8 +46,8 @@
         .collect()
 }
 
-/// Pools that are no product of types and zones: the division, the overflow of what
-/// finds no room, and placement keep to them, and what is too much waits.
+/// Guards against tasks outside their pools when the pools are not a product of types and zones:
+/// the division, the overflow to other shards and placement respect them, and excess tasks wait.
 #[test]
 fn a_job_runs_in_its_cells_only() {
     let mut w = cluster(json!({}));
@@ -58,14 +58,15 @@
     assert_eq!(w.running(), 10);
     let pools: Vec<String> = started(&w, 0, "j-000001").into_iter().collect();
     assert_eq!(pools, ["m4/c", "m8/b"]);
-    // Others have the rest.
+    // A job without rules uses the remaining machines.
     w.submit(&World::spec("j-000002", "sweep", 40));
     w.run(30.0);
     assert_eq!(w.running(), 22);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// What a job prefers comes before its image and room, and does not keep it waiting.
+/// Guards against ignored preferences: they come before cached images and free capacity, but a
+/// job does not wait for a preferred machine.
 #[test]
 fn the_preferred_cell_comes_first() {
     let mut w = cluster(json!({}));
@@ -91,8 +92,8 @@
     );
 }
 
-/// An operator changes attributes while a job runs and waits: what runs stays, what
-/// waits follows, by the file of whoever leads and one write.
+/// Guards against outdated attributes after an operator changes them while a job runs and waits:
+/// running tasks stay, and waiting ones follow the new attributes.
 #[test]
 fn what_waits_follows_a_changed_attribute() {
     let mut w = cluster(json!({ "a": { "Ledger": true }, "b": { "Ledger": false } }));
@@ -109,8 +110,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A scheduling cycle whose answer is lost and that arrives after an operator's change is not
-/// applied: its assignments were placed by attributes that are none any more.
+/// Guards against a scheduling cycle whose transaction is late and arrives after an operator's
+/// change of attributes: it must not apply, as its assignments were placed by old attributes.
 #[test]
 fn a_late_round_dies_with_the_attributes_it_was_placed_by() {
     let mut w = cluster(json!({ "a": { "Ledger": true } }));
@@ -144,7 +145,8 @@
     assert_eq!(w.running(), 2);
 }
 
-/// Where jobs wait that no machine here is for, a sort that they allow is provisioned.
+/// Guards against jobs for which no machine of the cluster is allowed: an allowed type is
+/// provisioned.
 #[test]
 fn renting_follows_the_rules() {
     let mut w = cluster(json!({}));
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -1,5 +1,4 @@
-//! Machines that report but do not hear, copies of reports that come late, and workers
-//! that begin anew.
+//! Machines that report but receive nothing, late copies of reports, and restarted workers.
 
 use cherryyard_simulation::{Setup, World, draws, play_seeds};
 
@@ -21,10 +20,10 @@
     on.expect("it runs").host.clone()
 }
 
-/// One machine hears nothing, for longer than its lease. What ran there runs elsewhere
-/// once its lease is over, by its next incarnation; nothing is placed on it meanwhile,
-/// though each of its incarnations looks like an empty machine; it is used again when it
-/// hears. Guards against a hole into which assignments fell for a lease each.
+/// Guards against assignments that are lost for the length of a lease each on a machine without
+/// inbound traffic. Its tasks run elsewhere once its next incarnation shows that its lease has
+/// expired. Meanwhile nothing is placed on it, although each of its incarnations looks like an
+/// empty machine. It is used again once it receives traffic.
 #[test]
 fn a_machine_that_does_not_hear_gets_nothing_new() {
     let mut w = settled(Setup {
@@ -51,9 +50,9 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// All machines of a zone hear nothing, a cancellation among it; the report roams from
-/// controller to controller. Its tasks are gone in time, what else ran there runs in
-/// the other zones, and nobody releases a zone.
+/// Guards against releases and stale tasks when all machines of a zone lose inbound traffic,
+/// including a cancellation, and their reports go from controller to controller. Cancelled tasks
+/// stop in time, the other tasks run in other zones, and no machine of the zone is released.
 #[test]
 fn a_zone_that_does_not_hear() {
     for copies in [None, Some(3000.0), Some(25_000.0)] {
@@ -87,9 +86,9 @@
     }
 }
 
-/// A dead machine's reports come again for longer than its lease: its tasks run
-/// elsewhere as soon as without them. Guards against a copy that renews, in its owner's
-/// eyes, a lease that its worker has lost.
+/// Guards against copies of reports that extend, from the owner's view, a lease that the worker
+/// has lost. A dead machine's reports arrive again for longer than its lease; its tasks must run
+/// elsewhere as soon as without the copies.
 #[test]
 fn copies_keep_no_dead_machine_alive() {
     let mut waits = Vec::new();
@@ -114,8 +113,8 @@
     assert!(waits.iter().all(|s| *s < without + 2.5), "{waits:?}");
 }
 
-/// Copies come to the owner after it ended and another took its shard: what they show is
-/// of a token that is not the new owner's, and nothing follows from it.
+/// Guards against copies of reports that arrive after a takeover of the shard: they show a token
+/// that is not the new owner's, so they must have no effect.
 #[test]
 fn copies_after_a_takeover() {
     for ms in [1500.0, 6000.0, 14_000.0, 40_000.0] {
@@ -137,10 +136,10 @@
     }
 }
 
-/// A worker that begins anew counts its reports from the beginning: they are older than
-/// those before, like copies. It is asked, and what ran there runs again within seconds.
-/// Before, its reports were taken for copies for as long as the one before had lived,
-/// and its tasks for running.
+/// Guards against a restarted worker whose reports are mistaken for old copies: it numbers them
+/// from the start again. The owner must query it and restart its tasks within seconds. Once, its
+/// reports were ignored for as long as the previous process had run, and its tasks were
+/// considered running.
 #[test]
 fn a_worker_that_begins_anew_is_no_copy() {
     for copies in [None, Some(2000.0), Some(30_000.0)] {
@@ -164,8 +163,8 @@
     }
 }
 
-/// The same with a direct start to the life before still on its way: nothing is started
-/// elsewhere before a higher token has made that start worthless.
+/// Guards against a task that runs twice: a direct start to a worker's previous process is in
+/// flight. Nothing starts elsewhere before a higher token makes that start invalid.
 #[test]
 fn a_start_to_the_life_before() {
     let mut w = settled(Setup {
@@ -189,9 +188,10 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// The same when its shard has a new owner, who knows of no incarnation: an assignment of a incarnation
-/// that is yet to come is of the life before. Guards against a task that counted as
-/// running for ever (found by seed 1930 of the overlaps below).
+/// Guards against a task that counts as running for ever after a worker restarts while its shard
+/// gets a new owner, which has no record of incarnations. An assignment of an incarnation that the
+/// worker has not reached yet belongs to its previous process (found at seed 1930 of the random
+/// overlaps below).
 #[test]
 fn a_worker_that_begins_anew_under_a_new_owner() {
     let mut w = settled(Setup {
@@ -199,7 +199,7 @@
         ..Setup::default()
     });
     let host = "host-000000".to_string();
-    // Its second incarnation.
+    // The worker's second incarnation.
     w.network.unreachable.insert(host.clone());
     w.run(12.0);
     w.network.unreachable.clear();
@@ -216,8 +216,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// Questions follow what is in doubt, not reports: a calm cluster asks nobody, and one
-/// with copies of all reports only now and then.
+/// Guards against status queries for each report: a cluster without faults sends none, and one
+/// with copies of all reports sends few.
 #[test]
 fn few_questions_are_asked() {
     let mut w = settled(Setup {
@@ -236,8 +236,8 @@
     );
 }
 
-/// Faults of this page in random overlaps with ends, freezes, refusals and
-/// cancellations; afterwards all that was not cancelled runs, once.
+/// Runs random overlaps of this file's faults with ends, freezes, refusals and cancellations;
+/// afterwards each task that was not cancelled runs exactly once.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let mut w = settled(Setup {
@@ -327,17 +327,17 @@
     (0..40).for_each(scenario);
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_overlaps_by_the_thousand() {
     play_seeds(40, 1000, scenario);
 }
 
-/// Whoever names none of our messages for three seconds is connected to anew, and again
-/// after three more; whoever names them is not. Guards against a connection to one that
-/// was down and is back: it took a minute's heartbeats without a word, while the shard's
-/// workers were told to go where nobody answered.
+/// Guards against a stale connection to a peer that was down and has restarted. Once, such a
+/// connection accepted a minute's heartbeats without a response, while the shard's workers were
+/// directed to a controller that did not answer. A peer that acknowledges none of our messages
+/// for three seconds is reconnected, and again after three more; one that acknowledges is not.
 #[test]
 fn who_names_nothing_is_connected_to_anew() {
     let mut w = settled(Setup::default());
--- a/crates/cherryyard-simulation/tests/request_races.rs
+++ b/crates/cherryyard-simulation/tests/request_races.rs
@@ -1,5 +1,5 @@
-//! Users' requests that race each other, the end of a job, or its acceptance; requests that
-//! make no sense; many at once.
+//! Users' requests that race each other, the end of a job, or its acceptance; invalid requests;
+//! high rates of requests.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use cherryyard_simulation::{Question, Setup, Users, World};
 use common::combinations::{cluster, job, whole};
 
-/// Users ask at all controllers within milliseconds, and repeat the submission, right
-/// after a job was accepted, ended or confirmed as cancelled; some cancel at once. The
-/// service is quick or slow, transactions are late or only their answers are lost, and
-/// controllers end between a transaction and its answer.
+/// Guards against inconsistent responses when users ask all controllers within milliseconds and
+/// repeat the submission, right after a job was accepted, ended or confirmed as cancelled; some
+/// cancel at once. The state service is fast or slow, transactions or only their responses are
+/// late or lost, and controllers end between a transaction and its response.
 #[test]
 fn close_looks() {
     for slow_ms in [0.0, 300.0, 1500.0] {
@@ -50,8 +50,8 @@
     }
 }
 
-/// Jobs of one task, four a second for minutes, a quarter of them cancelled, at the
-/// smallest budgets: all are served, and the writes stay below what is allowed.
+/// Guards against excessive writes and long waits at the smallest budgets, with four jobs of one
+/// task a second for three minutes, a quarter of them cancelled.
 #[test]
 fn one_task_jobs_four_a_second() {
     let mut w = World::new(Setup {
@@ -89,8 +89,8 @@
     assert!(waited < 30_000.0, "{waited} ms until a task began");
 }
 
-/// A cancellation, a question or a repeated submission meets the end of a job's last
-/// task, at each step around it and through any controller, with no other fault.
+/// Guards against races with the end of a job's last task: a cancellation, a poll or a repeated
+/// submission arrives at each step around it, at any controller, with no other fault.
 #[test]
 fn all_meets_the_end_of_the_last_task() {
     for step in 0..24 {
@@ -120,8 +120,9 @@
     }
 }
 
-/// Odd requests, among others: submissions of what is open or over come again, with other
-/// fields too; what is over is cancelled; jobs that cannot run, or lack a field, come.
+/// Guards against wrong responses to unusual requests: repeated submissions of open or ended
+/// jobs, also with other fields; cancellations of ended jobs; jobs that cannot run or lack a
+/// field.
 #[test]
 fn odd_requests() {
     for seed in 0..6 {
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What runs goes on through outages and restarts, and what users read never goes back.
+//! Running tasks survive outages and restarts, and responses to users never go back in time.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use cherryyard_wire::state::{WatchEvent, WatchResponse};
 use common::settled::settled;
 
-/// While the state service answers nobody, nobody can cancel: workers are
-/// answered for as long as it takes, and nothing new starts.
+/// Guards against tasks stopped by an outage of the state service for all controllers: nobody can
+/// cancel jobs then, so workers' leases are renewed as long as it lasts, and nothing new starts.
 #[test]
 fn outage_for_all_keeps_what_runs() {
     let mut w = settled(Setup::default());
@@ -26,8 +26,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A view once told is never older at another controller, nor at one that is
-/// cut off afterwards, nor after a late change from the watch.
+/// Guards against responses older than earlier ones: at another controller, at one that is cut
+/// off afterwards, and after a late event of the watch.
 #[test]
 fn reads_never_go_back() {
     let mut w = settled(Setup::default());
@@ -71,8 +71,8 @@
     assert!(!open.contains_key(&1), "nothing may start it again");
 }
 
-/// The trace of a rolling restart: what runs goes on, a restarted controller
-/// has its shard back at once, and the job completes.
+/// Records the trace of a rolling restart: running tasks go on, each restarted controller gets
+/// its shard back at once, and the job completes.
 #[test]
 fn trace_of_a_rolling_restart() {
     let mut w = settled(Setup::default());
@@ -98,10 +98,10 @@
     insta::assert_snapshot!(w.trace.join("\n"));
 }
 
-/// Connections between controllers are refused, and all else works: the leader
-/// stays who it is (it went round among all, every few seconds), and a job is
-/// still divided over all shards by what the cloud lists and what is assigned (the
-/// leader's own shard got everything).
+/// Guards against disruption when only the connections between controllers fail. The leader stays
+/// the same (once, the lead moved among all controllers every few seconds), and a job is still
+/// divided among all shards by the cloud's list and the assignments (once, the leader's own shard
+/// got everything).
 #[test]
 fn a_cut_between_controllers_changes_little() {
     let mut w = settled(Setup::default());
@@ -123,8 +123,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A full read is taken in small pieces between which others have their turn;
-/// what it lacks is forgotten at its end only, and what is newer stays.
+/// Guards against errors of a full read in chunks, between which other events are processed: keys
+/// that it lacks are removed only at its end, and newer values stay.
 #[test]
 fn a_full_read_in_pieces() {
     let mut w = settled(Setup::default());
@@ -147,7 +147,7 @@
     for job in 1..=9 {
         assert_eq!(mirror.view(job), whole.view(job), "{job}");
     }
-    // Read again after the page of jobs was deleted; then one in which it is newer.
+    // A read after the page of jobs was deleted; then one that is older than the page in memory.
     let newest = pairs
         .iter()
         .find(|p| p.key == admission_log_key(0))
--- a/crates/cherryyard-simulation/tests/scale_out.rs
+++ b/crates/cherryyard-simulation/tests/scale_out.rs
@@ -1,9 +1,9 @@
-//! Rented machines that come late, never, or all at once.
+//! Provisioned machines that start late, never, or all at once.
 
 use cherryyard_simulation::{Setup, World};
 use std::collections::BTreeSet;
 
-/// Two machines, and work for twelve.
+/// Returns a cluster of two machines with work for twelve.
 fn short(provisioning_ms: f64) -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 1), ("b", 1)],
@@ -30,7 +30,7 @@
         .sum()
 }
 
-/// Up within a second: used, and no more are provisioned than are needed.
+/// Guards against excess provisioning when machines start within a second.
 #[test]
 fn up_at_once() {
     let mut w = short(500.0);
@@ -39,8 +39,8 @@
     assert!((10..=24).contains(&rented(&w)), "{}", rented(&w));
 }
 
-/// All are late by two minutes: replacements are a few, not a second fleet; when they
-/// come they are used, and what is too much is returned.
+/// Guards against a second fleet when all machines are two minutes late: only a few replacements
+/// are provisioned, late machines are used, and the excess is returned.
 #[test]
 fn all_late_and_then_at_once() {
     let mut w = short(150_000.0);
@@ -64,7 +64,7 @@
     );
 }
 
-/// None of the first comes: they are replaced once they are overdue, and returned.
+/// Guards against machines that never start: they are replaced once overdue, and returned.
 #[test]
 fn some_never_come() {
     let mut w = short(1e12);
@@ -83,7 +83,8 @@
     );
 }
 
-/// The leader ends with provisioning requests in flight: its successor counts what is listed.
+/// Guards against duplicate provisioning when the leader ends with requests in flight: its
+/// successor counts the listed machines.
 #[test]
 fn the_leader_ends_with_rentals_in_flight() {
     let mut w = short(30_000.0);
--- a/crates/cherryyard-simulation/tests/sharding.rs
+++ b/crates/cherryyard-simulation/tests/sharding.rs
@@ -1,4 +1,4 @@
-//! How jobs and teams' limits are divided over the shards.
+//! Division of jobs and of teams' limits among the shards.
 
 mod common;
 
@@ -7,8 +7,9 @@
 use cherryyard_wire::job::JobStatus;
 use common::settled::settled;
 
-/// With more controllers than a transaction may have changes, a team with a limit gets
-/// all of it: its first hand-out was left out as a whole, and nothing ever ran.
+/// Guards against a limited team that gets no grant when there are more controllers than a
+/// transaction may have changes. Once, the first distribution was omitted as a whole, and nothing
+/// ever ran.
 #[test]
 fn a_team_limit_over_twenty_four_parts() {
     let mut w = settled(Setup {
@@ -31,7 +32,7 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A team's limit holds over three shards, and all of it can be used by one.
+/// Guards against a team limit that is exceeded over three shards, or that one shard cannot use.
 #[test]
 fn team_limit_over_three_parts() {
     let machines = vec![("a", 4), ("b", 4), ("c", 4)];
@@ -64,8 +65,8 @@
     assert_eq!((view.status, view.done), (JobStatus::Done, 12));
 }
 
-/// After the delay a shard loses waiting numbers to shards with room, and only
-/// those that it has not assigned.
+/// Guards against a move of assigned tasks: after the delay a shard passes waiting tasks to shards
+/// with free capacity, and only those that it has not assigned.
 #[test]
 fn overflow_moves_only_unmarked_numbers() {
     let mut w = settled(Setup::default());
@@ -100,8 +101,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// What exceeds all free capacity follows machine counts: by the weights of a few
-/// free cores, a large array was heaped onto one shard.
+/// Guards against a large array placed mostly on one shard: tasks beyond all free capacity are
+/// divided by machine counts, not by the few free cores.
 #[test]
 fn excess_is_not_heaped_onto_one_part() {
     let mut w = settled(Setup::default());
--- a/crates/cherryyard-simulation/tests/spot_reclaim.rs
+++ b/crates/cherryyard-simulation/tests/spot_reclaim.rs
@@ -1,9 +1,9 @@
-//! Machines that the cloud takes back.
+//! Spot machines that the cloud reclaims.
 
 use cherryyard_simulation::{Setup, World};
 
-/// Four machines under one controller with an array of two tasks that take 20 s,
-/// by their owner's estimate too.
+/// Returns four machines under one controller with an array of two tasks that take 20 s, which is
+/// also the job's expected time, and a machine that runs one of them.
 fn running() -> (World, String) {
     let mut w = World::new(Setup {
         zones: vec!["a"],
@@ -27,8 +27,8 @@
     w.trace[from..].iter().any(|l| l.contains(&needle))
 }
 
-/// A task that cannot complete before its machine is taken starts anew elsewhere
-/// at once; one that can is left alone.
+/// Guards against work lost by a reclaim: a task that cannot complete before its machine is
+/// reclaimed restarts elsewhere at once; one that can is left alone.
 #[test]
 fn a_task_that_would_be_lost_moves_at_the_notice() {
     for (notice_s, moves) in [(8.0, true), (30.0, false)] {
@@ -43,16 +43,16 @@
     }
 }
 
-/// With no room elsewhere it goes on, as it may complete all the same; the machine
-/// once taken, it starts again well before a lease of 10 s is over, by the proof
-/// that the release gives.
+/// Guards against a wait for the lease of a reclaimed machine. Without free capacity elsewhere the
+/// task goes on, as it may still complete. Once the machine is reclaimed, the task restarts well
+/// before a lease of 10 s expires, because the release proves that the task has ended.
 #[test]
 fn what_a_taken_machine_had_starts_again_before_its_lease_ends() {
     let (mut w, host) = running();
     let others: Vec<String> = w.workers.keys().filter(|n| **n != host).cloned().collect();
     let now = w.now;
     for name in &others {
-        // Recalled too, much later: nothing is placed there.
+        // Announced for reclaim too, much later: nothing is placed there.
         w.workers.get_mut(name).unwrap().reclaim_at = Some(now + 500_000.0);
     }
     w.run(3.0);
--- a/crates/cherryyard-simulation/tests/state_budgets.rs
+++ b/crates/cherryyard-simulation/tests/state_budgets.rs
@@ -1,4 +1,4 @@
-//! What the scheduler writes at the smallest budgets and limits of the state service.
+//! Writes of the scheduler at the smallest budgets and limits of the state service.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use cherryyard_wire::job::JobStatus;
 use common::settled::{assignments_left, settled};
 
-/// Records stay below the smallest value limit, whatever a job's size.
+/// Guards against records above the smallest value limit, whatever a job's size.
 #[test]
 fn pages_at_the_smallest_value_limit() {
     let machines = vec![("a", 3), ("b", 3), ("c", 3)];
@@ -35,9 +35,9 @@
     }
 }
 
-/// One scheduling cycle writes a page or two however many jobs it touches. A write for
-/// each job and part took the whole budget of a large deployment: most tasks
-/// waited for the state service, not for machines.
+/// Guards against writes that grow with the number of jobs: a scheduling cycle writes a page or
+/// two however many jobs it affects. A write for each job and shard used the whole budget of a
+/// large deployment, and most tasks waited for the state service, not for machines.
 #[test]
 fn a_round_costs_a_write_or_two() {
     let mut w = settled(Setup {
@@ -70,9 +70,9 @@
     );
 }
 
-/// At the smallest budgets an array of 100,000 tasks is taken whole over seven
-/// shards, keeps every limit, costs nobody a claim, and is gone soon after it is
-/// cancelled.
+/// Guards against an overload by an array of 100,000 tasks at the smallest budgets: seven shards
+/// accept it whole, every limit holds, no claim of a shard is lost, and it is gone soon after its
+/// cancellation.
 #[test]
 fn a_large_array_at_the_smallest_budgets() {
     let mut w = settled(Setup {
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of many jobs: each of their jobs is created once, whatever fails.
+//! Submissions of many jobs: each job is created exactly once, whatever fails.
 
 use cherryyard_simulation::{CrashPoint, Setup, World, draws};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
@@ -18,7 +18,7 @@
     w
 }
 
-/// Runs of jobs: how many, with how many tasks each.
+/// Returns a chunk of runs of jobs, each given as number of jobs and tasks of each job.
 fn chunk(runs: &[(u32, u32)]) -> Chunk {
     Chunk {
         templates: vec![Template {
@@ -29,7 +29,7 @@
     }
 }
 
-/// How many times each task of a block of jobs was started, by the trace.
+/// Returns the starts of tasks of a block of jobs in the trace, as their number and their names.
 fn starts(w: &World, first: u64, jobs: u64) -> (usize, BTreeSet<String>) {
     let mut all = BTreeSet::new();
     let mut count = 0;
@@ -52,13 +52,14 @@
     up.mirror.open.len()
 }
 
-/// All jobs of a submission are created, in both formats of records, and run; their
-/// chunks go, and the name stays. Neighbours by hash share writes.
+/// Guards against jobs of a submission that are not created, in both formats of records. All run,
+/// their chunks are deleted, and the record of the submission stays. Jobs with nearby hashes share
+/// writes.
 #[test]
 fn every_job_is_created_and_runs() {
     for (history, most_writes) in [(None, 125), (Some(400), 70)] {
         let mut w = cluster(history, 0.0);
-        // The first is created at once, so that no others' writes are counted.
+        // Creation finishes before any task ends, so that no other writes are counted.
         w.workers.values_mut().for_each(|x| x.run_ms = 1e9);
         let before = w.state.writes - w.state.assignment_writes;
         let (number, first) = w.queue("june", &[chunk(&[(60, 1), (1, 5)]), chunk(&[(39, 2)])]);
@@ -66,7 +67,7 @@
             w.submission(number).unwrap().phase == Phase::Created
         });
         let writes = w.state.writes - w.state.assignment_writes - before;
-        // A hundred jobs; with them the queue's own records and leases renewed.
+        // The writes of a hundred jobs, of the queue's own records and of renewed leases.
         assert!(writes < most_writes, "{history:?}: {writes} writes");
         assert_eq!(open_jobs(&w), 100);
         w.workers.values_mut().for_each(|x| x.run_ms = 400.0);
@@ -84,8 +85,8 @@
     }
 }
 
-/// The leader ends at every step of a creation in turn, before it is applied or after;
-/// the held one arrives when another leads. Every job is created once.
+/// Guards against jobs created twice or never when the leader ends at any step of a creation,
+/// before or after it is applied; a held transaction arrives when another controller leads.
 #[test]
 fn cut_at_every_step_of_a_creation() {
     let chunks = [chunk(&[(14, 1)]), chunk(&[(1, 3), (6, 1)])];
@@ -123,7 +124,7 @@
     }
 }
 
-/// The state service is down midway, and meanwhile all controllers end and start.
+/// Guards against lost jobs when the state service is down midway and all controllers restart.
 #[test]
 fn an_outage_midway_with_all_controllers_ending() {
     let mut w = cluster(Some(400), 0.0);
@@ -141,8 +142,8 @@
     assert!(w.broken.is_empty(), "{:?}", w.broken);
 }
 
-/// A removal against creation: steps that were under way arrive late and are not
-/// applied, nothing more is created, and what was is cancelled, tasks and all.
+/// Guards against jobs created after a removal: late steps in flight are not applied, nothing more
+/// is created, and the created jobs are cancelled with their tasks.
 #[test]
 fn a_removal_stops_creation() {
     let mut w = cluster(Some(400), 0.0);
@@ -180,13 +181,13 @@
     let ends: Vec<End> = ends.map(|(_, e)| e.end).collect();
     assert_eq!(ends.len() as u64, created);
     assert!(ends.iter().all(|e| *e == End::Cancelled));
-    // Removed again, or after all that: nothing changes.
+    // A repeated removal after that changes nothing.
     let record = w.submission(number).unwrap();
     w.remove(number);
     assert_eq!(w.submission(number).unwrap().phase, record.phase);
 }
 
-/// A team at its limit is fed by both ways at once, and never beyond it.
+/// Guards against a team above its limit that gets jobs by submissions of both kinds at once.
 #[test]
 fn both_ways_count_under_one_limit() {
     let mut w = cluster(Some(400), 12.0);
@@ -201,9 +202,9 @@
     assert!(w.broken.is_empty());
 }
 
-/// Random overlaps of ends, outages, held steps and removals: at the end every job
-/// of a submission that was not removed has been created once and is done, every job
-/// of a removed one is over, and no task ever ran twice.
+/// Runs random overlaps of ends, outages, held transactions and removals. At the end every job of
+/// a submission that was not removed has been created and is done, every job of a removed one has
+/// ended, and no rule is broken.
 #[test]
 fn random_overlaps() {
     for seed in 0..60u64 {
--- a/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
+++ b/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
@@ -1,5 +1,5 @@
-//! The same workload as a submit file and as native jobs: the same machines run the
-//! same tasks, under the same limit, and the same account comes out.
+//! The same workload as a submit file and as native jobs: the same machines run the same tasks,
+//! under the same limit, with the same accounting.
 
 use cherryyard_condor::{Options, Source, SourceError, read};
 use cherryyard_core::account::CoreUse;
@@ -57,7 +57,7 @@
 queue in (l1 l2 l3 l4 l5 l6 l7 l8 l9 l10 l11 l12 l13 l14 l15 l16 l17 l18 l19 l20)
 "#;
 
-/// The same, as a user writes it natively.
+/// Returns the same workload as native jobs.
 fn native() -> Vec<(JobSpec, Option<Rules>)> {
     let job = |tasks| {
         let mut spec = World::spec("j-000000", "sweep", tasks);
@@ -86,7 +86,7 @@
     all
 }
 
-/// Three shards, 200 machines of two types, and a team's limit.
+/// Returns a cluster of three shards, 200 machines of two types, and a limited team.
 fn cluster() -> World {
     let mut w = World::new(Setup {
         machines: vec![("a", 60), ("b", 60), ("c", 60)],
@@ -100,7 +100,7 @@
     w
 }
 
-/// Where each task runs.
+/// Returns the machine of each running task.
 fn places(w: &World) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
     for worker in w.workers.values() {
@@ -132,7 +132,7 @@
     file.run_until(40.0, |w| {
         w.submission(number).unwrap().phase == Phase::Created
     });
-    // Natively, the same ids in the same order, at the same time.
+    // The native jobs have the same ids in the same order and are submitted at the same time.
     let mut own = cluster();
     assert_eq!(own.now, at);
     let mut jobs: Vec<_> = (first..).zip(native()).collect();
@@ -153,12 +153,12 @@
         assert!(w.running() >= 190, "{}", w.running());
         placed.push(places(w));
     }
-    // Placement and assignments: the same task on the same machine.
+    // Placement and assignments: the same task is on the same machine.
     assert_eq!(placed[0], placed[1]);
     let cores = |w: &World| w.checker.most_cores;
     assert!(cores(&file) <= 400.0 && cores(&file) == cores(&own));
 
-    // Faults on the way: a controller ends and starts, machines are cut off.
+    // Faults meanwhile: a controller ends and restarts, and machines are cut off.
     let mut ends = Vec::new();
     for w in [&mut file, &mut own] {
         w.run(2.0);
@@ -175,7 +175,7 @@
         let account = w.account();
         ends.push((done, w.checker.most_cores, account.get(CoreUse::Arrays)));
     }
-    // All tasks, and some that were done again; the account within the samples' step.
+    // All tasks, and some that were repeated; the accounts agree within the interval of samples.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
     assert_eq!((ends[0].0, ends[0].1), (ends[1].0, ends[1].1), "{ends:?}");
     let (a, b) = (ends[0].2, ends[1].2);
--- a/crates/cherryyard-simulation/tests/team_limits.rs
+++ b/crates/cherryyard-simulation/tests/team_limits.rs
@@ -1,4 +1,4 @@
-//! Teams at their limits while machines are away and leaders change.
+//! Teams at their limits while machines are unreachable and leaders change.
 
 mod common;
 
@@ -6,9 +6,9 @@
 use cherryyard_simulation::fault::leader;
 use common::combinations::{Away, cluster, hosts_of, job, whole};
 
-/// Every team is at its limit while jobs are cancelled whose machines are cut off or
-/// hang, and the leader changes, once or twice, or the owner stands still with its
-/// grant; others wait for the room. It counts until it is proven free.
+/// Guards against teams above their limits. Jobs are cancelled whose machines are cut off or hang,
+/// while the leader changes once or twice or is frozen with its grants, and other jobs wait for
+/// the cores. Cores count as used until they are proven free.
 #[test]
 fn every_team_at_its_limit() {
     for away in Away::ALL {
@@ -65,10 +65,10 @@
     }
 }
 
-/// What is left of each shard's grant is too small for any task that waits there, and is
-/// enough together: it comes together in one shard. (Found by seed 5001 of late writes: a
-/// job waited for minutes beside free machines while its team was under its limit, as two
-/// shards had one core left each and all tasks took two.)
+/// Guards against unused remainders of grants: each shard's rest is too small for any waiting task
+/// but enough together, so the remainders are collected in one shard. Once, a job waited for
+/// minutes beside free machines while its team was under its limit, as two shards had one core
+/// left each and all tasks took two (found at seed 5001 of the late writes).
 #[test]
 fn what_is_left_of_grants_comes_together() {
     for (limit, cores, all) in [
