--- a/crates/cherryyard-simulation/tests/account.rs
+++ b/crates/cherryyard-simulation/tests/account.rs
@@ -8,20 +8,20 @@
 /// lost. Twelve machines of 4 cores belong to one controller; tasks run for 20 s.
 #[test]
 fn every_core_second_is_accounted_for() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         zones: vec!["a"],
         machines: vec![("a", 12)],
         ..Setup::default()
     });
-    w.run(5.0);
-    for worker in w.workers.values_mut() {
+    world.run(5.0);
+    for worker in world.workers.values_mut() {
         worker.run_ms = 20_000.0;
     }
-    w.account();
+    world.account();
     // 12 tasks of 2 cores use half of the 48 cores.
-    w.submit(&World::spec("j-000001", "sweep", 12));
-    w.run(15.0);
-    let half = w.account();
+    world.submit(&World::spec("j-000001", "sweep", 12));
+    world.run(15.0);
+    let half = world.account();
     let cores = 15.0 * 48.0;
     assert!((half.total() - cores).abs() < 0.1 * cores, "{half:?}");
     let arrays = half.get(CoreUse::Arrays) + half.get(CoreUse::Starting) + half.get(CoreUse::Round);
@@ -29,12 +29,16 @@
     assert_eq!(half.get(CoreUse::Lost), 0.0);
 
     // A machine fails with its tasks: about 17 s of 2 cores are lost for each task.
-    let dead = w.workers.values().find(|x| !x.tasks.is_empty()).unwrap();
+    let dead = world
+        .workers
+        .values()
+        .find(|x| !x.tasks.is_empty())
+        .unwrap();
     let (dead, tasks) = (dead.host.clone(), dead.tasks.len() as f64);
-    w.workers.remove(&dead);
-    w.run(60.0);
-    let lost = w.account().get(CoreUse::Lost);
+    world.workers.remove(&dead);
+    world.run(60.0);
+    let lost = world.account().get(CoreUse::Lost);
     let least = 15.0 * 2.0 * tasks;
     assert!(lost > least - 5.0 && lost < 2.0 * least, "{lost}");
-    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.open.len(), 0);
+    assert_eq!(world.controllers[0].as_ref().unwrap().mirror.open.len(), 0);
 }
--- a/crates/cherryyard-simulation/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -5,20 +5,20 @@
 use cherryyard_wire::worker::{CommandBatch, WorkerCommand};
 
 fn cluster(limit: f64) -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 3), ("b", 3), ("c", 3)],
         limit,
         write_rps: 60.0,
         ..Setup::default()
     });
-    w.cloud.list_every_ms = Some(5000.0);
-    w.run(6.0);
-    w
+    world.cloud.list_every_ms = Some(5000.0);
+    world.run(6.0);
+    world
 }
 
 /// Starts a task on a machine directly, past the scheduler, as a faulty build might.
-fn force_start(w: &mut World, host: &str, task_name: &str) {
-    let worker = w.workers.get_mut(host).expect("the machine is up");
+fn force_start(world: &mut World, host: &str, task_name: &str) {
+    let worker = world.workers.get_mut(host).expect("the machine is up");
     let start = WorkerCommand::Start {
         task_name: task_name.into(),
         attempt: 9999,
@@ -29,23 +29,23 @@
         commands: vec![start],
     };
     assert!(
-        worker.direct(&request, w.now).0,
+        worker.direct(&request, world.now).0,
         "the worker accepts the command"
     );
-    w.deliver_direct();
+    world.deliver_direct();
 }
 
-fn assert_detects(w: &World, text: &str) {
+fn assert_detects(world: &World, text: &str) {
     assert!(
-        w.broken.iter().any(|b| b.contains(text)),
+        world.broken.iter().any(|b| b.contains(text)),
         "{text} is not among {:?}",
-        w.broken
+        world.broken
     );
 }
 
 /// Returns a machine of the zone that has no tasks.
-fn free_host(w: &World, zone: &str) -> String {
-    let mut free = w
+fn free_host(world: &World, zone: &str) -> String {
+    let mut free = world
         .workers
         .values()
         .filter(|x| x.zone == zone && x.tasks.is_empty());
@@ -55,20 +55,20 @@
 /// The checker must report a team over its limit while one of its machines hangs.
 #[test]
 fn detects_a_team_over_its_limit() {
-    let mut w = cluster(8.0);
-    w.submit(&World::spec("j-000001", "service", 6));
+    let mut world = cluster(8.0);
+    world.submit(&World::spec("j-000001", "service", 6));
     // The limit is divided among the shards at first.
-    w.run_until(60.0, |w| w.running() == 4);
-    let on = w.workers.values().find(|x| x.runs("j-000001/0"));
+    world.run_until(60.0, |world| world.running() == 4);
+    let on = world.workers.values().find(|x| x.runs("j-000001/0"));
     let hung = on.expect("it runs").host.clone();
-    w.machines.hung.insert(hung);
-    w.run(1.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    let waits = (0..6).find(|n| w.copies(&format!("j-000001/{n}")) == 0);
+    world.machines.hung.insert(hung);
+    world.run(1.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    let waits = (0..6).find(|n| world.copies(&format!("j-000001/{n}")) == 0);
     let task_name = format!("j-000001/{}", waits.expect("a waiting task"));
-    let host = free_host(&w, "b");
-    force_start(&mut w, &host, &task_name);
-    assert_detects(&w, "team uses 10 of 8 cores");
+    let host = free_host(&world, "b");
+    force_start(&mut world, &host, &task_name);
+    assert_detects(&world, "team uses 10 of 8 cores");
 }
 
 /// The checker must report starts that violate a job's zone, machine type or (anti-)affinity.
@@ -82,93 +82,94 @@
         ("as half of its others are there", |s| s.apart = true),
     ];
     for (text, place) in places {
-        let mut w = cluster(0.0);
+        let mut world = cluster(0.0);
         let mut spec = World::spec("j-000001", "service", 3);
         place(&mut spec);
-        w.submit(&spec);
-        let host = free_host(&w, "c");
+        world.submit(&spec);
+        let host = free_host(&world, "c");
         if spec.together || spec.apart {
             // Two tasks run; the third is started in the wrong zone.
-            w.workers
+            world
+                .workers
                 .values_mut()
                 .for_each(|x| x.run_ms = f64::INFINITY);
-            w.run(6.0);
-            let one = w.workers.values().find(|x| x.runs("j-000001/1"));
+            world.run(6.0);
+            let one = world.workers.values().find(|x| x.runs("j-000001/1"));
             let zone = one.expect("it runs").zone.clone();
             let wrong_zone = ["a", "b", "c"]
                 .into_iter()
                 .find(|z| (*z == zone) == spec.apart);
-            let host = free_host(&w, wrong_zone.expect("a zone"));
-            force_start(&mut w, &host, "j-000001/2");
+            let host = free_host(&world, wrong_zone.expect("a zone"));
+            force_start(&mut world, &host, "j-000001/2");
             if spec.apart {
-                let host = free_host(&w, wrong_zone.expect("a zone"));
-                force_start(&mut w, &host, "j-000001/0");
+                let host = free_host(&world, wrong_zone.expect("a zone"));
+                force_start(&mut world, &host, "j-000001/0");
             }
         } else {
-            force_start(&mut w, &host, "j-000001/2");
+            force_start(&mut world, &host, "j-000001/2");
         }
-        assert_detects(&w, text);
+        assert_detects(&world, text);
     }
 }
 
 /// The checker must accept a start shortly after a cancellation and report one long after it.
 #[test]
 fn detects_late_starts_of_cancelled_tasks() {
-    let mut w = cluster(0.0);
-    w.submit(&World::spec("j-000001", "service", 1));
-    w.run(5.0);
-    w.insist(1, "j-000001", Question::Cancel);
-    w.run(5.0);
-    assert_eq!((w.running(), w.started_cancelled()), (0, 0));
-    let host = free_host(&w, "c");
-    force_start(&mut w, &host, "j-000001/0");
-    assert_eq!(w.started_cancelled(), 1);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    w.run(40.0);
-    force_start(&mut w, &host, "j-000001/0");
-    assert_detects(&w, "runs though cancelled");
+    let mut world = cluster(0.0);
+    world.submit(&World::spec("j-000001", "service", 1));
+    world.run(5.0);
+    world.insist(1, "j-000001", Question::Cancel);
+    world.run(5.0);
+    assert_eq!((world.running(), world.started_cancelled()), (0, 0));
+    let host = free_host(&world, "c");
+    force_start(&mut world, &host, "j-000001/0");
+    assert_eq!(world.started_cancelled(), 1);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    world.run(40.0);
+    force_start(&mut world, &host, "j-000001/0");
+    assert_detects(&world, "runs though cancelled");
 }
 
 /// The checker must report responses older than earlier ones when reads skip the barrier.
 #[test]
 fn detects_responses_that_go_back() {
-    let mut w = cluster(0.0);
-    w.requests.close_looks = true;
-    w.requests.without_barrier = true;
-    w.state_link.latency_ms = 1500.0;
+    let mut world = cluster(0.0);
+    world.requests.close_looks = true;
+    world.requests.without_barrier = true;
+    world.state_link.latency_ms = 1500.0;
     for n in 1..=12 {
-        w.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
-        w.run(1.0);
+        world.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
+        world.run(1.0);
         if n > 4 {
-            w.insist(n % 3, &format!("j-{:06}", n - 4), Question::Cancel);
+            world.insist(n % 3, &format!("j-{:06}", n - 4), Question::Cancel);
         }
     }
-    w.run(10.0);
-    assert_detects(&w, "after something newer");
+    world.run(10.0);
+    assert_detects(&world, "after something newer");
 }
 
 /// The checker must report that a build without admission checks accepts jobs that cannot run.
 #[test]
 fn detects_accepted_jobs_that_cannot_run() {
-    let mut w = cluster(8.0);
-    w.requests.odd = true;
-    w.requests.without_admission = true;
+    let mut world = cluster(8.0);
+    world.requests.odd = true;
+    world.requests.without_admission = true;
     for n in 1..=20 {
-        w.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
-        w.run(1.0);
+        world.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
+        world.run(1.0);
     }
-    assert_detects(&w, "it is taken though it cannot run");
+    assert_detects(&world, "it is taken though it cannot run");
 }
 
 /// The checker must report jobs marked done before they are, and cancelled without a request.
 #[test]
 fn detects_unjustified_ends_of_jobs() {
-    let mut w = cluster(0.0);
-    w.submit_at(0, &World::spec("j-000001", "sweep", 2));
-    w.submit_at(1, &World::spec("j-000002", "sweep", 2));
-    w.run(5.0);
+    let mut world = cluster(0.0);
+    world.submit_at(0, &World::spec("j-000001", "sweep", 2));
+    world.submit_at(1, &World::spec("j-000002", "sweep", 2));
+    world.run(5.0);
     for job in 1..=2 {
-        let controller = w.controllers[0].as_ref().expect("it runs");
+        let controller = world.controllers[0].as_ref().expect("it runs");
         let mut commit = controller.cancellation(job).expect("the job is open");
         if job == 1
             && let cherryyard_wire::state::Apply::Set { value: v, .. } = &mut commit.apply[0]
@@ -176,14 +177,14 @@
             let text = v.text().replace("cancelled", "done");
             *v = serde_json::from_str(&text).expect("a record");
         }
-        w.state.commit(&commit);
+        world.state.commit(&commit);
     }
-    w.ask_once(0, "j-000001", Question::Poll);
-    w.ask_once(0, "j-000002", Question::Poll);
-    w.run(2.0);
-    assert_detects(&w, "j-000001: it is called done before it is");
+    world.ask_once(0, "j-000001", Question::Poll);
+    world.ask_once(0, "j-000002", Question::Poll);
+    world.run(2.0);
+    assert_detects(&world, "j-000001: it is called done before it is");
     assert_detects(
-        &w,
+        &world,
         "j-000002: it is called cancelled, and nobody asked for that",
     );
 }
@@ -191,20 +192,20 @@
 /// The checker must report a job that waits although there is room and its team's limit allows it.
 #[test]
 fn detects_a_job_that_waits_despite_free_capacity() {
-    let mut w = cluster(0.0);
+    let mut world = cluster(0.0);
     let mut users = Users::default();
-    users.submit(&mut w, &World::spec("j-000001", "service", 2));
-    users.run(&mut w, 6.0);
-    let faults_ended_at = w.now;
-    w.processes.frozen.extend([0, 1, 2]);
+    users.submit(&mut world, &World::spec("j-000001", "service", 2));
+    users.run(&mut world, 6.0);
+    let faults_ended_at = world.now;
+    world.processes.frozen.extend([0, 1, 2]);
     let mut spec = World::spec("j-000002", "service", 2);
-    users.run(&mut w, 1.0);
-    w.processes.frozen.clear();
+    users.run(&mut world, 1.0);
+    world.processes.frozen.clear();
     spec.zone = Some("b".into());
-    users.submit(&mut w, &spec);
-    w.processes.frozen.extend([0, 1, 2]);
-    users.run(&mut w, 95.0);
-    let violations = users.judge(&w, faults_ended_at);
+    users.submit(&mut world, &spec);
+    world.processes.frozen.extend([0, 1, 2]);
+    users.run(&mut world, 95.0);
+    let violations = users.judge(&world, faults_ended_at);
     let waits = |x: &String| x.contains("j-000002 waits for") && x.contains("though there is room");
     assert!(violations.iter().any(waits), "{violations:?}");
 }
@@ -218,60 +219,60 @@
 /// The checker must report a start of a job whose dependencies are not done.
 #[test]
 fn detects_a_start_before_dependencies_are_done() {
-    let mut w = cluster(0.0);
-    w.submit_at(0, &World::spec("j-000001", "sweep", 1));
-    w.run(3.0);
-    w.submit_at(1, &dependent("j-000002", "j-000001"));
-    w.run(3.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    let host = free_host(&w, "b");
-    force_start(&mut w, &host, "j-000002/0");
-    assert_detects(&w, "j-000002/0 starts before all that it needs is done");
+    let mut world = cluster(0.0);
+    world.submit_at(0, &World::spec("j-000001", "sweep", 1));
+    world.run(3.0);
+    world.submit_at(1, &dependent("j-000002", "j-000001"));
+    world.run(3.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    let host = free_host(&world, "b");
+    force_start(&mut world, &host, "j-000002/0");
+    assert_detects(&world, "j-000002/0 starts before all that it needs is done");
 }
 
 /// The checker must report a build that loses a job's dependencies: the job is reported as queued
 /// long after its user was told that the job it depends on is cancelled.
 #[test]
 fn detects_a_job_that_outlives_a_cancelled_dependency() {
-    let mut w = cluster(0.0);
+    let mut world = cluster(0.0);
     // All cores are in use, so that neither job starts.
-    w.submit(&World::spec("j-000009", "service", 18));
-    w.run(3.0);
-    w.submit_at(0, &World::spec("j-000001", "sweep", 1));
-    w.run(3.0);
-    w.requests.without_dependencies = true;
-    w.submit_at(1, &dependent("j-000002", "j-000001"));
-    w.run(3.0);
-    w.insist(0, "j-000001", Question::Cancel);
-    w.run(30.0);
-    w.ask_once(2, "j-000002", Question::Poll);
-    w.run(8.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    w.run(5.0);
-    w.ask_once(2, "j-000002", Question::Poll);
-    w.run(2.0);
-    assert_detects(&w, "j-000002: called Queued long after what it needs");
+    world.submit(&World::spec("j-000009", "service", 18));
+    world.run(3.0);
+    world.submit_at(0, &World::spec("j-000001", "sweep", 1));
+    world.run(3.0);
+    world.requests.without_dependencies = true;
+    world.submit_at(1, &dependent("j-000002", "j-000001"));
+    world.run(3.0);
+    world.insist(0, "j-000001", Question::Cancel);
+    world.run(30.0);
+    world.ask_once(2, "j-000002", Question::Poll);
+    world.run(8.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    world.run(5.0);
+    world.ask_once(2, "j-000002", Question::Poll);
+    world.run(2.0);
+    assert_detects(&world, "j-000002: called Queued long after what it needs");
 }
 
 /// The checker must report a cancelled job when nobody cancelled it or one of its dependencies.
 #[test]
 fn detects_a_cancellation_without_cause() {
-    let mut w = cluster(0.0);
-    w.submit_at(0, &World::spec("j-000001", "sweep", 1));
-    w.submit_at(0, &World::spec("j-000003", "sweep", 1));
-    w.run(3.0);
-    w.submit_at(1, &dependent("j-000002", "j-000001"));
-    w.run(3.0);
+    let mut world = cluster(0.0);
+    world.submit_at(0, &World::spec("j-000001", "sweep", 1));
+    world.submit_at(0, &World::spec("j-000003", "sweep", 1));
+    world.run(3.0);
+    world.submit_at(1, &dependent("j-000002", "j-000001"));
+    world.run(3.0);
     // The cancellation of an unrelated job does not justify this one.
-    w.insist(0, "j-000003", Question::Cancel);
-    w.run(3.0);
-    let controller = w.controllers[0].as_ref().expect("it is up");
+    world.insist(0, "j-000003", Question::Cancel);
+    world.run(3.0);
+    let controller = world.controllers[0].as_ref().expect("it is up");
     let commit = controller.cancellation(2).expect("an open job");
-    w.state.commit(&commit);
-    w.ask_once(2, "j-000002", Question::Poll);
-    w.run(3.0);
+    world.state.commit(&commit);
+    world.ask_once(2, "j-000002", Question::Poll);
+    world.run(3.0);
     assert_detects(
-        &w,
+        &world,
         "j-000002: it is called cancelled, and nobody asked for that",
     );
 }
--- a/crates/cherryyard-simulation/tests/common/concurrent.rs
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -15,7 +15,7 @@
     teams: Vec<(&'static str, f64, f64)>,
     zones: Vec<&'static str>,
 ) -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         zones,
         machines: vec![("a", 5), ("b", 5), ("c", 5)],
         write_rps: 60.0,
@@ -23,11 +23,11 @@
         teams,
         ..Setup::default()
     });
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = seconds * 1000.0;
     }
-    w.run(6.0);
-    w
+    world.run(6.0);
+    world
 }
 
 /// Returns an array job with this number of tasks.
@@ -38,27 +38,27 @@
 }
 
 /// Ends all faults, waits for recovery, and panics if a rule or the limit of 48 cores is broken.
-pub fn assert_recovers(w: &mut World, users: &mut Users, case: &str) {
-    let violations = users.see_out(w);
-    if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
-        println!("{}", w.trace.join("\n"));
+pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
+    let violations = users.see_out(world);
+    if std::env::var("DEBUG").is_ok() && !world.broken.is_empty() {
+        println!("{}", world.trace.join("\n"));
     }
-    assert!(w.broken.is_empty(), "{case}: {:?}", w.broken);
-    if w.limit_of("guests") == w.limit_of("team") {
+    assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+    if world.limit_of("guests") == world.limit_of("team") {
         assert!(
-            w.checker.most_cores <= 48.0,
+            world.checker.most_cores <= 48.0,
             "{case}: {} cores",
-            w.checker.most_cores
+            world.checker.most_cores
         );
     }
     if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
         for i in 0..3 {
             for j in 1..5 {
-                println!("{:?}", w.view(i, &format!("j-{j:06}")));
+                println!("{:?}", world.view(i, &format!("j-{j:06}")));
             }
         }
-        println!("{}", w.trace.join("\n"));
-        for p in w.state.pairs() {
+        println!("{}", world.trace.join("\n"));
+        for p in world.state.pairs() {
             println!("{} {}", p.key, p.value.text());
         }
     }
--- a/crates/cherryyard-simulation/tests/common/gap.rs
+++ b/crates/cherryyard-simulation/tests/common/gap.rs
@@ -9,41 +9,41 @@
 
 /// Starts services of two tasks each, waits until all run, and returns the leader's index too.
 pub fn running(jobs: usize) -> (World, usize) {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 6), ("b", 6), ("c", 6)],
         write_rps: 60.0,
         ..Setup::default()
     });
-    w.run(5.0);
+    world.run(5.0);
     for job in 1..=jobs {
-        w.submit(&World::spec(&id(job), "service", 2));
+        world.submit(&World::spec(&id(job), "service", 2));
     }
-    w.run_until(40.0, |w| w.running() == jobs * 2);
-    w.run(20.0);
-    let leader = leader(&w).expect("a leader");
-    (w, leader)
+    world.run_until(40.0, |world| world.running() == jobs * 2);
+    world.run(20.0);
+    let leader = leader(&world).expect("a leader");
+    (world, leader)
 }
 
 /// Returns the index of the leader.
-pub fn leader(w: &World) -> Option<usize> {
-    w.leader()
+pub fn leader(world: &World) -> Option<usize> {
+    world.leader()
 }
 
 /// Panics if a rule has been broken.
-pub fn assert_no_violation(w: &World, case: &str) {
+pub fn assert_no_violation(world: &World, case: &str) {
     assert!(
-        w.broken.is_empty(),
+        world.broken.is_empty(),
         "{case}: {:?}\n{}",
-        w.broken,
-        w.trace.join("\n")
+        world.broken,
+        world.trace.join("\n")
     );
 }
 
 /// Makes the state service refuse every controller for the given seconds, then serve all again.
-pub fn outage(w: &mut World, seconds: f64) {
-    w.say("the state service refuses everybody");
-    w.state_link.refused = [0, 1, 2].into();
-    w.run(seconds);
-    w.say("it serves everybody");
-    w.state_link.refused.clear();
+pub fn outage(world: &mut World, seconds: f64) {
+    world.say("the state service refuses everybody");
+    world.state_link.refused = [0, 1, 2].into();
+    world.run(seconds);
+    world.say("it serves everybody");
+    world.state_link.refused.clear();
 }
--- a/crates/cherryyard-simulation/tests/common/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/common/pipelines.rs
@@ -17,17 +17,17 @@
 
 /// Returns a cluster whose controllers all accept jobs with dependencies.
 pub fn cluster_of(seconds: f64, setup: Setup) -> World {
-    let mut w = World::new(setup);
-    for worker in w.workers.values_mut() {
+    let mut world = World::new(setup);
+    for worker in world.workers.values_mut() {
         worker.run_ms = seconds * 1000.0;
     }
-    w.run_until(20.0, |w| {
+    world.run_until(20.0, |world| {
         let accepts = |n: &Option<cherryyard_core::Controller>| {
             n.as_ref().is_some_and(|n| n.accepts_dependencies())
         };
-        w.controllers.iter().all(accepts)
+        world.controllers.iter().all(accepts)
     });
-    w
+    world
 }
 
 /// Returns the id of a job number.
@@ -44,29 +44,29 @@
 }
 
 /// Submits a job to controller `i` and waits for the response.
-pub fn submit(w: &mut World, i: usize, spec: &JobSpec) -> Response {
+pub fn submit(world: &mut World, i: usize, spec: &JobSpec) -> Response {
     let body = serde_json::to_vec(spec).expect("a job");
-    ask(w, i, &spec.id, Question::Submit(body))
+    ask(world, i, &spec.id, Question::Submit(body))
 }
 
 /// Submits a job that must be accepted. The response may also be the job's state: a controller
 /// that forwarded the submission and got no response in time submits it again.
-pub fn accepted(w: &mut World, i: usize, spec: &JobSpec) {
-    let response = submit(w, i, spec);
+pub fn accepted(world: &mut World, i: usize, spec: &JobSpec) {
+    let response = submit(world, i, spec);
     let taken = response == Response::Taken || status(&response).is_some();
     assert!(taken, "{}: {response:?}", spec.id);
 }
 
 /// Sends a request to controller `i` once and waits for the response.
-pub fn ask(w: &mut World, i: usize, id: &str, question: Question) -> Response {
-    let request = w.ask_once(i, id, question);
-    w.run_until(6.0, |w| w.requests.answers.contains_key(&request));
-    w.requests.answers[&request].clone()
+pub fn ask(world: &mut World, i: usize, id: &str, question: Question) -> Response {
+    let request = world.ask_once(i, id, question);
+    world.run_until(6.0, |world| world.requests.answers.contains_key(&request));
+    world.requests.answers[&request].clone()
 }
 
 /// Cancels a job; the first response must confirm the cancellation.
-pub fn cancel(w: &mut World, i: usize, id: &str) {
-    let response = ask(w, i, id, Question::Cancel);
+pub fn cancel(world: &mut World, i: usize, id: &str) {
+    let response = ask(world, i, id, Question::Cancel);
     assert_eq!(
         status(&response),
         Some(JobStatus::Cancelled),
@@ -83,18 +83,18 @@
 }
 
 /// Returns the status that controller `i` reports for a job when polled.
-pub fn status_at(w: &mut World, i: usize, job: u64) -> Option<JobStatus> {
-    let response = ask(w, i, &id(job), Question::Poll);
+pub fn status_at(world: &mut World, i: usize, job: u64) -> Option<JobStatus> {
+    let response = ask(world, i, &id(job), Question::Poll);
     status(&response)
 }
 
 /// Panics if a rule has been broken or a transaction exceeded the limits of the state service.
-pub fn assert_no_violation(w: &World) {
+pub fn assert_no_violation(world: &World) {
     assert!(
-        w.broken.is_empty(),
+        world.broken.is_empty(),
         "{:?}\n{}",
-        w.broken,
-        w.trace.join("\n")
+        world.broken,
+        world.trace.join("\n")
     );
-    assert_eq!(w.state.malformed, 0, "transactions beyond the limits");
+    assert_eq!(world.state.malformed, 0, "transactions beyond the limits");
 }
--- a/crates/cherryyard-simulation/tests/common/settled.rs
+++ b/crates/cherryyard-simulation/tests/common/settled.rs
@@ -4,16 +4,16 @@
 
 /// Returns a running cluster whose shards are owned and whose machines have reported.
 pub fn settled(setup: Setup) -> World {
-    let mut w = World::new(setup);
-    w.run(5.0);
-    w
+    let mut world = World::new(setup);
+    world.run(5.0);
+    world
 }
 
 /// Returns the stored pages of assignments, except for a shard's first page when it names no job
 /// and no machine. An empty first page is kept so that a late transaction cannot apply on the
 /// condition that the page does not exist.
-pub fn assignments_left(w: &World) -> Vec<String> {
-    let pairs = w.state.pairs().into_iter();
+pub fn assignments_left(world: &World) -> Vec<String> {
+    let pairs = world.state.pairs().into_iter();
     let empty =
         |p: &cherryyard_wire::state::Pair| p.key.ends_with("/0") && p.value.text() == r#"{"j":[]}"#;
     pairs
@@ -23,9 +23,10 @@
 }
 
 /// Returns the lines of the trace that report a start of this task.
-pub fn starts(w: &World, task_name: &str) -> Vec<String> {
+pub fn starts(world: &World, task_name: &str) -> Vec<String> {
     let needle = format!("starts {task_name} ");
-    w.trace
+    world
+        .trace
         .iter()
         .filter(|l| l.contains(&needle))
         .cloned()
--- a/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
@@ -19,87 +19,88 @@
     // With the newer faults, users' requests come as in the program, and a guest team is at its
     // limit.
     let newer = faults.len() > OLDER.len();
-    let mut w = match newer {
+    let mut world = match newer {
         false => cluster(seconds),
         true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
     };
-    w.requests.seed(seed);
-    w.cloud.list_every_ms = newer.then_some(5000.0);
-    w.seed_late(seed);
-    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
+    world.requests.seed(seed);
+    world.cloud.list_every_ms = newer.then_some(5000.0);
+    world.seed_late(seed);
+    (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
     let mut users = Users::default();
     let mut job = 100;
     let mut open: Vec<String> = Vec::new();
-    let mut request_some = |w: &mut World, users: &mut Users, draw: &mut dyn FnMut(u64) -> u64| {
-        for _ in 0..draw(4) {
-            job += 1;
-            let mut spec = array(job, [1, 2, 3, 10][draw(4) as usize]);
-            if draw(5) == 0 {
-                spec = World::spec(&spec.id, "service", 2);
-            }
-            spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
-            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
-            let at = draw(3) as usize;
-            if newer && spec.shape == Shape::Array && draw(4) == 0 {
-                spec.team = "guests".into();
-            }
-            if newer && draw(2) == 0 {
-                w.submit_at(at, &spec);
-            } else {
-                users.ask(w, at, &spec);
-            }
-            if draw(6) == 0 {
-                // A repeated submission.
-                users.ask(w, (at + 1) % 3, &spec);
-            }
-            open.push(spec.id.clone());
-        }
-        for _ in 0..draw(3) {
-            if !open.is_empty() {
-                let id = open.swap_remove(draw(open.len() as u64) as usize);
+    let mut request_some =
+        |world: &mut World, users: &mut Users, draw: &mut dyn FnMut(u64) -> u64| {
+            for _ in 0..draw(4) {
+                job += 1;
+                let mut spec = array(job, [1, 2, 3, 10][draw(4) as usize]);
+                if draw(5) == 0 {
+                    spec = World::spec(&spec.id, "service", 2);
+                }
+                spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
+                spec.job_class = ["portal", "posting"][draw(2) as usize].into();
+                let at = draw(3) as usize;
+                if newer && spec.shape == Shape::Array && draw(4) == 0 {
+                    spec.team = "guests".into();
+                }
                 if newer && draw(2) == 0 {
-                    w.insist(draw(3) as usize, &id, Question::Cancel);
+                    world.submit_at(at, &spec);
                 } else {
-                    users.ask_cancel(w, draw(3) as usize, &id);
+                    users.ask(world, at, &spec);
+                }
+                if draw(6) == 0 {
+                    // A repeated submission.
+                    users.ask(world, (at + 1) % 3, &spec);
                 }
+                open.push(spec.id.clone());
             }
-        }
-    };
+            for _ in 0..draw(3) {
+                if !open.is_empty() {
+                    let id = open.swap_remove(draw(open.len() as u64) as usize);
+                    if newer && draw(2) == 0 {
+                        world.insist(draw(3) as usize, &id, Question::Cancel);
+                    } else {
+                        users.ask_cancel(world, draw(3) as usize, &id);
+                    }
+                }
+            }
+        };
     for _ in 0..3 {
         // The pairs are enumerated by seed, so that enough seeds cover all of them.
         let (pair, all) = (seed * 3 + draw(3), faults.len() as u64);
         let fault = |n: u64| faults[(n % all) as usize];
         let (first, second) = (fault(pair), fault(pair / all));
-        request_some(&mut w, &mut users, &mut draw);
-        users.run(&mut w, 3.0);
-        w.say(format!("begin {first:?}"));
-        first.begin(&mut w, &mut draw);
-        w.run(draw(80) as f64 / 20.0);
-        request_some(&mut w, &mut users, &mut draw);
+        request_some(&mut world, &mut users, &mut draw);
+        users.run(&mut world, 3.0);
+        world.say(format!("begin {first:?}"));
+        first.begin(&mut world, &mut draw);
+        world.run(draw(80) as f64 / 20.0);
+        request_some(&mut world, &mut users, &mut draw);
         let third = (at_once > 2).then(|| fault(draw(all)));
         for next in [Some(second), third].into_iter().flatten() {
-            w.say(format!("begin {next:?}"));
-            next.begin(&mut w, &mut draw);
+            world.say(format!("begin {next:?}"));
+            next.begin(&mut world, &mut draw);
         }
         for _ in 0..2 {
-            request_some(&mut w, &mut users, &mut draw);
+            request_some(&mut world, &mut users, &mut draw);
             let long = [2, 12, 60][draw(3) as usize];
-            users.run(&mut w, 0.5 + draw(long * 2) as f64 / 2.0);
+            users.run(&mut world, 0.5 + draw(long * 2) as f64 / 2.0);
         }
         let order = [[first, second], [second, first]][draw(2) as usize];
-        w.say(format!("finish {:?}", order[0]));
-        order[0].finish(&mut w);
-        w.run(draw(60) as f64 / 20.0);
-        request_some(&mut w, &mut users, &mut draw);
-        users.run(&mut w, draw(16) as f64 / 2.0);
+        world.say(format!("finish {:?}", order[0]));
+        order[0].finish(&mut world);
+        world.run(draw(60) as f64 / 20.0);
+        request_some(&mut world, &mut users, &mut draw);
+        users.run(&mut world, draw(16) as f64 / 2.0);
         for last in [Some(order[1]), third].into_iter().flatten() {
-            w.say(format!("finish {last:?}"));
-            last.finish(&mut w);
+            world.say(format!("finish {last:?}"));
+            last.finish(&mut world);
         }
-        users.run(&mut w, draw(20) as f64);
-        w.list_machines();
+        users.run(&mut world, draw(20) as f64);
+        world.list_machines();
     }
-    assert_recovers(&mut w, &mut users, &format!("seed {seed}"));
+    assert_recovers(&mut world, &mut users, &format!("seed {seed}"));
 }
 
 #[test]
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -10,9 +10,9 @@
 use common::concurrent::{array, assert_recovers, cluster};
 use std::collections::BTreeSet;
 
-fn starts(w: &World, task_name: &str) -> usize {
+fn starts(world: &World, task_name: &str) -> usize {
     let needle = format!("starts {task_name} ");
-    w.trace.iter().filter(|l| l.contains(&needle)).count()
+    world.trace.iter().filter(|l| l.contains(&needle)).count()
 }
 
 /// Guards against lost tasks when all controllers end during a handover of a shard. A controller's
@@ -22,29 +22,32 @@
 fn all_controllers_end_during_a_shard_handover() {
     for back_ms in [0.0, 50.0, 500.0, 1000.0] {
         for step in (0..24).step_by(3) {
-            let mut w = cluster(f64::INFINITY);
+            let mut world = cluster(f64::INFINITY);
             let mut users = Users::default();
             for job in 1..=3 {
-                users.submit(&mut w, &World::spec(&format!("j-00000{job}"), "service", 4));
+                users.submit(
+                    &mut world,
+                    &World::spec(&format!("j-00000{job}"), "service", 4),
+                );
             }
-            users.run(&mut w, 4.0);
+            users.run(&mut world, 4.0);
             // Another controller takes over its shard.
-            w.kill(1);
-            users.run(&mut w, 9.0);
-            w.start(1);
+            world.kill(1);
+            users.run(&mut world, 9.0);
+            world.start(1);
             // The restarted controller asks for its shard back 12 s after its start.
-            users.run(&mut w, 11.5);
-            w.run(f64::from(step) * 0.05);
+            users.run(&mut world, 11.5);
+            world.run(f64::from(step) * 0.05);
             for i in 0..3 {
-                w.kill(i);
+                world.kill(i);
             }
-            w.run(back_ms / 1000.0);
-            w.start(step as usize % 3);
-            w.run(back_ms / 1000.0);
+            world.run(back_ms / 1000.0);
+            world.start(step as usize % 3);
+            world.run(back_ms / 1000.0);
             let case = format!("back after {back_ms} ms, step {step}");
-            users.run(&mut w, 6.0);
-            assert_recovers(&mut w, &mut users, &case);
-            assert_eq!(w.running(), 12, "{case}");
+            users.run(&mut world, 6.0);
+            assert_recovers(&mut world, &mut users, &case);
+            assert_eq!(world.running(), 12, "{case}");
         }
     }
 }
@@ -57,45 +60,45 @@
     for apart_s in [5.0, 20.0, 60.0] {
         for changes in [1, 2] {
             for late in [0, 25] {
-                let mut w = cluster(f64::INFINITY);
-                w.seed_late(changes);
+                let mut world = cluster(f64::INFINITY);
+                world.seed_late(changes);
                 let mut users = Users::default();
-                users.submit(&mut w, &array(1, 2));
-                users.submit(&mut w, &array(2, 3));
-                users.run(&mut w, 5.0);
+                users.submit(&mut world, &array(1, 2));
+                users.submit(&mut world, &array(2, 3));
+                users.run(&mut world, 5.0);
                 let case = format!("{apart_s} s, {changes} changes, {late}% late");
-                assert_eq!(w.running(), 5, "{case}");
-                w.state_link.delayed_percent = late;
+                assert_eq!(world.running(), 5, "{case}");
+                world.state_link.delayed_percent = late;
                 // One task of each job ends, then the leader, which owns a shard too, and so on.
                 for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
                     for job in ["j-000001", "j-000002"] {
                         let task_name = format!("{job}{task_name}");
-                        for worker in w.workers.values_mut() {
+                        for worker in world.workers.values_mut() {
                             worker.finish(&task_name);
                         }
                     }
-                    users.run(&mut w, apart_s / 2.0);
+                    users.run(&mut world, apart_s / 2.0);
                     if (n as u64) < changes {
-                        let ended_leader = leader(&w);
-                        w.kill(ended_leader);
-                        users.run(&mut w, apart_s / 2.0);
-                        w.start(ended_leader);
+                        let ended_leader = leader(&world);
+                        world.kill(ended_leader);
+                        users.run(&mut world, apart_s / 2.0);
+                        world.start(ended_leader);
                     }
                 }
-                users.run(&mut w, 16.0);
-                w.state_link.delayed_percent = 0;
-                users.run(&mut w, 16.0);
+                users.run(&mut world, 16.0);
+                world.state_link.delayed_percent = 0;
+                users.run(&mut world, 16.0);
                 for (job, task_count) in [("j-000001", 2), ("j-000002", 3)] {
                     for i in 0..3 {
-                        let view = w.view(i, job).expect("it is known");
+                        let view = world.view(i, job).expect("it is known");
                         assert_eq!(view.status, JobStatus::Done, "{case}: {job}");
                     }
                     for n in 0..task_count {
                         let task_name = format!("{job}/{n}");
-                        assert_eq!(starts(&w, &task_name), 1, "{case}: {task_name}");
+                        assert_eq!(starts(&world, &task_name), 1, "{case}: {task_name}");
                     }
                 }
-                assert_recovers(&mut w, &mut users, &case);
+                assert_recovers(&mut world, &mut users, &case);
             }
         }
     }
@@ -114,43 +117,47 @@
         (true, 8.0),
         (true, 25.0),
     ] {
-        let mut w = cluster(f64::INFINITY);
+        let mut world = cluster(f64::INFINITY);
         let mut users = Users::default();
         for job in 1..=3 {
-            users.submit(&mut w, &array(job, 8));
+            users.submit(&mut world, &array(job, 8));
         }
-        users.run(&mut w, 8.0);
-        assert_eq!(w.running(), 24);
-        let ended_leader = leader(&w);
+        users.run(&mut world, 8.0);
+        assert_eq!(world.running(), 24);
+        let ended_leader = leader(&world);
         let zone = ["a", "b", "c"][ended_leader];
-        let cut_hosts: BTreeSet<String> = w
+        let cut_hosts: BTreeSet<String> = world
             .workers
             .values()
             .filter(|x| x.zone == zone)
             .map(|x| x.host.clone())
             .collect();
         if only_inbound_lost {
-            w.network.inbound_lost = cut_hosts;
+            world.network.inbound_lost = cut_hosts;
         } else {
-            w.network.unreachable = cut_hosts;
+            world.network.unreachable = cut_hosts;
         }
-        users.run(&mut w, 1.0);
-        w.kill(ended_leader);
-        users.run(&mut w, cut_s);
-        w.network.inbound_lost.clear();
-        w.network.unreachable.clear();
-        users.run(&mut w, 10.0);
-        w.start(ended_leader);
-        users.run(&mut w, 60.0);
+        users.run(&mut world, 1.0);
+        world.kill(ended_leader);
+        users.run(&mut world, cut_s);
+        world.network.inbound_lost.clear();
+        world.network.unreachable.clear();
+        users.run(&mut world, 10.0);
+        world.start(ended_leader);
+        users.run(&mut world, 60.0);
         let case = format!("only inbound traffic lost {only_inbound_lost}, {cut_s} s");
-        assert!(w.broken.is_empty(), "{case}: {:?}", w.broken);
-        let released = w.trace.iter().filter(|l| l.contains("releases")).count();
-        assert_eq!(released, 0, "{case}: {}", w.trace.join("\n"));
-        assert_eq!(w.running(), 24, "{case}: {}", w.trace.join("\n"));
-        for worker in w.workers.values_mut() {
+        assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+        let released = world
+            .trace
+            .iter()
+            .filter(|l| l.contains("releases"))
+            .count();
+        assert_eq!(released, 0, "{case}: {}", world.trace.join("\n"));
+        assert_eq!(world.running(), 24, "{case}: {}", world.trace.join("\n"));
+        for worker in world.workers.values_mut() {
             worker.run_ms = 1000.0;
         }
-        assert_recovers(&mut w, &mut users, &case);
+        assert_recovers(&mut world, &mut users, &case);
     }
 }
 
@@ -161,33 +168,36 @@
 fn a_slow_state_service() {
     for slow_ms in [300.0, 1500.0, 2100.0, 4000.0] {
         for refuses in [false, true] {
-            let mut w = cluster(f64::INFINITY);
-            w.seed_late(slow_ms as u64);
+            let mut world = cluster(f64::INFINITY);
+            world.seed_late(slow_ms as u64);
             let mut users = Users::default();
             for job in 1..=6 {
-                users.submit(&mut w, &World::spec(&format!("j-00000{job}"), "service", 3));
+                users.submit(
+                    &mut world,
+                    &World::spec(&format!("j-00000{job}"), "service", 3),
+                );
             }
-            users.run(&mut w, 8.0);
-            w.state_link.latency_ms = slow_ms;
-            users.run(&mut w, 3.0);
+            users.run(&mut world, 8.0);
+            world.state_link.latency_ms = slow_ms;
+            users.run(&mut world, 3.0);
             for job in 1..=3 {
-                users.ask_cancel(&mut w, job % 3, &format!("j-00000{job}"));
-                users.run(&mut w, 1.5);
+                users.ask_cancel(&mut world, job % 3, &format!("j-00000{job}"));
+                users.run(&mut world, 1.5);
             }
             if refuses {
-                w.state_link.refused.insert(0);
-                users.run(&mut w, 2.0);
-                w.state_link.refused.extend([1, 2]);
-                users.run(&mut w, 60.0);
-                w.state_link.refused.clear();
+                world.state_link.refused.insert(0);
+                users.run(&mut world, 2.0);
+                world.state_link.refused.extend([1, 2]);
+                users.run(&mut world, 60.0);
+                world.state_link.refused.clear();
             }
-            users.run(&mut w, 45.0);
+            users.run(&mut world, 45.0);
             assert_recovers(
-                &mut w,
+                &mut world,
                 &mut users,
                 &format!("{slow_ms} ms, refuses {refuses}"),
             );
-            assert_eq!(w.running(), 9, "{slow_ms} ms, refuses {refuses}");
+            assert_eq!(world.running(), 9, "{slow_ms} ms, refuses {refuses}");
         }
     }
 }
@@ -198,31 +208,34 @@
 fn a_delayed_command() {
     for between in 0..4 {
         for late_s in [2.0, 6.0, 12.0, 30.0] {
-            let mut w = cluster(f64::INFINITY);
+            let mut world = cluster(f64::INFINITY);
             let mut users = Users::default();
-            let hosts: Vec<String> = w.workers.keys().cloned().collect();
-            w.machines.slow_commands.extend(hosts.clone());
-            users.submit(&mut w, &World::spec("j-000001", "service", 20));
-            users.run(&mut w, 0.5);
+            let hosts: Vec<String> = world.workers.keys().cloned().collect();
+            world.machines.slow_commands.extend(hosts.clone());
+            users.submit(&mut world, &World::spec("j-000001", "service", 20));
+            users.run(&mut world, 0.5);
             match between {
-                0 => users.ask_cancel(&mut w, 1, "j-000001"),
-                1 => w.network.unreachable.extend(hosts.iter().take(7).cloned()),
+                0 => users.ask_cancel(&mut world, 1, "j-000001"),
+                1 => world
+                    .network
+                    .unreachable
+                    .extend(hosts.iter().take(7).cloned()),
                 2 => {
-                    let i = leader(&w);
-                    w.kill(i);
-                    w.start(i);
+                    let i = leader(&world);
+                    world.kill(i);
+                    world.start(i);
                 }
-                _ => w.kill(1),
+                _ => world.kill(1),
             }
-            users.run(&mut w, late_s);
-            w.network.unreachable.clear();
-            w.machines.slow_commands.clear();
-            w.deliver_direct();
-            users.run(&mut w, 30.0);
+            users.run(&mut world, late_s);
+            world.network.unreachable.clear();
+            world.machines.slow_commands.clear();
+            world.deliver_direct();
+            users.run(&mut world, 30.0);
             let case = format!("between {between}, {late_s} s late");
-            assert_recovers(&mut w, &mut users, &case);
+            assert_recovers(&mut world, &mut users, &case);
             let expected = if between == 0 { 0 } else { 20 };
-            assert_eq!(w.running(), expected, "{case}");
+            assert_eq!(world.running(), expected, "{case}");
         }
     }
 }
@@ -234,20 +247,20 @@
 #[test]
 fn a_late_duplicate_of_a_start_command() {
     for late_s in [12.0, 45.0, 80.0] {
-        let mut w = cluster(f64::INFINITY);
+        let mut world = cluster(f64::INFINITY);
         let mut users = Users::default();
-        let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.machines.slow_commands.extend(hosts);
-        users.submit(&mut w, &World::spec("j-000001", "service", 20));
-        w.run_until(2.0, |w| !w.machines.held_commands.is_empty());
-        w.machines.slow_commands.clear();
-        users.run(&mut w, 5.0);
-        assert_eq!(w.running(), 20);
-        users.ask_cancel(&mut w, 1, "j-000001");
-        users.run(&mut w, late_s);
-        w.deliver_direct();
-        assert_eq!(w.running(), 0, "{late_s} s late");
-        assert_recovers(&mut w, &mut users, &format!("{late_s} s late"));
+        let hosts: Vec<String> = world.workers.keys().cloned().collect();
+        world.machines.slow_commands.extend(hosts);
+        users.submit(&mut world, &World::spec("j-000001", "service", 20));
+        world.run_until(2.0, |world| !world.machines.held_commands.is_empty());
+        world.machines.slow_commands.clear();
+        users.run(&mut world, 5.0);
+        assert_eq!(world.running(), 20);
+        users.ask_cancel(&mut world, 1, "j-000001");
+        users.run(&mut world, late_s);
+        world.deliver_direct();
+        assert_eq!(world.running(), 0, "{late_s} s late");
+        assert_recovers(&mut world, &mut users, &format!("{late_s} s late"));
     }
 }
 
@@ -257,27 +270,27 @@
 #[test]
 fn a_start_to_a_machine_that_hangs_beyond_its_lease() {
     for hangs_s in [4.0, 12.0, 16.0, 24.0] {
-        let mut w = cluster(f64::INFINITY);
+        let mut world = cluster(f64::INFINITY);
         let mut users = Users::default();
-        let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.machines.slow_commands.extend(hosts);
-        users.submit(&mut w, &World::spec("j-000001", "service", 20));
-        w.run_until(2.0, |w| !w.machines.held_commands.is_empty());
-        let held = w
+        let hosts: Vec<String> = world.workers.keys().cloned().collect();
+        world.machines.slow_commands.extend(hosts);
+        users.submit(&mut world, &World::spec("j-000001", "service", 20));
+        world.run_until(2.0, |world| !world.machines.held_commands.is_empty());
+        let held = world
             .machines
             .held_commands
             .iter()
             .take(4)
             .map(|h| h.machine.clone());
-        w.machines.hung = held.collect();
-        w.machines.slow_commands.clear();
-        users.run(&mut w, hangs_s);
-        w.deliver_direct();
-        w.machines.hung.clear();
+        world.machines.hung = held.collect();
+        world.machines.slow_commands.clear();
+        users.run(&mut world, hangs_s);
+        world.deliver_direct();
+        world.machines.hung.clear();
         let case = format!("{hangs_s} s");
-        users.run(&mut w, 30.0);
-        assert_recovers(&mut w, &mut users, &case);
-        assert_eq!(w.running(), 20, "{case}");
+        users.run(&mut world, 30.0);
+        assert_recovers(&mut world, &mut users, &case);
+        assert_eq!(world.running(), 20, "{case}");
     }
 }
 
@@ -286,26 +299,26 @@
 #[test]
 fn old_reports_of_earlier_incarnations_and_attempts() {
     for late_ms in [500.0, 2500.0, 9000.0, 11_000.0, 25_000.0, 45_000.0] {
-        let mut w = cluster(6.0);
+        let mut world = cluster(6.0);
         let mut users = Users::default();
-        w.duplicates.delay_ms = Some(late_ms);
+        world.duplicates.delay_ms = Some(late_ms);
         for job in 1..=4 {
-            users.submit(&mut w, &array(job, 24));
+            users.submit(&mut world, &array(job, 24));
         }
-        users.run(&mut w, 3.0);
+        users.run(&mut world, 3.0);
         // Incarnations end, and tasks get new attempts.
-        let some: Vec<String> = w.workers.keys().step_by(3).cloned().collect();
-        w.network.unreachable.extend(some.iter().cloned());
-        users.run(&mut w, 13.0);
-        w.network.unreachable.clear();
-        w.reborn(&some[0]);
-        users.run(&mut w, 4.0);
-        let ended_leader = leader(&w);
-        w.kill(ended_leader);
-        users.run(&mut w, 8.0);
-        users.ask_cancel(&mut w, (ended_leader + 1) % 3, "j-000004");
-        w.start(ended_leader);
-        users.run(&mut w, 30.0);
-        assert_recovers(&mut w, &mut users, &format!("{late_ms} ms"));
+        let some: Vec<String> = world.workers.keys().step_by(3).cloned().collect();
+        world.network.unreachable.extend(some.iter().cloned());
+        users.run(&mut world, 13.0);
+        world.network.unreachable.clear();
+        world.reborn(&some[0]);
+        users.run(&mut world, 4.0);
+        let ended_leader = leader(&world);
+        world.kill(ended_leader);
+        users.run(&mut world, 8.0);
+        users.ask_cancel(&mut world, (ended_leader + 1) % 3, "j-000004");
+        world.start(ended_leader);
+        users.run(&mut world, 30.0);
+        assert_recovers(&mut world, &mut users, &format!("{late_ms} ms"));
     }
 }
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -11,12 +11,12 @@
         ..Setup::default()
     };
     tuning(&mut setup);
-    let mut w = World::new(setup);
-    for worker in w.workers.values_mut() {
+    let mut world = World::new(setup);
+    for worker in world.workers.values_mut() {
         worker.run_ms = 4000.0;
     }
-    w.run(5.0);
-    w
+    world.run(5.0);
+    world
 }
 
 fn spec(job: usize, task_count: u32, cores: f64) -> JobSpec {
@@ -26,13 +26,13 @@
 }
 
 /// Submits many small jobs and a few large arrays for `seconds`.
-fn flood(users: &mut Users, w: &mut World, seconds: usize) {
+fn flood(users: &mut Users, world: &mut World, seconds: usize) {
     for second in 0..seconds {
-        users.submit(w, &spec(100 + second, 8, 2.0));
+        users.submit(world, &spec(100 + second, 8, 2.0));
         if second % 8 == 4 {
-            users.submit(w, &spec(50 + second / 8, 60, 2.0));
+            users.submit(world, &spec(50 + second / 8, 60, 2.0));
         }
-        users.run(w, 1.0);
+        users.run(world, 1.0);
     }
 }
 
@@ -40,21 +40,21 @@
 #[test]
 fn broken_builds_are_detected() {
     let scenario = |turn_s: f64, never: Option<&str>, skip: bool| {
-        let mut w = cluster(|s| s.tuning.admission.turn_s = turn_s);
+        let mut world = cluster(|s| s.tuning.admission.turn_s = turn_s);
         let mut users = Users::default();
         users.never_answers = never.map(Into::into);
-        flood(&mut users, &mut w, 250);
+        flood(&mut users, &mut world, 250);
         if skip {
             // A broken build that loses a job that it accepted.
             let key = cherryyard_wire::record::job_key(5);
-            assert!(w.state.get(&key).is_none());
-            users.submit(&mut w, &spec(5, 1, 2.0));
+            assert!(world.state.get(&key).is_none());
+            users.submit(&mut world, &spec(5, 1, 2.0));
             users.broken.clear();
         }
-        users.run(&mut w, 80.0);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
-        let faults_ended_at = w.now - 80_000.0;
-        users.judge(&w, faults_ended_at)
+        users.run(&mut world, 80.0);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        let faults_ended_at = world.now - 80_000.0;
+        users.judge(&world, faults_ended_at)
     };
     assert_eq!(scenario(60.0, None, true), Vec::<String>::new());
     let violations = scenario(1e9, None, false);
@@ -75,89 +75,96 @@
 #[test]
 fn a_controller_cut_from_state_and_peers() {
     for seconds in [1.0, 4.9, 5.1, 9.0, 10.5, 20.0, 28.0, 31.0, 39.0, 41.0, 60.0] {
-        let mut w = cluster(|_| {});
+        let mut world = cluster(|_| {});
         let mut users = Users::default();
-        for worker in w.workers.values_mut() {
+        for worker in world.workers.values_mut() {
             worker.run_ms = f64::INFINITY;
         }
         for job in 1..=3 {
-            users.submit(&mut w, &World::spec(&format!("j-00000{job}"), "service", 6));
+            users.submit(
+                &mut world,
+                &World::spec(&format!("j-00000{job}"), "service", 6),
+            );
         }
-        users.run(&mut w, 6.0);
-        assert_eq!(w.running(), 18);
+        users.run(&mut world, 6.0);
+        assert_eq!(world.running(), 18);
         for again in 0..2 {
-            w.state_link.refused.insert(0);
-            w.network.isolated.insert(0);
-            users.run(&mut w, seconds / 2.0);
+            world.state_link.refused.insert(0);
+            world.network.isolated.insert(0);
+            users.run(&mut world, seconds / 2.0);
             if again == 0 {
-                users.cancel(&mut w, 1, "j-000003");
-                users.submit(&mut w, &World::spec("j-000004", "service", 3));
+                users.cancel(&mut world, 1, "j-000003");
+                users.submit(&mut world, &World::spec("j-000004", "service", 3));
             }
-            users.run(&mut w, seconds / 2.0);
-            w.state_link.refused.clear();
-            w.network.isolated.clear();
-            users.run(&mut w, 12.0);
+            users.run(&mut world, seconds / 2.0);
+            world.state_link.refused.clear();
+            world.network.isolated.clear();
+            users.run(&mut world, 12.0);
         }
-        let faults_ended_at = w.now;
-        users.run(&mut w, 80.0);
-        assert!(w.broken.is_empty(), "{seconds} s: {:?}", w.broken);
+        let faults_ended_at = world.now;
+        users.run(&mut world, 80.0);
+        assert!(world.broken.is_empty(), "{seconds} s: {:?}", world.broken);
         assert_eq!(
-            users.judge(&w, faults_ended_at),
+            users.judge(&world, faults_ended_at),
             Vec::<String>::new(),
             "{seconds} s"
         );
-        assert_eq!((w.running(), w.workers.len()), (15, 12), "{seconds} s");
+        assert_eq!(
+            (world.running(), world.workers.len()),
+            (15, 12),
+            "{seconds} s"
+        );
     }
 }
 
 /// Records the trace of one such fault.
 #[test]
 fn trace_of_a_controller_cut_from_state_and_peers() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 1), ("b", 1)],
         ..Setup::default()
     });
-    w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", 1));
-    w.submit(&World::spec("j-000002", "sweep", 1));
-    w.run(3.0);
-    w.say("node-0 is alone with its workers");
-    w.state_link.refused.insert(0);
-    w.network.isolated.insert(0);
-    w.run(3.0);
-    w.cancel(1, "j-000001");
-    w.run(45.0);
-    w.say("it is back");
-    w.state_link.refused.clear();
-    w.network.isolated.clear();
-    w.run(30.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    world.run(5.0);
+    world.submit(&World::spec("j-000001", "service", 1));
+    world.submit(&World::spec("j-000002", "sweep", 1));
+    world.run(3.0);
+    world.say("node-0 is alone with its workers");
+    world.state_link.refused.insert(0);
+    world.network.isolated.insert(0);
+    world.run(3.0);
+    world.cancel(1, "j-000001");
+    world.run(45.0);
+    world.say("it is back");
+    world.state_link.refused.clear();
+    world.network.isolated.clear();
+    world.run(30.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Records the trace of a machine that receives neither responses nor commands.
 #[test]
 fn trace_of_a_machine_without_inbound_traffic() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 2)],
         ..Setup::default()
     });
-    w.duplicates.delay_ms = Some(12_000.0);
-    w.run(5.0);
-    w.submit(&World::spec("j-000001", "sweep", 3));
-    w.run(5.0);
-    w.say("host-000000 hears nothing");
-    w.network.inbound_lost.insert("host-000000".into());
-    w.run(40.0);
-    w.submit(&World::spec("j-000002", "sweep", 2));
-    w.run(10.0);
-    w.say("host-000000 hears again");
-    w.network.inbound_lost.clear();
-    w.run(20.0);
-    w.reborn("host-000001");
-    w.run(20.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    world.duplicates.delay_ms = Some(12_000.0);
+    world.run(5.0);
+    world.submit(&World::spec("j-000001", "sweep", 3));
+    world.run(5.0);
+    world.say("host-000000 hears nothing");
+    world.network.inbound_lost.insert("host-000000".into());
+    world.run(40.0);
+    world.submit(&World::spec("j-000002", "sweep", 2));
+    world.run(10.0);
+    world.say("host-000000 hears again");
+    world.network.inbound_lost.clear();
+    world.run(20.0);
+    world.reborn("host-000001");
+    world.run(20.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Guards against shards with two leases or without an owner: the leader ends and restarts, and
@@ -168,34 +175,39 @@
 fn controllers_end_at_every_step_of_a_claim() {
     for back in [0.0, 0.05, 0.5] {
         for step in 0..60 {
-            let mut w = World::new(Setup {
+            let mut world = World::new(Setup {
                 machines: vec![("a", 2), ("b", 1), ("c", 1)],
                 ..Setup::default()
             });
-            w.run(5.0);
-            w.submit(&World::spec("j-000001", "service", 6));
-            w.run(4.0);
+            world.run(5.0);
+            world.submit(&World::spec("j-000001", "service", 6));
+            world.run(4.0);
             let leads = |n: &cherryyard_core::Controller| n.leadership_token().is_some();
-            let leader = w
+            let leader = world
                 .controllers
                 .iter()
                 .position(|n| n.as_ref().is_some_and(leads));
             let leader = leader.expect("a leader");
-            w.kill(leader);
-            w.run(back);
-            w.start(leader);
-            w.run(f64::from(step) * 0.05);
+            world.kill(leader);
+            world.run(back);
+            world.start(leader);
+            world.run(f64::from(step) * 0.05);
             let successor = (leader + 1) % 3;
             for i in [leader, successor] {
-                w.kill(i);
-                w.run(back);
-                w.start(i);
+                world.kill(i);
+                world.run(back);
+                world.start(i);
             }
-            w.run(20.0);
+            world.run(20.0);
             let case = format!("back after {back} s, step {step}");
-            assert_eq!(w.running(), 6, "{case}: {}", w.trace.join("\n"));
-            assert!(w.broken.is_empty(), "{case}: {:?}", w.broken);
-            let leaders = w.controllers.iter().flatten().filter(|n| leads(n)).count();
+            assert_eq!(world.running(), 6, "{case}: {}", world.trace.join("\n"));
+            assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+            let leaders = world
+                .controllers
+                .iter()
+                .flatten()
+                .filter(|n| leads(n))
+                .count();
             assert_eq!(leaders, 1, "{case}");
         }
     }
@@ -205,8 +217,8 @@
 /// poll; at the end no job may be lost or starved.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
-    let mut w = cluster(|_| {});
-    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
+    let mut world = cluster(|_| {});
+    (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut job = 100;
     for _ in 0..25 {
@@ -215,52 +227,52 @@
             let task_count = [1, 4, 12, 60][draw(4) as usize];
             let mut spec = spec(job, task_count, [0.5, 2.0, 4.0][draw(3) as usize]);
             spec.job_class = ["portal", "posting"][draw(2) as usize].into();
-            users.submit(&mut w, &spec);
+            users.submit(&mut world, &spec);
         }
-        let hosts: Vec<String> = w.workers.keys().cloned().collect();
+        let hosts: Vec<String> = world.workers.keys().cloned().collect();
         let host = hosts.get(draw(hosts.len().max(1) as u64) as usize);
         let host = host.cloned().unwrap_or_default();
         let i = draw(3) as usize;
         match draw(10) {
-            0 => drop(w.network.inbound_lost.insert(host)),
-            1 => w
+            0 => drop(world.network.inbound_lost.insert(host)),
+            1 => world
                 .network
                 .inbound_lost
                 .extend(hosts.into_iter().filter(|_| draw(3) == 0)),
-            2 => w.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
-            3 => w.reborn(&host),
+            2 => world.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
+            3 => world.reborn(&host),
             4 => {
-                w.kill(i);
-                users.run(&mut w, [0.0, 0.5, 0.5, 4.0][draw(4) as usize]);
-                w.start(i);
+                world.kill(i);
+                users.run(&mut world, [0.0, 0.5, 0.5, 4.0][draw(4) as usize]);
+                world.start(i);
             }
-            5 => drop(w.processes.frozen.insert(i)),
+            5 => drop(world.processes.frozen.insert(i)),
             6 => {
-                w.state_link.refused.insert(i);
-                w.network.isolated.insert(i);
+                world.state_link.refused.insert(i);
+                world.network.isolated.insert(i);
             }
-            7 => w.state_link.refused.extend([0, 1, 2]),
+            7 => world.state_link.refused.extend([0, 1, 2]),
             _ => {
-                w.network.inbound_lost.clear();
-                w.processes.frozen.clear();
-                w.network.isolated.clear();
-                w.state_link.refused.clear();
+                world.network.inbound_lost.clear();
+                world.processes.frozen.clear();
+                world.network.isolated.clear();
+                world.state_link.refused.clear();
             }
         }
-        users.run(&mut w, 1.0 + draw(16) as f64 / 2.0);
-        w.list_machines();
+        users.run(&mut world, 1.0 + draw(16) as f64 / 2.0);
+        world.list_machines();
     }
-    w.network.inbound_lost.clear();
-    w.processes.frozen.clear();
-    w.network.isolated.clear();
-    w.state_link.refused.clear();
-    let faults_ended_at = w.now;
+    world.network.inbound_lost.clear();
+    world.processes.frozen.clear();
+    world.network.isolated.clear();
+    world.state_link.refused.clear();
+    let faults_ended_at = world.now;
     for _ in 0..50 {
-        users.run(&mut w, 5.0);
-        w.list_machines();
+        users.run(&mut world, 5.0);
+        world.list_machines();
     }
-    assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
-    let violations = users.judge(&w, faults_ended_at);
+    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+    let violations = users.judge(&world, faults_ended_at);
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
 }
 
--- a/crates/cherryyard-simulation/tests/event_loop_lag.rs
+++ b/crates/cherryyard-simulation/tests/event_loop_lag.rs
@@ -4,9 +4,9 @@
 
 /// Returns a running cluster whose shards are owned and whose machines have reported.
 fn settled(setup: Setup) -> World {
-    let mut w = World::new(setup);
-    w.run(5.0);
-    w
+    let mut world = World::new(setup);
+    world.run(5.0);
+    world
 }
 
 /// Guards against a lagging controller that mistakes its own delay for silence of its machines:
@@ -14,44 +14,44 @@
 /// actions are only late.
 #[test]
 fn trace_of_a_lagging_controller() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "service", 6));
-    w.run_until(10.0, |w| w.running() == 6);
-    w.run(20.0);
-    w.say("node-0 is 3.5 s behind");
-    w.processes.lag_ms.insert(0, 3500.0);
-    w.run(40.0);
-    w.submit(&World::spec("j-000002", "service", 1));
-    w.cancel(1, "j-000001");
-    w.run(15.0);
-    assert_eq!(w.running(), 1, "{}", w.trace.join("\n"));
-    w.processes.lag_ms.clear();
-    w.say("node-0 is in time again");
-    w.run(20.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "service", 6));
+    world.run_until(10.0, |world| world.running() == 6);
+    world.run(20.0);
+    world.say("node-0 is 3.5 s behind");
+    world.processes.lag_ms.insert(0, 3500.0);
+    world.run(40.0);
+    world.submit(&World::spec("j-000002", "service", 1));
+    world.cancel(1, "j-000001");
+    world.run(15.0);
+    assert_eq!(world.running(), 1, "{}", world.trace.join("\n"));
+    world.processes.lag_ms.clear();
+    world.say("node-0 is in time again");
+    world.run(20.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
     let loses_machine = |l: &&String| l.contains("releases") || l.contains("loses its lease");
-    assert_eq!(w.trace.iter().find(loses_machine), None);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    assert_eq!(world.trace.iter().find(loses_machine), None);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Guards against broken rules when a controller lags so far that no response arrives in time:
 /// leases expire, and lost tasks start again once the expiry is proven.
 #[test]
 fn a_controller_lagging_beyond_timeouts_breaks_no_rule() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 4), ("b", 2), ("c", 2)],
         ..Setup::default()
     });
-    w.submit(&World::spec("j-000001", "service", 10));
-    w.run_until(10.0, |w| w.running() == 10);
+    world.submit(&World::spec("j-000001", "service", 10));
+    world.run_until(10.0, |world| world.running() == 10);
     for late in [5000.0, 1000.0, 9000.0, 6000.0] {
-        w.processes.lag_ms.insert(0, late);
-        w.run(25.0);
+        world.processes.lag_ms.insert(0, late);
+        world.run(25.0);
     }
-    w.processes.lag_ms.clear();
-    w.run(90.0);
-    assert_eq!(w.running(), 10, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    world.processes.lag_ms.clear();
+    world.run(90.0);
+    assert_eq!(world.running(), 10, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against scheduling cycles that inspect machines without need: reports without news
@@ -60,21 +60,21 @@
 #[test]
 fn cycles_inspect_only_changed_machines() {
     let inspected_machines = |machines: usize, change: bool| {
-        let mut w = settled(Setup {
+        let mut world = settled(Setup {
             zones: vec!["a"],
             machines: vec![("a", machines)],
             ..Setup::default()
         });
-        w.submit(&World::spec("j-000001", "service", machines as u32));
-        w.run_until(10.0, |w| w.running() == machines);
-        w.run(20.0);
-        let before = w.controllers[0].as_ref().unwrap().inspected_machines;
+        world.submit(&World::spec("j-000001", "service", machines as u32));
+        world.run_until(10.0, |world| world.running() == machines);
+        world.run(20.0);
+        let before = world.controllers[0].as_ref().unwrap().inspected_machines;
         if change {
-            w.workers.values_mut().next().unwrap().run_ms = 0.0;
-            w.workers.values_mut().next().unwrap().faulty = true;
+            world.workers.values_mut().next().unwrap().run_ms = 0.0;
+            world.workers.values_mut().next().unwrap().faulty = true;
         }
-        w.run(20.0);
-        w.controllers[0].as_ref().unwrap().inspected_machines - before
+        world.run(20.0);
+        world.controllers[0].as_ref().unwrap().inspected_machines - before
     };
     for machines in [6, 60] {
         let all = inspected_machines(machines, false);
@@ -93,32 +93,38 @@
 #[test]
 fn an_owner_cut_from_its_workers_releases_none() {
     let all = 24;
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         zones: vec!["a", "b", "c"],
         machines: vec![("a", all), ("b", 1), ("c", 1)],
         ..Setup::default()
     });
-    w.run(5.0);
+    world.run(5.0);
     let mut spec = World::spec("j-000001", "service", all as u32);
     spec.cores = 4.0;
-    w.submit(&spec);
-    w.run_until(20.0, |w| w.running() == all);
+    world.submit(&spec);
+    world.run_until(20.0, |world| world.running() == all);
     // Reports are spread over the report interval.
-    for (i, x) in w.workers.values_mut().enumerate() {
-        x.report_at = w.now + 85.0 * i as f64;
+    for (i, x) in world.workers.values_mut().enumerate() {
+        x.report_at = world.now + 85.0 * i as f64;
     }
-    w.run(20.0);
-    w.say("node-0 loses its workers");
-    w.network.cut_from_workers.insert(0);
-    w.run(40.0);
-    let releases = |w: &World| w.trace.iter().filter(|l| l.contains("releases")).count();
-    assert_eq!(releases(&w), 0, "{}", w.trace.join("\n"));
-    assert_eq!(w.running(), all, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty());
-    w.network.cut_from_workers.clear();
-    w.run(60.0);
-    let host = w.workers.keys().next().unwrap().clone();
-    w.network.unreachable.insert(host);
-    w.run(9.0);
-    assert_eq!(releases(&w), 1, "{}", w.trace.join("\n"));
+    world.run(20.0);
+    world.say("node-0 loses its workers");
+    world.network.cut_from_workers.insert(0);
+    world.run(40.0);
+    let releases = |world: &World| {
+        world
+            .trace
+            .iter()
+            .filter(|l| l.contains("releases"))
+            .count()
+    };
+    assert_eq!(releases(&world), 0, "{}", world.trace.join("\n"));
+    assert_eq!(world.running(), all, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty());
+    world.network.cut_from_workers.clear();
+    world.run(60.0);
+    let host = world.workers.keys().next().unwrap().clone();
+    world.network.unreachable.insert(host);
+    world.run(9.0);
+    assert_eq!(releases(&world), 1, "{}", world.trace.join("\n"));
 }
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -5,19 +5,19 @@
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
 fn running(setup: Setup, task_count: u32) -> World {
-    let mut w = World::new(setup);
-    w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", task_count));
-    w.run_until(10.0, |w| w.running() == task_count as usize);
-    w.run(10.0);
-    w
+    let mut world = World::new(setup);
+    world.run(5.0);
+    world.submit(&World::spec("j-000001", "service", task_count));
+    world.run_until(10.0, |world| world.running() == task_count as usize);
+    world.run(10.0);
+    world
 }
 
-fn listed(w: &World, names: impl Iterator<Item = String>) -> Vec<Instance> {
+fn listed(world: &World, names: impl Iterator<Item = String>) -> Vec<Instance> {
     let entry = |name: String| Instance {
         addr: format!("{name}:9000"),
         machine_type: "m4".into(),
-        zone: w.workers[&name].zone.clone(),
+        zone: world.workers[&name].zone.clone(),
         spot: false,
         status: InstanceStatus::Running,
         held_s: 500.0,
@@ -33,23 +33,23 @@
 #[test]
 fn a_resumed_controller_reads_before_it_acts() {
     for frozen_s in [3.0, 20.0, 35.0, 70.0] {
-        let mut w = running(
+        let mut world = running(
             Setup {
                 machines: vec![("a", 4), ("b", 1), ("c", 1)],
                 ..Setup::default()
             },
             8,
         );
-        w.processes.frozen.insert(0);
+        world.processes.frozen.insert(0);
         // A report that waits in the controller's own socket during the freeze.
-        let name = w.workers.keys().next().unwrap().clone();
-        let old = w.workers.get_mut(&name).unwrap().report(w.now);
-        w.run(frozen_s);
-        let now = w.now;
-        let names: Vec<String> = w.workers.keys().cloned().collect();
-        let list = listed(&w, names.into_iter());
-        let heartbeat = w.controllers[1].as_mut().unwrap().heartbeat_out(now);
-        let controller = w.controllers[0].as_mut().unwrap();
+        let name = world.workers.keys().next().unwrap().clone();
+        let old = world.workers.get_mut(&name).unwrap().report(world.now);
+        world.run(frozen_s);
+        let now = world.now;
+        let names: Vec<String> = world.workers.keys().cloned().collect();
+        let list = listed(&world, names.into_iter());
+        let heartbeat = world.controllers[1].as_mut().unwrap().heartbeat_out(now);
+        let controller = world.controllers[0].as_mut().unwrap();
         controller.effects();
         for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
             for event in order {
@@ -75,12 +75,16 @@
             }
         }
         assert!(!controller.ready(now));
-        w.processes.frozen.clear();
-        w.run(60.0);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
-        assert_eq!(w.running(), 8, "{}", w.trace.join("\n"));
-        let released = w.trace.iter().filter(|l| l.contains("releases")).count();
-        assert_eq!(released, 0, "{}", w.trace.join("\n"));
+        world.processes.frozen.clear();
+        world.run(60.0);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert_eq!(world.running(), 8, "{}", world.trace.join("\n"));
+        let released = world
+            .trace
+            .iter()
+            .filter(|l| l.contains("releases"))
+            .count();
+        assert_eq!(released, 0, "{}", world.trace.join("\n"));
     }
 }
 
@@ -88,16 +92,16 @@
 /// its shard.
 #[test]
 fn trace_of_a_freeze() {
-    let mut w = running(Setup::default(), 4);
-    w.say("node-0 stands still");
-    w.processes.frozen.insert(0);
-    w.run(32.0);
-    w.say("node-0 goes on");
-    w.processes.frozen.clear();
-    w.run(30.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    assert_eq!(w.running(), 4);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    let mut world = running(Setup::default(), 4);
+    world.say("node-0 stands still");
+    world.processes.frozen.insert(0);
+    world.run(32.0);
+    world.say("node-0 goes on");
+    world.processes.frozen.clear();
+    world.run(30.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running(), 4);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Guards against reports delayed by 51 s, of machines that were given up meanwhile and whose
@@ -105,48 +109,48 @@
 /// except to stop the tasks of the old incarnations.
 #[test]
 fn long_delayed_reports_change_nothing() {
-    let mut w = running(
+    let mut world = running(
         Setup {
             machines: vec![("a", 6), ("b", 1), ("c", 1)],
             ..Setup::default()
         },
         10,
     );
-    let cut: Vec<String> = w.workers.keys().take(3).cloned().collect();
-    let now = w.now;
+    let cut: Vec<String> = world.workers.keys().take(3).cloned().collect();
+    let now = world.now;
     let held: Vec<_> = cut
         .iter()
         .flat_map(|name| {
-            let worker = w.workers.get_mut(name).unwrap();
+            let worker = world.workers.get_mut(name).unwrap();
             [worker.report(now), worker.report(now)]
         })
         .collect();
-    w.network.unreachable.extend(cut.iter().cloned());
-    w.run(51.0);
-    assert_eq!(w.running(), 10, "{}", w.trace.join("\n"));
-    let assignments = |w: &World| -> Vec<_> {
-        let pairs = w.state.pairs();
+    world.network.unreachable.extend(cut.iter().cloned());
+    world.run(51.0);
+    assert_eq!(world.running(), 10, "{}", world.trace.join("\n"));
+    let assignments = |world: &World| -> Vec<_> {
+        let pairs = world.state.pairs();
         pairs
             .into_iter()
             .filter(|p| p.key.contains("mark"))
             .map(|p| (p.key, p.value.text().to_string()))
             .collect()
     };
-    let before = assignments(&w);
-    let now = w.now;
+    let before = assignments(&world);
+    let now = world.now;
     for report in &held {
         // Commands in the response reach nobody: the worker closed the connection long ago.
-        w.controllers[0]
+        world.controllers[0]
             .as_mut()
             .unwrap()
             .handle_worker_heartbeat(report, now);
     }
-    w.run(1.0);
-    assert_eq!(assignments(&w), before);
-    w.network.unreachable.clear();
-    w.run(30.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    assert_eq!(w.running(), 10);
+    world.run(1.0);
+    assert_eq!(assignments(&world), before);
+    world.network.unreachable.clear();
+    world.run(30.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running(), 10);
 }
 
 /// Guards against wrong releases when pages of a machine list differ in age: one page shows
@@ -154,7 +158,7 @@
 /// no released machine returns.
 #[test]
 fn inconsistent_machine_lists_release_no_reporting_machine() {
-    let mut w = running(
+    let mut world = running(
         Setup {
             machines: vec![("a", 9)],
             zones: vec!["a"],
@@ -162,18 +166,18 @@
         },
         12,
     );
-    w.run(60.0);
-    let names: Vec<String> = w.workers.keys().cloned().collect();
+    world.run(60.0);
+    let names: Vec<String> = world.workers.keys().cloned().collect();
     for missing in 0..3 {
         let seen = names.iter().enumerate();
         let seen = seen.filter(|(i, _)| i / 3 != missing).map(|n| n.1.clone());
-        let list = listed(&w, seen);
-        let now = w.now;
-        w.controllers[0].as_mut().unwrap().listed(list, now);
-        w.run(3.0);
+        let list = listed(&world, seen);
+        let now = world.now;
+        world.controllers[0].as_mut().unwrap().listed(list, now);
+        world.run(3.0);
     }
-    assert_eq!(w.workers.len(), 9, "{}", w.trace.join("\n"));
-    assert_eq!(w.running(), 12);
+    assert_eq!(world.workers.len(), 9, "{}", world.trace.join("\n"));
+    assert_eq!(world.running(), 12);
 }
 
 /// Guards against ticks whose cost grows with the fleet: one completion makes scheduling cycles
@@ -182,23 +186,24 @@
 #[test]
 fn one_completion_costs_the_same_in_a_fleet_ten_times_as_large() {
     let cost = |machines: usize| {
-        let mut w = World::new(Setup {
+        let mut world = World::new(Setup {
             zones: vec!["a"],
             machines: vec![("a", machines)],
             ..Setup::default()
         });
-        w.run(5.0);
-        w.submit(&World::spec("j-000001", "sweep", machines as u32));
-        w.run_until(30.0, |w| w.running() == machines);
-        w.run(10.0);
-        let inspected_machines = |w: &World| w.controllers[0].as_ref().unwrap().inspected_machines;
+        world.run(5.0);
+        world.submit(&World::spec("j-000001", "sweep", machines as u32));
+        world.run_until(30.0, |world| world.running() == machines);
+        world.run(10.0);
+        let inspected_machines =
+            |world: &World| world.controllers[0].as_ref().unwrap().inspected_machines;
         // Measured between two inspections of all machines, which come every 5 s.
-        let before = inspected_machines(&w);
-        w.run_until(6.0, |w| inspected_machines(w) > before);
-        let before_completion = inspected_machines(&w);
-        w.workers.values_mut().next().unwrap().run_ms = 0.0;
-        w.run(4.0);
-        inspected_machines(&w) - before_completion
+        let before = inspected_machines(&world);
+        world.run_until(6.0, |world| inspected_machines(world) > before);
+        let before_completion = inspected_machines(&world);
+        world.workers.values_mut().next().unwrap().run_ms = 0.0;
+        world.run(4.0);
+        inspected_machines(&world) - before_completion
     };
     let (small, large) = (cost(130), cost(1300));
     assert!(small > 0, "{small}");
@@ -212,28 +217,28 @@
 #[test]
 fn a_frozen_controller_misses_a_cancellation_before_an_outage() {
     for (frozen_s, cancels) in [(8.0, true), (0.0, false)] {
-        let mut w = running(Setup::default(), 6);
+        let mut world = running(Setup::default(), 6);
         if cancels {
-            w.processes.frozen.insert(0);
-            w.run(0.5);
-            w.cancel(1, "j-000001");
+            world.processes.frozen.insert(0);
+            world.run(0.5);
+            world.cancel(1, "j-000001");
         }
-        w.run(0.5);
-        w.state_link.refused = [0, 1, 2].into();
-        w.run(frozen_s);
-        w.processes.frozen.clear();
-        w.run(39.0 - frozen_s);
+        world.run(0.5);
+        world.state_link.refused = [0, 1, 2].into();
+        world.run(frozen_s);
+        world.processes.frozen.clear();
+        world.run(39.0 - frozen_s);
         if cancels {
-            assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
+            assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
         } else {
             // No cancellation was missed: running tasks go on. A freeze during the outage, when no
             // controller can have accepted one, changes nothing.
-            assert_eq!(w.running(), 6);
-            w.processes.frozen.insert(0);
-            w.run(5.0);
-            w.processes.frozen.clear();
-            w.run(40.0);
-            assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
+            assert_eq!(world.running(), 6);
+            world.processes.frozen.insert(0);
+            world.run(5.0);
+            world.processes.frozen.clear();
+            world.run(40.0);
+            assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
         }
     }
 }
@@ -242,15 +247,15 @@
 /// a cancellation, and then the state service refuses all.
 #[test]
 fn a_refused_controller_misses_a_cancellation_before_an_outage() {
-    let mut w = running(Setup::default(), 6);
-    w.state_link.refused.insert(0);
-    w.run(3.0);
-    w.cancel(1, "j-000001");
-    w.run(2.0);
-    w.state_link.refused = [0, 1, 2].into();
-    w.run(60.0);
-    assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = running(Setup::default(), 6);
+    world.state_link.refused.insert(0);
+    world.run(3.0);
+    world.cancel(1, "j-000001");
+    world.run(2.0);
+    world.state_link.refused = [0, 1, 2].into();
+    world.run(60.0);
+    assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Runs random overlaps of freezes, refusals of one controller, outages, ends and cancellations:
@@ -259,83 +264,85 @@
 fn random_overlaps_with_cancellations() {
     for seed in 0..60u64 {
         let mut next = draws(seed);
-        let mut w = World::new(Setup::default());
-        w.run(5.0);
+        let mut world = World::new(Setup::default());
+        world.run(5.0);
         for id in ["j-000001", "j-000002", "j-000003"] {
-            w.submit(&World::spec(id, "service", 2));
+            world.submit(&World::spec(id, "service", 2));
         }
-        w.run(6.0);
+        world.run(6.0);
         let mut open = vec!["j-000001", "j-000002", "j-000003"];
         for _ in 0..14 {
             let i = next(3) as usize;
             match next(9) {
                 0 | 1 => {
-                    w.processes.frozen.insert(i);
+                    world.processes.frozen.insert(i);
                 }
-                2 => w.processes.frozen.clear(),
+                2 => world.processes.frozen.clear(),
                 3 => {
-                    w.state_link.refused.insert(i);
+                    world.state_link.refused.insert(i);
                 }
-                4 => w.state_link.refused = [0, 1, 2].into(),
-                5 => w.state_link.refused.clear(),
-                6 if w.controllers[i].is_some() => w.kill(i),
-                6 => w.start(i),
+                4 => world.state_link.refused = [0, 1, 2].into(),
+                5 => world.state_link.refused.clear(),
+                6 if world.controllers[i].is_some() => world.kill(i),
+                6 => world.start(i),
                 _ => {
-                    let available = w.controllers[i].as_ref().is_some_and(|n| n.mirror.loaded);
+                    let available = world.controllers[i]
+                        .as_ref()
+                        .is_some_and(|n| n.mirror.loaded);
                     let available = available
-                        && !w.state_link.refused.contains(&i)
-                        && !w.processes.frozen.contains(&i);
+                        && !world.state_link.refused.contains(&i)
+                        && !world.processes.frozen.contains(&i);
                     if available
                         && open.len() > 1
                         && let Some(id) = open.pop()
                     {
-                        w.cancel(i, id);
+                        world.cancel(i, id);
                     }
                 }
             }
             // The pauses are mostly short and sometimes long.
             let s = if next(4) == 0 { next(300) } else { next(30) };
-            w.run(s as f64 / 10.0);
+            world.run(s as f64 / 10.0);
         }
         // Mostly, a long outage follows soon after one controller was cut off or frozen.
         if next(3) > 0 {
-            w.processes.frozen.clear();
-            w.state_link.refused.clear();
+            world.processes.frozen.clear();
+            world.state_link.refused.clear();
             for k in 0..3 {
-                if w.controllers[k].is_none() {
-                    w.start(k);
+                if world.controllers[k].is_none() {
+                    world.start(k);
                 }
             }
-            w.run(15.0);
+            world.run(15.0);
             let i = next(3) as usize;
             if next(2) == 0 {
-                w.processes.frozen.insert(i);
+                world.processes.frozen.insert(i);
             } else {
-                w.state_link.refused.insert(i);
+                world.state_link.refused.insert(i);
             }
-            w.run(next(30) as f64 / 10.0);
+            world.run(next(30) as f64 / 10.0);
             if let Some(id) = open.pop() {
-                w.cancel((i + 1) % 3, id);
+                world.cancel((i + 1) % 3, id);
             }
-            w.run(next(20) as f64 / 10.0);
-            w.state_link.refused = [0, 1, 2].into();
-            w.run(next(60) as f64 / 10.0);
-            w.processes.frozen.clear();
+            world.run(next(20) as f64 / 10.0);
+            world.state_link.refused = [0, 1, 2].into();
+            world.run(next(60) as f64 / 10.0);
+            world.processes.frozen.clear();
             // Controllers end during the outage, so that peers' reports decide on lease extensions.
             for _ in 0..next(3) {
                 let k = next(3) as usize;
-                w.kill(k);
-                w.run(next(30) as f64 / 10.0);
-                w.start(k);
-                w.run(next(40) as f64 / 10.0);
+                world.kill(k);
+                world.run(next(30) as f64 / 10.0);
+                world.start(k);
+                world.run(next(40) as f64 / 10.0);
             }
         }
-        w.run(45.0);
+        world.run(45.0);
         assert!(
-            w.broken.is_empty(),
+            world.broken.is_empty(),
             "seed {seed}: {:?}\n{}",
-            w.broken,
-            w.trace.join("\n")
+            world.broken,
+            world.trace.join("\n")
         );
     }
 }
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
@@ -12,12 +12,12 @@
 #[test]
 fn a_shard_taken_over_just_before_the_gap() {
     for step in 0..40 {
-        let (mut w, _) = running(6);
-        w.kill(2);
+        let (mut world, _) = running(6);
+        world.kill(2);
         // One of the others takes over its shard within these seconds.
-        w.run(4.5 + f64::from(step) * 0.05);
+        world.run(4.5 + f64::from(step) * 0.05);
         let owner = (0..2).find(|&i| {
-            let controller = w.controllers[i].as_ref();
+            let controller = world.controllers[i].as_ref();
             controller.is_some_and(|n| {
                 n.mirror.shards[2]
                     .as_ref()
@@ -25,16 +25,16 @@
             })
         });
         let Some(owner) = owner else { continue };
-        w.state_link.refused.insert(owner);
-        w.run(0.5);
+        world.state_link.refused.insert(owner);
+        world.run(0.5);
         let other = 1 - owner;
         for job in 1..=3 {
-            w.ask_cancel(other, &id(job));
+            world.ask_cancel(other, &id(job));
         }
-        w.run(0.5);
-        w.start(2);
-        outage(&mut w, 66.0);
-        assert_no_violation(&w, &format!("step {step}"));
+        world.run(0.5);
+        world.start(2);
+        outage(&mut world, 66.0);
+        assert_no_violation(&world, &format!("step {step}"));
     }
 }
 
@@ -43,28 +43,37 @@
 /// The machine goes on reporting, and its tasks must be stopped.
 #[test]
 fn a_machine_that_is_being_returned() {
-    let (mut w, _) = running(6);
-    w.cloud.down = true;
-    let names: Vec<String> = w.workers.keys().cloned().collect();
+    let (mut world, _) = running(6);
+    world.cloud.down = true;
+    let names: Vec<String> = world.workers.keys().cloned().collect();
     let held: Vec<String> = names
         .into_iter()
-        .filter(|n| w.workers[n].tasks.keys().any(|p| p.starts_with("j-000001")))
+        .filter(|n| {
+            world.workers[n]
+                .tasks
+                .keys()
+                .any(|p| p.starts_with("j-000001"))
+        })
         .collect();
     // They are silent for longer than a service waits, so that they are returned.
-    w.network.unreachable.extend(held.iter().cloned());
-    w.run(7.5);
-    assert!(w.cloud.releases_failed > 0, "{}", w.trace.join("\n"));
-    w.network.unreachable.clear();
-    w.run(2.0);
-    let before = w.copies("j-000001/0") + w.copies("j-000001/1");
+    world.network.unreachable.extend(held.iter().cloned());
+    world.run(7.5);
+    assert!(
+        world.cloud.releases_failed > 0,
+        "{}",
+        world.trace.join("\n")
+    );
+    world.network.unreachable.clear();
+    world.run(2.0);
+    let before = world.copies("j-000001/0") + world.copies("j-000001/1");
     assert!(
         before > 0,
         "no task of the job runs: {}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
-    w.ask_cancel(1, "j-000001");
-    w.run(60.0);
-    assert_no_violation(&w, "returned");
+    world.ask_cancel(1, "j-000001");
+    world.run(60.0);
+    assert_no_violation(&world, "returned");
 }
 
 /// Guards against a direct start that is in flight when its job is cancelled, just before an
@@ -73,25 +82,25 @@
 #[test]
 fn a_start_in_flight_during_an_outage() {
     for late_s in [5.0, 30.0, 39.0, 50.0, 60.0] {
-        let mut w = World::new(Setup {
+        let mut world = World::new(Setup {
             machines: vec![("a", 1), ("b", 1), ("c", 1)],
             ..Setup::default()
         });
-        w.run(8.0);
-        let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.machines.slow_commands.extend(hosts);
+        world.run(8.0);
+        let hosts: Vec<String> = world.workers.keys().cloned().collect();
+        world.machines.slow_commands.extend(hosts);
         // Submitted between two reports, so that the start is sent directly.
-        w.submit(&World::spec("j-000001", "service", 6));
-        w.run_until(3.0, |w| !w.machines.held_commands.is_empty());
-        w.state_link.refused = [0].into();
-        w.ask_cancel(1, "j-000001");
-        w.run(0.5);
-        w.state_link.refused = [0, 1, 2].into();
-        w.machines.slow_commands.clear();
-        w.run(late_s);
-        w.deliver_direct();
-        w.run(75.0 - late_s);
-        assert_no_violation(&w, &format!("{late_s} s late"));
+        world.submit(&World::spec("j-000001", "service", 6));
+        world.run_until(3.0, |world| !world.machines.held_commands.is_empty());
+        world.state_link.refused = [0].into();
+        world.ask_cancel(1, "j-000001");
+        world.run(0.5);
+        world.state_link.refused = [0, 1, 2].into();
+        world.machines.slow_commands.clear();
+        world.run(late_s);
+        world.deliver_direct();
+        world.run(75.0 - late_s);
+        assert_no_violation(&world, &format!("{late_s} s late"));
     }
 }
 
@@ -103,21 +112,21 @@
 fn a_new_claim_just_before_an_owner_ends() {
     for back in 2..20 {
         let back_ms = f64::from(back) * 100.0;
-        let (mut w, leader) = running(6);
+        let (mut world, leader) = running(6);
         let other = (leader + 1) % 3;
-        w.state_link.refused.insert(leader);
-        w.network.isolated.insert(leader);
-        w.run(1.9);
+        world.state_link.refused.insert(leader);
+        world.network.isolated.insert(leader);
+        world.run(1.9);
         for job in 1..=6 {
-            w.ask_cancel(other, &id(job));
+            world.ask_cancel(other, &id(job));
         }
-        w.run(0.1);
-        w.state_link.refused = [0, 1, 2].into();
-        w.run(30.5);
-        w.state_link.refused.remove(&leader);
-        w.run(back_ms / 1000.0);
-        w.kill(leader);
-        w.run(30.0);
-        assert_no_violation(&w, &format!("back for {back_ms} ms"));
+        world.run(0.1);
+        world.state_link.refused = [0, 1, 2].into();
+        world.run(30.5);
+        world.state_link.refused.remove(&leader);
+        world.run(back_ms / 1000.0);
+        world.kill(leader);
+        world.run(30.0);
+        assert_no_violation(&world, &format!("back for {back_ms} ms"));
     }
 }
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -8,43 +8,43 @@
 use serde_json::json;
 
 fn cluster(batch: usize) -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 2), ("b", 2), ("c", 2)],
         history: Some(batch),
         ..Setup::default()
     });
-    w.run(5.0);
-    for x in w.workers.values_mut() {
+    world.run(5.0);
+    for x in world.workers.values_mut() {
         x.run_ms = 300.0;
     }
-    w
+    world
 }
 
 /// Submits jobs that end, every fifth by a cancellation, and returns their expected final status.
-fn jobs(w: &mut World, ids: impl Iterator<Item = u64>) -> Vec<(String, JobStatus)> {
+fn jobs(world: &mut World, ids: impl Iterator<Item = u64>) -> Vec<(String, JobStatus)> {
     let mut all = Vec::new();
     for n in ids {
         let id = job_id(n);
-        w.submit(&World::spec(&id, "sweep", 1 + (n % 3) as u32));
+        world.submit(&World::spec(&id, "sweep", 1 + (n % 3) as u32));
         if n % 5 == 0 {
-            let up = (0..3).find(|&i| w.controllers[i].is_some()).unwrap();
-            w.cancel(up, &id);
+            let up = (0..3).find(|&i| world.controllers[i].is_some()).unwrap();
+            world.cancel(up, &id);
             all.push((id, JobStatus::Cancelled));
         } else {
             all.push((id, JobStatus::Done));
         }
-        w.run(0.3);
+        world.run(0.3);
     }
     all
 }
 
-fn assert_statuses(w: &mut World, all: &[(String, JobStatus)], what: &str) {
+fn assert_statuses(world: &mut World, all: &[(String, JobStatus)], what: &str) {
     for i in 0..3 {
-        if w.controllers[i].is_none() {
+        if world.controllers[i].is_none() {
             continue;
         }
         for (id, status) in all {
-            let view = w.find(i, id);
+            let view = world.find(i, id);
             let seen = view.as_ref().map(|v| v.status);
             assert_eq!(seen, Some(*status), "{what}: {id} at node-{i}");
         }
@@ -52,13 +52,13 @@
 }
 
 /// Panics if a job is neither open nor ended, or has ended with another status than expected.
-fn assert_no_job_is_lost(w: &mut World, all: &[(String, JobStatus)], what: &str) {
+fn assert_no_job_is_lost(world: &mut World, all: &[(String, JobStatus)], what: &str) {
     for i in 0..3 {
-        if w.controllers[i].is_none() {
+        if world.controllers[i].is_none() {
             continue;
         }
         for (id, status) in all {
-            let seen = w.find(i, id).map(|v| v.status);
+            let seen = world.find(i, id).map(|v| v.status);
             let fine = match seen {
                 Some(JobStatus::Queued | JobStatus::Running) => *status == JobStatus::Done,
                 seen => seen == Some(*status),
@@ -68,8 +68,8 @@
     }
 }
 
-fn count_keys(w: &World, prefix: &str) -> usize {
-    let pairs = w.state.pairs();
+fn count_keys(world: &World, prefix: &str) -> usize {
+    let pairs = world.state.pairs();
     pairs.iter().filter(|p| p.key.starts_with(prefix)).count()
 }
 
@@ -77,18 +77,18 @@
 /// found there, cost few writes, and no job has a key of its own.
 #[test]
 fn ended_jobs_move_to_the_history() {
-    let mut w = cluster(20);
-    assert_eq!(w.controllers[0].as_ref().unwrap().mirror.format.jobs, 2);
-    let mut all = jobs(&mut w, 1..=60);
-    w.run(30.0);
-    assert_statuses(&mut w, &all, "after 60");
-    let before = w.state.writes;
-    all.extend(jobs(&mut w, (1..=60).map(|n| n * 1_000_000_007)));
-    w.run(60.0);
-    assert_statuses(&mut w, &all, "after 120");
-    assert_eq!(count_keys(&w, "c/job/"), 0);
-    assert!(count_keys(&w, "c/jobs/") < 40);
-    let counts = w.controllers[0].as_ref().unwrap().history_counts();
+    let mut world = cluster(20);
+    assert_eq!(world.controllers[0].as_ref().unwrap().mirror.format.jobs, 2);
+    let mut all = jobs(&mut world, 1..=60);
+    world.run(30.0);
+    assert_statuses(&mut world, &all, "after 60");
+    let before = world.state.writes;
+    all.extend(jobs(&mut world, (1..=60).map(|n| n * 1_000_000_007)));
+    world.run(60.0);
+    assert_statuses(&mut world, &all, "after 120");
+    assert_eq!(count_keys(&world, "c/job/"), 0);
+    assert!(count_keys(&world, "c/jobs/") < 40);
+    let counts = world.controllers[0].as_ref().unwrap().history_counts();
     assert!(counts.packed >= 100 && counts.recent < 40, "{counts:?}");
     // The same jobs without a history, in a separate cluster.
     let mut plain = World::new(Setup {
@@ -102,11 +102,11 @@
     let start = plain.state.writes;
     jobs(&mut plain, (1..=60).map(|n| n * 1_000_000_007));
     plain.run(60.0);
-    let (with, without) = (w.state.writes - before, plain.state.writes - start);
+    let (with, without) = (world.state.writes - before, plain.state.writes - start);
     let further = (with as f64 - without as f64) / 60.0;
     // Batches of 20 are small: the closing, the leaves and the record are 5 writes.
     assert!(further < 0.5, "{with} {without}");
-    assert!(w.broken.is_empty());
+    assert!(world.broken.is_empty());
 }
 
 /// Guards against jobs that are lost when the leader ends during a move to the history. It ends
@@ -116,49 +116,49 @@
 #[test]
 fn the_leader_ends_at_every_write_of_a_move() {
     let total = {
-        let mut w = cluster(12);
-        jobs(&mut w, 1..=14);
-        w.run(20.0);
-        w.state_link.compaction_commits
+        let mut world = cluster(12);
+        jobs(&mut world, 1..=14);
+        world.run(20.0);
+        world.state_link.compaction_commits
     };
     assert!((4..40).contains(&total), "{total}");
     for n in 1..=total {
         for applied in [false, true] {
             let what = format!("cut at {n}, applied {applied}");
-            let mut w = World::new(Setup {
+            let mut world = World::new(Setup {
                 machines: vec![("a", 2), ("b", 2), ("c", 2)],
                 history: Some(12),
                 ..Setup::default()
             });
-            w.state_link.compaction_crash = Some(CrashPoint { commit: n, applied });
-            w.run(5.0);
-            w.workers.values_mut().for_each(|x| x.run_ms = 300.0);
-            let all = jobs(&mut w, 1..=14);
-            w.run(6.0);
-            assert_no_job_is_lost(&mut w, &all, &what);
-            let ended = w.controllers.iter().position(Option::is_none);
-            let late = std::mem::take(&mut w.state_link.held_commits);
-            w.run(8.0);
+            world.state_link.compaction_crash = Some(CrashPoint { commit: n, applied });
+            world.run(5.0);
+            world.workers.values_mut().for_each(|x| x.run_ms = 300.0);
+            let all = jobs(&mut world, 1..=14);
+            world.run(6.0);
+            assert_no_job_is_lost(&mut world, &all, &what);
+            let ended = world.controllers.iter().position(Option::is_none);
+            let late = std::mem::take(&mut world.state_link.held_commits);
+            world.run(8.0);
             for commit in late {
                 // Another controller leads now, or nothing is left to move.
-                let store_revision = w.state.store_revision();
-                let outcome = w.state.commit(&commit);
+                let store_revision = world.state.store_revision();
+                let outcome = world.state.commit(&commit);
                 assert!(
                     matches!(outcome, Outcome::Conflict(_)),
                     "{what}: {outcome:?}"
                 );
-                assert_eq!(w.state.store_revision(), store_revision);
+                assert_eq!(world.state.store_revision(), store_revision);
             }
-            assert_no_job_is_lost(&mut w, &all, &what);
+            assert_no_job_is_lost(&mut world, &all, &what);
             if let Some(i) = ended {
-                w.start(i);
+                world.start(i);
             }
-            w.run(25.0);
-            assert_statuses(&mut w, &all, &what);
-            let leaders = w.controllers.iter().flatten();
+            world.run(25.0);
+            assert_statuses(&mut world, &all, &what);
+            let leaders = world.controllers.iter().flatten();
             let packed = leaders.map(|n| n.history_counts().packed).max();
             assert!(packed >= Some(10), "{what}: {packed:?}");
-            assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
+            assert!(world.broken.is_empty(), "{what}: {:?}", world.broken);
         }
     }
 }
@@ -167,7 +167,7 @@
 /// moved a few at a time while the cluster runs, and found ever after.
 #[test]
 fn records_of_earlier_builds_are_moved() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 2), ("b", 2), ("c", 2)],
         history: Some(50),
         ..Setup::default()
@@ -181,7 +181,7 @@
         let mut commit = Commit::default();
         let id = job_id(n * 7919);
         commit.apply.push(Apply::set(job_key(n * 7919), &record));
-        w.state.commit(&commit);
+        world.state.commit(&commit);
         let status = if n % 2 == 0 {
             JobStatus::Done
         } else {
@@ -189,32 +189,36 @@
         };
         all.push((id, status));
     }
-    w.run(3.0);
-    assert_statuses(&mut w, &all, "before");
+    world.run(3.0);
+    assert_statuses(&mut world, &all, "before");
     for _ in 0..40 {
-        w.run(4.0);
-        assert_statuses(&mut w, &all, "while moving");
+        world.run(4.0);
+        assert_statuses(&mut world, &all, "while moving");
     }
-    assert_eq!(count_keys(&w, "c/job/"), 0, "all are moved");
-    let (_, first) = w.state.get("c/packed").map(|p| (p.0.clone(), p.1)).unwrap();
+    assert_eq!(count_keys(&world, "c/job/"), 0, "all are moved");
+    let (_, first) = world
+        .state
+        .get("c/packed")
+        .map(|p| (p.0.clone(), p.1))
+        .unwrap();
     assert!(first > 0);
     // A restart does not run a job with such an id again.
-    w.restart_all();
-    w.run(10.0);
-    assert_statuses(&mut w, &all, "after a restart");
+    world.restart_all();
+    world.run(10.0);
+    assert_statuses(&mut world, &all, "after a restart");
 }
 
 /// Guards against buckets written while a controller of an earlier build owns a shard: that
 /// controller would not see the jobs in them and would treat them as never submitted.
 #[test]
 fn no_buckets_beside_an_earlier_build() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         history: Some(10),
         ..Setup::default()
     });
     // Node 2 belongs to a build whose lease records name no format.
-    w.kill(2);
-    let lease_id = w.state.grant_lease(1e9);
+    world.kill(2);
+    let lease_id = world.state.grant_lease(1e9);
     let mut commit = Commit::default();
     let holder = LeaseRecord {
         label: "node-2".into(),
@@ -226,50 +230,50 @@
         value: cherryyard_wire::state::Json::of(&holder),
         lease_id: Some(lease_id),
     });
-    w.state.commit(&commit);
-    w.run(30.0);
-    w.submit(&World::spec("j-000001", "sweep", 1));
-    w.run(5.0);
-    assert_eq!(count_keys(&w, "c/jobs/"), 0);
-    assert!(w.state.get(&job_key(1)).is_some());
+    world.state.commit(&commit);
+    world.run(30.0);
+    world.submit(&World::spec("j-000001", "sweep", 1));
+    world.run(5.0);
+    assert_eq!(count_keys(&world, "c/jobs/"), 0);
+    assert!(world.state.get(&job_key(1)).is_some());
     // The earlier build is replaced.
-    w.state.renew_lease(lease_id, 0.0);
-    w.start(2);
-    w.run(30.0);
-    assert!(count_keys(&w, "c/jobs/") > 0);
-    assert!(w.find(1, "j-000001").is_some());
+    world.state.renew_lease(lease_id, 0.0);
+    world.start(2);
+    world.run(30.0);
+    assert!(count_keys(&world, "c/jobs/") > 0);
+    assert!(world.find(1, "j-000001").is_some());
     // A job that another build would add under its own key depends on the first format.
-    let store_revision = w.state.store_revision();
+    let store_revision = world.state.store_revision();
     let mut old = Commit::default();
     old.require(job_key(2), 0);
     old.require("c/format", 0);
     old.apply.push(Apply::set(job_key(2), &json!({})));
-    assert!(matches!(w.state.commit(&old), Outcome::Conflict(_)));
-    assert_eq!(w.state.store_revision(), store_revision);
+    assert!(matches!(world.state.commit(&old), Outcome::Conflict(_)));
+    assert_eq!(world.state.store_revision(), store_revision);
 }
 
 /// Guards against values above the limit at the smallest values and transactions: buckets and
 /// leaves divide in time.
 #[test]
 fn buckets_divide_at_the_smallest_limits() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 2), ("b", 2), ("c", 2)],
         value_kb: 1.0,
         txn_ops: 2,
         history: Some(40),
         ..Setup::default()
     });
-    w.run(5.0);
-    w.workers.values_mut().for_each(|x| x.run_ms = 300.0);
-    let all = jobs(&mut w, (1..=160).map(|n| n * 104_729 * 1_000_003));
-    w.run(120.0);
-    assert_statuses(&mut w, &all, "at the end");
-    assert!(w.state.most_ops <= 2 && w.state.most_conditions <= 8);
+    world.run(5.0);
+    world.workers.values_mut().for_each(|x| x.run_ms = 300.0);
+    let all = jobs(&mut world, (1..=160).map(|n| n * 104_729 * 1_000_003));
+    world.run(120.0);
+    assert_statuses(&mut world, &all, "at the end");
+    assert!(world.state.most_ops <= 2 && world.state.most_conditions <= 8);
     for prefix in ["c/jobs/", "h/1/", "c/mark"] {
-        let largest = w.state.largest(prefix);
+        let largest = world.state.largest(prefix);
         assert!((20..=1024).contains(&largest), "{prefix}: {largest}");
     }
-    assert!(w.broken.is_empty());
+    assert!(world.broken.is_empty());
 }
 
 /// Guards against a job id that is accepted twice: of two submissions of one id through different
@@ -289,10 +293,10 @@
             .mirror
             .add_job(&mut commit, 77, record, &controller.config)
     );
-    let mut w = cluster(1000);
+    let mut world = cluster(1000);
     let spec = World::spec("j-000077", "sweep", 1);
-    let write = |w: &mut World, i: usize, spec: &JobSpec| {
-        let controller = w.controllers[i].as_mut().unwrap();
+    let write = |world: &mut World, i: usize, spec: &JobSpec| {
+        let controller = world.controllers[i].as_mut().unwrap();
         let job = cherryyard_wire::job::job_number(&spec.id).unwrap();
         if controller.mirror.view(job).is_some() {
             return None;
@@ -305,21 +309,21 @@
             .add_jobs(&mut commit, jobs, &controller.config);
         (added == 1).then_some(commit)
     };
-    let first = write(&mut w, 0, &spec).unwrap();
-    let second = write(&mut w, 1, &spec).unwrap();
+    let first = write(&mut world, 0, &spec).unwrap();
+    let second = write(&mut world, 1, &spec).unwrap();
     // The page changes before the third submission arrives.
-    let stale = write(&mut w, 2, &World::spec("j-000078", "sweep", 1)).unwrap();
-    assert!(matches!(w.state.commit(&first), Outcome::Applied(_)));
-    assert!(matches!(w.state.commit(&second), Outcome::Conflict(_)));
+    let stale = write(&mut world, 2, &World::spec("j-000078", "sweep", 1)).unwrap();
+    assert!(matches!(world.state.commit(&first), Outcome::Applied(_)));
+    assert!(matches!(world.state.commit(&second), Outcome::Conflict(_)));
     // A controller that has read the job writes nothing: its record would replace the first one,
     // and its division would replace the one by which tasks have started.
-    w.run(1.0);
+    world.run(1.0);
     for i in 0..3 {
-        assert!(write(&mut w, i, &spec).is_none());
+        assert!(write(&mut world, i, &spec).is_none());
     }
-    jobs(&mut w, 100..140);
-    assert!(matches!(w.state.commit(&stale), Outcome::Conflict(_)));
-    w.run(10.0);
-    assert_eq!(w.find(0, "j-000077").unwrap().status, JobStatus::Done);
-    assert!(w.find(0, "j-000078").is_none());
+    jobs(&mut world, 100..140);
+    assert!(matches!(world.state.commit(&stale), Outcome::Conflict(_)));
+    world.run(10.0);
+    assert_eq!(world.find(0, "j-000077").unwrap().status, JobStatus::Done);
+    assert!(world.find(0, "j-000078").is_none());
 }
--- a/crates/cherryyard-simulation/tests/largest.rs
+++ b/crates/cherryyard-simulation/tests/largest.rs
@@ -5,7 +5,7 @@
 
 fn cluster(controllers: usize, machines: usize) -> World {
     let zones = ["a", "b", "c"];
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         zones: zones[..controllers].to_vec(),
         machines: zones[..controllers]
             .iter()
@@ -14,11 +14,11 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = 4000.0;
     }
-    w.run(5.0);
-    w
+    world.run(5.0);
+    world
 }
 
 fn spec(job: usize, task_count: u32, cores: f64) -> JobSpec {
@@ -30,7 +30,7 @@
 /// Submits one small job a second, together more than the capacity, for `seconds`, and calls
 /// `each` every second. Returns how many seconds the job `large` waited for its first task.
 fn flood(
-    w: &mut World,
+    world: &mut World,
     small: (u32, f64),
     large: Option<&JobSpec>,
     seconds: usize,
@@ -41,15 +41,15 @@
     let mut submitted_at = None;
     for second in 0..seconds {
         job += 1;
-        w.submit(&spec(job, small.0, small.1));
+        world.submit(&spec(job, small.0, small.1));
         if let Some(large) = large.filter(|_| second == 20) {
-            submitted_at = Some(w.now);
-            w.submit(large);
+            submitted_at = Some(world.now);
+            world.submit(large);
         }
-        each(w, second);
-        w.run(1.0);
+        each(world, second);
+        world.run(1.0);
         let begun = |l: &&String| needle.as_ref().is_some_and(|n| l.contains(n));
-        if let Some(line) = w.trace.iter().find(begun) {
+        if let Some(line) = world.trace.iter().find(begun) {
             let at: f64 = line.trim_start().split(' ').next()?.parse().ok()?;
             return Some(at - submitted_at? / 1000.0);
         }
@@ -61,11 +61,17 @@
 /// preferred, as the job with the least work is served first.
 #[test]
 fn a_large_array_starts_in_a_flood_of_small_jobs() {
-    let mut w = cluster(3, 4);
-    let waited = flood(&mut w, (8, 2.0), Some(&spec(1, 3000, 2.0)), 200, |_, _| {});
+    let mut world = cluster(3, 4);
+    let waited = flood(
+        &mut world,
+        (8, 2.0),
+        Some(&spec(1, 3000, 2.0)),
+        200,
+        |_, _| {},
+    );
     let waited = waited.expect("the large job starts");
     assert!((1.0..120.0).contains(&waited), "{waited}");
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against starvation of a task that needs a whole machine while machines only ever have
@@ -73,38 +79,38 @@
 #[test]
 fn a_whole_machine_task_starts_on_fragmented_machines() {
     for ends in [false, true] {
-        let mut w = cluster(3, 4);
+        let mut world = cluster(3, 4);
         let waited = flood(
-            &mut w,
+            &mut world,
             (40, 0.5),
             Some(&spec(1, 2, 4.0)),
             260,
-            |w, second| {
+            |world, second| {
                 if ends && [90, 110].contains(&second) {
                     let i = (second / 10) % 3;
-                    w.kill(i);
-                    w.start(i);
+                    world.kill(i);
+                    world.start(i);
                 }
             },
         );
-        let waited = waited.unwrap_or_else(|| panic!("{}", w.trace.len()));
+        let waited = waited.unwrap_or_else(|| panic!("{}", world.trace.len()));
         assert!(waited < 150.0, "{waited}");
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
 
 /// Guards against starvation among several large jobs: all start within four minutes.
 #[test]
 fn several_large_jobs_all_start() {
-    let mut w = cluster(3, 4);
+    let mut world = cluster(3, 4);
     for job in 1..=6 {
-        w.submit(&spec(job, 1, 4.0));
-        w.submit(&spec(job + 10, 500, 2.0));
+        world.submit(&spec(job, 1, 4.0));
+        world.submit(&spec(job + 10, 500, 2.0));
     }
-    flood(&mut w, (40, 0.5), None, 240, |_, _| {});
+    flood(&mut world, (40, 0.5), None, 240, |_, _| {});
     for job in (1..=6).chain(11..=16) {
         let needle = format!("starts j-{job:06}/");
-        assert!(w.trace.iter().any(|l| l.contains(&needle)), "{job}");
+        assert!(world.trace.iter().any(|l| l.contains(&needle)), "{job}");
     }
 }
 
@@ -112,52 +118,56 @@
 /// scheduling cycles and not the tasks, and a job of a team with a guarantee starts within 5 s.
 #[test]
 fn writes_follow_cycles_not_tiny_tasks() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 6), ("b", 6), ("c", 6)],
         teams: vec![("portal", 24.0, 0.0), ("guest", 0.0, 0.0)],
         write_rps: 60.0,
         ..Setup::default()
     });
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = 15_000.0;
     }
-    w.run(5.0);
+    world.run(5.0);
     let (mut job, mut waited) = (100, None);
-    let before = w.state.store_revision();
+    let before = world.state.store_revision();
     for second in 0..60 {
         for _ in 0..40 {
             job += 1;
             let mut tiny = spec(job, 1, 0.25);
             tiny.team = "guest".into();
             tiny.rank = cherryyard_wire::job::Rank::BestEffort;
-            w.submit(&tiny);
+            world.submit(&tiny);
         }
         if second == 40 {
             let mut portal = spec(1, 4, 4.0);
             portal.team = "portal".into();
             portal.rank = cherryyard_wire::job::Rank::High;
-            w.submit(&portal);
-            waited = Some(w.now);
+            world.submit(&portal);
+            waited = Some(world.now);
         }
-        w.run(1.0);
+        world.run(1.0);
         if let Some(at) = waited
-            && w.copies("j-000001/0") == 1
+            && world.copies("j-000001/0") == 1
         {
-            assert!(w.now - at <= 5000.0, "{}", w.now - at);
+            assert!(world.now - at <= 5000.0, "{}", world.now - at);
             waited = None;
         }
     }
     assert_eq!(waited, None, "the job of the team with a guarantee started");
-    w.run(30.0);
-    let starts = w.trace.iter().filter(|l| l.contains(" starts ")).count();
-    let writes = w.state.store_revision() - before - (job as u64 - 100);
+    world.run(30.0);
+    let starts = world
+        .trace
+        .iter()
+        .filter(|l| l.contains(" starts "))
+        .count();
+    let writes = world.state.store_revision() - before - (job as u64 - 100);
     // Three owners with at most ten scheduling cycles a second each, for 90 s.
     assert!(starts > 1500, "{starts}");
     assert!(
         writes * 2 < starts as u64,
         "{writes} writes for {starts} starts"
     );
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against starvation of large tasks at their team's limit, while small tasks take each
@@ -166,16 +176,16 @@
 /// largest jobs had not started after four minutes).
 #[test]
 fn a_large_task_starts_at_its_teams_limit() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
         limit: 24.0,
         write_rps: 60.0,
         ..Setup::default()
     });
-    for (k, worker) in w.workers.values_mut().enumerate() {
+    for (k, worker) in world.workers.values_mut().enumerate() {
         worker.run_ms = 5000.0 + 370.0 * k as f64;
     }
-    w.run(6.0);
+    world.run(6.0);
     let mut users = Users::default();
     let job = |n: usize, task_count: u32, cores: f64| {
         let mut spec = World::spec(&format!("j-{n:06}"), "sweep", task_count);
@@ -185,19 +195,23 @@
     let large: Vec<usize> = (2..5).collect();
     for second in 0..280 {
         // Small tasks demand about 35 of 24 cores, with a backlog before the large jobs come.
-        users.submit(&mut w, &job(100 + second, 5, 1.0));
+        users.submit(&mut world, &job(100 + second, 5, 1.0));
         for &n in large.iter().filter(|_| second == 40) {
-            users.submit(&mut w, &job(n, 12, 4.0));
+            users.submit(&mut world, &job(n, 12, 4.0));
         }
-        users.run(&mut w, 1.0);
+        users.run(&mut world, 1.0);
     }
     let begun = large.iter().filter(|n| {
         let of = format!(" starts j-{n:06}/");
-        w.trace.iter().any(|l| l.contains(&of))
+        world.trace.iter().any(|l| l.contains(&of))
     });
-    assert_eq!(begun.count(), large.len(), "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    assert!(w.checker.most_cores <= 24.0, "{}", w.checker.most_cores);
+    assert_eq!(begun.count(), large.len(), "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(
+        world.checker.most_cores <= 24.0,
+        "{}",
+        world.checker.most_cores
+    );
 }
 
 /// Guards against small tasks blocked by a reservation that cannot be used: a team's services hold
@@ -206,46 +220,46 @@
 #[test]
 fn small_tasks_continue_beside_a_reservation_that_cannot_be_used() {
     for long in [false, true] {
-        let mut w = World::new(Setup {
+        let mut world = World::new(Setup {
             zones: vec!["a"],
             machines: vec![("a", 6)],
             limit: 8.0,
             write_rps: 60.0,
             ..Setup::default()
         });
-        w.run(6.0);
+        world.run(6.0);
         let mut users = Users::default();
         let shape = if long { "sweep" } else { "service" };
         let mut first = World::spec("j-000001", shape, 5);
         first.cores = 1.0;
-        for worker in w.workers.values_mut() {
+        for worker in world.workers.values_mut() {
             worker.run_ms = if long { 600_000.0 } else { 4000.0 };
         }
-        users.submit(&mut w, &first);
-        users.run(&mut w, 3.0);
-        assert_eq!(w.running(), 5);
-        for worker in w.workers.values_mut().filter(|_| long) {
+        users.submit(&mut world, &first);
+        users.run(&mut world, 3.0);
+        assert_eq!(world.running(), 5);
+        for worker in world.workers.values_mut().filter(|_| long) {
             // The running tasks go on for long; later ones are short.
-            let now = w.now;
+            let now = world.now;
             worker
                 .tasks
                 .values_mut()
                 .for_each(|task| task.started_at = now + 600_000.0);
             worker.run_ms = 4000.0;
         }
-        users.submit(&mut w, &spec(2, 4, 4.0));
+        users.submit(&mut world, &spec(2, 4, 4.0));
         for second in 0..200 {
-            users.submit(&mut w, &spec(100 + second, 1, 1.0));
-            users.run(&mut w, 1.0);
+            users.submit(&mut world, &spec(100 + second, 1, 1.0));
+            users.run(&mut world, 1.0);
         }
         let started = |n: usize| {
             let of = format!(" starts j-{n:06}/");
-            w.trace.iter().any(|l| l.contains(&of))
+            world.trace.iter().any(|l| l.contains(&of))
         };
         let small = (100..200).filter(|&n| started(n)).count();
         assert!(small > 70, "long {long}: {small} of 100 small ones");
-        let judged_since = w.now - 200_000.0;
-        let violations = users.judge(&w, judged_since);
+        let judged_since = world.now - 200_000.0;
+        let violations = users.judge(&world, judged_since);
         let waits = violations
             .iter()
             .filter(|x| x.contains("though there is room"));
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -11,9 +11,9 @@
 use std::collections::BTreeSet;
 
 fn settled(setup: Setup) -> World {
-    let mut w = World::new(setup);
-    w.run(8.0);
-    w
+    let mut world = World::new(setup);
+    world.run(8.0);
+    world
 }
 
 fn in_zone(id: &str, shape: &str, task_count: u32, zone: &str) -> JobSpec {
@@ -22,9 +22,9 @@
     spec
 }
 
-fn leader(w: &World) -> usize {
+fn leader(world: &World) -> usize {
     let leads = |n: &Controller| n.leadership_token().is_some();
-    let leader = w
+    let leader = world
         .controllers
         .iter()
         .position(|n| n.as_ref().is_some_and(leads));
@@ -32,11 +32,15 @@
 }
 
 /// Carries out the held transactions and panics if one of them is applied.
-fn assert_none_applied(w: &mut World) {
-    let late = w.deliver_commits();
+fn assert_none_applied(world: &mut World) {
+    let late = world.deliver_commits();
     assert!(!late.is_empty(), "some transactions were held back");
     let dead = |o: &Outcome| matches!(o, Outcome::Conflict(_) | Outcome::NoLease);
-    assert!(late.iter().all(dead), "{late:?}\n{}", w.trace.join("\n"));
+    assert!(
+        late.iter().all(dead),
+        "{late:?}\n{}",
+        world.trace.join("\n")
+    );
 }
 
 /// Guards against a team above its limit: an owner lowers its grant and gets no response, assigns
@@ -44,31 +48,33 @@
 /// were in use and went to another shard.
 #[test]
 fn a_late_lowering_of_a_grant_is_rejected() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 6), ("b", 6), ("c", 6)],
         limit: 24.0,
         write_rps: 60.0,
         ..Setup::default()
     });
     // Each shard has a grant of 8 cores; one needs more, and others are to lower theirs.
-    let (low, more) = ((leader(&w) + 1) % 3, (leader(&w) + 2) % 3);
+    let (low, more) = ((leader(&world) + 1) % 3, (leader(&world) + 2) % 3);
     let zone = |p: usize| ["a", "b", "c"][p];
-    w.state_link.hold_owner_commits.insert(low);
-    w.submit(&in_zone("j-000001", "service", 11, zone(more)));
+    world.state_link.hold_owner_commits.insert(low);
+    world.submit(&in_zone("j-000001", "service", 11, zone(more)));
     let lowers = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/grant"));
-    w.run_until(10.0, |w| w.state_link.held_commits.iter().any(lowers));
-    w.state_link.held_commits.retain(lowers);
-    w.state_link.hold_owner_commits.clear();
-    w.submit(&in_zone("j-000002", "service", 4, zone(low)));
-    w.run_until(10.0, |w| w.copies("j-000002/3") == 1);
-    assert_none_applied(&mut w);
-    w.run(40.0);
+    world.run_until(10.0, |world| {
+        world.state_link.held_commits.iter().any(lowers)
+    });
+    world.state_link.held_commits.retain(lowers);
+    world.state_link.hold_owner_commits.clear();
+    world.submit(&in_zone("j-000002", "service", 4, zone(low)));
+    world.run_until(10.0, |world| world.copies("j-000002/3") == 1);
+    assert_none_applied(&mut world);
+    world.run(40.0);
     assert!(
-        w.checker.most_cores <= 24.0,
+        world.checker.most_cores <= 24.0,
         "{} cores",
-        w.checker.most_cores
+        world.checker.most_cores
     );
-    assert_eq!(w.running() * 2, 24, "{}", w.trace.join("\n"));
+    assert_eq!(world.running() * 2, 24, "{}", world.trace.join("\n"));
 }
 
 /// Guards against two assignments of one task. An owner's first assignment goes into the first
@@ -89,7 +95,7 @@
 }
 
 fn first_assignment_after_its_page_is_deleted(earlier: BTreeSet<usize>, size: u32) {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         zones: vec!["a"],
         machines: vec![("a", size as usize)],
         value_kb: 1.0,
@@ -97,12 +103,12 @@
         earlier,
         ..Setup::default()
     });
-    w.state_link.hold_owner_commits.insert(0);
-    w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.state_link.held_commits.is_empty());
+    world.state_link.hold_owner_commits.insert(0);
+    world.submit(&World::spec("j-000001", "service", 1));
+    world.run_until(5.0, |world| !world.state_link.held_commits.is_empty());
     // The task is placed elsewhere: a reclaim notice, far ahead, makes the machine unusable.
-    let first = w.state_link.held_commits.len();
-    let assigned = w.state_link.held_commits[0]
+    let first = world.state_link.held_commits.len();
+    let assigned = world.state_link.held_commits[0]
         .apply
         .iter()
         .find_map(|a| match a {
@@ -110,40 +116,43 @@
             _ => None,
         });
     let host = assigned.expect("a page").machines[0].clone();
-    assert!(w.workers.contains_key(&host), "the assignment's machine");
-    let at = w.now + 900_000.0;
-    w.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
-    w.run(3.0);
-    w.state_link.held_commits.truncate(first);
-    w.state_link.hold_owner_commits.clear();
-    w.run_until(5.0, |w| w.copies("j-000001/0") == 1);
-    for worker in w.workers.values_mut() {
+    assert!(
+        world.workers.contains_key(&host),
+        "the assignment's machine"
+    );
+    let at = world.now + 900_000.0;
+    world.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
+    world.run(3.0);
+    world.state_link.held_commits.truncate(first);
+    world.state_link.hold_owner_commits.clear();
+    world.run_until(5.0, |world| world.copies("j-000001/0") == 1);
+    for worker in world.workers.values_mut() {
         worker.run_ms = 2500.0;
     }
     // The service must outlive the arrays, so its machine runs tasks without end.
-    let on: Vec<String> = w
+    let on: Vec<String> = world
         .workers
         .iter()
         .filter(|x| x.1.runs("j-000001/0"))
         .map(|x| x.0.clone())
         .collect();
-    w.workers.get_mut(&on[0]).expect("it is up").run_ms = f64::INFINITY;
+    world.workers.get_mut(&on[0]).expect("it is up").run_ms = f64::INFINITY;
     for job in 2..8 {
-        w.submit(&World::spec(&format!("j-00000{job}"), "sweep", size));
+        world.submit(&World::spec(&format!("j-00000{job}"), "sweep", size));
     }
     let key = |page: u32| assignments_key(0, page);
-    let gone = |w: &World| match w.state.get(&key(0)) {
+    let gone = |world: &World| match world.state.get(&key(0)) {
         None => true,
         Some((v, _)) => page_of(v).jobs.is_empty(),
     };
-    w.run_until(60.0, |w| {
-        gone(w) && (1..9).any(|p| w.state.get(&key(p)).is_some())
+    world.run_until(60.0, |world| {
+        gone(world) && (1..9).any(|p| world.state.get(&key(p)).is_some())
     });
-    assert_eq!(w.copies("j-000001/0"), 1);
-    assert_none_applied(&mut w);
-    w.run(20.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    assert_eq!(w.copies("j-000001/0"), 1);
+    assert_eq!(world.copies("j-000001/0"), 1);
+    assert_none_applied(&mut world);
+    world.run(20.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.copies("j-000001/0"), 1);
 }
 
 /// Guards against a job that returns as undivided while it runs. The write of its submission gets
@@ -152,7 +161,7 @@
 #[test]
 fn a_submission_carried_out_after_its_page_is_deleted() {
     for at_leader in [false, true] {
-        let mut w = settled(Setup {
+        let mut world = settled(Setup {
             machines: vec![("a", 20), ("b", 20), ("c", 20)],
             value_kb: 1.0,
             write_rps: 400.0,
@@ -160,8 +169,8 @@
             ..Setup::default()
         });
         let service = |job: u64| World::spec(&format!("j-{job:06}"), "service", 1);
-        let page = |w: &World, job: u64| {
-            let controller = w.controllers[leader(w)].as_ref().expect("it runs");
+        let page = |world: &World, job: u64| {
+            let controller = world.controllers[leader(world)].as_ref().expect("it runs");
             (
                 controller.mirror.page_of(job),
                 controller.mirror.in_page(job),
@@ -169,75 +178,79 @@
         };
         // Fills pages until one job is in page 2.
         let mut last = 0;
-        while page(&w, last).0 != Some(2) {
+        while page(&world, last).0 != Some(2) {
             last += 1;
-            w.submit(&service(last));
-            w.run(0.1);
+            world.submit(&service(last));
+            world.run(0.1);
         }
-        w.run(2.0);
-        let add = |w: &mut World, i: usize, job: u64| w.offer(i, &service(job), None);
+        world.run(2.0);
+        let add = |world: &mut World, i: usize, job: u64| world.offer(i, &service(job), None);
         // Fills page 2 until one job is in page 3.
         let mut next = last + 1;
-        while page(&w, next - 1).0 != Some(3) {
-            w.submit(&service(next));
-            w.run(0.1);
+        while page(&world, next - 1).0 != Some(3) {
+            world.submit(&service(next));
+            world.run(0.1);
             next += 1;
         }
         let first = next;
         // Fills page 3; the next job is in page 4.
-        while page(&w, next - 1).0 == Some(3) {
-            w.submit(&service(next));
-            w.run(0.1);
+        while page(&world, next - 1).0 == Some(3) {
+            world.submit(&service(next));
+            world.run(0.1);
             next += 1;
         }
         let _ = first;
         // Page 4 has one job: fills it, and holds back the write that would begin page 5.
         let job = loop {
             let i = if at_leader {
-                leader(&w)
+                leader(&world)
             } else {
-                (leader(&w) + 1) % 3
+                (leader(&world) + 1) % 3
             };
-            w.state_link.hold_admission_commits.insert(i);
-            let before = w.state_link.held_commits.len();
-            add(&mut w, i, next);
-            w.run(0.2);
-            w.state_link.hold_admission_commits.clear();
-            let commits = w.state_link.held_commits.split_off(before);
+            world.state_link.hold_admission_commits.insert(i);
+            let before = world.state_link.held_commits.len();
+            add(&mut world, i, next);
+            world.run(0.2);
+            world.state_link.hold_admission_commits.clear();
+            let commits = world.state_link.held_commits.split_off(before);
             let begins = |c: &Commit| c.when.iter().any(|x| x.key == admission_log_key(4));
             assert!(commits.iter().all(begins), "{commits:?}");
             // The user submits the job to the leader.
-            w.submit(&service(next));
-            w.run(0.2);
+            world.submit(&service(next));
+            world.run(0.2);
             next += 1;
-            if page(&w, next - 1).0 == Some(5) {
-                w.state_link.held_commits.extend(commits);
+            if page(&world, next - 1).0 == Some(5) {
+                world.state_link.held_commits.extend(commits);
                 break next - 1;
             }
         };
         // Fills page 6, then cancels all jobs of page 5 but that one and all of page 6 but one.
-        while page(&w, next - 1).0 != Some(7) {
-            w.submit(&service(next));
-            w.run(0.1);
+        while page(&world, next - 1).0 != Some(7) {
+            world.submit(&service(next));
+            world.run(0.1);
             next += 1;
         }
         let mut kept = 0;
         for other in 1..next {
-            let at = page(&w, other).0;
+            let at = page(&world, other).0;
             let keep = other == job || at == Some(6) && kept == 0;
             kept += usize::from(keep && at == Some(6));
             if matches!(at, Some(5 | 6)) && !keep {
-                w.ask_cancel(0, &format!("j-{other:06}"));
+                world.ask_cancel(0, &format!("j-{other:06}"));
             }
         }
-        w.run_until(40.0, |w| {
-            let gone = w.state.get(&admission_log_key(5));
+        world.run_until(40.0, |world| {
+            let gone = world.state.get(&admission_log_key(5));
             gone.is_none()
         });
-        assert_eq!(page(&w, job), (Some(6), true), "merged with the next page");
-        assert_none_applied(&mut w);
-        w.run(30.0);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        assert_eq!(
+            page(&world, job),
+            (Some(6), true),
+            "merged with the next page"
+        );
+        assert_none_applied(&mut world);
+        world.run(30.0);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
 
@@ -246,17 +259,17 @@
 /// as long as that owner was cut off.
 #[test]
 fn a_claim_carried_out_after_its_shard_was_given_up() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 3), ("b", 1), ("c", 1)],
         ..Setup::default()
     });
-    w.submit(&World::spec("j-000001", "service", 6));
-    w.run(6.0);
-    let (value, _) = w.state.get("c/part/0").expect("a claim of the shard");
+    world.submit(&World::spec("j-000001", "service", 6));
+    world.run(6.0);
+    let (value, _) = world.state.get("c/part/0").expect("a claim of the shard");
     let value = value.clone();
-    w.network.cut_from_workers.insert(0);
-    w.run_until(20.0, |w| w.state.get("c/part/0").is_none());
-    let lease_id = w.controllers[0].as_ref().and_then(Controller::lease_id);
+    world.network.cut_from_workers.insert(0);
+    world.run_until(20.0, |world| world.state.get("c/part/0").is_none());
+    let lease_id = world.controllers[0].as_ref().and_then(Controller::lease_id);
     let mut late = Commit::default();
     late.require("c/part/0", 0);
     late.apply.push(cherryyard_wire::state::Apply::Set {
@@ -264,15 +277,15 @@
         value,
         lease_id,
     });
-    assert!(matches!(w.state.commit(&late), Outcome::Applied(_)));
-    w.run(6.0);
-    let owner = w.controllers[1]
+    assert!(matches!(world.state.commit(&late), Outcome::Applied(_)));
+    world.run(6.0);
+    let owner = world.controllers[1]
         .as_ref()
         .and_then(|n| n.mirror.shards[0].clone());
     assert_ne!(owner.expect("an owner").label, "node-0");
-    w.run(15.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
+    world.run(15.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
 }
 
 /// Runs a random scenario of the older faults in which any transaction may get no response and be
@@ -281,77 +294,77 @@
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let limit = [0.0, 24.0][draw(2) as usize];
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
         limit,
         value_kb: [1.0, 2.0, 4.0][draw(3) as usize],
         write_rps: 60.0,
         ..Setup::default()
     });
-    w.seed_late(seed);
-    w.run(5.0);
+    world.seed_late(seed);
+    world.run(5.0);
     let share = 10 + draw(30);
     let mut users = Users::default();
     let mut job = 100;
     let mut open: Vec<String> = Vec::new();
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = 2000.0 + draw(20_000) as f64;
     }
     for _ in 0..25 {
-        w.state_link.delayed_percent = if draw(4) == 0 { 0 } else { share };
+        world.state_link.delayed_percent = if draw(4) == 0 { 0 } else { share };
         for _ in 0..draw(6) {
             job += 1;
             let task_count = [1, 2, 3, 24][draw(4) as usize];
             let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
             (spec.cores, spec.expected_s) = ([1.0, 2.0, 4.0][draw(3) as usize], 4.0);
-            users.ask(&mut w, draw(3) as usize, &spec);
+            users.ask(&mut world, draw(3) as usize, &spec);
             open.push(spec.id.clone());
         }
         if draw(3) == 0 && !open.is_empty() {
             let id = open.swap_remove(draw(open.len() as u64) as usize);
-            users.ask_cancel(&mut w, draw(3) as usize, &id);
+            users.ask_cancel(&mut world, draw(3) as usize, &id);
         }
         let i = draw(3) as usize;
         match draw(10) {
             0 => {
-                w.kill(i);
-                users.run(&mut w, [0.0, 0.5, 4.0][draw(3) as usize]);
-                w.start(i);
+                world.kill(i);
+                users.run(&mut world, [0.0, 0.5, 4.0][draw(3) as usize]);
+                world.start(i);
             }
-            1 => drop(w.processes.frozen.insert(i)),
-            2 => drop(w.state_link.refused.insert(i)),
-            3 => w.state_link.refused.extend([0, 1, 2]),
+            1 => drop(world.processes.frozen.insert(i)),
+            2 => drop(world.state_link.refused.insert(i)),
+            3 => world.state_link.refused.extend([0, 1, 2]),
             4 => {
-                w.network.cut_from_workers.insert(i);
+                world.network.cut_from_workers.insert(i);
             }
             _ => {
-                w.network.cut_from_workers.clear();
-                w.processes.frozen.clear();
-                w.state_link.refused.clear();
+                world.network.cut_from_workers.clear();
+                world.processes.frozen.clear();
+                world.state_link.refused.clear();
             }
         }
-        users.run(&mut w, 1.0 + draw(16) as f64 / 2.0);
+        users.run(&mut world, 1.0 + draw(16) as f64 / 2.0);
     }
-    w.state_link.delayed_percent = 0;
-    w.network.cut_from_workers.clear();
-    w.processes.frozen.clear();
-    w.state_link.refused.clear();
-    users.run(&mut w, 13.0);
-    let faults_ended_at = w.now;
-    users.run(&mut w, 240.0);
-    if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
-        println!("{}", w.trace.join("\n"));
+    world.state_link.delayed_percent = 0;
+    world.network.cut_from_workers.clear();
+    world.processes.frozen.clear();
+    world.state_link.refused.clear();
+    users.run(&mut world, 13.0);
+    let faults_ended_at = world.now;
+    users.run(&mut world, 240.0);
+    if std::env::var("DEBUG").is_ok() && !world.broken.is_empty() {
+        println!("{}", world.trace.join("\n"));
     }
-    assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
     assert!(
-        limit == 0.0 || w.checker.most_cores <= limit,
+        limit == 0.0 || world.checker.most_cores <= limit,
         "seed {seed}: {} of {limit} cores",
-        w.checker.most_cores
+        world.checker.most_cores
     );
-    let violations = users.judge(&w, faults_ended_at);
+    let violations = users.judge(&world, faults_ended_at);
     if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
-        println!("{}", w.trace.join("\n"));
-        for p in w.state.pairs() {
+        println!("{}", world.trace.join("\n"));
+        for p in world.state.pairs() {
             println!("{} {}", p.key, p.value.text());
         }
     }
@@ -377,24 +390,26 @@
 /// still held (found at seed 5091).
 #[test]
 fn a_division_by_records_carried_out_after_one_in_the_page() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 8), ("b", 8), ("c", 8)],
         value_kb: 1.0,
         write_rps: 100.0,
         ..Setup::default()
     });
     let ids: Vec<String> = (1..=14).map(|n| format!("j-{n:06}")).collect();
-    let leader_index = leader(&w);
+    let leader_index = leader(&world);
     // None is divided, as the leader gets no response to its transactions.
-    w.state_link.hold_leader_commits = true;
+    world.state_link.hold_leader_commits = true;
     for id in &ids {
         let mut spec = World::spec(id, "service", 4);
         spec.image = format!("img-{id}");
-        w.submit(&spec);
+        world.submit(&spec);
     }
     let by_records = |c: &Commit| c.apply.iter().any(|a| a.key().starts_with("c/job/"));
-    w.run_until(10.0, |w| w.state_link.held_commits.iter().any(by_records));
-    let held = w
+    world.run_until(10.0, |world| {
+        world.state_link.held_commits.iter().any(by_records)
+    });
+    let held = world
         .state_link
         .held_commits
         .iter()
@@ -408,20 +423,22 @@
         .collect();
     // The cancellation of some jobs that are not among the divided ones makes room in the page.
     for id in ids.iter().filter(|id| !divided.contains(id)) {
-        w.ask_cancel(leader_index, id);
+        world.ask_cancel(leader_index, id);
     }
-    w.state_link.hold_leader_commits = false;
-    w.state_link.held_commits.clear();
-    w.run_until(20.0, |w| w.copies(&format!("{}/0", divided[0])) == 1);
-    w.run(5.0);
-    let in_page = |w: &World| {
-        let controller = w.controllers[leader(w)].as_ref().expect("it runs");
+    world.state_link.hold_leader_commits = false;
+    world.state_link.held_commits.clear();
+    world.run_until(20.0, |world| {
+        world.copies(&format!("{}/0", divided[0])) == 1
+    });
+    world.run(5.0);
+    let in_page = |world: &World| {
+        let controller = world.controllers[leader(world)].as_ref().expect("it runs");
         let job = cherryyard_wire::job::job_number(&divided[0]).expect("a job");
         controller.mirror.in_page(job)
     };
-    assert!(in_page(&w), "the job was divided in its page");
-    w.state_link.held_commits.push(held);
-    assert_none_applied(&mut w);
-    w.run(20.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(in_page(&world), "the job was divided in its page");
+    world.state_link.held_commits.push(held);
+    assert_none_applied(&mut world);
+    world.run(20.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -16,30 +16,30 @@
     for from in 0..12 {
         for ends in [false, true] {
             let case = format!("from step {from}, ends {ends}");
-            let mut w = cluster(16.0, 2.0);
+            let mut world = cluster(16.0, 2.0);
             let mut users = Users::default();
-            w.requests.close_looks = true;
+            world.requests.close_looks = true;
             for step in 0..24u64 {
                 let spec = job(step + 1, "sweep", 1 + step as u32 % 4);
-                w.submit_at(step as usize % 3, &spec);
+                world.submit_at(step as usize % 3, &spec);
                 if step % 3 == 2 {
                     let id = format!("j-{step:06}");
-                    w.insist((step as usize + 1) % 3, &id, Question::Cancel);
+                    world.insist((step as usize + 1) % 3, &id, Question::Cancel);
                 }
                 if step == from {
-                    w.state_link.lost_response_percent = 100;
+                    world.state_link.lost_response_percent = 100;
                 }
                 if step == from + 3 {
                     if ends {
-                        let i = leader(&w);
-                        w.kill(i);
-                        w.start(i);
+                        let i = leader(&world);
+                        world.kill(i);
+                        world.start(i);
                     }
-                    w.state_link.lost_response_percent = 0;
+                    world.state_link.lost_response_percent = 0;
                 }
-                users.run(&mut w, 1.0);
+                users.run(&mut world, 1.0);
             }
-            assert_recovers(&mut w, &mut users, &case);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
@@ -53,32 +53,32 @@
 fn a_claim_whose_response_is_lost() {
     for lost in [100, 60] {
         for back in [false, true] {
-            let mut w = cluster(0.0, f64::INFINITY);
+            let mut world = cluster(0.0, f64::INFINITY);
             let mut users = Users::default();
-            users.submit(&mut w, &job(1, "service", 9));
-            users.run(&mut w, 12.0);
-            assert_eq!(w.running(), 9);
-            w.state_link.lost_response_percent = lost;
-            let from = w.trace.len();
-            let i = leader(&w);
-            w.kill(i);
-            users.run(&mut w, if back { 1.0 } else { 16.0 });
-            w.start(i);
-            users.run(&mut w, if back { 30.0 } else { 15.0 });
-            let after = &w.trace[from..];
+            users.submit(&mut world, &job(1, "service", 9));
+            users.run(&mut world, 12.0);
+            assert_eq!(world.running(), 9);
+            world.state_link.lost_response_percent = lost;
+            let from = world.trace.len();
+            let i = leader(&world);
+            world.kill(i);
+            users.run(&mut world, if back { 1.0 } else { 16.0 });
+            world.start(i);
+            users.run(&mut world, if back { 30.0 } else { 15.0 });
+            let after = &world.trace[from..];
             let count = |text: &str| after.iter().filter(|l| l.contains(text)).count();
-            let case = format!("{lost}% lost, back {back}: {}", w.trace.join("\n"));
+            let case = format!("{lost}% lost, back {back}: {}", world.trace.join("\n"));
             assert_eq!(count("loses its lease"), 0, "{case}");
             let claims = count(&format!("claims c/part/{i}"));
             assert!(claims <= 4, "{claims} claims, {case}");
-            assert_recovers(&mut w, &mut users, &case);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
 
 /// Causes of a change of ownership of a controller's shard.
 #[derive(Clone, Copy, Debug)]
-enum OwnershipChange {
+enum OwnerChange {
     OwnerEnds,
     CutFromWorkers,
     RefusedByState,
@@ -91,51 +91,51 @@
 #[test]
 fn cancellations_during_a_change_of_owner() {
     for change in [
-        OwnershipChange::OwnerEnds,
-        OwnershipChange::CutFromWorkers,
-        OwnershipChange::RefusedByState,
-        OwnershipChange::OwnerReturns,
+        OwnerChange::OwnerEnds,
+        OwnerChange::CutFromWorkers,
+        OwnerChange::RefusedByState,
+        OwnerChange::OwnerReturns,
     ] {
         for step in (0..60).step_by(7) {
             for at in 0..3 {
                 let case = format!("{change:?}, step {step}, at {at}");
-                let mut w = cluster(0.0, f64::INFINITY);
+                let mut world = cluster(0.0, f64::INFINITY);
                 let mut users = Users::default();
                 for n in 1..=3 {
-                    users.submit(&mut w, &job(n, "service", 4));
+                    users.submit(&mut world, &job(n, "service", 4));
                 }
-                users.run(&mut w, 6.0);
+                users.run(&mut world, 6.0);
                 let i = 1;
-                if matches!(change, OwnershipChange::OwnerReturns) {
-                    w.kill(i);
-                    users.run(&mut w, 8.0);
-                    w.start(i);
+                if matches!(change, OwnerChange::OwnerReturns) {
+                    world.kill(i);
+                    users.run(&mut world, 8.0);
+                    world.start(i);
                     // The controller asks for its shard back 12 s after its start.
-                    users.run(&mut w, 11.0);
+                    users.run(&mut world, 11.0);
                 }
                 // Starts of the previous owner are in flight.
-                let hosts: Vec<String> = w.workers.keys().cloned().collect();
-                w.machines.slow_commands.extend(hosts);
-                users.submit(&mut w, &job(4, "service", 8));
-                w.run(0.4);
+                let hosts: Vec<String> = world.workers.keys().cloned().collect();
+                world.machines.slow_commands.extend(hosts);
+                users.submit(&mut world, &job(4, "service", 8));
+                world.run(0.4);
                 match change {
-                    OwnershipChange::OwnerEnds => w.kill(i),
-                    OwnershipChange::CutFromWorkers => drop(w.network.cut_from_workers.insert(i)),
-                    OwnershipChange::RefusedByState => drop(w.state_link.refused.insert(i)),
-                    OwnershipChange::OwnerReturns => {}
+                    OwnerChange::OwnerEnds => world.kill(i),
+                    OwnerChange::CutFromWorkers => drop(world.network.cut_from_workers.insert(i)),
+                    OwnerChange::RefusedByState => drop(world.state_link.refused.insert(i)),
+                    OwnerChange::OwnerReturns => {}
                 }
-                w.run(f64::from(step) * 0.15);
-                w.insist(at, "j-000001", Question::Cancel);
-                w.insist((at + 1) % 3, "j-000004", Question::Cancel);
-                w.run(1.0);
-                w.machines.slow_commands.clear();
-                w.deliver_direct();
-                users.run(&mut w, 6.0);
-                if w.controllers[i].is_none() {
-                    w.start(i);
+                world.run(f64::from(step) * 0.15);
+                world.insist(at, "j-000001", Question::Cancel);
+                world.insist((at + 1) % 3, "j-000004", Question::Cancel);
+                world.run(1.0);
+                world.machines.slow_commands.clear();
+                world.deliver_direct();
+                users.run(&mut world, 6.0);
+                if world.controllers[i].is_none() {
+                    world.start(i);
                 }
-                assert_recovers(&mut w, &mut users, &case);
-                assert_eq!(w.running(), 8, "{case}");
+                assert_recovers(&mut world, &mut users, &case);
+                assert_eq!(world.running(), 8, "{case}");
             }
         }
     }
@@ -148,42 +148,42 @@
     for lost_s in [0.0, 4.0, 13.0, 26.0] {
         for (reborn, wait_ms) in [(false, 0.0), (true, 0.0), (false, 3000.0), (true, 3000.0)] {
             let case = format!("cut off for {lost_s} s, restarted {reborn}, held for {wait_ms} ms");
-            let mut w = cluster(24.0, 6.0);
+            let mut world = cluster(24.0, 6.0);
             let mut users = Users::default();
             for n in 1..=4 {
-                users.submit(&mut w, &job(n, "sweep", 12));
+                users.submit(&mut world, &job(n, "sweep", 12));
             }
-            users.submit(&mut w, &job(5, "service", 4));
-            users.run(&mut w, 4.0);
+            users.submit(&mut world, &job(5, "service", 4));
+            users.run(&mut world, 4.0);
             (
-                w.duplicates.for_next_leader,
-                w.duplicates.next_leader_wait_ms,
+                world.duplicates.for_next_leader,
+                world.duplicates.next_leader_wait_ms,
             ) = (true, wait_ms);
-            users.run(&mut w, 4.0);
-            let some: BTreeSet<String> = w.workers.keys().step_by(2).cloned().collect();
-            MachineFault::Unreachable.begin(&mut w, &some);
-            users.run(&mut w, lost_s);
-            MachineFault::finish(&mut w);
+            users.run(&mut world, 4.0);
+            let some: BTreeSet<String> = world.workers.keys().step_by(2).cloned().collect();
+            MachineFault::Unreachable.begin(&mut world, &some);
+            users.run(&mut world, lost_s);
+            MachineFault::finish(&mut world);
             if reborn {
                 for name in some.iter().take(3) {
-                    w.reborn(name);
+                    world.reborn(name);
                 }
             }
-            users.ask_cancel(&mut w, 2, "j-000004");
+            users.ask_cancel(&mut world, 2, "j-000004");
             for _ in 0..4 {
-                let i = leader(&w);
-                w.kill(i);
-                users.run(&mut w, 5.0);
-                w.start(i);
-                users.run(&mut w, 3.0);
+                let i = leader(&world);
+                world.kill(i);
+                users.run(&mut world, 5.0);
+                world.start(i);
+                users.run(&mut world, 3.0);
             }
-            let copies_received = w
+            let copies_received = world
                 .trace
                 .iter()
                 .filter(|l| l.contains("comes to all"))
                 .count();
             assert!(copies_received >= 12, "{case}: {copies_received}");
-            assert_recovers(&mut w, &mut users, &case);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
@@ -195,26 +195,26 @@
     for down_s in [8.0, 11.0, 30.0, 60.0] {
         for apart_s in [0.0, 0.5, 2.0, 15.0] {
             let case = format!("down for {down_s} s, {apart_s} s apart");
-            let mut w = cluster(24.0, 5.0);
+            let mut world = cluster(24.0, 5.0);
             let mut users = Users::default();
-            w.duplicates.for_next_leader = true;
+            world.duplicates.for_next_leader = true;
             for n in 1..=3 {
-                w.submit_at(n as usize % 3, &job(n, "sweep", 10));
+                world.submit_at(n as usize % 3, &job(n, "sweep", 10));
             }
-            users.submit(&mut w, &job(4, "service", 3));
-            users.run(&mut w, 5.0);
-            w.insist(0, "j-000003", Question::Cancel);
-            w.run(0.5);
-            (0..3).for_each(|i| w.kill(i));
-            let name = w.workers.keys().next().expect("a machine").clone();
-            w.reborn(&name);
-            users.run(&mut w, down_s);
+            users.submit(&mut world, &job(4, "service", 3));
+            users.run(&mut world, 5.0);
+            world.insist(0, "j-000003", Question::Cancel);
+            world.run(0.5);
+            (0..3).for_each(|i| world.kill(i));
+            let name = world.workers.keys().next().expect("a machine").clone();
+            world.reborn(&name);
+            users.run(&mut world, down_s);
             for i in [1, 2, 0] {
-                w.start(i);
-                users.run(&mut w, apart_s);
+                world.start(i);
+                users.run(&mut world, apart_s);
             }
-            users.run(&mut w, 10.0);
-            assert_recovers(&mut w, &mut users, &case);
+            users.run(&mut world, 10.0);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
@@ -226,39 +226,39 @@
     for outage in [false, true] {
         for (late, lost) in [(0, 0), (25, 0), (0, 25)] {
             let case = format!("outage {outage}, {late}% late, {lost}% lost");
-            let mut w = cluster(32.0, 6.0);
-            w.cloud.provisioning_ms = Some(3000.0);
+            let mut world = cluster(32.0, 6.0);
+            world.cloud.provisioning_ms = Some(3000.0);
             let mut users = Users::default();
-            Fault::LeadersEnd.begin(&mut w, &mut |_| 0);
+            Fault::LeadersEnd.begin(&mut world, &mut |_| 0);
             (
-                w.state_link.delayed_percent,
-                w.state_link.lost_response_percent,
+                world.state_link.delayed_percent,
+                world.state_link.lost_response_percent,
             ) = (late, lost);
             for second in 0..120u64 {
                 if second % 2 == 0 {
-                    w.submit_at(
+                    world.submit_at(
                         second as usize % 3,
                         &job(second + 1, "sweep", 1 + second as u32 % 6),
                     );
                 }
                 if second % 6 == 5 {
                     let id = format!("j-{:06}", second - second % 4);
-                    w.insist(second as usize % 3, &id, Question::Cancel);
+                    world.insist(second as usize % 3, &id, Question::Cancel);
                 }
                 if outage && second == 30 {
-                    w.state_link.refused.extend([0, 1, 2]);
+                    world.state_link.refused.extend([0, 1, 2]);
                 }
                 if outage && second == 75 {
-                    w.state_link.refused.clear();
+                    world.state_link.refused.clear();
                 }
-                users.run(&mut w, 1.0);
+                users.run(&mut world, 1.0);
             }
-            let ends = w
+            let ends = world
                 .trace
                 .iter()
                 .filter(|l| l.contains(" ends") && l.contains("node-"));
             assert!(outage || ends.count() >= 9, "{case}");
-            assert_recovers(&mut w, &mut users, &case);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
--- a/crates/cherryyard-simulation/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -4,28 +4,32 @@
 
 /// Returns a cluster with six replicas on three machines, one machine in each shard.
 fn running() -> World {
-    let mut w = World::new(Setup::default());
-    w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", 4));
-    w.submit(&World::spec("j-000002", "service", 2));
-    w.run_until(10.0, |w| w.running() == 6);
+    let mut world = World::new(Setup::default());
+    world.run(5.0);
+    world.submit(&World::spec("j-000001", "service", 4));
+    world.submit(&World::spec("j-000002", "service", 2));
+    world.run_until(10.0, |world| world.running() == 6);
     // Long enough for the lists of cancellations to reach back beyond a lease.
-    w.run(30.0);
-    w
+    world.run(30.0);
+    world
 }
 
-fn starts(w: &World) -> usize {
-    w.trace.iter().filter(|l| l.contains(" starts j-")).count()
+fn starts(world: &World) -> usize {
+    world
+        .trace
+        .iter()
+        .filter(|l| l.contains(" starts j-"))
+        .count()
 }
 
-fn begin_outage(w: &mut World) {
-    w.say("the state service is down");
-    w.state_link.refused = [0, 1, 2].into();
+fn begin_outage(world: &mut World) {
+    world.say("the state service is down");
+    world.state_link.refused = [0, 1, 2].into();
 }
 
-fn end_outage(w: &mut World) {
-    w.say("the state service is up");
-    w.state_link.refused.clear();
+fn end_outage(world: &mut World) {
+    world.say("the state service is up");
+    world.state_link.refused.clear();
 }
 
 /// Records the trace of owners that restart, one after the other, during an outage. Their workers'
@@ -33,44 +37,44 @@
 /// after the outage.
 #[test]
 fn trace_of_owner_restarts_in_an_outage() {
-    let mut w = running();
-    let before = starts(&w);
-    begin_outage(&mut w);
-    w.run(4.0);
+    let mut world = running();
+    let before = starts(&world);
+    begin_outage(&mut world);
+    world.run(4.0);
     for i in [0, 1] {
-        w.kill(i);
-        w.run(3.0);
-        w.start(i);
-        w.run(4.0);
+        world.kill(i);
+        world.run(3.0);
+        world.start(i);
+        world.run(4.0);
     }
-    w.run(40.0);
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
-    end_outage(&mut w);
-    w.run(30.0);
+    world.run(40.0);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    end_outage(&mut world);
+    world.run(30.0);
     assert_eq!(
-        (w.running(), starts(&w)),
+        (world.running(), starts(&world)),
         (6, before),
         "{}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Guards against lease extensions without evidence: all controllers restart at once, so none
 /// knows the tokens or the cancellations, and the leases must expire.
 #[test]
 fn no_lease_extension_after_all_controllers_restart() {
-    let mut w = running();
-    begin_outage(&mut w);
-    w.run(4.0);
-    w.restart_all();
-    w.run(20.0);
-    assert_eq!(w.running(), 0);
-    end_outage(&mut w);
-    w.run(40.0);
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = running();
+    begin_outage(&mut world);
+    world.run(4.0);
+    world.restart_all();
+    world.run(20.0);
+    assert_eq!(world.running(), 0);
+    end_outage(&mut world);
+    world.run(40.0);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against lease extensions when the state service refuses only one controller and that one
@@ -78,17 +82,17 @@
 /// answer no worker.
 #[test]
 fn no_lease_extension_without_a_general_outage() {
-    let mut w = running();
-    w.state_link.refused.insert(0);
-    w.run(1.0);
-    w.kill(0);
-    w.run(1.0);
-    w.start(0);
-    w.run(5.0);
-    w.cancel(1, "j-000001");
-    w.run(39.0);
-    assert_eq!(w.running(), 2, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = running();
+    world.state_link.refused.insert(0);
+    world.run(1.0);
+    world.kill(0);
+    world.run(1.0);
+    world.start(0);
+    world.run(5.0);
+    world.cancel(1, "j-000001");
+    world.run(39.0);
+    assert_eq!(world.running(), 2, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against lease extensions of cancelled tasks: a controller accepts a cancellation just
@@ -97,28 +101,28 @@
 #[test]
 fn no_lease_extension_for_cancelled_jobs() {
     for owner_reads in [true, false] {
-        let mut w = running();
+        let mut world = running();
         if !owner_reads {
-            w.state_link.refused.insert(0);
-            w.run(1.0);
+            world.state_link.refused.insert(0);
+            world.run(1.0);
         }
-        w.cancel(1, "j-000001");
-        w.run(if owner_reads { 0.05 } else { 0.7 });
-        begin_outage(&mut w);
-        w.run(0.5);
-        w.kill(0);
-        w.kill(1);
-        w.run(2.0);
-        w.start(0);
-        w.start(1);
-        w.run(60.0);
+        world.cancel(1, "j-000001");
+        world.run(if owner_reads { 0.05 } else { 0.7 });
+        begin_outage(&mut world);
+        world.run(0.5);
+        world.kill(0);
+        world.kill(1);
+        world.run(2.0);
+        world.start(0);
+        world.start(1);
+        world.run(60.0);
         assert!(
-            w.broken.is_empty(),
+            world.broken.is_empty(),
             "{:?}\n{}",
-            w.broken,
-            w.trace.join("\n")
+            world.broken,
+            world.trace.join("\n")
         );
-        assert!(w.running() <= 2, "{}", w.trace.join("\n"));
+        assert!(world.running() <= 2, "{}", world.trace.join("\n"));
     }
 }
 
@@ -126,19 +130,19 @@
 /// frozen, and their reports count for 3 s at most.
 #[test]
 fn no_lease_extension_by_frozen_peers() {
-    let mut w = running();
-    begin_outage(&mut w);
-    w.run(4.0);
-    w.kill(0);
-    w.run(2.0);
-    w.start(0);
-    w.run(4.0);
-    w.processes.frozen = [1, 2].into();
-    w.run(25.0);
-    assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
-    w.processes.frozen.clear();
-    end_outage(&mut w);
-    w.run(40.0);
-    assert_eq!(w.running(), 6);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = running();
+    begin_outage(&mut world);
+    world.run(4.0);
+    world.kill(0);
+    world.run(2.0);
+    world.start(0);
+    world.run(4.0);
+    world.processes.frozen = [1, 2].into();
+    world.run(25.0);
+    assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
+    world.processes.frozen.clear();
+    end_outage(&mut world);
+    world.run(40.0);
+    assert_eq!(world.running(), 6);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
--- a/crates/cherryyard-simulation/tests/machine_faults.rs
+++ b/crates/cherryyard-simulation/tests/machine_faults.rs
@@ -20,35 +20,37 @@
             for step in (0..60).step_by(10) {
                 let case =
                     format!("{provisioning_ms} ms, {unanswered}, {late} {lost} {slow_ms}, {step}");
-                let mut w = World::new(Setup {
+                let mut world = World::new(Setup {
                     machines: vec![("a", 1), ("b", 1), ("c", 1)],
                     write_rps: 60.0,
                     ..Setup::default()
                 });
-                w.cloud.list_every_ms = Some(3000.0);
-                w.run(10.0);
+                world.cloud.list_every_ms = Some(3000.0);
+                world.run(10.0);
                 let mut users = Users::default();
-                (w.cloud.provisioning_ms, w.cloud.provisions_unanswered) =
-                    (Some(provisioning_ms), unanswered);
-                w.seed_late(step);
                 (
-                    w.state_link.delayed_percent,
-                    w.state_link.lost_response_percent,
-                    w.state_link.latency_ms,
+                    world.cloud.provisioning_ms,
+                    world.cloud.provisions_unanswered,
+                ) = (Some(provisioning_ms), unanswered);
+                world.seed_late(step);
+                (
+                    world.state_link.delayed_percent,
+                    world.state_link.lost_response_percent,
+                    world.state_link.latency_ms,
                 ) = (late, lost, slow_ms);
                 for n in 1..=3 {
-                    users.submit(&mut w, &job(n, "service", 8));
+                    users.submit(&mut world, &job(n, "service", 8));
                 }
-                w.run_until(30.0, |w| !w.cloud.provision_requests.is_empty());
-                w.run(step as f64 * 0.05);
-                let i = leader(&w);
-                w.kill(i);
-                users.run(&mut w, 8.0);
-                w.start(i);
-                users.run(&mut w, 12.0);
-                assert_recovers(&mut w, &mut users, &case);
-                assert_eq!(w.running(), 24, "{case}: {}", w.trace.join("\n"));
-                let names: BTreeSet<&String> = w
+                world.run_until(30.0, |world| !world.cloud.provision_requests.is_empty());
+                world.run(step as f64 * 0.05);
+                let i = leader(&world);
+                world.kill(i);
+                users.run(&mut world, 8.0);
+                world.start(i);
+                users.run(&mut world, 12.0);
+                assert_recovers(&mut world, &mut users, &case);
+                assert_eq!(world.running(), 24, "{case}: {}", world.trace.join("\n"));
+                let names: BTreeSet<&String> = world
                     .cloud
                     .provision_requests
                     .iter()
@@ -56,7 +58,7 @@
                     .collect();
                 assert_eq!(
                     names.len(),
-                    w.cloud.provision_requests.len(),
+                    world.cloud.provision_requests.len(),
                     "{case}: a request id was used again"
                 );
             }
@@ -70,27 +72,27 @@
 fn a_hung_machine_resumes_with_a_cancelled_task() {
     for hang_s in [1.0, 6.0, 9.5, 10.5, 20.0, 39.0, 45.0] {
         for cancel_at in [-0.5, 0.0, 0.5, 0.95] {
-            let mut w = cluster(0.0, f64::INFINITY);
+            let mut world = cluster(0.0, f64::INFINITY);
             let mut users = Users::default();
-            users.submit(&mut w, &job(1, "service", 6));
-            users.submit(&mut w, &job(2, "service", 6));
-            users.run(&mut w, 5.0);
-            let hosts = hosts_of(&w, &["j-000001".into()]);
+            users.submit(&mut world, &job(1, "service", 6));
+            users.submit(&mut world, &job(2, "service", 6));
+            users.run(&mut world, 5.0);
+            let hosts = hosts_of(&world, &["j-000001".into()]);
             if cancel_at < 0.0 {
-                w.insist(2, "j-000001", Question::Cancel);
-                w.run(0.1);
+                world.insist(2, "j-000001", Question::Cancel);
+                world.run(0.1);
             }
-            MachineFault::Hang.begin(&mut w, &hosts);
+            MachineFault::Hang.begin(&mut world, &hosts);
             let first = hang_s * f64::max(cancel_at, 0.0);
-            users.run(&mut w, first);
+            users.run(&mut world, first);
             if cancel_at >= 0.0 {
-                w.insist(1, "j-000001", Question::Cancel);
+                world.insist(1, "j-000001", Question::Cancel);
             }
-            users.run(&mut w, hang_s - first);
-            MachineFault::finish(&mut w);
+            users.run(&mut world, hang_s - first);
+            MachineFault::finish(&mut world);
             let case = format!("hangs for {hang_s} s, cancelled at {cancel_at} of that");
-            assert_recovers(&mut w, &mut users, &case);
-            assert_eq!(w.running(), 6, "{case}");
+            assert_recovers(&mut world, &mut users, &case);
+            assert_eq!(world.running(), 6, "{case}");
         }
     }
 }
@@ -106,38 +108,39 @@
     for hang_s in [20.0, 38.0, 47.0, 70.0] {
         for back_s in [1.0, 9.0, 100.0] {
             for cancel_after_s in [0.5, 6.0] {
-                let mut w = cluster(0.0, f64::INFINITY);
+                let mut world = cluster(0.0, f64::INFINITY);
                 let mut users = Users::default();
-                users.submit(&mut w, &job(1, "service", 3));
-                users.run(&mut w, 4.0);
-                let hosts: Vec<String> = w.workers.keys().cloned().collect();
-                w.machines.slow_commands.extend(hosts.clone());
-                users.submit(&mut w, &job(2, "service", 15));
-                w.run_until(3.0, |w| w.machines.held_commands.len() >= 10);
+                users.submit(&mut world, &job(1, "service", 3));
+                users.run(&mut world, 4.0);
+                let hosts: Vec<String> = world.workers.keys().cloned().collect();
+                world.machines.slow_commands.extend(hosts.clone());
+                users.submit(&mut world, &job(2, "service", 15));
+                world.run_until(3.0, |world| world.machines.held_commands.len() >= 10);
                 // Half of the machines of zone a, one of zone b and one of zone c.
                 let hung = hosts
                     .iter()
                     .enumerate()
                     .filter(|(k, _)| [0, 3, 6, 1, 2].contains(k));
                 let hung: BTreeSet<String> = hung.map(|h| h.1.clone()).collect();
-                MachineFault::Hang.begin(&mut w, &hung);
-                w.kill(0);
-                users.run(&mut w, cancel_after_s);
-                w.insist(1, "j-000002", Question::Cancel);
+                MachineFault::Hang.begin(&mut world, &hung);
+                world.kill(0);
+                users.run(&mut world, cancel_after_s);
+                world.insist(1, "j-000002", Question::Cancel);
                 // Commands to other machines are lost.
-                w.machines
+                world
+                    .machines
                     .held_commands
                     .retain(|held| hung.contains(&held.machine));
-                w.machines.slow_commands.clear();
-                users.run(&mut w, f64::min(back_s, hang_s));
-                w.start(0);
-                users.run(&mut w, hang_s - f64::min(back_s, hang_s));
-                MachineFault::finish(&mut w);
+                world.machines.slow_commands.clear();
+                users.run(&mut world, f64::min(back_s, hang_s));
+                world.start(0);
+                users.run(&mut world, hang_s - f64::min(back_s, hang_s));
+                MachineFault::finish(&mut world);
                 let case = format!(
                     "hangs for {hang_s} s, back after {back_s} s, cancelled after {cancel_after_s} s"
                 );
-                assert_recovers(&mut w, &mut users, &case);
-                assert_eq!(w.running(), 3, "{case}");
+                assert_recovers(&mut world, &mut users, &case);
+                assert_eq!(world.running(), 3, "{case}");
             }
         }
     }
@@ -153,29 +156,29 @@
                 let case = format!(
                     "no outbound traffic for {outbound_lost_s} s, zone {zone}, ends {ends}"
                 );
-                let mut w = cluster(0.0, f64::INFINITY);
+                let mut world = cluster(0.0, f64::INFINITY);
                 let mut users = Users::default();
                 for n in 1..=3 {
-                    users.submit(&mut w, &job(n, "service", 4));
+                    users.submit(&mut world, &job(n, "service", 4));
                 }
-                users.run(&mut w, 5.0);
-                let hosts = w.workers.values().enumerate();
+                users.run(&mut world, 5.0);
+                let hosts = world.workers.values().enumerate();
                 let some = hosts.filter(|(k, x)| if zone { x.zone == "b" } else { k % 4 == 0 });
                 let some: BTreeSet<String> = some.map(|x| x.1.host.clone()).collect();
-                MachineFault::OutboundLost.begin(&mut w, &some);
-                users.run(&mut w, 1.0);
-                w.insist(0, "j-000002", Question::Cancel);
+                MachineFault::OutboundLost.begin(&mut world, &some);
+                users.run(&mut world, 1.0);
+                world.insist(0, "j-000002", Question::Cancel);
                 if ends {
-                    let i = leader(&w);
-                    w.kill(i);
-                    users.run(&mut w, outbound_lost_s / 2.0);
-                    w.start(i);
+                    let i = leader(&world);
+                    world.kill(i);
+                    users.run(&mut world, outbound_lost_s / 2.0);
+                    world.start(i);
                 }
-                users.submit(&mut w, &job(4, "service", 4));
-                users.run(&mut w, outbound_lost_s);
-                MachineFault::finish(&mut w);
-                assert_recovers(&mut w, &mut users, &case);
-                assert_eq!(w.running(), 12, "{case}");
+                users.submit(&mut world, &job(4, "service", 4));
+                users.run(&mut world, outbound_lost_s);
+                MachineFault::finish(&mut world);
+                assert_recovers(&mut world, &mut users, &case);
+                assert_eq!(world.running(), 12, "{case}");
             }
         }
     }
@@ -188,25 +191,29 @@
     for cut_s in [3.0, 8.0, 14.0, 30.0, 60.0] {
         for zone in ["a", "b"] {
             let case = format!("zone {zone} for {cut_s} s");
-            let mut w = cluster(24.0, f64::INFINITY);
+            let mut world = cluster(24.0, f64::INFINITY);
             let mut users = Users::default();
-            w.requests.close_looks = true;
+            world.requests.close_looks = true;
             for n in 1..=4 {
-                users.submit(&mut w, &job(n, "service", 3));
+                users.submit(&mut world, &job(n, "service", 3));
             }
-            users.run(&mut w, 6.0);
+            users.run(&mut world, 6.0);
             let i = if zone == "a" { 0 } else { 1 };
-            w.network.partitioned_zones.insert(zone.into());
-            w.state_link.refused.insert(i);
-            users.run(&mut w, 1.0);
-            w.insist((i + 1) % 3, "j-000001", Question::Cancel);
-            w.insist(i, "j-000002", Question::Cancel);
-            w.submit_at(i, &job(5, "service", 2));
-            users.run(&mut w, cut_s);
-            assert_recovers(&mut w, &mut users, &case);
+            world.network.partitioned_zones.insert(zone.into());
+            world.state_link.refused.insert(i);
+            users.run(&mut world, 1.0);
+            world.insist((i + 1) % 3, "j-000001", Question::Cancel);
+            world.insist(i, "j-000002", Question::Cancel);
+            world.submit_at(i, &job(5, "service", 2));
+            users.run(&mut world, cut_s);
+            assert_recovers(&mut world, &mut users, &case);
             // A user who sends additional requests may have cancelled the last job.
-            let last = if w.asked_to_cancel("j-000005") { 0 } else { 2 };
-            assert_eq!(w.running(), 6 + last, "{case}");
+            let last = if world.asked_to_cancel("j-000005") {
+                0
+            } else {
+                2
+            };
+            assert_eq!(world.running(), 6 + last, "{case}");
         }
     }
 }
@@ -225,41 +232,46 @@
         (3, true, true, false),
     ] {
         let case = format!("{lost} lost, provisions {provisions}, ends {ends}, others full {full}");
-        let mut w = cluster(0.0, 8.0);
+        let mut world = cluster(0.0, 8.0);
         let mut users = Users::default();
         for n in 1..=3u64 {
             let shape = if n == 2 { "service" } else { "sweep" };
             let mut spec = job(n, shape, if full { 4 } else { 1 });
             spec.zone = Some("b".into());
             spec.job_class = "bound".into();
-            users.submit(&mut w, &spec);
+            users.submit(&mut world, &spec);
             let mut spec = job(n + 10, shape, 4);
             spec.together = n != 3;
             spec.apart = n == 3;
             if full {
-                users.submit(&mut w, &spec);
+                users.submit(&mut world, &spec);
             }
         }
-        users.run(&mut w, 4.0);
-        let zone = w.workers.values().filter(|x| x.zone == "b");
+        users.run(&mut world, 4.0);
+        let zone = world.workers.values().filter(|x| x.zone == "b");
         let zone_hosts: Vec<String> = zone.map(|x| x.host.clone()).collect();
         for host in zone_hosts.iter().take(lost) {
-            w.workers.remove(host);
+            world.workers.remove(host);
         }
         if provisions {
-            w.cloud.provisioning_ms = Some(4000.0);
+            world.cloud.provisioning_ms = Some(4000.0);
         }
         if ends {
-            let i = leader(&w);
-            w.kill(i);
-            users.run(&mut w, 4.0);
-            w.start(i);
+            let i = leader(&world);
+            world.kill(i);
+            users.run(&mut world, 4.0);
+            world.start(i);
         }
-        users.run(&mut w, 60.0);
+        users.run(&mut world, 60.0);
         if lost == 4 {
-            assert_eq!(w.copies("j-000002/0"), 1, "{case}: {}", w.trace.join("\n"));
+            assert_eq!(
+                world.copies("j-000002/0"),
+                1,
+                "{case}: {}",
+                world.trace.join("\n")
+            );
         }
-        assert_recovers(&mut w, &mut users, &case);
+        assert_recovers(&mut world, &mut users, &case);
     }
 }
 
@@ -270,10 +282,10 @@
     for late_s in [0.5, 2.0, 5.0] {
         for behind in [false, true] {
             let case = format!("{late_s} s late, behind {behind}");
-            let mut w = cluster(0.0, 9.0);
+            let mut world = cluster(0.0, 9.0);
             let mut users = Users::default();
             if behind {
-                w.processes.lag_ms.insert(1, 1200.0);
+                world.processes.lag_ms.insert(1, 1200.0);
             }
             for cycle in 0..8u64 {
                 let mut low = job(cycle * 10 + 1, "sweep", 16);
@@ -281,21 +293,21 @@
                 let mut high = job(cycle * 10 + 2, "sweep", 6);
                 high.rank = cherryyard_wire::job::Rank::High;
                 (low.job_class, high.job_class) = ("low".into(), "high".into());
-                users.submit(&mut w, &low);
-                let hosts: Vec<String> = w.workers.keys().step_by(2).cloned().collect();
-                w.machines.slow_commands.extend(hosts);
-                users.run(&mut w, 1.0);
-                users.submit(&mut w, &high);
-                users.run(&mut w, late_s);
-                w.deliver_direct();
-                w.machines.slow_commands.clear();
-                users.run(&mut w, 3.0);
+                users.submit(&mut world, &low);
+                let hosts: Vec<String> = world.workers.keys().step_by(2).cloned().collect();
+                world.machines.slow_commands.extend(hosts);
+                users.run(&mut world, 1.0);
+                users.submit(&mut world, &high);
+                users.run(&mut world, late_s);
+                world.deliver_direct();
+                world.machines.slow_commands.clear();
+                users.run(&mut world, 3.0);
                 if cycle % 3 == 2 {
-                    users.ask_cancel(&mut w, 0, &low.id);
+                    users.ask_cancel(&mut world, 0, &low.id);
                 }
             }
-            users.run(&mut w, 60.0);
-            assert_recovers(&mut w, &mut users, &case);
+            users.run(&mut world, 60.0);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
--- a/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
@@ -9,7 +9,7 @@
 /// Runs a random scenario of pipelines with two faults at once.
 fn scenario(seed: u64, faults: &[Fault]) {
     let mut draw = draws(seed);
-    let mut w = cluster_of(
+    let mut world = cluster_of(
         2.0 + draw(6) as f64,
         Setup {
             machines: vec![("a", 5), ("b", 5), ("c", 5)],
@@ -19,10 +19,10 @@
             ..Setup::default()
         },
     );
-    w.requests.seed(seed);
-    w.seed_late(seed);
-    w.cloud.list_every_ms = Some(5000.0);
-    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
+    world.requests.seed(seed);
+    world.seed_late(seed);
+    world.cloud.list_every_ms = Some(5000.0);
+    (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut pipelines = Pipelines::default();
     let mut job = 100;
@@ -55,40 +55,40 @@
             }
             made.extend(base..base + 4);
         }
-        let mut run = |w: &mut World, users: &mut Users, seconds: f64| {
+        let mut run = |world: &mut World, users: &mut Users, seconds: f64| {
             for _ in 0..(seconds * 2.0) as usize {
-                pipelines.step(w);
-                users.run(w, 0.5);
+                pipelines.step(world);
+                users.run(world, 0.5);
             }
         };
-        run(&mut w, &mut users, 1.0 + draw(6) as f64);
-        w.say(format!("begin {first:?}"));
-        first.begin(&mut w, &mut draw);
-        run(&mut w, &mut users, draw(8) as f64 / 2.0);
-        w.say(format!("begin {second:?}"));
-        second.begin(&mut w, &mut draw);
+        run(&mut world, &mut users, 1.0 + draw(6) as f64);
+        world.say(format!("begin {first:?}"));
+        first.begin(&mut world, &mut draw);
+        run(&mut world, &mut users, draw(8) as f64 / 2.0);
+        world.say(format!("begin {second:?}"));
+        second.begin(&mut world, &mut draw);
         let to_cancel = made[draw(made.len() as u64) as usize];
-        if draw(2) == 0 && w.is_accepted(&id(to_cancel)) {
+        if draw(2) == 0 && world.is_accepted(&id(to_cancel)) {
             let at = draw(3) as usize;
-            w.insist(at, &id(to_cancel), Question::Cancel);
+            world.insist(at, &id(to_cancel), Question::Cancel);
         }
-        run(&mut w, &mut users, 1.0 + draw(30) as f64);
-        w.say(format!("finish {first:?}, {second:?}"));
-        first.finish(&mut w);
-        second.finish(&mut w);
-        run(&mut w, &mut users, 10.0 + draw(10) as f64);
+        run(&mut world, &mut users, 1.0 + draw(30) as f64);
+        world.say(format!("finish {first:?}, {second:?}"));
+        first.finish(&mut world);
+        second.finish(&mut world);
+        run(&mut world, &mut users, 10.0 + draw(10) as f64);
     }
     for _ in 0..40 {
-        pipelines.step(&mut w);
-        users.run(&mut w, 1.0);
+        pipelines.step(&mut world);
+        users.run(&mut world, 1.0);
     }
-    let violations = users.see_out(&mut w);
-    if std::env::var("DEBUG").is_ok() && !(violations.is_empty() && w.broken.is_empty()) {
-        println!("{}", w.trace.join("\n"));
+    let violations = users.see_out(&mut world);
+    if std::env::var("DEBUG").is_ok() && !(violations.is_empty() && world.broken.is_empty()) {
+        println!("{}", world.trace.join("\n"));
     }
-    assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
-    assert_eq!(w.state.malformed, 0, "seed {seed}");
+    assert_eq!(world.state.malformed, 0, "seed {seed}");
 }
 
 fn all_faults() -> Vec<Fault> {
--- a/crates/cherryyard-simulation/tests/pipeline_submissions.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_submissions.rs
@@ -13,22 +13,25 @@
 /// on services. Such submissions are refused, but only after all durable state has been read.
 #[test]
 fn dependencies_never_accepted_are_refused() {
-    let mut w = cluster(f64::INFINITY);
-    assert_eq!(submit(&mut w, 0, &array(1, 1, &[])), Response::Taken);
-    w.submit(&World::spec(&id(2), "service", 1));
-    assert_eq!(submit(&mut w, 1, &array(3, 1, &[1, 77])), Response::Never);
-    assert_eq!(submit(&mut w, 1, &array(4, 1, &[4])), Response::Never);
-    assert_eq!(submit(&mut w, 1, &array(5, 1, &[2])), Response::Never);
-    w.state_link.refused.extend(0..3);
-    w.run(4.0);
-    assert_eq!(submit(&mut w, 1, &array(6, 1, &[78])), Response::Later);
-    w.state_link.refused.clear();
-    w.run(3.0);
-    assert_eq!(submit(&mut w, 1, &array(6, 1, &[1])), Response::Taken);
+    let mut world = cluster(f64::INFINITY);
+    assert_eq!(submit(&mut world, 0, &array(1, 1, &[])), Response::Taken);
+    world.submit(&World::spec(&id(2), "service", 1));
+    assert_eq!(
+        submit(&mut world, 1, &array(3, 1, &[1, 77])),
+        Response::Never
+    );
+    assert_eq!(submit(&mut world, 1, &array(4, 1, &[4])), Response::Never);
+    assert_eq!(submit(&mut world, 1, &array(5, 1, &[2])), Response::Never);
+    world.state_link.refused.extend(0..3);
+    world.run(4.0);
+    assert_eq!(submit(&mut world, 1, &array(6, 1, &[78])), Response::Later);
+    world.state_link.refused.clear();
+    world.run(3.0);
+    assert_eq!(submit(&mut world, 1, &array(6, 1, &[1])), Response::Taken);
     // A repeated submission of an accepted job is never refused, whatever it names.
-    let again = submit(&mut w, 2, &array(6, 1, &[79]));
+    let again = submit(&mut world, 2, &array(6, 1, &[79]));
     assert_eq!(status(&again), Some(JobStatus::Queued));
-    assert_no_violation(&w);
+    assert_no_violation(&world);
 }
 
 /// Guards against a refused dependency on a job that another controller has just accepted, with
@@ -38,15 +41,15 @@
     for slow_ms in [0.0, 400.0] {
         for i in 0..3 {
             for lost in [false, true] {
-                let mut w = cluster(2.0);
-                w.state_link.latency_ms = slow_ms;
-                w.requests.seed(i as u64 + 7);
-                w.state_link.lost_response_percent = if lost { 100 } else { 0 };
-                let first = submit(&mut w, i, &array(1, 1, &[]));
-                w.state_link.lost_response_percent = 0;
+                let mut world = cluster(2.0);
+                world.state_link.latency_ms = slow_ms;
+                world.requests.seed(i as u64 + 7);
+                world.state_link.lost_response_percent = if lost { 100 } else { 0 };
+                let first = submit(&mut world, i, &array(1, 1, &[]));
+                world.state_link.lost_response_percent = 0;
                 if lost {
                     // Its user submits it again at another controller.
-                    let again = submit(&mut w, (i + 2) % 3, &array(1, 1, &[]));
+                    let again = submit(&mut world, (i + 2) % 3, &array(1, 1, &[]));
                     assert!(
                         again == Response::Taken || status(&again).is_some(),
                         "{again:?}"
@@ -57,9 +60,9 @@
                         "{first:?}"
                     );
                 }
-                accepted(&mut w, (i + 1) % 3, &array(2, 1, &[1]));
-                w.run_until(40.0, |w| w.is_complete(&id(2)));
-                assert_no_violation(&w);
+                accepted(&mut world, (i + 1) % 3, &array(2, 1, &[1]));
+                world.run_until(40.0, |world| world.is_complete(&id(2)));
+                assert_no_violation(&world);
             }
         }
     }
@@ -70,43 +73,46 @@
 #[test]
 fn no_dependencies_before_all_controllers_support_them() {
     for last in 0..3 {
-        let mut w = World::new(Setup {
+        let mut world = World::new(Setup {
             earlier: (0..3).collect(),
             ..Setup::default()
         });
-        w.run(10.0);
+        world.run(10.0);
         for i in (0..3).filter(|i| *i != last) {
-            w.upgrade(i);
-            w.kill(i);
-            w.run(1.0);
-            w.start(i);
-            w.run(16.0);
+            world.upgrade(i);
+            world.kill(i);
+            world.run(1.0);
+            world.start(i);
+            world.run(16.0);
         }
-        assert_eq!(submit(&mut w, 0, &array(1, 1, &[])), Response::Taken);
+        assert_eq!(submit(&mut world, 0, &array(1, 1, &[])), Response::Taken);
         for i in (0..3).filter(|i| *i != last) {
-            assert_eq!(submit(&mut w, i, &array(2, 1, &[1])), Response::Later);
+            assert_eq!(submit(&mut world, i, &array(2, 1, &[1])), Response::Later);
         }
-        let all = w.state.pairs();
+        let all = world.state.pairs();
         assert!(!all.iter().any(|p| p.value.text().contains("dependencies")));
         assert!(!all.iter().any(|p| p.value.text().contains("\"after\"")));
         // The last controller restarts with the earlier build; later it is upgraded too.
-        w.kill(last);
-        w.run(1.0);
-        w.start(last);
-        w.run(16.0);
+        world.kill(last);
+        world.run(1.0);
+        world.start(last);
+        world.run(16.0);
         assert_eq!(
-            submit(&mut w, (last + 1) % 3, &array(2, 1, &[1])),
+            submit(&mut world, (last + 1) % 3, &array(2, 1, &[1])),
             Response::Later
         );
-        w.upgrade(last);
-        w.kill(last);
-        w.run(1.0);
-        w.start(last);
-        w.run(20.0);
-        let format = w.controllers[last].as_ref().map(|n| n.config.format);
+        world.upgrade(last);
+        world.kill(last);
+        world.run(1.0);
+        world.start(last);
+        world.run(20.0);
+        let format = world.controllers[last].as_ref().map(|n| n.config.format);
         assert!(format.is_some_and(|f| f > ADMISSION_LOG));
-        assert_eq!(submit(&mut w, last, &array(2, 1, &[1])), Response::Taken);
-        assert_no_violation(&w);
+        assert_eq!(
+            submit(&mut world, last, &array(2, 1, &[1])),
+            Response::Taken
+        );
+        assert_no_violation(&world);
     }
 }
 
@@ -115,7 +121,7 @@
 /// divided.
 #[test]
 fn dependencies_only_in_the_history() {
-    let mut w = cluster_of(
+    let mut world = cluster_of(
         2.0,
         Setup {
             machines: vec![("a", 4), ("b", 4), ("c", 4)],
@@ -125,27 +131,30 @@
         },
     );
     for job in 1..=6 {
-        assert_eq!(submit(&mut w, 0, &array(job, 1, &[])), Response::Taken);
+        assert_eq!(submit(&mut world, 0, &array(job, 1, &[])), Response::Taken);
     }
-    cancel(&mut w, 0, &id(6));
-    w.run(30.0);
+    cancel(&mut world, 0, &id(6));
+    world.run(30.0);
     for job in 10..20 {
-        assert_eq!(submit(&mut w, 0, &array(job, 1, &[])), Response::Taken);
+        assert_eq!(submit(&mut world, 0, &array(job, 1, &[])), Response::Taken);
     }
-    w.run(30.0);
-    for controller in w.controllers.iter_mut().flatten() {
+    world.run(30.0);
+    for controller in world.controllers.iter_mut().flatten() {
         assert!(controller.mirror.packed.any(), "some are in the history");
     }
-    w.restart_all();
-    w.run(10.0);
-    accepted(&mut w, 1, &array(30, 2, &[1, 2]));
-    accepted(&mut w, 2, &array(31, 1, &[6, 1]));
-    assert_eq!(submit(&mut w, 2, &array(32, 1, &[1, 99])), Response::Never);
-    w.run(15.0);
-    assert!(w.is_complete(&id(30)));
+    world.restart_all();
+    world.run(10.0);
+    accepted(&mut world, 1, &array(30, 2, &[1, 2]));
+    accepted(&mut world, 2, &array(31, 1, &[6, 1]));
+    assert_eq!(
+        submit(&mut world, 2, &array(32, 1, &[1, 99])),
+        Response::Never
+    );
+    world.run(15.0);
+    assert!(world.is_complete(&id(30)));
     for i in 0..3 {
-        let view = w.find(i, &id(31)).expect("known");
+        let view = world.find(i, &id(31)).expect("known");
         assert_eq!(view.status, JobStatus::Cancelled);
     }
-    assert_no_violation(&w);
+    assert_no_violation(&world);
 }
