--- a/crates/cherryyard-simulation/tests/placement.rs
+++ b/crates/cherryyard-simulation/tests/placement.rs
@@ -9,16 +9,16 @@
 /// Guards against a job that fails everywhere and is retried without a backoff or costs machines.
 #[test]
 fn a_job_that_always_fails_is_delayed() {
-    let mut w = settled(Setup::default());
-    for x in w.workers.values_mut() {
+    let mut world = settled(Setup::default());
+    for x in world.workers.values_mut() {
         x.run_ms = 200.0;
         x.faulty = true;
     }
-    w.submit(&World::spec("j-000001", "sweep", 1));
-    w.run(120.0);
-    let n = starts(&w, "j-000001/0").len();
+    world.submit(&World::spec("j-000001", "sweep", 1));
+    world.run(120.0);
+    let n = starts(&world, "j-000001/0").len();
     assert!((3..=20).contains(&n), "{n} starts");
-    assert_eq!(w.workers.len(), 3);
+    assert_eq!(world.workers.len(), 3);
 }
 
 /// Records the trace of a service that needs a whole machine: both tasks there are stopped, and
@@ -26,41 +26,42 @@
 /// service never started.
 #[test]
 fn trace_of_preemption_for_a_whole_machine() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 1)],
         ..Setup::default()
     });
-    w.submit(&World::spec("j-000001", "sweep", 6));
-    w.run(2.0);
+    world.submit(&World::spec("j-000001", "sweep", 6));
+    world.run(2.0);
     let mut spec = World::spec("j-000002", "service", 1);
     spec.cores = 4.0;
     spec.rank = Rank::High;
-    w.submit(&spec);
-    w.run(8.0);
-    w.cancel(0, "j-000002");
-    w.run(4.0);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    world.submit(&spec);
+    world.run(8.0);
+    world.cancel(0, "j-000002");
+    world.run(4.0);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Guards against delays by lost causes: a job that can no longer meet its deadline starts after
 /// one that can, although it was submitted first and is due first.
 #[test]
 fn late_jobs_delay_no_others() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 1)],
         ..Setup::default()
     });
-    w.workers.get_mut("host-000000").unwrap().run_ms = 5000.0;
-    w.submit(&World::spec("j-000001", "sweep", 2));
-    w.run(1.0);
+    world.workers.get_mut("host-000000").unwrap().run_ms = 5000.0;
+    world.submit(&World::spec("j-000001", "sweep", 2));
+    world.run(1.0);
     for (id, due) in [("j-000002", 5.0), ("j-000003", 100.0)] {
         let mut spec = World::spec(id, "sweep", 2);
         spec.due_s = Some(due);
-        w.submit(&spec);
+        world.submit(&spec);
     }
-    w.run(20.0);
+    world.run(20.0);
     let first = |id: &str| {
-        w.trace
+        world
+            .trace
             .iter()
             .position(|l| l.contains(&format!("starts {id}/0")))
             .expect("it started")
@@ -68,7 +69,7 @@
     assert!(
         first("j-000003") < first("j-000002"),
         "{}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
 }
 
@@ -77,7 +78,7 @@
 /// delay.
 #[test]
 fn trace_of_a_lost_replica() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         zones: vec!["a", "b"],
         machines: vec![("a", 2), ("b", 2)],
         ..Setup::default()
@@ -91,30 +92,30 @@
     };
     // One machine in each zone gets the image.
     for (id, zone) in [("j-000001", "a"), ("j-000002", "b")] {
-        w.submit(&service(id, Some(zone)));
+        world.submit(&service(id, Some(zone)));
     }
-    w.run(8.0);
-    w.cancel(0, "j-000001");
-    w.cancel(0, "j-000002");
-    w.run(4.0);
-    w.submit(&service("j-000003", None));
-    w.run(4.0);
-    let holder = |w: &World| {
-        let mut all = w.workers.values();
+    world.run(8.0);
+    world.cancel(0, "j-000001");
+    world.cancel(0, "j-000002");
+    world.run(4.0);
+    world.submit(&service("j-000003", None));
+    world.run(4.0);
+    let holder = |world: &World| {
+        let mut all = world.workers.values();
         all.find(|x| x.runs("j-000003/0")).map(|x| x.host.clone())
     };
-    let first = holder(&w).expect("it runs");
-    w.network.unreachable.insert(first.clone());
-    w.say(format!("{first} is lost"));
-    w.run(14.0);
-    let starts = starts(&w, "j-000003/0");
-    assert_eq!(starts.len(), 2, "{}", w.trace.join("\n"));
-    let other = w
+    let first = holder(&world).expect("it runs");
+    world.network.unreachable.insert(first.clone());
+    world.say(format!("{first} is lost"));
+    world.run(14.0);
+    let starts = starts(&world, "j-000003/0");
+    assert_eq!(starts.len(), 2, "{}", world.trace.join("\n"));
+    let other = world
         .workers
         .values()
         .find(|x| x.runs("j-000003/0") && x.host != first);
     let zone = |host: &str| usize::from(host.as_bytes()[10] - b'0') / 2;
     let other = other.expect("it runs again").host.clone();
-    assert_ne!(zone(&other), zone(&first), "{}", w.trace.join("\n"));
-    insta::assert_snapshot!(w.trace.join("\n"));
+    assert_ne!(zone(&other), zone(&first), "{}", world.trace.join("\n"));
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -11,7 +11,7 @@
 }
 
 fn cluster(of_zones: serde_json::Value) -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 3), ("b", 3), ("c", 3)],
         large: vec![("b", 1)],
         tuning: Tuning {
@@ -21,8 +21,8 @@
         },
         ..Setup::default()
     });
-    w.run(5.0);
-    w
+    world.run(5.0);
+    world
 }
 
 fn requires(text: &str) -> Option<Rules> {
@@ -33,14 +33,14 @@
 }
 
 /// Returns the machine types and zones in which the job's tasks started from line `from` on.
-fn started(w: &World, from: usize, id: &str) -> BTreeSet<String> {
+fn started(world: &World, from: usize, id: &str) -> BTreeSet<String> {
     let needle = format!("starts {id}/");
-    let lines = w.trace[from..].iter().filter(|l| l.contains(&needle));
+    let lines = world.trace[from..].iter().filter(|l| l.contains(&needle));
     let host = |l: &String| l.split_whitespace().nth(1).map(str::to_string);
     lines
         .filter_map(host)
         .map(|h| {
-            let worker = &w.workers[&h];
+            let worker = &world.workers[&h];
             format!("{}/{}", worker.machine_type, worker.zone)
         })
         .collect()
@@ -50,42 +50,42 @@
 /// the division, the overflow to other shards and placement respect them, and excess tasks wait.
 #[test]
 fn a_job_runs_only_in_its_pools() {
-    let mut w = cluster(json!({}));
+    let mut world = cluster(json!({}));
     let rules = requires("MachineType == \"m8\" || Zone == \"c\"");
-    w.submit_with(&World::spec("j-000001", "sweep", 40), rules);
-    w.run(40.0);
+    world.submit_with(&World::spec("j-000001", "sweep", 40), rules);
+    world.run(40.0);
     // Six on the three machines of zone c, four on the large one.
-    assert_eq!(w.running(), 10);
-    let pools: Vec<String> = started(&w, 0, "j-000001").into_iter().collect();
+    assert_eq!(world.running(), 10);
+    let pools: Vec<String> = started(&world, 0, "j-000001").into_iter().collect();
     assert_eq!(pools, ["m4/c", "m8/b"]);
     // A job without rules uses the remaining machines.
-    w.submit(&World::spec("j-000002", "sweep", 40));
-    w.run(30.0);
-    assert_eq!(w.running(), 22);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    world.submit(&World::spec("j-000002", "sweep", 40));
+    world.run(30.0);
+    assert_eq!(world.running(), 22);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against ignored preferences: they come before cached images and free capacity, but a
 /// job does not wait for a preferred machine.
 #[test]
 fn preferred_machines_come_first() {
-    let mut w = cluster(json!({}));
+    let mut world = cluster(json!({}));
     // Zone a holds the image.
     let mut first = World::spec("j-000001", "service", 2);
     first.zone = Some("a".into());
-    w.submit(&first);
-    w.run(5.0);
+    world.submit(&first);
+    world.run(5.0);
     let rules = Some(Rules {
         rank: Some("(Zone == \"c\") * 2 + (MachineType == \"m8\")".into()),
         ..Rules::default()
     });
-    w.submit_with(&World::spec("j-000002", "sweep", 3), rules.clone());
-    w.run(12.0);
-    assert_eq!(started(&w, 0, "j-000002"), ["m4/c".to_string()].into());
-    w.submit_with(&World::spec("j-000003", "sweep", 9), rules);
-    w.run(5.0);
-    assert_eq!(w.running(), 2 + 3 + 9);
-    let pools = started(&w, 0, "j-000003");
+    world.submit_with(&World::spec("j-000002", "sweep", 3), rules.clone());
+    world.run(12.0);
+    assert_eq!(started(&world, 0, "j-000002"), ["m4/c".to_string()].into());
+    world.submit_with(&World::spec("j-000003", "sweep", 9), rules);
+    world.run(5.0);
+    assert_eq!(world.running(), 2 + 3 + 9);
+    let pools = started(&world, 0, "j-000003");
     assert!(
         pools.contains("m4/c") && pools.contains("m8/b"),
         "{pools:?}"
@@ -96,69 +96,72 @@
 /// running tasks stay, and waiting ones follow the new attributes.
 #[test]
 fn waiting_tasks_follow_changed_attributes() {
-    let mut w = cluster(json!({ "a": { "Ledger": true }, "b": { "Ledger": false } }));
-    w.submit_with(&World::spec("j-000001", "service", 10), requires("Ledger"));
-    w.run(20.0);
-    assert_eq!(w.running(), 6);
-    assert_eq!(started(&w, 0, "j-000001"), ["m4/a".to_string()].into());
-    let from = w.trace.len();
-    w.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
-    w.restart_all();
-    w.run(40.0);
-    assert_eq!(w.running(), 10);
-    assert_eq!(started(&w, from, "j-000001"), ["m4/c".to_string()].into());
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = cluster(json!({ "a": { "Ledger": true }, "b": { "Ledger": false } }));
+    world.submit_with(&World::spec("j-000001", "service", 10), requires("Ledger"));
+    world.run(20.0);
+    assert_eq!(world.running(), 6);
+    assert_eq!(started(&world, 0, "j-000001"), ["m4/a".to_string()].into());
+    let from = world.trace.len();
+    world.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
+    world.restart_all();
+    world.run(40.0);
+    assert_eq!(world.running(), 10);
+    assert_eq!(
+        started(&world, from, "j-000001"),
+        ["m4/c".to_string()].into()
+    );
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against a scheduling cycle whose transaction is late and arrives after an operator's
 /// change of attributes: it must not apply, as its assignments were placed by old attributes.
 #[test]
 fn a_late_cycle_is_rejected_after_attributes_change() {
-    let mut w = cluster(json!({ "a": { "Ledger": true } }));
-    w.state_link.hold_owner_commits = [0, 1, 2].into();
-    w.submit_with(&World::spec("j-000001", "sweep", 2), requires("Ledger"));
-    w.run(3.0);
-    let late = std::mem::take(&mut w.state_link.held_commits);
+    let mut world = cluster(json!({ "a": { "Ledger": true } }));
+    world.state_link.hold_owner_commits = [0, 1, 2].into();
+    world.submit_with(&World::spec("j-000001", "sweep", 2), requires("Ledger"));
+    world.run(3.0);
+    let late = std::mem::take(&mut world.state_link.held_commits);
     assert!(
         late.iter()
             .any(|c| c.apply.iter().any(|a| a.key().starts_with("c/mark/")))
     );
-    w.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
-    w.state_link.hold_owner_commits.clear();
-    w.kill(0);
-    w.kill(1);
-    w.kill(2);
+    world.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
+    world.state_link.hold_owner_commits.clear();
+    world.kill(0);
+    world.kill(1);
+    world.kill(2);
     let changed = serde_json::to_value(attributes(json!({ "c": { "Ledger": true } }))).unwrap();
-    w.state.commit(&cherryyard_wire::state::Commit {
+    world.state.commit(&cherryyard_wire::state::Commit {
         when: Vec::new(),
         apply: vec![cherryyard_wire::state::Apply::set("c/attributes", &changed)],
     });
     for commit in &late {
-        let outcome = w.state.commit(commit);
+        let outcome = world.state.commit(commit);
         assert!(!matches!(outcome, cherryyard_core::Outcome::Applied(_)));
     }
     for i in 0..3 {
-        w.start(i);
+        world.start(i);
     }
-    w.run(30.0);
-    assert_eq!(started(&w, 0, "j-000001"), ["m4/c".to_string()].into());
-    assert_eq!(w.running(), 2);
+    world.run(30.0);
+    assert_eq!(started(&world, 0, "j-000001"), ["m4/c".to_string()].into());
+    assert_eq!(world.running(), 2);
 }
 
 /// Guards against jobs for which no machine of the cluster is allowed: an allowed type is
 /// provisioned.
 #[test]
 fn provisioning_follows_the_rules() {
-    let mut w = cluster(json!({}));
-    w.list_machines();
+    let mut world = cluster(json!({}));
+    world.list_machines();
     let rules = requires("MachineType == \"m8\" && Zone == \"b\" && Cpus == 8");
     let mut spec = World::spec("j-000001", "sweep", 30);
     spec.cores = 8.0;
-    w.submit_with(&spec, rules);
-    w.run(12.0);
-    w.list_machines();
-    w.run(20.0);
-    let wanted: BTreeSet<_> = w
+    world.submit_with(&spec, rules);
+    world.run(12.0);
+    world.list_machines();
+    world.run(20.0);
+    let wanted: BTreeSet<_> = world
         .cloud
         .provision_requests
         .iter()
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -3,20 +3,20 @@
 use cherryyard_simulation::{Setup, World, draws, play_seeds};
 
 fn settled(setup: Setup) -> World {
-    let mut w = World::new(setup);
-    w.run(5.0);
-    w
+    let mut world = World::new(setup);
+    world.run(5.0);
+    world
 }
 
-fn count(w: &World, from: usize, needle: &str) -> usize {
-    w.trace[from..]
+fn count(world: &World, from: usize, needle: &str) -> usize {
+    world.trace[from..]
         .iter()
         .filter(|l| l.contains(needle))
         .count()
 }
 
-fn host_of(w: &World, task_name: &str) -> String {
-    let on = w.workers.values().find(|x| x.runs(task_name));
+fn host_of(world: &World, task_name: &str) -> String {
+    let on = world.workers.values().find(|x| x.runs(task_name));
     on.expect("it runs").host.clone()
 }
 
@@ -26,28 +26,28 @@
 /// empty machine. It is used again once it receives traffic.
 #[test]
 fn a_machine_without_inbound_traffic_gets_no_tasks() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 3)],
         ..Setup::default()
     });
-    w.submit(&World::spec("j-000001", "sweep", 2));
-    w.run_until(5.0, |w| w.running() == 2);
-    let host = host_of(&w, "j-000001/0");
-    w.network.inbound_lost.insert(host.clone());
-    w.run(30.0);
-    assert_eq!(w.running(), 2, "{}", w.trace.join("\n"));
-    let from = w.trace.len();
+    world.submit(&World::spec("j-000001", "sweep", 2));
+    world.run_until(5.0, |world| world.running() == 2);
+    let host = host_of(&world, "j-000001/0");
+    world.network.inbound_lost.insert(host.clone());
+    world.run(30.0);
+    assert_eq!(world.running(), 2, "{}", world.trace.join("\n"));
+    let from = world.trace.len();
     for job in 2..8 {
         // Six tasks of two cores: more than the other two machines have left.
-        w.submit(&World::spec(&format!("j-00000{job}"), "service", 1));
+        world.submit(&World::spec(&format!("j-00000{job}"), "service", 1));
     }
-    w.run(40.0);
-    assert_eq!(w.running(), 4, "the other two machines are full");
-    assert_eq!(count(&w, from, &format!("{host} starts")), 0);
-    w.network.inbound_lost.clear();
-    w.run_until(20.0, |w| w.running() == 6);
-    assert_eq!(w.workers.len(), 3, "released");
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    world.run(40.0);
+    assert_eq!(world.running(), 4, "the other two machines are full");
+    assert_eq!(count(&world, from, &format!("{host} starts")), 0);
+    world.network.inbound_lost.clear();
+    world.run_until(20.0, |world| world.running() == 6);
+    assert_eq!(world.workers.len(), 3, "released");
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against releases and stale tasks when all machines of a zone lose inbound traffic,
@@ -56,33 +56,33 @@
 #[test]
 fn a_zone_without_inbound_traffic() {
     for copies in [None, Some(3000.0), Some(25_000.0)] {
-        let mut w = settled(Setup {
+        let mut world = settled(Setup {
             machines: vec![("a", 3), ("b", 3), ("c", 3)],
             ..Setup::default()
         });
-        w.duplicates.delay_ms = copies;
-        w.submit(&World::spec("j-000001", "service", 6));
-        w.submit(&World::spec("j-000002", "sweep", 3));
-        w.run_until(10.0, |w| w.running() == 9);
-        let zone: Vec<String> = w
+        world.duplicates.delay_ms = copies;
+        world.submit(&World::spec("j-000001", "service", 6));
+        world.submit(&World::spec("j-000002", "sweep", 3));
+        world.run_until(10.0, |world| world.running() == 9);
+        let zone: Vec<String> = world
             .workers
             .values()
             .filter(|x| x.zone == "a")
             .map(|x| x.host.clone())
             .collect();
-        w.network.inbound_lost.extend(zone);
-        w.run(3.0);
-        w.cancel(1, "j-000002");
-        w.run(45.0);
-        assert_eq!(w.copies("j-000002/0") + w.copies("j-000002/1"), 0);
+        world.network.inbound_lost.extend(zone);
+        world.run(3.0);
+        world.cancel(1, "j-000002");
+        world.run(45.0);
+        assert_eq!(world.copies("j-000002/0") + world.copies("j-000002/1"), 0);
         let there = (0..6)
-            .filter(|n| w.copies(&format!("j-000001/{n}")) == 1)
+            .filter(|n| world.copies(&format!("j-000001/{n}")) == 1)
             .count();
-        assert_eq!(there, 6, "{}", w.trace.join("\n"));
-        w.network.inbound_lost.clear();
-        w.run(40.0);
-        assert_eq!(w.workers.len(), 9, "released");
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        assert_eq!(there, 6, "{}", world.trace.join("\n"));
+        world.network.inbound_lost.clear();
+        world.run(40.0);
+        assert_eq!(world.workers.len(), 9, "released");
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
 
@@ -93,21 +93,21 @@
 fn copied_reports_extend_no_lease_of_a_dead_machine() {
     let mut waits = Vec::new();
     for copies in [None, Some(2500.0), Some(9000.0), Some(30_000.0)] {
-        let mut w = settled(Setup {
+        let mut world = settled(Setup {
             machines: vec![("a", 3)],
             ..Setup::default()
         });
-        w.duplicates.delay_ms = copies;
-        w.submit(&World::spec("j-000001", "sweep", 1));
-        w.run_until(5.0, |w| w.running() == 1);
-        w.run(35.0);
-        let host = host_of(&w, "j-000001/0");
-        w.network.unreachable.insert(host.clone());
-        w.workers.get_mut(&host).unwrap().tasks.clear();
-        let at = w.now;
-        w.run_until(40.0, |w| w.running() == 1);
-        waits.push((w.now - at) / 1000.0);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        world.duplicates.delay_ms = copies;
+        world.submit(&World::spec("j-000001", "sweep", 1));
+        world.run_until(5.0, |world| world.running() == 1);
+        world.run(35.0);
+        let host = host_of(&world, "j-000001/0");
+        world.network.unreachable.insert(host.clone());
+        world.workers.get_mut(&host).unwrap().tasks.clear();
+        let at = world.now;
+        world.run_until(40.0, |world| world.running() == 1);
+        waits.push((world.now - at) / 1000.0);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
     let without = waits[0];
     assert!(waits.iter().all(|s| *s < without + 2.5), "{waits:?}");
@@ -118,21 +118,21 @@
 #[test]
 fn copied_reports_after_a_takeover_have_no_effect() {
     for ms in [1500.0, 6000.0, 14_000.0, 40_000.0] {
-        let mut w = settled(Setup {
+        let mut world = settled(Setup {
             machines: vec![("a", 3), ("b", 1)],
             ..Setup::default()
         });
-        w.duplicates.delay_ms = Some(ms);
-        w.submit(&World::spec("j-000001", "service", 5));
-        w.run_until(5.0, |w| w.running() == 5);
-        w.run(20.0);
-        w.kill(0);
-        w.run(10.0);
-        w.start(0);
-        w.run(60.0);
-        assert_eq!(w.running(), 5, "{}", w.trace.join("\n"));
-        assert_eq!(w.workers.len(), 4);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        world.duplicates.delay_ms = Some(ms);
+        world.submit(&World::spec("j-000001", "service", 5));
+        world.run_until(5.0, |world| world.running() == 5);
+        world.run(20.0);
+        world.kill(0);
+        world.run(10.0);
+        world.start(0);
+        world.run(60.0);
+        assert_eq!(world.running(), 5, "{}", world.trace.join("\n"));
+        assert_eq!(world.workers.len(), 4);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
 
@@ -143,26 +143,26 @@
 #[test]
 fn a_restarted_workers_reports_are_not_taken_for_copies() {
     for copies in [None, Some(2000.0), Some(30_000.0)] {
-        let mut w = settled(Setup {
+        let mut world = settled(Setup {
             machines: vec![("a", 2)],
             ..Setup::default()
         });
-        w.duplicates.delay_ms = copies;
-        w.submit(&World::spec("j-000001", "service", 3));
-        w.run_until(5.0, |w| w.running() == 3);
-        w.run(60.0);
-        let host = host_of(&w, "j-000001/1");
-        w.reborn(&host);
-        assert!(w.running() < 3);
-        let from = w.trace.len();
-        w.run_until(12.0, |w| w.running() == 3);
-        w.run(60.0);
+        world.duplicates.delay_ms = copies;
+        world.submit(&World::spec("j-000001", "service", 3));
+        world.run_until(5.0, |world| world.running() == 3);
+        world.run(60.0);
+        let host = host_of(&world, "j-000001/1");
+        world.reborn(&host);
+        assert!(world.running() < 3);
+        let from = world.trace.len();
+        world.run_until(12.0, |world| world.running() == 3);
+        world.run(60.0);
         assert!(
-            count(&w, from, "starts") <= 2,
+            count(&world, from, "starts") <= 2,
             "more starts than lost tasks"
         );
-        assert_eq!(w.running(), 3);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        assert_eq!(world.running(), 3);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
 
@@ -170,25 +170,25 @@
 /// flight. Nothing starts elsewhere before a higher token makes that start invalid.
 #[test]
 fn a_start_to_a_workers_previous_process() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 2)],
         ..Setup::default()
     });
-    w.run(30.0);
-    let hosts: Vec<String> = w.workers.keys().cloned().collect();
-    w.machines.slow_commands.extend(hosts.clone());
-    w.submit(&World::spec("j-000001", "service", 1));
-    w.run_until(5.0, |w| !w.machines.held_commands.is_empty());
-    let host = w.machines.held_commands[0].machine.clone();
-    let held = std::mem::take(&mut w.machines.held_commands);
-    w.reborn(&host);
-    w.machines.held_commands = held;
-    w.run(15.0);
-    w.machines.slow_commands.clear();
-    w.deliver_direct();
-    w.run(20.0);
-    assert_eq!(w.copies("j-000001/0"), 1, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    world.run(30.0);
+    let hosts: Vec<String> = world.workers.keys().cloned().collect();
+    world.machines.slow_commands.extend(hosts.clone());
+    world.submit(&World::spec("j-000001", "service", 1));
+    world.run_until(5.0, |world| !world.machines.held_commands.is_empty());
+    let host = world.machines.held_commands[0].machine.clone();
+    let held = std::mem::take(&mut world.machines.held_commands);
+    world.reborn(&host);
+    world.machines.held_commands = held;
+    world.run(15.0);
+    world.machines.slow_commands.clear();
+    world.deliver_direct();
+    world.run(20.0);
+    assert_eq!(world.copies("j-000001/0"), 1, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against a task that counts as running for ever after a worker restarts while its shard
@@ -197,45 +197,45 @@
 /// overlaps below).
 #[test]
 fn a_worker_restarts_under_a_new_owner() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 2)],
         ..Setup::default()
     });
     let host = "host-000000".to_string();
     // The worker's second incarnation.
-    w.network.unreachable.insert(host.clone());
-    w.run(12.0);
-    w.network.unreachable.clear();
-    w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", 4));
-    w.run_until(5.0, |w| w.running() == 4);
-    w.kill(0);
-    w.run(1.0);
-    w.reborn(&host);
-    w.start(0);
-    w.run_until(25.0, |w| w.running() == 4);
-    w.run(30.0);
-    assert_eq!(w.running(), 4);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    world.network.unreachable.insert(host.clone());
+    world.run(12.0);
+    world.network.unreachable.clear();
+    world.run(5.0);
+    world.submit(&World::spec("j-000001", "service", 4));
+    world.run_until(5.0, |world| world.running() == 4);
+    world.kill(0);
+    world.run(1.0);
+    world.reborn(&host);
+    world.start(0);
+    world.run_until(25.0, |world| world.running() == 4);
+    world.run(30.0);
+    assert_eq!(world.running(), 4);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against status queries for each report: a cluster without faults sends none, and one
 /// with copies of all reports sends few.
 #[test]
 fn few_status_queries_are_sent() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 10), ("b", 10)],
         ..Setup::default()
     });
-    w.submit(&World::spec("j-000001", "service", 20));
-    w.run(60.0);
-    assert_eq!(w.machines.status_queries, 0);
-    w.duplicates.delay_ms = Some(7000.0);
-    w.run(60.0);
+    world.submit(&World::spec("j-000001", "service", 20));
+    world.run(60.0);
+    assert_eq!(world.machines.status_queries, 0);
+    world.duplicates.delay_ms = Some(7000.0);
+    world.run(60.0);
     assert!(
-        w.machines.status_queries <= 20,
+        world.machines.status_queries <= 20,
         "{}",
-        w.machines.status_queries
+        world.machines.status_queries
     );
 }
 
@@ -243,84 +243,84 @@
 /// afterwards each task that was not cancelled runs exactly once.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 3), ("b", 3), ("c", 3)],
         ..Setup::default()
     });
     let jobs = 8;
     for job in 1..=jobs {
         let shape = if job % 2 == 0 { "service" } else { "sweep" };
-        w.submit(&World::spec(&format!("j-00000{job}"), shape, 1));
+        world.submit(&World::spec(&format!("j-00000{job}"), shape, 1));
     }
-    w.run(5.0);
+    world.run(5.0);
     let mut cancelled = 0;
     for _ in 0..12 {
-        let hosts: Vec<String> = w.workers.keys().cloned().collect();
+        let hosts: Vec<String> = world.workers.keys().cloned().collect();
         let host = hosts[draw(hosts.len() as u64) as usize].clone();
         let i = draw(3) as usize;
         match draw(11) {
-            0 => drop(w.network.inbound_lost.insert(host)),
-            1 => w.network.inbound_lost.extend(
+            0 => drop(world.network.inbound_lost.insert(host)),
+            1 => world.network.inbound_lost.extend(
                 hosts
                     .into_iter()
                     .filter(|h| h.as_bytes()[10] % 3 == i as u8),
             ),
-            2 => w.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
-            3 => w.reborn(&host),
+            2 => world.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
+            3 => world.reborn(&host),
             4 => {
-                if w.controllers[i].is_some() {
-                    w.kill(i);
-                    w.run([0.0, 0.05, 0.5, 4.0][draw(4) as usize]);
+                if world.controllers[i].is_some() {
+                    world.kill(i);
+                    world.run([0.0, 0.05, 0.5, 4.0][draw(4) as usize]);
                 }
-                w.start(i);
+                world.start(i);
             }
-            5 => drop(w.processes.frozen.insert(i)),
-            6 => drop(w.network.isolated.insert(i)),
+            5 => drop(world.processes.frozen.insert(i)),
+            6 => drop(world.network.isolated.insert(i)),
             7 => {
-                w.state_link.refused.insert(i);
-                w.network.isolated.insert(i);
+                world.state_link.refused.insert(i);
+                world.network.isolated.insert(i);
             }
-            8 => drop(w.machines.slow_commands.insert(host)),
-            9 => drop(w.network.unreachable.insert(host)),
+            8 => drop(world.machines.slow_commands.insert(host)),
+            9 => drop(world.network.unreachable.insert(host)),
             _ => {
-                w.network.inbound_lost.clear();
-                w.processes.frozen.clear();
-                w.network.isolated.clear();
-                w.state_link.refused.clear();
-                w.network.unreachable.clear();
-                w.machines.slow_commands.clear();
-                w.deliver_direct();
+                world.network.inbound_lost.clear();
+                world.processes.frozen.clear();
+                world.network.isolated.clear();
+                world.state_link.refused.clear();
+                world.network.unreachable.clear();
+                world.machines.slow_commands.clear();
+                world.deliver_direct();
             }
         }
         if cancelled < 2
             && draw(100) < 15
-            && w.state_link.refused.len() + w.processes.frozen.len() == 0
+            && world.state_link.refused.len() + world.processes.frozen.len() == 0
         {
             cancelled += 1;
             let id = format!("j-00000{}", jobs + 1 - cancelled);
-            w.cancel(0, &id);
+            world.cancel(0, &id);
         }
-        w.run(0.2 + draw(88) as f64 / 10.0);
+        world.run(0.2 + draw(88) as f64 / 10.0);
     }
-    w.network.inbound_lost.clear();
-    w.processes.frozen.clear();
-    w.network.isolated.clear();
-    w.state_link.refused.clear();
-    w.network.unreachable.clear();
-    w.machines.slow_commands.clear();
-    w.deliver_direct();
+    world.network.inbound_lost.clear();
+    world.processes.frozen.clear();
+    world.network.isolated.clear();
+    world.state_link.refused.clear();
+    world.network.unreachable.clear();
+    world.machines.slow_commands.clear();
+    world.deliver_direct();
     for _ in 0..20 {
-        w.run(5.0);
-        w.list_machines();
+        world.run(5.0);
+        world.list_machines();
     }
-    assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
     for job in 1..=jobs - cancelled {
         let task_name = format!("j-00000{job}/0");
         assert_eq!(
-            w.copies(&task_name),
+            world.copies(&task_name),
             1,
             "seed {seed}: {task_name}\n{}",
-            w.trace.join("\n")
+            world.trace.join("\n")
         );
     }
 }
@@ -343,27 +343,27 @@
 /// for three seconds is reconnected, and again after three more; one that acknowledges is not.
 #[test]
 fn a_peer_that_acknowledges_nothing_is_reconnected() {
-    let mut w = settled(Setup::default());
-    let to_reconnect = |w: &mut World| -> Vec<String> {
-        let now = w.now;
-        let controller = w.controllers[0].as_mut().expect("running");
+    let mut world = settled(Setup::default());
+    let to_reconnect = |world: &mut World| -> Vec<String> {
+        let now = world.now;
+        let controller = world.controllers[0].as_mut().expect("running");
         controller
             .peers_to_reconnect(now)
             .into_iter()
             .map(Into::into)
             .collect()
     };
-    assert!(to_reconnect(&mut w).is_empty());
-    w.kill(2);
-    w.run(2.0);
-    assert!(to_reconnect(&mut w).is_empty());
+    assert!(to_reconnect(&mut world).is_empty());
+    world.kill(2);
+    world.run(2.0);
+    assert!(to_reconnect(&mut world).is_empty());
     let mut reconnected = Vec::new();
     for _ in 0..16 {
-        w.run(0.5);
-        reconnected.extend(to_reconnect(&mut w));
+        world.run(0.5);
+        reconnected.extend(to_reconnect(&mut world));
     }
     assert_eq!(reconnected, ["node-2", "node-2"]);
-    w.start(2);
-    w.run(3.5);
-    assert!(to_reconnect(&mut w).is_empty());
+    world.start(2);
+    world.run(3.5);
+    assert!(to_reconnect(&mut world).is_empty());
 }
--- a/crates/cherryyard-simulation/tests/request_races.rs
+++ b/crates/cherryyard-simulation/tests/request_races.rs
@@ -17,34 +17,38 @@
         for (late, lost) in [(0, 0), (30, 0), (0, 30)] {
             for ends in [false, true] {
                 let case = format!("{slow_ms} ms, {late}% late, {lost}% lost, ends {ends}");
-                let mut w = cluster(0.0, 2.0);
+                let mut world = cluster(0.0, 2.0);
                 let mut users = Users::default();
-                w.seed_late(slow_ms as u64 + late + lost);
-                w.requests.seed(late + lost + u64::from(ends));
+                world.seed_late(slow_ms as u64 + late + lost);
+                world.requests.seed(late + lost + u64::from(ends));
                 (
-                    w.state_link.latency_ms,
-                    w.state_link.delayed_percent,
-                    w.state_link.lost_response_percent,
+                    world.state_link.latency_ms,
+                    world.state_link.delayed_percent,
+                    world.state_link.lost_response_percent,
                 ) = (slow_ms, late, lost);
-                w.requests.close_looks = true;
+                world.requests.close_looks = true;
                 for second in 0..40u64 {
                     let shape = if second % 4 == 3 { "service" } else { "sweep" };
                     let spec = job(second + 1, shape, 1 + second as u32 % 3);
-                    w.submit_at(second as usize % 3, &spec);
+                    world.submit_at(second as usize % 3, &spec);
                     if second % 4 == 0 && second >= 8 {
                         let id = format!("j-{:06}", second - 4);
-                        w.insist(second as usize % 3, &id, Question::Cancel);
+                        world.insist(second as usize % 3, &id, Question::Cancel);
                     }
                     let i = (second / 10) as usize % 3;
                     match second % 10 {
-                        5 if ends => w.kill(i),
-                        7 if ends => w.start(i),
+                        5 if ends => world.kill(i),
+                        7 if ends => world.start(i),
                         _ => {}
                     }
-                    users.run(&mut w, 1.0);
+                    users.run(&mut world, 1.0);
                 }
-                assert_recovers(&mut w, &mut users, &case);
-                assert!(w.requests.judged > 500, "{case}: {}", w.requests.judged);
+                assert_recovers(&mut world, &mut users, &case);
+                assert!(
+                    world.requests.judged > 500,
+                    "{case}: {}",
+                    world.requests.judged
+                );
             }
         }
     }
@@ -54,38 +58,38 @@
 /// task a second for three minutes, a quarter of them cancelled.
 #[test]
 fn one_task_jobs_four_a_second() {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         zones: vec!["a"; 7],
         machines: vec![("a", 28)],
         write_rps: 15.0,
         ..Setup::default()
     });
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = 6000.0;
     }
-    w.cloud.list_every_ms = Some(10_000.0);
-    w.run(8.0);
+    world.cloud.list_every_ms = Some(10_000.0);
+    world.run(8.0);
     let mut users = Users::default();
-    let (before, seconds) = (w.state.writes, 180);
+    let (before, seconds) = (world.state.writes, 180);
     for n in 0..seconds * 4 {
-        w.submit_at(n as usize % 7, &job(n + 1, "sweep", 1));
+        world.submit_at(n as usize % 7, &job(n + 1, "sweep", 1));
         if n % 4 == 3 {
             let id = format!("j-{:06}", n - n % 8);
-            w.insist(n as usize % 5, &id, Question::Cancel);
+            world.insist(n as usize % 5, &id, Question::Cancel);
         }
         if n % 2 == 1 {
-            users.run(&mut w, 0.5);
+            users.run(&mut world, 0.5);
         }
     }
-    let writes = (w.state.writes - before) as f64 / seconds as f64;
+    let writes = (world.state.writes - before) as f64 / seconds as f64;
     assert!(writes < 15.0, "{writes} writes a second");
-    assert_recovers(&mut w, &mut users, "four a second");
+    assert_recovers(&mut world, &mut users, "four a second");
     assert!(
         users.longest < 30_000.0,
         "{} ms without an answer",
         users.longest
     );
-    let waited = users.longest_wait(&w);
+    let waited = users.longest_wait(&world);
     assert!(waited < 30_000.0, "{waited} ms until a task started");
 }
 
@@ -95,27 +99,27 @@
 fn requests_race_the_end_of_the_last_task() {
     for step in 0..24 {
         for at in 0..3 {
-            let mut w = cluster(0.0, 3.0);
+            let mut world = cluster(0.0, 3.0);
             let mut users = Users::default();
-            w.requests.seed(step * 3 + at);
-            w.requests.close_looks = step % 2 == 0;
+            world.requests.seed(step * 3 + at);
+            world.requests.close_looks = step % 2 == 0;
             for n in 1..=6 {
-                w.submit_at(n as usize % 3, &job(n, "sweep", 1 + n as u32 % 3));
+                world.submit_at(n as usize % 3, &job(n, "sweep", 1 + n as u32 % 3));
             }
-            users.run(&mut w, 2.5);
-            w.run(step as f64 * 0.1);
+            users.run(&mut world, 2.5);
+            world.run(step as f64 * 0.1);
             for n in 1..=6u64 {
                 let (i, id) = ((n + at) as usize % 3, format!("j-{n:06}"));
                 match n % 3 {
-                    0 => drop(w.insist(i, &id, Question::Cancel)),
-                    1 => drop(w.ask_once(i, &id, Question::Poll)),
-                    _ => drop(w.submit_at(i, &job(n, "sweep", 1 + n as u32 % 3))),
+                    0 => drop(world.insist(i, &id, Question::Cancel)),
+                    1 => drop(world.ask_once(i, &id, Question::Poll)),
+                    _ => drop(world.submit_at(i, &job(n, "sweep", 1 + n as u32 % 3))),
                 }
-                w.insist((i + 1) % 3, &id, Question::Cancel);
-                w.run(0.05);
+                world.insist((i + 1) % 3, &id, Question::Cancel);
+                world.run(0.05);
             }
-            users.run(&mut w, 10.0);
-            assert_recovers(&mut w, &mut users, &format!("step {step}, at {at}"));
+            users.run(&mut world, 10.0);
+            assert_recovers(&mut world, &mut users, &format!("step {step}, at {at}"));
         }
     }
 }
@@ -126,31 +130,31 @@
 #[test]
 fn odd_requests() {
     for seed in 0..6 {
-        let mut w = cluster(24.0, 3.0);
+        let mut world = cluster(24.0, 3.0);
         let mut users = Users::default();
-        w.requests.seed(seed);
-        (w.requests.odd, w.requests.close_looks) = (true, seed % 2 == 0);
+        world.requests.seed(seed);
+        (world.requests.odd, world.requests.close_looks) = (true, seed % 2 == 0);
         for second in 0..60u64 {
-            w.submit_at(
+            world.submit_at(
                 second as usize % 3,
                 &job(second + 1, "sweep", 1 + second as u32 % 3),
             );
             if second % 7 == 6 {
                 let id = format!("j-{second:06}");
-                w.insist(second as usize % 3, &id, Question::Cancel);
+                world.insist(second as usize % 3, &id, Question::Cancel);
             }
             if second == 30 && seed % 3 == 0 {
-                let i = leader(&w);
-                w.kill(i);
-                w.start(i);
+                let i = leader(&world);
+                world.kill(i);
+                world.start(i);
             }
-            users.run(&mut w, 1.0);
+            users.run(&mut world, 1.0);
         }
         assert!(
-            w.requests.impossible.len() > 10,
+            world.requests.impossible.len() > 10,
             "{}",
-            w.requests.impossible.len()
+            world.requests.impossible.len()
         );
-        assert_recovers(&mut w, &mut users, &format!("seed {seed}"));
+        assert_recovers(&mut world, &mut users, &format!("seed {seed}"));
     }
 }
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -13,35 +13,35 @@
 /// cancel jobs then, so workers' leases are renewed as long as it lasts, and nothing new starts.
 #[test]
 fn running_tasks_survive_an_outage_for_all() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "service", 3));
-    w.run_until(5.0, |w| w.running() == 3);
-    w.submit(&World::spec("j-000002", "service", 1));
-    w.state_link.refused.extend([0, 1, 2]);
-    w.run(90.0);
-    assert_eq!(w.running(), 3, "{}", w.trace.join("\n"));
-    w.state_link.refused.clear();
-    w.run(10.0);
-    assert_eq!(w.running(), 4, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "service", 3));
+    world.run_until(5.0, |world| world.running() == 3);
+    world.submit(&World::spec("j-000002", "service", 1));
+    world.state_link.refused.extend([0, 1, 2]);
+    world.run(90.0);
+    assert_eq!(world.running(), 3, "{}", world.trace.join("\n"));
+    world.state_link.refused.clear();
+    world.run(10.0);
+    assert_eq!(world.running(), 4, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against responses older than earlier ones: at another controller, at one that is cut
 /// off afterwards, and after a late event of the watch.
 #[test]
 fn reads_never_go_back() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "service", 1));
-    w.run(2.0);
-    let old = w.state.events(0);
-    w.cancel(0, "j-000001");
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "service", 1));
+    world.run(2.0);
+    let old = world.state.events(0);
+    world.cancel(0, "j-000001");
     for i in [1, 2, 0] {
-        let status = w.view(i, "j-000001").map(|v| v.status);
+        let status = world.view(i, "j-000001").map(|v| v.status);
         assert_eq!(status, Some(JobStatus::Cancelled), "node-{i}");
     }
-    w.state_link.refused.insert(1);
-    let now = w.now;
-    let controller = w.controllers[1].as_mut().unwrap();
+    world.state_link.refused.insert(1);
+    let now = world.now;
+    let controller = world.controllers[1].as_mut().unwrap();
     controller.events(&old, now, now);
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
@@ -64,10 +64,10 @@
         now,
     );
     assert_eq!(
-        w.view(1, "j-000001").map(|v| v.status),
+        world.view(1, "j-000001").map(|v| v.status),
         Some(JobStatus::Cancelled)
     );
-    let open = &w.controllers[1].as_ref().unwrap().mirror.open;
+    let open = &world.controllers[1].as_ref().unwrap().mirror.open;
     assert!(
         !open.contains_key(&1),
         "the cancelled job must not be open again"
@@ -78,27 +78,27 @@
 /// its shard back at once, and the job completes.
 #[test]
 fn trace_of_a_rolling_restart() {
-    let mut w = settled(Setup::default());
-    for x in w.workers.values_mut() {
+    let mut world = settled(Setup::default());
+    for x in world.workers.values_mut() {
         x.run_ms = 9000.0;
     }
-    w.submit(&World::spec("j-000001", "sweep", 9));
+    world.submit(&World::spec("j-000001", "sweep", 9));
     for i in 0..3 {
-        w.run(2.0);
-        w.kill(i);
-        w.run(4.0);
-        w.start(i);
+        world.run(2.0);
+        world.kill(i);
+        world.run(4.0);
+        world.start(i);
     }
-    w.run(30.0);
-    let view = w.view(2, "j-000001").unwrap();
+    world.run(30.0);
+    let view = world.view(2, "j-000001").unwrap();
     assert_eq!(
         (view.status, view.done),
         (JobStatus::Done, 9),
         "{}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
 /// Guards against disruption when only the connections between controllers fail. The leader stays
@@ -107,39 +107,39 @@
 /// got everything).
 #[test]
 fn lost_connections_between_controllers_keep_the_leader() {
-    let mut w = settled(Setup::default());
-    w.list_machines();
-    w.run(5.0);
-    let leadership = w.state.get("c/lead").unwrap().1;
-    w.network.isolated.extend([0, 1, 2]);
-    w.run(20.0);
-    w.list_machines();
-    w.run(3.0);
-    w.submit(&World::spec("j-000001", "sweep", 6));
-    w.run(3.0);
+    let mut world = settled(Setup::default());
+    world.list_machines();
+    world.run(5.0);
+    let leadership = world.state.get("c/lead").unwrap().1;
+    world.network.isolated.extend([0, 1, 2]);
+    world.run(20.0);
+    world.list_machines();
+    world.run(3.0);
+    world.submit(&World::spec("j-000001", "sweep", 6));
+    world.run(3.0);
     assert_eq!(
-        w.state.get("c/lead").unwrap().1,
+        world.state.get("c/lead").unwrap().1,
         leadership,
         "the leader changed"
     );
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against errors of a full read in chunks, between which other events are processed: keys
 /// that it lacks are removed only at its end, and newer values stay.
 #[test]
 fn a_full_read_in_chunks() {
-    let mut w = settled(Setup::default());
+    let mut world = settled(Setup::default());
     for n in 1..=8 {
-        w.submit(&World::spec(&format!("j-{n:06}"), "service", 1));
+        world.submit(&World::spec(&format!("j-{n:06}"), "service", 1));
     }
-    w.run(10.0);
-    w.cancel(0, "j-000003");
-    w.run(10.0);
-    let watched_mirror = &w.controllers[0].as_ref().unwrap().mirror;
-    let mut mirror = Mirror::new(&w.controllers[0].as_ref().unwrap().config);
-    let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
+    world.run(10.0);
+    world.cancel(0, "j-000003");
+    world.run(10.0);
+    let watched_mirror = &world.controllers[0].as_ref().unwrap().mirror;
+    let mut mirror = Mirror::new(&world.controllers[0].as_ref().unwrap().config);
+    let (pairs, store_revision) = (world.state.pairs(), world.state.store_revision());
     mirror.begin_load();
     for some in pairs.chunks(2) {
         mirror.load_some(some);
--- a/crates/cherryyard-simulation/tests/sharding.rs
+++ b/crates/cherryyard-simulation/tests/sharding.rs
@@ -12,7 +12,7 @@
 /// ever ran.
 #[test]
 fn a_team_limit_over_twenty_four_shards() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         zones: vec!["a"; 24],
         machines: vec![("a", 48)],
         limit: 60.0,
@@ -20,48 +20,49 @@
         write_rps: 100.0,
         ..Setup::default()
     });
-    for x in w.workers.values_mut() {
+    for x in world.workers.values_mut() {
         x.run_ms = 5000.0;
     }
-    w.submit(&World::spec("j-000001", "sweep", 200));
-    w.run(20.0);
-    assert_eq!(w.checker.most_cores, 60.0);
-    w.run(80.0);
-    assert_eq!(w.view(3, "j-000001").unwrap().status, JobStatus::Done);
-    assert_eq!(w.checker.most_cores, 60.0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    world.submit(&World::spec("j-000001", "sweep", 200));
+    world.run(20.0);
+    assert_eq!(world.checker.most_cores, 60.0);
+    world.run(80.0);
+    assert_eq!(world.view(3, "j-000001").unwrap().status, JobStatus::Done);
+    assert_eq!(world.checker.most_cores, 60.0);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against a team limit that is exceeded over three shards, or that one shard cannot use.
 #[test]
 fn a_team_limit_over_three_shards() {
     let machines = vec![("a", 4), ("b", 4), ("c", 4)];
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines,
         limit: 12.0,
         ..Setup::default()
     });
-    for x in w.workers.values_mut() {
+    for x in world.workers.values_mut() {
         x.run_ms = 4000.0;
     }
-    w.submit(&World::spec("j-000001", "sweep", 40));
-    w.run_until(120.0, |w| {
-        w.state
+    world.submit(&World::spec("j-000001", "sweep", 40));
+    world.run_until(120.0, |world| {
+        world
+            .state
             .pairs()
             .iter()
             .any(|p| p.value.text().contains("done"))
     });
-    assert_eq!(w.checker.most_cores, 12.0);
-    w.checker.most_cores = 0.0;
+    assert_eq!(world.checker.most_cores, 12.0);
+    world.checker.most_cores = 0.0;
     let mut spec = World::spec("j-000002", "sweep", 12);
     spec.zone = Some("a".into());
-    w.submit(&spec);
-    w.run(60.0);
+    world.submit(&spec);
+    world.run(60.0);
     assert_eq!(
-        w.checker.most_cores, 12.0,
+        world.checker.most_cores, 12.0,
         "the other shards return unused grants"
     );
-    let view = w.view(1, "j-000002").unwrap();
+    let view = world.view(1, "j-000002").unwrap();
     assert_eq!((view.status, view.done), (JobStatus::Done, 12));
 }
 
@@ -69,49 +70,49 @@
 /// with free capacity, and only those that it has not assigned.
 #[test]
 fn overflow_moves_only_unassigned_tasks() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "sweep", 12));
-    w.run_until(5.0, |w| w.running() == 6);
-    w.run(0.5);
-    let record = |w: &World| w.division(1);
-    let before = record(&w);
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "sweep", 12));
+    world.run_until(5.0, |world| world.running() == 6);
+    world.run(0.5);
+    let record = |world: &World| world.division(1);
+    let before = record(&world);
     let assigned: Vec<Vec<u32>> = (0..3)
         .map(|p| {
-            let controller = w.controllers[0].as_ref().unwrap();
+            let controller = world.controllers[0].as_ref().unwrap();
             let assignments = &controller.mirror.tasks.assignments[&(p, 1)];
             assignments.assignments.keys().copied().collect()
         })
         .collect();
     for n in 10..13 {
         let name = format!("host-{n:06}");
-        let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, w.now);
-        w.workers.insert(name, worker);
+        let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, world.now);
+        world.workers.insert(name, worker);
     }
-    w.run(Tuning::default().autoscale_multi_cluster_delay_s / 2.0);
-    assert_eq!(record(&w)[0], before[0], "not before the delay");
-    w.run(20.0);
-    let after = record(&w);
-    assert_eq!(w.running(), 12, "{}", w.trace.join("\n"));
+    world.run(Tuning::default().autoscale_multi_cluster_delay_s / 2.0);
+    assert_eq!(record(&world)[0], before[0], "not before the delay");
+    world.run(20.0);
+    let after = record(&world);
+    assert_eq!(world.running(), 12, "{}", world.trace.join("\n"));
     for p in 0..3 {
         for &n in &assigned[p] {
             assert!(after[p].contains(n), "task {n} was assigned in shard {p}");
         }
     }
     assert!(after[2].len() > before[2].len());
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
 /// Guards against a large array placed mostly on one shard: tasks beyond all free capacity are
 /// divided by machine counts, not by the few free cores.
 #[test]
 fn excess_tasks_are_divided_over_all_shards() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "sweep", 5));
-    w.run(3.0);
-    assert_eq!(w.running(), 5);
-    w.submit(&World::spec("j-000002", "sweep", 31));
-    w.run(2.0);
-    let division_of_job = w.division(2);
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "sweep", 5));
+    world.run(3.0);
+    assert_eq!(world.running(), 5);
+    world.submit(&World::spec("j-000002", "sweep", 31));
+    world.run(2.0);
+    let division_of_job = world.division(2);
     let shares: Vec<u32> = division_of_job.iter().map(|s| s.len()).collect();
     assert_eq!(shares.iter().sum::<u32>(), 31);
     assert!(shares.iter().all(|n| (10..=11).contains(n)), "{shares:?}");
--- a/crates/cherryyard-simulation/tests/state_budgets.rs
+++ b/crates/cherryyard-simulation/tests/state_budgets.rs
@@ -16,21 +16,21 @@
         txn_ops: 2,
         ..Setup::default()
     };
-    let mut w = settled(setup);
-    for x in w.workers.values_mut() {
+    let mut world = settled(setup);
+    for x in world.workers.values_mut() {
         x.run_ms = 500.0;
     }
-    w.submit(&World::spec("j-000001", "sweep", 150));
-    w.run(90.0);
-    let view = w.view(0, "j-000001").unwrap();
+    world.submit(&World::spec("j-000001", "sweep", 150));
+    world.run(90.0);
+    let view = world.view(0, "j-000001").unwrap();
     assert_eq!(
         (view.status, view.done),
         (JobStatus::Done, 150),
         "{}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
     for prefix in ["c/mark", "c/job"] {
-        let largest = w.state.largest(prefix);
+        let largest = world.state.largest(prefix);
         assert!((20..=1024).contains(&largest), "{prefix}: {largest} bytes");
     }
 }
@@ -40,31 +40,31 @@
 /// large deployment, and most tasks waited for the state service, not for machines.
 #[test]
 fn a_cycle_costs_a_write_or_two() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         machines: vec![("a", 10)],
         ..Setup::default()
     });
-    for x in w.workers.values_mut() {
+    for x in world.workers.values_mut() {
         x.run_ms = 3000.0;
     }
-    w.run(4.0);
-    let before = w.state.assignment_writes;
+    world.run(4.0);
+    let before = world.state.assignment_writes;
     for i in 0..10 {
-        w.submit(&World::spec(&format!("j-00001{i}"), "sweep", 2));
+        world.submit(&World::spec(&format!("j-00001{i}"), "sweep", 2));
     }
-    w.run_until(3.0, |w| w.running() == 20);
-    let starting = w.state.assignment_writes - before;
+    world.run_until(3.0, |world| world.running() == 20);
+    let starting = world.state.assignment_writes - before;
     assert!(
         (1..=4).contains(&starting),
         "{starting} writes for ten jobs"
     );
-    w.run(12.0);
-    assert_eq!(w.running(), 0);
-    let all = w.state.assignment_writes - before;
+    world.run(12.0);
+    assert_eq!(world.running(), 0);
+    let all = world.state.assignment_writes - before;
     assert!(all <= 12, "{all} writes from start to end of ten jobs");
     let none = Vec::<String>::new();
     assert_eq!(
-        assignments_left(&w),
+        assignments_left(&world),
         none,
         "no assignments of ended jobs are kept"
     );
@@ -75,36 +75,41 @@
 /// cancellation.
 #[test]
 fn a_large_array_at_the_smallest_budgets() {
-    let mut w = settled(Setup {
+    let mut world = settled(Setup {
         zones: vec!["a"; 7],
         machines: vec![("a", 21)],
         ..Setup::default()
     });
-    for x in w.workers.values_mut() {
+    for x in world.workers.values_mut() {
         x.run_ms = 1500.0;
     }
-    let claims = |w: &World| {
-        w.trace
+    let claims = |world: &World| {
+        world
+            .trace
             .iter()
             .filter(|l| l.contains("claims c/part"))
             .count()
     };
-    let claimed = claims(&w);
-    w.submit(&World::spec("j-000001", "sweep", 100_000));
-    w.run_until(5.0, |w| w.running() == 42);
-    let writes = w.state.writes;
-    w.run(30.0);
-    let view = w.view(3, "j-000001").unwrap();
+    let claimed = claims(&world);
+    world.submit(&World::spec("j-000001", "sweep", 100_000));
+    world.run_until(5.0, |world| world.running() == 42);
+    let writes = world.state.writes;
+    world.run(30.0);
+    let view = world.view(3, "j-000001").unwrap();
     assert!(view.done > 300, "{view:?}");
-    let rate = (w.state.writes - writes) as f64 / 30.0;
+    let rate = (world.state.writes - writes) as f64 / 30.0;
     assert!(rate <= 20.0, "{rate} writes a second");
-    assert_eq!(claims(&w), claimed, "no claim was lost");
-    w.cancel(5, "j-000001");
-    w.run(10.0);
-    assert_eq!(w.running(), 0);
-    let largest = w.state.largest("c/");
+    assert_eq!(claims(&world), claimed, "no claim was lost");
+    world.cancel(5, "j-000001");
+    world.run(10.0);
+    assert_eq!(world.running(), 0);
+    let largest = world.state.largest("c/");
     assert!((200..=4096).contains(&largest), "{largest} bytes");
-    assert!(w.state.most_ops <= 8, "{}", w.state.most_ops);
-    assert!(w.state.most_conditions <= 32, "{}", w.state.most_conditions);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(world.state.most_ops <= 8, "{}", world.state.most_ops);
+    assert!(
+        world.state.most_conditions <= 32,
+        "{}",
+        world.state.most_conditions
+    );
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
--- a/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
+++ b/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
@@ -88,22 +88,22 @@
 
 /// Returns a cluster of three shards, 200 machines of two types, and a limited team.
 fn cluster() -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 60), ("b", 60), ("c", 60)],
         large: vec![("b", 20)],
         limit: 400.0,
         ..Setup::default()
     });
-    w.network.unreachable = w.workers.keys().cloned().collect();
-    w.workers.values_mut().for_each(|x| x.run_ms = 9000.0);
-    w.run(5.0);
-    w
+    world.network.unreachable = world.workers.keys().cloned().collect();
+    world.workers.values_mut().for_each(|x| x.run_ms = 9000.0);
+    world.run(5.0);
+    world
 }
 
 /// Returns the machine of each running task.
-fn places(w: &World) -> BTreeMap<String, String> {
+fn places(world: &World) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
-    for worker in w.workers.values() {
+    for worker in world.workers.values() {
         for task_name in worker.running_tasks() {
             all.insert(task_name.clone(), worker.host.clone());
         }
@@ -111,8 +111,9 @@
     all
 }
 
-fn open_jobs(w: &World) -> usize {
-    w.controllers
+fn open_jobs(world: &World) -> usize {
+    world
+        .controllers
         .iter()
         .flatten()
         .next()
@@ -129,8 +130,8 @@
     let mut file_world = cluster();
     let at = file_world.now;
     let (number, first) = file_world.queue("ledger", &chunks);
-    file_world.run_until(40.0, |w| {
-        w.submission(number).unwrap().phase == Phase::Created
+    file_world.run_until(40.0, |world| {
+        world.submission(number).unwrap().phase == Phase::Created
     });
     // The native jobs have the same ids in the same order and are submitted at the same time.
     let mut native_world = cluster();
@@ -142,38 +143,46 @@
         native_world.submit_with(&spec, rules);
     }
     let mut placed = Vec::new();
-    for w in [&mut file_world, &mut native_world] {
+    for world in [&mut file_world, &mut native_world] {
         let until = at + 45_000.0;
-        while w.now < until {
-            w.run(0.05);
+        while world.now < until {
+            world.run(0.05);
         }
-        assert_eq!(w.running(), 0);
-        w.network.unreachable.clear();
-        w.run(6.0);
-        assert!(w.running() >= 190, "{}", w.running());
-        placed.push(places(w));
+        assert_eq!(world.running(), 0);
+        world.network.unreachable.clear();
+        world.run(6.0);
+        assert!(world.running() >= 190, "{}", world.running());
+        placed.push(places(world));
     }
     // Placement and assignments: the same task is on the same machine.
     assert_eq!(placed[0], placed[1]);
-    let cores = |w: &World| w.checker.most_cores;
+    let cores = |world: &World| world.checker.most_cores;
     assert!(cores(&file_world) <= 400.0 && cores(&file_world) == cores(&native_world));
 
     // Faults meanwhile: a controller ends and restarts, and machines are cut off.
     let mut ends = Vec::new();
-    for w in [&mut file_world, &mut native_world] {
-        w.run(2.0);
-        w.kill(1);
+    for world in [&mut file_world, &mut native_world] {
+        world.run(2.0);
+        world.kill(1);
         let cut = ["host-000007", "host-000071", "host-000130"];
-        w.network.unreachable.extend(cut.map(String::from));
-        w.run(12.0);
-        w.start(1);
-        w.network.unreachable.clear();
-        w.run_until(120.0, |w| open_jobs(w) == 0);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
-        assert!(w.checker.most_cores <= 400.0, "{}", w.checker.most_cores);
-        let done = w.trace.iter().filter(|l| l.contains(" ends j-")).count();
-        let account = w.account();
-        ends.push((done, w.checker.most_cores, account.get(CoreUse::Arrays)));
+        world.network.unreachable.extend(cut.map(String::from));
+        world.run(12.0);
+        world.start(1);
+        world.network.unreachable.clear();
+        world.run_until(120.0, |world| open_jobs(world) == 0);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(
+            world.checker.most_cores <= 400.0,
+            "{}",
+            world.checker.most_cores
+        );
+        let done = world
+            .trace
+            .iter()
+            .filter(|l| l.contains(" ends j-"))
+            .count();
+        let account = world.account();
+        ends.push((done, world.checker.most_cores, account.get(CoreUse::Arrays)));
     }
     // All tasks, and some that were repeated; the accounts agree within the interval of samples.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
--- a/crates/cherryyard-simulation/tests/team_limits.rs
+++ b/crates/cherryyard-simulation/tests/team_limits.rs
@@ -21,47 +21,47 @@
         ] {
             let case =
                 format!("{machine_fault:?} for {fault_s} s, {changes} changes, frozen {frozen}");
-            let mut w = cluster(24.0, 5.0);
+            let mut world = cluster(24.0, 5.0);
             let mut users = Users::default();
             for n in 1..=4 {
-                users.submit(&mut w, &job(n, "service", 3));
+                users.submit(&mut world, &job(n, "service", 3));
             }
             let mut guest = job(5, "service", 4);
             guest.team = "guests".into();
-            users.submit(&mut w, &guest);
-            users.run(&mut w, 8.0);
-            assert_eq!(w.cores_by_team()["team"], 24.0, "{case}");
-            assert_eq!(w.cores_by_team()["guests"], 8.0, "{case}");
+            users.submit(&mut world, &guest);
+            users.run(&mut world, 8.0);
+            assert_eq!(world.cores_by_team()["team"], 24.0, "{case}");
+            assert_eq!(world.cores_by_team()["guests"], 8.0, "{case}");
             for n in 6..=9 {
-                users.submit(&mut w, &job(n, "sweep", 4));
+                users.submit(&mut world, &job(n, "sweep", 4));
                 let mut guest = job(n + 10, "sweep", 2);
                 guest.team = "guests".into();
-                users.submit(&mut w, &guest);
+                users.submit(&mut world, &guest);
             }
-            users.run(&mut w, 3.0);
+            users.run(&mut world, 3.0);
             let cancelled: Vec<String> = [1, 2, 5].iter().map(|n| format!("j-{n:06}")).collect();
-            let hosts = hosts_of(&w, &cancelled);
-            machine_fault.begin(&mut w, &hosts);
+            let hosts = hosts_of(&world, &cancelled);
+            machine_fault.begin(&mut world, &hosts);
             for id in &cancelled {
-                users.ask_cancel(&mut w, 1, id);
+                users.ask_cancel(&mut world, 1, id);
             }
-            w.run(0.3);
+            world.run(0.3);
             for _ in 0..changes {
-                let i = leader(&w);
-                w.kill(i);
-                users.run(&mut w, fault_s / 3.0);
-                w.start(i);
-                users.run(&mut w, 1.0);
+                let i = leader(&world);
+                world.kill(i);
+                users.run(&mut world, fault_s / 3.0);
+                world.start(i);
+                users.run(&mut world, 1.0);
             }
             if frozen {
-                let i = leader(&w);
-                w.processes.frozen.insert(i);
-                users.run(&mut w, 6.0);
-                w.processes.frozen.clear();
+                let i = leader(&world);
+                world.processes.frozen.insert(i);
+                users.run(&mut world, 6.0);
+                world.processes.frozen.clear();
             }
-            users.run(&mut w, fault_s / 3.0);
-            MachineFault::finish(&mut w);
-            assert_recovers(&mut w, &mut users, &case);
+            users.run(&mut world, fault_s / 3.0);
+            MachineFault::finish(&mut world);
+            assert_recovers(&mut world, &mut users, &case);
         }
     }
 }
@@ -79,27 +79,27 @@
         (23.0, 3.0, 7),
     ] {
         for changes in [false, true] {
-            let mut w = cluster(limit, f64::INFINITY);
+            let mut world = cluster(limit, f64::INFINITY);
             let mut spec = job(1, "sweep", 20);
             spec.cores = cores;
-            w.submit(&spec);
-            w.run(4.0);
+            world.submit(&spec);
+            world.run(4.0);
             if changes {
-                let i = leader(&w);
-                w.kill(i);
-                w.run(6.0);
-                w.start(i);
+                let i = leader(&world);
+                world.kill(i);
+                world.run(6.0);
+                world.start(i);
             }
-            w.run(40.0);
+            world.run(40.0);
             let case = format!("{limit} cores, tasks of {cores}, leader changes {changes}");
-            assert_eq!(w.running(), all, "{case}: {}", w.trace.join("\n"));
-            let store_revision = w.state.store_revision();
-            w.run(20.0);
-            let events = w.state.events(store_revision).events;
+            assert_eq!(world.running(), all, "{case}: {}", world.trace.join("\n"));
+            let store_revision = world.state.store_revision();
+            world.run(20.0);
+            let events = world.state.events(store_revision).events;
             let keys = events.iter().filter_map(|c| c.set.clone());
             let grants: Vec<String> = keys.filter(|k| k.starts_with("c/grant")).collect();
             assert!(grants.is_empty(), "{case}: grants still move: {grants:?}");
-            assert!(w.broken.is_empty(), "{case}: {:?}", w.broken);
+            assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
         }
     }
 }
