--- a/crates/cherryyard-simulation/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -60,7 +60,7 @@
     // The limit is divided among the shards at first.
     world.run_until(60.0, |world| world.running() == 4);
     let on = world.workers.values().find(|x| x.runs("j-000001/0"));
-    let hung = on.expect("it runs").host.clone();
+    let hung = on.expect("the task runs").host.clone();
     world.machines.hung.insert(hung);
     world.run(1.0);
     assert!(world.broken.is_empty(), "{:?}", world.broken);
@@ -95,7 +95,7 @@
                 .for_each(|x| x.run_ms = f64::INFINITY);
             world.run(6.0);
             let one = world.workers.values().find(|x| x.runs("j-000001/1"));
-            let zone = one.expect("it runs").zone.clone();
+            let zone = one.expect("the task runs").zone.clone();
             let wrong_zone = ["a", "b", "c"]
                 .into_iter()
                 .find(|z| (*z == zone) == spec.apart);
@@ -169,7 +169,7 @@
     world.submit_at(1, &World::spec("j-000002", "sweep", 2));
     world.run(5.0);
     for job in 1..=2 {
-        let controller = world.controllers[0].as_ref().expect("it runs");
+        let controller = world.controllers[0].as_ref().expect("the controller runs");
         let mut commit = controller.cancellation(job).expect("the job is open");
         if job == 1
             && let cherryyard_wire::state::Apply::Set { value: v, .. } = &mut commit.apply[0]
@@ -266,7 +266,7 @@
     // The cancellation of an unrelated job does not justify this one.
     world.insist(0, "j-000003", Question::Cancel);
     world.run(3.0);
-    let controller = world.controllers[0].as_ref().expect("it is up");
+    let controller = world.controllers[0].as_ref().expect("the controller runs");
     let commit = controller.cancellation(2).expect("an open job");
     world.state.commit(&commit);
     world.ask_once(2, "j-000002", Question::Poll);
--- a/crates/cherryyard-simulation/tests/common/combinations.rs
+++ b/crates/cherryyard-simulation/tests/common/combinations.rs
@@ -29,7 +29,7 @@
     spec
 }
 
-/// Ends all faults, waits for recovery, and panics if a rule is broken or a job unfinished.
+/// Ends all faults, waits for recovery, and panics if a rule is broken or a job lost or starved.
 pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
     let violations = users.see_out(world);
     if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
--- a/crates/cherryyard-simulation/tests/common/concurrent.rs
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -9,7 +9,7 @@
     cluster_of(seconds, Vec::new(), vec!["a", "b", "c"])
 }
 
-/// Returns the same cluster with further teams and with one controller in each given zone.
+/// Returns the same cluster with further teams and with a controller for each given zone.
 pub fn cluster_of(
     seconds: f64,
     teams: Vec<(&'static str, f64, f64)>,
@@ -37,7 +37,8 @@
     spec
 }
 
-/// Ends all faults, waits for recovery, and panics if a rule or the limit of 48 cores is broken.
+/// Ends all faults, waits for recovery, and panics if a rule or the limit of 48 cores is broken
+/// or a job is lost or starved.
 pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
     let violations = users.see_out(world);
     if std::env::var("DEBUG").is_ok() && !world.broken.is_empty() {
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -90,7 +90,7 @@
                 users.run(&mut world, 16.0);
                 for (job, task_count) in [("j-000001", 2), ("j-000002", 3)] {
                     for i in 0..3 {
-                        let view = world.view(i, job).expect("it is known");
+                        let view = world.view(i, job).expect("the job is known");
                         assert_eq!(view.status, JobStatus::Done, "{case}: {job}");
                     }
                     for n in 0..task_count {
@@ -202,8 +202,9 @@
     }
 }
 
-/// Guards against stale commands: a command or its response is delayed for seconds. Meanwhile
-/// its job is cancelled, its machines are unreachable, the leader restarts, or a controller ends.
+/// Guards against stale commands: a command or its response is delayed for seconds, and the
+/// machine goes on afterwards. Meanwhile its job is cancelled, its tasks start elsewhere because
+/// machines are unreachable, or its shard changes owner.
 #[test]
 fn a_delayed_command() {
     for between in 0..4 {
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -117,7 +117,8 @@
     }
 }
 
-/// Records the trace of one such fault.
+/// Records the trace of a controller that loses the state service and its peers, but not its
+/// workers.
 #[test]
 fn trace_of_a_controller_cut_from_state_and_peers() {
     let mut world = World::new(Setup {
--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -71,7 +71,8 @@
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// Guards against the same before the new owner has written anything: its claim alone rejects it.
+/// Guards against such a transaction before the new owner has written anything: the new owner's
+/// claim alone rejects it.
 #[test]
 fn a_late_transaction_is_rejected_by_the_claim_alone() {
     let mut world = settled(Setup {
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -139,7 +139,7 @@
     let before = assignments(&world);
     let now = world.now;
     for report in &held {
-        // Commands in the response reach nobody: the worker closed the connection long ago.
+        // Commands in the response reach nobody: the worker gave up waiting for it long ago.
         world.controllers[0]
             .as_mut()
             .unwrap()
@@ -243,8 +243,8 @@
     }
 }
 
-/// Guards against the same when the state service refuses one controller alone, another accepts
-/// a cancellation, and then the state service refuses all.
+/// Guards against a cancelled job that runs on when the state service refuses one controller
+/// alone, another accepts a cancellation, and then the state service refuses all.
 #[test]
 fn a_refused_controller_misses_a_cancellation_before_an_outage() {
     let mut world = running(Setup::default(), 6);
--- a/crates/cherryyard-simulation/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -18,7 +18,7 @@
         for end in [None, Some((0.0, 0.0)), Some((0.0, 4.0)), Some((0.3, 0.5))] {
             let (mut world, _) = running(12);
             for cycle in 0..2 {
-                let case = format!("{before_ms} ms before, end {end:?}, round {cycle}");
+                let case = format!("{before_ms} ms before, end {end:?}, cycle {cycle}");
                 let refused_alone = leader(&world).unwrap_or(0);
                 world.say(format!("the state service refuses node-{refused_alone}"));
                 world.state_link.refused.insert(refused_alone);
@@ -196,7 +196,7 @@
     let now = world.now;
     let old = world.controllers[other]
         .as_mut()
-        .expect("it runs")
+        .expect("the controller runs")
         .heartbeat_out(now);
     assert!(old.cut_off);
     world.state_link.refused.clear();
@@ -214,22 +214,25 @@
         let now = world.now;
         let heartbeat = world.controllers[third]
             .as_mut()
-            .expect("it runs")
+            .expect("the controller runs")
             .heartbeat_out(now);
         let heartbeat = cherryyard_wire::peer::Heartbeat {
             // The third controller has not learned of the cancellation either.
             cancelled: Vec::new(),
             ..heartbeat
         };
-        let controller = world.controllers[leader].as_mut().expect("it runs");
+        let controller = world.controllers[leader]
+            .as_mut()
+            .expect("the controller runs");
         controller.heartbeat_in(old.clone(), now);
         controller.heartbeat_in(heartbeat, now);
     }
     assert_no_violation(&world, "old heartbeats");
 }
 
-/// Guards against an owner that ignores the cancellation of a job that it has never read, because
-/// the state service refuses it, while a machine of its shard runs a task of that job.
+/// Guards against an owner that ignores the cancellation of a job that it has never read, as when
+/// it took over the shard just before the state service refused it, while a machine of that shard
+/// runs a task of the job.
 #[test]
 fn a_cancellation_of_a_job_that_its_owner_never_read() {
     let (mut world, leader) = running(3);
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
@@ -107,7 +107,7 @@
             world.cloud.down,
         ) = (0, 0.0, None, false);
         world.run(20.0);
-        assert_no_violation(&world, &format!("seed {seed}, round {cycle}"));
+        assert_no_violation(&world, &format!("seed {seed}, cycle {cycle}"));
     }
     world.run(50.0);
     assert_no_violation(&world, &format!("seed {seed}"));
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -21,7 +21,7 @@
 }
 
 /// Submits jobs that end, every fifth by a cancellation, and returns their expected final status.
-fn jobs(world: &mut World, ids: impl Iterator<Item = u64>) -> Vec<(String, JobStatus)> {
+fn submit_jobs(world: &mut World, ids: impl Iterator<Item = u64>) -> Vec<(String, JobStatus)> {
     let mut all = Vec::new();
     for n in ids {
         let id = job_id(n);
@@ -79,11 +79,11 @@
 fn ended_jobs_move_to_the_history() {
     let mut world = cluster(20);
     assert_eq!(world.controllers[0].as_ref().unwrap().mirror.format.jobs, 2);
-    let mut all = jobs(&mut world, 1..=60);
+    let mut all = submit_jobs(&mut world, 1..=60);
     world.run(30.0);
     assert_statuses(&mut world, &all, "after 60");
     let before = world.state.writes;
-    all.extend(jobs(&mut world, (1..=60).map(|n| n * 1_000_000_007)));
+    all.extend(submit_jobs(&mut world, (1..=60).map(|n| n * 1_000_000_007)));
     world.run(60.0);
     assert_statuses(&mut world, &all, "after 120");
     assert_eq!(count_keys(&world, "c/job/"), 0);
@@ -97,10 +97,10 @@
     });
     plain.run(5.0);
     plain.workers.values_mut().for_each(|x| x.run_ms = 300.0);
-    jobs(&mut plain, 1..=60);
+    submit_jobs(&mut plain, 1..=60);
     plain.run(30.0);
     let start = plain.state.writes;
-    jobs(&mut plain, (1..=60).map(|n| n * 1_000_000_007));
+    submit_jobs(&mut plain, (1..=60).map(|n| n * 1_000_000_007));
     plain.run(60.0);
     let (with, without) = (world.state.writes - before, plain.state.writes - start);
     let further = (with as f64 - without as f64) / 60.0;
@@ -117,7 +117,7 @@
 fn the_leader_ends_at_every_write_of_a_move() {
     let total = {
         let mut world = cluster(12);
-        jobs(&mut world, 1..=14);
+        submit_jobs(&mut world, 1..=14);
         world.run(20.0);
         world.state_link.compaction_commits
     };
@@ -133,7 +133,7 @@
             world.state_link.compaction_crash = Some(CrashPoint { commit: n, applied });
             world.run(5.0);
             world.workers.values_mut().for_each(|x| x.run_ms = 300.0);
-            let all = jobs(&mut world, 1..=14);
+            let all = submit_jobs(&mut world, 1..=14);
             world.run(6.0);
             assert_no_job_is_lost(&mut world, &all, &what);
             let ended = world.controllers.iter().position(Option::is_none);
@@ -265,7 +265,7 @@
     });
     world.run(5.0);
     world.workers.values_mut().for_each(|x| x.run_ms = 300.0);
-    let all = jobs(&mut world, (1..=160).map(|n| n * 104_729 * 1_000_003));
+    let all = submit_jobs(&mut world, (1..=160).map(|n| n * 104_729 * 1_000_003));
     world.run(120.0);
     assert_statuses(&mut world, &all, "at the end");
     assert!(world.state.most_ops <= 2 && world.state.most_conditions <= 8);
@@ -280,7 +280,7 @@
 /// controllers one is accepted, and one that depends on an outdated page is rejected.
 #[test]
 fn no_job_id_is_accepted_twice() {
-    // The same where jobs have keys of their own.
+    // Where jobs have keys of their own, a second record of an id is not added.
     let mut plain = World::new(Setup::default());
     plain.run(5.0);
     plain.submit(&World::spec("j-000077", "sweep", 3));
@@ -321,7 +321,7 @@
     for i in 0..3 {
         assert!(write(&mut world, i, &spec).is_none());
     }
-    jobs(&mut world, 100..140);
+    submit_jobs(&mut world, 100..140);
     assert!(matches!(world.state.commit(&stale), Outcome::Conflict(_)));
     world.run(10.0);
     assert_eq!(world.find(0, "j-000077").unwrap().status, JobStatus::Done);
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -121,7 +121,11 @@
         "the assignment's machine"
     );
     let at = world.now + 900_000.0;
-    world.workers.get_mut(&host).expect("it is up").reclaim_at = Some(at);
+    world
+        .workers
+        .get_mut(&host)
+        .expect("the machine is up")
+        .reclaim_at = Some(at);
     world.run(3.0);
     world.state_link.held_commits.truncate(first);
     world.state_link.hold_owner_commits.clear();
@@ -136,7 +140,11 @@
         .filter(|x| x.1.runs("j-000001/0"))
         .map(|x| x.0.clone())
         .collect();
-    world.workers.get_mut(&on[0]).expect("it is up").run_ms = f64::INFINITY;
+    world
+        .workers
+        .get_mut(&on[0])
+        .expect("the machine is up")
+        .run_ms = f64::INFINITY;
     for job in 2..8 {
         world.submit(&World::spec(&format!("j-00000{job}"), "sweep", size));
     }
@@ -170,7 +178,9 @@
         });
         let service = |job: u64| World::spec(&format!("j-{job:06}"), "service", 1);
         let page = |world: &World, job: u64| {
-            let controller = world.controllers[leader(world)].as_ref().expect("it runs");
+            let controller = world.controllers[leader(world)]
+                .as_ref()
+                .expect("the controller runs");
             (
                 controller.mirror.page_of(job),
                 controller.mirror.in_page(job),
@@ -432,7 +442,9 @@
     });
     world.run(5.0);
     let in_page = |world: &World| {
-        let controller = world.controllers[leader(world)].as_ref().expect("it runs");
+        let controller = world.controllers[leader(world)]
+            .as_ref()
+            .expect("the controller runs");
         let job = cherryyard_wire::job::job_number(&divided[0]).expect("a job");
         controller.mirror.in_page(job)
     };
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -188,7 +188,7 @@
     }
 }
 
-/// Guards against lost state when all controllers are down, for up to longer than a lease, and
+/// Guards against broken rules when all controllers are down, for up to longer than a lease, and
 /// restart 0 to 15 s apart.
 #[test]
 fn all_controllers_down_for_longer_than_a_lease() {
--- a/crates/cherryyard-simulation/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -81,9 +81,9 @@
     }
 }
 
-/// Guards against pages that are divided twice or never when a controller ends while limits are
-/// lowered during an upgrade: upgraded controllers divide the earlier pages, also those of shards
-/// that they take over.
+/// Guards against pages that are divided twice or never when a controller ends soon after its
+/// upgrade to announced limits: upgraded controllers divide the earlier pages, also those of
+/// shards that they take over.
 #[test]
 fn a_controller_ends_while_its_pages_are_divided() {
     for step in 0..6 {
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -172,7 +172,7 @@
     world.run(20.0);
     world.cloud.provision_requests.clear();
     assert_eq!(world.running(), 1, "only the first has a task");
-    let controller = world.controllers[0].as_ref().expect("it is up");
+    let controller = world.controllers[0].as_ref().expect("the controller runs");
     assert!(controller.mirror.undivided.is_empty());
     assert!(
         controller
--- a/crates/cherryyard-simulation/tests/placement.rs
+++ b/crates/cherryyard-simulation/tests/placement.rs
@@ -42,8 +42,8 @@
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
-/// Guards against delays by lost causes: a job that can no longer meet its deadline starts after
-/// one that can, although it was submitted first and is due first.
+/// Guards against delays caused by jobs that are late anyway: a job that can no longer meet its
+/// deadline starts after one that can, although it was submitted first and is due first.
 #[test]
 fn late_jobs_delay_no_others() {
     let mut world = settled(Setup {
@@ -104,7 +104,7 @@
         let mut all = world.workers.values();
         all.find(|x| x.runs("j-000003/0")).map(|x| x.host.clone())
     };
-    let first = holder(&world).expect("it runs");
+    let first = holder(&world).expect("the replica runs");
     world.network.unreachable.insert(first.clone());
     world.say(format!("{first} is lost"));
     world.run(14.0);
@@ -115,7 +115,7 @@
         .values()
         .find(|x| x.runs("j-000003/0") && x.host != first);
     let zone = |host: &str| usize::from(host.as_bytes()[10] - b'0') / 2;
-    let other = other.expect("it runs again").host.clone();
+    let other = other.expect("the replica runs again").host.clone();
     assert_ne!(zone(&other), zone(&first), "{}", world.trace.join("\n"));
     insta::assert_snapshot!(world.trace.join("\n"));
 }
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -148,8 +148,8 @@
     assert_eq!(world.running(), 2);
 }
 
-/// Guards against jobs for which no machine of the cluster is allowed: an allowed type is
-/// provisioned.
+/// Guards against jobs that wait for ever because their rules allow no machine of the cluster:
+/// machines of an allowed type are provisioned.
 #[test]
 fn provisioning_follows_the_rules() {
     let mut world = cluster(json!({}));
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -17,7 +17,7 @@
 
 fn host_of(world: &World, task_name: &str) -> String {
     let on = world.workers.values().find(|x| x.runs(task_name));
-    on.expect("it runs").host.clone()
+    on.expect("the task runs").host.clone()
 }
 
 /// Guards against assignments that are lost for the length of a lease each on a machine without
@@ -46,7 +46,7 @@
     assert_eq!(count(&world, from, &format!("{host} starts")), 0);
     world.network.inbound_lost.clear();
     world.run_until(20.0, |world| world.running() == 6);
-    assert_eq!(world.workers.len(), 3, "released");
+    assert_eq!(world.workers.len(), 3, "a machine was released");
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
@@ -81,7 +81,7 @@
         assert_eq!(there, 6, "{}", world.trace.join("\n"));
         world.network.inbound_lost.clear();
         world.run(40.0);
-        assert_eq!(world.workers.len(), 9, "released");
+        assert_eq!(world.workers.len(), 9, "a machine was released");
         assert!(world.broken.is_empty(), "{:?}", world.broken);
     }
 }
--- a/crates/cherryyard-simulation/tests/request_races.rs
+++ b/crates/cherryyard-simulation/tests/request_races.rs
@@ -12,7 +12,7 @@
 /// cancel at once. The state service is fast or slow, transactions or only their responses are
 /// late or lost, and controllers end between a transaction and its response.
 #[test]
-fn close_looks() {
+fn concurrent_requests_right_after_a_response() {
     for slow_ms in [0.0, 300.0, 1500.0] {
         for (late, lost) in [(0, 0), (30, 0), (0, 30)] {
             for ends in [false, true] {
@@ -128,7 +128,7 @@
 /// jobs, also with other fields; cancellations of ended jobs; jobs that cannot run or lack a
 /// field.
 #[test]
-fn odd_requests() {
+fn unusual_requests() {
     for seed in 0..6 {
         let mut world = cluster(24.0, 3.0);
         let mut users = Users::default();
--- a/crates/cherryyard-simulation/tests/scale_out.rs
+++ b/crates/cherryyard-simulation/tests/scale_out.rs
@@ -85,7 +85,7 @@
     assert!(
         lost.iter()
             .all(|name| !world.cloud.booting.contains_key(name)),
-        "kept"
+        "a machine that never started is kept"
     );
 }
 
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -205,7 +205,7 @@
 
 /// Runs random overlaps of ends, outages, held transactions and removals. At the end every job of
 /// a submission that was not removed has been created and is done, every job of a removed one has
-/// ended, and no rule is broken.
+/// ended, and no rule, such as the one that no task runs twice, is broken.
 #[test]
 fn random_overlaps() {
     for seed in 0..60u64 {
