--- a/crates/cherryyard-simulation/tests/common/combinations.rs
+++ b/crates/cherryyard-simulation/tests/common/combinations.rs
@@ -1,83 +1,89 @@
-//! Clusters of twelve machines for tests in which several things fail at once.
+//! Clusters of twelve machines for tests in which several faults overlap.
 
 use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
-/// A cluster with a guest team, whose tasks run so many seconds.
+/// Returns a running cluster with a limited `guests` team, whose tasks run for `run_s` seconds.
 pub fn cluster(limit: f64, run_s: f64) -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
         write_rps: 60.0,
         limit,
         teams: vec![("guests", 0.0, 8.0)],
         ..Setup::default()
     });
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = run_s * 1000.0;
     }
-    w.cloud.provisioned_run_ms = run_s * 1000.0;
-    w.cloud.list_every_ms = Some(5000.0);
-    w.run(6.0);
-    w
+    world.cloud.provisioned_run_ms = run_s * 1000.0;
+    world.cloud.list_every_ms = Some(5000.0);
+    world.run(6.0);
+    world
 }
 
-/// A job by number, of this shape and so many tasks.
+/// Returns the specification of job `number` with the given shape and number of tasks.
 pub fn job(number: u64, shape: &str, task_count: u32) -> JobSpec {
     let mut spec = World::spec(&format!("j-{number:06}"), shape, task_count);
     spec.expected_s = 4.0;
     spec
 }
 
-/// Ends all faults; nothing may be wrong after time to recover.
-pub fn whole(w: &mut World, users: &mut Users, state: &str) {
-    let wrong = users.see_out(w);
-    if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
-        println!("{}", w.trace.join("\n"));
+/// Ends all faults, waits for recovery, and panics if a rule is broken or a job lost or starved.
+pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
+    let violations = users.see_out(world);
+    if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
+        println!("{}", world.trace.join("\n"));
     }
-    assert!(wrong.is_empty(), "{state}: {wrong:?}");
+    assert!(violations.is_empty(), "{case}: {violations:?}");
 }
 
-/// Machines with a task of one of these jobs.
-pub fn hosts_of(w: &World, ids: &[String]) -> BTreeSet<String> {
+/// Returns the machines that run a task of one of these jobs.
+pub fn hosts_of(world: &World, ids: &[String]) -> BTreeSet<String> {
     let on = |x: &&cherryyard_simulation::WorkerStandIn| {
         x.running_tasks()
             .any(|p| ids.iter().any(|id| p.starts_with(id.as_str())))
     };
-    w.workers
+    world
+        .workers
         .values()
         .filter(on)
         .map(|x| x.host.clone())
         .collect()
 }
 
-/// What keeps machines away.
+/// Faults that keep a machine from communicating.
 #[derive(Clone, Copy, Debug)]
-pub enum Away {
+pub enum MachineFault {
     Hang,
-    Cut,
-    Deaf,
-    OneWaySilence,
+    Unreachable,
+    InboundLost,
+    OutboundLost,
 }
 
-impl Away {
-    pub const ALL: [Self; 4] = [Self::Hang, Self::Cut, Self::Deaf, Self::OneWaySilence];
+impl MachineFault {
+    pub const ALL: [Self; 4] = [
+        Self::Hang,
+        Self::Unreachable,
+        Self::InboundLost,
+        Self::OutboundLost,
+    ];
 
-    pub fn begin(self, w: &mut World, hosts: &BTreeSet<String>) {
+    pub fn begin(self, world: &mut World, hosts: &BTreeSet<String>) {
         let set = match self {
-            Self::Hang => &mut w.machines.hung,
-            Self::Cut => &mut w.network.unreachable,
-            Self::Deaf => &mut w.network.inbound_lost,
-            Self::OneWaySilence => &mut w.network.outbound_lost,
+            Self::Hang => &mut world.machines.hung,
+            Self::Unreachable => &mut world.network.unreachable,
+            Self::InboundLost => &mut world.network.inbound_lost,
+            Self::OutboundLost => &mut world.network.outbound_lost,
         };
         set.extend(hosts.iter().cloned());
     }
 
-    pub fn finish(w: &mut World) {
-        w.deliver_direct();
-        w.machines.hung.clear();
-        w.network.unreachable.clear();
-        w.network.inbound_lost.clear();
-        w.network.outbound_lost.clear();
+    pub fn finish(world: &mut World) {
+        world.deliver_direct();
+        world.machines.hung.clear();
+        world.network.unreachable.clear();
+        world.network.inbound_lost.clear();
+        world.network.outbound_lost.clear();
     }
 }
--- a/crates/cherryyard-simulation/tests/common/concurrent.rs
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -1,21 +1,21 @@
-//! Clusters of fifteen machines for two and more faults at once, and how such a scenario
-//! ends.
+//! Clusters of fifteen machines for scenarios with several faults at once, and the check at
+//! the end of such a scenario.
 
 use cherryyard_simulation::{Setup, Users, World};
 use cherryyard_wire::job::JobSpec;
 
-/// A cluster without further teams, whose tasks run so many seconds.
+/// Returns a cluster without further teams, whose tasks run for the given seconds.
 pub fn cluster(seconds: f64) -> World {
     cluster_of(seconds, Vec::new(), vec!["a", "b", "c"])
 }
 
-/// The same with further teams, and controllers in these zones.
+/// Returns the same cluster with further teams and with a controller for each given zone.
 pub fn cluster_of(
     seconds: f64,
     teams: Vec<(&'static str, f64, f64)>,
     zones: Vec<&'static str>,
 ) -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         zones,
         machines: vec![("a", 5), ("b", 5), ("c", 5)],
         write_rps: 60.0,
@@ -23,44 +23,45 @@
         teams,
         ..Setup::default()
     });
-    for worker in w.workers.values_mut() {
+    for worker in world.workers.values_mut() {
         worker.run_ms = seconds * 1000.0;
     }
-    w.run(6.0);
-    w
+    world.run(6.0);
+    world
 }
 
-/// An array of so many tasks.
-pub fn sweep(job: u64, task_count: u32) -> JobSpec {
+/// Returns an array job with this number of tasks.
+pub fn array(job: u64, task_count: u32) -> JobSpec {
     let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
     spec.expected_s = 10.0;
     spec
 }
 
-/// Nothing fails any more; the scenario is judged after time to recover.
-pub fn end(w: &mut World, users: &mut Users, state: &str) {
-    let wrong = users.see_out(w);
-    if std::env::var("DEBUG").is_ok() && !w.broken.is_empty() {
-        println!("{}", w.trace.join("\n"));
+/// Ends all faults, waits for recovery, and panics if a rule or the limit of 48 cores is broken
+/// or a job is lost or starved.
+pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
+    let violations = users.see_out(world);
+    if std::env::var("DEBUG").is_ok() && !world.broken.is_empty() {
+        println!("{}", world.trace.join("\n"));
     }
-    assert!(w.broken.is_empty(), "{state}: {:?}", w.broken);
-    if w.limit_of("guests") == w.limit_of("team") {
+    assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+    if world.limit_of("guests") == world.limit_of("team") {
         assert!(
-            w.checker.most_cores <= 48.0,
-            "{state}: {} cores",
-            w.checker.most_cores
+            world.checker.most_cores <= 48.0,
+            "{case}: {} cores",
+            world.checker.most_cores
         );
     }
-    if std::env::var("DEBUG").is_ok() && !wrong.is_empty() {
+    if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
         for i in 0..3 {
             for j in 1..5 {
-                println!("{:?}", w.view(i, &format!("j-{j:06}")));
+                println!("{:?}", world.view(i, &format!("j-{j:06}")));
             }
         }
-        println!("{}", w.trace.join("\n"));
-        for p in w.state.pairs() {
+        println!("{}", world.trace.join("\n"));
+        for p in world.state.pairs() {
             println!("{} {}", p.key, p.value.text());
         }
     }
-    assert!(wrong.is_empty(), "{state}: {wrong:?}");
+    assert!(violations.is_empty(), "{case}: {violations:?}");
 }
--- a/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
@@ -1,14 +1,14 @@
-//! Random scenarios of two and three faults at once, within each other's span.
+//! Random scenarios of two or three faults that overlap in time.
 
 mod common;
 
 use cherryyard_simulation::fault::{NEWER, OLDER};
 use cherryyard_simulation::{Fault, Question, Users, World, draws, play_seeds};
 use cherryyard_wire::job::Shape;
-use common::concurrent::{cluster, cluster_of, end, sweep};
+use common::concurrent::{array, assert_recovers, cluster, cluster_of};
 
-/// A pair of faults that begin and end within each other's span, one after the other,
-/// while users submit, cancel, repeat and poll at every controller.
+/// Runs three rounds of faults that overlap in time, while users submit, cancel, repeat and poll
+/// at every controller.
 fn scenario(seed: u64, faults: &[Fault], at_once: usize) {
     scenario_of(seed, faults, at_once, vec!["a", "b", "c"]);
 }
@@ -16,90 +16,91 @@
 fn scenario_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
     let mut draw = draws(seed);
     let seconds = 4.0 + draw(12) as f64;
-    // With the newer faults users' requests come as in the program, and a guest team is
-    // at its limit.
+    // With the newer faults, users' requests come as in the program, and a guest team is at its
+    // limit.
     let newer = faults.len() > OLDER.len();
-    let mut w = match newer {
+    let mut world = match newer {
         false => cluster(seconds),
         true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
     };
-    w.requests.seed(seed);
-    w.cloud.list_every_ms = newer.then_some(5000.0);
-    w.seed_late(seed);
-    (w.cloud.provisioning_ms, w.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
+    world.requests.seed(seed);
+    world.cloud.list_every_ms = newer.then_some(5000.0);
+    world.seed_late(seed);
+    (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
     let mut users = Users::default();
     let mut job = 100;
     let mut open: Vec<String> = Vec::new();
-    let mut some = |w: &mut World, users: &mut Users, draw: &mut dyn FnMut(u64) -> u64| {
-        for _ in 0..draw(4) {
-            job += 1;
-            let mut spec = sweep(job, [1, 2, 3, 10][draw(4) as usize]);
-            if draw(5) == 0 {
-                spec = World::spec(&spec.id, "service", 2);
-            }
-            spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
-            spec.job_class = ["portal", "posting"][draw(2) as usize].into();
-            let at = draw(3) as usize;
-            if newer && spec.shape == Shape::Array && draw(4) == 0 {
-                spec.team = "guests".into();
-            }
-            if newer && draw(2) == 0 {
-                w.submit_at(at, &spec);
-            } else {
-                users.ask(w, at, &spec);
-            }
-            if draw(6) == 0 {
-                // A repeated submission.
-                users.ask(w, (at + 1) % 3, &spec);
-            }
-            open.push(spec.id.clone());
-        }
-        for _ in 0..draw(3) {
-            if !open.is_empty() {
-                let id = open.swap_remove(draw(open.len() as u64) as usize);
+    let mut request_some =
+        |world: &mut World, users: &mut Users, draw: &mut dyn FnMut(u64) -> u64| {
+            for _ in 0..draw(4) {
+                job += 1;
+                let mut spec = array(job, [1, 2, 3, 10][draw(4) as usize]);
+                if draw(5) == 0 {
+                    spec = World::spec(&spec.id, "service", 2);
+                }
+                spec.cores = [1.0, 2.0, 4.0][draw(3) as usize];
+                spec.job_class = ["portal", "posting"][draw(2) as usize].into();
+                let at = draw(3) as usize;
+                if newer && spec.shape == Shape::Array && draw(4) == 0 {
+                    spec.team = "guests".into();
+                }
                 if newer && draw(2) == 0 {
-                    w.insist(draw(3) as usize, &id, Question::Cancel);
+                    world.submit_at(at, &spec);
                 } else {
-                    users.ask_cancel(w, draw(3) as usize, &id);
+                    users.ask(world, at, &spec);
+                }
+                if draw(6) == 0 {
+                    // A repeated submission.
+                    users.ask(world, (at + 1) % 3, &spec);
                 }
+                open.push(spec.id.clone());
             }
-        }
-    };
+            for _ in 0..draw(3) {
+                if !open.is_empty() {
+                    let id = open.swap_remove(draw(open.len() as u64) as usize);
+                    if newer && draw(2) == 0 {
+                        world.insist(draw(3) as usize, &id, Question::Cancel);
+                    } else {
+                        users.ask_cancel(world, draw(3) as usize, &id);
+                    }
+                }
+            }
+        };
     for _ in 0..3 {
-        // The pairs come in turn, so that so many seeds have them all.
+        // The pairs are enumerated by seed, so that enough seeds cover all of them.
         let (pair, all) = (seed * 3 + draw(3), faults.len() as u64);
         let fault = |n: u64| faults[(n % all) as usize];
         let (first, second) = (fault(pair), fault(pair / all));
-        some(&mut w, &mut users, &mut draw);
-        users.run(&mut w, 3.0);
-        w.say(format!("begin {first:?}"));
-        first.begin(&mut w, &mut draw);
-        w.run(draw(80) as f64 / 20.0);
-        some(&mut w, &mut users, &mut draw);
+        request_some(&mut world, &mut users, &mut draw);
+        users.run(&mut world, 3.0);
+        world.say(format!("begin {first:?}"));
+        first.begin(&mut world, &mut draw);
+        world.run(draw(80) as f64 / 20.0);
+        request_some(&mut world, &mut users, &mut draw);
         let third = (at_once > 2).then(|| fault(draw(all)));
         for next in [Some(second), third].into_iter().flatten() {
-            w.say(format!("begin {next:?}"));
-            next.begin(&mut w, &mut draw);
+            world.say(format!("begin {next:?}"));
+            next.begin(&mut world, &mut draw);
         }
         for _ in 0..2 {
-            some(&mut w, &mut users, &mut draw);
+            request_some(&mut world, &mut users, &mut draw);
             let long = [2, 12, 60][draw(3) as usize];
-            users.run(&mut w, 0.5 + draw(long * 2) as f64 / 2.0);
+            users.run(&mut world, 0.5 + draw(long * 2) as f64 / 2.0);
         }
         let order = [[first, second], [second, first]][draw(2) as usize];
-        w.say(format!("finish {:?}", order[0]));
-        order[0].finish(&mut w);
-        w.run(draw(60) as f64 / 20.0);
-        some(&mut w, &mut users, &mut draw);
-        users.run(&mut w, draw(16) as f64 / 2.0);
+        world.say(format!("finish {:?}", order[0]));
+        order[0].finish(&mut world);
+        world.run(draw(60) as f64 / 20.0);
+        request_some(&mut world, &mut users, &mut draw);
+        users.run(&mut world, draw(16) as f64 / 2.0);
         for last in [Some(order[1]), third].into_iter().flatten() {
-            w.say(format!("finish {last:?}"));
-            last.finish(&mut w);
+            world.say(format!("finish {last:?}"));
+            last.finish(&mut world);
         }
-        users.run(&mut w, draw(20) as f64);
-        w.list_machines();
+        users.run(&mut world, draw(20) as f64);
+        world.list_machines();
     }
-    end(&mut w, &mut users, &format!("seed {seed}"));
+    assert_recovers(&mut world, &mut users, &format!("seed {seed}"));
 }
 
 #[test]
@@ -107,53 +108,53 @@
     (0..24).for_each(|seed| scenario(seed, &OLDER, 2));
 }
 
-/// All faults, the newer ones first.
-fn every() -> Vec<Fault> {
+/// Returns all faults, the newer ones first.
+fn all_faults() -> Vec<Fault> {
     NEWER.into_iter().chain(OLDER).collect()
 }
 
 #[test]
-fn random_pairs_with_the_newer_troubles() {
-    (0..24).for_each(|seed| scenario(seed, &every(), 2));
+fn random_pairs_of_all() {
+    (0..24).for_each(|seed| scenario(seed, &all_faults(), 2));
 }
 
 #[test]
 fn random_threes() {
-    (0..12).for_each(|seed| scenario(seed, &every(), 3));
+    (0..12).for_each(|seed| scenario(seed, &all_faults(), 3));
 }
 
-/// With six controllers, two of them in each zone.
-const SIX: [&str; 6] = ["a", "b", "c", "a", "b", "c"];
+/// Zones of six controllers, two in each zone.
+const SIX_CONTROLLERS: [&str; 6] = ["a", "b", "c", "a", "b", "c"];
 
 #[test]
 fn random_threes_of_six_controllers() {
-    (0..8).for_each(|seed| scenario_of(seed, &every(), 3, SIX.to_vec()));
+    (0..8).for_each(|seed| scenario_of(seed, &all_faults(), 3, SIX_CONTROLLERS.to_vec()));
 }
 
-/// By hand; `SEEDS` and `FROM` choose which.
+/// Runs on demand; the environment variables `FROM` and `SEEDS` choose the seeds.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_by_the_thousand() {
     play_seeds(24, 1000, |seed| scenario(seed, &OLDER, 2));
 }
 
-/// The same with all faults, two and three at once.
+/// Runs pairs of all faults on demand.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_of_all_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &every(), 2));
+    play_seeds(24, 1000, |seed| scenario(seed, &all_faults(), 2));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn random_threes_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &every(), 3));
+    play_seeds(24, 1000, |seed| scenario(seed, &all_faults(), 3));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn random_threes_of_six_by_the_thousand() {
     play_seeds(24, 1000, |seed| {
-        scenario_of(seed, &every(), 3, SIX.to_vec())
+        scenario_of(seed, &all_faults(), 3, SIX_CONTROLLERS.to_vec())
     });
 }
--- a/crates/cherryyard-simulation/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -1,140 +1,148 @@
-//! Leases of workers whose owner ends in an outage of the state service.
+//! Extension of workers' leases when their owner restarts during an outage of the state service.
 
 use cherryyard_simulation::{Setup, World};
 
-/// Six replicas on three machines, one in each shard.
+/// Returns a cluster with six replicas on three machines, one machine in each shard.
 fn running() -> World {
-    let mut w = World::new(Setup::default());
-    w.run(5.0);
-    w.submit(&World::spec("j-000001", "service", 4));
-    w.submit(&World::spec("j-000002", "service", 2));
-    w.run_until(10.0, |w| w.running() == 6);
+    let mut world = World::new(Setup::default());
+    world.run(5.0);
+    world.submit(&World::spec("j-000001", "service", 4));
+    world.submit(&World::spec("j-000002", "service", 2));
+    world.run_until(10.0, |world| world.running() == 6);
     // Long enough for the lists of cancellations to reach back beyond a lease.
-    w.run(30.0);
-    w
+    world.run(30.0);
+    world
 }
 
-fn starts(w: &World) -> usize {
-    w.trace.iter().filter(|l| l.contains(" starts j-")).count()
+fn starts(world: &World) -> usize {
+    world
+        .trace
+        .iter()
+        .filter(|l| l.contains(" starts j-"))
+        .count()
 }
 
-fn outage(w: &mut World) {
-    w.say("the state service is down");
-    w.state_link.refused = [0, 1, 2].into();
+fn begin_outage(world: &mut World) {
+    world.say("the state service is down");
+    world.state_link.refused = [0, 1, 2].into();
 }
 
-fn over(w: &mut World) {
-    w.say("the state service is up");
-    w.state_link.refused.clear();
+fn end_outage(world: &mut World) {
+    world.say("the state service is up");
+    world.state_link.refused.clear();
 }
 
-/// An owner ends in an outage and starts again: its workers' leases go on by the word
-/// of a peer that lived through, and nothing is started anew after it. Two may end one
-/// after the other; kept as a story.
+/// Records the trace of owners that restart, one after the other, during an outage. Their workers'
+/// leases are extended because peers that have run throughout confirm them, and no task restarts
+/// after the outage.
 #[test]
-fn trace_of_ends_in_an_outage() {
-    let mut w = running();
-    let before = starts(&w);
-    outage(&mut w);
-    w.run(4.0);
+fn trace_of_owner_restarts_in_an_outage() {
+    let mut world = running();
+    let before = starts(&world);
+    begin_outage(&mut world);
+    world.run(4.0);
     for i in [0, 1] {
-        w.kill(i);
-        w.run(3.0);
-        w.start(i);
-        w.run(4.0);
+        world.kill(i);
+        world.run(3.0);
+        world.start(i);
+        world.run(4.0);
     }
-    w.run(40.0);
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
-    over(&mut w);
-    w.run(30.0);
+    world.run(40.0);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    end_outage(&mut world);
+    world.run(30.0);
     assert_eq!(
-        (w.running(), starts(&w)),
+        (world.running(), starts(&world)),
         (6, before),
         "{}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
-/// All end at once: nobody knows a token, nor what was cancelled, and the leases end.
+/// Guards against lease extensions without evidence: all controllers restart at once, so none
+/// knows the tokens or the cancellations, and the leases must expire.
 #[test]
-fn nobody_vouches_where_nobody_remembers() {
-    let mut w = running();
-    outage(&mut w);
-    w.run(4.0);
-    w.restart_all();
-    w.run(20.0);
-    assert_eq!(w.running(), 0);
-    over(&mut w);
-    w.run(40.0);
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+fn no_lease_extension_after_all_controllers_restart() {
+    let mut world = running();
+    begin_outage(&mut world);
+    world.run(4.0);
+    world.restart_all();
+    world.run(20.0);
+    assert_eq!(world.running(), 0);
+    end_outage(&mut world);
+    world.run(40.0);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// The state service refuses one controller only, which ends: the others can take
-/// cancellations, and its shard has another owner; it answers no worker.
+/// Guards against lease extensions when the state service refuses only one controller and that one
+/// restarts: the others can accept cancellations, and its shard gets another owner, so it must
+/// answer no worker.
 #[test]
-fn nobody_vouches_where_it_is_no_outage() {
-    let mut w = running();
-    w.state_link.refused.insert(0);
-    w.run(1.0);
-    w.kill(0);
-    w.run(1.0);
-    w.start(0);
-    w.run(5.0);
-    w.cancel(1, "j-000001");
-    w.run(39.0);
-    assert_eq!(w.running(), 2, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+fn no_lease_extension_without_a_general_outage() {
+    let mut world = running();
+    world.state_link.refused.insert(0);
+    world.run(1.0);
+    world.kill(0);
+    world.run(1.0);
+    world.start(0);
+    world.run(5.0);
+    world.cancel(1, "j-000001");
+    world.run(39.0);
+    assert_eq!(world.running(), 2, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// A cancellation taken just before the outage by one that then ends, of a job whose
-/// owner ends too: the third has been told, and no lease of its tasks goes on.
+/// Guards against lease extensions of cancelled tasks: a controller accepts a cancellation just
+/// before an outage and ends, and the job's owner ends too. The third controller has been told of
+/// the cancellation, so no lease of the job's tasks is extended.
 #[test]
-fn nobody_vouches_for_what_was_cancelled() {
+fn no_lease_extension_for_cancelled_jobs() {
     for owner_reads in [true, false] {
-        let mut w = running();
+        let mut world = running();
         if !owner_reads {
-            w.state_link.refused.insert(0);
-            w.run(1.0);
+            world.state_link.refused.insert(0);
+            world.run(1.0);
         }
-        w.cancel(1, "j-000001");
-        w.run(if owner_reads { 0.05 } else { 0.7 });
-        outage(&mut w);
-        w.run(0.5);
-        w.kill(0);
-        w.kill(1);
-        w.run(2.0);
-        w.start(0);
-        w.start(1);
-        w.run(60.0);
+        world.cancel(1, "j-000001");
+        world.run(if owner_reads { 0.05 } else { 0.7 });
+        begin_outage(&mut world);
+        world.run(0.5);
+        world.kill(0);
+        world.kill(1);
+        world.run(2.0);
+        world.start(0);
+        world.start(1);
+        world.run(60.0);
         assert!(
-            w.broken.is_empty(),
+            world.broken.is_empty(),
             "{:?}\n{}",
-            w.broken,
-            w.trace.join("\n")
+            world.broken,
+            world.trace.join("\n")
         );
-        assert!(w.running() <= 2, "{}", w.trace.join("\n"));
+        assert!(world.running() <= 2, "{}", world.trace.join("\n"));
     }
 }
 
-/// The one that remembers stands still: its word is 3 s old at the most.
+/// Guards against lease extensions by outdated evidence: the peers that know the cancellations are
+/// frozen, and their reports count for 3 s at most.
 #[test]
-fn nobody_vouches_by_the_word_of_one_that_stands_still() {
-    let mut w = running();
-    outage(&mut w);
-    w.run(4.0);
-    w.kill(0);
-    w.run(2.0);
-    w.start(0);
-    w.run(4.0);
-    w.processes.frozen = [1, 2].into();
-    w.run(25.0);
-    assert_eq!(w.running(), 0, "{}", w.trace.join("\n"));
-    w.processes.frozen.clear();
-    over(&mut w);
-    w.run(40.0);
-    assert_eq!(w.running(), 6);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+fn no_lease_extension_by_frozen_peers() {
+    let mut world = running();
+    begin_outage(&mut world);
+    world.run(4.0);
+    world.kill(0);
+    world.run(2.0);
+    world.start(0);
+    world.run(4.0);
+    world.processes.frozen = [1, 2].into();
+    world.run(25.0);
+    assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
+    world.processes.frozen.clear();
+    end_outage(&mut world);
+    world.run(40.0);
+    assert_eq!(world.running(), 6);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
--- a/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
+++ b/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
@@ -1,5 +1,5 @@
-//! The same workload as a submit file and as native jobs: the same machines run the
-//! same tasks, under the same limit, and the same account comes out.
+//! The same workload as a submit file and as native jobs: the same machines run the same tasks,
+//! under the same limit, with the same accounting.
 
 use cherryyard_condor::{Options, Source, SourceError, read};
 use cherryyard_core::account::CoreUse;
@@ -10,9 +10,9 @@
 use cherryyard_wire::rules::{PoolBlock, Rules};
 use std::collections::BTreeMap;
 
-struct Nothing;
+struct NoFiles;
 
-impl Source for Nothing {
+impl Source for NoFiles {
     fn file(&mut self, path: &str) -> Result<String, SourceError> {
         Err(SourceError::new(path, "no such file"))
     }
@@ -26,7 +26,7 @@
     }
 }
 
-const FILE: &str = r#"
+const SUBMIT_FILE: &str = r#"
 executable      = post
 container_image = img
 accounting_group = team
@@ -57,8 +57,8 @@
 queue in (l1 l2 l3 l4 l5 l6 l7 l8 l9 l10 l11 l12 l13 l14 l15 l16 l17 l18 l19 l20)
 "#;
 
-/// The same, as a user writes it natively.
-fn native() -> Vec<(JobSpec, Option<Rules>)> {
+/// Returns the same workload as native jobs.
+fn native_jobs() -> Vec<(JobSpec, Option<Rules>)> {
     let job = |tasks| {
         let mut spec = World::spec("j-000000", "sweep", tasks);
         spec.expected_s = 20.0;
@@ -86,24 +86,24 @@
     all
 }
 
-/// Three shards, 200 machines of two types, and a team's limit.
+/// Returns a cluster of three shards, 200 machines of two types, and a limited team.
 fn cluster() -> World {
-    let mut w = World::new(Setup {
+    let mut world = World::new(Setup {
         machines: vec![("a", 60), ("b", 60), ("c", 60)],
         large: vec![("b", 20)],
         limit: 400.0,
         ..Setup::default()
     });
-    w.network.unreachable = w.workers.keys().cloned().collect();
-    w.workers.values_mut().for_each(|x| x.run_ms = 9000.0);
-    w.run(5.0);
-    w
+    world.network.unreachable = world.workers.keys().cloned().collect();
+    world.workers.values_mut().for_each(|x| x.run_ms = 9000.0);
+    world.run(5.0);
+    world
 }
 
-/// Where each task runs.
-fn places(w: &World) -> BTreeMap<String, String> {
+/// Returns the machine of each running task.
+fn places(world: &World) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
-    for worker in w.workers.values() {
+    for worker in world.workers.values() {
         for task_name in worker.running_tasks() {
             all.insert(task_name.clone(), worker.host.clone());
         }
@@ -111,8 +111,9 @@
     all
 }
 
-fn open_jobs(w: &World) -> usize {
-    w.controllers
+fn open_jobs(world: &World) -> usize {
+    world
+        .controllers
         .iter()
         .flatten()
         .next()
@@ -120,62 +121,70 @@
 }
 
 #[test]
-fn the_same_workload_both_ways() {
-    let cluster_of = read("ledger.sub", FILE, &Options::default(), &mut Nothing);
-    let cluster_of = cluster_of.unwrap_or_else(|e| panic!("{}: {}", e.line, e.kind));
-    let chunks = cluster_of.chunks(4000);
-    assert_eq!((cluster_of.groups.len(), chunks.len()), (23, 1));
-
-    let mut file = cluster();
-    let at = file.now;
-    let (number, first) = file.queue("ledger", &chunks);
-    file.run_until(40.0, |w| {
-        w.submission(number).unwrap().phase == Phase::Created
+fn a_submit_file_and_native_jobs_run_alike() {
+    let submit_file = read("ledger.sub", SUBMIT_FILE, &Options::default(), &mut NoFiles);
+    let submit_file = submit_file.unwrap_or_else(|e| panic!("{}: {}", e.line, e.kind));
+    let chunks = submit_file.chunks(4000);
+    assert_eq!((submit_file.groups.len(), chunks.len()), (23, 1));
+
+    let mut file_world = cluster();
+    let at = file_world.now;
+    let (number, first) = file_world.queue("ledger", &chunks);
+    file_world.run_until(40.0, |world| {
+        world.submission(number).unwrap().phase == Phase::Created
     });
-    // Natively, the same ids in the same order, at the same time.
-    let mut own = cluster();
-    assert_eq!(own.now, at);
-    let mut jobs: Vec<_> = (first..).zip(native()).collect();
+    // The native jobs have the same ids in the same order and are submitted at the same time.
+    let mut native_world = cluster();
+    assert_eq!(native_world.now, at);
+    let mut jobs: Vec<_> = (first..).zip(native_jobs()).collect();
     jobs.sort_by_key(|j| job_hash(j.0));
     for (id, (mut spec, rules)) in jobs {
         spec.id = job_id(id);
-        own.submit_with(&spec, rules);
+        native_world.submit_with(&spec, rules);
     }
     let mut placed = Vec::new();
-    for w in [&mut file, &mut own] {
+    for world in [&mut file_world, &mut native_world] {
         let until = at + 45_000.0;
-        while w.now < until {
-            w.run(0.05);
+        while world.now < until {
+            world.run(0.05);
         }
-        assert_eq!(w.running(), 0);
-        w.network.unreachable.clear();
-        w.run(6.0);
-        assert!(w.running() >= 190, "{}", w.running());
-        placed.push(places(w));
+        assert_eq!(world.running(), 0);
+        world.network.unreachable.clear();
+        world.run(6.0);
+        assert!(world.running() >= 190, "{}", world.running());
+        placed.push(places(world));
     }
-    // Placement and assignments: the same task on the same machine.
+    // Placement and assignments: the same task is on the same machine.
     assert_eq!(placed[0], placed[1]);
-    let cores = |w: &World| w.checker.most_cores;
-    assert!(cores(&file) <= 400.0 && cores(&file) == cores(&own));
+    let cores = |world: &World| world.checker.most_cores;
+    assert!(cores(&file_world) <= 400.0 && cores(&file_world) == cores(&native_world));
 
-    // Faults on the way: a controller ends and starts, machines are cut off.
+    // Faults meanwhile: a controller ends and restarts, and machines are cut off.
     let mut ends = Vec::new();
-    for w in [&mut file, &mut own] {
-        w.run(2.0);
-        w.kill(1);
+    for world in [&mut file_world, &mut native_world] {
+        world.run(2.0);
+        world.kill(1);
         let cut = ["host-000007", "host-000071", "host-000130"];
-        w.network.unreachable.extend(cut.map(String::from));
-        w.run(12.0);
-        w.start(1);
-        w.network.unreachable.clear();
-        w.run_until(120.0, |w| open_jobs(w) == 0);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
-        assert!(w.checker.most_cores <= 400.0, "{}", w.checker.most_cores);
-        let done = w.trace.iter().filter(|l| l.contains(" ends j-")).count();
-        let account = w.account();
-        ends.push((done, w.checker.most_cores, account.get(CoreUse::Arrays)));
+        world.network.unreachable.extend(cut.map(String::from));
+        world.run(12.0);
+        world.start(1);
+        world.network.unreachable.clear();
+        world.run_until(120.0, |world| open_jobs(world) == 0);
+        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(
+            world.checker.most_cores <= 400.0,
+            "{}",
+            world.checker.most_cores
+        );
+        let done = world
+            .trace
+            .iter()
+            .filter(|l| l.contains(" ends j-"))
+            .count();
+        let account = world.account();
+        ends.push((done, world.checker.most_cores, account.get(CoreUse::Arrays)));
     }
-    // All tasks, and some that were done again; the account within the samples' step.
+    // All tasks, and some that were repeated; the accounts agree within the interval of samples.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
     assert_eq!((ends[0].0, ends[0].1), (ends[1].0, ends[1].1), "{ends:?}");
     let (a, b) = (ends[0].2, ends[1].2);
