--- a/crates/cherryyard-classad/benches/match.rs
+++ b/crates/cherryyard-classad/benches/match.rs
@@ -24,8 +24,8 @@
 
 fn example_match() -> Match {
     let mut names = Names::default();
-    let job = Ad::parse(JOB, &mut names).expect("a good ad");
-    let requirements = Expr::parse(REQUIREMENTS, &mut names).expect("a good expression");
+    let job = Ad::parse(JOB, &mut names).expect("a valid ad");
+    let requirements = Expr::parse(REQUIREMENTS, &mut names).expect("a valid expression");
     let [cpus, memory, zone, spot] =
         ["Cpus", "Memory", "Zone", "Spot"].map(|name| names.intern(name));
     let machines = (0..MACHINES)
--- a/crates/cherryyard-classad/src/builtins/pattern.rs
+++ b/crates/cherryyard-classad/src/builtins/pattern.rs
@@ -64,8 +64,8 @@
     )))
 }
 
-/// Returns the replacement text, in which `\1` stands for the text that the first group has
-/// matched, and so on to `\9`; `\0` stands for the whole match.
+/// Returns the replacement text, in which `\1` is replaced by the text that the first group
+/// has matched, and so on to `\9`; `\0` is replaced by the whole match.
 fn expand_replacement(replacement: &str, captures: &Captures<'_>) -> String {
     let mut out = String::new();
     let mut chars = replacement.chars();
--- a/crates/cherryyard-classad/src/parse/builder.rs
+++ b/crates/cherryyard-classad/src/parse/builder.rs
@@ -176,7 +176,7 @@
             Rule::list => Node::List(self.exprs(pair.into_inner(), depth + 1)?),
             Rule::ad => self.nested_ad(pair, depth + 1)?,
             Rule::call => self.call(&pair, depth + 1)?,
-            // An expression in parentheses.
+            // The only remaining rule is `paren`, an expression in parentheses.
             _ => {
                 return match pair.clone().into_inner().next() {
                     Some(inner) => self.expr(inner, depth + 1),
@@ -194,7 +194,7 @@
             Rule::integer => integer(text).ok_or_else(|| error(ParseErrorKind::NumberTooLarge)),
             Rule::real => real(text).ok_or_else(|| error(ParseErrorKind::BadNumber)),
             Rule::string => Ok(Value::text(&unescape(&text[1..text.len() - 1]))),
-            // A keyword.
+            // The only remaining rule is `keyword`.
             _ => Ok(match text.to_ascii_lowercase().as_str() {
                 "true" => Value::Bool(true),
                 "false" => Value::Bool(false),
--- a/crates/cherryyard-classad/src/print.rs
+++ b/crates/cherryyard-classad/src/print.rs
@@ -99,8 +99,8 @@
                 self.write_list("[", &[*index], "]")
             }
             Node::Select(ad, name) => {
-                // The parentheses are needed: after a bare name the dot would end a scope,
-                // and after digits it would belong to a number.
+                // The parentheses are needed: after a bare name, the dot would make that
+                // name a scope such as `MY`; after digits, it would belong to a number.
                 self.write_list("(", &[*ad], ")")?;
                 write!(self.out, ".")?;
                 write_name(&mut self.out, self.names.name(*name))
--- a/crates/cherryyard-classad/src/value.rs
+++ b/crates/cherryyard-classad/src/value.rs
@@ -115,7 +115,7 @@
         let bytes = text.bytes();
         bytes.map(|byte| byte.to_ascii_lowercase()).collect()
     };
-    // Most comparisons are for equality, which needs no copies in lower case.
+    // Most comparisons are tests for equality; equal strings need no copies in lower case.
     if a.eq_ignore_ascii_case(b) {
         Ordering::Equal
     } else {
@@ -124,8 +124,9 @@
 }
 
 impl fmt::Display for Value {
-    /// Writes an expression that evaluates to the value. The value does not contain the
-    /// names of a nested ad's attributes, so they are written as numbers.
+    /// Writes an expression that evaluates to the value, except for nested ads: a value
+    /// does not contain the names of their attributes, so each name is written as `a` and
+    /// its id.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Undefined => write!(f, "undefined"),
--- a/crates/cherryyard-classad/tests/language.rs
+++ b/crates/cherryyard-classad/tests/language.rs
@@ -114,8 +114,8 @@
     ]);
 }
 
-/// Guards against attributes that are looked up in the wrong ad, and cyclic references
-/// without end.
+/// Guards against attributes that are looked up in the wrong ad, and against cyclic
+/// references that are followed without end.
 #[test]
 fn attributes_and_scopes() {
     check_table(&[
@@ -271,7 +271,7 @@
     let last = names.get("a59").unwrap();
     assert_eq!(scope.attribute(last), Value::Error);
     let expr = Expr::parse("a59 || TARGET.X", &mut names).unwrap();
-    assert_eq!(fold(&expr, &ad), expr, "too large to fold: left as it is");
+    assert_eq!(fold(&expr, &ad), expr, "too large to fold: left unchanged");
 }
 
 fn any_expr() -> impl Strategy<Value = String> {
--- a/crates/cherryyard-condor/src/cluster.rs
+++ b/crates/cherryyard-condor/src/cluster.rs
@@ -9,8 +9,8 @@
 
 /// JSON bytes of a chunk in addition to its templates and runs.
 const CHUNK_OVERHEAD_BYTES: usize = 20;
-/// Upper bound on the JSON bytes of one run, which is a sequence of jobs with the same template
-/// and number of tasks.
+/// Upper bound on the JSON bytes of one run, which is a sequence of jobs with the same
+/// template and number of tasks.
 const MAX_RUN_BYTES: usize = 32;
 
 /// An array, which is one job: procs that differ only in their numbers.
--- a/crates/cherryyard-condor/src/conditions.rs
+++ b/crates/cherryyard-condor/src/conditions.rs
@@ -10,9 +10,9 @@
 /// The current branch of an `if` statement.
 #[derive(Clone, Copy)]
 struct Branch {
-    /// Whether this branch or an earlier one of the same `if` has been taken.
+    /// `true` if this branch or an earlier one of the same `if` has been taken.
     taken: bool,
-    /// Whether this branch is taken.
+    /// `true` if this branch is taken.
     active: bool,
     is_else: bool,
 }
@@ -99,8 +99,8 @@
         ["defined"] => false,
         ["defined", name, ..] => {
             let name = name.trim_start_matches('+');
-            // A name that is not in the condition as written results from expanding a
-            // macro, which is therefore defined.
+            // A name that is not in the condition as written is the expansion of a macro,
+            // so that macro is defined.
             definitions.contains_key(name) || !condition.to_ascii_lowercase().contains(name)
         }
         ["version", operator, version] => version_holds(operator, version)?,
--- a/crates/cherryyard-condor/src/job/resources.rs
+++ b/crates/cherryyard-condor/src/job/resources.rs
@@ -9,7 +9,7 @@
 pub(super) const MB: f64 = 1024.0 * 1024.0;
 const GB: f64 = 1024.0 * 1024.0 * 1024.0;
 const TB: f64 = 1024.0 * 1024.0 * 1024.0 * 1024.0;
-/// Memory in bytes of a job that requests none, which is the published default of HTCondor.
+/// Memory in bytes of a job that requests none, as published for HTCondor.
 const DEFAULT_MEMORY: f64 = 128.0 * MB;
 
 /// The resources that a job requests.
--- a/crates/cherryyard-condor/src/limits.rs
+++ b/crates/cherryyard-condor/src/limits.rs
@@ -12,7 +12,8 @@
 /// Largest nesting depth of macros that refer to each other, and of brackets in a text with
 /// macros.
 pub(crate) const MAX_MACRO_DEPTH: usize = 64;
-/// Largest length of a text before and after macro expansion, in bytes.
+/// Largest length of a text that contains macros, and of the text that it expands to, in
+/// bytes.
 pub(crate) const MAX_TEXT: usize = 64 * 1024;
 /// Largest number of steps of one expansion: macros that refer to others twice grow
 /// exponentially.
--- a/crates/cherryyard-condor/src/macros/error.rs
+++ b/crates/cherryyard-condor/src/macros/error.rs
@@ -12,8 +12,8 @@
     /// The expanded text is too long, or takes too many steps.
     #[error("its macros come to too much text")]
     ExpansionTooLarge,
-    /// Macros refer to each other in a cycle; the names are those along it, and the last
-    /// one closes it.
+    /// Macros refer to each other in a cycle. The names are those of the macros that were
+    /// being expanded, the outermost first; the last name repeats an earlier one.
     #[error("macros define each other: {}", .0.join(" -> "))]
     Cyclic(Vec<String>),
     /// Macros refer to each other through too many definitions.
--- a/crates/cherryyard-condor/src/macros/text.rs
+++ b/crates/cherryyard-condor/src/macros/text.rs
@@ -56,7 +56,8 @@
     }
 
     /// Returns the text with references to one macro replaced by the macro's previous
-    /// definition, as in `a = $(a) b`.
+    /// definition, as in `a = $(a) b`; references inside defaults and the arguments of
+    /// functions remain.
     pub(crate) fn with_definition(self, name: &str, definition: &Self) -> Self {
         let replaced = self.pieces.into_iter().flat_map(|piece| match piece {
             Piece::Macro { name: own, .. } if own == name => definition.pieces.clone(),
--- a/crates/cherryyard-condor/src/queue.rs
+++ b/crates/cherryyard-condor/src/queue.rs
@@ -53,7 +53,7 @@
     pub(crate) variables: Vec<String>,
     /// The items; a single empty item if there is no list.
     pub(crate) items: Vec<String>,
-    /// Whether the statement has a list.
+    /// `true` if the statement has a list.
     pub(crate) has_list: bool,
 }
 
--- a/crates/cherryyard-condor/src/translate.rs
+++ b/crates/cherryyard-condor/src/translate.rs
@@ -80,7 +80,7 @@
     templates_by_json: HashMap<String, usize>,
     /// Number of procs queued so far.
     procs: u64,
-    /// Whether the file has had a `queue` statement.
+    /// `true` once the file has had a `queue` statement.
     has_queued: bool,
 }
 
--- a/crates/cherryyard-history/src/cache/tests.rs
+++ b/crates/cherryyard-history/src/cache/tests.rs
@@ -11,8 +11,8 @@
     Leaf::new(jobs.iter().map(finished).collect())
 }
 
-/// Guards against answers from outdated or partial leaves: a job found stays finished for
-/// ever, but the absence of a job is valid only within the job numbers that were read, and
+/// Guards against answers from outdated or partial leaves: a job found stays finished
+/// forever, but the absence of a job is valid only within the job numbers that were read, and
 /// only until the history changes.
 #[test]
 fn absence_is_valid_until_the_history_changes() {
@@ -27,7 +27,7 @@
     assert_eq!(
         cache.lookup(Level::Small, 49, 7),
         Lookup::Unknown,
-        "not asked for"
+        "outside of the job numbers that were read"
     );
     assert_eq!(cache.lookup(Level::Small, 101, 7), Lookup::Unknown);
     assert_eq!(cache.lookup(Level::Large, 61, 7), Lookup::Unknown);
@@ -35,7 +35,7 @@
     assert_eq!(
         cache.lookup(Level::Small, 61, 7),
         Lookup::Absent(7),
-        "still covers"
+        "covered by the replaced read"
     );
     cache.put(Level::Small, 80, 100, 9, leaf(&[60, 90]));
     assert_eq!(cache.lookup(Level::Small, 61, 9), Lookup::Unknown);
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -23,7 +23,7 @@
 use phase::Event;
 use split::LeafSplit;
 
-/// Lower bound on the leaves that a transaction may put: a split needs two.
+/// Smallest limit on the number of leaves that a transaction may put: a split needs two.
 const MIN_TXN_OPS: usize = 2;
 
 /// Bounds on the compactor's writes, and the thresholds of compaction and retention.
@@ -136,9 +136,10 @@
         }
     }
 
-    /// Takes a batch, if the compactor is idle: all ends of generations up to `generation`,
-    /// and those in records of their own up to revision `revision`, that are not in the
-    /// leaves yet. `day` is the current day, in days since 1970-01-01.
+    /// Takes a batch, if the compactor is idle: all ends that are not in the leaves yet, of
+    /// generations up to `generation`, and of jobs with records of their own (outside of
+    /// buckets) up to state revision `revision`. `day` is the current day, in days since
+    /// 1970-01-01.
     pub fn begin(&mut self, generation: u64, revision: u64, jobs: Vec<FinishedJob>, day: u32) {
         if self.is_idle() {
             self.day = day;
@@ -272,7 +273,7 @@
         self.replace_leaf(level, stored.key(), &leaves, count);
     }
 
-    /// Returns how many leaves one transaction may put.
+    /// Returns the largest number of leaves that one transaction may put.
     fn max_leaves(&self) -> usize {
         self.limits.txn_ops.max(MIN_TXN_OPS)
     }
@@ -311,8 +312,8 @@
     }
 
     /// Continues a split with the leaf that was found for the first job left to split: an
-    /// earlier leaf, whose jobs are left out of the split, or the leaf itself, which shows
-    /// that no earlier leaf holds any job that is left.
+    /// earlier leaf, up to whose last number jobs are left out of the split, or the leaf
+    /// itself, which shows that no earlier leaf holds any job that is left.
     fn continue_split(&mut self, mut split: LeafSplit, found: Option<StoredLeaf>) {
         let Some(found) = found else {
             return;
@@ -339,8 +340,9 @@
         }
     }
 
-    /// Takes the result of the transaction in flight. A transaction that was not applied,
-    /// or for which that is unknown, is prepared again from the state stored then.
+    /// Takes the result of the transaction in flight: `applied` is `false` if the
+    /// transaction was not applied, or may not have been. Such a transaction is prepared
+    /// again from the state that is stored then.
     pub fn written(&mut self, applied: bool) {
         match std::mem::take(&mut self.operation) {
             Operation::Writing(completion) if applied => self.complete(completion),
--- a/crates/cherryyard-history/src/compactor/phase.rs
+++ b/crates/cherryyard-history/src/compactor/phase.rs
@@ -8,7 +8,8 @@
 pub struct Batch {
     /// The generation up to which, inclusive, the batch contains all ends.
     pub generation: u64,
-    /// The revision up to which the batch contains the ends in records of their own.
+    /// The state revision up to which the batch contains the ends of jobs that have records
+    /// of their own, outside of buckets.
     pub revision: u64,
     /// The jobs, sorted by number.
     pub jobs: Vec<FinishedJob>,
--- a/crates/cherryyard-history/src/leaf/merge.rs
+++ b/crates/cherryyard-history/src/leaf/merge.rs
@@ -26,8 +26,9 @@
         merged.split(max_bytes)
     }
 
-    /// Splits a leaf into as few leaves of about the same size as fit into `max_bytes`
-    /// each; a leaf of a single job is never split.
+    /// Splits a leaf into leaves with about the same number of jobs, as few as fit into
+    /// `max_bytes` of JSON each on average; those that are still too large are split again.
+    /// A leaf of a single job is never split.
     fn split(self, max_bytes: usize) -> Vec<Self> {
         let size = Self::max_json_bytes(&self.jobs);
         if size <= max_bytes || self.jobs.len() < 2 {
--- a/crates/cherryyard-history/src/leaf/tests.rs
+++ b/crates/cherryyard-history/src/leaf/tests.rs
@@ -74,5 +74,9 @@
         assert!(bytes_per_job < max_bytes, "{gap}: {bytes_per_job}");
     }
     let old = Leaf::new(vec![job(1, 1)]).merged_with(&[job(2, 1)], 20_424, 1000);
-    assert_eq!(old[0].jobs().len(), 1, "what is too old is dropped");
+    assert_eq!(
+        old[0].jobs().len(),
+        1,
+        "a job archived before the oldest kept day is dropped"
+    );
 }
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -234,9 +234,9 @@
     assert_eq!(compactor.step(), Step::Nothing);
 }
 
-/// Guards against write amplification: amortised writes per job at full size, with job
-/// numbers of up to 18 digits in no order, leaves of 4 KiB, batches of 8,192 jobs and a
-/// history of about 600,000.
+/// Guards against write amplification. Measures the amortised writes per job at full size:
+/// with job numbers of up to 18 digits in no order, leaves of 4 KiB, batches of 8,192 jobs
+/// and a history of about 600,000 jobs.
 #[test]
 fn writes_per_job_stay_below_one_fifth() {
     let mut store = Store {
@@ -278,12 +278,12 @@
         }
     }
     let writes = store.writes as f64 / jobs as f64;
-    println!("{writes:.3} writes a job");
-    assert!(writes < 0.2, "{writes} writes a job");
+    println!("{writes:.3} writes per job");
+    assert!(writes < 0.2, "{writes} writes per job");
     assert_eq!(store.record.0.jobs_in_runs.iter().sum::<u64>(), jobs as u64);
 }
 
-/// Batches in the leaf that was written under larger limits.
+/// Number of batches in the leaf that was written under larger limits.
 const OLD_BATCHES: u64 = 14;
 
 /// Archives a batch in a store whose one leaf was written under larger limits; the leader
@@ -305,7 +305,7 @@
     let mut compactor = Compactor::new(lower_limits);
     let mut sent = 0;
     for steps in 0.. {
-        assert!(steps < 5000, "it never ends");
+        assert!(steps < 5000, "the batch is never archived");
         compactor.resume(store.record.0);
         if compactor.is_idle() {
             if store.record.0.gen_done > 0 {
--- a/crates/cherryyard-history/tests/model.rs
+++ b/crates/cherryyard-history/tests/model.rs
@@ -44,29 +44,29 @@
         cancelled: bool,
         generation: u8,
     },
-    /// Drops an archived job, as part of a write of its bucket for another job.
-    Drop {
-        job_revision: u8,
-    },
+    /// Drops an archived job, as part of a write of its bucket (the record that holds
+    /// several jobs) for another job.
+    Drop { job_revision: u8 },
     /// Closes the current generation; like the other writes of the leader it depends on the
     /// leader's record too.
     Close {
         record_revision: u8,
         leader_revision: u8,
     },
+    /// Writes the job's end, if it has one, to the leaves.
     Archive {
         end: Option<bool>,
         leader_revision: u8,
         leaf_before: Option<bool>,
     },
+    /// Records that all ends of generations up to `done` are in the leaves.
     Record {
         done: u8,
         record_revision: u8,
         leader_revision: u8,
     },
-    Elect {
-        leader_revision: u8,
-    },
+    /// Makes the sender the leader.
+    Elect { leader_revision: u8 },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
@@ -87,6 +87,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct State {
     stored: WatchedRecords,
+    /// The job's end in the leaves, if they contain it: `true` if the job was cancelled.
     leaf: Option<bool>,
     mirror: [WatchedRecords; 2],
     in_flight: [Option<Transaction>; 2],
@@ -94,7 +95,9 @@
     /// The revision of the history's record before a look-up in the history that found
     /// nothing.
     revision_of_empty_lookup: [Option<u8>; 2],
+    /// The number of times that the job was accepted.
     accepted: u8,
+    /// The end that was reported to a user, if any: `true` if the job was cancelled.
     reported: Option<bool>,
     violation: Option<&'static str>,
 }
@@ -104,10 +107,11 @@
 struct Mutant {
     submit_without_lookup: bool,
     end_without_record: bool,
-    record_before_leaves: bool,
+    record_without_leaves: bool,
 }
 
-/// The revision beyond which no interleaving is followed.
+/// The revision beyond which no interleaving is followed; each applied transaction
+/// increases the revision by 1.
 const LAST_REVISION: u8 = 8;
 
 fn start() -> State {
@@ -275,8 +279,9 @@
                 if s.stored.revision <= LAST_REVISION {
                     all.push(s);
                 }
-                // The controller may crash; the transaction that it sent may still be
-                // applied, and the controller restarts from the stored state.
+                // The controller sends nothing else until its transaction has been applied
+                // or rejected. Its mirror may be updated before that, as when it crashes
+                // and restarts from the stored state.
                 continue;
             }
             let view = self.mirror[controller];
@@ -326,8 +331,9 @@
             } else {
                 match self.archival[controller] {
                     Archival::Idle if closed > view.gen_done => {
-                        // The mirror includes everything up to the record that closed the
-                        // generation.
+                        // Ends are collected only from a mirror that includes everything up
+                        // to the record that closed the generation; in this model, every
+                        // mirror does, because it is a copy of all records.
                         if view.revision >= view.record_revision {
                             let end = match view.job {
                                 Entry::Ended {
@@ -338,7 +344,7 @@
                             };
                             let done = closed;
                             let mut s = self.clone();
-                            s.archival[controller] = if mutant.record_before_leaves {
+                            s.archival[controller] = if mutant.record_without_leaves {
                                 Archival::Archived { done }
                             } else {
                                 Archival::Collected { done, end }
@@ -417,7 +423,7 @@
         (
             "leaves come before the record",
             Mutant {
-                record_before_leaves: true,
+                record_without_leaves: true,
                 ..Mutant::default()
             },
         ),
