--- a/crates/cherryyard-core/src/config.rs
+++ b/crates/cherryyard-core/src/config.rs
@@ -16,9 +16,9 @@
 /// Largest page of assignments in bytes, whatever the state service's limit on values: each page is
 /// sent to all controllers whenever it changes.
 const MAX_PAGE_BYTES: usize = 12 * 1024;
-/// Number of bytes of the largest value that a page of assignments leaves free, and the lower bound
-/// of the page's size in bytes.
+/// Number of bytes of the largest value that a page of assignments leaves free.
 const PAGE_MARGIN_BYTES: usize = 64;
+/// Lower bound of the largest page of assignments in bytes.
 const MIN_PAGE_BYTES: usize = 256;
 
 /// Shares of the write budget for the scheduling cycles of all owners together, for users' writes,
@@ -30,14 +30,15 @@
 /// Share of the rate of all requests to the state service that reads of the history may use.
 const HISTORY_READS_SHARE: f64 = 0.1;
 
-/// Divisor of the memory that gives the part for the ends of jobs, and the approximate size of one
-/// end in bytes.
+/// Divisor of the memory that gives the part for the ends of jobs.
 const RECENT_ENDS_MEMORY_DIVISOR: usize = 64;
+/// Approximate size of one end of a job in memory, in bytes.
 const RECENT_END_BYTES: usize = 64;
 
-/// Largest drift of a clock against another, as a factor of the measured time.
+/// Largest factor by which a time measured by one clock can be longer by another clock.
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-/// Rate of the slowest clock relative to another.
+/// Lowest rate of a clock relative to another: the factor by which a time can be shorter by the
+/// slowest clock.
 const SLOWEST_CLOCK: f64 = 0.999;
 
 /// Settings that operators may change, each with a default.
@@ -160,11 +161,11 @@
 
 /// Longest time in milliseconds for which a peer's heartbeat is relied on. The time counts from
 /// when this controller sent the heartbeat that the peer's acknowledges, which is up to a second
-/// earlier.
+/// before the peer's was sent.
 const MAX_HEARTBEAT_AGE_MS: f64 = 3500.0;
-/// Safety margin as a share of the time within which the tasks of a cancelled job must be gone, and
-/// the smallest margin in milliseconds.
+/// Safety margin as a share of the time within which the tasks of a cancelled job must be gone.
 const CANCEL_MARGIN_SHARE: f64 = 0.05;
+/// Lower bound of that safety margin in milliseconds.
 const MIN_CANCEL_MARGIN_MS: f64 = 1500.0;
 
 /// Configuration of one controller.
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
@@ -1,23 +1,23 @@
 //! The heartbeat gap: the state service refuses the leader alone, other controllers confirm
-//! cancellations, then it refuses everybody for longer than a cancellation has.
-//! Here the gap meets shards, machines and starts that change hands.
+//! cancellations, and then it refuses all for longer than a cancelled task may run on. These tests
+//! combine the gap with takeovers of shards, returned machines and starts in flight.
 
 mod common;
 
 use cherryyard_simulation::{Setup, World};
-use common::gap::{id, outage, running, whole};
+use common::gap::{assert_no_violation, id, outage, running};
 
-/// An owner has just adopted a shard and is refused before it reads what runs there. It
-/// is told of a cancellation of a job that it has never heard of.
+/// Guards against an owner that ignores a cancellation of a job that it has never read: it has
+/// just taken over a shard and is refused by the state service before it reads what runs there.
 #[test]
-fn a_part_adopted_just_before() {
+fn a_shard_taken_over_just_before_the_gap() {
     for step in 0..40 {
-        let (mut w, _) = running(6);
-        w.kill(2);
-        // The others come to own its shard within these seconds.
-        w.run(4.5 + f64::from(step) * 0.05);
+        let (mut world, _) = running(6);
+        world.kill(2);
+        // One of the others takes over its shard within these seconds.
+        world.run(4.5 + f64::from(step) * 0.05);
         let owner = (0..2).find(|&i| {
-            let controller = w.controllers[i].as_ref();
+            let controller = world.controllers[i].as_ref();
             controller.is_some_and(|n| {
                 n.mirror.shards[2]
                     .as_ref()
@@ -25,94 +25,108 @@
             })
         });
         let Some(owner) = owner else { continue };
-        w.state_link.refused.insert(owner);
-        w.run(0.5);
+        world.state_link.refused.insert(owner);
+        world.run(0.5);
         let other = 1 - owner;
         for job in 1..=3 {
-            w.ask_cancel(other, &id(job));
+            world.ask_cancel(other, &id(job));
         }
-        w.run(0.5);
-        w.start(2);
-        outage(&mut w, 66.0);
-        whole(&w, &format!("step {step}"));
+        world.run(0.5);
+        world.start(2);
+        outage(&mut world, 66.0);
+        assert_no_violation(&world, &format!("step {step}"));
     }
 }
 
-/// The machine of a cancelled task is being returned, and the cloud does not answer: it
-/// goes on reporting, and its tasks are stopped all the same. Guards against an owner
-/// that keeps a lease and sends nothing to a machine that is not `Ready`.
+/// Guards against an owner that renews the lease of a machine that is not `Ready` without sending
+/// it commands. The machine of a cancelled task is being returned, but the cloud does not respond.
+/// The machine goes on reporting, and its tasks must be stopped.
 #[test]
 fn a_machine_that_is_being_returned() {
-    let (mut w, _) = running(6);
-    w.cloud.down = true;
-    let names: Vec<String> = w.workers.keys().cloned().collect();
+    let (mut world, _) = running(6);
+    world.cloud.down = true;
+    let names: Vec<String> = world.workers.keys().cloned().collect();
     let held: Vec<String> = names
         .into_iter()
-        .filter(|n| w.workers[n].tasks.keys().any(|p| p.starts_with("j-000001")))
+        .filter(|n| {
+            world.workers[n]
+                .tasks
+                .keys()
+                .any(|p| p.starts_with("j-000001"))
+        })
         .collect();
-    // Silent for longer than a service waits, so that they are to be returned.
-    w.network.unreachable.extend(held.iter().cloned());
-    w.run(7.5);
-    assert!(w.cloud.releases_failed > 0, "{}", w.trace.join("\n"));
-    w.network.unreachable.clear();
-    w.run(2.0);
-    let before = w.copies("j-000001/0") + w.copies("j-000001/1");
-    assert!(before > 0, "still there: {}", w.trace.join("\n"));
-    w.ask_cancel(1, "j-000001");
-    w.run(60.0);
-    whole(&w, "returned");
+    // They are silent for longer than a service waits, so that they are returned.
+    world.network.unreachable.extend(held.iter().cloned());
+    world.run(7.5);
+    assert!(
+        world.cloud.releases_failed > 0,
+        "{}",
+        world.trace.join("\n")
+    );
+    world.network.unreachable.clear();
+    world.run(2.0);
+    let before = world.copies("j-000001/0") + world.copies("j-000001/1");
+    assert!(
+        before > 0,
+        "no task of the job runs: {}",
+        world.trace.join("\n")
+    );
+    world.ask_cancel(1, "j-000001");
+    world.run(60.0);
+    assert_no_violation(&world, "returned");
 }
 
-/// A direct start of a task is on its way when its job is cancelled, just before an
-/// outage: nobody can get the token that would stop it, so the incarnation has to end before
-/// it may arrive.
+/// Guards against a direct start that is in flight when its job is cancelled, just before an
+/// outage. No controller can take the token that would reject the start, so the machine's
+/// incarnation has to end before the start may arrive.
 #[test]
-fn a_start_on_its_way_in_an_outage() {
+fn a_start_in_flight_during_an_outage() {
     for late_s in [5.0, 30.0, 39.0, 50.0, 60.0] {
-        let mut w = World::new(Setup {
+        let mut world = World::new(Setup {
             machines: vec![("a", 1), ("b", 1), ("c", 1)],
             ..Setup::default()
         });
-        w.run(8.0);
-        let hosts: Vec<String> = w.workers.keys().cloned().collect();
-        w.machines.slow_commands.extend(hosts);
-        // In between two reports, so that the start goes directly.
-        w.submit(&World::spec("j-000001", "service", 6));
-        w.run_until(3.0, |w| !w.machines.held_commands.is_empty());
-        w.state_link.refused = [0].into();
-        w.ask_cancel(1, "j-000001");
-        w.run(0.5);
-        w.state_link.refused = [0, 1, 2].into();
-        w.machines.slow_commands.clear();
-        w.run(late_s);
-        w.deliver_direct();
-        w.run(75.0 - late_s);
-        whole(&w, &format!("{late_s} s late"));
+        world.run(8.0);
+        let hosts: Vec<String> = world.workers.keys().cloned().collect();
+        world.machines.slow_commands.extend(hosts);
+        // Submitted between two reports, so that the start is sent directly.
+        world.submit(&World::spec("j-000001", "service", 6));
+        world.run_until(3.0, |world| !world.machines.held_commands.is_empty());
+        world.state_link.refused = [0].into();
+        world.ask_cancel(1, "j-000001");
+        world.run(0.5);
+        world.state_link.refused = [0, 1, 2].into();
+        world.machines.slow_commands.clear();
+        world.run(late_s);
+        world.deliver_direct();
+        world.run(75.0 - late_s);
+        assert_no_violation(&world, &format!("{late_s} s late"));
     }
 }
 
-/// An owner is served again just when its leases are about to end: it leases its shard,
-/// answers machines that still show the token before, and ends. What it knows to be
-/// cancelled must not have a lease more by that. (Found by seed 286 of the gaps.)
+/// Guards against a lease renewed for a cancelled task: an owner is served again just before its
+/// workers' leases end, claims its shard anew, answers machines that still show the previous
+/// token, and ends. Tasks that it knows to be cancelled must not get another lease by that
+/// (found at seed 286 of the random gaps).
 #[test]
 fn a_new_claim_just_before_an_owner_ends() {
     for back in 2..20 {
         let back_ms = f64::from(back) * 100.0;
-        let (mut w, leader) = running(6);
+        let (mut world, leader) = running(6);
         let other = (leader + 1) % 3;
-        w.state_link.refused.insert(leader);
-        w.network.isolated.insert(leader);
-        w.run(1.9);
+        world.state_link.refused.insert(leader);
+        world.network.isolated.insert(leader);
+        world.run(1.9);
         for job in 1..=6 {
-            w.ask_cancel(other, &id(job));
+            world.ask_cancel(other, &id(job));
         }
-        w.run(0.1);
-        w.state_link.refused = [0, 1, 2].into();
-        w.run(30.5);
-        w.state_link.refused.remove(&leader);
-        w.run(back_ms / 1000.0);
-        w.kill(leader);
-        w.run(30.0);
-        whole(&w, &format!("back for {back_ms} ms"));
+        world.run(0.1);
+        world.state_link.refused = [0, 1, 2].into();
+        world.run(30.5);
+        world.state_link.refused.remove(&leader);
+        world.run(back_ms / 1000.0);
+        world.kill(leader);
+        world.run(30.0);
+        assert_no_violation(&world, &format!("back for {back_ms} ms"));
     }
 }
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What runs goes on through outages and restarts, and what users read never goes back.
+//! Running tasks survive outages and restarts, and responses to users never go back in time.
 
 mod common;
 
@@ -9,39 +9,39 @@
 use cherryyard_wire::state::{WatchEvent, WatchResponse};
 use common::settled::settled;
 
-/// While the state service answers nobody, nobody can cancel: workers are
-/// answered for as long as it takes, and nothing new starts.
+/// Guards against tasks stopped by an outage of the state service for all controllers: nobody can
+/// cancel jobs then, so workers' leases are renewed as long as it lasts, and nothing new starts.
 #[test]
-fn outage_for_all_keeps_what_runs() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "service", 3));
-    w.run_until(5.0, |w| w.running() == 3);
-    w.submit(&World::spec("j-000002", "service", 1));
-    w.state_link.refused.extend([0, 1, 2]);
-    w.run(90.0);
-    assert_eq!(w.running(), 3, "{}", w.trace.join("\n"));
-    w.state_link.refused.clear();
-    w.run(10.0);
-    assert_eq!(w.running(), 4, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+fn running_tasks_survive_an_outage_for_all() {
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "service", 3));
+    world.run_until(5.0, |world| world.running() == 3);
+    world.submit(&World::spec("j-000002", "service", 1));
+    world.state_link.refused.extend([0, 1, 2]);
+    world.run(90.0);
+    assert_eq!(world.running(), 3, "{}", world.trace.join("\n"));
+    world.state_link.refused.clear();
+    world.run(10.0);
+    assert_eq!(world.running(), 4, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// A view once told is never older at another controller, nor at one that is
-/// cut off afterwards, nor after a late change from the watch.
+/// Guards against responses older than earlier ones: at another controller, at one that is cut
+/// off afterwards, and after a late event of the watch.
 #[test]
 fn reads_never_go_back() {
-    let mut w = settled(Setup::default());
-    w.submit(&World::spec("j-000001", "service", 1));
-    w.run(2.0);
-    let old = w.state.events(0);
-    w.cancel(0, "j-000001");
+    let mut world = settled(Setup::default());
+    world.submit(&World::spec("j-000001", "service", 1));
+    world.run(2.0);
+    let old = world.state.events(0);
+    world.cancel(0, "j-000001");
     for i in [1, 2, 0] {
-        let status = w.view(i, "j-000001").map(|v| v.status);
+        let status = world.view(i, "j-000001").map(|v| v.status);
         assert_eq!(status, Some(JobStatus::Cancelled), "node-{i}");
     }
-    w.state_link.refused.insert(1);
-    let now = w.now;
-    let controller = w.controllers[1].as_mut().unwrap();
+    world.state_link.refused.insert(1);
+    let now = world.now;
+    let controller = world.controllers[1].as_mut().unwrap();
     controller.handle_watch_response(&old, now, now);
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
@@ -64,79 +64,82 @@
         now,
     );
     assert_eq!(
-        w.view(1, "j-000001").map(|v| v.status),
+        world.view(1, "j-000001").map(|v| v.status),
         Some(JobStatus::Cancelled)
     );
-    let open = &w.controllers[1].as_ref().unwrap().mirror.open;
-    assert!(!open.contains_key(&1), "nothing may start it again");
+    let open = &world.controllers[1].as_ref().unwrap().mirror.open;
+    assert!(
+        !open.contains_key(&1),
+        "the cancelled job must not be open again"
+    );
 }
 
-/// The trace of a rolling restart: what runs goes on, a restarted controller
-/// has its shard back at once, and the job completes.
+/// Records the trace of a rolling restart: running tasks go on, each restarted controller gets
+/// its shard back at once, and the job completes.
 #[test]
 fn trace_of_a_rolling_restart() {
-    let mut w = settled(Setup::default());
-    for x in w.workers.values_mut() {
+    let mut world = settled(Setup::default());
+    for x in world.workers.values_mut() {
         x.run_ms = 9000.0;
     }
-    w.submit(&World::spec("j-000001", "sweep", 9));
+    world.submit(&World::spec("j-000001", "sweep", 9));
     for i in 0..3 {
-        w.run(2.0);
-        w.kill(i);
-        w.run(4.0);
-        w.start(i);
+        world.run(2.0);
+        world.kill(i);
+        world.run(4.0);
+        world.start(i);
     }
-    w.run(30.0);
-    let view = w.view(2, "j-000001").unwrap();
+    world.run(30.0);
+    let view = world.view(2, "j-000001").unwrap();
     assert_eq!(
         (view.status, view.done),
         (JobStatus::Done, 9),
         "{}",
-        w.trace.join("\n")
+        world.trace.join("\n")
     );
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    insta::assert_snapshot!(w.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    insta::assert_snapshot!(world.trace.join("\n"));
 }
 
-/// Connections between controllers are refused, and all else works: the leader
-/// stays who it is (it went round among all, every few seconds), and a job is
-/// still divided over all shards by what the cloud lists and what is assigned (the
-/// leader's own shard got everything).
+/// Guards against disruption when only the connections between controllers fail. The leader stays
+/// the same (once, the lead moved among all controllers every few seconds), and a job is still
+/// divided among all shards by the cloud's list and the assignments (once, the leader's own shard
+/// got everything).
 #[test]
-fn a_cut_between_controllers_changes_little() {
-    let mut w = settled(Setup::default());
-    w.list_machines();
-    w.run(5.0);
-    let leadership = w.state.get("c/lead").unwrap().1;
-    w.network.isolated.extend([0, 1, 2]);
-    w.run(20.0);
-    w.list_machines();
-    w.run(3.0);
-    w.submit(&World::spec("j-000001", "sweep", 6));
-    w.run(3.0);
+fn lost_connections_between_controllers_keep_the_leader() {
+    let mut world = settled(Setup::default());
+    world.list_machines();
+    world.run(5.0);
+    let leadership = world.state.get("c/lead").unwrap().1;
+    world.network.isolated.extend([0, 1, 2]);
+    world.run(20.0);
+    world.list_machines();
+    world.run(3.0);
+    world.submit(&World::spec("j-000001", "sweep", 6));
+    world.run(3.0);
     assert_eq!(
-        w.state.get("c/lead").unwrap().1,
+        world.state.get("c/lead").unwrap().1,
         leadership,
-        "the lead moved"
+        "the leader changed"
     );
-    assert_eq!(w.running(), 6, "{}", w.trace.join("\n"));
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// A full read is taken in small pieces between which others have their turn;
-/// what it lacks is forgotten at its end only, and what is newer stays.
+/// Guards against errors of a full read in chunks, between which other events are processed: keys
+/// that it lacks are removed only at its end, and newer values stay.
 #[test]
-fn a_full_read_in_pieces() {
-    let mut w = settled(Setup::default());
+fn a_full_read_in_chunks() {
+    let mut world = settled(Setup::default());
     for n in 1..=8 {
-        w.submit(&World::spec(&format!("j-{n:06}"), "service", 1));
+        world.submit(&World::spec(&format!("j-{n:06}"), "service", 1));
     }
-    w.run(10.0);
-    w.cancel(0, "j-000003");
-    w.run(10.0);
-    let whole = &w.controllers[0].as_ref().unwrap().mirror;
-    let mut mirror = Mirror::new(&w.controllers[0].as_ref().unwrap().config);
-    let (pairs, store_revision) = (w.state.pairs(), w.state.store_revision());
+    world.run(10.0);
+    world.cancel(0, "j-000003");
+    world.run(10.0);
+    let watched_mirror = &world.controllers[0].as_ref().unwrap().mirror;
+    let mut mirror = Mirror::new(&world.controllers[0].as_ref().unwrap().config);
+    let (pairs, store_revision) = (world.state.pairs(), world.state.store_revision());
     mirror.begin_load();
     for some in pairs.chunks(2) {
         mirror.apply_read_page(some);
@@ -145,9 +148,9 @@
     mirror.end_load(store_revision);
     assert!(mirror.loaded && mirror.store_revision == store_revision);
     for job in 1..=9 {
-        assert_eq!(mirror.view(job), whole.view(job), "{job}");
+        assert_eq!(mirror.view(job), watched_mirror.view(job), "{job}");
     }
-    // Read again after the page of jobs was deleted; then one in which it is newer.
+    // A read after the page of jobs was deleted; then one that is older than the page in memory.
     let newest = pairs
         .iter()
         .find(|p| p.key == admission_log_key(0))
