--- a/crates/cherryyard-simulation/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -51,7 +51,7 @@
     });
     world.run(10.0);
     let (since, before) = (world.now, world.state.writes);
-    let (number, _) = world.queue("measured", &[chunk(&args)]);
+    let (number, _) = world.store_submission("measured", &[chunk(&args)]);
     run_until_created(&mut world, &args, number);
     println!(
         "{} jobs of {}: created after {:.1} s, {} writes, {} in the largest transaction",
@@ -59,7 +59,7 @@
         args.tasks,
         (world.now - since) / 1000.0,
         world.state.writes - before,
-        world.state.most_ops,
+        world.state.max_transaction_ops,
     );
 }
 
--- a/crates/cherryyard-simulation/src/fault.rs
+++ b/crates/cherryyard-simulation/src/fault.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of machines that [`Fault::CancelRunningJobs`] lets hang at the same time.
 const MAX_HUNG_MACHINES: usize = 8;
-/// Interval at which [`Fault::LeadersEnd`] kills the leader.
+/// Interval at which [`Fault::LeaderKilledRepeatedly`] kills the leader.
 const LEADER_KILL_INTERVAL_MS: f64 = 12_000.0;
 /// Time from the provisioning of a machine until it is up, while [`Fault::FastProvisioning`] is
 /// not in effect.
@@ -80,17 +80,17 @@
     /// controllers from the state service.
     ZonePartitioned,
     /// The leader is killed every 12 s and restarted half a second later.
-    LeadersEnd,
+    LeaderKilledRepeatedly,
 }
 
 /// Faults that the first random scenarios draw from. Their order decides what a recorded seed
 /// draws.
-pub const OLDER: [Fault; 19] = *Fault::VARIANTS
+pub const ORIGINAL_FAULTS: [Fault; 19] = *Fault::VARIANTS
     .first_chunk()
-    .expect("19 faults before those of NEWER");
+    .expect("19 faults before those of ADDED_FAULTS");
 
-/// Faults that were added after those of [`OLDER`].
-pub const NEWER: [Fault; 10] = *Fault::VARIANTS.last_chunk().expect("10 further faults");
+/// Faults that were added after those of [`ORIGINAL_FAULTS`].
+pub const ADDED_FAULTS: [Fault; 10] = *Fault::VARIANTS.last_chunk().expect("10 further faults");
 
 /// Returns the index of the leader, or of the first controller if there is no leader.
 pub fn leader(world: &World) -> usize {
@@ -124,7 +124,7 @@
         }
         if !world.asked_to_cancel(&id) {
             let controller = draw_controller(world, draw);
-            world.insist(controller, &id, Question::Cancel);
+            world.request_until_answered(controller, &id, Question::Cancel);
         }
     }
 }
@@ -152,7 +152,7 @@
             Self::LeaderDown => world.kill(leader),
             Self::AllDown => (0..count).for_each(|i| world.kill(i)),
             Self::SuccessorDown => world.kill((leader + 1) % count),
-            Self::LeadersEnd => {
+            Self::LeaderKilledRepeatedly => {
                 world.processes.leader_kill_interval_ms = Some(LEADER_KILL_INTERVAL_MS)
             }
             Self::LeaderFrozen => drop(world.processes.frozen.insert(leader)),
@@ -195,7 +195,7 @@
                 .extend(draw_machines(world, 2, draw)),
             Self::MachinesRestarted => {
                 let machines = draw_machines(world, 5, draw);
-                machines.iter().for_each(|name| world.reborn(name));
+                machines.iter().for_each(|name| world.restart_machine(name));
             }
             Self::LeaderRefused => drop(world.state_link.refused.insert(leader)),
             Self::StateOutage => world.state_link.refused.extend(0..count),
@@ -205,7 +205,7 @@
             Self::DuplicatedHeartbeats => {
                 world.duplicates.delay_ms = Some(500.0 + draw(40_000) as f64)
             }
-            Self::DuplicatesForNextLeader => world.duplicates.for_next_leader = true,
+            Self::DuplicatesForNextLeader => world.duplicates.keep_for_next_leader = true,
             Self::CloudDown => {
                 // If a machine hangs while a start is on its way to it, a cancellation can be
                 // completed in time only by releasing the machine. So machines must not hang
@@ -215,12 +215,12 @@
             }
             Self::FastProvisioning => {
                 world.cloud.provisioning_ms = Some(draw(2000) as f64);
-                world.cloud.provisions_unanswered = draw(2) == 0;
+                world.cloud.lose_provision_responses = draw(2) == 0;
             }
             Self::CancelRunningJobs => cancel_running_jobs(world, draw),
             Self::CancelEndingJobs => world.submissions.cancel_at_end_percent = 50,
-            Self::OddRequests => world.requests.odd = true,
-            Self::ConcurrentRequests => world.requests.close_looks = true,
+            Self::OddRequests => world.requests.odd_requests = true,
+            Self::ConcurrentRequests => world.requests.query_all_controllers = true,
         }
     }
 
@@ -230,7 +230,7 @@
             Self::LeaderDown | Self::AllDown | Self::SuccessorDown => {
                 start_stopped_controllers(world)
             }
-            Self::LeadersEnd => world.processes.leader_kill_interval_ms = None,
+            Self::LeaderKilledRepeatedly => world.processes.leader_kill_interval_ms = None,
             Self::LeaderFrozen => world.processes.frozen.clear(),
             Self::EventLoopLag => world.processes.lag_ms.clear(),
             Self::LeaderIsolated => {
@@ -248,7 +248,7 @@
             }
             Self::SlowCommands => {
                 world.machines.slow_commands.clear();
-                world.deliver_direct();
+                world.deliver_held_commands();
             }
             Self::MachinesRestarted => {}
             Self::LeaderRefused | Self::StateOutage => world.state_link.refused.clear(),
@@ -256,25 +256,25 @@
             Self::DelayedCommits => world.state_link.delayed_percent = 0,
             Self::LostCommitResponses => world.state_link.lost_response_percent = 0,
             Self::DuplicatedHeartbeats => world.duplicates.delay_ms = None,
-            Self::DuplicatesForNextLeader => world.duplicates.for_next_leader = false,
+            Self::DuplicatesForNextLeader => world.duplicates.keep_for_next_leader = false,
             Self::CloudDown => world.cloud.down = false,
             Self::FastProvisioning => {
                 world.cloud.provisioning_ms = Some(PROVISIONING_MS);
-                world.cloud.provisions_unanswered = false;
+                world.cloud.lose_provision_responses = false;
             }
             Self::CancelRunningJobs => {
-                world.deliver_direct();
+                world.deliver_held_commands();
                 world.machines.hung.clear();
             }
             Self::CancelEndingJobs => world.submissions.cancel_at_end_percent = 0,
-            Self::OddRequests => world.requests.odd = false,
-            Self::ConcurrentRequests => world.requests.close_looks = false,
+            Self::OddRequests => world.requests.odd_requests = false,
+            Self::ConcurrentRequests => world.requests.query_all_controllers = false,
         }
     }
 
     /// Ends all faults, so that nothing fails any more.
     pub fn finish_all(world: &mut World) {
-        for fault in OLDER.into_iter().chain(NEWER) {
+        for fault in ORIGINAL_FAULTS.into_iter().chain(ADDED_FAULTS) {
             fault.finish(world);
         }
     }
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -262,7 +262,7 @@
     /// available.
     fn changes(&self, since: u64, deadline: Instant) -> Option<Reply> {
         let service = self.lock();
-        if !service.state.remembers(since) {
+        if !service.state.has_changes_since(since) {
             return Some(Reply::empty(410));
         }
         let events = service.state.events(since);
--- a/crates/cherryyard-simulation/src/lib.rs
+++ b/crates/cherryyard-simulation/src/lib.rs
@@ -31,7 +31,7 @@
 /// # Panics
 ///
 /// If either variable is not a number.
-pub fn play_seeds(first: u64, count: u64, run_scenario: impl Fn(u64)) {
+pub fn run_seeds(first: u64, count: u64, run_scenario: impl Fn(u64)) {
     let read_variable =
         |name: &str, default: u64| std::env::var(name).map_or(default, |s| s.parse().expect(name));
     let start = read_variable("FROM", first);
@@ -41,7 +41,7 @@
 /// Returns a generator of pseudo-random numbers below its argument. The generator (xorshift) is
 /// written out here and not taken from a library, whose versions may draw differently: a seed
 /// that broke a rule stays reproducible.
-pub fn draws(seed: u64) -> impl FnMut(u64) -> u64 {
+pub fn seeded_draws(seed: u64) -> impl FnMut(u64) -> u64 {
     let mut xorshift = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     move |bound| {
         xorshift ^= xorshift << 13;
--- a/crates/cherryyard-simulation/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -18,9 +18,9 @@
 const IDLE_CONNECTIONS: usize = 50;
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 65_536;
-/// Maximum number of attempts of [`Client::insist`].
+/// Maximum number of attempts of [`Client::call_until_available`].
 const MAX_ATTEMPTS: usize = 300;
-/// Time between two attempts of [`Client::insist`].
+/// Time between two attempts of [`Client::call_until_available`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Returns a TCP port of the loopback interface that is free at the moment.
@@ -157,7 +157,12 @@
 
     /// Sends a request as [`Client::call`] does, and repeats it every 100 ms until there is a
     /// response other than 503. Panics after 300 attempts.
-    pub async fn insist(&self, method: &str, path: &str, body: Option<String>) -> (u16, String) {
+    pub async fn call_until_available(
+        &self,
+        method: &str,
+        path: &str,
+        body: Option<String>,
+    ) -> (u16, String) {
         for _ in 0..MAX_ATTEMPTS {
             let (status, text) = self.call(method, path, body.clone()).await;
             if status != 503 && status != 0 {
@@ -170,6 +175,6 @@
 
     /// Waits until the controller reports that it is ready.
     pub async fn ready(&self) {
-        self.insist("GET", "/ready", None).await;
+        self.call_until_available("GET", "/ready", None).await;
     }
 }
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -57,9 +57,9 @@
     /// Number of all puts and deletes so far.
     pub writes: usize,
     /// Largest number of changes in a transaction so far.
-    pub most_ops: usize,
+    pub max_transaction_ops: usize,
     /// Largest number of conditions in a transaction so far.
-    pub most_conditions: usize,
+    pub max_transaction_conditions: usize,
     /// Limits that are enforced; if none, every transaction is accepted.
     pub limits: Option<ServiceLimits>,
     /// Number of transactions that were refused because they exceeded the limits.
@@ -158,7 +158,7 @@
     }
 
     /// Returns whether the changes after revision `since` are still available to a watch.
-    pub fn remembers(&self, since: u64) -> bool {
+    pub fn has_changes_since(&self, since: u64) -> bool {
         self.compacted_revision <= since
     }
 
@@ -287,8 +287,9 @@
         self.writes += commit.changes.len();
         let is_assignment = |change: &&Change| change.key().starts_with(ASSIGNMENTS);
         self.assignment_writes += commit.changes.iter().filter(is_assignment).count();
-        self.most_ops = self.most_ops.max(commit.changes.len());
-        self.most_conditions = self.most_conditions.max(commit.conditions.len());
+        self.max_transaction_ops = self.max_transaction_ops.max(commit.changes.len());
+        self.max_transaction_conditions =
+            self.max_transaction_conditions.max(commit.conditions.len());
     }
 
     fn set_key(&mut self, key: &str, value: &Json, lease_id: Option<u64>) {
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -68,11 +68,11 @@
     cancelled: BTreeSet<String>,
     next_controller: usize,
     /// Fault injection for tests of this checker: polls of this job are never answered.
-    pub never_answers: Option<String>,
+    pub unanswered_job: Option<String>,
     /// Longest time between two answers to polls of a job, in milliseconds.
-    pub longest: f64,
+    pub longest_unanswered_ms: f64,
     /// Rule violations that the answers to polls have shown.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Users {
@@ -85,8 +85,8 @@
 
     /// Submits a job to controller `i`, and to the next one if there is no answer, until one of
     /// them accepts it.
-    pub fn ask(&mut self, world: &mut World, i: usize, spec: &JobSpec) {
-        let ticket = world.offer(i, spec, None);
+    pub fn submit_via(&mut self, world: &mut World, i: usize, spec: &JobSpec) {
+        let ticket = world.submit_to_core(i, spec, None);
         self.pending.push(PendingSubmission {
             spec: spec.clone(),
             controller: i,
@@ -109,7 +109,7 @@
                     | SubmissionOutcome::Failed,
                 ) => {
                     let next_controller = (pending.controller + 1) % world.controllers.len();
-                    self.ask(world, next_controller, &pending.spec);
+                    self.submit_via(world, next_controller, &pending.spec);
                 }
             }
         }
@@ -135,7 +135,7 @@
         self.jobs.entry(spec.id.clone()).or_insert(job);
     }
 
-    /// Records which jobs the users of `World::insist` were told to be accepted, and which jobs
+    /// Records which jobs the users of `World::request_until_answered` were told to be accepted, and which jobs
     /// may be cancelled.
     fn record_answers(&mut self, world: &mut World) {
         for spec in std::mem::take(&mut world.requests.accepted) {
@@ -160,8 +160,8 @@
 
     /// Requests a job's cancellation, first from controller `i`, until a controller confirms
     /// its outcome.
-    pub fn ask_cancel(&mut self, world: &mut World, i: usize, id: &str) {
-        world.ask_cancel(i, id);
+    pub fn cancel_until_confirmed(&mut self, world: &mut World, i: usize, id: &str) {
+        world.cancel_until_confirmed(i, id);
         self.cancelled.insert(id.to_string());
         if let Some(job) = self.jobs.get_mut(id) {
             job.is_cancelled = true;
@@ -206,13 +206,13 @@
     /// Polls a job at up to three controllers, until one answers.
     fn poll(&mut self, world: &mut World, id: &str) {
         self.next_controller += 1;
-        if self.never_answers.as_deref() == Some(id) {
+        if self.unanswered_job.as_deref() == Some(id) {
             return;
         }
         match (0..POLL_ATTEMPTS).find_map(|k| poll_at(world, self.next_controller + k, id)) {
             Some(Some(view)) => self.record_view(world, id, &view),
             Some(None) => self
-                .broken
+                .violations
                 .push(format!("{id} was accepted and is unknown")),
             None => {}
         }
@@ -223,17 +223,17 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        self.longest = self.longest.max(world.now - job.answered_at);
+        self.longest_unanswered_ms = self.longest_unanswered_ms.max(world.now - job.answered_at);
         job.answered_at = world.now;
         let is_done = view.status == JobStatus::Done;
         let is_complete =
             (0..job.task_count).all(|n| world.checker.completed.contains(&format!("{id}/{n}")));
         if is_done && !is_complete {
-            self.broken
+            self.violations
                 .push(format!("{id} is called done before it is"));
         }
         if job.is_done && !is_done {
-            self.broken
+            self.violations
                 .push(format!("{id} was done and is not any more"));
         }
         job.is_done |= is_done;
@@ -251,15 +251,15 @@
     /// Ends all faults, lets 200 s pass in which the cluster can recover, and returns all rule
     /// violations: those found so far, jobs whose polls are not answered, tasks that waited
     /// beside free machines, and groups of jobs that were not served.
-    pub fn see_out(&mut self, world: &mut World) -> Vec<String> {
+    pub fn recover_and_check(&mut self, world: &mut World) -> Vec<String> {
         Fault::finish_all(world);
         let faults_ended_at = world.now;
         for _ in 0..40 {
             self.run(world, 5.0);
             world.list_machines();
         }
-        let mut violations = world.broken.clone();
-        violations.extend(self.judge(world, faults_ended_at));
+        let mut violations = world.violations.clone();
+        violations.extend(self.violations_since(world, faults_ended_at));
         violations
     }
 }
@@ -285,5 +285,5 @@
         let is_final = matches!(view.status, JobStatus::Done | JobStatus::Cancelled);
         return is_final.then_some(Some(view));
     }
-    Some(world.find(i, id))
+    Some(world.view_with_history(i, id))
 }
--- a/crates/cherryyard-simulation/src/users/verdict.rs
+++ b/crates/cherryyard-simulation/src/users/verdict.rs
@@ -22,8 +22,8 @@
 impl Users {
     /// Returns the rule violations at the end of a scenario whose faults ended at the time
     /// `faults_ended_at`. A group of jobs violates the rules if fewer than half of its jobs were served.
-    pub fn judge(&self, world: &World, faults_ended_at: f64) -> Vec<String> {
-        let mut violations = self.broken.clone();
+    pub fn violations_since(&self, world: &World, faults_ended_at: f64) -> Vec<String> {
+        let mut violations = self.violations.clone();
         violations.extend(self.unanswered_jobs(world, faults_ended_at));
         violations.extend(self.starved_jobs(faults_ended_at));
         let mut served_by_group = self.served_by_group(world);
@@ -70,7 +70,7 @@
         let mut served_by_group: BTreeMap<String, Served> = BTreeMap::new();
         for (id, job) in self.not_cancelled() {
             let is_served =
-                job.is_done || (job.is_service && world.copies(&format!("{id}/0")) == 1);
+                job.is_done || (job.is_service && world.running_copies(&format!("{id}/0")) == 1);
             for group in [format!("class {}", job.class), format!("team {}", job.team)] {
                 let group = served_by_group.entry(group).or_default();
                 group.served += usize::from(is_served);
--- a/crates/cherryyard-simulation/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -69,14 +69,14 @@
     /// Index of the controller that the worker sends heartbeats to.
     pub controller: usize,
     /// Time of the next heartbeat.
-    pub report_at: f64,
+    pub next_heartbeat_at: f64,
     /// Run time of the worker's tasks; infinite for replicas of services.
     pub run_ms: f64,
     /// Whether tasks on this machine fail instead of completing.
-    pub faulty: bool,
+    pub tasks_fail: bool,
     /// Jobs that were submitted with a mistake: their tasks fail on this machine as on every
     /// other.
-    pub bad_jobs: BTreeSet<String>,
+    pub failing_jobs: BTreeSet<String>,
     /// Time at which the cloud reclaims the machine, once the cloud has announced it.
     pub reclaim_at: Option<f64>,
     /// Duration for which an answered heartbeat keeps the worker's tasks running. An infinite
@@ -99,10 +99,10 @@
             provisioned_at: now - PROVISIONING_LEAD_MS,
             lease_renewed_at: now,
             controller,
-            report_at: now,
+            next_heartbeat_at: now,
             run_ms: f64::INFINITY,
-            faulty: false,
-            bad_jobs: BTreeSet::new(),
+            tasks_fail: false,
+            failing_jobs: BTreeSet::new(),
             reclaim_at: None,
             lease_ms,
         }
@@ -130,20 +130,20 @@
         }
         for (name, task) in &mut self.tasks {
             let job = job_id_of(name);
-            let is_failing_job = self.bad_jobs.contains(job);
+            let is_failing_job = self.failing_jobs.contains(job);
             let run_ms = match (is_failing_job, services.contains(job)) {
                 (true, _) => FAILING_JOB_RUN_MS,
-                (_, true) if !self.faulty => f64::INFINITY,
+                (_, true) if !self.tasks_fail => f64::INFINITY,
                 _ => self.run_ms,
             };
             if task.runs() && now - task.started_at >= run_ms {
-                task.cause = Some(if self.faulty || is_failing_job {
+                task.cause = Some(if self.tasks_fail || is_failing_job {
                     ExitCause::Error
                 } else {
                     ExitCause::Done
                 });
                 log.push(format!("{} ends {name} try {}", self.host, task.attempt));
-                self.report_at = now;
+                self.next_heartbeat_at = now;
             }
         }
         log
@@ -163,14 +163,14 @@
         self.tasks.clear();
         (self.incarnation, self.sequence, self.fencing_token) = (1, 0, 0);
         self.lease_renewed_at = now;
-        self.report_at = now;
+        self.next_heartbeat_at = now;
     }
 
     /// Completes a task if it runs on this machine.
     pub fn finish(&mut self, task_name: &str) {
         if let Some(task) = self.tasks.get_mut(task_name).filter(|task| task.runs()) {
             task.cause = Some(ExitCause::Done);
-            self.report_at = 0.0;
+            self.next_heartbeat_at = 0.0;
         }
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Builds the next heartbeat, which contains the status of all tasks.
-    pub fn report(&mut self, now: f64) -> WorkerHeartbeat {
+    pub fn next_heartbeat(&mut self, now: f64) -> WorkerHeartbeat {
         self.sequence += 1;
         WorkerHeartbeat {
             host: self.host.clone(),
@@ -228,7 +228,7 @@
             return Vec::new();
         }
         if response.fencing_token > self.fencing_token {
-            self.report_at = now + NEW_TOKEN_HEARTBEAT_DELAY_MS;
+            self.next_heartbeat_at = now + NEW_TOKEN_HEARTBEAT_DELAY_MS;
         }
         self.fencing_token = response.fencing_token;
         self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
@@ -237,7 +237,11 @@
 
     /// Processes direct commands; returns whether they were executed, and lines for the trace.
     /// Commands with an outdated fencing token or of another incarnation are ignored.
-    pub fn direct(&mut self, request: &CommandBatch, now: f64) -> (bool, Vec<String>) {
+    pub fn handle_direct_commands(
+        &mut self,
+        request: &CommandBatch,
+        now: f64,
+    ) -> (bool, Vec<String>) {
         if request.fencing_token < self.fencing_token || request.incarnation != self.incarnation {
             return (false, Vec::new());
         }
@@ -266,7 +270,7 @@
                     {
                         task.cause = Some(ExitCause::Halted);
                         log.push(format!("{} stops {task_name} try {attempt}", self.host));
-                        self.report_at = now;
+                        self.next_heartbeat_at = now;
                     }
                 }
                 WorkerCommand::Clear { task_name, attempt } => {
--- a/crates/cherryyard-simulation/src/world.rs
+++ b/crates/cherryyard-simulation/src/world.rs
@@ -69,7 +69,7 @@
     /// Log of what happened, one line per event with its simulated time.
     pub trace: Vec<String>,
     /// Rule violations found so far, each text once.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Observations that the rules are checked against.
     pub checker: Checker,
     setup: Setup,
@@ -77,14 +77,14 @@
 
 impl World {
     /// Appends a line to the trace, with the simulated time.
-    pub fn say(&mut self, text: impl AsRef<str>) {
+    pub fn trace_line(&mut self, text: impl AsRef<str>) {
         self.trace
             .push(format!("{:7.2} {}", self.now / 1000.0, text.as_ref()));
     }
 
     fn trace_all(&mut self, lines: Vec<String>) {
         for line in lines {
-            self.say(line);
+            self.trace_line(line);
         }
     }
 
--- a/crates/cherryyard-simulation/src/world/cancellations.rs
+++ b/crates/cherryyard-simulation/src/world/cancellations.rs
@@ -37,8 +37,8 @@
 impl World {
     /// Requests a cancellation on behalf of a user, first from controller `i` and then from the
     /// next ones, until the answer is that the job is cancelled or done.
-    pub fn ask_cancel(&mut self, i: usize, id: &str) {
-        self.say(format!("{id}: a cancellation is asked for at node-{i}"));
+    pub fn cancel_until_confirmed(&mut self, i: usize, id: &str) {
+        self.trace_line(format!("{id}: a cancellation is asked for at node-{i}"));
         self.requests.cancelling.insert(id.into());
         self.schedule_cancellation(i, self.now, id);
         self.retry_cancellations();
@@ -63,7 +63,7 @@
             let PendingCancellation { controller, id, .. } = pending;
             if let Some(final_status) = self.request_cancellation(controller, &id) {
                 let outcome = final_status.name();
-                self.say(format!(
+                self.trace_line(format!(
                     "{id}: node-{controller} tells its user that it is {outcome}"
                 ));
                 if final_status == FinalStatus::Cancelled {
@@ -130,7 +130,7 @@
         } else {
             self.schedule_cancellation(i, now + RETRY_DELAY_MS, id);
         }
-        self.say(format!("{id} cancelled through node-{i}"));
+        self.trace_line(format!("{id} cancelled through node-{i}"));
     }
 
     /// Cancels the configured percentage of the jobs that have just ended, drawn at random.
@@ -139,7 +139,7 @@
             let percent = self.submissions.cancel_at_end_percent;
             if percent > 0 && (self.state_link.draw)(100) < percent {
                 let i = (self.state_link.draw)(self.controllers.len() as u64) as usize;
-                self.insist(i, &id, Question::Cancel);
+                self.request_until_answered(i, &id, Question::Cancel);
             }
         }
     }
--- a/crates/cherryyard-simulation/src/world/checker.rs
+++ b/crates/cherryyard-simulation/src/world/checker.rs
@@ -20,7 +20,7 @@
     /// Tasks that have completed.
     pub completed: BTreeSet<String>,
     /// Largest number of cores that running tasks have taken at the same time.
-    pub most_cores: f64,
+    pub peak_cores: f64,
     /// Specifications of the jobs as first submitted.
     specs: BTreeMap<String, JobSpec>,
     /// Ids of the submitted services, whose tasks end only with their jobs.
@@ -89,9 +89,9 @@
 
     /// Records a rule violation, once for each text.
     pub(super) fn record_violation(&mut self, text: String) {
-        if !self.broken.contains(&text) {
-            self.say(&text);
-            self.broken.push(text);
+        if !self.violations.contains(&text) {
+            self.trace_line(&text);
+            self.violations.push(text);
         }
     }
 
@@ -186,7 +186,7 @@
                 .map_or(UNKNOWN_CORES, |spec| spec.cores)
         };
         let cores: f64 = running.iter().map(cores).sum();
-        self.checker.most_cores = self.checker.most_cores.max(cores);
+        self.checker.peak_cores = self.checker.peak_cores.max(cores);
     }
 
     /// Checks that a task that has just started may be on its machine, given where the job's
--- a/crates/cherryyard-simulation/src/world/cloud.rs
+++ b/crates/cherryyard-simulation/src/world/cloud.rs
@@ -20,10 +20,10 @@
     pub releases_failed: usize,
     /// Interval at which controllers read the cloud's list of machines; none: only when the
     /// test calls [`World::list_machines`].
-    pub list_every_ms: Option<f64>,
+    pub list_interval_ms: Option<f64>,
     last_listed_at: f64,
     /// Whether the responses to provisioning requests are lost; the requests are carried out.
-    pub provisions_unanswered: bool,
+    pub lose_provision_responses: bool,
     /// Provisioning requests received so far; repetitions of requests that were carried out are
     /// not included.
     pub provision_requests: Vec<ProvisionRequest>,
@@ -62,9 +62,9 @@
         Self {
             down: false,
             releases_failed: 0,
-            list_every_ms: None,
+            list_interval_ms: None,
             last_listed_at: 0.0,
-            provisions_unanswered: false,
+            lose_provision_responses: false,
             provision_requests: Vec::new(),
             provisioned: BTreeMap::new(),
             lost_responses: Vec::new(),
@@ -162,7 +162,7 @@
         }
         let request_id = request.request_id.clone();
         cloud.provisioned.insert(request_id, names.clone());
-        self.say(format!("{} rented", names.len()));
+        self.trace_line(format!("{} rented", names.len()));
         Some(names)
     }
 
@@ -180,7 +180,7 @@
     /// Gives the cloud's list of machines to every controller at the configured interval.
     pub(super) fn list_machines_when_due(&mut self) {
         let last = self.cloud.last_listed_at;
-        let every_ms = self.cloud.list_every_ms;
+        let every_ms = self.cloud.list_interval_ms;
         if every_ms.is_some_and(|every_ms| self.now >= last + every_ms) {
             self.cloud.last_listed_at = self.now;
             self.list_machines();
--- a/crates/cherryyard-simulation/src/world/controllers.rs
+++ b/crates/cherryyard-simulation/src/world/controllers.rs
@@ -87,13 +87,13 @@
 impl World {
     /// Kills a controller's process.
     pub fn kill(&mut self, i: usize) {
-        self.say(format!("node-{i} ends"));
+        self.trace_line(format!("node-{i} ends"));
         self.controllers[i] = None;
     }
 
     /// Starts a controller's process.
     pub fn start(&mut self, i: usize) {
-        self.say(format!("node-{i} starts"));
+        self.trace_line(format!("node-{i} starts"));
         self.controllers[i] = Some(self.new_controller(i));
         self.state_link.drop_read(i);
     }
--- a/crates/cherryyard-simulation/src/world/duplicates.rs
+++ b/crates/cherryyard-simulation/src/world/duplicates.rs
@@ -14,10 +14,10 @@
     pending: Vec<Duplicate>,
     /// Whether a copy of each machine's next heartbeat is kept until the leader changes, and is
     /// then delivered to every controller.
-    pub for_next_leader: bool,
+    pub keep_for_next_leader: bool,
     /// Delay after the change of the leader until the kept heartbeats are delivered, so that
     /// the new leader can act before.
-    pub next_leader_wait_ms: f64,
+    pub next_leader_delay_ms: f64,
     next_leader_due: Option<f64>,
     kept_heartbeats: BTreeMap<String, WorkerHeartbeat>,
     /// Revision of the leadership record when the latest change of the leader was seen.
@@ -41,7 +41,7 @@
         controllers: usize,
         now: f64,
     ) {
-        if self.for_next_leader {
+        if self.keep_for_next_leader {
             let kept_heartbeats = self.kept_heartbeats.entry(heartbeat.host.clone());
             kept_heartbeats.or_insert_with(|| heartbeat.clone());
         }
@@ -69,7 +69,7 @@
     ) -> BTreeMap<String, WorkerHeartbeat> {
         if leader_revision.is_some() && leader_revision != self.last_leader_revision {
             self.last_leader_revision = leader_revision;
-            self.next_leader_due = Some(now + self.next_leader_wait_ms);
+            self.next_leader_due = Some(now + self.next_leader_delay_ms);
         }
         if self.next_leader_due.is_none_or(|due| now < due) {
             return BTreeMap::new();
@@ -88,7 +88,7 @@
             .duplicates
             .take_kept_heartbeats(leader_revision, self.now)
         {
-            self.say(format!("an old report of {name} comes to all"));
+            self.trace_line(format!("an old report of {name} comes to all"));
             for i in 0..self.controllers.len() {
                 self.deliver_duplicate(i, &heartbeat);
             }
--- a/crates/cherryyard-simulation/src/world/effects.rs
+++ b/crates/cherryyard-simulation/src/world/effects.rs
@@ -54,7 +54,7 @@
         let is_released = !self.cloud.down;
         if is_released {
             for name in machines {
-                self.say(format!("node-{i} releases {name}"));
+                self.trace_line(format!("node-{i} releases {name}"));
                 self.workers.remove(name);
                 self.cloud.booting.remove(name);
             }
@@ -68,7 +68,7 @@
 
     fn request_provision(&mut self, i: usize, request: ProvisionRequest) {
         let machines = self.provision(&request).ok_or(ProvisionError::Refused);
-        if self.cloud.provisions_unanswered {
+        if self.cloud.lose_provision_responses {
             let incarnation = self.processes.incarnation(i);
             self.cloud.drop_response(i, incarnation, request, self.now);
         } else if let Some(controller) = &mut self.controllers[i] {
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -20,7 +20,7 @@
 pub struct Machines {
     /// Machines that hang: direct commands to them are held back.
     pub hung: BTreeSet<String>,
-    /// Machines whose direct commands are held back until [`World::deliver_direct`].
+    /// Machines whose direct commands are held back until [`World::deliver_held_commands`].
     pub slow_commands: BTreeSet<String>,
     /// Direct commands that are held back, also those to hanging or unreachable machines.
     pub held_commands: Vec<HeldCommand>,
@@ -64,7 +64,7 @@
         }
         if worker.reclaim_at.is_some_and(|at| now >= at) {
             self.workers.remove(name);
-            self.say(format!("{name} is taken"));
+            self.trace_line(format!("{name} is taken"));
             return;
         }
         let log = worker.advance(now, &self.checker.services);
@@ -72,9 +72,9 @@
             if now - sent_at > RESPONSE_TIMEOUT_MS {
                 self.machines.awaiting_response.remove(name);
                 worker.controller = (worker.controller + 1) % self.controllers.len();
-                worker.report_at = now + RETRY_DELAY_MS;
+                worker.next_heartbeat_at = now + RETRY_DELAY_MS;
             }
-        } else if now >= worker.report_at && self.network.carries_heartbeats_of(name) {
+        } else if now >= worker.next_heartbeat_at && self.network.carries_heartbeats_of(name) {
             self.send_heartbeat(name);
         }
         self.trace_all(log);
@@ -86,9 +86,9 @@
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        worker.report_at = now + HEARTBEAT_INTERVAL_MS;
+        worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         let (controller, zone) = (worker.controller, worker.zone.clone());
-        let heartbeat = worker.report(now);
+        let heartbeat = worker.next_heartbeat(now);
         self.duplicates
             .copy(&heartbeat, controller, self.controllers.len(), now);
         self.machines.awaiting_response.insert(name.into(), now);
@@ -143,18 +143,18 @@
         match reply {
             // The response belongs to a heartbeat of the previous incarnation.
             Some(Reply::Answer(_)) if worker.incarnation != heartbeat.incarnation => {
-                worker.report_at = now;
+                worker.next_heartbeat_at = now;
             }
             Some(Reply::Answer(response)) => {
                 return worker.handle_heartbeat_response(&response, sent_at, now);
             }
             Some(Reply::Misdirected(Some(label))) => {
                 worker.controller = controller_of_label(&label).expect("a label");
-                worker.report_at = now + REDIRECT_DELAY_MS;
+                worker.next_heartbeat_at = now + REDIRECT_DELAY_MS;
             }
             Some(Reply::Misdirected(None) | Reply::Unavailable) | None => {
                 worker.controller = (i + 1) % self.controllers.len();
-                worker.report_at = now + RETRY_DELAY_MS;
+                worker.next_heartbeat_at = now + RETRY_DELAY_MS;
             }
         }
         Vec::new()
@@ -172,8 +172,8 @@
             });
             PushOutcome::Unknown
         } else if let Some(worker) = self.workers.get_mut(name) {
-            let (_, log) = worker.direct(&request, now);
-            let status = worker.report(now);
+            let (_, log) = worker.handle_direct_commands(&request, now);
+            let status = worker.next_heartbeat(now);
             self.trace_all(log);
             PushOutcome::Answered(Box::new(status))
         } else {
@@ -192,7 +192,7 @@
         let is_reachable =
             self.reaches_machine(i, name) && !self.network.cut_from_workers.contains(&i);
         let worker = self.workers.get_mut(name).filter(|_| is_reachable);
-        let status = worker.map(|worker| worker.report(now));
+        let status = worker.map(|worker| worker.next_heartbeat(now));
         if let Some(controller) = &mut self.controllers[i] {
             controller.handle_status_answer(host, status.as_ref(), now);
         }
@@ -200,8 +200,8 @@
 
     /// Restarts a machine at once: all its tasks are lost and its worker is new. Commands that
     /// were held back on connections to it are lost with these connections.
-    pub fn reborn(&mut self, name: &str) {
-        self.say(format!("{name} begins anew"));
+    pub fn restart_machine(&mut self, name: &str) {
+        self.trace_line(format!("{name} begins anew"));
         self.machines.awaiting_response.remove(name);
         self.machines
             .held_commands
@@ -214,15 +214,15 @@
 
     /// Delivers the direct commands that were held back, and returns how many of them a worker
     /// executed.
-    pub fn deliver_direct(&mut self) -> usize {
+    pub fn deliver_held_commands(&mut self) -> usize {
         let now = self.now;
         let mut executed = 0;
         for held in std::mem::take(&mut self.machines.held_commands) {
             if let Some(worker) = self.workers.get_mut(&held.machine) {
-                let (is_executed, log) = worker.direct(&held.request, now);
+                let (is_executed, log) = worker.handle_direct_commands(&held.request, now);
                 executed += usize::from(is_executed);
                 for line in log {
-                    self.say(format!("late: {line}"));
+                    self.trace_line(format!("late: {line}"));
                 }
             }
         }
@@ -231,13 +231,13 @@
     }
 
     /// Returns the number of machines that run this task.
-    pub fn copies(&self, task_name: &str) -> usize {
+    pub fn running_copies(&self, task_name: &str) -> usize {
         let running = self.workers.values();
         running.filter(|worker| worker.runs(task_name)).count()
     }
 
     /// Returns the number of running tasks on all machines.
-    pub fn running(&self) -> usize {
+    pub fn running_task_count(&self) -> usize {
         self.workers
             .values()
             .map(|worker| worker.running_tasks().count())
--- a/crates/cherryyard-simulation/src/world/pipelines.rs
+++ b/crates/cherryyard-simulation/src/world/pipelines.rs
@@ -132,7 +132,7 @@
 
     /// Adds a job that is submitted only once the jobs that it depends on are complete, or one
     /// of them may be cancelled.
-    pub fn add_late(&mut self, spec: JobSpec) {
+    pub fn add_after_completion(&mut self, spec: JobSpec) {
         self.pending.push(PendingJob {
             spec,
             submitted: SubmitWhen::DependenciesComplete,
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -6,7 +6,7 @@
 //! responses; [`odd`] creates invalid and redundant requests.
 
 use super::{STEP_MS, World};
-use crate::draws;
+use crate::seeded_draws;
 use cherryyard_core::Outcome;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView};
 use cherryyard_wire::state::{Commit, WatchResponse};
@@ -189,7 +189,7 @@
     answered: BTreeMap<String, Vec<Answer>>,
     /// Whether users, as soon as they are told that a job is accepted, done or cancelled, poll
     /// the job at all controllers at once and repeat the submission; some also cancel the job.
-    pub close_looks: bool,
+    pub query_all_controllers: bool,
     /// Fault injection for tests of the checker: polls of open jobs are answered without a read
     /// barrier.
     pub without_barrier: bool,
@@ -200,7 +200,7 @@
     /// they neither wait for them nor are cancelled with them.
     pub without_dependencies: bool,
     /// Whether users occasionally send invalid and redundant requests.
-    pub odd: bool,
+    pub odd_requests: bool,
     /// Jobs whose users were told that they are accepted, until [`crate::Users`] has recorded
     /// them.
     pub accepted: Vec<JobSpec>,
@@ -209,7 +209,7 @@
     /// Ids of submitted jobs that cannot run, or that lack a field.
     pub impossible: BTreeSet<String>,
     /// Number of responses that have been checked.
-    pub judged: usize,
+    pub checked_responses: usize,
     /// Responses to requests that are not repeated, by the requests' numbers.
     pub answers: BTreeMap<u64, Response>,
 }
@@ -229,17 +229,17 @@
             open: BTreeMap::new(),
             last_request_number: 0,
             sequence: 0,
-            draw: Box::new(draws(1)),
+            draw: Box::new(seeded_draws(1)),
             answered: BTreeMap::new(),
-            close_looks: false,
+            query_all_controllers: false,
             without_barrier: false,
             without_admission: false,
             without_dependencies: false,
-            odd: false,
+            odd_requests: false,
             accepted: Vec::new(),
             cancelling: BTreeSet::new(),
             impossible: BTreeSet::new(),
-            judged: 0,
+            checked_responses: 0,
             answers: BTreeMap::new(),
         }
     }
@@ -248,7 +248,7 @@
 impl Requests {
     /// Sets the seed of the draws that decide delays and the order of requests.
     pub fn seed(&mut self, seed: u64) {
-        self.draw = Box::new(draws(seed));
+        self.draw = Box::new(seeded_draws(seed));
     }
 
     /// Returns whether a job's user has been told that the job is accepted.
@@ -282,20 +282,20 @@
 impl World {
     /// Sends a user's request to controller `i`, and for up to a minute to the next one after
     /// each response 503 or missing response. Returns the number of the first request.
-    pub fn insist(&mut self, i: usize, id: &str, question: Question) -> u64 {
+    pub fn request_until_answered(&mut self, i: usize, id: &str, question: Question) -> u64 {
         self.send_request(i, id, question, Sender::InsistentUser)
     }
 
     /// Sends a user's request to controller `i` once, and returns its number.
-    pub fn ask_once(&mut self, i: usize, id: &str, question: Question) -> u64 {
+    pub fn request_once(&mut self, i: usize, id: &str, question: Question) -> u64 {
         self.send_request(i, id, question, Sender::User)
     }
 
-    /// Submits a job to controller `i`, and repeats the submission as [`World::insist`] does
+    /// Submits a job to controller `i`, and repeats the submission as [`World::request_until_answered`] does
     /// until the job is accepted or refused for good.
     pub fn submit_at(&mut self, i: usize, spec: &JobSpec) -> u64 {
         let body = serde_json::to_vec(spec).expect("a job");
-        self.insist(i, &spec.id, Question::Submit(body))
+        self.request_until_answered(i, &spec.id, Question::Submit(body))
     }
 
     /// Returns whether a job's cancellation was requested.
--- a/crates/cherryyard-simulation/src/world/requests/judge.rs
+++ b/crates/cherryyard-simulation/src/world/requests/judge.rs
@@ -15,7 +15,7 @@
     /// records it.
     pub(super) fn judge(&mut self, request: &Request, response: &Response) {
         let id = &request.id;
-        self.requests.judged += 1;
+        self.requests.checked_responses += 1;
         let sequence = self.requests.next_sequence();
         let previous = self.requests.answered.entry(id.clone()).or_default();
         let previous = previous.clone();
@@ -107,7 +107,7 @@
         {
             self.requests.accepted.push(spec);
         }
-        if is_new_phase && self.requests.close_looks {
+        if is_new_phase && self.requests.query_all_controllers {
             self.query_all_controllers(id);
         }
     }
@@ -117,15 +117,15 @@
     fn query_all_controllers(&mut self, id: &str) {
         let body = self.submitted(id).map(serde_json::to_vec);
         for i in 0..self.controllers.len() {
-            self.ask_once(i, id, Question::Poll);
-            self.ask_once(i, id, Question::Poll);
+            self.request_once(i, id, Question::Poll);
+            self.request_once(i, id, Question::Poll);
             if let Some(Ok(body)) = &body {
-                self.ask_once(i, id, Question::Submit(body.clone()));
+                self.request_once(i, id, Question::Submit(body.clone()));
             }
         }
         if (self.requests.draw)(JOBS_PER_CANCELLATION) == 0 {
             let i = self.requests.draw_index(self.controllers.len());
-            self.insist(i, id, Question::Cancel);
+            self.request_until_answered(i, id, Question::Cancel);
         }
     }
 }
--- a/crates/cherryyard-simulation/src/world/requests/odd.rs
+++ b/crates/cherryyard-simulation/src/world/requests/odd.rs
@@ -17,7 +17,7 @@
     /// with other fields, repeats a cancellation, polls an unknown job, or submits a job that
     /// fits no machine or lacks a field.
     pub(in crate::world) fn send_odd_requests(&mut self) {
-        if !self.requests.odd || (self.requests.draw)(STEPS_PER_ODD_REQUEST) != 0 {
+        if !self.requests.odd_requests || (self.requests.draw)(STEPS_PER_ODD_REQUEST) != 0 {
             return;
         }
         // Only accepted jobs are chosen: before acceptance, a repeated submission with other
@@ -43,10 +43,10 @@
             return;
         };
         match choice {
-            0 | 1 => drop(self.ask_once(i, id, Question::Submit(body(&spec)))),
+            0 | 1 => drop(self.request_once(i, id, Question::Submit(body(&spec)))),
             2 => self.submit_with_other_fields(i, spec),
-            3 if self.asked_to_cancel(id) => drop(self.ask_once(i, id, Question::Cancel)),
-            4 => drop(self.ask_once(i, UNKNOWN_ID, Question::Poll)),
+            3 if self.asked_to_cancel(id) => drop(self.request_once(i, id, Question::Cancel)),
+            4 => drop(self.request_once(i, UNKNOWN_ID, Question::Poll)),
             5 | 6 => self.submit_impossible(i, spec),
             7 => self.submit_incomplete(i, &spec),
             _ => {}
@@ -55,7 +55,7 @@
 
     fn submit_with_other_fields(&mut self, i: usize, mut spec: JobSpec) {
         (spec.task_count, spec.cores) = (spec.task_count + 3, 0.5);
-        self.ask_once(i, &spec.id, Question::Submit(body(&spec)));
+        self.request_once(i, &spec.id, Question::Submit(body(&spec)));
     }
 
     fn impossible_id(&self) -> String {
@@ -75,7 +75,7 @@
             _ => spec.zone = Some("nowhere".into()),
         }
         self.requests.impossible.insert(spec.id.clone());
-        self.insist(i, &spec.id, Question::Submit(body(&spec)));
+        self.request_until_answered(i, &spec.id, Question::Submit(body(&spec)));
     }
 
     /// Submits a job that lacks a field.
@@ -88,7 +88,7 @@
         value.as_object_mut().expect("an object").remove(field);
         self.requests.impossible.insert(id.clone());
         let text = value.to_string().into_bytes();
-        self.insist(i, &id, Question::Submit(text));
+        self.request_until_answered(i, &id, Question::Submit(text));
     }
 }
 
--- a/crates/cherryyard-simulation/src/world/setup.rs
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -24,7 +24,7 @@
     /// Number of machines of 4 cores each, per zone.
     pub machines: Vec<(&'static str, usize)>,
     /// Number of machines of 8 cores each, per zone.
-    pub large: Vec<(&'static str, usize)>,
+    pub large_machines: Vec<(&'static str, usize)>,
     /// Operators' settings of the controllers.
     pub tuning: Tuning,
     /// Limit in cores of the team named `team`; 0 means no limit.
@@ -36,8 +36,8 @@
     /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
     /// Announced future limits of the state service: its largest value in KiB, and the maximum
-    /// number of changes in a transaction; they take effect with [`World::lower_limits`].
-    pub next: Option<(f64, usize)>,
+    /// number of changes in a transaction; they take effect with [`World::enforce_announced_limits`].
+    pub announced_limits: Option<(f64, usize)>,
     /// Requests per second that the state service allows, as configured in the controllers.
     pub rps: f64,
     /// Puts and deletes per second that the state service allows, as configured in the
@@ -48,7 +48,7 @@
     pub history: Option<usize>,
     /// Controllers that start as an earlier build, which does not support dependencies between
     /// jobs.
-    pub earlier: BTreeSet<usize>,
+    pub earlier_builds: BTreeSet<usize>,
 }
 
 /// Returns the type of small machines: 4 cores, 16 GB.
@@ -72,17 +72,17 @@
         Self {
             zones: vec!["a", "b", "c"],
             machines: vec![("a", 1), ("b", 1), ("c", 1)],
-            large: Vec::new(),
+            large_machines: Vec::new(),
             tuning: Tuning::default(),
             limit: 0.0,
             teams: Vec::new(),
             value_kb: 4.0,
             txn_ops: 8,
-            next: None,
+            announced_limits: None,
             rps: 80.0,
             write_rps: 20.0,
             history: None,
-            earlier: BTreeSet::new(),
+            earlier_builds: BTreeSet::new(),
         }
     }
 }
@@ -100,7 +100,7 @@
             })
             .collect();
         let announced = self
-            .next
+            .announced_limits
             .map(|(kb, ops)| json!({ "value_kb": kb, "txn_ops": ops }));
         json!({
             "label": format!("node-{controller}"), "domain": self.zones[controller],
@@ -133,8 +133,8 @@
             machines.iter().map(|(zone, _)| zone.to_string()).collect()
         };
         let mut machine_types = vec![small_machine_type(zones_of(&self.machines))];
-        if !self.large.is_empty() {
-            let mut large = small_machine_type(zones_of(&self.large));
+        if !self.large_machines.is_empty() {
+            let mut large = small_machine_type(zones_of(&self.large_machines));
             large.sku = "m8".into();
             (large.cores, large.ram_gb) = (8.0, 32.0);
             machine_types.push(large);
@@ -151,7 +151,7 @@
             all
         };
         let mut machines = of_type("m4", &self.machines);
-        machines.extend(of_type("m8", &self.large));
+        machines.extend(of_type("m8", &self.large_machines));
         let mut workers = BTreeMap::new();
         for (number, (machine_type, zone)) in machines.into_iter().enumerate() {
             let name = format!("host-{number:06}");
@@ -181,7 +181,7 @@
             submissions: Submissions::default(),
             requests: Requests::default(),
             trace: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             checker: Checker::default(),
             setup,
         };
@@ -204,7 +204,7 @@
         let settings = Settings::parse(settings.as_bytes());
         let settings = settings.expect("the simulation's settings are valid");
         let mut config = Config::new(&settings, tuning);
-        if self.setup.earlier.contains(&i) {
+        if self.setup.earlier_builds.contains(&i) {
             config.format = ADMISSION_LOG;
         }
         let mut controller = Controller::new(config, incarnation, self.now);
@@ -227,18 +227,18 @@
 
     /// Lets controller `i` start with the current build from its next start on.
     pub fn upgrade(&mut self, i: usize) {
-        self.setup.earlier.remove(&i);
+        self.setup.earlier_builds.remove(&i);
     }
 
     /// Announces future limits of the state service to controllers that start from now on.
     pub fn announce_limits(&mut self, value_kb: f64, txn_ops: usize) {
-        self.setup.next = Some((value_kb, txn_ops));
+        self.setup.announced_limits = Some((value_kb, txn_ops));
     }
 
     /// Puts the announced limits of the state service into effect.
-    pub fn lower_limits(&mut self) {
-        if let Some((value_kb, txn_ops)) = self.setup.next {
-            self.say("the state service lowers its limits");
+    pub fn enforce_announced_limits(&mut self) {
+        if let Some((value_kb, txn_ops)) = self.setup.announced_limits {
+            self.trace_line("the state service lowers its limits");
             self.enforce_limits(value_kb, txn_ops);
         }
     }
--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -2,7 +2,7 @@
 //! and transactions that are held back or delayed.
 
 use super::World;
-use crate::{StateStandIn, draws};
+use crate::{StateStandIn, seeded_draws};
 use cherryyard_core::{Controller, Outcome, Ticket};
 use cherryyard_wire::state::{Commit, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
             compaction_commits: 0,
             creation_crash: None,
             creation_commits: 0,
-            draw: Box::new(draws(1)),
+            draw: Box::new(seeded_draws(1)),
             delayed_commits: Vec::new(),
             pending_reads: BTreeMap::new(),
             pending_outcomes: Vec::new(),
@@ -109,7 +109,7 @@
     /// Sets the seed of the draws that decide latencies and which transactions are delayed or
     /// lose their responses.
     pub fn seed(&mut self, seed: u64) {
-        self.draw = Box::new(draws(seed));
+        self.draw = Box::new(seeded_draws(seed));
     }
 
     /// Draws the latency of one request to a slow service, in milliseconds.
@@ -256,7 +256,7 @@
 impl World {
     /// Sets the seed of the draws that decide latencies and which transactions are delayed or
     /// lose their responses.
-    pub fn seed_late(&mut self, seed: u64) {
+    pub fn seed_state_link(&mut self, seed: u64) {
         self.state_link.seed(seed);
     }
 
@@ -283,7 +283,7 @@
         };
         if matches!(ticket, Ticket::AcquireShard(_)) {
             let keys: Vec<&str> = commit.changes.iter().map(|a| a.key()).collect();
-            self.say(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
+            self.trace_line(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
         }
         if self.state_link.latency_ms > 0.0 && outcome != Outcome::Refused {
             let incarnation = self.processes.incarnation(i);
@@ -337,7 +337,7 @@
     }
 
     /// Applies the transactions that were held back, and returns their outcomes.
-    pub fn deliver_commits(&mut self) -> Vec<Outcome> {
+    pub fn apply_held_commits(&mut self) -> Vec<Outcome> {
         std::mem::take(&mut self.state_link.held_commits)
             .iter()
             .map(|commit| self.state.commit(commit))
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -99,12 +99,12 @@
             commit.changes.push(Change::set(job_key(job), &record));
         }
         let outcome = self.state.commit(&commit);
-        self.say(format!("{} submitted: {outcome:?}", spec.id));
+        self.trace_line(format!("{} submitted: {outcome:?}", spec.id));
     }
 
     /// Hands a submission to controller `i`, which may decide later, and returns the
     /// submission's ticket.
-    pub fn offer(&mut self, i: usize, spec: &JobSpec, rules: Option<Rules>) -> u64 {
+    pub fn submit_to_core(&mut self, i: usize, spec: &JobSpec, rules: Option<Rules>) -> u64 {
         self.checker.record_spec(spec);
         let now = self.now;
         let job = job_number(&spec.id).expect("a valid job id");
@@ -132,7 +132,7 @@
 
     /// Stores a submission of many jobs in these chunks, and returns its number and that of its
     /// first job. The job numbers follow those of earlier submissions.
-    pub fn queue(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
+    pub fn store_submission(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
         let number = submission_number(name);
         let ids = self.state.get(IDS_KEY).map(|(v, _)| v.read::<IdsRecord>());
         let first = ids.map_or(FIRST_RESERVED_JOB, |i| {
@@ -165,7 +165,7 @@
             .changes
             .push(Change::set(submission_key(number), &record));
         let outcome = self.state.commit(&commit);
-        self.say(format!("{name} queued: {jobs} jobs, {outcome:?}"));
+        self.trace_line(format!("{name} queued: {jobs} jobs, {outcome:?}"));
         (number, first)
     }
 
@@ -185,7 +185,7 @@
         commit.require(key.clone(), revision);
         commit.changes.push(Change::set(key, &record));
         let outcome = self.state.commit(&commit);
-        self.say(format!("{} removed: {outcome:?}", record.name));
+        self.trace_line(format!("{} removed: {outcome:?}", record.name));
     }
 
     /// Returns the division of an open job as recorded by the first controller that has loaded
@@ -209,7 +209,7 @@
 
     /// Returns what controller `i` would answer to a poll of a job, including jobs that are
     /// only in the history.
-    pub fn find(&mut self, i: usize, id: &str) -> Option<JobView> {
+    pub fn view_with_history(&mut self, i: usize, id: &str) -> Option<JobView> {
         if let Some(view) = self.view(i, id) {
             return Some(view);
         }
--- a/crates/cherryyard-simulation/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -142,7 +142,7 @@
     let cut = mean_steady_cores(&mut world, &mut arrivals, 20);
     assert!(cut > 20.0, "{cut}");
     world.network.isolated.clear();
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against starvation in three cases: the class of higher rank loses nothing to a flood
@@ -168,7 +168,7 @@
     mean_steady_cores(&mut world, &mut arrivals, 50);
     let with = mean_steady_cores(&mut world, &mut arrivals, 20);
     assert!(with > 25.0, "{with}");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against starvation and broken rules when faults overlap a burst of jobs: the leader
@@ -213,7 +213,7 @@
     }
     // 120 cores are left, so the guaranteed share is 30.
     assert!(steady_cores > 20.0, "{steady_cores}");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a flood of submissions of one class that delays another class: all
@@ -231,14 +231,14 @@
     let leader_index = leader(&world).unwrap();
     let (mut flood, mut few) = (Vec::new(), Vec::new());
     for i in 0..3000 {
-        flood.push(world.offer(leader_index, &spec(FIRST_URGENT_JOB + i, 1), None));
+        flood.push(world.submit_to_core(leader_index, &spec(FIRST_URGENT_JOB + i, 1), None));
         if i % 300 == 299 {
-            few.push(world.offer(leader_index, &spec(1 + i, 1), None));
+            few.push(world.submit_to_core(leader_index, &spec(1 + i, 1), None));
         }
     }
     // All submissions are repeated, as if no response had arrived.
     for i in 0..3000 {
-        flood.push(world.offer(leader_index, &spec(FIRST_URGENT_JOB + i, 1), None));
+        flood.push(world.submit_to_core(leader_index, &spec(FIRST_URGENT_JOB + i, 1), None));
     }
     world.run(1.0);
     let verdict = |world: &World, ticket: &u64| world.submissions.verdicts.get(ticket).copied();
@@ -277,7 +277,7 @@
         }
     }
     assert_eq!(done, taken);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert!(world.state.largest("c/new/") <= 4096);
 }
 
@@ -291,7 +291,7 @@
     let writes = world.state.writes;
     let mut tickets = Vec::new();
     for i in 0..400 {
-        tickets.push(world.offer(leader_index, &spec(FIRST_URGENT_JOB + i, 1), None));
+        tickets.push(world.submit_to_core(leader_index, &spec(FIRST_URGENT_JOB + i, 1), None));
     }
     world.run(1.0);
     let taken = |t: &&u64| world.submissions.verdicts.get(*t) == Some(&SubmissionOutcome::Stored);
@@ -304,8 +304,8 @@
     let long = "x".repeat(3000);
     let mut oversized = spec(FIRST_URGENT_JOB + 500, 1);
     oversized.image = long.clone() + &long;
-    let oversized = world.offer(leader_index, &oversized, None);
-    let next = world.offer(leader_index, &spec(FIRST_URGENT_JOB + 501, 1), None);
+    let oversized = world.submit_to_core(leader_index, &oversized, None);
+    let next = world.submit_to_core(leader_index, &spec(FIRST_URGENT_JOB + 501, 1), None);
     world.run(2.0);
     assert_eq!(
         world.submissions.verdicts.get(&next),
@@ -322,7 +322,7 @@
         .unwrap()
         .mirror
         .store_revision;
-    let one = world.offer(leader_index, &spec(FIRST_URGENT_JOB + 502, 1), None);
+    let one = world.submit_to_core(leader_index, &spec(FIRST_URGENT_JOB + 502, 1), None);
     assert!(
         world.controllers[other]
             .as_ref()
@@ -331,7 +331,7 @@
             .store_revision
             >= controller
     );
-    let two = world.offer(other, &spec(FIRST_URGENT_JOB + 502, 1), None);
+    let two = world.submit_to_core(other, &spec(FIRST_URGENT_JOB + 502, 1), None);
     world.run(2.0);
     assert_eq!(
         world.submissions.verdicts.get(&one),
@@ -355,12 +355,12 @@
     let (mut single, mut twice) = (Vec::new(), Vec::new());
     for i in 0..60 {
         let at = i as usize % 7;
-        single.push(world.offer(at, &spec(FIRST_URGENT_JOB + i, 1), None));
+        single.push(world.submit_to_core(at, &spec(FIRST_URGENT_JOB + i, 1), None));
         if i % 5 == 0 {
             let same = spec(FIRST_URGENT_JOB + 1000 + i, 1);
             twice.push([
-                world.offer(at, &same, None),
-                world.offer((at + 1) % 7, &same, None),
+                world.submit_to_core(at, &same, None),
+                world.submit_to_core((at + 1) % 7, &same, None),
             ]);
         }
         world.run(0.3);
@@ -386,7 +386,7 @@
             .unwrap();
         assert_eq!(view.status, JobStatus::Done, "{i}");
     }
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against starvation with twelve controllers at the smallest transactions and values.
@@ -401,10 +401,10 @@
     mean_steady_cores(&mut world, &mut arrivals, 60);
     let with = mean_steady_cores(&mut world, &mut arrivals, 20);
     assert!(with > 25.0, "{with}");
-    assert!(world.state.most_ops <= 2 && world.state.most_conditions <= 8);
+    assert!(world.state.max_transaction_ops <= 2 && world.state.max_transaction_conditions <= 8);
     let largest = world.state.largest("c/new/");
     assert!((100..=1024).contains(&largest), "{largest}");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against scheduling cycles whose cost grows with the number of waiting jobs or tasks.
@@ -467,7 +467,7 @@
             .unwrap();
         assert_eq!(view.status, JobStatus::Done, "{i}");
     }
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Runs a hundred of the random scenarios of `random_overlaps`; takes minutes.
@@ -540,5 +540,9 @@
         "seed {seed}: {urgent} of {}",
         demanded(1)
     );
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+    assert!(
+        world.violations.is_empty(),
+        "seed {seed}: {:?}",
+        world.violations
+    );
 }
--- a/crates/cherryyard-simulation/tests/checker.rs
+++ b/crates/cherryyard-simulation/tests/checker.rs
@@ -11,7 +11,7 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    world.cloud.list_every_ms = Some(5000.0);
+    world.cloud.list_interval_ms = Some(5000.0);
     world.run(6.0);
     world
 }
@@ -29,17 +29,17 @@
         commands: vec![start],
     };
     assert!(
-        worker.direct(&request, world.now).0,
+        worker.handle_direct_commands(&request, world.now).0,
         "the worker accepts the command"
     );
-    world.deliver_direct();
+    world.deliver_held_commands();
 }
 
 fn assert_detects(world: &World, text: &str) {
     assert!(
-        world.broken.iter().any(|b| b.contains(text)),
+        world.violations.iter().any(|b| b.contains(text)),
         "{text} is not among {:?}",
-        world.broken
+        world.violations
     );
 }
 
@@ -58,13 +58,13 @@
     let mut world = cluster(8.0);
     world.submit(&World::spec("j-000001", "service", 6));
     // The limit is divided among the shards at first.
-    world.run_until(60.0, |world| world.running() == 4);
+    world.run_until(60.0, |world| world.running_task_count() == 4);
     let on = world.workers.values().find(|x| x.runs("j-000001/0"));
     let hung = on.expect("the task runs").host.clone();
     world.machines.hung.insert(hung);
     world.run(1.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    let waits = (0..6).find(|n| world.copies(&format!("j-000001/{n}")) == 0);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    let waits = (0..6).find(|n| world.running_copies(&format!("j-000001/{n}")) == 0);
     let task_name = format!("j-000001/{}", waits.expect("a waiting task"));
     let host = free_host(&world, "b");
     force_start(&mut world, &host, &task_name);
@@ -118,13 +118,16 @@
     let mut world = cluster(0.0);
     world.submit(&World::spec("j-000001", "service", 1));
     world.run(5.0);
-    world.insist(1, "j-000001", Question::Cancel);
+    world.request_until_answered(1, "j-000001", Question::Cancel);
     world.run(5.0);
-    assert_eq!((world.running(), world.started_cancelled()), (0, 0));
+    assert_eq!(
+        (world.running_task_count(), world.started_cancelled()),
+        (0, 0)
+    );
     let host = free_host(&world, "c");
     force_start(&mut world, &host, "j-000001/0");
     assert_eq!(world.started_cancelled(), 1);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     world.run(40.0);
     force_start(&mut world, &host, "j-000001/0");
     assert_detects(&world, "runs though cancelled");
@@ -134,14 +137,14 @@
 #[test]
 fn detects_responses_that_go_back() {
     let mut world = cluster(0.0);
-    world.requests.close_looks = true;
+    world.requests.query_all_controllers = true;
     world.requests.without_barrier = true;
     world.state_link.latency_ms = 1500.0;
     for n in 1..=12 {
         world.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
         world.run(1.0);
         if n > 4 {
-            world.insist(n % 3, &format!("j-{:06}", n - 4), Question::Cancel);
+            world.request_until_answered(n % 3, &format!("j-{:06}", n - 4), Question::Cancel);
         }
     }
     world.run(10.0);
@@ -152,7 +155,7 @@
 #[test]
 fn detects_accepted_jobs_that_cannot_run() {
     let mut world = cluster(8.0);
-    world.requests.odd = true;
+    world.requests.odd_requests = true;
     world.requests.without_admission = true;
     for n in 1..=20 {
         world.submit_at(n % 3, &World::spec(&format!("j-{n:06}"), "service", 1));
@@ -179,8 +182,8 @@
         }
         world.state.commit(&commit);
     }
-    world.ask_once(0, "j-000001", Question::Poll);
-    world.ask_once(0, "j-000002", Question::Poll);
+    world.request_once(0, "j-000001", Question::Poll);
+    world.request_once(0, "j-000002", Question::Poll);
     world.run(2.0);
     assert_detects(&world, "j-000001: it is called done before it is");
     assert_detects(
@@ -205,7 +208,7 @@
     users.submit(&mut world, &spec);
     world.processes.frozen.extend([0, 1, 2]);
     users.run(&mut world, 95.0);
-    let violations = users.judge(&world, faults_ended_at);
+    let violations = users.violations_since(&world, faults_ended_at);
     let waits = |x: &String| x.contains("j-000002 waits for") && x.contains("though there is room");
     assert!(violations.iter().any(waits), "{violations:?}");
 }
@@ -224,7 +227,7 @@
     world.run(3.0);
     world.submit_at(1, &dependent("j-000002", "j-000001"));
     world.run(3.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let host = free_host(&world, "b");
     force_start(&mut world, &host, "j-000002/0");
     assert_detects(&world, "j-000002/0 starts before all that it needs is done");
@@ -243,13 +246,13 @@
     world.requests.without_dependencies = true;
     world.submit_at(1, &dependent("j-000002", "j-000001"));
     world.run(3.0);
-    world.insist(0, "j-000001", Question::Cancel);
+    world.request_until_answered(0, "j-000001", Question::Cancel);
     world.run(30.0);
-    world.ask_once(2, "j-000002", Question::Poll);
+    world.request_once(2, "j-000002", Question::Poll);
     world.run(8.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     world.run(5.0);
-    world.ask_once(2, "j-000002", Question::Poll);
+    world.request_once(2, "j-000002", Question::Poll);
     world.run(2.0);
     assert_detects(&world, "j-000002: called Queued long after what it needs");
 }
@@ -264,12 +267,12 @@
     world.submit_at(1, &dependent("j-000002", "j-000001"));
     world.run(3.0);
     // The cancellation of an unrelated job does not justify this one.
-    world.insist(0, "j-000003", Question::Cancel);
+    world.request_until_answered(0, "j-000003", Question::Cancel);
     world.run(3.0);
     let controller = world.controllers[0].as_ref().expect("the controller runs");
     let commit = controller.cancellation(2).expect("an open job");
     world.state.commit(&commit);
-    world.ask_once(2, "j-000002", Question::Poll);
+    world.request_once(2, "j-000002", Question::Poll);
     world.run(3.0);
     assert_detects(
         &world,
--- a/crates/cherryyard-simulation/tests/common/combinations.rs
+++ b/crates/cherryyard-simulation/tests/common/combinations.rs
@@ -17,7 +17,7 @@
         worker.run_ms = run_s * 1000.0;
     }
     world.cloud.provisioned_run_ms = run_s * 1000.0;
-    world.cloud.list_every_ms = Some(5000.0);
+    world.cloud.list_interval_ms = Some(5000.0);
     world.run(6.0);
     world
 }
@@ -31,7 +31,7 @@
 
 /// Ends all faults, waits for recovery, and panics if a rule is broken or a job lost or starved.
 pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
-    let violations = users.see_out(world);
+    let violations = users.recover_and_check(world);
     if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
         println!("{}", world.trace.join("\n"));
     }
@@ -80,7 +80,7 @@
     }
 
     pub fn finish(world: &mut World) {
-        world.deliver_direct();
+        world.deliver_held_commands();
         world.machines.hung.clear();
         world.network.unreachable.clear();
         world.network.inbound_lost.clear();
--- a/crates/cherryyard-simulation/tests/common/concurrent.rs
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -40,16 +40,20 @@
 /// Ends all faults, waits for recovery, and panics if a rule or the limit of 48 cores is broken
 /// or a job is lost or starved.
 pub fn assert_recovers(world: &mut World, users: &mut Users, case: &str) {
-    let violations = users.see_out(world);
-    if std::env::var("DEBUG").is_ok() && !world.broken.is_empty() {
+    let violations = users.recover_and_check(world);
+    if std::env::var("DEBUG").is_ok() && !world.violations.is_empty() {
         println!("{}", world.trace.join("\n"));
     }
-    assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+    assert!(
+        world.violations.is_empty(),
+        "{case}: {:?}",
+        world.violations
+    );
     if world.limit_of("guests") == world.limit_of("team") {
         assert!(
-            world.checker.most_cores <= 48.0,
+            world.checker.peak_cores <= 48.0,
             "{case}: {} cores",
-            world.checker.most_cores
+            world.checker.peak_cores
         );
     }
     if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
--- a/crates/cherryyard-simulation/tests/common/gap.rs
+++ b/crates/cherryyard-simulation/tests/common/gap.rs
@@ -18,7 +18,7 @@
     for job in 1..=jobs {
         world.submit(&World::spec(&id(job), "service", 2));
     }
-    world.run_until(40.0, |world| world.running() == jobs * 2);
+    world.run_until(40.0, |world| world.running_task_count() == jobs * 2);
     world.run(20.0);
     let leader = leader(&world).expect("a leader");
     (world, leader)
@@ -32,18 +32,18 @@
 /// Panics if a rule has been broken.
 pub fn assert_no_violation(world: &World, case: &str) {
     assert!(
-        world.broken.is_empty(),
+        world.violations.is_empty(),
         "{case}: {:?}\n{}",
-        world.broken,
+        world.violations,
         world.trace.join("\n")
     );
 }
 
 /// Makes the state service refuse every controller for the given seconds, then serve all again.
 pub fn outage(world: &mut World, seconds: f64) {
-    world.say("the state service refuses everybody");
+    world.trace_line("the state service refuses everybody");
     world.state_link.refused = [0, 1, 2].into();
     world.run(seconds);
-    world.say("it serves everybody");
+    world.trace_line("it serves everybody");
     world.state_link.refused.clear();
 }
--- a/crates/cherryyard-simulation/tests/common/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/common/pipelines.rs
@@ -59,7 +59,7 @@
 
 /// Sends a request to controller `i` once and waits for the response.
 pub fn ask(world: &mut World, i: usize, id: &str, question: Question) -> Response {
-    let request = world.ask_once(i, id, question);
+    let request = world.request_once(i, id, question);
     world.run_until(6.0, |world| world.requests.answers.contains_key(&request));
     world.requests.answers[&request].clone()
 }
@@ -91,9 +91,9 @@
 /// Panics if a rule has been broken or a transaction exceeded the limits of the state service.
 pub fn assert_no_violation(world: &World) {
     assert!(
-        world.broken.is_empty(),
+        world.violations.is_empty(),
         "{:?}\n{}",
-        world.broken,
+        world.violations,
         world.trace.join("\n")
     );
     assert_eq!(world.state.malformed, 0, "transactions beyond the limits");
--- a/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use cherryyard_simulation::fault::{NEWER, OLDER};
-use cherryyard_simulation::{Fault, Question, Users, World, draws, play_seeds};
+use cherryyard_simulation::fault::{ADDED_FAULTS, ORIGINAL_FAULTS};
+use cherryyard_simulation::{Fault, Question, Users, World, run_seeds, seeded_draws};
 use cherryyard_wire::job::Shape;
 use common::concurrent::{array, assert_recovers, cluster, cluster_of};
 
@@ -14,18 +14,18 @@
 }
 
 fn scenario_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
-    let mut draw = draws(seed);
+    let mut draw = seeded_draws(seed);
     let seconds = 4.0 + draw(12) as f64;
     // With the newer faults, users' requests come as in the program, and a guest team is at its
     // limit.
-    let newer = faults.len() > OLDER.len();
+    let newer = faults.len() > ORIGINAL_FAULTS.len();
     let mut world = match newer {
         false => cluster(seconds),
         true => cluster_of(seconds, vec![("guests", 0.0, 8.0)], zones),
     };
     world.requests.seed(seed);
-    world.cloud.list_every_ms = newer.then_some(5000.0);
-    world.seed_late(seed);
+    world.cloud.list_interval_ms = newer.then_some(5000.0);
+    world.seed_state_link(seed);
     (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 8000.0);
     let mut users = Users::default();
     let mut job = 100;
@@ -47,11 +47,11 @@
                 if newer && draw(2) == 0 {
                     world.submit_at(at, &spec);
                 } else {
-                    users.ask(world, at, &spec);
+                    users.submit_via(world, at, &spec);
                 }
                 if draw(6) == 0 {
                     // A repeated submission.
-                    users.ask(world, (at + 1) % 3, &spec);
+                    users.submit_via(world, (at + 1) % 3, &spec);
                 }
                 open.push(spec.id.clone());
             }
@@ -59,9 +59,9 @@
                 if !open.is_empty() {
                     let id = open.swap_remove(draw(open.len() as u64) as usize);
                     if newer && draw(2) == 0 {
-                        world.insist(draw(3) as usize, &id, Question::Cancel);
+                        world.request_until_answered(draw(3) as usize, &id, Question::Cancel);
                     } else {
-                        users.ask_cancel(world, draw(3) as usize, &id);
+                        users.cancel_until_confirmed(world, draw(3) as usize, &id);
                     }
                 }
             }
@@ -73,13 +73,13 @@
         let (first, second) = (fault(pair), fault(pair / all));
         request_some(&mut world, &mut users, &mut draw);
         users.run(&mut world, 3.0);
-        world.say(format!("begin {first:?}"));
+        world.trace_line(format!("begin {first:?}"));
         first.begin(&mut world, &mut draw);
         world.run(draw(80) as f64 / 20.0);
         request_some(&mut world, &mut users, &mut draw);
         let third = (at_once > 2).then(|| fault(draw(all)));
         for next in [Some(second), third].into_iter().flatten() {
-            world.say(format!("begin {next:?}"));
+            world.trace_line(format!("begin {next:?}"));
             next.begin(&mut world, &mut draw);
         }
         for _ in 0..2 {
@@ -88,13 +88,13 @@
             users.run(&mut world, 0.5 + draw(long * 2) as f64 / 2.0);
         }
         let order = [[first, second], [second, first]][draw(2) as usize];
-        world.say(format!("finish {:?}", order[0]));
+        world.trace_line(format!("finish {:?}", order[0]));
         order[0].finish(&mut world);
         world.run(draw(60) as f64 / 20.0);
         request_some(&mut world, &mut users, &mut draw);
         users.run(&mut world, draw(16) as f64 / 2.0);
         for last in [Some(order[1]), third].into_iter().flatten() {
-            world.say(format!("finish {last:?}"));
+            world.trace_line(format!("finish {last:?}"));
             last.finish(&mut world);
         }
         users.run(&mut world, draw(20) as f64);
@@ -105,12 +105,12 @@
 
 #[test]
 fn random_pairs() {
-    (0..24).for_each(|seed| scenario(seed, &OLDER, 2));
+    (0..24).for_each(|seed| scenario(seed, &ORIGINAL_FAULTS, 2));
 }
 
 /// Returns all faults, the newer ones first.
 fn all_faults() -> Vec<Fault> {
-    NEWER.into_iter().chain(OLDER).collect()
+    ADDED_FAULTS.into_iter().chain(ORIGINAL_FAULTS).collect()
 }
 
 #[test]
@@ -135,26 +135,26 @@
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &OLDER, 2));
+    run_seeds(24, 1000, |seed| scenario(seed, &ORIGINAL_FAULTS, 2));
 }
 
 /// Runs pairs of all faults on demand.
 #[test]
 #[ignore = "minutes"]
 fn random_pairs_of_all_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &all_faults(), 2));
+    run_seeds(24, 1000, |seed| scenario(seed, &all_faults(), 2));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn random_threes_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &all_faults(), 3));
+    run_seeds(24, 1000, |seed| scenario(seed, &all_faults(), 3));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn random_threes_of_six_by_the_thousand() {
-    play_seeds(24, 1000, |seed| {
+    run_seeds(24, 1000, |seed| {
         scenario_of(seed, &all_faults(), 3, SIX_CONTROLLERS.to_vec())
     });
 }
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -47,7 +47,7 @@
             let case = format!("back after {back_ms} ms, step {step}");
             users.run(&mut world, 6.0);
             assert_recovers(&mut world, &mut users, &case);
-            assert_eq!(world.running(), 12, "{case}");
+            assert_eq!(world.running_task_count(), 12, "{case}");
         }
     }
 }
@@ -61,13 +61,13 @@
         for changes in [1, 2] {
             for late in [0, 25] {
                 let mut world = cluster(f64::INFINITY);
-                world.seed_late(changes);
+                world.seed_state_link(changes);
                 let mut users = Users::default();
                 users.submit(&mut world, &array(1, 2));
                 users.submit(&mut world, &array(2, 3));
                 users.run(&mut world, 5.0);
                 let case = format!("{apart_s} s, {changes} changes, {late}% late");
-                assert_eq!(world.running(), 5, "{case}");
+                assert_eq!(world.running_task_count(), 5, "{case}");
                 world.state_link.delayed_percent = late;
                 // One task of each job ends, then the leader, which owns a shard too, and so on.
                 for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
@@ -123,7 +123,7 @@
             users.submit(&mut world, &array(job, 8));
         }
         users.run(&mut world, 8.0);
-        assert_eq!(world.running(), 24);
+        assert_eq!(world.running_task_count(), 24);
         let ended_leader = leader(&world);
         let zone = ["a", "b", "c"][ended_leader];
         let cut_hosts: BTreeSet<String> = world
@@ -146,14 +146,23 @@
         world.start(ended_leader);
         users.run(&mut world, 60.0);
         let case = format!("only inbound traffic lost {only_inbound_lost}, {cut_s} s");
-        assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "{case}: {:?}",
+            world.violations
+        );
         let released = world
             .trace
             .iter()
             .filter(|l| l.contains("releases"))
             .count();
         assert_eq!(released, 0, "{case}: {}", world.trace.join("\n"));
-        assert_eq!(world.running(), 24, "{case}: {}", world.trace.join("\n"));
+        assert_eq!(
+            world.running_task_count(),
+            24,
+            "{case}: {}",
+            world.trace.join("\n")
+        );
         for worker in world.workers.values_mut() {
             worker.run_ms = 1000.0;
         }
@@ -169,7 +178,7 @@
     for slow_ms in [300.0, 1500.0, 2100.0, 4000.0] {
         for refuses in [false, true] {
             let mut world = cluster(f64::INFINITY);
-            world.seed_late(slow_ms as u64);
+            world.seed_state_link(slow_ms as u64);
             let mut users = Users::default();
             for job in 1..=6 {
                 users.submit(
@@ -181,7 +190,7 @@
             world.state_link.latency_ms = slow_ms;
             users.run(&mut world, 3.0);
             for job in 1..=3 {
-                users.ask_cancel(&mut world, job % 3, &format!("j-00000{job}"));
+                users.cancel_until_confirmed(&mut world, job % 3, &format!("j-00000{job}"));
                 users.run(&mut world, 1.5);
             }
             if refuses {
@@ -197,7 +206,11 @@
                 &mut users,
                 &format!("{slow_ms} ms, refuses {refuses}"),
             );
-            assert_eq!(world.running(), 9, "{slow_ms} ms, refuses {refuses}");
+            assert_eq!(
+                world.running_task_count(),
+                9,
+                "{slow_ms} ms, refuses {refuses}"
+            );
         }
     }
 }
@@ -216,7 +229,7 @@
             users.submit(&mut world, &World::spec("j-000001", "service", 20));
             users.run(&mut world, 0.5);
             match between {
-                0 => users.ask_cancel(&mut world, 1, "j-000001"),
+                0 => users.cancel_until_confirmed(&mut world, 1, "j-000001"),
                 1 => world
                     .network
                     .unreachable
@@ -231,12 +244,12 @@
             users.run(&mut world, late_s);
             world.network.unreachable.clear();
             world.machines.slow_commands.clear();
-            world.deliver_direct();
+            world.deliver_held_commands();
             users.run(&mut world, 30.0);
             let case = format!("between {between}, {late_s} s late");
             assert_recovers(&mut world, &mut users, &case);
             let expected = if between == 0 { 0 } else { 20 };
-            assert_eq!(world.running(), expected, "{case}");
+            assert_eq!(world.running_task_count(), expected, "{case}");
         }
     }
 }
@@ -256,11 +269,11 @@
         world.run_until(2.0, |world| !world.machines.held_commands.is_empty());
         world.machines.slow_commands.clear();
         users.run(&mut world, 5.0);
-        assert_eq!(world.running(), 20);
-        users.ask_cancel(&mut world, 1, "j-000001");
+        assert_eq!(world.running_task_count(), 20);
+        users.cancel_until_confirmed(&mut world, 1, "j-000001");
         users.run(&mut world, late_s);
-        world.deliver_direct();
-        assert_eq!(world.running(), 0, "{late_s} s late");
+        world.deliver_held_commands();
+        assert_eq!(world.running_task_count(), 0, "{late_s} s late");
         assert_recovers(&mut world, &mut users, &format!("{late_s} s late"));
     }
 }
@@ -286,12 +299,12 @@
         world.machines.hung = held.collect();
         world.machines.slow_commands.clear();
         users.run(&mut world, hangs_s);
-        world.deliver_direct();
+        world.deliver_held_commands();
         world.machines.hung.clear();
         let case = format!("{hangs_s} s");
         users.run(&mut world, 30.0);
         assert_recovers(&mut world, &mut users, &case);
-        assert_eq!(world.running(), 20, "{case}");
+        assert_eq!(world.running_task_count(), 20, "{case}");
     }
 }
 
@@ -312,12 +325,12 @@
         world.network.unreachable.extend(some.iter().cloned());
         users.run(&mut world, 13.0);
         world.network.unreachable.clear();
-        world.reborn(&some[0]);
+        world.restart_machine(&some[0]);
         users.run(&mut world, 4.0);
         let ended_leader = leader(&world);
         world.kill(ended_leader);
         users.run(&mut world, 8.0);
-        users.ask_cancel(&mut world, (ended_leader + 1) % 3, "j-000004");
+        users.cancel_until_confirmed(&mut world, (ended_leader + 1) % 3, "j-000004");
         world.start(ended_leader);
         users.run(&mut world, 30.0);
         assert_recovers(&mut world, &mut users, &format!("{late_ms} ms"));
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -1,7 +1,7 @@
 //! Checks at the end of a scenario: no job is lost or starved. Scenarios of the newer faults
 //! alone, overlapping, and at every step of a lease.
 
-use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, Users, World, run_seeds, seeded_draws};
 use cherryyard_wire::job::JobSpec;
 
 fn cluster(tuning: impl Fn(&mut Setup)) -> World {
@@ -42,19 +42,19 @@
     let scenario = |turn_s: f64, never: Option<&str>, skip: bool| {
         let mut world = cluster(|s| s.tuning.admission.aging_s = turn_s);
         let mut users = Users::default();
-        users.never_answers = never.map(Into::into);
+        users.unanswered_job = never.map(Into::into);
         flood(&mut users, &mut world, 250);
         if skip {
             // A broken build that loses a job that it accepted.
             let key = cherryyard_wire::record::job_key(5);
             assert!(world.state.get(&key).is_none());
             users.submit(&mut world, &spec(5, 1, 2.0));
-            users.broken.clear();
+            users.violations.clear();
         }
         users.run(&mut world, 80.0);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
         let faults_ended_at = world.now - 80_000.0;
-        users.judge(&world, faults_ended_at)
+        users.violations_since(&world, faults_ended_at)
     };
     assert_eq!(scenario(60.0, None, true), Vec::<String>::new());
     let violations = scenario(1e9, None, false);
@@ -87,7 +87,7 @@
             );
         }
         users.run(&mut world, 6.0);
-        assert_eq!(world.running(), 18);
+        assert_eq!(world.running_task_count(), 18);
         for again in 0..2 {
             world.state_link.refused.insert(0);
             world.network.isolated.insert(0);
@@ -103,14 +103,18 @@
         }
         let faults_ended_at = world.now;
         users.run(&mut world, 80.0);
-        assert!(world.broken.is_empty(), "{seconds} s: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "{seconds} s: {:?}",
+            world.violations
+        );
         assert_eq!(
-            users.judge(&world, faults_ended_at),
+            users.violations_since(&world, faults_ended_at),
             Vec::<String>::new(),
             "{seconds} s"
         );
         assert_eq!(
-            (world.running(), world.workers.len()),
+            (world.running_task_count(), world.workers.len()),
             (15, 12),
             "{seconds} s"
         );
@@ -129,17 +133,17 @@
     world.submit(&World::spec("j-000001", "service", 1));
     world.submit(&World::spec("j-000002", "sweep", 1));
     world.run(3.0);
-    world.say("node-0 is alone with its workers");
+    world.trace_line("node-0 is alone with its workers");
     world.state_link.refused.insert(0);
     world.network.isolated.insert(0);
     world.run(3.0);
     world.cancel(1, "j-000001");
     world.run(45.0);
-    world.say("it is back");
+    world.trace_line("it is back");
     world.state_link.refused.clear();
     world.network.isolated.clear();
     world.run(30.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
@@ -154,17 +158,17 @@
     world.run(5.0);
     world.submit(&World::spec("j-000001", "sweep", 3));
     world.run(5.0);
-    world.say("host-000000 hears nothing");
+    world.trace_line("host-000000 hears nothing");
     world.network.inbound_lost.insert("host-000000".into());
     world.run(40.0);
     world.submit(&World::spec("j-000002", "sweep", 2));
     world.run(10.0);
-    world.say("host-000000 hears again");
+    world.trace_line("host-000000 hears again");
     world.network.inbound_lost.clear();
     world.run(20.0);
-    world.reborn("host-000001");
+    world.restart_machine("host-000001");
     world.run(20.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
@@ -201,8 +205,17 @@
             }
             world.run(20.0);
             let case = format!("back after {back} s, step {step}");
-            assert_eq!(world.running(), 6, "{case}: {}", world.trace.join("\n"));
-            assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+            assert_eq!(
+                world.running_task_count(),
+                6,
+                "{case}: {}",
+                world.trace.join("\n")
+            );
+            assert!(
+                world.violations.is_empty(),
+                "{case}: {:?}",
+                world.violations
+            );
             let leaders = world
                 .controllers
                 .iter()
@@ -217,7 +230,7 @@
 /// Runs a random scenario of overlapping newer and older faults while users submit, cancel and
 /// poll; at the end no job may be lost or starved.
 fn scenario(seed: u64) {
-    let mut draw = draws(seed);
+    let mut draw = seeded_draws(seed);
     let mut world = cluster(|_| {});
     (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
@@ -241,7 +254,7 @@
                 .inbound_lost
                 .extend(hosts.into_iter().filter(|_| draw(3) == 0)),
             2 => world.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
-            3 => world.reborn(&host),
+            3 => world.restart_machine(&host),
             4 => {
                 world.kill(i);
                 users.run(&mut world, [0.0, 0.5, 0.5, 4.0][draw(4) as usize]);
@@ -272,8 +285,12 @@
         users.run(&mut world, 5.0);
         world.list_machines();
     }
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
-    let violations = users.judge(&world, faults_ended_at);
+    assert!(
+        world.violations.is_empty(),
+        "seed {seed}: {:?}",
+        world.violations
+    );
+    let violations = users.violations_since(&world, faults_ended_at);
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
 }
 
@@ -286,5 +303,5 @@
 #[test]
 #[ignore = "minutes"]
 fn random_days_by_the_hundred() {
-    play_seeds(10, 200, scenario);
+    run_seeds(10, 200, scenario);
 }
--- a/crates/cherryyard-simulation/tests/event_loop_lag.rs
+++ b/crates/cherryyard-simulation/tests/event_loop_lag.rs
@@ -16,19 +16,19 @@
 fn trace_of_a_lagging_controller() {
     let mut world = settled(Setup::default());
     world.submit(&World::spec("j-000001", "service", 6));
-    world.run_until(10.0, |world| world.running() == 6);
+    world.run_until(10.0, |world| world.running_task_count() == 6);
     world.run(20.0);
-    world.say("node-0 is 3.5 s behind");
+    world.trace_line("node-0 is 3.5 s behind");
     world.processes.lag_ms.insert(0, 3500.0);
     world.run(40.0);
     world.submit(&World::spec("j-000002", "service", 1));
     world.cancel(1, "j-000001");
     world.run(15.0);
-    assert_eq!(world.running(), 1, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 1, "{}", world.trace.join("\n"));
     world.processes.lag_ms.clear();
-    world.say("node-0 is in time again");
+    world.trace_line("node-0 is in time again");
     world.run(20.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let loses_machine = |l: &&String| l.contains("releases") || l.contains("loses its lease");
     assert_eq!(world.trace.iter().find(loses_machine), None);
     insta::assert_snapshot!(world.trace.join("\n"));
@@ -43,15 +43,15 @@
         ..Setup::default()
     });
     world.submit(&World::spec("j-000001", "service", 10));
-    world.run_until(10.0, |world| world.running() == 10);
+    world.run_until(10.0, |world| world.running_task_count() == 10);
     for late in [5000.0, 1000.0, 9000.0, 6000.0] {
         world.processes.lag_ms.insert(0, late);
         world.run(25.0);
     }
     world.processes.lag_ms.clear();
     world.run(90.0);
-    assert_eq!(world.running(), 10, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 10, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against scheduling cycles that inspect machines without need: reports without news
@@ -66,12 +66,12 @@
             ..Setup::default()
         });
         world.submit(&World::spec("j-000001", "service", machines as u32));
-        world.run_until(10.0, |world| world.running() == machines);
+        world.run_until(10.0, |world| world.running_task_count() == machines);
         world.run(20.0);
         let before = world.controllers[0].as_ref().unwrap().inspected_machines;
         if change {
             world.workers.values_mut().next().unwrap().run_ms = 0.0;
-            world.workers.values_mut().next().unwrap().faulty = true;
+            world.workers.values_mut().next().unwrap().tasks_fail = true;
         }
         world.run(20.0);
         world.controllers[0].as_ref().unwrap().inspected_machines - before
@@ -102,13 +102,13 @@
     let mut spec = World::spec("j-000001", "service", all as u32);
     spec.cores = 4.0;
     world.submit(&spec);
-    world.run_until(20.0, |world| world.running() == all);
+    world.run_until(20.0, |world| world.running_task_count() == all);
     // Reports are spread over the report interval.
     for (i, x) in world.workers.values_mut().enumerate() {
-        x.report_at = world.now + 85.0 * i as f64;
+        x.next_heartbeat_at = world.now + 85.0 * i as f64;
     }
     world.run(20.0);
-    world.say("node-0 loses its workers");
+    world.trace_line("node-0 loses its workers");
     world.network.cut_from_workers.insert(0);
     world.run(40.0);
     let releases = |world: &World| {
@@ -119,8 +119,13 @@
             .count()
     };
     assert_eq!(releases(&world), 0, "{}", world.trace.join("\n"));
-    assert_eq!(world.running(), all, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty());
+    assert_eq!(
+        world.running_task_count(),
+        all,
+        "{}",
+        world.trace.join("\n")
+    );
+    assert!(world.violations.is_empty());
     world.network.cut_from_workers.clear();
     world.run(60.0);
     let host = world.workers.keys().next().unwrap().clone();
--- a/crates/cherryyard-simulation/tests/failure_attribution.rs
+++ b/crates/cherryyard-simulation/tests/failure_attribution.rs
@@ -11,7 +11,7 @@
     });
     for worker in world.workers.values_mut() {
         worker.run_ms = run_ms;
-        worker.bad_jobs = bad.iter().map(|s| s.to_string()).collect();
+        worker.failing_jobs = bad.iter().map(|s| s.to_string()).collect();
     }
     world.run(5.0);
     world
@@ -60,7 +60,7 @@
         // A first batch on each shard, then one start at a time, some seconds apart.
         assert!((9..=100).contains(&tries), "{tries}");
     }
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against further attempts of a failing job after its cancellation.
@@ -82,7 +82,7 @@
 fn a_faulty_machine_is_returned() {
     let mut world = cluster(3000.0, &[]);
     let name = "host-000001".to_string();
-    world.workers.get_mut(&name).unwrap().faulty = true;
+    world.workers.get_mut(&name).unwrap().tasks_fail = true;
     world.workers.get_mut(&name).unwrap().run_ms = 300.0;
     for second in 0..60 {
         if second % 2 == 0 && second < 50 {
@@ -117,7 +117,7 @@
             world.run(10.0);
         }
         for worker in world.workers.values_mut() {
-            worker.bad_jobs = BTreeSet::new();
+            worker.failing_jobs = BTreeSet::new();
         }
         let at = world.now;
         while !is_done(&mut world, "j-000001") {
--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -15,7 +15,7 @@
 fn a_dead_owners_task_waits_for_proof_of_its_end() {
     let mut world = settled(Setup::default());
     world.submit(&World::spec("j-000001", "service", 1));
-    world.run_until(5.0, |world| world.running() == 1);
+    world.run_until(5.0, |world| world.running_task_count() == 1);
     let host = world
         .workers
         .values()
@@ -34,7 +34,7 @@
         "{}",
         world.trace.join("\n")
     );
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     // The list no longer shows the machine, which proves that it is released.
     let now = world.now;
     for controller in world.controllers.iter_mut().flatten() {
@@ -42,7 +42,7 @@
     }
     world.run_until(40.0, |world| starts(world, "j-000001/0").len() == 2);
     assert!(!world.workers.contains_key(&host));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a previous owner's transaction that is carried out late: it must not apply.
@@ -57,9 +57,9 @@
     world.run_until(5.0, |world| !world.state_link.held_commits.is_empty());
     world.kill(0);
     world.state_link.hold_owner_commits.clear();
-    world.run_until(30.0, |world| world.running() == 1);
+    world.run_until(30.0, |world| world.running_task_count() == 1);
     let store_revision = world.state.store_revision();
-    let outcomes = world.deliver_commits();
+    let outcomes = world.apply_held_commits();
     assert!(!outcomes.is_empty());
     assert!(
         outcomes.iter().all(|o| matches!(o, Outcome::Conflict(_))),
@@ -67,8 +67,8 @@
     );
     assert_eq!(world.state.store_revision(), store_revision);
     world.run(20.0);
-    assert_eq!(world.copies("j-000001/0"), 1);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_copies("j-000001/0"), 1);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against such a transaction before the new owner has written anything: the new owner's
@@ -109,7 +109,7 @@
         ..Setup::default()
     });
     world.submit(&World::spec("j-000001", "service", 1));
-    world.run_until(5.0, |world| world.running() == 1);
+    world.run_until(5.0, |world| world.running_task_count() == 1);
     let host = world
         .workers
         .values()
@@ -128,7 +128,11 @@
     });
     world.run(0.5);
     // Its report arrives; the response, and with it the token, is lost.
-    let report = world.workers.get_mut(&host).unwrap().report(world.now);
+    let report = world
+        .workers
+        .get_mut(&host)
+        .unwrap()
+        .next_heartbeat(world.now);
     let now = world.now;
     world.controllers[1]
         .as_mut()
@@ -141,7 +145,7 @@
         "{}",
         world.trace.join("\n")
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a previous owner's direct command that arrives late: it must not be executed.
@@ -160,10 +164,10 @@
     world.kill(0);
     let old = std::mem::take(&mut world.machines.held_commands);
     world.machines.slow_commands.clear();
-    world.run_until(25.0, |world| world.running() == 1);
+    world.run_until(25.0, |world| world.running_task_count() == 1);
     world.machines.held_commands = old;
-    assert_eq!(world.deliver_direct(), 0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.deliver_held_commands(), 0);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a direct start whose response is lost and whose job is cancelled meanwhile:
@@ -182,9 +186,14 @@
     world.run(1.0);
     world.network.unreachable.clear();
     world.run(10.0);
-    assert_eq!(world.deliver_direct(), 0, "{}", world.trace.join("\n"));
+    assert_eq!(
+        world.deliver_held_commands(),
+        0,
+        "{}",
+        world.trace.join("\n")
+    );
     world.run(5.0);
-    assert_eq!(world.running(), 0);
+    assert_eq!(world.running_task_count(), 0);
     // Nothing of the job is left in the state service but its end.
     assert_eq!(assignments_left(&world), Vec::<String>::new());
 }
@@ -199,19 +208,19 @@
         ..Setup::default()
     });
     world.submit(&World::spec("j-000001", "service", 1));
-    world.run_until(5.0, |world| world.running() == 1);
+    world.run_until(5.0, |world| world.running_task_count() == 1);
     world.state_link.refused.insert(0);
     world.network.isolated.insert(0);
     world.run(0.5);
     world.cancel(1, "j-000001");
     world.run(20.0);
     assert_eq!(
-        world.running(),
+        world.running_task_count(),
         1,
         "the owner renews its workers' leases as long as it may"
     );
     world.run(20.0);
-    assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 0, "{}", world.trace.join("\n"));
 }
 
 /// Guards against expired leases when only the workers cannot reach their owner: it gives up its
@@ -227,17 +236,17 @@
         x.lease_ms = 20_000.0;
     }
     world.submit(&World::spec("j-000001", "service", 8));
-    world.run_until(5.0, |world| world.running() == 8);
+    world.run_until(5.0, |world| world.running_task_count() == 8);
     world.network.cut_from_workers.insert(0);
     world.run(18.0);
-    assert_eq!(world.running(), 8);
+    assert_eq!(world.running_task_count(), 8);
     world.run(40.0);
     assert!(
         world.trace.iter().all(|l| !l.contains("loses its lease")),
         "{}",
         world.trace.join("\n")
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a move of tasks to another shard that is carried out after its owner has
@@ -250,7 +259,7 @@
         x.run_ms = 16_000.0;
     }
     world.submit(&World::spec("j-000001", "sweep", 12));
-    world.run_until(5.0, |world| world.running() == 6);
+    world.run_until(5.0, |world| world.running_task_count() == 6);
     for n in 10..13 {
         let name = format!("host-{n:06}");
         let worker = cherryyard_simulation::WorkerStandIn::new(&name, "c", 2, 10_000.0, world.now);
@@ -275,7 +284,7 @@
     world.state_link.held_commits.clear();
     world.state_link.hold_leader_commits = false;
     world.run(40.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let view = world.view(1, "j-000001").unwrap();
     assert_eq!(view.done + view.running, 12, "{view:?}");
 }
@@ -290,17 +299,17 @@
         ..Setup::default()
     });
     world.submit(&World::spec("j-000001", "sweep", 7));
-    world.run_until(5.0, |world| world.running() == 7);
+    world.run_until(5.0, |world| world.running_task_count() == 7);
     world.kill(0);
-    world.say("host-000003 is lost");
+    world.trace_line("host-000003 is lost");
     world.network.unreachable.insert("host-000003".into());
     world.run(4.0);
     world.start(0);
     world.run(9.0);
     assert!(world.trace.iter().all(|l| !l.contains("releases")));
     world.run(4.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert!(!world.workers.contains_key("host-000003"));
-    assert_eq!(world.running(), 7, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 7, "{}", world.trace.join("\n"));
     insta::assert_snapshot!(world.trace.join("\n"));
 }
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -1,14 +1,16 @@
 //! Frozen controllers whose clocks run on, delayed packets, and inconsistent machine lists.
 
 use cherryyard_core::{Effect, Reply};
-use cherryyard_simulation::{Setup, World, draws};
+use cherryyard_simulation::{Setup, World, seeded_draws};
 use cherryyard_wire::cloud::{Instance, InstanceStatus};
 
 fn running(setup: Setup, task_count: u32) -> World {
     let mut world = World::new(setup);
     world.run(5.0);
     world.submit(&World::spec("j-000001", "service", task_count));
-    world.run_until(10.0, |world| world.running() == task_count as usize);
+    world.run_until(10.0, |world| {
+        world.running_task_count() == task_count as usize
+    });
     world.run(10.0);
     world
 }
@@ -43,7 +45,11 @@
         world.processes.frozen.insert(0);
         // A report that waits in the controller's own socket during the freeze.
         let name = world.workers.keys().next().unwrap().clone();
-        let old = world.workers.get_mut(&name).unwrap().report(world.now);
+        let old = world
+            .workers
+            .get_mut(&name)
+            .unwrap()
+            .next_heartbeat(world.now);
         world.run(frozen_s);
         let now = world.now;
         let names: Vec<String> = world.workers.keys().cloned().collect();
@@ -77,8 +83,8 @@
         assert!(!controller.ready(now));
         world.processes.frozen.clear();
         world.run(60.0);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
-        assert_eq!(world.running(), 8, "{}", world.trace.join("\n"));
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
+        assert_eq!(world.running_task_count(), 8, "{}", world.trace.join("\n"));
         let released = world
             .trace
             .iter()
@@ -93,14 +99,14 @@
 #[test]
 fn trace_of_a_freeze() {
     let mut world = running(Setup::default(), 4);
-    world.say("node-0 stands still");
+    world.trace_line("node-0 stands still");
     world.processes.frozen.insert(0);
     world.run(32.0);
-    world.say("node-0 goes on");
+    world.trace_line("node-0 goes on");
     world.processes.frozen.clear();
     world.run(30.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    assert_eq!(world.running(), 4);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert_eq!(world.running_task_count(), 4);
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
@@ -122,12 +128,12 @@
         .iter()
         .flat_map(|name| {
             let worker = world.workers.get_mut(name).unwrap();
-            [worker.report(now), worker.report(now)]
+            [worker.next_heartbeat(now), worker.next_heartbeat(now)]
         })
         .collect();
     world.network.unreachable.extend(cut.iter().cloned());
     world.run(51.0);
-    assert_eq!(world.running(), 10, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 10, "{}", world.trace.join("\n"));
     let assignments = |world: &World| -> Vec<_> {
         let pairs = world.state.pairs();
         pairs
@@ -149,8 +155,8 @@
     assert_eq!(assignments(&world), before);
     world.network.unreachable.clear();
     world.run(30.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    assert_eq!(world.running(), 10);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert_eq!(world.running_task_count(), 10);
 }
 
 /// Guards against wrong releases when pages of a machine list differ in age: one page shows
@@ -180,7 +186,7 @@
         world.run(3.0);
     }
     assert_eq!(world.workers.len(), 9, "{}", world.trace.join("\n"));
-    assert_eq!(world.running(), 12);
+    assert_eq!(world.running_task_count(), 12);
 }
 
 /// Guards against ticks whose cost grows with the fleet: one completion makes scheduling cycles
@@ -196,7 +202,7 @@
         });
         world.run(5.0);
         world.submit(&World::spec("j-000001", "sweep", machines as u32));
-        world.run_until(30.0, |world| world.running() == machines);
+        world.run_until(30.0, |world| world.running_task_count() == machines);
         world.run(10.0);
         let inspected_machines =
             |world: &World| world.controllers[0].as_ref().unwrap().inspected_machines;
@@ -232,16 +238,16 @@
         world.processes.frozen.clear();
         world.run(39.0 - frozen_s);
         if cancels {
-            assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
+            assert_eq!(world.running_task_count(), 0, "{}", world.trace.join("\n"));
         } else {
             // No cancellation was missed: running tasks go on. A freeze during the outage, when no
             // controller can have accepted one, changes nothing.
-            assert_eq!(world.running(), 6);
+            assert_eq!(world.running_task_count(), 6);
             world.processes.frozen.insert(0);
             world.run(5.0);
             world.processes.frozen.clear();
             world.run(40.0);
-            assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+            assert_eq!(world.running_task_count(), 6, "{}", world.trace.join("\n"));
         }
     }
 }
@@ -257,8 +263,8 @@
     world.run(2.0);
     world.state_link.refused = [0, 1, 2].into();
     world.run(60.0);
-    assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 0, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Runs random overlaps of freezes, refusals of one controller, outages, ends and cancellations:
@@ -266,7 +272,7 @@
 #[test]
 fn random_overlaps_with_cancellations() {
     for seed in 0..60u64 {
-        let mut next = draws(seed);
+        let mut next = seeded_draws(seed);
         let mut world = World::new(Setup::default());
         world.run(5.0);
         for id in ["j-000001", "j-000002", "j-000003"] {
@@ -342,9 +348,9 @@
         }
         world.run(45.0);
         assert!(
-            world.broken.is_empty(),
+            world.violations.is_empty(),
             "seed {seed}: {:?}\n{}",
-            world.broken,
+            world.violations,
             world.trace.join("\n")
         );
     }
--- a/crates/cherryyard-simulation/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -20,12 +20,12 @@
             for cycle in 0..2 {
                 let case = format!("{before_ms} ms before, end {end:?}, cycle {cycle}");
                 let refused_alone = leader(&world).unwrap_or(0);
-                world.say(format!("the state service refuses node-{refused_alone}"));
+                world.trace_line(format!("the state service refuses node-{refused_alone}"));
                 world.state_link.refused.insert(refused_alone);
                 world.run((2000.0 - before_ms) / 1000.0);
                 let at = (refused_alone + 1 + cycle) % 3;
                 for job in 1..=5 {
-                    world.ask_cancel(at, &id(cycle * 6 + job));
+                    world.cancel_until_confirmed(at, &id(cycle * 6 + job));
                 }
                 if let Some((after, back)) = end.filter(|e| e.0 == 0.0) {
                     world.run(after);
@@ -36,7 +36,7 @@
                     }
                 }
                 world.run((before_ms / 1000.0 - 0.05_f64).max(0.0));
-                world.say("the state service refuses everybody");
+                world.trace_line("the state service refuses everybody");
                 world.state_link.refused = [0, 1, 2].into();
                 if let Some((after, back)) = end {
                     world.run(after);
@@ -55,7 +55,7 @@
             }
             world.run(30.0);
             assert_no_violation(&world, "after");
-            assert_eq!(world.running(), 4, "{}", world.trace.join("\n"));
+            assert_eq!(world.running_task_count(), 4, "{}", world.trace.join("\n"));
         }
     }
 }
@@ -68,10 +68,10 @@
     world.run(5.0);
     world.submit(&World::spec("j-000001", "service", 2));
     world.run(20.0);
-    world.say("the state service refuses node-0");
+    world.trace_line("the state service refuses node-0");
     world.state_link.refused.insert(0);
     world.run(2.1);
-    world.ask_cancel(1, "j-000001");
+    world.cancel_until_confirmed(1, "j-000001");
     world.kill(1);
     outage_with(&mut world, 1);
     assert_no_violation(&world, "the gap");
@@ -79,12 +79,12 @@
 }
 
 fn outage_with(world: &mut World, back: usize) {
-    world.say("the state service refuses everybody");
+    world.trace_line("the state service refuses everybody");
     world.state_link.refused = [0, 1, 2].into();
     world.run(4.0);
     world.start(back);
     world.run(60.0);
-    world.say("it serves everybody");
+    world.trace_line("it serves everybody");
     world.state_link.refused.clear();
     world.run(10.0);
 }
@@ -105,8 +105,8 @@
             world.network.isolated.insert(1);
         }
         world.run(back_s - 0.3);
-        world.ask_cancel(1, "j-000001");
-        world.ask_cancel(1, "j-000002");
+        world.cancel_until_confirmed(1, "j-000001");
+        world.cancel_until_confirmed(1, "j-000002");
         world.run(if confirms { 0.3 } else { 0.0 });
         world.kill(1);
         world.state_link.refused.insert(1);
@@ -118,7 +118,7 @@
         world.state_link.refused.clear();
         world.run(30.0);
         assert_no_violation(&world, "after");
-        assert_eq!(world.running(), 8, "{}", world.trace.join("\n"));
+        assert_eq!(world.running_task_count(), 8, "{}", world.trace.join("\n"));
     }
 }
 
@@ -134,8 +134,8 @@
         world.state_link.refused.insert(leader);
         world.run(1.0);
         world.state_link.delayed_percent = 100;
-        world.seed_late(3);
-        world.ask_cancel(taker, "j-000001");
+        world.seed_state_link(3);
+        world.cancel_until_confirmed(taker, "j-000001");
         world.state_link.delayed_percent = 0;
         world.kill(taker);
         // Its transaction is carried out late, and the user asks the next controller.
@@ -169,19 +169,19 @@
         spec.cores = 1.0;
         world.submit(&spec);
     }
-    world.run_until(60.0, |world| world.running() == 280);
+    world.run_until(60.0, |world| world.running_task_count() == 280);
     world.run(10.0);
     let refused_alone = leader(&world).expect("a leader");
     world.state_link.refused.insert(refused_alone);
     world.run(0.5);
     for job in 1..=270 {
-        world.ask_cancel((refused_alone + 1) % 3, &id(job));
+        world.cancel_until_confirmed((refused_alone + 1) % 3, &id(job));
     }
     world.run(1.0);
     outage(&mut world, 70.0);
     assert_no_violation(&world, "270 at once");
     world.run(30.0);
-    assert_eq!(world.running(), 10);
+    assert_eq!(world.running_task_count(), 10);
 }
 
 /// Guards against a delayed heartbeat whose sender was cut off when it sent it, and which arrives
@@ -205,7 +205,7 @@
     world.network.isolated.insert(leader);
     world.state_link.refused = [leader].into();
     world.run(0.5);
-    world.ask_cancel(other, "j-000001");
+    world.cancel_until_confirmed(other, "j-000001");
     assert!(world.submissions.cancelled_at.contains_key("j-000001"));
     world.run(0.3);
     world.state_link.refused = [0, 1, 2].into();
@@ -242,7 +242,7 @@
     world.run(0.2);
     // Nobody places the job, as it is cancelled at once; the test starts its task on a machine.
     world.submit(&World::spec("j-000099", "service", 1));
-    world.ask_cancel(other, "j-000099");
+    world.cancel_until_confirmed(other, "j-000099");
     let worker = world.workers.values_mut().find(|x| x.zone == zone[leader]);
     let worker = worker.expect("a machine");
     let now = world.now;
@@ -261,7 +261,7 @@
     let mut world = World::new(Setup::default());
     world.run(5.0);
     world.submit(&World::spec("j-000001", "service", 6));
-    world.run_until(10.0, |world| world.running() == 6);
+    world.run_until(10.0, |world| world.running_task_count() == 6);
     world.run(30.0);
     world.state_link.refused = [0, 1, 2].into();
     world.run(3.0);
@@ -270,7 +270,7 @@
     // The owner's workers must not receive the cancellation before it ends.
     let names: Vec<String> = world.workers.keys().cloned().collect();
     world.network.unreachable.extend(names);
-    world.ask_cancel(0, "j-000001");
+    world.cancel_until_confirmed(0, "j-000001");
     world.run(0.6);
     assert!(world.submissions.cancelled_at.contains_key("j-000001"));
     world.state_link.refused.insert(0);
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
@@ -29,7 +29,7 @@
         world.run(0.5);
         let other = 1 - owner;
         for job in 1..=3 {
-            world.ask_cancel(other, &id(job));
+            world.cancel_until_confirmed(other, &id(job));
         }
         world.run(0.5);
         world.start(2);
@@ -65,13 +65,13 @@
     );
     world.network.unreachable.clear();
     world.run(2.0);
-    let before = world.copies("j-000001/0") + world.copies("j-000001/1");
+    let before = world.running_copies("j-000001/0") + world.running_copies("j-000001/1");
     assert!(
         before > 0,
         "no task of the job runs: {}",
         world.trace.join("\n")
     );
-    world.ask_cancel(1, "j-000001");
+    world.cancel_until_confirmed(1, "j-000001");
     world.run(60.0);
     assert_no_violation(&world, "returned");
 }
@@ -93,12 +93,12 @@
         world.submit(&World::spec("j-000001", "service", 6));
         world.run_until(3.0, |world| !world.machines.held_commands.is_empty());
         world.state_link.refused = [0].into();
-        world.ask_cancel(1, "j-000001");
+        world.cancel_until_confirmed(1, "j-000001");
         world.run(0.5);
         world.state_link.refused = [0, 1, 2].into();
         world.machines.slow_commands.clear();
         world.run(late_s);
-        world.deliver_direct();
+        world.deliver_held_commands();
         world.run(75.0 - late_s);
         assert_no_violation(&world, &format!("{late_s} s late"));
     }
@@ -118,7 +118,7 @@
         world.network.isolated.insert(leader);
         world.run(1.9);
         for job in 1..=6 {
-            world.ask_cancel(other, &id(job));
+            world.cancel_until_confirmed(other, &id(job));
         }
         world.run(0.1);
         world.state_link.refused = [0, 1, 2].into();
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use cherryyard_simulation::{draws, play_seeds};
+use cherryyard_simulation::{run_seeds, seeded_draws};
 use common::gap::{assert_no_violation, id, leader, running};
 
 /// Runs a random scenario of two gaps. The seed decides which controller is refused, when and
@@ -12,9 +12,9 @@
 /// isolated, heartbeats duplicated, machines unreachable or without inbound traffic, and commands
 /// and transactions late.
 fn scenario(seed: u64) {
-    let mut draw = draws(seed);
+    let mut draw = seeded_draws(seed);
     let (mut world, _) = running(12);
-    world.seed_late(seed);
+    world.seed_state_link(seed);
     for cycle in 0..2 {
         let refused_alone = if draw(4) > 0 {
             leader(&world).unwrap_or(0)
@@ -45,14 +45,14 @@
             3 => world.cloud.down = true,
             _ => {}
         }
-        world.say(format!("the state service refuses node-{refused_alone}"));
+        world.trace_line(format!("the state service refuses node-{refused_alone}"));
         world.state_link.refused.insert(refused_alone);
         let before = draw(40) as f64 / 20.0;
         world.run(2.0 - before);
         let at = (refused_alone + 1 + draw(2) as usize) % 3;
         for job in 1..=(1 + draw(5) as usize) {
             let at = if draw(4) == 0 { draw(3) as usize } else { at };
-            world.ask_cancel(at, &id(cycle * 6 + job));
+            world.cancel_until_confirmed(at, &id(cycle * 6 + job));
         }
         if draw(3) == 0 {
             world
@@ -67,7 +67,7 @@
             world.start(at);
         }
         world.run(draw(1 + (before * 20.0) as u64) as f64 / 20.0);
-        world.say("the state service refuses everybody");
+        world.trace_line("the state service refuses everybody");
         world.state_link.refused = [0, 1, 2].into();
         if ends {
             world.run(draw(120) as f64 / 20.0);
@@ -83,7 +83,7 @@
             let one = draw(3) as usize;
             world.state_link.refused.remove(&one);
             world.run(back);
-            world.ask_cancel(one, &id(cycle * 6 + 6));
+            world.cancel_until_confirmed(one, &id(cycle * 6 + 6));
             world.run(draw(10) as f64 / 20.0);
             if draw(2) == 0 {
                 world.kill(one);
@@ -94,7 +94,7 @@
         }
         world.run(draw(15) as f64);
         world.network.isolated.clear();
-        world.deliver_direct();
+        world.deliver_held_commands();
         world.machines.slow_commands.clear();
         world.run(left);
         world.state_link.refused.clear();
@@ -122,5 +122,5 @@
 #[test]
 #[ignore = "minutes"]
 fn random_gaps_by_the_thousand() {
-    play_seeds(40, 1000, scenario);
+    run_seeds(40, 1000, scenario);
 }
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -44,7 +44,7 @@
             continue;
         }
         for (id, status) in all {
-            let view = world.find(i, id);
+            let view = world.view_with_history(i, id);
             let seen = view.as_ref().map(|v| v.status);
             assert_eq!(seen, Some(*status), "{what}: {id} at node-{i}");
         }
@@ -58,7 +58,7 @@
             continue;
         }
         for (id, status) in all {
-            let seen = world.find(i, id).map(|v| v.status);
+            let seen = world.view_with_history(i, id).map(|v| v.status);
             let fine = match seen {
                 Some(JobStatus::Queued | JobStatus::Running) => *status == JobStatus::Done,
                 seen => seen == Some(*status),
@@ -106,7 +106,7 @@
     let further = (with as f64 - without as f64) / 60.0;
     // Batches of 20 are small: the closing, the leaves and the record are 5 writes.
     assert!(further < 0.5, "{with} {without}");
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
 }
 
 /// Guards against jobs that are lost when the leader ends during a move to the history. It ends
@@ -158,7 +158,11 @@
             let leaders = world.controllers.iter().flatten();
             let packed = leaders.map(|n| n.history_counts().packed).max();
             assert!(packed >= Some(10), "{what}: {packed:?}");
-            assert!(world.broken.is_empty(), "{what}: {:?}", world.broken);
+            assert!(
+                world.violations.is_empty(),
+                "{what}: {:?}",
+                world.violations
+            );
         }
     }
 }
@@ -241,7 +245,7 @@
     world.start(2);
     world.run(30.0);
     assert!(count_keys(&world, "c/jobs/") > 0);
-    assert!(world.find(1, "j-000001").is_some());
+    assert!(world.view_with_history(1, "j-000001").is_some());
     // A job that another build would add under its own key depends on the first format.
     let store_revision = world.state.store_revision();
     let mut old = Commit::default();
@@ -268,12 +272,12 @@
     let all = submit_jobs(&mut world, (1..=160).map(|n| n * 104_729 * 1_000_003));
     world.run(120.0);
     assert_statuses(&mut world, &all, "at the end");
-    assert!(world.state.most_ops <= 2 && world.state.most_conditions <= 8);
+    assert!(world.state.max_transaction_ops <= 2 && world.state.max_transaction_conditions <= 8);
     for prefix in ["c/jobs/", "h/1/", "c/mark"] {
         let largest = world.state.largest(prefix);
         assert!((20..=1024).contains(&largest), "{prefix}: {largest}");
     }
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
 }
 
 /// Guards against a job id that is accepted twice: of two submissions of one id through different
@@ -324,6 +328,9 @@
     submit_jobs(&mut world, 100..140);
     assert!(matches!(world.state.commit(&stale), Outcome::Conflict(_)));
     world.run(10.0);
-    assert_eq!(world.find(0, "j-000077").unwrap().status, JobStatus::Done);
-    assert!(world.find(0, "j-000078").is_none());
+    assert_eq!(
+        world.view_with_history(0, "j-000077").unwrap().status,
+        JobStatus::Done
+    );
+    assert!(world.view_with_history(0, "j-000078").is_none());
 }
--- a/crates/cherryyard-simulation/tests/largest.rs
+++ b/crates/cherryyard-simulation/tests/largest.rs
@@ -71,7 +71,7 @@
     );
     let waited = waited.expect("the large job starts");
     assert!((1.0..120.0).contains(&waited), "{waited}");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against starvation of a task that needs a whole machine while machines only ever have
@@ -95,7 +95,7 @@
         );
         let waited = waited.unwrap_or_else(|| panic!("{}", world.trace.len()));
         assert!(waited < 150.0, "{waited}");
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -147,7 +147,7 @@
         }
         world.run(1.0);
         if let Some(at) = waited
-            && world.copies("j-000001/0") == 1
+            && world.running_copies("j-000001/0") == 1
         {
             assert!(world.now - at <= 5000.0, "{}", world.now - at);
             waited = None;
@@ -167,7 +167,7 @@
         writes * 2 < starts as u64,
         "{writes} writes for {starts} starts"
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against starvation of large tasks at their team's limit, while small tasks take each
@@ -206,11 +206,11 @@
         world.trace.iter().any(|l| l.contains(&of))
     });
     assert_eq!(begun.count(), large.len(), "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert!(
-        world.checker.most_cores <= 24.0,
+        world.checker.peak_cores <= 24.0,
         "{}",
-        world.checker.most_cores
+        world.checker.peak_cores
     );
 }
 
@@ -237,7 +237,7 @@
         }
         users.submit(&mut world, &first);
         users.run(&mut world, 3.0);
-        assert_eq!(world.running(), 5);
+        assert_eq!(world.running_task_count(), 5);
         for worker in world.workers.values_mut().filter(|_| long) {
             // The running tasks go on for long; later ones are short.
             let now = world.now;
@@ -259,7 +259,7 @@
         let small = (100..200).filter(|&n| started(n)).count();
         assert!(small > 70, "long {long}: {small} of 100 small ones");
         let judged_since = world.now - 200_000.0;
-        let violations = users.judge(&world, judged_since);
+        let violations = users.violations_since(&world, judged_since);
         let waits = violations
             .iter()
             .filter(|x| x.contains("though there is room"));
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -3,7 +3,7 @@
 //! faults, and random scenarios in which any transaction may be late.
 
 use cherryyard_core::{Controller, Outcome};
-use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, Users, World, run_seeds, seeded_draws};
 use cherryyard_wire::job::JobSpec;
 use cherryyard_wire::page::StoredPage;
 use cherryyard_wire::record::{PageRecord, admission_log_key, assignments_key};
@@ -33,7 +33,7 @@
 
 /// Carries out the held transactions and panics if one of them is applied.
 fn assert_none_applied(world: &mut World) {
-    let late = world.deliver_commits();
+    let late = world.apply_held_commits();
     assert!(!late.is_empty(), "some transactions were held back");
     let dead = |o: &Outcome| matches!(o, Outcome::Conflict(_) | Outcome::NoLease);
     assert!(
@@ -66,15 +66,20 @@
     world.state_link.held_commits.retain(lowers);
     world.state_link.hold_owner_commits.clear();
     world.submit(&in_zone("j-000002", "service", 4, zone(low)));
-    world.run_until(10.0, |world| world.copies("j-000002/3") == 1);
+    world.run_until(10.0, |world| world.running_copies("j-000002/3") == 1);
     assert_none_applied(&mut world);
     world.run(40.0);
     assert!(
-        world.checker.most_cores <= 24.0,
+        world.checker.peak_cores <= 24.0,
         "{} cores",
-        world.checker.most_cores
+        world.checker.peak_cores
+    );
+    assert_eq!(
+        world.running_task_count() * 2,
+        24,
+        "{}",
+        world.trace.join("\n")
     );
-    assert_eq!(world.running() * 2, 24, "{}", world.trace.join("\n"));
 }
 
 /// Guards against two assignments of one task. An owner's first assignment goes into the first
@@ -100,7 +105,7 @@
         machines: vec![("a", size as usize)],
         value_kb: 1.0,
         write_rps: 100.0,
-        earlier,
+        earlier_builds: earlier,
         ..Setup::default()
     });
     world.state_link.hold_owner_commits.insert(0);
@@ -129,7 +134,7 @@
     world.run(3.0);
     world.state_link.held_commits.truncate(first);
     world.state_link.hold_owner_commits.clear();
-    world.run_until(5.0, |world| world.copies("j-000001/0") == 1);
+    world.run_until(5.0, |world| world.running_copies("j-000001/0") == 1);
     for worker in world.workers.values_mut() {
         worker.run_ms = 2500.0;
     }
@@ -156,11 +161,11 @@
     world.run_until(60.0, |world| {
         gone(world) && (1..9).any(|p| world.state.get(&key(p)).is_some())
     });
-    assert_eq!(world.copies("j-000001/0"), 1);
+    assert_eq!(world.running_copies("j-000001/0"), 1);
     assert_none_applied(&mut world);
     world.run(20.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    assert_eq!(world.copies("j-000001/0"), 1);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert_eq!(world.running_copies("j-000001/0"), 1);
 }
 
 /// Guards against a job that returns as undivided while it runs. The write of its submission gets
@@ -194,7 +199,8 @@
             world.run(0.1);
         }
         world.run(2.0);
-        let add = |world: &mut World, i: usize, job: u64| world.offer(i, &service(job), None);
+        let add =
+            |world: &mut World, i: usize, job: u64| world.submit_to_core(i, &service(job), None);
         // Fills page 2 until one job is in page 3.
         let mut next = last + 1;
         while page(&world, next - 1).0 != Some(3) {
@@ -246,7 +252,7 @@
             let keep = other == job || at == Some(6) && kept == 0;
             kept += usize::from(keep && at == Some(6));
             if matches!(at, Some(5 | 6)) && !keep {
-                world.ask_cancel(0, &format!("j-{other:06}"));
+                world.cancel_until_confirmed(0, &format!("j-{other:06}"));
             }
         }
         world.run_until(40.0, |world| {
@@ -260,7 +266,7 @@
         );
         assert_none_applied(&mut world);
         world.run(30.0);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -294,15 +300,15 @@
         .and_then(|n| n.mirror.shards[0].clone());
     assert_ne!(owner.expect("an owner").label, "node-0");
     world.run(15.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
+    assert_eq!(world.running_task_count(), 6, "{}", world.trace.join("\n"));
 }
 
 /// Runs a random scenario of the older faults in which any transaction may get no response and be
 /// carried out at once or 2 to 12 s later. Users repeat submissions and cancellations until they
 /// are confirmed; in half of the scenarios the team has a limit.
 fn scenario(seed: u64) {
-    let mut draw = draws(seed);
+    let mut draw = seeded_draws(seed);
     let limit = [0.0, 24.0][draw(2) as usize];
     let mut world = World::new(Setup {
         machines: vec![("a", 4), ("b", 4), ("c", 4)],
@@ -311,7 +317,7 @@
         write_rps: 60.0,
         ..Setup::default()
     });
-    world.seed_late(seed);
+    world.seed_state_link(seed);
     world.run(5.0);
     let share = 10 + draw(30);
     let mut users = Users::default();
@@ -327,12 +333,12 @@
             let task_count = [1, 2, 3, 24][draw(4) as usize];
             let mut spec = World::spec(&format!("j-{job:06}"), "sweep", task_count);
             (spec.cores, spec.expected_s) = ([1.0, 2.0, 4.0][draw(3) as usize], 4.0);
-            users.ask(&mut world, draw(3) as usize, &spec);
+            users.submit_via(&mut world, draw(3) as usize, &spec);
             open.push(spec.id.clone());
         }
         if draw(3) == 0 && !open.is_empty() {
             let id = open.swap_remove(draw(open.len() as u64) as usize);
-            users.ask_cancel(&mut world, draw(3) as usize, &id);
+            users.cancel_until_confirmed(&mut world, draw(3) as usize, &id);
         }
         let i = draw(3) as usize;
         match draw(10) {
@@ -362,16 +368,20 @@
     users.run(&mut world, 13.0);
     let faults_ended_at = world.now;
     users.run(&mut world, 240.0);
-    if std::env::var("DEBUG").is_ok() && !world.broken.is_empty() {
+    if std::env::var("DEBUG").is_ok() && !world.violations.is_empty() {
         println!("{}", world.trace.join("\n"));
     }
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
     assert!(
-        limit == 0.0 || world.checker.most_cores <= limit,
+        world.violations.is_empty(),
+        "seed {seed}: {:?}",
+        world.violations
+    );
+    assert!(
+        limit == 0.0 || world.checker.peak_cores <= limit,
         "seed {seed}: {} of {limit} cores",
-        world.checker.most_cores
+        world.checker.peak_cores
     );
-    let violations = users.judge(&world, faults_ended_at);
+    let violations = users.violations_since(&world, faults_ended_at);
     if std::env::var("DEBUG").is_ok() && !violations.is_empty() {
         println!("{}", world.trace.join("\n"));
         for p in world.state.pairs() {
@@ -390,7 +400,7 @@
 #[test]
 #[ignore = "minutes"]
 fn random_days_by_the_hundred() {
-    play_seeds(12, 200, scenario);
+    run_seeds(12, 200, scenario);
 }
 
 /// Guards against a running task that moves to another shard. New jobs are undivided in a page
@@ -433,12 +443,12 @@
         .collect();
     // The cancellation of some jobs that are not among the divided ones makes room in the page.
     for id in ids.iter().filter(|id| !divided.contains(id)) {
-        world.ask_cancel(leader_index, id);
+        world.cancel_until_confirmed(leader_index, id);
     }
     world.state_link.hold_leader_commits = false;
     world.state_link.held_commits.clear();
     world.run_until(20.0, |world| {
-        world.copies(&format!("{}/0", divided[0])) == 1
+        world.running_copies(&format!("{}/0", divided[0])) == 1
     });
     world.run(5.0);
     let in_page = |world: &World| {
@@ -452,5 +462,5 @@
     world.state_link.held_commits.push(held);
     assert_none_applied(&mut world);
     world.run(20.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -18,13 +18,13 @@
             let case = format!("from step {from}, ends {ends}");
             let mut world = cluster(16.0, 2.0);
             let mut users = Users::default();
-            world.requests.close_looks = true;
+            world.requests.query_all_controllers = true;
             for step in 0..24u64 {
                 let spec = job(step + 1, "sweep", 1 + step as u32 % 4);
                 world.submit_at(step as usize % 3, &spec);
                 if step % 3 == 2 {
                     let id = format!("j-{step:06}");
-                    world.insist((step as usize + 1) % 3, &id, Question::Cancel);
+                    world.request_until_answered((step as usize + 1) % 3, &id, Question::Cancel);
                 }
                 if step == from {
                     world.state_link.lost_response_percent = 100;
@@ -57,7 +57,7 @@
             let mut users = Users::default();
             users.submit(&mut world, &job(1, "service", 9));
             users.run(&mut world, 12.0);
-            assert_eq!(world.running(), 9);
+            assert_eq!(world.running_task_count(), 9);
             world.state_link.lost_response_percent = lost;
             let from = world.trace.len();
             let i = leader(&world);
@@ -125,17 +125,17 @@
                     OwnerChange::OwnerReturns => {}
                 }
                 world.run(f64::from(step) * 0.15);
-                world.insist(at, "j-000001", Question::Cancel);
-                world.insist((at + 1) % 3, "j-000004", Question::Cancel);
+                world.request_until_answered(at, "j-000001", Question::Cancel);
+                world.request_until_answered((at + 1) % 3, "j-000004", Question::Cancel);
                 world.run(1.0);
                 world.machines.slow_commands.clear();
-                world.deliver_direct();
+                world.deliver_held_commands();
                 users.run(&mut world, 6.0);
                 if world.controllers[i].is_none() {
                     world.start(i);
                 }
                 assert_recovers(&mut world, &mut users, &case);
-                assert_eq!(world.running(), 8, "{case}");
+                assert_eq!(world.running_task_count(), 8, "{case}");
             }
         }
     }
@@ -146,8 +146,9 @@
 #[test]
 fn an_old_report_reaches_all_as_a_leader_begins() {
     for lost_s in [0.0, 4.0, 13.0, 26.0] {
-        for (reborn, wait_ms) in [(false, 0.0), (true, 0.0), (false, 3000.0), (true, 3000.0)] {
-            let case = format!("cut off for {lost_s} s, restarted {reborn}, held for {wait_ms} ms");
+        for (restarted, wait_ms) in [(false, 0.0), (true, 0.0), (false, 3000.0), (true, 3000.0)] {
+            let case =
+                format!("cut off for {lost_s} s, restarted {restarted}, held for {wait_ms} ms");
             let mut world = cluster(24.0, 6.0);
             let mut users = Users::default();
             for n in 1..=4 {
@@ -156,20 +157,20 @@
             users.submit(&mut world, &job(5, "service", 4));
             users.run(&mut world, 4.0);
             (
-                world.duplicates.for_next_leader,
-                world.duplicates.next_leader_wait_ms,
+                world.duplicates.keep_for_next_leader,
+                world.duplicates.next_leader_delay_ms,
             ) = (true, wait_ms);
             users.run(&mut world, 4.0);
             let some: BTreeSet<String> = world.workers.keys().step_by(2).cloned().collect();
             MachineFault::Unreachable.begin(&mut world, &some);
             users.run(&mut world, lost_s);
             MachineFault::finish(&mut world);
-            if reborn {
+            if restarted {
                 for name in some.iter().take(3) {
-                    world.reborn(name);
+                    world.restart_machine(name);
                 }
             }
-            users.ask_cancel(&mut world, 2, "j-000004");
+            users.cancel_until_confirmed(&mut world, 2, "j-000004");
             for _ in 0..4 {
                 let i = leader(&world);
                 world.kill(i);
@@ -197,17 +198,17 @@
             let case = format!("down for {down_s} s, {apart_s} s apart");
             let mut world = cluster(24.0, 5.0);
             let mut users = Users::default();
-            world.duplicates.for_next_leader = true;
+            world.duplicates.keep_for_next_leader = true;
             for n in 1..=3 {
                 world.submit_at(n as usize % 3, &job(n, "sweep", 10));
             }
             users.submit(&mut world, &job(4, "service", 3));
             users.run(&mut world, 5.0);
-            world.insist(0, "j-000003", Question::Cancel);
+            world.request_until_answered(0, "j-000003", Question::Cancel);
             world.run(0.5);
             (0..3).for_each(|i| world.kill(i));
             let name = world.workers.keys().next().expect("a machine").clone();
-            world.reborn(&name);
+            world.restart_machine(&name);
             users.run(&mut world, down_s);
             for i in [1, 2, 0] {
                 world.start(i);
@@ -229,7 +230,7 @@
             let mut world = cluster(32.0, 6.0);
             world.cloud.provisioning_ms = Some(3000.0);
             let mut users = Users::default();
-            Fault::LeadersEnd.begin(&mut world, &mut |_| 0);
+            Fault::LeaderKilledRepeatedly.begin(&mut world, &mut |_| 0);
             (
                 world.state_link.delayed_percent,
                 world.state_link.lost_response_percent,
@@ -243,7 +244,7 @@
                 }
                 if second % 6 == 5 {
                     let id = format!("j-{:06}", second - second % 4);
-                    world.insist(second as usize % 3, &id, Question::Cancel);
+                    world.request_until_answered(second as usize % 3, &id, Question::Cancel);
                 }
                 if outage && second == 30 {
                     world.state_link.refused.extend([0, 1, 2]);
--- a/crates/cherryyard-simulation/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -8,7 +8,7 @@
     world.run(5.0);
     world.submit(&World::spec("j-000001", "service", 4));
     world.submit(&World::spec("j-000002", "service", 2));
-    world.run_until(10.0, |world| world.running() == 6);
+    world.run_until(10.0, |world| world.running_task_count() == 6);
     // Long enough for the lists of cancellations to reach back beyond a lease.
     world.run(30.0);
     world
@@ -23,12 +23,12 @@
 }
 
 fn begin_outage(world: &mut World) {
-    world.say("the state service is down");
+    world.trace_line("the state service is down");
     world.state_link.refused = [0, 1, 2].into();
 }
 
 fn end_outage(world: &mut World) {
-    world.say("the state service is up");
+    world.trace_line("the state service is up");
     world.state_link.refused.clear();
 }
 
@@ -48,16 +48,16 @@
         world.run(4.0);
     }
     world.run(40.0);
-    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 6, "{}", world.trace.join("\n"));
     end_outage(&mut world);
     world.run(30.0);
     assert_eq!(
-        (world.running(), starts(&world)),
+        (world.running_task_count(), starts(&world)),
         (6, before),
         "{}",
         world.trace.join("\n")
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
@@ -70,11 +70,11 @@
     world.run(4.0);
     world.restart_all();
     world.run(20.0);
-    assert_eq!(world.running(), 0);
+    assert_eq!(world.running_task_count(), 0);
     end_outage(&mut world);
     world.run(40.0);
-    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 6, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against lease extensions when the state service refuses only one controller and that one
@@ -91,8 +91,8 @@
     world.run(5.0);
     world.cancel(1, "j-000001");
     world.run(39.0);
-    assert_eq!(world.running(), 2, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 2, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against lease extensions of cancelled tasks: a controller accepts a cancellation just
@@ -117,12 +117,16 @@
         world.start(1);
         world.run(60.0);
         assert!(
-            world.broken.is_empty(),
+            world.violations.is_empty(),
             "{:?}\n{}",
-            world.broken,
+            world.violations,
+            world.trace.join("\n")
+        );
+        assert!(
+            world.running_task_count() <= 2,
+            "{}",
             world.trace.join("\n")
         );
-        assert!(world.running() <= 2, "{}", world.trace.join("\n"));
     }
 }
 
@@ -139,10 +143,10 @@
     world.run(4.0);
     world.processes.frozen = [1, 2].into();
     world.run(25.0);
-    assert_eq!(world.running(), 0, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 0, "{}", world.trace.join("\n"));
     world.processes.frozen.clear();
     end_outage(&mut world);
     world.run(40.0);
-    assert_eq!(world.running(), 6);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 6);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
--- a/crates/cherryyard-simulation/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -22,7 +22,7 @@
         txn_ops: 16,
         write_rps: 60.0,
         limit: team_limit,
-        earlier: (0..3).collect(),
+        earlier_builds: (0..3).collect(),
         ..Setup::default()
     });
     for worker in world.workers.values_mut() {
@@ -35,7 +35,7 @@
     for job in 20..40 {
         world.submit(&World::spec(&format!("j-{job:06}"), "service", 1));
     }
-    world.run_until(40.0, |world| world.running() > 720);
+    world.run_until(40.0, |world| world.running_task_count() > 720);
     world
 }
 
@@ -60,7 +60,7 @@
         world.announce_limits(value_kb, txn_ops);
         upgrade_all(&mut world);
         world.run(10.0);
-        world.lower_limits();
+        world.enforce_announced_limits();
         for job in 50..56 {
             world.submit(&array(job, 40));
         }
@@ -70,14 +70,18 @@
         for job in (1..=JOBS).chain(50..56) {
             assert!(world.is_complete(&format!("j-{job:06}")), "{case}: {job}");
         }
-        assert_eq!(world.running(), 20, "{case}");
+        assert_eq!(world.running_task_count(), 20, "{case}");
         let now = world.state.pairs();
         // Earlier pages of new jobs stay as they are while nothing in them changes.
         let pages = now.iter().filter(|p| p.key.starts_with("c/mark"));
         let largest = pages.map(|p| (p.value.text().len(), &p.key)).max();
         let bytes = (value_kb * 1024.0) as usize;
         assert!(largest.is_some_and(|l| l.0 <= bytes), "{case}: {largest:?}");
-        assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "{case}: {:?}",
+            world.violations
+        );
     }
 }
 
@@ -100,7 +104,7 @@
         world.start(0);
         world.run(5.0);
         upgrade_all(&mut world);
-        world.lower_limits();
+        world.enforce_announced_limits();
         world.run(120.0);
         for job in 1..=JOBS {
             assert!(
@@ -109,7 +113,11 @@
             );
         }
         assert_eq!(world.state.malformed, 0, "step {step}");
-        assert!(world.broken.is_empty(), "step {step}: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "step {step}: {:?}",
+            world.violations
+        );
     }
 }
 
@@ -121,7 +129,7 @@
     upgrade_all(&mut world);
     world.run(5.0);
     world.announce_limits(2.0, 5);
-    world.lower_limits();
+    world.enforce_announced_limits();
     for job in 50..56 {
         world.submit(&array(job, 40));
     }
@@ -131,5 +139,5 @@
     }
     let refused = world.state.malformed;
     assert!((1..40).contains(&refused), "{refused} refused");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
--- a/crates/cherryyard-simulation/tests/machine_faults.rs
+++ b/crates/cherryyard-simulation/tests/machine_faults.rs
@@ -25,14 +25,14 @@
                     write_rps: 60.0,
                     ..Setup::default()
                 });
-                world.cloud.list_every_ms = Some(3000.0);
+                world.cloud.list_interval_ms = Some(3000.0);
                 world.run(10.0);
                 let mut users = Users::default();
                 (
                     world.cloud.provisioning_ms,
-                    world.cloud.provisions_unanswered,
+                    world.cloud.lose_provision_responses,
                 ) = (Some(provisioning_ms), unanswered);
-                world.seed_late(step);
+                world.seed_state_link(step);
                 (
                     world.state_link.delayed_percent,
                     world.state_link.lost_response_percent,
@@ -49,7 +49,12 @@
                 world.start(i);
                 users.run(&mut world, 12.0);
                 assert_recovers(&mut world, &mut users, &case);
-                assert_eq!(world.running(), 24, "{case}: {}", world.trace.join("\n"));
+                assert_eq!(
+                    world.running_task_count(),
+                    24,
+                    "{case}: {}",
+                    world.trace.join("\n")
+                );
                 let names: BTreeSet<&String> = world
                     .cloud
                     .provision_requests
@@ -79,20 +84,20 @@
             users.run(&mut world, 5.0);
             let hosts = hosts_of(&world, &["j-000001".into()]);
             if cancel_at < 0.0 {
-                world.insist(2, "j-000001", Question::Cancel);
+                world.request_until_answered(2, "j-000001", Question::Cancel);
                 world.run(0.1);
             }
             MachineFault::Hang.begin(&mut world, &hosts);
             let first = hang_s * f64::max(cancel_at, 0.0);
             users.run(&mut world, first);
             if cancel_at >= 0.0 {
-                world.insist(1, "j-000001", Question::Cancel);
+                world.request_until_answered(1, "j-000001", Question::Cancel);
             }
             users.run(&mut world, hang_s - first);
             MachineFault::finish(&mut world);
             let case = format!("hangs for {hang_s} s, cancelled at {cancel_at} of that");
             assert_recovers(&mut world, &mut users, &case);
-            assert_eq!(world.running(), 6, "{case}");
+            assert_eq!(world.running_task_count(), 6, "{case}");
         }
     }
 }
@@ -125,7 +130,7 @@
                 MachineFault::Hang.begin(&mut world, &hung);
                 world.kill(0);
                 users.run(&mut world, cancel_after_s);
-                world.insist(1, "j-000002", Question::Cancel);
+                world.request_until_answered(1, "j-000002", Question::Cancel);
                 // Commands to other machines are lost.
                 world
                     .machines
@@ -140,7 +145,7 @@
                     "hangs for {hang_s} s, back after {back_s} s, cancelled after {cancel_after_s} s"
                 );
                 assert_recovers(&mut world, &mut users, &case);
-                assert_eq!(world.running(), 3, "{case}");
+                assert_eq!(world.running_task_count(), 3, "{case}");
             }
         }
     }
@@ -167,7 +172,7 @@
                 let some: BTreeSet<String> = some.map(|x| x.1.host.clone()).collect();
                 MachineFault::OutboundLost.begin(&mut world, &some);
                 users.run(&mut world, 1.0);
-                world.insist(0, "j-000002", Question::Cancel);
+                world.request_until_answered(0, "j-000002", Question::Cancel);
                 if ends {
                     let i = leader(&world);
                     world.kill(i);
@@ -178,7 +183,7 @@
                 users.run(&mut world, outbound_lost_s);
                 MachineFault::finish(&mut world);
                 assert_recovers(&mut world, &mut users, &case);
-                assert_eq!(world.running(), 12, "{case}");
+                assert_eq!(world.running_task_count(), 12, "{case}");
             }
         }
     }
@@ -193,7 +198,7 @@
             let case = format!("zone {zone} for {cut_s} s");
             let mut world = cluster(24.0, f64::INFINITY);
             let mut users = Users::default();
-            world.requests.close_looks = true;
+            world.requests.query_all_controllers = true;
             for n in 1..=4 {
                 users.submit(&mut world, &job(n, "service", 3));
             }
@@ -202,8 +207,8 @@
             world.network.partitioned_zones.insert(zone.into());
             world.state_link.refused.insert(i);
             users.run(&mut world, 1.0);
-            world.insist((i + 1) % 3, "j-000001", Question::Cancel);
-            world.insist(i, "j-000002", Question::Cancel);
+            world.request_until_answered((i + 1) % 3, "j-000001", Question::Cancel);
+            world.request_until_answered(i, "j-000002", Question::Cancel);
             world.submit_at(i, &job(5, "service", 2));
             users.run(&mut world, cut_s);
             assert_recovers(&mut world, &mut users, &case);
@@ -213,7 +218,7 @@
             } else {
                 2
             };
-            assert_eq!(world.running(), 6 + last, "{case}");
+            assert_eq!(world.running_task_count(), 6 + last, "{case}");
         }
     }
 }
@@ -265,7 +270,7 @@
         users.run(&mut world, 60.0);
         if lost == 4 {
             assert_eq!(
-                world.copies("j-000002/0"),
+                world.running_copies("j-000002/0"),
                 1,
                 "{case}: {}",
                 world.trace.join("\n")
@@ -299,11 +304,11 @@
                 users.run(&mut world, 1.0);
                 users.submit(&mut world, &high);
                 users.run(&mut world, late_s);
-                world.deliver_direct();
+                world.deliver_held_commands();
                 world.machines.slow_commands.clear();
                 users.run(&mut world, 3.0);
                 if cycle % 3 == 2 {
-                    users.ask_cancel(&mut world, 0, &low.id);
+                    users.cancel_until_confirmed(&mut world, 0, &low.id);
                 }
             }
             users.run(&mut world, 60.0);
--- a/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_scenarios.rs
@@ -2,13 +2,15 @@
 
 mod common;
 
-use cherryyard_simulation::fault::{NEWER, OLDER};
-use cherryyard_simulation::{Fault, Pipelines, Question, Setup, Users, World, draws, play_seeds};
+use cherryyard_simulation::fault::{ADDED_FAULTS, ORIGINAL_FAULTS};
+use cherryyard_simulation::{
+    Fault, Pipelines, Question, Setup, Users, World, run_seeds, seeded_draws,
+};
 use common::pipelines::{array, cluster_of, id};
 
 /// Runs a random scenario of pipelines with two faults at once.
 fn scenario(seed: u64, faults: &[Fault]) {
-    let mut draw = draws(seed);
+    let mut draw = seeded_draws(seed);
     let mut world = cluster_of(
         2.0 + draw(6) as f64,
         Setup {
@@ -20,8 +22,8 @@
         },
     );
     world.requests.seed(seed);
-    world.seed_late(seed);
-    world.cloud.list_every_ms = Some(5000.0);
+    world.seed_state_link(seed);
+    world.cloud.list_interval_ms = Some(5000.0);
     (world.cloud.provisioning_ms, world.cloud.provisioned_run_ms) = (Some(5000.0), 4000.0);
     let mut users = Users::default();
     let mut pipelines = Pipelines::default();
@@ -50,7 +52,7 @@
             let mut last = array(base + 3, 1, &[base + 1, base + 2]);
             (last.rank, last.due_s) = (cherryyard_wire::job::Rank::High, Some(60.0));
             match draw(3) {
-                0 => pipelines.add_late(last),
+                0 => pipelines.add_after_completion(last),
                 _ => pipelines.add(last),
             }
             made.extend(base..base + 4);
@@ -62,18 +64,18 @@
             }
         };
         run(&mut world, &mut users, 1.0 + draw(6) as f64);
-        world.say(format!("begin {first:?}"));
+        world.trace_line(format!("begin {first:?}"));
         first.begin(&mut world, &mut draw);
         run(&mut world, &mut users, draw(8) as f64 / 2.0);
-        world.say(format!("begin {second:?}"));
+        world.trace_line(format!("begin {second:?}"));
         second.begin(&mut world, &mut draw);
         let to_cancel = made[draw(made.len() as u64) as usize];
         if draw(2) == 0 && world.is_accepted(&id(to_cancel)) {
             let at = draw(3) as usize;
-            world.insist(at, &id(to_cancel), Question::Cancel);
+            world.request_until_answered(at, &id(to_cancel), Question::Cancel);
         }
         run(&mut world, &mut users, 1.0 + draw(30) as f64);
-        world.say(format!("finish {first:?}, {second:?}"));
+        world.trace_line(format!("finish {first:?}, {second:?}"));
         first.finish(&mut world);
         second.finish(&mut world);
         run(&mut world, &mut users, 10.0 + draw(10) as f64);
@@ -82,17 +84,21 @@
         pipelines.step(&mut world);
         users.run(&mut world, 1.0);
     }
-    let violations = users.see_out(&mut world);
-    if std::env::var("DEBUG").is_ok() && !(violations.is_empty() && world.broken.is_empty()) {
+    let violations = users.recover_and_check(&mut world);
+    if std::env::var("DEBUG").is_ok() && !(violations.is_empty() && world.violations.is_empty()) {
         println!("{}", world.trace.join("\n"));
     }
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+    assert!(
+        world.violations.is_empty(),
+        "seed {seed}: {:?}",
+        world.violations
+    );
     assert!(violations.is_empty(), "seed {seed}: {violations:?}");
     assert_eq!(world.state.malformed, 0, "seed {seed}");
 }
 
 fn all_faults() -> Vec<Fault> {
-    NEWER.into_iter().chain(OLDER).collect()
+    ADDED_FAULTS.into_iter().chain(ORIGINAL_FAULTS).collect()
 }
 
 #[test]
@@ -104,5 +110,5 @@
 #[test]
 #[ignore = "minutes"]
 fn random_days_with_pipelines_by_the_thousand() {
-    play_seeds(24, 1000, |seed| scenario(seed, &all_faults()));
+    run_seeds(24, 1000, |seed| scenario(seed, &all_faults()));
 }
--- a/crates/cherryyard-simulation/tests/pipeline_submissions.rs
+++ b/crates/cherryyard-simulation/tests/pipeline_submissions.rs
@@ -74,7 +74,7 @@
 fn no_dependencies_before_all_controllers_support_them() {
     for last in 0..3 {
         let mut world = World::new(Setup {
-            earlier: (0..3).collect(),
+            earlier_builds: (0..3).collect(),
             ..Setup::default()
         });
         world.run(10.0);
@@ -156,7 +156,7 @@
     world.run(15.0);
     assert!(world.is_complete(&id(30)));
     for i in 0..3 {
-        let view = world.find(i, &id(31)).expect("known");
+        let view = world.view_with_history(i, &id(31)).expect("known");
         assert_eq!(view.status, JobStatus::Cancelled);
     }
     assert_no_violation(&world);
--- a/crates/cherryyard-simulation/tests/pipelines.rs
+++ b/crates/cherryyard-simulation/tests/pipelines.rs
@@ -81,7 +81,7 @@
     assert_eq!(submit(&mut world, 1, &array(6, 1, &[5])), Response::Taken);
     assert_eq!(status_at(&mut world, 0, 6), Some(JobStatus::Cancelled));
     world.run(60.0);
-    assert_eq!(world.running(), 1);
+    assert_eq!(world.running_task_count(), 1);
     assert_no_violation(&world);
 }
 
@@ -108,12 +108,12 @@
         assert_eq!(submit(&mut world, 0, &array(1, 2, &[])), Response::Taken);
         assert_eq!(submit(&mut world, 0, &array(2, 2, &[1])), Response::Taken);
         world.run(2.0);
-        let request = world.ask_once(i, &id(1), Question::Cancel);
+        let request = world.request_once(i, &id(1), Question::Cancel);
         world.run_until(6.0, |world| world.requests.answers.contains_key(&request));
         world.state_link.refused.extend(0..3);
         for _ in 0..14 {
             for k in 0..3 {
-                world.ask_once(k, &id(2), Question::Poll);
+                world.request_once(k, &id(2), Question::Poll);
             }
             world.run(5.0);
         }
@@ -122,7 +122,7 @@
         for k in 0..3 {
             assert_eq!(status_at(&mut world, k, 2), Some(JobStatus::Cancelled));
         }
-        assert_eq!(world.running(), 0);
+        assert_eq!(world.running_task_count(), 0);
         assert_no_violation(&world);
     }
 }
@@ -171,7 +171,7 @@
     }
     world.run(20.0);
     world.cloud.provision_requests.clear();
-    assert_eq!(world.running(), 1, "only the first has a task");
+    assert_eq!(world.running_task_count(), 1, "only the first has a task");
     let controller = world.controllers[0].as_ref().expect("the controller runs");
     assert!(controller.mirror.undivided.is_empty());
     assert!(
@@ -185,7 +185,7 @@
     assert_eq!(submit(&mut world, 1, &array(9, 4, &[])), Response::Taken);
     world.run(10.0);
     assert_eq!(
-        world.running(),
+        world.running_task_count(),
         5,
         "the whole limit of its team is free for it"
     );
--- a/crates/cherryyard-simulation/tests/placement.rs
+++ b/crates/cherryyard-simulation/tests/placement.rs
@@ -12,7 +12,7 @@
     let mut world = settled(Setup::default());
     for x in world.workers.values_mut() {
         x.run_ms = 200.0;
-        x.faulty = true;
+        x.tasks_fail = true;
     }
     world.submit(&World::spec("j-000001", "sweep", 1));
     world.run(120.0);
@@ -106,7 +106,7 @@
     };
     let first = holder(&world).expect("the replica runs");
     world.network.unreachable.insert(first.clone());
-    world.say(format!("{first} is lost"));
+    world.trace_line(format!("{first} is lost"));
     world.run(14.0);
     let starts = starts(&world, "j-000003/0");
     assert_eq!(starts.len(), 2, "{}", world.trace.join("\n"));
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -13,7 +13,7 @@
 fn cluster(of_zones: serde_json::Value) -> World {
     let mut world = World::new(Setup {
         machines: vec![("a", 3), ("b", 3), ("c", 3)],
-        large: vec![("b", 1)],
+        large_machines: vec![("b", 1)],
         tuning: Tuning {
             condor: true,
             attributes: attributes(of_zones),
@@ -55,14 +55,14 @@
     world.submit_with(&World::spec("j-000001", "sweep", 40), rules);
     world.run(40.0);
     // Six on the three machines of zone c, four on the large one.
-    assert_eq!(world.running(), 10);
+    assert_eq!(world.running_task_count(), 10);
     let pools: Vec<String> = started(&world, 0, "j-000001").into_iter().collect();
     assert_eq!(pools, ["m4/c", "m8/b"]);
     // A job without rules uses the remaining machines.
     world.submit(&World::spec("j-000002", "sweep", 40));
     world.run(30.0);
-    assert_eq!(world.running(), 22);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 22);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against ignored preferences: they come before cached images and free capacity, but a
@@ -84,7 +84,7 @@
     assert_eq!(started(&world, 0, "j-000002"), ["m4/c".to_string()].into());
     world.submit_with(&World::spec("j-000003", "sweep", 9), rules);
     world.run(5.0);
-    assert_eq!(world.running(), 2 + 3 + 9);
+    assert_eq!(world.running_task_count(), 2 + 3 + 9);
     let pools = started(&world, 0, "j-000003");
     assert!(
         pools.contains("m4/c") && pools.contains("m8/b"),
@@ -99,18 +99,18 @@
     let mut world = cluster(json!({ "a": { "Ledger": true }, "b": { "Ledger": false } }));
     world.submit_with(&World::spec("j-000001", "service", 10), requires("Ledger"));
     world.run(20.0);
-    assert_eq!(world.running(), 6);
+    assert_eq!(world.running_task_count(), 6);
     assert_eq!(started(&world, 0, "j-000001"), ["m4/a".to_string()].into());
     let from = world.trace.len();
     world.tuning().attributes = attributes(json!({ "c": { "Ledger": true } }));
     world.restart_all();
     world.run(40.0);
-    assert_eq!(world.running(), 10);
+    assert_eq!(world.running_task_count(), 10);
     assert_eq!(
         started(&world, from, "j-000001"),
         ["m4/c".to_string()].into()
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a scheduling cycle whose transaction is late and arrives after an operator's
@@ -148,7 +148,7 @@
     }
     world.run(30.0);
     assert_eq!(started(&world, 0, "j-000001"), ["m4/c".to_string()].into());
-    assert_eq!(world.running(), 2);
+    assert_eq!(world.running_task_count(), 2);
 }
 
 /// Guards against jobs that wait for ever because their rules allow no machine of the cluster:
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -1,6 +1,6 @@
 //! Machines that report but receive nothing, late copies of reports, and restarted workers.
 
-use cherryyard_simulation::{Setup, World, draws, play_seeds};
+use cherryyard_simulation::{Setup, World, run_seeds, seeded_draws};
 
 fn settled(setup: Setup) -> World {
     let mut world = World::new(setup);
@@ -31,23 +31,27 @@
         ..Setup::default()
     });
     world.submit(&World::spec("j-000001", "sweep", 2));
-    world.run_until(5.0, |world| world.running() == 2);
+    world.run_until(5.0, |world| world.running_task_count() == 2);
     let host = host_of(&world, "j-000001/0");
     world.network.inbound_lost.insert(host.clone());
     world.run(30.0);
-    assert_eq!(world.running(), 2, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 2, "{}", world.trace.join("\n"));
     let from = world.trace.len();
     for job in 2..8 {
         // Six tasks of two cores: more than the other two machines have left.
         world.submit(&World::spec(&format!("j-00000{job}"), "service", 1));
     }
     world.run(40.0);
-    assert_eq!(world.running(), 4, "the other two machines are full");
+    assert_eq!(
+        world.running_task_count(),
+        4,
+        "the other two machines are full"
+    );
     assert_eq!(count(&world, from, &format!("{host} starts")), 0);
     world.network.inbound_lost.clear();
-    world.run_until(20.0, |world| world.running() == 6);
+    world.run_until(20.0, |world| world.running_task_count() == 6);
     assert_eq!(world.workers.len(), 3, "a machine was released");
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against releases and stale tasks when all machines of a zone lose inbound traffic,
@@ -63,7 +67,7 @@
         world.duplicates.delay_ms = copies;
         world.submit(&World::spec("j-000001", "service", 6));
         world.submit(&World::spec("j-000002", "sweep", 3));
-        world.run_until(10.0, |world| world.running() == 9);
+        world.run_until(10.0, |world| world.running_task_count() == 9);
         let zone: Vec<String> = world
             .workers
             .values()
@@ -74,15 +78,18 @@
         world.run(3.0);
         world.cancel(1, "j-000002");
         world.run(45.0);
-        assert_eq!(world.copies("j-000002/0") + world.copies("j-000002/1"), 0);
+        assert_eq!(
+            world.running_copies("j-000002/0") + world.running_copies("j-000002/1"),
+            0
+        );
         let there = (0..6)
-            .filter(|n| world.copies(&format!("j-000001/{n}")) == 1)
+            .filter(|n| world.running_copies(&format!("j-000001/{n}")) == 1)
             .count();
         assert_eq!(there, 6, "{}", world.trace.join("\n"));
         world.network.inbound_lost.clear();
         world.run(40.0);
         assert_eq!(world.workers.len(), 9, "a machine was released");
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -99,15 +106,15 @@
         });
         world.duplicates.delay_ms = copies;
         world.submit(&World::spec("j-000001", "sweep", 1));
-        world.run_until(5.0, |world| world.running() == 1);
+        world.run_until(5.0, |world| world.running_task_count() == 1);
         world.run(35.0);
         let host = host_of(&world, "j-000001/0");
         world.network.unreachable.insert(host.clone());
         world.workers.get_mut(&host).unwrap().tasks.clear();
         let at = world.now;
-        world.run_until(40.0, |world| world.running() == 1);
+        world.run_until(40.0, |world| world.running_task_count() == 1);
         waits.push((world.now - at) / 1000.0);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
     let without = waits[0];
     assert!(waits.iter().all(|s| *s < without + 2.5), "{waits:?}");
@@ -124,15 +131,15 @@
         });
         world.duplicates.delay_ms = Some(ms);
         world.submit(&World::spec("j-000001", "service", 5));
-        world.run_until(5.0, |world| world.running() == 5);
+        world.run_until(5.0, |world| world.running_task_count() == 5);
         world.run(20.0);
         world.kill(0);
         world.run(10.0);
         world.start(0);
         world.run(60.0);
-        assert_eq!(world.running(), 5, "{}", world.trace.join("\n"));
+        assert_eq!(world.running_task_count(), 5, "{}", world.trace.join("\n"));
         assert_eq!(world.workers.len(), 4);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -149,20 +156,20 @@
         });
         world.duplicates.delay_ms = copies;
         world.submit(&World::spec("j-000001", "service", 3));
-        world.run_until(5.0, |world| world.running() == 3);
+        world.run_until(5.0, |world| world.running_task_count() == 3);
         world.run(60.0);
         let host = host_of(&world, "j-000001/1");
-        world.reborn(&host);
-        assert!(world.running() < 3);
+        world.restart_machine(&host);
+        assert!(world.running_task_count() < 3);
         let from = world.trace.len();
-        world.run_until(12.0, |world| world.running() == 3);
+        world.run_until(12.0, |world| world.running_task_count() == 3);
         world.run(60.0);
         assert!(
             count(&world, from, "starts") <= 2,
             "more starts than lost tasks"
         );
-        assert_eq!(world.running(), 3);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert_eq!(world.running_task_count(), 3);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -181,14 +188,19 @@
     world.run_until(5.0, |world| !world.machines.held_commands.is_empty());
     let host = world.machines.held_commands[0].machine.clone();
     let held = std::mem::take(&mut world.machines.held_commands);
-    world.reborn(&host);
+    world.restart_machine(&host);
     world.machines.held_commands = held;
     world.run(15.0);
     world.machines.slow_commands.clear();
-    world.deliver_direct();
+    world.deliver_held_commands();
     world.run(20.0);
-    assert_eq!(world.copies("j-000001/0"), 1, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(
+        world.running_copies("j-000001/0"),
+        1,
+        "{}",
+        world.trace.join("\n")
+    );
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a task that counts as running for ever after a worker restarts while its shard
@@ -208,15 +220,15 @@
     world.network.unreachable.clear();
     world.run(5.0);
     world.submit(&World::spec("j-000001", "service", 4));
-    world.run_until(5.0, |world| world.running() == 4);
+    world.run_until(5.0, |world| world.running_task_count() == 4);
     world.kill(0);
     world.run(1.0);
-    world.reborn(&host);
+    world.restart_machine(&host);
     world.start(0);
-    world.run_until(25.0, |world| world.running() == 4);
+    world.run_until(25.0, |world| world.running_task_count() == 4);
     world.run(30.0);
-    assert_eq!(world.running(), 4);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 4);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against status queries for each report: a cluster without faults sends none, and one
@@ -242,7 +254,7 @@
 /// Runs random overlaps of this file's faults with ends, freezes, refusals and cancellations;
 /// afterwards each task that was not cancelled runs exactly once.
 fn scenario(seed: u64) {
-    let mut draw = draws(seed);
+    let mut draw = seeded_draws(seed);
     let mut world = settled(Setup {
         machines: vec![("a", 3), ("b", 3), ("c", 3)],
         ..Setup::default()
@@ -266,7 +278,7 @@
                     .filter(|h| h.as_bytes()[10] % 3 == i as u8),
             ),
             2 => world.duplicates.delay_ms = Some(500.0 + draw(44_500) as f64),
-            3 => world.reborn(&host),
+            3 => world.restart_machine(&host),
             4 => {
                 if world.controllers[i].is_some() {
                     world.kill(i);
@@ -289,7 +301,7 @@
                 world.state_link.refused.clear();
                 world.network.unreachable.clear();
                 world.machines.slow_commands.clear();
-                world.deliver_direct();
+                world.deliver_held_commands();
             }
         }
         if cancelled < 2
@@ -308,16 +320,20 @@
     world.state_link.refused.clear();
     world.network.unreachable.clear();
     world.machines.slow_commands.clear();
-    world.deliver_direct();
+    world.deliver_held_commands();
     for _ in 0..20 {
         world.run(5.0);
         world.list_machines();
     }
-    assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+    assert!(
+        world.violations.is_empty(),
+        "seed {seed}: {:?}",
+        world.violations
+    );
     for job in 1..=jobs - cancelled {
         let task_name = format!("j-00000{job}/0");
         assert_eq!(
-            world.copies(&task_name),
+            world.running_copies(&task_name),
             1,
             "seed {seed}: {task_name}\n{}",
             world.trace.join("\n")
@@ -334,7 +350,7 @@
 #[test]
 #[ignore = "minutes"]
 fn random_overlaps_by_the_thousand() {
-    play_seeds(40, 1000, scenario);
+    run_seeds(40, 1000, scenario);
 }
 
 /// Guards against a stale connection to a peer that was down and has restarted. Once, such a
--- a/crates/cherryyard-simulation/tests/request_races.rs
+++ b/crates/cherryyard-simulation/tests/request_races.rs
@@ -19,21 +19,21 @@
                 let case = format!("{slow_ms} ms, {late}% late, {lost}% lost, ends {ends}");
                 let mut world = cluster(0.0, 2.0);
                 let mut users = Users::default();
-                world.seed_late(slow_ms as u64 + late + lost);
+                world.seed_state_link(slow_ms as u64 + late + lost);
                 world.requests.seed(late + lost + u64::from(ends));
                 (
                     world.state_link.latency_ms,
                     world.state_link.delayed_percent,
                     world.state_link.lost_response_percent,
                 ) = (slow_ms, late, lost);
-                world.requests.close_looks = true;
+                world.requests.query_all_controllers = true;
                 for second in 0..40u64 {
                     let shape = if second % 4 == 3 { "service" } else { "sweep" };
                     let spec = job(second + 1, shape, 1 + second as u32 % 3);
                     world.submit_at(second as usize % 3, &spec);
                     if second % 4 == 0 && second >= 8 {
                         let id = format!("j-{:06}", second - 4);
-                        world.insist(second as usize % 3, &id, Question::Cancel);
+                        world.request_until_answered(second as usize % 3, &id, Question::Cancel);
                     }
                     let i = (second / 10) as usize % 3;
                     match second % 10 {
@@ -45,9 +45,9 @@
                 }
                 assert_recovers(&mut world, &mut users, &case);
                 assert!(
-                    world.requests.judged > 500,
+                    world.requests.checked_responses > 500,
                     "{case}: {}",
-                    world.requests.judged
+                    world.requests.checked_responses
                 );
             }
         }
@@ -67,7 +67,7 @@
     for worker in world.workers.values_mut() {
         worker.run_ms = 6000.0;
     }
-    world.cloud.list_every_ms = Some(10_000.0);
+    world.cloud.list_interval_ms = Some(10_000.0);
     world.run(8.0);
     let mut users = Users::default();
     let (before, seconds) = (world.state.writes, 180);
@@ -75,7 +75,7 @@
         world.submit_at(n as usize % 7, &job(n + 1, "sweep", 1));
         if n % 4 == 3 {
             let id = format!("j-{:06}", n - n % 8);
-            world.insist(n as usize % 5, &id, Question::Cancel);
+            world.request_until_answered(n as usize % 5, &id, Question::Cancel);
         }
         if n % 2 == 1 {
             users.run(&mut world, 0.5);
@@ -85,9 +85,9 @@
     assert!(writes < 15.0, "{writes} writes a second");
     assert_recovers(&mut world, &mut users, "four a second");
     assert!(
-        users.longest < 30_000.0,
+        users.longest_unanswered_ms < 30_000.0,
         "{} ms without an answer",
-        users.longest
+        users.longest_unanswered_ms
     );
     let waited = users.longest_wait(&world);
     assert!(waited < 30_000.0, "{waited} ms until a task started");
@@ -102,7 +102,7 @@
             let mut world = cluster(0.0, 3.0);
             let mut users = Users::default();
             world.requests.seed(step * 3 + at);
-            world.requests.close_looks = step % 2 == 0;
+            world.requests.query_all_controllers = step % 2 == 0;
             for n in 1..=6 {
                 world.submit_at(n as usize % 3, &job(n, "sweep", 1 + n as u32 % 3));
             }
@@ -111,11 +111,11 @@
             for n in 1..=6u64 {
                 let (i, id) = ((n + at) as usize % 3, format!("j-{n:06}"));
                 match n % 3 {
-                    0 => drop(world.insist(i, &id, Question::Cancel)),
-                    1 => drop(world.ask_once(i, &id, Question::Poll)),
+                    0 => drop(world.request_until_answered(i, &id, Question::Cancel)),
+                    1 => drop(world.request_once(i, &id, Question::Poll)),
                     _ => drop(world.submit_at(i, &job(n, "sweep", 1 + n as u32 % 3))),
                 }
-                world.insist((i + 1) % 3, &id, Question::Cancel);
+                world.request_until_answered((i + 1) % 3, &id, Question::Cancel);
                 world.run(0.05);
             }
             users.run(&mut world, 10.0);
@@ -133,7 +133,10 @@
         let mut world = cluster(24.0, 3.0);
         let mut users = Users::default();
         world.requests.seed(seed);
-        (world.requests.odd, world.requests.close_looks) = (true, seed % 2 == 0);
+        (
+            world.requests.odd_requests,
+            world.requests.query_all_controllers,
+        ) = (true, seed % 2 == 0);
         for second in 0..60u64 {
             world.submit_at(
                 second as usize % 3,
@@ -141,7 +144,7 @@
             );
             if second % 7 == 6 {
                 let id = format!("j-{second:06}");
-                world.insist(second as usize % 3, &id, Question::Cancel);
+                world.request_until_answered(second as usize % 3, &id, Question::Cancel);
             }
             if second == 30 && seed % 3 == 0 {
                 let i = leader(&world);
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -15,15 +15,15 @@
 fn running_tasks_survive_an_outage_for_all() {
     let mut world = settled(Setup::default());
     world.submit(&World::spec("j-000001", "service", 3));
-    world.run_until(5.0, |world| world.running() == 3);
+    world.run_until(5.0, |world| world.running_task_count() == 3);
     world.submit(&World::spec("j-000002", "service", 1));
     world.state_link.refused.extend([0, 1, 2]);
     world.run(90.0);
-    assert_eq!(world.running(), 3, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 3, "{}", world.trace.join("\n"));
     world.state_link.refused.clear();
     world.run(10.0);
-    assert_eq!(world.running(), 4, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 4, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against responses older than earlier ones: at another controller, at one that is cut
@@ -97,7 +97,7 @@
         "{}",
         world.trace.join("\n")
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
@@ -122,8 +122,8 @@
         leadership,
         "the leader changed"
     );
-    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 6, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against errors of a full read in chunks, between which other events are processed: keys
--- a/crates/cherryyard-simulation/tests/scale_out.rs
+++ b/crates/cherryyard-simulation/tests/scale_out.rs
@@ -36,7 +36,7 @@
 fn machines_that_start_at_once() {
     let mut world = undersized_cluster(500.0);
     run_with_listing(&mut world, 60);
-    assert_eq!(world.running(), 24, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 24, "{}", world.trace.join("\n"));
     assert!(
         (10..=24).contains(&provisioned(&world)),
         "{}",
@@ -53,7 +53,7 @@
     let before = provisioned(&world);
     assert!((12..=30).contains(&before), "{before}");
     run_with_listing(&mut world, 60);
-    assert_eq!(world.running(), 24, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 24, "{}", world.trace.join("\n"));
     run_with_listing(&mut world, 400);
     assert!(world.workers.len() <= 24, "{}", world.workers.len());
     let names: BTreeSet<&String> = world
@@ -79,9 +79,13 @@
     assert!(lost.len() >= 8);
     run_with_listing(&mut world, 100);
     // The first were expected after 60 s; four at a time are replaced.
-    assert!(world.running() > 12, "{}", world.running());
+    assert!(
+        world.running_task_count() > 12,
+        "{}",
+        world.running_task_count()
+    );
     run_with_listing(&mut world, 200);
-    assert_eq!(world.running(), 24);
+    assert_eq!(world.running_task_count(), 24);
     assert!(
         lost.iter()
             .all(|name| !world.cloud.booting.contains_key(name)),
@@ -105,6 +109,6 @@
     run_with_listing(&mut world, 6);
     world.start(leader);
     run_with_listing(&mut world, 90);
-    assert_eq!(world.running(), 24, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 24, "{}", world.trace.join("\n"));
     assert!(provisioned(&world) <= 30, "{}", provisioned(&world));
 }
--- a/crates/cherryyard-simulation/tests/sharding.rs
+++ b/crates/cherryyard-simulation/tests/sharding.rs
@@ -25,11 +25,11 @@
     }
     world.submit(&World::spec("j-000001", "sweep", 200));
     world.run(20.0);
-    assert_eq!(world.checker.most_cores, 60.0);
+    assert_eq!(world.checker.peak_cores, 60.0);
     world.run(80.0);
     assert_eq!(world.view(3, "j-000001").unwrap().status, JobStatus::Done);
-    assert_eq!(world.checker.most_cores, 60.0);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.checker.peak_cores, 60.0);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a team limit that is exceeded over three shards, or that one shard cannot use.
@@ -52,14 +52,14 @@
             .iter()
             .any(|p| p.value.text().contains("done"))
     });
-    assert_eq!(world.checker.most_cores, 12.0);
-    world.checker.most_cores = 0.0;
+    assert_eq!(world.checker.peak_cores, 12.0);
+    world.checker.peak_cores = 0.0;
     let mut spec = World::spec("j-000002", "sweep", 12);
     spec.zone = Some("a".into());
     world.submit(&spec);
     world.run(60.0);
     assert_eq!(
-        world.checker.most_cores, 12.0,
+        world.checker.peak_cores, 12.0,
         "the other shards return unused grants"
     );
     let view = world.view(1, "j-000002").unwrap();
@@ -72,7 +72,7 @@
 fn overflow_moves_only_unassigned_tasks() {
     let mut world = settled(Setup::default());
     world.submit(&World::spec("j-000001", "sweep", 12));
-    world.run_until(5.0, |world| world.running() == 6);
+    world.run_until(5.0, |world| world.running_task_count() == 6);
     world.run(0.5);
     let record = |world: &World| world.division(1);
     let before = record(&world);
@@ -92,14 +92,14 @@
     assert_eq!(record(&world)[0], before[0], "not before the delay");
     world.run(20.0);
     let after = record(&world);
-    assert_eq!(world.running(), 12, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 12, "{}", world.trace.join("\n"));
     for p in 0..3 {
         for &n in &assigned[p] {
             assert!(after[p].contains(n), "task {n} was assigned in shard {p}");
         }
     }
     assert!(after[2].len() > before[2].len());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against a large array placed mostly on one shard: tasks beyond all free capacity are
@@ -109,7 +109,7 @@
     let mut world = settled(Setup::default());
     world.submit(&World::spec("j-000001", "sweep", 5));
     world.run(3.0);
-    assert_eq!(world.running(), 5);
+    assert_eq!(world.running_task_count(), 5);
     world.submit(&World::spec("j-000002", "sweep", 31));
     world.run(2.0);
     let division_of_job = world.division(2);
--- a/crates/cherryyard-simulation/tests/spot_reclaim.rs
+++ b/crates/cherryyard-simulation/tests/spot_reclaim.rs
@@ -15,7 +15,7 @@
         worker.run_ms = 20_000.0;
     }
     world.submit(&World::spec("j-000001", "sweep", 2));
-    world.run_until(5.0, |world| world.running() == 2);
+    world.run_until(5.0, |world| world.running_task_count() == 2);
     world.run(2.0);
     let at = world
         .workers
@@ -46,7 +46,7 @@
             "{notice_s}"
         );
         world.run(25.0);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
         assert!(
             world.controllers[0]
                 .as_ref()
@@ -85,7 +85,7 @@
     for name in &others {
         world.workers.get_mut(name).unwrap().reclaim_at = None;
     }
-    world.run_until(5.5, |world| world.running() == 2);
+    world.run_until(5.5, |world| world.running_task_count() == 2);
     assert!(started_after(&world, from, "j-000001/0"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
--- a/crates/cherryyard-simulation/tests/state_budgets.rs
+++ b/crates/cherryyard-simulation/tests/state_budgets.rs
@@ -52,14 +52,14 @@
     for i in 0..10 {
         world.submit(&World::spec(&format!("j-00001{i}"), "sweep", 2));
     }
-    world.run_until(3.0, |world| world.running() == 20);
+    world.run_until(3.0, |world| world.running_task_count() == 20);
     let starting = world.state.assignment_writes - before;
     assert!(
         (1..=4).contains(&starting),
         "{starting} writes for ten jobs"
     );
     world.run(12.0);
-    assert_eq!(world.running(), 0);
+    assert_eq!(world.running_task_count(), 0);
     let all = world.state.assignment_writes - before;
     assert!(all <= 12, "{all} writes from start to end of ten jobs");
     let none = Vec::<String>::new();
@@ -92,7 +92,7 @@
     };
     let claimed = claims(&world);
     world.submit(&World::spec("j-000001", "sweep", 100_000));
-    world.run_until(5.0, |world| world.running() == 42);
+    world.run_until(5.0, |world| world.running_task_count() == 42);
     let writes = world.state.writes;
     world.run(30.0);
     let view = world.view(3, "j-000001").unwrap();
@@ -102,14 +102,18 @@
     assert_eq!(claims(&world), claimed, "no claim was lost");
     world.cancel(5, "j-000001");
     world.run(10.0);
-    assert_eq!(world.running(), 0);
+    assert_eq!(world.running_task_count(), 0);
     let largest = world.state.largest("c/");
     assert!((200..=4096).contains(&largest), "{largest} bytes");
-    assert!(world.state.most_ops <= 8, "{}", world.state.most_ops);
     assert!(
-        world.state.most_conditions <= 32,
+        world.state.max_transaction_ops <= 8,
         "{}",
-        world.state.most_conditions
+        world.state.max_transaction_ops
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(
+        world.state.max_transaction_conditions <= 32,
+        "{}",
+        world.state.max_transaction_conditions
+    );
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
