--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -1,6 +1,6 @@
 //! Submissions of many jobs: each job is created exactly once, whatever fails.
 
-use cherryyard_simulation::{CrashPoint, Setup, World, draws};
+use cherryyard_simulation::{CrashPoint, Setup, World, seeded_draws};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::End;
@@ -62,7 +62,8 @@
         // Creation finishes before any task ends, so that no other writes are counted.
         world.workers.values_mut().for_each(|x| x.run_ms = 1e9);
         let before = world.state.writes - world.state.assignment_writes;
-        let (number, first) = world.queue("june", &[chunk(&[(60, 1), (1, 5)]), chunk(&[(39, 2)])]);
+        let (number, first) =
+            world.store_submission("june", &[chunk(&[(60, 1), (1, 5)]), chunk(&[(39, 2)])]);
         world.run_until(60.0, |world| {
             world.submission(number).unwrap().phase == Phase::Created
         });
@@ -82,7 +83,7 @@
                 .get(&cherryyard_wire::condor::chunk_key(number, 0))
                 .is_none()
         );
-        assert!(world.broken.is_empty());
+        assert!(world.violations.is_empty());
     }
 }
 
@@ -93,7 +94,7 @@
     let chunks = [chunk(&[(14, 1)]), chunk(&[(1, 3), (6, 1)])];
     let total = {
         let mut world = cluster(Some(400), 0.0);
-        world.queue("june", &chunks);
+        world.store_submission("june", &chunks);
         world.run(25.0);
         world.state_link.creation_commits
     };
@@ -103,7 +104,7 @@
             let what = format!("cut at {n}, applied {applied}");
             let mut world = cluster(Some(400), 0.0);
             world.state_link.creation_crash = Some(CrashPoint { commit: n, applied });
-            let (number, first) = world.queue("june", &chunks);
+            let (number, first) = world.store_submission("june", &chunks);
             world.run(12.0);
             let ended = world
                 .controllers
@@ -120,7 +121,11 @@
             });
             let (_, tasks) = starts(&world, first, 21);
             assert_eq!(tasks.len(), 23, "{what}");
-            assert!(world.broken.is_empty(), "{what}: {:?}", world.broken);
+            assert!(
+                world.violations.is_empty(),
+                "{what}: {:?}",
+                world.violations
+            );
         }
     }
 }
@@ -129,7 +134,7 @@
 #[test]
 fn an_outage_midway_with_all_controllers_ending() {
     let mut world = cluster(Some(400), 0.0);
-    let (number, first) = world.queue("june", &[chunk(&[(150, 1)])]);
+    let (number, first) = world.store_submission("june", &[chunk(&[(150, 1)])]);
     world.run_until(30.0, |world| {
         world.submission(number).unwrap().created_in_chunk > 20
     });
@@ -142,7 +147,7 @@
         world.submission(number).unwrap().deleted_chunks == 1 && open_jobs(world) == 0
     });
     assert_eq!(starts(&world, first, 150).1.len(), 150);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against jobs created after a removal: late steps in flight are not applied, nothing more
@@ -151,7 +156,7 @@
 fn a_removal_stops_creation() {
     let mut world = cluster(Some(400), 0.0);
     world.workers.values_mut().for_each(|x| x.run_ms = 1e9);
-    let (number, first) = world.queue("june", &[chunk(&[(300, 1)])]);
+    let (number, first) = world.store_submission("june", &[chunk(&[(300, 1)])]);
     world.state_link.creation_crash = Some(CrashPoint {
         commit: 6,
         applied: false,
@@ -174,7 +179,7 @@
     assert_eq!(open_jobs(&world), 0);
     // Gone within `cancel_s`.
     world.run(40.0);
-    assert_eq!(world.running(), 0);
+    assert_eq!(world.running_task_count(), 0);
     let controller = world.controllers.iter().flatten().next().unwrap();
     let block = first..first + 300;
     let ends = controller
@@ -195,14 +200,14 @@
 fn both_kinds_of_submission_count_under_one_limit() {
     let mut world = cluster(Some(400), 12.0);
     world.workers.values_mut().for_each(|x| x.run_ms = 1500.0);
-    world.queue("june", &[chunk(&[(30, 1), (2, 10)])]);
+    world.store_submission("june", &[chunk(&[(30, 1), (2, 10)])]);
     for n in 1..=10 {
         world.submit(&World::spec(&job_id(n), "sweep", 4));
         world.run(0.7);
     }
     world.run_until(200.0, |world| open_jobs(world) == 0);
-    assert_eq!(world.checker.most_cores, 12.0);
-    assert!(world.broken.is_empty());
+    assert_eq!(world.checker.peak_cores, 12.0);
+    assert!(world.violations.is_empty());
 }
 
 /// Runs random overlaps of ends, outages, held transactions and removals. At the end every job of
@@ -211,13 +216,13 @@
 #[test]
 fn random_overlaps() {
     for seed in 0..60u64 {
-        let mut next = draws(seed);
+        let mut next = seeded_draws(seed);
         let mut world = cluster((next(2) == 0).then_some(400), 0.0);
         let mut all = Vec::new();
         for name in ["june", "july"] {
             let chunks = [chunk(&[(10 + next(20) as u32, 1)]), chunk(&[(5, 2)])];
             let jobs: u64 = chunks.iter().map(Chunk::jobs).sum();
-            let (number, first) = world.queue(name, &chunks);
+            let (number, first) = world.store_submission(name, &chunks);
             all.push((number, first, jobs, false));
             world.run(next(20) as f64 / 10.0);
         }
@@ -254,7 +259,7 @@
                     world.start(i);
                 }
             }
-            world.deliver_commits();
+            world.apply_held_commits();
         }
         world.state_link.creation_crash = None;
         for i in 0..3 {
@@ -278,6 +283,10 @@
                 assert_eq!(record.phase, Phase::Cancelled, "seed {seed}");
             }
         }
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(
+            world.violations.is_empty(),
+            "seed {seed}: {:?}",
+            world.violations
+        );
     }
 }
--- a/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
+++ b/crates/cherryyard-simulation/tests/submit_file_equivalence.rs
@@ -90,7 +90,7 @@
 fn cluster() -> World {
     let mut world = World::new(Setup {
         machines: vec![("a", 60), ("b", 60), ("c", 60)],
-        large: vec![("b", 20)],
+        large_machines: vec![("b", 20)],
         limit: 400.0,
         ..Setup::default()
     });
@@ -129,7 +129,7 @@
 
     let mut file_world = cluster();
     let at = file_world.now;
-    let (number, first) = file_world.queue("ledger", &chunks);
+    let (number, first) = file_world.store_submission("ledger", &chunks);
     file_world.run_until(40.0, |world| {
         world.submission(number).unwrap().phase == Phase::Created
     });
@@ -148,15 +148,19 @@
         while world.now < until {
             world.run(0.05);
         }
-        assert_eq!(world.running(), 0);
+        assert_eq!(world.running_task_count(), 0);
         world.network.unreachable.clear();
         world.run(6.0);
-        assert!(world.running() >= 190, "{}", world.running());
+        assert!(
+            world.running_task_count() >= 190,
+            "{}",
+            world.running_task_count()
+        );
         placed.push(places(world));
     }
     // Placement and assignments: the same task is on the same machine.
     assert_eq!(placed[0], placed[1]);
-    let cores = |world: &World| world.checker.most_cores;
+    let cores = |world: &World| world.checker.peak_cores;
     assert!(cores(&file_world) <= 400.0 && cores(&file_world) == cores(&native_world));
 
     // Faults meanwhile: a controller ends and restarts, and machines are cut off.
@@ -170,11 +174,11 @@
         world.start(1);
         world.network.unreachable.clear();
         world.run_until(120.0, |world| open_jobs(world) == 0);
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
         assert!(
-            world.checker.most_cores <= 400.0,
+            world.checker.peak_cores <= 400.0,
             "{}",
-            world.checker.most_cores
+            world.checker.peak_cores
         );
         let done = world
             .trace
@@ -182,7 +186,7 @@
             .filter(|l| l.contains(" ends j-"))
             .count();
         let account = world.account();
-        ends.push((done, world.checker.most_cores, account.get(CoreUse::Arrays)));
+        ends.push((done, world.checker.peak_cores, account.get(CoreUse::Arrays)));
     }
     // All tasks, and some that were repeated; the accounts agree within the interval of samples.
     assert!(ends.iter().all(|e| e.0 >= 270), "{ends:?}");
--- a/crates/cherryyard-simulation/tests/team_limits.rs
+++ b/crates/cherryyard-simulation/tests/team_limits.rs
@@ -43,7 +43,7 @@
             let hosts = hosts_of(&world, &cancelled);
             machine_fault.begin(&mut world, &hosts);
             for id in &cancelled {
-                users.ask_cancel(&mut world, 1, id);
+                users.cancel_until_confirmed(&mut world, 1, id);
             }
             world.run(0.3);
             for _ in 0..changes {
@@ -92,14 +92,23 @@
             }
             world.run(40.0);
             let case = format!("{limit} cores, tasks of {cores}, leader changes {changes}");
-            assert_eq!(world.running(), all, "{case}: {}", world.trace.join("\n"));
+            assert_eq!(
+                world.running_task_count(),
+                all,
+                "{case}: {}",
+                world.trace.join("\n")
+            );
             let store_revision = world.state.store_revision();
             world.run(20.0);
             let events = world.state.events(store_revision).events;
             let keys = events.iter().filter_map(|c| c.set.clone());
             let grants: Vec<String> = keys.filter(|k| k.starts_with("c/grant")).collect();
             assert!(grants.is_empty(), "{case}: grants still move: {grants:?}");
-            assert!(world.broken.is_empty(), "{case}: {:?}", world.broken);
+            assert!(
+                world.violations.is_empty(),
+                "{case}: {:?}",
+                world.violations
+            );
         }
     }
 }
--- a/crates/cherryyard/tests/condor.rs
+++ b/crates/cherryyard/tests/condor.rs
@@ -35,7 +35,7 @@
 /// Returns the state of a submission.
 async fn view(client: &Client, name: &str) -> SubmissionView {
     let path = format!("/v2/condor/submissions/{name}");
-    let (status, body) = client.insist("GET", &path, None).await;
+    let (status, body) = client.call_until_available("GET", &path, None).await;
     assert_eq!(status, 200, "{body}");
     serde_json::from_str(&body).expect("a view")
 }
@@ -59,7 +59,11 @@
 #[tokio::test]
 async fn a_submission_from_its_first_chunk_to_its_removal() {
     let (service, _controller, client) = start().await;
-    let post = async |body| client.insist("POST", "/v2/condor", body).await;
+    let post = async |body| {
+        client
+            .call_until_available("POST", "/v2/condor", body)
+            .await
+    };
     let good = || json!("Department == \"POSTING\" && MY.Foo =?= undefined");
     // The leader has to store the machines' attributes before requirements can match them.
     for _ in 0..100 {
@@ -91,12 +95,15 @@
     let created = wait_for_phase(&client, "june", Phase::Created).await;
     assert_eq!((created.created, created.queued), (120, 120));
     assert_eq!(
-        client.insist("POST", "/v2/runs", job_of_submission).await.0,
+        client
+            .call_until_available("POST", "/v2/runs", job_of_submission)
+            .await
+            .0,
         200
     );
     assert_eq!(
         client
-            .insist("POST", "/v2/runs", job_with_reserved_id)
+            .call_until_available("POST", "/v2/runs", job_with_reserved_id)
             .await
             .0,
         400
@@ -113,12 +120,20 @@
     assert!(body.contains("t[0].rules.requirements: 1:4"), "{body}");
 
     let path = "/v2/condor/submissions/june/cancel";
-    let (status, body) = client.insist("POST", path, Some("{}".into())).await;
+    let (status, body) = client
+        .call_until_available("POST", path, Some("{}".into()))
+        .await;
     assert_eq!(status, 202, "{body}");
     let removed = wait_for_phase(&client, "june", Phase::Cancelled).await;
     assert_eq!((removed.phase, removed.over), (Phase::Cancelled, 120));
-    assert_eq!(client.insist("POST", path, Some("{}".into())).await.0, 200);
-    let (_, list) = client.insist("GET", "/v2/condor", None).await;
+    assert_eq!(
+        client
+            .call_until_available("POST", path, Some("{}".into()))
+            .await
+            .0,
+        200
+    );
+    let (_, list) = client.call_until_available("GET", "/v2/condor", None).await;
     assert!(
         list.contains("june") && list.contains("chunk_bytes"),
         "{list}"
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -57,7 +57,9 @@
 async fn submit(client: &Client, job: u64) -> (u16, String) {
     let spec = World::spec(&job_id(job), "sweep", 1);
     let body = serde_json::json!(spec).to_string();
-    client.insist("POST", "/v2/runs", Some(body)).await
+    client
+        .call_until_available("POST", "/v2/runs", Some(body))
+        .await
 }
 
 /// Guards against old jobs that are not found or are run again, against unknown jobs that do not
--- a/crates/cherryyard/tests/limits.rs
+++ b/crates/cherryyard/tests/limits.rs
@@ -24,7 +24,9 @@
         let mut spec = World::spec(&format!("j-{job:06}"), "sweep", 2);
         spec.job_class = format!("class-{job}");
         let body = serde_json::to_string(&spec).expect("a job");
-        let (status, text) = client.insist("POST", "/v2/runs", Some(body)).await;
+        let (status, text) = client
+            .call_until_available("POST", "/v2/runs", Some(body))
+            .await;
         assert!(status == 201 || status == 200, "{job}: {status} {text}");
     }
     let refused = service.with(|state| state.malformed);
--- a/crates/cherryyard/tests/pipelines.rs
+++ b/crates/cherryyard/tests/pipelines.rs
@@ -31,7 +31,9 @@
     let none = [Value::Null, json!([])];
     for (n, no_dependencies) in none.iter().enumerate() {
         let text = body(&format!("j-00000{n}"), no_dependencies);
-        let (status, text) = client.insist("POST", "/v2/runs", Some(text)).await;
+        let (status, text) = client
+            .call_until_available("POST", "/v2/runs", Some(text))
+            .await;
         assert_eq!(status, 201, "{text}");
     }
     let too_many: Vec<String> = (0..65).map(|n| format!("j-{n:06}")).collect();
@@ -45,14 +47,20 @@
     ];
     for (waits_on, expected, reason) in refused {
         let text = body("j-000009", &waits_on);
-        let (status, text) = client.insist("POST", "/v2/runs", Some(text)).await;
+        let (status, text) = client
+            .call_until_available("POST", "/v2/runs", Some(text))
+            .await;
         assert_eq!(status, expected, "{waits_on}: {text}");
         assert!(text.contains(reason), "{waits_on}: {text}");
     }
     let text = body("j-000009", &json!(["j-000001", "j-000000", "j-000001"]));
-    let (status, text) = client.insist("POST", "/v2/runs", Some(text)).await;
+    let (status, text) = client
+        .call_until_available("POST", "/v2/runs", Some(text))
+        .await;
     assert_eq!(status, 201, "{text}");
-    let (_, text) = client.insist("GET", "/v2/runs/j-000009", None).await;
+    let (_, text) = client
+        .call_until_available("GET", "/v2/runs/j-000009", None)
+        .await;
     let view: Value = serde_json::from_str(&text).expect("a view");
     assert_eq!(view["status"], "queued");
     assert_eq!(view["waits_on"], json!(["j-000000", "j-000001"]));
@@ -86,9 +94,13 @@
     }
     // Dependencies are accepted a few seconds after the start.
     let first = body("j-000001", &Value::Null);
-    client.insist("POST", "/v2/runs", Some(first)).await;
+    client
+        .call_until_available("POST", "/v2/runs", Some(first))
+        .await;
     let dependent = body("j-000008", &json!(["j-000001"]));
-    client.insist("POST", "/v2/runs", Some(dependent)).await;
+    client
+        .call_until_available("POST", "/v2/runs", Some(dependent))
+        .await;
     let (code, out) = run(&["submit", &files[1], "--waits-on", "j-1"]).await;
     assert!(
         code == Some(1) && out.contains("--waits-on: waits_on[0]"),
