--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -169,7 +169,7 @@
         for waiting in batch {
             let open = &mut waiting.submission.open;
             // A retry keeps its division: a second one would count twice against the capacity.
-            if open.dependencies.is_none() && waiting.divided_under != Some(token) {
+            if open.dependencies.never_waited() && waiting.divided_under != Some(token) {
                 open.division = Vec::new();
                 self.divide_job(open, now);
                 waiting.divided_under = Some(token);
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -127,10 +127,10 @@
     /// Creates the controller of a process that starts at `now`. `seed` determines all of its
     /// random numbers.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
-        let process = StdRng::seed_from_u64(seed).random();
+        let process_id = StdRng::seed_from_u64(seed).random();
         let shard_count = config.shards();
         Self {
-            process_id: process,
+            process_id,
             started_at: now,
             rng: StdRng::seed_from_u64(seed),
             effects: Vec::new(),
@@ -152,7 +152,7 @@
             cloud_machines_at: f64::NEG_INFINITY,
             intake: Intake::new(&config, now),
             submission_counts: Demand::new(),
-            entitlements: Entitlements::new(process),
+            entitlements: Entitlements::new(process_id),
             user_write_budget: TokenBucket::new(config.user_writes_per_s / shard_count as f64, now),
             lag: EventLoopLag::new(now),
             inspected_machines: 0,
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -89,9 +89,9 @@
     pub fn build_heartbeat(&mut self, now: Millis) -> Heartbeat {
         self.advance_clock(now);
         let shards = self.due_capacity_reports(now);
-        let misdirected = self.misdirected.counts(now);
+        let misdirected_workers = self.misdirected.counts(now);
         let demand = self.demand_reports();
-        let short = self.teams_short_of_grants(now);
+        let teams_short_of_grants = self.teams_short_of_grants(now);
         let has_gap = self.mirror.take_missed_ends();
         let new_cancellations = self.mirror.take_new_cancellations();
         let (cancelled, cancellations_cover_ms) =
@@ -113,9 +113,9 @@
             store_revision: self.mirror.store_revision,
             leases: self.known_leases(),
             shards,
-            teams_short_of_grants: short,
+            teams_short_of_grants,
             handover_candidates: self.handover_candidates(),
-            misdirected_workers: misdirected,
+            misdirected_workers,
             number: 0,
             last_received_numbers: Vec::new(),
             fair_share_grants: Vec::new(),
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -58,11 +58,11 @@
             JobRecord::Open {
                 spec,
                 submitted_at_ms: submitted_at,
-                division: division,
+                division,
                 zone,
-                zone_caps: zone_caps,
+                zone_caps,
                 rules,
-                dependencies: dependencies,
+                dependencies,
             } => {
                 // A job's end is final, so a record of the job as open is outdated or wrong
                 // and is ignored.
--- a/crates/cherryyard-core/src/owner/oversize.rs
+++ b/crates/cherryyard-core/src/owner/oversize.rs
@@ -60,7 +60,7 @@
             .find_map(|(&number, page)| {
                 // Skips pages whose upper bound or exact size is within the limit, which are almost
                 // all.
-                if page.max_bytes <= max_bytes
+                if page.max_stored_bytes <= max_bytes
                     || page.bytes(&self.mirror.hosts, format) <= max_bytes
                 {
                     return None;
--- a/crates/cherryyard-core/src/pages.rs
+++ b/crates/cherryyard-core/src/pages.rs
@@ -34,7 +34,7 @@
     pub revision: u64,
     /// Upper bound of the page's size as it is stored, in bytes, which holds even after its tasks
     /// end.
-    pub max_bytes: usize,
+    pub max_stored_bytes: usize,
     /// Running and completed tasks by job.
     pub jobs: BTreeMap<u64, PageJob>,
 }
@@ -224,7 +224,7 @@
             StoredPage::Plain(_) => None,
         };
         let mut page = Self::from_record(stored.read()?, revision, hosts)?;
-        page.max_bytes = packed_bytes.unwrap_or_else(|| page.plain_bytes(hosts));
+        page.max_stored_bytes = packed_bytes.unwrap_or_else(|| page.plain_bytes(hosts));
         Some(page)
     }
 
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -135,8 +135,8 @@
         self.jobs.entry(spec.id.clone()).or_insert(job);
     }
 
-    /// Records which jobs the users of `World::request_until_answered` were told to be accepted, and which jobs
-    /// may be cancelled.
+    /// Records which jobs the users of `World::request_until_answered` were told to be accepted,
+    /// and which jobs may be cancelled.
     fn record_answers(&mut self, world: &mut World) {
         for spec in std::mem::take(&mut world.requests.accepted) {
             self.record_accepted(world, &spec);
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -291,8 +291,8 @@
         self.send_request(i, id, question, Sender::User)
     }
 
-    /// Submits a job to controller `i`, and repeats the submission as [`World::request_until_answered`] does
-    /// until the job is accepted or refused for good.
+    /// Submits a job to controller `i`, and repeats the submission as
+    /// [`World::request_until_answered`] does until the job is accepted or refused for good.
     pub fn submit_at(&mut self, i: usize, spec: &JobSpec) -> u64 {
         let body = serde_json::to_vec(spec).expect("a job");
         self.request_until_answered(i, &spec.id, Question::Submit(body))
--- a/crates/cherryyard-simulation/src/world/setup.rs
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -36,7 +36,8 @@
     /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
     /// Announced future limits of the state service: its largest value in KiB, and the maximum
-    /// number of changes in a transaction; they take effect with [`World::enforce_announced_limits`].
+    /// number of changes in a transaction; they take effect with
+    /// [`World::enforce_announced_limits`].
     pub announced_limits: Option<(f64, usize)>,
     /// Requests per second that the state service allows, as configured in the controllers.
     pub rps: f64,
--- a/crates/cherryyard-wire/src/admission_log.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -90,7 +90,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rules: Option<Box<Rules>>,
     /// Dependencies of the job on other jobs.
-    #[serde(default, skip_serializing_if = "Dependencies::is_none")]
+    #[serde(default, skip_serializing_if = "Dependencies::never_waited")]
     pub after: Dependencies,
 }
 
--- a/crates/cherryyard-wire/src/condor.rs
+++ b/crates/cherryyard-wire/src/condor.rs
@@ -255,8 +255,8 @@
 /// Record of the ids that submissions have been given.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdsRecord {
-    /// Lowest job number that the next submission can be given; a number below [`FIRST_RESERVED_JOB`]
-    /// counts as that.
+    /// Lowest job number that the next submission can be given; a number below
+    /// [`FIRST_RESERVED_JOB`] counts as that.
     pub next: u64,
 }
 
--- a/crates/cherryyard-wire/src/dependencies.rs
+++ b/crates/cherryyard-wire/src/dependencies.rs
@@ -26,7 +26,7 @@
 
 impl Dependencies {
     /// Returns whether the job has never waited for another.
-    pub fn is_none(&self) -> bool {
+    pub fn never_waited(&self) -> bool {
         *self == Self::default()
     }
 }
--- a/crates/cherryyard-wire/src/history/tests.rs
+++ b/crates/cherryyard-wire/src/history/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// The keys of leaves sort as their job numbers do, and `key_before_leaf` is below the key of the leaf
-/// that covers the job. Guards against look-ups that skip the leaf of the job, as they would if
-/// the numbers in the keys were not padded to the same length.
+/// The keys of leaves sort as their job numbers do, and `key_before_leaf` is below the key of the
+/// leaf that covers the job. Guards against look-ups that skip the leaf of the job, as they would
+/// if the numbers in the keys were not padded to the same length.
 #[test]
 fn keys_sort_as_job_numbers() {
     let jobs = [0, 1, 9, 10, 999_999, 1_000_000, MAX_JOB_NUMBER];
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -71,7 +71,7 @@
         #[serde(
             default,
             rename = "after",
-            skip_serializing_if = "Dependencies::is_none"
+            skip_serializing_if = "Dependencies::never_waited"
         )]
         dependencies: Dependencies,
     },
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -115,9 +115,14 @@
         reply
     }
 
-    /// Offers a new job to the core, and waits for its verdict. `moved` is the revision of the
-    /// history's record as of which the job was not in the history.
-    pub async fn offer(self: &Arc<Self>, job: u64, open: OpenJob, moved: u64) -> SubmissionOutcome {
+    /// Offers a new job to the core, and waits for its verdict. `history_revision` is the revision
+    /// of the history's record as of which the job was not in the history.
+    pub async fn offer(
+        self: &Arc<Self>,
+        job: u64,
+        open: OpenJob,
+        history_revision: u64,
+    ) -> SubmissionOutcome {
         let ticket = self.pending.issue_ticket();
         let (reply_sender, reply) = oneshot::channel();
         lock(&self.pending.offered).insert(ticket, reply_sender);
@@ -125,7 +130,7 @@
             ticket,
             job,
             open,
-            history_revision: moved,
+            history_revision,
         };
         self.with(|controller, now| controller.submit(offer, now));
         let reply = tokio::time::timeout(OFFER_TIMEOUT, reply).await;
