--- a/crates/cherryyard-core/src/account.rs
+++ b/crates/cherryyard-core/src/account.rs
@@ -9,7 +9,7 @@
 use crate::machine::Task;
 use crate::{Millis, Mirror};
 use cherryyard_wire::job::Shape;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use std::collections::HashMap;
 use std::str::FromStr;
 use strum::{EnumCount, IntoEnumIterator};
@@ -183,7 +183,7 @@
                 if assigned.is_some_and(|(assignment, _)| assignment.attempt == attempt) {
                     return true;
                 }
-                let is_done = mirror.end(job) == Some(End::Done)
+                let is_done = mirror.end(job) == Some(JobOutcome::Done)
                     || group.is_some_and(|group| group.done.contains(number));
                 let open = mirror.open.get(&job);
                 let is_service = open.is_some_and(|open| open.spec.shape == Shape::Service);
--- a/crates/cherryyard-core/src/dependencies.rs
+++ b/crates/cherryyard-core/src/dependencies.rs
@@ -4,12 +4,12 @@
 use crate::mirror::Mirror;
 use cherryyard_wire::dependencies::{Dependencies, dependency_numbers};
 use cherryyard_wire::job::{JobSpec, JobStatus, job_id};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
 /// Ends of jobs that were found in the history, by job number.
-pub type HistoryEnds = BTreeMap<u64, End>;
+pub type HistoryEnds = BTreeMap<u64, JobOutcome>;
 
 /// Result of resolving the dependencies of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,10 +37,10 @@
     NeverAccepted(u64),
 }
 
-fn status_of(end: End) -> JobStatus {
+fn status_of(end: JobOutcome) -> JobStatus {
     match end {
-        End::Done => JobStatus::Done,
-        End::Cancelled => JobStatus::Cancelled,
+        JobOutcome::Done => JobStatus::Done,
+        JobOutcome::Cancelled => JobStatus::Cancelled,
     }
 }
 
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -13,7 +13,7 @@
     Chunk, PhaseEvent, SubmissionRecord, SubmissionView, submission_key,
 };
 use cherryyard_wire::job::job_id;
-use cherryyard_wire::record::{End, Key, job_hash};
+use cherryyard_wire::record::{JobOutcome, Key, job_hash};
 use cherryyard_wire::state::{Change, Commit};
 
 /// Number of open jobs at which creation waits for some to finish: a submission takes little
@@ -172,7 +172,12 @@
         }
         jobs.sort_by_cached_key(|&job| (self.mirror.assigned(job) == 0, job_hash(job)));
         let count = jobs_within_limit(jobs.iter().copied(), &self.mirror, &self.config);
-        let ended = |&job: &u64| Some((job, self.mirror.open.get(&job)?.ended(End::Cancelled)));
+        let ended = |&job: &u64| {
+            Some((
+                job,
+                self.mirror.open.get(&job)?.ended(JobOutcome::Cancelled),
+            ))
+        };
         let records: Vec<MaybeRecord> = jobs[..count].iter().map(ended).collect();
         let commit = records_that_fit(
             submission,
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -10,7 +10,7 @@
 use crate::{Config, Millis, Mirror};
 use cherryyard_history::{Compactor, FinishedJob, Limits};
 use cherryyard_wire::history::HistoryProgressRecord;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 /// Time between two small batches, while finished jobs are left in records of their own, as
 /// earlier builds wrote them.
@@ -159,7 +159,7 @@
         .map(|(job, ended)| FinishedJob {
             job,
             end: ended.end,
-            done: if ended.end == End::Done {
+            done: if ended.end == JobOutcome::Done {
                 ended.task_count
             } else {
                 0
--- a/crates/cherryyard-core/src/mirror/bucket_division.rs
+++ b/crates/cherryyard-core/src/mirror/bucket_division.rs
@@ -1,6 +1,6 @@
 //! Division of a bucket into several buckets when its jobs take too many bytes.
 
-use cherryyard_wire::record::{BucketRecord, End, JobRecord, TaskUsage, job_hash};
+use cherryyard_wire::record::{BucketRecord, JobOutcome, JobRecord, TaskUsage, job_hash};
 use cherryyard_wire::state::Json;
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
     /// Job that has ended.
     Ended {
         /// Outcome of the job: done or cancelled.
-        end: End,
+        end: JobOutcome,
         /// Number of the job's tasks.
         task_count: u32,
         /// Generation of the history that the end belongs to.
--- a/crates/cherryyard-core/src/mirror/dependencies.rs
+++ b/crates/cherryyard-core/src/mirror/dependencies.rs
@@ -10,7 +10,7 @@
 use super::{Mirror, OpenJob};
 use crate::admission::flows::Flow;
 use cherryyard_wire::job::{Rank, Shape};
-use cherryyard_wire::record::{End, JobRecord};
+use cherryyard_wire::record::{JobOutcome, JobRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Time in milliseconds that a stage takes besides the run time of its tasks: until controllers
@@ -173,7 +173,7 @@
     fn cancelled_dependency(&self, job: u64) -> Option<u64> {
         let open = self.open.get(&job)?;
         let is_cancelled = |dependency: &&u64| {
-            self.end(**dependency) == Some(End::Cancelled)
+            self.end(**dependency) == Some(JobOutcome::Cancelled)
                 || self.graph.cancelled.contains_key(*dependency)
         };
         let dependencies = &open.dependencies;
@@ -224,7 +224,7 @@
     /// Returns the jobs that an open job depends on and that are not done.
     pub fn unmet_dependencies<'a>(&'a self, open: &'a OpenJob) -> impl Iterator<Item = u64> + 'a {
         let dependencies = open.dependencies.jobs.iter().copied();
-        dependencies.filter(|dependency| self.end(*dependency) != Some(End::Done))
+        dependencies.filter(|dependency| self.end(*dependency) != Some(JobOutcome::Done))
     }
 
     /// Returns whether open jobs depend on a job. The job's end must stay stored until they have
@@ -236,7 +236,7 @@
     /// Returns the record for the end of an open job that is cancelled with a dependency.
     pub fn end_of_dependent(&self, job: u64) -> Option<JobRecord> {
         let cancelled_with = self.cancelled_with(job)?;
-        let mut record = self.open.get(&job)?.ended(End::Cancelled);
+        let mut record = self.open.get(&job)?.ended(JobOutcome::Cancelled);
         if let JobRecord::Ended { cancelled_by, .. } = &mut record {
             *cancelled_by = Some(cancelled_with);
         }
--- a/crates/cherryyard-core/src/mirror/ended.rs
+++ b/crates/cherryyard-core/src/mirror/ended.rs
@@ -2,7 +2,7 @@
 //! still list, and the most recent of those that only the history lists.
 
 use crate::needs::Resources;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use lru::LruCache;
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EndedJob {
     /// Outcome of the job: done or cancelled.
-    pub end: End,
+    pub end: JobOutcome,
     /// Number of the job's tasks.
     pub task_count: u32,
     /// Generation of the history that the end belongs to.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobEnd {
     /// Outcome of the job: done or cancelled.
-    pub end: End,
+    pub end: JobOutcome,
     /// Number of the job's tasks.
     pub task_count: u32,
 }
--- a/crates/cherryyard-core/src/mirror/jobs.rs
+++ b/crates/cherryyard-core/src/mirror/jobs.rs
@@ -7,15 +7,15 @@
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::{Dependencies, dependency_ids};
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, Shape, job_id};
-use cherryyard_wire::record::{End, JobRecord, TaskUsage};
+use cherryyard_wire::record::{JobOutcome, JobRecord, TaskUsage};
 use cherryyard_wire::rules::Rules;
 use std::ops::Range;
 
 /// Returns the view of an ended job for its user.
-pub fn ended_job_view(job: u64, end: End, done: u32) -> JobView {
+pub fn ended_job_view(job: u64, end: JobOutcome, done: u32) -> JobView {
     let status = match end {
-        End::Done => JobStatus::Done,
-        End::Cancelled => JobStatus::Cancelled,
+        JobOutcome::Done => JobStatus::Done,
+        JobOutcome::Cancelled => JobStatus::Cancelled,
     };
     JobView::new(job, status, done, 0)
 }
@@ -24,7 +24,7 @@
 fn cancelled_job_view(job: u64, dependency: u64) -> JobView {
     JobView {
         cancelled_by: Some(job_id(dependency)),
-        ..ended_job_view(job, End::Cancelled, 0)
+        ..ended_job_view(job, JobOutcome::Cancelled, 0)
     }
 }
 
@@ -165,7 +165,7 @@
         // The end is also new if a full read returns a job that was added and ended since the
         // previous read.
         let is_new = was_open || (self.loaded && !was_known);
-        if ended.end == End::Cancelled && is_new && !never_ran {
+        if ended.end == JobOutcome::Cancelled && is_new && !never_ran {
             self.ended.note_cancelled(job);
         }
         self.ended.set_demand(job, demand);
@@ -253,7 +253,7 @@
     }
 
     /// Returns how a job ended, if the watched records list it as ended.
-    pub fn end(&self, job: u64) -> Option<End> {
+    pub fn end(&self, job: u64) -> Option<JobOutcome> {
         self.ended.get(job).map(|ended| ended.end)
     }
 
@@ -279,8 +279,8 @@
         }
         if let Some(job_end) = self.ended.job_end(job) {
             let done = match job_end.end {
-                End::Done => job_end.task_count,
-                End::Cancelled => self.done(job),
+                JobOutcome::Done => job_end.task_count,
+                JobOutcome::Cancelled => self.done(job),
             };
             return Some(ended_job_view(job, job_end.end, done));
         }
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -8,7 +8,7 @@
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, Rank, Shape};
-use cherryyard_wire::record::{End, JobRecord, TaskUsage};
+use cherryyard_wire::record::{JobOutcome, JobRecord, TaskUsage};
 use cherryyard_wire::rules::Rules;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -144,7 +144,7 @@
     }
 
     /// Returns the record of the job's end.
-    pub fn ended(&self, end: End) -> JobRecord {
+    pub fn ended(&self, end: JobOutcome) -> JobRecord {
         JobRecord::Ended {
             end,
             task_count: self.spec.task_count,
--- a/crates/cherryyard-core/src/owner/cycle/commit.rs
+++ b/crates/cherryyard-core/src/owner/cycle/commit.rs
@@ -2,7 +2,7 @@
 
 use super::Cycle;
 use crate::controller::Controller;
-use cherryyard_wire::record::{self, End, Key};
+use cherryyard_wire::record::{self, JobOutcome, Key};
 use cherryyard_wire::state::{Change, Commit};
 
 impl Controller {
@@ -19,7 +19,7 @@
         self.require_as_placed(&mut commit, shard_id, cycle);
         let ends = cycle.ends.iter().filter_map(|&job| {
             let open = self.mirror.open.get(&job)?;
-            Some((job, open.ended(End::Done)))
+            Some((job, open.ended(JobOutcome::Done)))
         });
         // Ended records are smaller than the open records that they replace, and each was counted
         // as a change of its own, so they fit into the transaction.
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -8,7 +8,7 @@
 use crate::machine::{Machine, MachineState, Task};
 use crate::reachability::Reachability;
 use cherryyard_wire::job::Shape;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 /// Share of the time limit for stopping a cancelled job's tasks after which a silent machine that
 /// may run one is released.
@@ -157,7 +157,9 @@
     /// Returns the silence after which a machine is released because of a task of this job, or
     /// `None` if the job is not cancelled or enough time is left.
     fn silence_for_cancelled(&self, job: u64, now: Millis) -> Option<Millis> {
-        if self.mirror.end(job) != Some(End::Cancelled) || self.mirror.is_newly_cancelled(job) {
+        if self.mirror.end(job) != Some(JobOutcome::Cancelled)
+            || self.mirror.is_newly_cancelled(job)
+        {
             return None;
         }
         // If the time of the cancellation is no longer known here, it was long ago or is unknown to
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::peers::FORWARDING_MS;
 use cherryyard_wire::job::{JobStatus, JobView};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use cherryyard_wire::state::Commit;
 
 /// Share of its part of the budget for users' writes that a controller lends to the leader.
@@ -64,7 +64,7 @@
     /// Returns the transaction that cancels a job, if the job is open in this mirror and the record
     /// can be written.
     pub fn cancellation(&self, job: u64) -> Option<Commit> {
-        let record = self.mirror.open.get(&job)?.ended(End::Cancelled);
+        let record = self.mirror.open.get(&job)?.ended(JobOutcome::Cancelled);
         let mut commit = Commit::default();
         let records = vec![(job, record)];
         let is_written = self.mirror.write_jobs(&mut commit, records, &self.config);
--- a/crates/cherryyard-core/src/worker_heartbeats.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::machine::{Freshness, Machine, MachineState};
 use crate::owner::reconciliation::CommandChannel;
 use crate::reachability::ReachabilityEvent;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use cherryyard_wire::worker::{
     CommandBatch, HeartbeatResponse, TaskReport, TaskStatus, WorkerCommand, WorkerHeartbeat,
     parse_task_name,
@@ -144,7 +144,7 @@
     /// Returns whether a job is known to be cancelled, from the state service or from another
     /// controller.
     fn is_cancelled(&self, job: u64) -> bool {
-        self.cancelled.is_announced(job) || self.mirror.end(job) == Some(End::Cancelled)
+        self.cancelled.is_announced(job) || self.mirror.end(job) == Some(JobOutcome::Cancelled)
     }
 
     /// Applies what a heartbeat reports to its machine, and plans a scheduling cycle if anything
--- a/crates/cherryyard-history/src/cache/tests.rs
+++ b/crates/cherryyard-history/src/cache/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 fn leaf(jobs: &[u64]) -> Leaf {
     let finished = |&job| FinishedJob {
         job,
-        end: End::Done,
+        end: JobOutcome::Done,
         done: 1,
         day: 1,
     };
--- a/crates/cherryyard-history/src/leaf/codec.rs
+++ b/crates/cherryyard-history/src/leaf/codec.rs
@@ -5,7 +5,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD as BASE64;
 use cherryyard_wire::history::{LeafRecord, MAX_JOB_NUMBER};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use integer_encoding::VarInt;
 
 /// The version of the encoding, which is its first byte.
@@ -99,9 +99,9 @@
             jobs.push(FinishedJob {
                 job,
                 end: if done_and_end & 1 == 1 {
-                    End::Cancelled
+                    JobOutcome::Cancelled
                 } else {
-                    End::Done
+                    JobOutcome::Done
                 },
                 done: to_u32(done_and_end >> 1)?,
                 day: day.ok_or(LeafError::DayTooLarge)?,
@@ -133,7 +133,7 @@
 /// Returns the number of done tasks, shifted left by one bit, with the end in the lowest
 /// bit.
 fn done_and_end(finished: &FinishedJob) -> u64 {
-    u64::from(finished.done) << 1 | u64::from(finished.end == End::Cancelled)
+    u64::from(finished.done) << 1 | u64::from(finished.end == JobOutcome::Cancelled)
 }
 
 fn to_u32(number: u64) -> Result<u32, LeafError> {
--- a/crates/cherryyard-history/src/leaf/jobs.rs
+++ b/crates/cherryyard-history/src/leaf/jobs.rs
@@ -1,6 +1,6 @@
 //! Defines finished jobs and leaves of them.
 
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 /// A finished job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     /// The job's number.
     pub job: u64,
     /// The way in which the job ended.
-    pub end: End,
+    pub end: JobOutcome,
     /// The number of the job's tasks that were done.
     pub done: u32,
     /// The day on which the job was archived, in days since 1970-01-01.
--- a/crates/cherryyard-history/src/leaf/tests.rs
+++ b/crates/cherryyard-history/src/leaf/tests.rs
@@ -1,7 +1,7 @@
 use super::codec::RECORD_OVERHEAD_BYTES;
 use super::*;
 use cherryyard_wire::history::{LeafRecord, MAX_JOB_NUMBER};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use proptest::prelude::*;
 
 fn finished_job() -> impl Strategy<Value = FinishedJob> {
@@ -13,7 +13,11 @@
     )
         .prop_map(|(job, is_done, done, day)| FinishedJob {
             job,
-            end: if is_done { End::Done } else { End::Cancelled },
+            end: if is_done {
+                JobOutcome::Done
+            } else {
+                JobOutcome::Cancelled
+            },
             done,
             day,
         })
@@ -68,7 +72,7 @@
 fn encoded_bytes_per_job_are_bounded() {
     let job = |i: u64, gap: u64| FinishedJob {
         job: i * gap,
-        end: End::Done,
+        end: JobOutcome::Done,
         done: 50,
         day: 20_423,
     };
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -6,7 +6,7 @@
     last_job_of_leaf_key, leaf_key,
 };
 use cherryyard_wire::history::{HistoryProgressRecord, LeafRecord};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use std::collections::BTreeMap;
 
 /// Simulated state service: leaves and the history's record with their revisions, and the
@@ -82,9 +82,9 @@
     let job = |i: u64| FinishedJob {
         job: (i * 48_271 + round * 69_621) % 100_003,
         end: if i.is_multiple_of(3) {
-            End::Cancelled
+            JobOutcome::Cancelled
         } else {
-            End::Done
+            JobOutcome::Done
         },
         done: i as u32,
         day: 1,
@@ -256,7 +256,7 @@
                 id = id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                 FinishedJob {
                     job: (id >> 5) % 1_000_000_000_000_000_000,
-                    end: End::Done,
+                    end: JobOutcome::Done,
                     done: 50,
                     day: 20_000 + round,
                 }
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -12,7 +12,7 @@
 use cherryyard_wire::history::{HistoryProgressRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobRecord,
+    BUCKETS, BucketRecord, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobOutcome, JobRecord,
     MACHINE_TYPES_KEY, PageRecord, TaskUsage, assignments_key, bucket_key, job_hash, job_key,
 };
 use clap::Parser;
@@ -66,9 +66,9 @@
     FinishedJob {
         job,
         end: if job.is_multiple_of(3) {
-            End::Cancelled
+            JobOutcome::Cancelled
         } else {
-            End::Done
+            JobOutcome::Done
         },
         done: 50,
         day: 20_000,
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -10,7 +10,7 @@
 use cherryyard_history::Leaf;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, job_number};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 /// Timeout of a controller for the response of the controller that it forwarded a submission
 /// to.
@@ -175,7 +175,7 @@
     }
 
     /// Returns how a job ended, if it is in the history.
-    fn past_end(&self, job: u64) -> Option<End> {
+    fn past_end(&self, job: u64) -> Option<JobOutcome> {
         Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::from_record(&record).ok()?;
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -3,7 +3,7 @@
 use cherryyard_simulation::{CrashPoint, Setup, World, seeded_draws};
 use cherryyard_wire::condor::{Chunk, NO_ID, Phase, Template};
 use cherryyard_wire::job::job_id;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use std::collections::BTreeSet;
 
 fn cluster(history: Option<usize>, limit: f64) -> World {
@@ -186,9 +186,9 @@
         .mirror
         .ended_jobs()
         .filter(|(j, _)| block.contains(j));
-    let ends: Vec<End> = ends.map(|(_, e)| e.end).collect();
+    let ends: Vec<JobOutcome> = ends.map(|(_, e)| e.end).collect();
     assert_eq!(ends.len() as u64, created);
-    assert!(ends.iter().all(|e| *e == End::Cancelled));
+    assert!(ends.iter().all(|e| *e == JobOutcome::Cancelled));
     // A repeated removal after that changes nothing.
     let record = world.submission(number).unwrap();
     world.remove(number);
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -16,7 +16,7 @@
     /// Jobs that have ended: job number, how the job ended, how many tasks it had, and the
     /// generation of the history that its end belongs to.
     #[serde(default, rename = "e", skip_serializing_if = "Vec::is_empty")]
-    pub ended: Vec<(u64, End, u32, u64)>,
+    pub ended: Vec<(u64, JobOutcome, u32, u64)>,
     /// Job number and usage per task of ended jobs of which tasks may still be on machines.
     #[serde(default, rename = "u", skip_serializing_if = "Vec::is_empty")]
     pub usage: Vec<(u64, TaskUsage)>,
@@ -29,7 +29,7 @@
     /// Record of a job that has ended.
     Ended {
         /// Way in which the job ended.
-        end: End,
+        end: JobOutcome,
         /// Number of the job's tasks.
         #[serde(rename = "n")]
         task_count: u32,
@@ -84,7 +84,7 @@
 /// Way in which a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum JobOutcome {
     /// All tasks were completed.
     Done,
     /// The job was cancelled, by its user or because a job that it depended on was cancelled.
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -13,8 +13,8 @@
     MachineCapacity, MachinePool, Message, ShardGrant, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
-    ADMISSION_LOG, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
-    PageRecord,
+    ADMISSION_LOG, BucketRecord, FormatRecord, Grant, ImagesRecord, JobOutcome, JobRecord,
+    LeaseRecord, PageRecord,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -176,7 +176,7 @@
         ram_gb: 3.2,
     };
     let ended = JobRecord::Ended {
-        end: End::Done,
+        end: JobOutcome::Done,
         task_count: 6,
         usage: usage.clone(),
         generation: 0,
@@ -185,7 +185,7 @@
     assert_json_sample("ended", &ended);
     let bucket = BucketRecord {
         open: vec![(412, open_job(412, 7, Vec::new()))],
-        ended: vec![(398_405, End::Cancelled, 6, 3)],
+        ended: vec![(398_405, JobOutcome::Cancelled, 6, 3)],
         usage: vec![(398_405, usage)],
     };
     assert_json_sample("bucket", &bucket);
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -14,7 +14,7 @@
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, job_id, job_number};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use cherryyard_wire::rules::{Rules, SubmissionExtensions};
 use salvo::http::StatusCode;
 use std::sync::Arc;
@@ -57,7 +57,7 @@
     };
     let cancelled = result
         .finished_job
-        .is_some_and(|finished| finished.end == End::Cancelled);
+        .is_some_and(|finished| finished.end == JobOutcome::Cancelled);
     if cancelled && !app.with(|controller, now| controller.may_confirm_cancelled(job, now)) {
         return Err(unconfirmed_cancellation());
     }
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -8,8 +8,8 @@
 use cherryyard_wire::history::{HistoryProgressRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, MACHINE_TYPES_KEY,
-    bucket_key,
+    BUCKETS, BucketRecord, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobOutcome,
+    MACHINE_TYPES_KEY, bucket_key,
 };
 use std::path::Path;
 
@@ -36,7 +36,11 @@
     state.seed(HISTORY_PROGRESS_KEY, &record);
     let finished_job = |job| FinishedJob {
         job,
-        end: if job == 20 { End::Cancelled } else { End::Done },
+        end: if job == 20 {
+            JobOutcome::Cancelled
+        } else {
+            JobOutcome::Done
+        },
         done: 4,
         day: 1,
     };
