--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -15,16 +15,16 @@
 /// Submissions of a flow since the start of the process that counts them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Counts {
-    offered: u64,
-    taken: u64,
+    submitted: u64,
+    accepted: u64,
     refused: u64,
 }
 
 impl Counts {
     fn of(report: &DemandReport) -> Self {
         Self {
-            offered: report.offered,
-            taken: report.taken,
+            submitted: report.submitted,
+            accepted: report.accepted,
             refused: report.refused,
         }
     }
@@ -34,15 +34,15 @@
     fn increase_since(self, before: Self) -> Self {
         let increase = |now: u64, before: u64| now.checked_sub(before).unwrap_or(now);
         Self {
-            offered: increase(self.offered, before.offered),
-            taken: increase(self.taken, before.taken),
+            submitted: increase(self.submitted, before.submitted),
+            accepted: increase(self.accepted, before.accepted),
             refused: increase(self.refused, before.refused),
         }
     }
 
     fn add(&mut self, other: Self) {
-        self.offered += other.offered;
-        self.taken += other.taken;
+        self.submitted += other.submitted;
+        self.accepted += other.accepted;
         self.refused += other.refused;
     }
 }
@@ -74,14 +74,14 @@
     }
 
     /// Counts a submitted job, unless it is a recent job that is submitted again.
-    pub(crate) fn count_offered(&mut self, flow: Flow, job: u64) {
+    pub(crate) fn count_submitted(&mut self, flow: Flow, job: u64) {
         let is_known = self.recent_jobs.put(job, ()).is_some();
-        self.counts.entry(flow).or_default().offered += u64::from(!is_known);
+        self.counts.entry(flow).or_default().submitted += u64::from(!is_known);
     }
 
     /// Counts a job that was written to the state service.
-    pub(crate) fn count_taken(&mut self, flow: Flow) {
-        self.counts.entry(flow).or_default().taken += 1;
+    pub(crate) fn count_accepted(&mut self, flow: Flow) {
+        self.counts.entry(flow).or_default().accepted += 1;
     }
 
     /// Counts a submission that was refused because of overload.
@@ -94,8 +94,8 @@
         let report = |(&flow, counts): (&Flow, &Counts)| DemandReport {
             class: flows.class(flow).into(),
             team: flows.team(flow),
-            offered: counts.offered,
-            taken: counts.taken,
+            submitted: counts.submitted,
+            accepted: counts.accepted,
             refused: counts.refused,
         };
         self.counts.iter().map(report).collect()
@@ -130,7 +130,7 @@
         let changed = known.filter(|s| *s.1 != Counts::default());
         changed
             .map(|(&(team, class), sum)| {
-                let counts = [sum.offered, sum.taken, sum.refused];
+                let counts = [sum.submitted, sum.accepted, sum.refused];
                 (class.to_string(), teams.name(team).to_string(), counts)
             })
             .collect()
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -39,7 +39,7 @@
     pub fn submit(&mut self, offer: Submission, now: Millis) {
         self.advance_clock(now);
         self.submission_counts
-            .count_offered(offer.open.flow, offer.job);
+            .count_submitted(offer.open.flow, offer.job);
         let is_queued = self.intake.enqueue(
             offer,
             &self.config,
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -357,7 +357,7 @@
         match outcome {
             Outcome::Applied(_) => {
                 for waiting in sent {
-                    demand.count_taken(waiting.submission.open.flow);
+                    demand.count_accepted(waiting.submission.open.flow);
                     answer(effects, &waiting, SubmissionOutcome::Stored);
                 }
             }
--- a/crates/cherryyard-wire/src/peer.rs
+++ b/crates/cherryyard-wire/src/peer.rs
@@ -180,9 +180,9 @@
     /// Team of the flow, by its index in the settings.
     pub team: u32,
     /// Number of jobs that were submitted; retries of the same job are not counted again.
-    pub offered: u64,
+    pub submitted: u64,
     /// Number of jobs that were accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Number of responses that refused a submission.
     pub refused: u64,
 }
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -134,8 +134,8 @@
         demand: vec![DemandReport {
             class: "ledger-extract".into(),
             team: 1,
-            offered: 5,
-            taken: 4,
+            submitted: 5,
+            accepted: 4,
             refused: 1,
         }],
     };
