--- a/crates/cherryyard-core/src/admission/demand.rs
+++ b/crates/cherryyard-core/src/admission/demand.rs
@@ -1,5 +1,5 @@
-//! Counts of submissions by flow: those offered, taken and refused at this controller, and the sums
-//! over all controllers.
+//! Counts of submissions by flow: those submitted, accepted and refused at this controller, and the
+//! sums over all controllers.
 
 use super::flows::{Flow, Flows};
 use crate::names::Names;
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -33,7 +33,8 @@
 /// Largest number of queued submissions that a controller other than the leader writes as one
 /// record each instead of as a page.
 const MAX_SEPARATE_RECORDS: usize = 3;
-/// Number of failed writes of a submission after which it is answered with [`Verdict::Failed`].
+/// Number of failed writes of a submission after which it is answered with
+/// [`SubmissionOutcome::Failed`].
 /// Writes that the state service refused do not count.
 const MAX_TRIES: u32 = 4;
 /// Largest transaction with one record per submission, in bytes.
--- a/crates/cherryyard-core/src/admission/queue/service_order.rs
+++ b/crates/cherryyard-core/src/admission/queue/service_order.rs
@@ -92,7 +92,7 @@
         Some((flow as Flow, place))
     }
 
-    /// Puts back the job of a flow that was returned last, so that [`Self::step`] returns it again
+    /// Puts back the job of a flow that was returned last, so that [`Self::next_job`] returns it again
     /// when its place in the order is reached. Does nothing if the flow is closed.
     pub fn put_back(&mut self, flow: Flow, place: Place) {
         let index = flow as usize;
