--- a/crates/cherryyard-simulation/src/bin/creation.rs
+++ b/crates/cherryyard-simulation/src/bin/creation.rs
@@ -78,15 +78,15 @@
 /// midway if `--end-at` is given.
 fn run_until_created(world: &mut World, args: &Args, number: u64) {
     let deadline = world.now + DEADLINE_MS;
-    let mut has_ended = false;
+    let mut is_leader_restarted = false;
     loop {
         world.run(0.5);
         let record = world.submission(number).expect("the submission");
         let created = record.created();
-        if let Some(share) = args.end_at.filter(|_| !has_ended)
+        if let Some(share) = args.end_at.filter(|_| !is_leader_restarted)
             && created as f64 >= share * f64::from(args.jobs)
         {
-            has_ended = true;
+            is_leader_restarted = true;
             let leader = world.leader().expect("a leader");
             world.kill(leader);
             world.start(leader);
--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -79,9 +79,9 @@
 /// same for the same arguments.
 fn finished_job_ids(args: &Args) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(args.jobs);
-    let most = args.ids.max(args.jobs * 2);
+    let max_id = args.ids.max(args.jobs * 2);
     let mut ids: Vec<u64> = (0..args.jobs + args.jobs / 2)
-        .map(|_| rng.random_range(0..=most.min(LAST)))
+        .map(|_| rng.random_range(0..=max_id.min(LAST)))
         .collect();
     ids.sort_unstable();
     ids.dedup();
@@ -120,13 +120,13 @@
         }
     }
     jobs.sort_unstable();
-    let per_page = (200 / args.tasks.max(1)).max(1) as usize;
-    for (page, some) in jobs.chunks(per_page).enumerate() {
+    let jobs_per_page = (200 / args.tasks.max(1)).max(1) as usize;
+    for (page, page_jobs) in jobs.chunks(jobs_per_page).enumerate() {
         let mut assignments = PageRecord::default();
-        for (i, &job) in some.iter().enumerate() {
+        for (i, &job) in page_jobs.iter().enumerate() {
             assignments
                 .machines
-                .push(format!("host-{:06}", page * per_page + i));
+                .push(format!("host-{:06}", page * jobs_per_page + i));
             let at = i as u64;
             let tasks = (0..args.tasks).flat_map(|n| [at, n.into()]);
             let group = [7, 1].into_iter().chain(tasks).collect();
@@ -184,8 +184,8 @@
         let count = leaves.len();
         for (i, leaf) in leaves.into_iter().enumerate() {
             let last = leaf.jobs().last().map_or(LAST, |p| p.job);
-            let open = remaining.peek().is_none() && i + 1 == count;
-            let last = if open { LAST } else { last };
+            let is_last_leaf = remaining.peek().is_none() && i + 1 == count;
+            let last = if is_last_leaf { LAST } else { last };
             state.seed(&leaf_key(Level::Large, last), &leaf.to_record());
         }
     }
--- a/crates/cherryyard-simulation/src/fault.rs
+++ b/crates/cherryyard-simulation/src/fault.rs
@@ -8,8 +8,8 @@
 const MAX_HUNG_MACHINES: usize = 8;
 /// Interval at which [`Fault::LeadersEnd`] kills the leader.
 const LEADER_KILL_INTERVAL_MS: f64 = 12_000.0;
-/// Time from the provisioning of a machine until it is up, while [`Fault::FastProvisioning`] is
-/// not in effect.
+/// Time from the provisioning of a machine until it is up, once [`Fault::FastProvisioning`] has
+/// ended.
 const PROVISIONING_MS: f64 = 5000.0;
 
 /// A fault. The variants are indexed by random draws, so the scenario of a recorded seed
@@ -22,7 +22,7 @@
     AllDown,
     /// The leader reaches neither the state service nor the other controllers.
     LeaderIsolated,
-    /// A third of the machines, drawn at random, exchange no messages with anyone.
+    /// A third of the machines, drawn at random, exchange no messages with controllers.
     MachinesUnreachable,
     /// Messages to a third of the machines are lost, responses to heartbeats as well as direct
     /// commands; their heartbeats still arrive.
@@ -36,7 +36,8 @@
     /// Between 10 and 49 percent of the transactions get no response; most of these are applied
     /// seconds later.
     DelayedCommits,
-    /// Every worker heartbeat is delivered again after a delay of up to 40.5 s.
+    /// Every worker heartbeat is delivered again, after a delay between 0.5 and 40.5 s, to the
+    /// same controller and to the one after it.
     DuplicatedHeartbeats,
     /// The leader's process is paused.
     LeaderFrozen,
@@ -72,7 +73,8 @@
     CancelRunningJobs,
     /// Half of the jobs that end are cancelled at that moment.
     CancelEndingJobs,
-    /// Users repeat submissions, cancel jobs that have ended and submit jobs that cannot run.
+    /// Users repeat submissions and cancellations, also of jobs that have ended, and submit jobs
+    /// that cannot run.
     OddRequests,
     /// Users send requests about the same job to all controllers at once.
     ConcurrentRequests,
@@ -108,8 +110,8 @@
     draw(world.controllers.len() as u64) as usize
 }
 
-/// Cancels a third of the running jobs, drawn at random, on behalf of their users, and lets the
-/// machines that run them hang.
+/// Draws a third of the running tasks, cancels their jobs on behalf of users, and lets the
+/// machines of these tasks hang, unless the cloud is down.
 fn cancel_running_jobs(world: &mut World, draw: &mut dyn FnMut(u64) -> u64) {
     let running = world.workers.values().flat_map(|worker| {
         let tasks = worker.running_tasks();
@@ -207,9 +209,10 @@
             }
             Self::DuplicatesForNextLeader => world.duplicates.for_next_leader = true,
             Self::CloudDown => {
-                // If a machine hangs while a start is on its way to it, a cancellation can be
-                // completed in time only by releasing the machine. So machines must not hang
-                // while the cloud releases none (docs/restart.md).
+                // If a start is on its way to a machine that hangs for longer than a
+                // cancellation may take, only releasing the machine completes the cancellation
+                // in time. So machines must not hang while the cloud releases none
+                // (docs/restart.md).
                 Self::CancelRunningJobs.finish(world);
                 world.cloud.down = true;
             }
--- a/crates/cherryyard-simulation/src/http.rs
+++ b/crates/cherryyard-simulation/src/http.rs
@@ -180,7 +180,7 @@
         self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Runs a closure on the service's store, after expiring its leases.
+    /// Runs a closure on the service's store, after ending the leases that have expired.
     pub fn with<T>(&self, operation: impl FnOnce(&mut StateStandIn) -> T) -> T {
         operation(&mut self.lock().state)
     }
--- a/crates/cherryyard-simulation/src/process.rs
+++ b/crates/cherryyard-simulation/src/process.rs
@@ -14,7 +14,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of a client's request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Number of idle connections that a client keeps open.
+/// Maximum number of idle connections that a client keeps open.
 const IDLE_CONNECTIONS: usize = 50;
 /// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 65_536;
@@ -50,7 +50,7 @@
     })
 }
 
-/// A running controller process, killed when this is dropped.
+/// A running controller process. Dropping the value kills the process and deletes its settings.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
--- a/crates/cherryyard-simulation/src/state.rs
+++ b/crates/cherryyard-simulation/src/state.rs
@@ -162,7 +162,7 @@
         self.compacted_revision <= since
     }
 
-    /// Returns the changes after revision `since`.
+    /// Returns the changes after revision `since` to the controllers' keys (prefix [`PREFIX`]).
     pub fn events(&self, since: u64) -> WatchResponse {
         let events = self
             .changes
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Applies a controller's transaction if it keeps within the limits and its conditions
-    /// hold.
+    /// Applies a controller's transaction as [`Self::commit`] does, if it keeps within the
+    /// limits.
     pub fn commit_within_limits(&mut self, commit: &Commit) -> Outcome {
         if self.limits.is_some_and(|limits| !limits.allow(commit)) {
             self.malformed += 1;
@@ -248,7 +248,7 @@
         self.commit(commit)
     }
 
-    /// Applies a transaction if its conditions hold.
+    /// Applies a transaction if its conditions hold and the leases that it names exist.
     pub fn commit(&mut self, commit: &Commit) -> Outcome {
         self.record_cost(commit);
         let is_unchanged = |when: &When| {
--- a/crates/cherryyard-simulation/src/users.rs
+++ b/crates/cherryyard-simulation/src/users.rs
@@ -12,9 +12,9 @@
 
 /// Interval at which a job is polled.
 const POLL_INTERVAL_MS: f64 = 5000.0;
-/// Time after which a user submits an unanswered job again, at the next controller.
+/// Time after which a user repeats an unanswered submission, at the next controller.
 const RESUBMIT_DELAY_MS: f64 = 5000.0;
-/// Number of controllers that a poll is attempted at.
+/// Maximum number of controllers at which a poll is attempted.
 const POLL_ATTEMPTS: usize = 3;
 
 /// An accepted job and what its user has observed.
@@ -83,8 +83,8 @@
         self.record_accepted(world, spec);
     }
 
-    /// Submits a job to controller `i`, and to the next one if there is no answer, until one of
-    /// them accepts it.
+    /// Submits a job to controller `i`, and to the next one whenever a controller does not
+    /// accept it or does not answer, until one of them accepts it.
     pub fn ask(&mut self, world: &mut World, i: usize, spec: &JobSpec) {
         let ticket = world.offer(i, spec, None);
         self.pending.push(PendingSubmission {
@@ -128,8 +128,8 @@
         self.jobs.entry(spec.id.clone()).or_insert(job);
     }
 
-    /// Records which jobs the users of `World::insist` were told to be accepted, and which jobs
-    /// may be cancelled.
+    /// Records the jobs that were accepted by requests of [`World::insist`], and which jobs may
+    /// be cancelled.
     fn record_answers(&mut self, world: &mut World) {
         for spec in std::mem::take(&mut world.requests.accepted) {
             self.record_accepted(world, &spec);
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Checks the answer to a poll against the job's history, and records it.
+    /// Checks the answer to a poll against the job's completed tasks and earlier answers, and
+    /// records it.
     fn record_view(&mut self, world: &World, id: &str, view: &JobView) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -243,7 +244,7 @@
 
     /// Ends all faults, lets 200 s pass in which the cluster can recover, and returns all rule
     /// violations: those found so far, jobs whose polls are not answered, tasks that waited
-    /// beside free machines, and groups of jobs that were not served.
+    /// although machines were free, and groups of jobs that were not served.
     pub fn see_out(&mut self, world: &mut World) -> Vec<String> {
         Fault::finish_all(world);
         let faults_ended_at = world.now;
--- a/crates/cherryyard-simulation/src/users/capacity.rs
+++ b/crates/cherryyard-simulation/src/users/capacity.rs
@@ -53,7 +53,8 @@
     free.collect()
 }
 
-/// Returns whether a task of a job could start now.
+/// Returns whether a task of a job could start now; false for jobs whose tasks must be together
+/// or apart.
 fn has_capacity(
     world: &World,
     spec: &JobSpec,
--- a/crates/cherryyard-simulation/src/users/verdict.rs
+++ b/crates/cherryyard-simulation/src/users/verdict.rs
@@ -1,5 +1,5 @@
-//! Checks at the end of a scenario: jobs whose polls are not answered, tasks that waited beside
-//! free machines, and groups of jobs that were not served.
+//! Checks at the end of a scenario: jobs whose polls are not answered, tasks that waited
+//! although machines were free, and groups of jobs that were not served.
 
 use super::capacity::MAX_WAIT_MS;
 use super::{Job, Users};
@@ -21,7 +21,8 @@
 
 impl Users {
     /// Returns the rule violations at the end of a scenario whose faults ended at the time
-    /// `faults_ended_at`. A group of jobs violates the rules if fewer than half of its jobs were served.
+    /// `faults_ended_at`. A group of jobs violates the rules if fewer than half of its jobs were
+    /// served.
     pub fn judge(&self, world: &World, faults_ended_at: f64) -> Vec<String> {
         let mut violations = self.broken.clone();
         violations.extend(self.unanswered_jobs(world, faults_ended_at));
@@ -80,8 +81,8 @@
         served_by_group
     }
 
-    /// Counts, for each class, the largest tenth of the jobs that were accepted early enough,
-    /// and those of them that started in time.
+    /// Counts, for each class, the largest tenth of the jobs that were accepted at least
+    /// [`MAX_START_DELAY_MS`] ago, and those of them that started within that time.
     fn served_of_largest(&self, world: &World) -> BTreeMap<String, Served> {
         let mut classes: BTreeMap<&str, Vec<(&String, &Job)>> = BTreeMap::new();
         for (id, job) in self.not_cancelled() {
--- a/crates/cherryyard-simulation/src/worker.rs
+++ b/crates/cherryyard-simulation/src/worker.rs
@@ -10,7 +10,7 @@
 const FAILING_JOB_RUN_MS: f64 = 500.0;
 /// Time between the provisioning of a machine and the start of its worker.
 const PROVISIONING_LEAD_MS: f64 = 10_000.0;
-/// Delay until the heartbeat of a worker that has received a new fencing token.
+/// Delay until the next heartbeat of a worker that has received a new fencing token.
 const NEW_TOKEN_HEARTBEAT_DELAY_MS: f64 = 500.0;
 
 /// A task on a machine.
@@ -80,8 +80,8 @@
     /// Time at which the cloud reclaims the machine, once the cloud has announced it.
     pub reclaim_at: Option<f64>,
     /// Duration for which an answered heartbeat keeps the worker's tasks running. An infinite
-    /// duration models a previous owner that no other process sees and that goes on answering
-    /// the worker's heartbeats.
+    /// duration models a previous owner that only this worker still reaches and that goes on
+    /// answering its heartbeats.
     pub lease_ms: f64,
 }
 
--- a/crates/cherryyard-simulation/src/world/cancellations.rs
+++ b/crates/cherryyard-simulation/src/world/cancellations.rs
@@ -18,7 +18,7 @@
     id: String,
 }
 
-/// The final status of a job that a user is told.
+/// Final status of a job, as reported to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FinalStatus {
     Cancelled,
--- a/crates/cherryyard-simulation/src/world/controllers.rs
+++ b/crates/cherryyard-simulation/src/world/controllers.rs
@@ -7,7 +7,7 @@
 use cherryyard_wire::worker::WorkerHeartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time until a leader that was killed by [`Processes::leader_kill_interval_ms`] starts again.
+/// Time until a leader that was killed because of [`Processes::leader_kill_interval_ms`] restarts.
 const LEADER_RESTART_MS: f64 = 500.0;
 
 /// State of the controllers' processes.
--- a/crates/cherryyard-simulation/src/world/duplicates.rs
+++ b/crates/cherryyard-simulation/src/world/duplicates.rs
@@ -16,7 +16,7 @@
     /// then delivered to every controller.
     pub for_next_leader: bool,
     /// Delay after the change of the leader until the kept heartbeats are delivered, so that
-    /// the new leader can act before.
+    /// the new leader can act before it receives them.
     pub next_leader_wait_ms: f64,
     next_leader_due: Option<f64>,
     kept_heartbeats: BTreeMap<String, WorkerHeartbeat>,
@@ -42,8 +42,8 @@
         now: f64,
     ) {
         if self.for_next_leader {
-            let kept_heartbeats = self.kept_heartbeats.entry(heartbeat.host.clone());
-            kept_heartbeats.or_insert_with(|| heartbeat.clone());
+            let kept = self.kept_heartbeats.entry(heartbeat.host.clone());
+            kept.or_insert_with(|| heartbeat.clone());
         }
         if let Some(delay_ms) = self.delay_ms {
             for controller in [controller, (controller + 1) % controllers] {
--- a/crates/cherryyard-simulation/src/world/machines.rs
+++ b/crates/cherryyard-simulation/src/world/machines.rs
@@ -11,14 +11,14 @@
 const HEARTBEAT_INTERVAL_MS: f64 = 2000.0;
 /// Delay until a worker's heartbeat to the controller that it was redirected to.
 const REDIRECT_DELAY_MS: f64 = 100.0;
-/// Delay until a worker's heartbeat to the next controller when the previous one did not
-/// respond or was not able to.
+/// Delay until a worker's heartbeat to the next controller, after a timeout or a reply that
+/// neither answers the heartbeat nor names another controller.
 const RETRY_DELAY_MS: f64 = 1000.0;
 
 /// Faults of machines, and direct commands on their way to them.
 #[derive(Debug, Default)]
 pub struct Machines {
-    /// Machines that hang: direct commands to them are held back.
+    /// Machines that hang: they send nothing, and direct commands to them are held back.
     pub hung: BTreeSet<String>,
     /// Machines whose direct commands are held back until [`World::deliver_direct`].
     pub slow_commands: BTreeSet<String>,
--- a/crates/cherryyard-simulation/src/world/network.rs
+++ b/crates/cherryyard-simulation/src/world/network.rs
@@ -11,7 +11,7 @@
     /// Controllers that no worker reaches, and that get no responses from machines to status
     /// queries.
     pub cut_from_workers: BTreeSet<usize>,
-    /// Machines that exchange no messages with anyone.
+    /// Machines that exchange no messages with controllers.
     pub unreachable: BTreeSet<String>,
     /// Machines whose heartbeats arrive, while responses and commands to them are lost.
     pub inbound_lost: BTreeSet<String>,
--- a/crates/cherryyard-simulation/src/world/pipelines.rs
+++ b/crates/cherryyard-simulation/src/world/pipelines.rs
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 struct PendingJob {
     spec: JobSpec,
-    submitted: SubmitWhen,
+    submit_when: SubmitWhen,
 }
 
 /// Condition for the submission of a pipeline's job.
@@ -111,7 +111,7 @@
         if !dependencies().all(|dependency| world.is_accepted(dependency)) {
             return false;
         }
-        match self.submitted {
+        match self.submit_when {
             SubmitWhen::DependenciesAccepted => true,
             SubmitWhen::DependenciesComplete => {
                 dependencies().any(|dependency| world.may_be_cancelled(dependency))
@@ -126,7 +126,7 @@
     pub fn add(&mut self, spec: JobSpec) {
         self.pending.push(PendingJob {
             spec,
-            submitted: SubmitWhen::DependenciesAccepted,
+            submit_when: SubmitWhen::DependenciesAccepted,
         });
     }
 
@@ -135,7 +135,7 @@
     pub fn add_late(&mut self, spec: JobSpec) {
         self.pending.push(PendingJob {
             spec,
-            submitted: SubmitWhen::DependenciesComplete,
+            submit_when: SubmitWhen::DependenciesComplete,
         });
     }
 
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -246,7 +246,8 @@
 }
 
 impl Requests {
-    /// Sets the seed of the draws that decide delays and the order of requests.
+    /// Sets the seed of the draws that decide delays, the order of requests, odd requests, and
+    /// which jobs are cancelled with [`Self::close_looks`].
     pub fn seed(&mut self, seed: u64) {
         self.draw = Box::new(draws(seed));
     }
--- a/crates/cherryyard-simulation/src/world/requests/odd.rs
+++ b/crates/cherryyard-simulation/src/world/requests/odd.rs
@@ -1,5 +1,5 @@
-//! Invalid and redundant requests: repeated submissions with other fields, cancellations of
-//! jobs that have ended, jobs that fit no machine or lack a field.
+//! Invalid and redundant requests: repeated submissions, also with other fields, repeated
+//! cancellations, also of jobs that have ended, and jobs that fit no machine or lack a field.
 
 use super::super::World;
 use super::{Answer, Question};
@@ -22,13 +22,13 @@
         }
         // Only accepted jobs are chosen: before acceptance, a repeated submission with other
         // fields could become the job's first one.
-        let has_acceptance =
+        let any_accepted =
             |answers: &Vec<Answer>| answers.iter().any(|answer| answer.response.is_accepted());
         let known = self
             .requests
             .answered
             .iter()
-            .filter(|(_, all)| has_acceptance(all));
+            .filter(|(_, all)| any_accepted(all));
         let known: Vec<String> = known.map(|(id, _)| id.clone()).collect();
         let i = self.requests.draw_index(self.controllers.len());
         let choice = (self.requests.draw)(8);
--- a/crates/cherryyard-simulation/src/world/requests/serve.rs
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -163,9 +163,9 @@
         self.answer(request, response)
     }
 
-    /// Returns the response of the controller that a submission was forwarded to. After a
-    /// timeout the submission is handled by the forwarding controller itself, although the
-    /// other controller may write it too.
+    /// Passes on the response of the controller that a submission was forwarded to; returns
+    /// false while there is none. After a timeout the submission is handled by the forwarding
+    /// controller itself, although the other controller may write it too.
     fn await_forwarded(&mut self, request: &mut Request, other: u64, until: f64) -> bool {
         if let Some(response) = self.requests.answers.remove(&other) {
             return self.answer(request, Some(response));
--- a/crates/cherryyard-simulation/src/world/setup.rs
+++ b/crates/cherryyard-simulation/src/world/setup.rs
@@ -19,7 +19,7 @@
 /// Initial state and settings of a simulation.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Zone of each controller; its length is the number of controllers.
+    /// Zone of each controller; there are as many controllers as entries.
     pub zones: Vec<&'static str>,
     /// Number of machines of 4 cores each, per zone.
     pub machines: Vec<(&'static str, usize)>,
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -61,8 +61,8 @@
     }
 
     /// Submits a job with rules of its own by a direct write to the state service: in the
-    /// format of a controller that the service accepts, if there is one that has loaded the
-    /// state, else as a record with a key of its own.
+    /// format of the first controller that is up and not refused by the service, if it has
+    /// loaded the state, else as a record with a key of its own.
     pub fn submit_with(&mut self, spec: &JobSpec, rules: Option<Rules>) {
         self.checker.record_spec(spec);
         let available = (0..self.controllers.len())
