--- a/crates/cherryyard-simulation/tests/admission.rs
+++ b/crates/cherryyard-simulation/tests/admission.rs
@@ -395,7 +395,7 @@
 /// Guards against scheduling cycles whose cost grows with the number of waiting jobs or tasks.
 #[test]
 fn cycle_cost_does_not_grow_with_waiting_jobs() {
-    let inspected_machines = |jobs: u64, task_count: u32| {
+    let inspected_jobs = |jobs: u64, task_count: u32| {
         let mut world = cluster(fleet(3, 6));
         world
             .workers
@@ -418,9 +418,9 @@
         (sum(&world) - before) as f64
     };
     let (few, many, large) = (
-        inspected_machines(100, 1),
-        inspected_machines(3000, 1),
-        inspected_machines(1000, 100),
+        inspected_jobs(100, 1),
+        inspected_jobs(3000, 1),
+        inspected_jobs(1000, 100),
     );
     // In each of three shards 48 jobs of the only flow and 16 others, at most every 0.4 s.
     let most = 3.0 * 64.0 * 26.0;
--- a/crates/cherryyard-simulation/tests/common/concurrent.rs
+++ b/crates/cherryyard-simulation/tests/common/concurrent.rs
@@ -9,7 +9,8 @@
     cluster_of(seconds, Vec::new(), vec!["a", "b", "c"])
 }
 
-/// Returns the same cluster with further teams and with a controller for each given zone.
+/// Returns a cluster like that of [`cluster`], with further teams, and a controller for each
+/// entry of `zones`.
 pub fn cluster_of(
     seconds: f64,
     teams: Vec<(&'static str, f64, f64)>,
--- a/crates/cherryyard-simulation/tests/common/gap.rs
+++ b/crates/cherryyard-simulation/tests/common/gap.rs
@@ -7,7 +7,7 @@
     format!("j-{job:06}")
 }
 
-/// Starts services of two tasks each, waits until all run, and returns the leader's index too.
+/// Returns a cluster in which `jobs` services of two tasks each run, and the index of its leader.
 pub fn running(jobs: usize) -> (World, usize) {
     let mut world = World::new(Setup {
         machines: vec![("a", 6), ("b", 6), ("c", 6)],
--- a/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_fault_scenarios.rs
@@ -16,8 +16,8 @@
 fn scenario_of(seed: u64, faults: &[Fault], at_once: usize, zones: Vec<&'static str>) {
     let mut draw = draws(seed);
     let seconds = 4.0 + draw(12) as f64;
-    // With the newer faults, users' requests come as in the program, and a guest team is at its
-    // limit.
+    // With the newer faults, half of the users' requests take the steps of the program's HTTP
+    // routes, and a guest team has a limit of 8 cores.
     let newer = faults.len() > OLDER.len();
     let mut world = match newer {
         false => cluster(seconds),
@@ -50,7 +50,7 @@
                     users.ask(world, at, &spec);
                 }
                 if draw(6) == 0 {
-                    // A repeated submission.
+                    // Repeats the submission at another controller.
                     users.ask(world, (at + 1) % 3, &spec);
                 }
                 open.push(spec.id.clone());
--- a/crates/cherryyard-simulation/tests/concurrent_faults.rs
+++ b/crates/cherryyard-simulation/tests/concurrent_faults.rs
@@ -69,7 +69,8 @@
                 let case = format!("{apart_s} s, {changes} changes, {late}% late");
                 assert_eq!(world.running(), 5, "{case}");
                 world.state_link.delayed_percent = late;
-                // One task of each job ends, then the leader, which owns a shard too, and so on.
+                // One task of each job ends, and after each of the first `changes` of them the
+                // leader, which owns a shard too, ends and restarts.
                 for (n, task_name) in ["/0", "/1", "/2"].into_iter().enumerate() {
                     for job in ["j-000001", "j-000002"] {
                         let task_name = format!("{job}{task_name}");
@@ -105,9 +106,9 @@
 }
 
 /// Guards against duplicate tasks and wrong releases when the leader ends while machines with long
-/// tasks are unreachable or do not receive the new leader's responses. Nothing of theirs starts
+/// tasks are unreachable or do not receive the new leader's responses. None of their tasks starts
 /// elsewhere without proof, no reporting machine is released because of outdated state, and all
-/// are found again.
+/// machines are found again.
 #[test]
 fn a_leader_ends_while_machines_are_unreachable() {
     for (only_inbound_lost, cut_s) in [
@@ -203,7 +204,7 @@
 }
 
 /// Guards against stale commands: a command or its response is delayed for seconds, and the
-/// machine goes on afterwards. Meanwhile its job is cancelled, its tasks start elsewhere because
+/// machine resumes afterwards. Meanwhile its job is cancelled, its tasks start elsewhere because
 /// machines are unreachable, or its shard changes owner.
 #[test]
 fn a_delayed_command() {
@@ -267,7 +268,8 @@
 
 /// Guards against a task that runs twice: machines hang for longer than their lease with a start
 /// command in flight and carry it out before they notice that their incarnation is over. The
-/// task must not run elsewhere by then.
+/// task must not run elsewhere by then (found by a random scenario, `rahbar-lahore-hunt`
+/// `hunt-bc60-5`).
 #[test]
 fn a_start_to_a_machine_that_hangs_beyond_its_lease() {
     for hangs_s in [4.0, 12.0, 16.0, 24.0] {
--- a/crates/cherryyard-simulation/tests/end_of_day.rs
+++ b/crates/cherryyard-simulation/tests/end_of_day.rs
@@ -1,5 +1,5 @@
-//! Checks at the end of a scenario: no job is lost or starved. Scenarios of the newer faults
-//! alone, overlapping, and at every step of a lease.
+//! Checks at the end of a scenario that no job is lost or starved, and scenarios of the newer
+//! faults alone, overlapping, and at every step of a claim of a shard's lease.
 
 use cherryyard_simulation::{Setup, Users, World, draws, play_seeds};
 use cherryyard_wire::job::JobSpec;
--- a/crates/cherryyard-simulation/tests/fencing.rs
+++ b/crates/cherryyard-simulation/tests/fencing.rs
@@ -1,5 +1,5 @@
-//! Fencing: actions in flight of an isolated, ended or late owner change nothing, and nothing
-//! starts elsewhere without proof that it has ended.
+//! Fencing: actions in flight of an isolated, ended or late owner change nothing, and no task
+//! starts elsewhere without proof that its previous run has ended.
 
 mod common;
 
@@ -71,8 +71,8 @@
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// Guards against such a transaction before the new owner has written anything: the new owner's
-/// claim alone rejects it.
+/// Guards against a previous owner's transaction that is carried out late, but before the new owner
+/// has written anything except its claim: the claim alone rejects the transaction.
 #[test]
 fn a_late_transaction_is_rejected_by_the_claim_alone() {
     let mut world = settled(Setup {
@@ -240,9 +240,9 @@
     assert!(world.broken.is_empty(), "{:?}", world.broken);
 }
 
-/// Guards against a move of tasks to another shard that is carried out after its owner has
-/// assigned some of them: the page of assignments has changed, so the move must not apply. It
-/// would have moved a running task to another shard.
+/// Guards against a move of tasks to another shard that is carried out after their shard's owner
+/// has assigned some of them: the page of assignments has changed, so the move must not apply. If
+/// it applied, a running task would belong to another shard.
 #[test]
 fn a_move_by_outdated_state_is_rejected() {
     let mut world = settled(Setup::default());
--- a/crates/cherryyard-simulation/tests/frozen.rs
+++ b/crates/cherryyard-simulation/tests/frozen.rs
@@ -139,7 +139,7 @@
     let before = assignments(&world);
     let now = world.now;
     for report in &held {
-        // Commands in the response reach nobody: the worker gave up waiting for it long ago.
+        // The worker does not receive the response: it gave up waiting long ago.
         world.controllers[0]
             .as_mut()
             .unwrap()
--- a/crates/cherryyard-simulation/tests/heartbeat_gap.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap.rs
@@ -1,7 +1,7 @@
 //! The heartbeat gap: the state service refuses the leader alone, other controllers confirm
-//! cancellations, and then it refuses all for longer than a cancelled task may run on. An owner
-//! must not renew leases of tasks whose cancellation it may have missed. These tests check which
-//! heartbeats show it that it has missed none.
+//! cancellations, and then it refuses all for longer than a cancelled task may run on. During that
+//! outage, an owner may renew its workers' leases only as far as heartbeats of its peers show that
+//! it has missed none of their cancellations.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use common::gap::{assert_no_violation, id, leader, outage, running};
 
 /// Guards against cancelled tasks that run on after the gap occurs twice, 20 s apart, with
-/// cancellations at several points of the first two seconds. The confirming controller ends
-/// before or soon after its next heartbeat and restarts at once, after 0.5 s or after 4 s, or
-/// does not end.
+/// cancellations at several points of the two seconds in which only one controller is refused. The
+/// confirming controller ends before or soon after its next heartbeat and restarts at once, after
+/// 0.5 s or after 4 s, or does not end.
 #[test]
 fn two_gaps_in_a_row() {
     for before_ms in [1950.0, 1000.0, 450.0, 100.0, 50.0, 0.0] {
@@ -130,17 +130,17 @@
 fn a_cancellation_confirmed_by_a_controller_that_only_read_it() {
     for ends in [false, true] {
         let (mut world, leader) = running(6);
-        let (taker, reader) = ((leader + 1) % 3, (leader + 2) % 3);
+        let (committer, reader) = ((leader + 1) % 3, (leader + 2) % 3);
         world.state_link.refused.insert(leader);
         world.run(1.0);
         world.state_link.delayed_percent = 100;
         world.seed_late(3);
-        world.ask_cancel(taker, "j-000001");
+        world.ask_cancel(committer, "j-000001");
         world.state_link.delayed_percent = 0;
-        world.kill(taker);
+        world.kill(committer);
         // Its transaction is carried out late, and the user asks the next controller.
         world.run(1.0);
-        world.start(taker);
+        world.start(committer);
         world.run_until(20.0, |world| {
             world.submissions.cancelled_at.contains_key("j-000001")
         });
@@ -240,7 +240,7 @@
     let other = (leader + 1) % 3;
     world.state_link.refused.insert(leader);
     world.run(0.2);
-    // Nobody places the job, as it is cancelled at once; the test starts its task on a machine.
+    // No controller places the job, as it is cancelled at once; the test starts its task.
     world.submit(&World::spec("j-000099", "service", 1));
     world.ask_cancel(other, "j-000099");
     let worker = world.workers.values_mut().find(|x| x.zone == zone[leader]);
@@ -255,7 +255,8 @@
 /// Guards against heartbeats that name only the cancellations that their sender has read. An owner
 /// confirms a cancellation while the state service serves it alone, reports it in a heartbeat,
 /// ends, and starts again during the outage. Its peers have learned of it by that heartbeat alone
-/// and must forward it, so that the new process renews no lease of the cancelled tasks.
+/// and must forward it, so that the new process renews no lease of the cancelled tasks (found by
+/// the model of leases).
 #[test]
 fn cancellations_are_forwarded_to_a_restarted_owner() {
     let mut world = World::new(Setup::default());
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_ownership.rs
@@ -55,7 +55,7 @@
                 .any(|p| p.starts_with("j-000001"))
         })
         .collect();
-    // They are silent for longer than a service waits, so that they are returned.
+    // The machines are silent for longer than a service waits, so that they are returned.
     world.network.unreachable.extend(held.iter().cloned());
     world.run(7.5);
     assert!(
@@ -106,8 +106,8 @@
 
 /// Guards against a lease renewed for a cancelled task: an owner is served again just before its
 /// workers' leases end, claims its shard anew, answers machines that still show the previous
-/// token, and ends. Tasks that it knows to be cancelled must not get another lease by that
-/// (found at seed 286 of the random gaps).
+/// token, and ends. These answers must not extend the lease of a task of whose cancellation the
+/// owner has learned (found at seed 286 of the random gaps).
 #[test]
 fn a_new_claim_just_before_an_owner_ends() {
     for back in 2..20 {
--- a/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
+++ b/crates/cherryyard-simulation/tests/heartbeat_gap_scenarios.rs
@@ -8,9 +8,10 @@
 use common::gap::{assert_no_violation, id, leader, running};
 
 /// Runs a random scenario of two gaps. The seed decides which controller is refused, when and
-/// where cancellations come, whether the confirming controller ends, and which controllers are
-/// isolated, heartbeats duplicated, machines unreachable or without inbound traffic, and commands
-/// and transactions late.
+/// where cancellations come, and whether the confirming controller ends. It also decides whether a
+/// controller is isolated, so that its heartbeats are lost, whether machines are unreachable or
+/// without inbound traffic, whether commands or transactions are late, the state service is slow,
+/// or workers' heartbeats are duplicated, and whether the cloud does not respond.
 fn scenario(seed: u64) {
     let mut draw = draws(seed);
     let (mut world, _) = running(12);
--- a/crates/cherryyard-simulation/tests/history.rs
+++ b/crates/cherryyard-simulation/tests/history.rs
@@ -175,7 +175,7 @@
     let mut all = Vec::new();
     for n in 0..120u64 {
         let end = if n % 2 == 0 { "done" } else { "cancelled" };
-        // The format of the build before.
+        // The records have the format of the previous build.
         let record = json!({ "end": end, "n": 3,
             "use": { "team": "team", "cores": 2.0, "acc": 0.0, "ram": 1.0 } });
         let mut commit = Commit::default();
--- a/crates/cherryyard-simulation/tests/late_writes.rs
+++ b/crates/cherryyard-simulation/tests/late_writes.rs
@@ -234,7 +234,8 @@
                 break next - 1;
             }
         };
-        // Fills page 6, then cancels all jobs of page 5 but that one and all of page 6 but one.
+        // Fills pages 5 and 6, then cancels all jobs of page 5 but that one and all of page 6 but
+        // one.
         while page(&world, next - 1).0 != Some(7) {
             world.submit(&service(next));
             world.run(0.1);
@@ -265,8 +266,8 @@
 }
 
 /// Guards against a shard without service: an owner that its workers do not reach gives up the
-/// shard, and then an earlier claim of its own is carried out. Once, nobody served the shard for
-/// as long as that owner was cut off.
+/// shard, and then an earlier claim of its own is carried out. Once, no controller served the
+/// shard for as long as that owner was cut off.
 #[test]
 fn a_claim_carried_out_after_its_shard_was_given_up() {
     let mut world = settled(Setup {
--- a/crates/cherryyard-simulation/tests/leader_changes.rs
+++ b/crates/cherryyard-simulation/tests/leader_changes.rs
@@ -8,9 +8,10 @@
 use common::combinations::{MachineFault, assert_recovers, cluster, job};
 use std::collections::BTreeSet;
 
-/// Guards against transactions that are carried out and whose response is lost, for three seconds
-/// at each point of a sequence of jobs, while other controllers read their result and users ask
-/// there. In half of the cases the leader restarts then.
+/// Guards against inconsistent state after transactions that are carried out but whose responses
+/// are lost. The loss lasts for three seconds, from each of the first twelve seconds of a sequence
+/// of jobs, while other controllers read the results and users send requests to them. In half of
+/// the cases the leader then restarts.
 #[test]
 fn only_responses_are_lost() {
     for from in 0..12 {
@@ -188,8 +189,9 @@
     }
 }
 
-/// Guards against broken rules when all controllers are down, for up to longer than a lease, and
-/// restart 0 to 15 s apart.
+/// Guards against broken rules when all controllers are down for 8 to 60 s, mostly longer than a
+/// worker's lease of 10 s, and restart within 0 to 2 s of each other or 15 s apart, so that the
+/// first one runs alone for that time.
 #[test]
 fn all_controllers_down_for_longer_than_a_lease() {
     for down_s in [8.0, 11.0, 30.0, 60.0] {
--- a/crates/cherryyard-simulation/tests/lease_extension.rs
+++ b/crates/cherryyard-simulation/tests/lease_extension.rs
@@ -62,7 +62,7 @@
 }
 
 /// Guards against lease extensions without evidence: all controllers restart at once, so none
-/// knows the tokens or the cancellations, and the leases must expire.
+/// has the tokens or the cancellations, and the leases must expire.
 #[test]
 fn no_lease_extension_after_all_controllers_restart() {
     let mut world = running();
@@ -96,7 +96,7 @@
 }
 
 /// Guards against lease extensions of cancelled tasks: a controller accepts a cancellation just
-/// before an outage and ends, and the job's owner ends too. The third controller has been told of
+/// before an outage and ends, and the job's owner ends too. The third controller has learned of
 /// the cancellation, so no lease of the job's tasks is extended.
 #[test]
 fn no_lease_extension_for_cancelled_jobs() {
--- a/crates/cherryyard-simulation/tests/limits.rs
+++ b/crates/cherryyard-simulation/tests/limits.rs
@@ -13,8 +13,8 @@
     spec
 }
 
-/// Returns a cluster of three controllers of an earlier build with 210 machines and more than 720
-/// running tasks, whose pages are larger than the later limits allow.
+/// Returns a cluster of three controllers of an earlier build with 210 machines and 780 tasks, more
+/// than 720 of them running, whose pages are larger than the later limits allow.
 fn cluster_before_upgrade(team_limit: f64) -> World {
     let mut world = World::new(Setup {
         machines: vec![("a", 70), ("b", 70), ("c", 70)],
@@ -49,8 +49,9 @@
     }
 }
 
-/// Guards against pages that exceed announced limits: all stored jobs are processed, no
-/// transaction or value is too large, and all jobs complete.
+/// Guards against transactions and values that exceed announced limits, and against jobs stored
+/// before that are never processed: once the limits are in force, no transaction or value is too
+/// large, and all jobs complete.
 #[test]
 fn announced_limits_come_into_force_after_an_upgrade() {
     for (value_kb, txn_ops, team_limit) in [(2.0, 5, 0.0), (2.0, 4, 840.0), (1.0, 2, 840.0)] {
@@ -72,7 +73,8 @@
         }
         assert_eq!(world.running(), 20, "{case}");
         let now = world.state.pairs();
-        // Earlier pages of new jobs stay as they are while nothing in them changes.
+        // Only pages of assignments are measured: earlier pages of new jobs stay as they are while
+        // nothing in them changes.
         let pages = now.iter().filter(|p| p.key.starts_with("c/mark"));
         let largest = pages.map(|p| (p.value.text().len(), &p.key)).max();
         let bytes = (value_kb * 1024.0) as usize;
@@ -81,9 +83,9 @@
     }
 }
 
-/// Guards against pages that are divided twice or never when a controller ends soon after its
-/// upgrade to announced limits: upgraded controllers divide the earlier pages, also those of
-/// shards that they take over.
+/// Guards against pages that are divided twice or never when limits are announced during an
+/// upgrade and an upgraded controller ends soon after its restart. Upgraded controllers divide the
+/// pages of earlier builds, also those of shards that they take over.
 #[test]
 fn a_controller_ends_while_its_pages_are_divided() {
     for step in 0..6 {
--- a/crates/cherryyard-simulation/tests/machine_faults.rs
+++ b/crates/cherryyard-simulation/tests/machine_faults.rs
@@ -116,7 +116,7 @@
                 world.machines.slow_commands.extend(hosts.clone());
                 users.submit(&mut world, &job(2, "service", 15));
                 world.run_until(3.0, |world| world.machines.held_commands.len() >= 10);
-                // Half of the machines of zone a, one of zone b and one of zone c.
+                // All four machines of zone a and one of zone b.
                 let hung = hosts
                     .iter()
                     .enumerate()
--- a/crates/cherryyard-simulation/tests/pools.rs
+++ b/crates/cherryyard-simulation/tests/pools.rs
@@ -93,7 +93,8 @@
 }
 
 /// Guards against outdated attributes after an operator changes them while a job runs and waits:
-/// running tasks stay, and waiting ones follow the new attributes.
+/// running tasks stay, and waiting ones follow the new attributes, which the leader takes from its
+/// settings and stores in one write.
 #[test]
 fn waiting_tasks_follow_changed_attributes() {
     let mut world = cluster(json!({ "a": { "Ledger": true }, "b": { "Ledger": false } }));
--- a/crates/cherryyard-simulation/tests/reachability.rs
+++ b/crates/cherryyard-simulation/tests/reachability.rs
@@ -202,7 +202,7 @@
         ..Setup::default()
     });
     let host = "host-000000".to_string();
-    // The worker's second incarnation.
+    // The worker begins its second incarnation.
     world.network.unreachable.insert(host.clone());
     world.run(12.0);
     world.network.unreachable.clear();
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -102,7 +102,7 @@
 }
 
 /// Guards against disruption when only the connections between controllers fail. The leader stays
-/// the same (once, the lead moved among all controllers every few seconds), and a job is still
+/// the same (once, leadership moved among all controllers every few seconds), and a job is still
 /// divided among all shards by the cloud's list and the assignments (once, the leader's own shard
 /// got everything).
 #[test]
--- a/crates/cherryyard-simulation/tests/submissions.rs
+++ b/crates/cherryyard-simulation/tests/submissions.rs
@@ -170,7 +170,7 @@
     });
     assert_eq!(world.submission(number).unwrap().created(), created);
     assert_eq!(open_jobs(&world), 0);
-    // Gone within `cancel_s`.
+    // The tasks are gone within `cancel_s`.
     world.run(40.0);
     assert_eq!(world.running(), 0);
     let controller = world.controllers.iter().flatten().next().unwrap();
