--- a/crates/cherryyard-core/src/account/sampling.rs
+++ b/crates/cherryyard-core/src/account/sampling.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, MachineState};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::cloud::InstanceStatus;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::worker::TaskStatus;
@@ -25,7 +25,7 @@
     seconds: f64,
     waiting: Vec<(u64, &'a OpenJob)>,
     /// Resources that each team uses in the shard.
-    used: Vec<Needs>,
+    used: Vec<Resources>,
     /// Cores that waiting tasks of this shard could use, without the idle cores counted so far for
     /// these tasks. No more free cores than this count as idle while tasks wait in the shard.
     usable_here: f64,
@@ -39,7 +39,7 @@
 impl Controller {
     /// Samples the shard `shard_id`, if this controller owns it and a sample is due.
     pub(crate) fn sample(&mut self, shard_id: usize, now: Millis) {
-        if self.owned(shard_id).is_none() {
+        if self.owned_token(shard_id).is_none() {
             return;
         }
         let since = self.shards[shard_id].account.sampled_at;
@@ -95,7 +95,7 @@
         let free = self
             .free_on(machine, None)
             .map_or(0.0, |free| free.cores.max(0.0));
-        if !machine.usable(sample.now, self.silence_ms()) {
+        if !machine.is_usable(sample.now, self.silence_ms()) {
             account.sum.count(CoreUse::Unusable, free * seconds);
             return;
         }
@@ -119,7 +119,7 @@
 
     /// Counts the cores of the shard's machines that are provisioned and not up yet.
     fn count_booting(&self, shard_id: usize, seconds: f64, account: &mut Account) {
-        for (name, entry) in &self.listed {
+        for (name, entry) in &self.cloud_machines {
             if entry.status == InstanceStatus::Starting
                 && self.config.shard_map.shard(&entry.zone, name) == shard_id
             {
@@ -143,8 +143,8 @@
 
     /// Counts the cores of a machine's tasks.
     fn count_tasks(&self, machine: &Machine, seconds: f64, account: &mut Account) {
-        for (task, assignment) in self.mirror.on_host(machine.host) {
-            let Some((_, needs)) = self.mirror.uses(task.0) else {
+        for (task, assignment) in self.mirror.assignments_on(machine.host) {
+            let Some((_, needs)) = self.mirror.task_resources(task.0) else {
                 continue;
             };
             let reported = machine.reported.get(&task);
@@ -176,7 +176,7 @@
             if !reported.ended() && self.mirror.assignment_on(machine.host, *task).is_none() {
                 let cores = self
                     .mirror
-                    .uses(task.0)
+                    .task_resources(task.0)
                     .map_or(0.0, |(_, needs)| needs.cores);
                 account.sum.count(CoreUse::Strays, cores * seconds);
             }
@@ -195,9 +195,9 @@
                 CoreUse::Excluded
             } else if !needs.fits(&free) {
                 CoreUse::Fragments
-            } else if failures.is_some_and(|failures| failures.held_off(sample.now)) {
+            } else if failures.is_some_and(|failures| failures.is_on_hold(sample.now)) {
                 CoreUse::Troubled
-            } else if self.beyond_grant(shard_id, open.team, &sample.used, &needs) {
+            } else if self.exceeds_grant(shard_id, open.team, &sample.used, &needs) {
                 CoreUse::Limits
             } else {
                 CoreUse::Round
--- a/crates/cherryyard-core/src/admission/handlers.rs
+++ b/crates/cherryyard-core/src/admission/handlers.rs
@@ -9,13 +9,13 @@
 };
 use super::fair_share_guarantee::fair_share_guarantees;
 use super::flows::Flow;
-use super::intake::{IntakeEvent, Offer};
+use super::intake::{IntakeEvent, Submission};
 use super::submission::WaitingSubmission;
 use crate::Millis;
 use crate::controller::Controller;
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::machine::Task;
-use crate::mirror::MOST_ROWS;
+use crate::mirror::MAX_JOBS_PER_PAGE;
 use cherryyard_wire::peer::{DemandReport, Heartbeat};
 use cherryyard_wire::record::{BUCKETS, Key};
 use cherryyard_wire::state::Commit;
@@ -36,32 +36,37 @@
 impl Controller {
     /// Queues a submission or refuses it. The answer follows as an effect, possibly during this
     /// call.
-    pub fn offer(&mut self, offer: Offer, now: Millis) {
-        self.notice(now);
-        self.demand.count_offered(offer.open.flow, offer.job);
-        let is_queued = self.intake.offer(
+    pub fn submit(&mut self, offer: Submission, now: Millis) {
+        self.advance_clock(now);
+        self.submission_counts
+            .count_submitted(offer.open.flow, offer.job);
+        let is_queued = self.intake.enqueue(
             offer,
             &self.config,
-            &mut self.demand,
+            &mut self.submission_counts,
             &mut self.effects,
             now,
         );
         if is_queued {
-            self.take_in(now);
+            self.send_submissions(now);
         }
     }
 
     /// Refuses expired submissions, and sends a transaction with queued ones unless one is under
     /// way, the state service is out of reach or the budget for users' writes is spent.
-    pub(crate) fn take_in(&mut self, now: Millis) {
+    pub(crate) fn send_submissions(&mut self, now: Millis) {
         self.intake.end_delay(self.mirror.store_revision, now);
-        self.intake
-            .refuse_expired(&self.config, &mut self.demand, &mut self.effects, now);
+        self.intake.refuse_expired(
+            &self.config,
+            &mut self.submission_counts,
+            &mut self.effects,
+            now,
+        );
         if !self.intake.is_ready() || !self.state_fresh(now) {
             return;
         }
         self.set_user_rate(now);
-        if self.user_write_budget.left(now) < 1.0 {
+        if self.user_write_budget.tokens(now) < 1.0 {
             return;
         }
         let commit = match self.admission_form() {
@@ -73,13 +78,13 @@
             }
         };
         if self.intake.send(now) {
-            self.user_write_budget.spend(commit.apply.len() as f64);
+            self.user_write_budget.spend(commit.changes.len() as f64);
             self.effects.push(Effect::Commit(Ticket::Admission, commit));
         }
     }
 
     fn admission_form(&self) -> AdmissionForm {
-        if self.mirror.takes_pages() {
+        if self.mirror.is_admission_log_ready() {
             // The leader writes pages all the time. Other controllers receive few submissions
             // while there is a leader, and their pages would conflict with its pages and with one
             // another's.
@@ -89,7 +94,7 @@
             } else {
                 AdmissionForm::Page
             }
-        } else if self.mirror.format.by_pages {
+        } else if self.mirror.format.uses_admission_log {
             AdmissionForm::NotKnown
         } else {
             AdmissionForm::Records
@@ -100,7 +105,7 @@
     /// controller is the leader.
     fn admit_by_page(&mut self) -> Commit {
         let mut commit = Commit::default();
-        let mut batch = self.next_submissions(MOST_ROWS);
+        let mut batch = self.next_submissions(MAX_JOBS_PER_PAGE);
         if batch.is_empty() {
             return commit;
         }
@@ -119,7 +124,7 @@
     /// until the admission log is in use, and for the few submissions at a controller that is not
     /// the leader.
     fn admit_by_records(&mut self, now: Millis) -> Commit {
-        let affordable = self.user_write_budget.left(now) as usize;
+        let affordable = self.user_write_budget.tokens(now) as usize;
         let max_count = self.config.txn_ops.min(affordable);
         let mut batch = self.next_submissions(max_count.max(1));
         let mut commit = Commit::default();
@@ -156,17 +161,17 @@
         let now = self.state_contact.clock();
         let Some(token) = self.leadership_token().filter(|_| self.state_fresh(now)) else {
             for waiting in batch {
-                waiting.offer.open.division = Vec::new();
+                waiting.submission.open.division = Vec::new();
                 waiting.divided_under = None;
             }
             return;
         };
         for waiting in batch {
-            let open = &mut waiting.offer.open;
+            let open = &mut waiting.submission.open;
             // A retry keeps its division: a second one would count twice against the capacity.
-            if open.dependencies.is_none() && waiting.divided_under != Some(token) {
+            if open.dependencies.never_waited() && waiting.divided_under != Some(token) {
                 open.division = Vec::new();
-                self.fill_division(open, now);
+                self.divide_job(open, now);
                 waiting.divided_under = Some(token);
             }
         }
@@ -189,13 +194,17 @@
                 }
             }
         };
-        self.intake
-            .committed(outcome, event, &mut self.demand, &mut self.effects);
+        self.intake.committed(
+            outcome,
+            event,
+            &mut self.submission_counts,
+            &mut self.effects,
+        );
         if matches!(outcome, Outcome::Applied(_)) {
             for shard in &mut self.shards {
-                shard.dirty = true;
+                shard.needs_cycle = true;
             }
-            self.leader.dirty = true;
+            self.leader.needs_cycle = true;
         }
     }
 
@@ -203,17 +212,17 @@
     /// `[offered, taken, refused]`. Controllers report totals, so that a heartbeat that is lost or
     /// arrives twice changes nothing; the totals of a restarted controller begin at 0.
     pub fn demand_report(&mut self) -> Vec<(String, String, [u64; 3])> {
-        let own_reports = self.demand_out();
+        let own_reports = self.demand_reports();
         let peers = self.peers.enumerate();
         let peer_reports = peers.map(|(i, peer)| (i, peer.heartbeat.demand.as_slice()));
-        let counted = peer_reports.chain([(self.config.me, own_reports.as_slice())]);
-        self.demand
+        let counted = peer_reports.chain([(self.config.own_index, own_reports.as_slice())]);
+        self.submission_counts
             .since_last_report(counted, &self.config.team_names)
     }
 
     /// Returns this controller's counts of submissions for its heartbeat.
-    pub(crate) fn demand_out(&self) -> Vec<DemandReport> {
-        self.demand.reports(&self.mirror.flows)
+    pub(crate) fn demand_reports(&self) -> Vec<DemandReport> {
+        self.submission_counts.reports(&self.mirror.flows)
     }
 }
 
@@ -264,7 +273,11 @@
             .map(|shard_id| self.shard_owner(shard_id, now))
             .collect();
         let leader_token = self.mirror.revision(Key::Leader);
-        let may_grant = may_grant(self.leader.since(), self.state_contact.read_sent_at(), now);
+        let may_grant = may_grant(
+            self.leader.leading_since(),
+            self.state_contact.read_sent_at(),
+            now,
+        );
         self.entitlements
             .divide_guarantees(usage, leader_token, &owners, may_grant, now);
     }
@@ -276,7 +289,7 @@
             labels.position(|label| *label == lease.label)
         });
         let has_lapsed = match owner {
-            Some(owner) if owner == self.config.me => false,
+            Some(owner) if owner == self.config.own_index => false,
             Some(owner) => {
                 let received_at = self.entitlements.last_received_at(owner);
                 received_at.is_none_or(|at| has_lapsed(at, now))
@@ -286,7 +299,7 @@
         ShardOwner {
             token: self.mirror.revision(Key::Shard(shard_id)),
             has_lapsed,
-            is_own: self.owned(shard_id).is_some(),
+            is_own: self.owned_token(shard_id).is_some(),
         }
     }
 
@@ -320,19 +333,21 @@
     /// Returns the earliest time at which another controller can have created `heartbeat`: when
     /// this controller sent the heartbeat that it acknowledges. The result is negative infinity if
     /// that was too long ago, or by an earlier process of this controller.
-    pub(crate) fn made_at(&self, heartbeat: &Heartbeat) -> Millis {
-        let acknowledgement = self.entitlements.acknowledgement(heartbeat, self.config.me);
+    pub(crate) fn earliest_created_at(&self, heartbeat: &Heartbeat) -> Millis {
+        let acknowledgement = self
+            .entitlements
+            .acknowledgement(heartbeat, self.config.own_index);
         acknowledgement.sent_at.unwrap_or(f64::NEG_INFINITY)
     }
 
     /// Returns when this controller sent the latest of its heartbeats that a peer has acknowledged.
-    pub(crate) fn named_at(&self, peer: usize) -> Option<Millis> {
+    pub(crate) fn last_acknowledged_at(&self, peer: usize) -> Option<Millis> {
         self.entitlements.last_acknowledged_at(peer)
     }
 
     /// Numbers a heartbeat and, if this controller is the leader, adds the allowances that it
     /// grants.
-    pub(crate) fn entitlements_out(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
+    pub(crate) fn write_entitlements(&mut self, heartbeat: &mut Heartbeat, now: Millis) {
         self.entitlements.number_heartbeat(heartbeat, now);
         if self.leader.leads(&self.mirror) {
             self.entitlements
@@ -342,8 +357,8 @@
 
     /// Handles the acknowledgement in a peer's heartbeat and, if the peer is the leader, the
     /// allowances that it grants.
-    pub(crate) fn entitlements_in(&mut self, peer: usize, heartbeat: &Heartbeat, now: Millis) {
-        let me = self.config.me;
+    pub(crate) fn read_entitlements(&mut self, peer: usize, heartbeat: &Heartbeat, now: Millis) {
+        let me = self.config.own_index;
         let acknowledgement = self
             .entitlements
             .heartbeat_received(peer, heartbeat, me, now);
@@ -357,7 +372,7 @@
                 };
                 self.entitlements.grants_acknowledged(number, owned);
             }
-        } else if self.leader.is_label(&self.mirror, &heartbeat.label) {
+        } else if self.leader.is_held_by(&self.mirror, &heartbeat.label) {
             self.receive_grants(heartbeat, acknowledgement, now);
         }
     }
@@ -370,20 +385,20 @@
     ) {
         let mut ahead = Vec::new();
         let mut granted = Vec::new();
-        for share in &heartbeat.shares {
+        for share in &heartbeat.fair_share_grants {
             if share.team as usize >= self.config.teams.len() {
                 continue;
             }
             let flow = self.mirror.flows.intern(share.team, &share.class);
-            ahead.push((flow, f64::from(share.floor)));
+            ahead.push((flow, f64::from(share.guarantee_cores)));
             let Some(sent_at) = acknowledgement.sent_at else {
                 continue;
             };
-            for grant in &share.levels {
+            for grant in &share.shard_grants {
                 let shard_id = grant.shard as usize;
                 let allowance = granted_allowance(grant, heartbeat.number, sent_at);
                 if shard_id < self.shards.len()
-                    && self.owned(shard_id) == Some(allowance.leases.shard_token)
+                    && self.owned_token(shard_id) == Some(allowance.leases.shard_token)
                 {
                     granted.push(ReceivedAllowance {
                         flow,
--- a/crates/cherryyard-core/src/admission/intake.rs
+++ b/crates/cherryyard-core/src/admission/intake.rs
@@ -9,10 +9,10 @@
 use super::demand::Demand;
 use super::retry_schedule::RetrySchedule;
 use super::submission::WaitingSubmission;
-pub use super::submission::{Offer, Verdict};
+pub use super::submission::{Submission, SubmissionOutcome};
 use super::submission_queue::SubmissionQueue;
 use crate::effects::{Effect, Outcome};
-use crate::mirror::{MOST_ROWS, Mirror};
+use crate::mirror::{MAX_JOBS_PER_PAGE, Mirror};
 use crate::{Config, Millis};
 use cherryyard_wire::record::{BUCKETS, JobRecord, Key};
 use cherryyard_wire::state::Commit;
@@ -33,7 +33,8 @@
 /// Largest number of queued submissions that a controller other than the leader writes as one
 /// record each instead of as a page.
 const MAX_SEPARATE_RECORDS: usize = 3;
-/// Number of failed writes of a submission after which it is answered with [`Verdict::Failed`].
+/// Number of failed writes of a submission after which it is answered with
+/// [`SubmissionOutcome::Failed`].
 /// Writes that the state service refused do not count.
 const MAX_TRIES: u32 = 4;
 /// Largest transaction with one record per submission, in bytes.
@@ -107,7 +108,7 @@
 /// Returns the estimated throughput under load in submissions per second: pages are half full on
 /// average.
 fn submissions_per_s(config: &Config) -> f64 {
-    config.user_writes_per_s * MOST_ROWS as f64 / 2.0
+    config.user_writes_per_s * MAX_JOBS_PER_PAGE as f64 / 2.0
 }
 
 impl Intake {
@@ -175,9 +176,9 @@
 
     /// Queues a submission, if need be in place of one that it evicts. Returns false if it is
     /// refused.
-    pub(crate) fn offer(
+    pub(crate) fn enqueue(
         &mut self,
-        offer: Offer,
+        offer: Submission,
         config: &Config,
         demand: &mut Demand,
         effects: &mut Vec<Effect>,
@@ -185,7 +186,7 @@
     ) -> bool {
         let waiting = WaitingSubmission::new(offer, now);
         if self.queue.is_full() {
-            match self.queue.evict_for(waiting.offer.open.flow) {
+            match self.queue.evict_for(waiting.submission.open.flow) {
                 Some(evicted) => self.refuse(&evicted, config, demand, effects, now),
                 None => {
                     self.refuse(&waiting, config, demand, effects, now);
@@ -220,11 +221,11 @@
         effects: &mut Vec<Effect>,
         now: Millis,
     ) {
-        let flow = waiting.offer.open.flow;
+        let flow = waiting.submission.open.flow;
         demand.count_refused(flow);
         let flow_rate = submissions_per_s(config) / self.queue.flow_count().max(1) as f64;
         let retry_s = self.retry_schedule.next_retry_s(flow, flow_rate, now);
-        answer(effects, waiting, Verdict::Busy(retry_s));
+        answer(effects, waiting, SubmissionOutcome::Refused(retry_s));
     }
 
     /// Takes the next submissions that can be written from the queue, at most `max_count`. Those
@@ -242,11 +243,13 @@
         while batch.len() < max_count
             && let Some(waiting) = self.queue.pop(weights)
         {
-            let offer = &waiting.offer;
+            let offer = &waiting.submission;
             if mirror.view(offer.job).is_some() {
-                answer(effects, &waiting, Verdict::Known);
-            } else if mirror.packed_revision != offer.moved && mirror.packed.any() {
-                answer(effects, &waiting, Verdict::Retry);
+                answer(effects, &waiting, SubmissionOutcome::AlreadyKnown);
+            } else if mirror.history_progress_revision != offer.history_revision
+                && mirror.history_progress.may_have_jobs()
+            {
+                answer(effects, &waiting, SubmissionOutcome::Retry);
             } else if jobs.insert(offer.job) {
                 batch.push(waiting);
             } else {
@@ -273,11 +276,11 @@
             .iter()
             .any(|waiting| depends_on_history(waiting, mirror))
         {
-            mirror.require(commit, Key::Packed);
+            mirror.require(commit, Key::HistoryProgress);
         }
         let jobs = batch
             .iter()
-            .map(|waiting| (waiting.offer.job, &waiting.offer.open));
+            .map(|waiting| (waiting.submission.job, &waiting.submission.open));
         let added = mirror.add_jobs(commit, jobs, config);
         let rest = batch.split_off(added);
         self.put_back_rest(rest, added, effects);
@@ -303,11 +306,11 @@
         if count > 0 {
             // The transaction must fail if pages or buckets exist that this mirror has not read.
             mirror.require(&mut written, Key::Format);
-            if mirror.format.by_pages {
-                mirror.require_pages(&mut written);
+            if mirror.format.uses_admission_log {
+                mirror.require_admission_log_unchanged(&mut written);
             }
             if needs_history {
-                mirror.require(&mut written, Key::Packed);
+                mirror.require(&mut written, Key::HistoryProgress);
             }
         }
         self.sent = batch;
@@ -324,7 +327,7 @@
     ) {
         if written == 0 && !rest.is_empty() {
             let first = rest.remove(0);
-            answer(effects, &first, Verdict::Failed);
+            answer(effects, &first, SubmissionOutcome::Failed);
         }
         for waiting in rest.into_iter().rev() {
             self.queue.put_back(waiting);
@@ -355,8 +358,8 @@
         match outcome {
             Outcome::Applied(_) => {
                 for waiting in sent {
-                    demand.count_taken(waiting.offer.open.flow);
-                    answer(effects, &waiting, Verdict::Taken);
+                    demand.count_accepted(waiting.submission.open.flow);
+                    answer(effects, &waiting, SubmissionOutcome::Stored);
                 }
             }
             Outcome::Conflict(_) | Outcome::Malformed => self.try_again(sent, 1, effects),
@@ -367,7 +370,7 @@
             // the user should not wait for an unknown outcome.
             Outcome::Unknown | Outcome::NoLease => {
                 for waiting in sent {
-                    answer(effects, &waiting, Verdict::Failed);
+                    answer(effects, &waiting, SubmissionOutcome::Failed);
                 }
             }
         }
@@ -384,7 +387,7 @@
         for mut waiting in sent.into_iter().rev() {
             waiting.tries += more_tries;
             if waiting.tries >= MAX_TRIES {
-                answer(effects, &waiting, Verdict::Failed);
+                answer(effects, &waiting, SubmissionOutcome::Failed);
             } else {
                 self.queue.put_back(waiting);
             }
@@ -392,15 +395,15 @@
     }
 }
 
-fn answer(effects: &mut Vec<Effect>, waiting: &WaitingSubmission, verdict: Verdict) {
-    effects.push(Effect::Answer(waiting.offer.ticket, verdict));
+fn answer(effects: &mut Vec<Effect>, waiting: &WaitingSubmission, verdict: SubmissionOutcome) {
+    effects.push(Effect::Answer(waiting.submission.ticket, verdict));
 }
 
 /// Returns whether writing a submission requires the history to be unchanged: its job was looked up
 /// there and may have been added since, or ends of jobs that it waits for may have been.
 fn depends_on_history(waiting: &WaitingSubmission, mirror: &Mirror) -> bool {
-    let waits_for_others = !waiting.offer.open.dependencies.jobs.is_empty();
-    waiting.offer.moved > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
+    let waits_for_others = !waiting.submission.open.dependencies.jobs.is_empty();
+    waiting.submission.history_revision > 0 || (waits_for_others && mirror.format.jobs >= BUCKETS)
 }
 
 /// Returns `commit` with one record each for as many submissions of `batch` as fit, and their
@@ -414,7 +417,7 @@
     let mut records: Vec<(u64, JobRecord)> = Vec::new();
     let mut written = Commit::default();
     for waiting in batch {
-        records.push((waiting.offer.job, waiting.offer.open.record()));
+        records.push((waiting.submission.job, waiting.submission.open.record()));
         let mut attempt = commit.clone();
         let fits = mirror.write_jobs(&mut attempt, records.clone(), config);
         if !fits || attempt.bytes() > MAX_RECORDS_BYTES {
--- a/crates/cherryyard-core/src/cancelled.rs
+++ b/crates/cherryyard-core/src/cancelled.rs
@@ -77,7 +77,7 @@
     fn with_contact(before: Option<Self>, heartbeat: &Heartbeat, now: Millis) -> Self {
         let last_contact = match (heartbeat.silent_ms, before) {
             (u32::MAX, Some(before)) => before.last_contact,
-            (u32::MAX, None) => peer_time(heartbeat.reach_ms, now),
+            (u32::MAX, None) => peer_time(heartbeat.cancellations_cover_ms, now),
             (since_answer_ms, _) => peer_time(since_answer_ms, now),
         };
         let before = before.unwrap_or(Self {
@@ -104,11 +104,11 @@
     }
 
     /// Returns the coverage after a heartbeat whose list continues it without a gap.
-    fn extended(self, heartbeat: &Heartbeat, made_at: Millis) -> Self {
+    fn extended(self, heartbeat: &Heartbeat, earliest_created_at: Millis) -> Self {
         Self {
             last_contact: self.last_contact,
-            covered_to: self.covered_to.max(made_at),
-            cut_off: if made_at >= self.covered_to {
+            covered_to: self.covered_to.max(earliest_created_at),
+            cut_off: if earliest_created_at >= self.covered_to {
                 heartbeat.cut_off
             } else {
                 self.cut_off
@@ -167,9 +167,9 @@
             self.recent.pop_front();
             self.gapless_since = self.gapless_since.max(at);
         }
-        let reach_ms = (now - self.gapless_since).clamp(0.0, ANNOUNCE_MS);
+        let cancellations_cover_ms = (now - self.gapless_since).clamp(0.0, ANNOUNCE_MS);
         let jobs = self.recent.iter().map(|(_, job)| *job).collect();
-        (jobs, reach_ms as u32)
+        (jobs, cancellations_cover_ms as u32)
     }
 
     /// Records that this controller reports to the others that it is cut off.
@@ -179,7 +179,7 @@
 
     /// Returns the time at which this controller learnt that a job is cancelled, if the
     /// cancellation is still in the list for heartbeats.
-    pub(crate) fn learnt_at(&self, job: u64) -> Option<Millis> {
+    pub(crate) fn known_since(&self, job: u64) -> Option<Millis> {
         let mut recent = self.recent.iter();
         recent.find(|(_, known)| *known == job).map(|(at, _)| *at)
     }
@@ -201,7 +201,7 @@
             }
             if self.announced.len() < MAX_ANNOUNCED {
                 self.announced.insert(job, now);
-                if self.learnt_at(job).is_none() {
+                if self.known_since(job).is_none() {
                     self.recent.push_back((now, job));
                 }
             } else {
@@ -218,26 +218,26 @@
 }
 
 impl Controller {
-    /// Handles the cancellations in a heartbeat that was made at `made_at` or later. Returns the
+    /// Handles the cancellations in a heartbeat that was made at `earliest_created_at` or later. Returns the
     /// extent to which its sender's cancellations are known after it.
     pub(crate) fn learn_cancellations(
         &mut self,
         peer: usize,
         heartbeat: &Heartbeat,
-        made_at: Millis,
+        earliest_created_at: Millis,
         now: Millis,
     ) -> CancellationCoverage {
         let stored_all = self.store_unread_announcements(heartbeat, now);
         self.drop_ended_announcements();
         let before = self.peers.get(peer).map(|state| state.coverage);
         let coverage = CancellationCoverage::with_contact(before, heartbeat, now);
-        let list_from = peer_time(heartbeat.reach_ms, now);
+        let list_from = peer_time(heartbeat.cancellations_cover_ms, now);
         // The list must begin before the coverage or the newest answered read ends. A read that
         // was sent at the moment at which the list begins may have been executed just before.
         let is_gapless =
             list_from <= coverage.gapless_until() || list_from < self.state_contact.read_sent_at();
         if stored_all && is_gapless {
-            coverage.extended(heartbeat, made_at)
+            coverage.extended(heartbeat, earliest_created_at)
         } else {
             coverage.after_gap(list_from)
         }
@@ -278,14 +278,14 @@
     /// process replaces this one, that the controller was cut off throughout.
     pub fn may_confirm_cancelled(&self, job: u64, now: Millis) -> bool {
         let cut_off_reported_at = self.cancelled.cut_off_reported_at;
-        let learnt_at = self.cancelled.learnt_at(job);
+        let learnt_at = self.cancelled.known_since(job);
         now - cut_off_reported_at > CONFIRMATION_PAUSE_WITH_DRIFT_MS
             || self.acknowledged_by_all_since(cut_off_reported_at)
             || match learnt_at {
                 Some(learnt_at) => self.acknowledged_by_all_since(learnt_at),
                 // The list for heartbeats does not contain the cancellation: it was announced for
                 // [`ANNOUNCE_MS`] already, or it was learnt after the last heartbeat.
-                None => now - self.started_at > ANNOUNCE_MS && !self.mirror.is_new_cancel(job),
+                None => now - self.started_at > ANNOUNCE_MS && !self.mirror.is_newly_cancelled(job),
             }
     }
 
@@ -293,7 +293,10 @@
     /// sent after `at`.
     fn acknowledged_by_all_since(&self, at: Millis) -> bool {
         let mut others = self.peers.others();
-        others.all(|peer| self.named_at(peer).is_some_and(|sent_at| sent_at > at))
+        others.all(|peer| {
+            self.last_acknowledged_at(peer)
+                .is_some_and(|sent_at| sent_at > at)
+        })
     }
 
     /// Returns whether this controller may extend a worker's lease under the token in the worker's
@@ -335,12 +338,12 @@
         report: &WorkerHeartbeat,
         now: Millis,
     ) -> bool {
-        let label = &self.config.labels[self.config.me];
-        let reach_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
+        let label = &self.config.labels[self.config.own_index];
+        let cancellations_cover_ms = self.config.lease_ms + EXTENSION_MARGIN_MS;
         let heartbeat = &peer.heartbeat;
-        heartbeat.complete
-            && now - peer.made_at <= self.config.relied_ms()
-            && f64::from(heartbeat.reach_ms) >= reach_ms
+        heartbeat.all_cancellations_known
+            && now - peer.earliest_created_at <= self.config.heartbeat_validity_ms()
+            && f64::from(heartbeat.cancellations_cover_ms) >= cancellations_cover_ms
             && heartbeat.leases.iter().any(|(shard, token, holder)| {
                 *shard as usize == shard_id && *token == report.fencing_token && holder == label
             })
--- a/crates/cherryyard-core/src/controller.rs
+++ b/crates/cherryyard-core/src/controller.rs
@@ -3,11 +3,11 @@
 //! The caller invokes one method of [`Controller`] for each event, and afterwards executes the
 //! effects that [`Controller::effects`] returns. An event is handled in three steps:
 //!
-//! 1. `Controller::notice` records the time of the event, and detects that the process was
+//! 1. `Controller::advance_clock` records the time of the event, and detects that the process was
 //!    suspended.
 //! 2. The method for the event updates the state concerned: the mirror of the state service
 //!    ([`crate::mirror`]), the machines, the peers, or the submissions.
-//! 3. `Controller::run` runs the decision steps in a fixed order: leases on shards, leadership,
+//! 3. `Controller::run_decisions` runs the decision steps in a fixed order: leases on shards, leadership,
 //!    the scheduling cycles of the shards, the leader's scheduling cycle, and the transactions
 //!    that write submissions, history and the jobs of bulk submissions.
 //!
@@ -15,12 +15,12 @@
 //!
 //! | source | methods | module |
 //! | --- | --- | --- |
-//! | the state service | [`loaded`](Controller::loaded), [`events`](Controller::events), [`committed`](Controller::committed) | here; leases in `lease_acquisition` |
+//! | the state service | [`handle_load_end`](Controller::handle_load_end), [`handle_watch_response`](Controller::handle_watch_response), [`handle_transaction_outcome`](Controller::handle_transaction_outcome) | here; leases in `lease_acquisition` |
 //! | a worker's heartbeat, or its answer to a command or query | `handle_worker_heartbeat`, `handle_push_outcome`, `handle_status_answer` | `worker_heartbeats`, then [`crate::owner`] |
-//! | a peer's heartbeat | `heartbeat_in`, `heartbeat_out` | `heartbeats` |
-//! | a user's request | `answer_for`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
-//! | the cloud | [`machine_types`](Controller::machine_types), [`listed`](Controller::listed), [`released`](Controller::released) | here; then [`crate::leader`] and [`crate::owner`] |
-//! | time | [`tick`](Controller::tick), [`queue_passed`](Controller::queue_passed) | here |
+//! | a peer's heartbeat | `handle_peer_heartbeat`, `build_heartbeat` | `heartbeats` |
+//! | a user's request | `poll_answer`, `take_user_write`, `forwarding_target` | [`crate::users`], [`crate::admission::intake`] |
+//! | the cloud | [`handle_machine_types`](Controller::handle_machine_types), [`handle_machine_list`](Controller::handle_machine_list), [`handle_release_answer`](Controller::handle_release_answer) | here; then [`crate::leader`] and [`crate::owner`] |
+//! | time | [`tick`](Controller::tick), [`handle_lag_probe`](Controller::handle_lag_probe) | here |
 
 use crate::admission::demand::Demand;
 use crate::admission::entitlements::Entitlements;
@@ -60,7 +60,7 @@
     pub config: Config,
     /// Random number that distinguishes this process from earlier and later processes of the
     /// controller with the same name.
-    pub(crate) process: u64,
+    pub(crate) process_id: u64,
     pub(crate) started_at: Millis,
     pub(crate) rng: StdRng,
     /// Effects since the last call of [`Controller::effects`], in the order of execution.
@@ -95,15 +95,15 @@
     // The cloud.
     pub(crate) machine_types_from_cloud: Option<Vec<MachineType>>,
     /// The newest response of the cloud's machine list, by machine name.
-    pub(crate) listed: HashMap<String, Instance>,
+    pub(crate) cloud_machines: HashMap<String, Instance>,
     /// Time at which that response arrived.
-    pub(crate) listed_at: Millis,
+    pub(crate) cloud_machines_at: Millis,
 
     // Users and admission.
     /// Submissions that are not yet written to the state service.
     pub(crate) intake: Intake,
     /// Outcomes of the submissions that this controller has handled.
-    pub(crate) demand: Demand,
+    pub(crate) submission_counts: Demand,
     /// Fair-share guarantees, and the resources to which they entitle flows.
     pub(crate) entitlements: Entitlements,
     /// Budget of writes to the state service that this controller may make for users.
@@ -127,10 +127,10 @@
     /// Creates the controller of a process that starts at `now`. `seed` determines all of its
     /// random numbers.
     pub fn new(config: Config, seed: u64, now: Millis) -> Self {
-        let process = StdRng::seed_from_u64(seed).random();
+        let process_id = StdRng::seed_from_u64(seed).random();
         let shard_count = config.shards();
         Self {
-            process,
+            process_id,
             started_at: now,
             rng: StdRng::seed_from_u64(seed),
             effects: Vec::new(),
@@ -142,17 +142,17 @@
                 .collect(),
             machines: BTreeMap::new(),
             leader: Leader::new(&config, now),
-            peers: Peers::new(config.me, shard_count, now),
+            peers: Peers::new(config.own_index, shard_count, now),
             misdirected: MisdirectedWorkers::default(),
             cancelled: Cancellations::new(now),
             capacity_reported_at: f64::NEG_INFINITY,
             capacity_changed: false,
             machine_types_from_cloud: None,
-            listed: HashMap::new(),
-            listed_at: f64::NEG_INFINITY,
+            cloud_machines: HashMap::new(),
+            cloud_machines_at: f64::NEG_INFINITY,
             intake: Intake::new(&config, now),
-            demand: Demand::new(),
-            entitlements: Entitlements::new(process),
+            submission_counts: Demand::new(),
+            entitlements: Entitlements::new(process_id),
             user_write_budget: TokenBucket::new(config.user_writes_per_s / shard_count as f64, now),
             lag: EventLoopLag::new(now),
             inspected_machines: 0,
@@ -173,17 +173,17 @@
     /// Completes a full read of the state, whose first page was requested at `sent_at` and
     /// described revision `store_revision`. The mirror has received the pages one by one before
     /// this call, so that a long read does not delay heartbeats.
-    pub fn loaded(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
-        self.notice(now);
+    pub fn handle_load_end(&mut self, store_revision: u64, sent_at: Millis, now: Millis) {
+        self.advance_clock(now);
         self.mirror.end_load(store_revision);
         self.mirror_changed(sent_at, now);
     }
 
     /// Handles the response to a watch or barrier request that was sent at `sent_at`.
-    pub fn events(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
-        self.notice(now);
+    pub fn handle_watch_response(&mut self, events: &WatchResponse, sent_at: Millis, now: Millis) {
+        self.advance_clock(now);
         let changed = !events.events.is_empty();
-        self.mirror.events(events);
+        self.mirror.apply_events(events);
         if changed {
             self.mirror_changed(sent_at, now);
         } else {
@@ -199,12 +199,18 @@
         }
         self.check_leases();
         self.mark_all_dirty();
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Handles the outcome of a transaction that this controller sent.
-    pub fn committed(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome, now: Millis) {
-        self.notice(now);
+    pub fn handle_transaction_outcome(
+        &mut self,
+        ticket: Ticket,
+        commit: &Commit,
+        outcome: Outcome,
+        now: Millis,
+    ) {
+        self.advance_clock(now);
         match outcome {
             Outcome::Applied(revision) => self.mirror_commit(commit, revision),
             Outcome::Conflict(_)
@@ -217,13 +223,13 @@
         if outcome == Outcome::NoLease {
             self.lease_id = None;
         }
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Applies the changes of a committed transaction of this controller to the mirror.
     pub(crate) fn mirror_commit(&mut self, commit: &Commit, revision: u64) {
         self.state_contact.applied(revision);
-        self.mirror.committed(commit, revision);
+        self.mirror.apply_committed(commit, revision);
     }
 
     fn commit_not_applied(&mut self, ticket: Ticket, commit: &Commit, outcome: Outcome) {
@@ -256,31 +262,31 @@
     /// Sets the lease of the state service to which this controller's shard and leadership leases
     /// are bound, or clears it after its loss.
     pub fn state_lease_changed(&mut self, lease_id: Option<u64>, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.lease_id = lease_id;
-        self.run(now);
+        self.run_decisions(now);
     }
 
     // Events of the cloud.
 
     /// Handles a response of the cloud that lists its machine types.
-    pub fn machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
-        self.notice(now);
+    pub fn handle_machine_types(&mut self, machine_types: Vec<MachineType>, now: Millis) {
+        self.advance_clock(now);
         if self.mirror.catalog.machine_types_revision == 0 && !machine_types.is_empty() {
             self.mirror.set_machine_types(machine_types.clone());
         }
         self.machine_types_from_cloud = Some(machine_types);
-        self.leader.dirty = true;
-        self.run(now);
+        self.leader.needs_cycle = true;
+        self.run_decisions(now);
     }
 
     /// Handles a response of the cloud that lists its machines.
-    pub fn listed(&mut self, machines: Vec<Instance>, now: Millis) {
-        self.notice(now);
+    pub fn handle_machine_list(&mut self, machines: Vec<Instance>, now: Millis) {
+        self.advance_clock(now);
         self.learn_provisioning_times(&machines);
         let by_name = machines.into_iter().map(|entry| (entry.id.clone(), entry));
-        self.listed = by_name.collect();
-        self.listed_at = now;
+        self.cloud_machines = by_name.collect();
+        self.cloud_machines_at = now;
         self.forget_machines(now);
         self.scale_in_listed(now);
     }
@@ -291,24 +297,24 @@
     /// cloud, are dropped although they are still listed: the cloud reclaims some hundreds a day
     /// of a busy fleet.
     fn forget_machines(&mut self, now: Millis) {
-        let (mirror, listed) = (&self.mirror, &self.listed);
+        let (mirror, listed) = (&self.mirror, &self.cloud_machines);
         self.machines.retain(|&host, machine| {
             now - machine.last_heard_at < FORGET_MS
-                || mirror.on_host(host).next().is_some()
+                || mirror.assignments_on(host).next().is_some()
                 || (machine.state != MachineState::Gone
                     && listed.contains_key(mirror.hosts.name(host)))
         });
     }
 
     /// Handles the cloud's answer to a release of machines; `ok` means that the cloud accepted it.
-    pub fn released(&mut self, names: &[String], ok: bool, now: Millis) {
-        self.notice(now);
+    pub fn handle_release_answer(&mut self, names: &[String], ok: bool, now: Millis) {
+        self.advance_clock(now);
         for name in names {
             if let Some(host) = self.mirror.hosts.get(name) {
                 self.machine_released(host, ok, now);
             }
         }
-        self.run(now);
+        self.run_decisions(now);
     }
 
     fn machine_released(&mut self, host: u32, ok: bool, now: Millis) {
@@ -316,8 +322,8 @@
             return;
         };
         let shard = &mut self.shards[machine.shard];
-        shard.dirty = true;
-        shard.touched.insert(host);
+        shard.needs_cycle = true;
+        shard.machines_to_inspect.insert(host);
         machine.change(if ok {
             MachineEvent::Released
         } else {
@@ -330,14 +336,14 @@
 
     /// Runs everything that depends on time alone. The caller invokes this every 100 ms.
     pub fn tick(&mut self, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.lag.ticked(now);
         for shard in &mut self.shards {
             if now - shard.planned_at >= SHARD_CYCLE_MS {
-                shard.dirty = true;
+                shard.needs_cycle = true;
             }
         }
-        self.run(now);
+        self.run_decisions(now);
         if self.accounting {
             for shard_id in 0..self.shards.len() {
                 self.sample(shard_id, now);
@@ -347,9 +353,9 @@
 
     /// Records that a probe of the event loop, due at `due`, ran at `now`, after all heartbeats
     /// and requests that arrived before it.
-    pub fn queue_passed(&mut self, due: Millis, now: Millis) {
-        self.notice(now);
-        self.lag.passed(due, now);
+    pub fn handle_lag_probe(&mut self, due: Millis, now: Millis) {
+        self.advance_clock(now);
+        self.lag.probe_handled(due, now);
     }
 
     // Steps common to all events.
@@ -359,16 +365,16 @@
     /// of the state service that was sent after the gap. Otherwise a controller that was
     /// suspended for a minute would consider all its machines silent, and would act as the owner
     /// of shards that it lost long ago.
-    pub(crate) fn notice(&mut self, now: Millis) {
+    pub(crate) fn advance_clock(&mut self, now: Millis) {
         if let Some(gap) = self.state_contact.advance(now) {
             tracing::info!(ms = gap, "process was suspended");
-            self.lag.stood_still(now);
+            self.lag.process_suspended(now);
             self.effects.push(Effect::Refresh);
         }
     }
 
     /// Runs all decision steps in their fixed order, once the mirror is loaded.
-    pub(crate) fn run(&mut self, now: Millis) {
+    pub(crate) fn run_decisions(&mut self, now: Millis) {
         if !self.mirror.loaded {
             return;
         }
@@ -378,24 +384,24 @@
         self.release_unreachable_shards(now);
         self.acquire_leadership(now);
         for shard_id in 0..self.shards.len() {
-            if self.shards[shard_id].dirty {
+            if self.shards[shard_id].needs_cycle {
                 self.plan_shard(shard_id, now);
             }
         }
-        if self.leader.dirty || now - self.leader.planned_at >= LEADER_CYCLE_MS {
-            self.plan_leader(now);
+        if self.leader.needs_cycle || now - self.leader.cycle_ran_at >= LEADER_CYCLE_MS {
+            self.run_leader_cycle(now);
         }
-        self.take_in(now);
-        self.pack(now);
-        self.create(now);
+        self.send_submissions(now);
+        self.advance_history_compaction(now);
+        self.advance_bulk_creation(now);
     }
 
     /// Marks all shards and the leader as due for a scheduling cycle.
     pub(crate) fn mark_all_dirty(&mut self) {
         for shard in &mut self.shards {
-            shard.dirty = true;
+            shard.needs_cycle = true;
         }
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
     }
 
     /// Returns a random delay, so that controllers whose requests failed together do not retry
--- a/crates/cherryyard-core/src/heartbeats.rs
+++ b/crates/cherryyard-core/src/heartbeats.rs
@@ -22,37 +22,43 @@
 
 impl Controller {
     /// Handles another controller's heartbeat.
-    pub fn heartbeat_in(&mut self, heartbeat: Heartbeat, now: Millis) {
-        self.notice(now);
-        let Some(peer) = self.place_of(&heartbeat.label) else {
+    pub fn handle_peer_heartbeat(&mut self, heartbeat: Heartbeat, now: Millis) {
+        self.advance_clock(now);
+        let Some(peer) = self.controller_index(&heartbeat.label) else {
             return;
         };
-        if peer == self.config.me {
+        if peer == self.config.own_index {
             return;
         }
-        let made_at = self.made_at(&heartbeat);
-        if self.peers.is_delayed(peer, &heartbeat, made_at, now) {
+        let earliest_created_at = self.earliest_created_at(&heartbeat);
+        if self
+            .peers
+            .is_delayed(peer, &heartbeat, earliest_created_at, now)
+        {
             return;
         }
         self.detect_superseded_leases(&heartbeat);
         if heartbeat.store_revision > self.mirror.store_revision + MAX_REVISIONS_BEHIND {
             self.effects.push(Effect::Refresh);
         }
-        self.leader.dirty |= !heartbeat.handing.is_empty();
+        self.leader.needs_cycle |= !heartbeat.handover_candidates.is_empty();
         for report in &heartbeat.shards {
-            self.leader.hear(report.clone(), now);
+            self.leader.record_capacity_report(report.clone(), now);
         }
-        if self.leader.is_label(&self.mirror, &heartbeat.label) && !heartbeat.short.is_empty() {
-            self.lower_grants(&heartbeat.short, now);
+        if self.leader.is_held_by(&self.mirror, &heartbeat.label)
+            && !heartbeat.teams_short_of_grants.is_empty()
+        {
+            self.lower_grants(&heartbeat.teams_short_of_grants, now);
         }
-        self.entitlements_in(peer, &heartbeat, now);
-        let coverage = self.learn_cancellations(peer, &heartbeat, made_at, now);
-        self.peers.receive(peer, heartbeat, made_at, coverage, now);
+        self.read_entitlements(peer, &heartbeat, now);
+        let coverage = self.learn_cancellations(peer, &heartbeat, earliest_created_at, now);
+        self.peers
+            .receive(peer, heartbeat, earliest_created_at, coverage, now);
     }
 
     /// Returns the index of the controller with this name in the order on which all controllers
     /// agree.
-    pub(crate) fn place_of(&self, label: &str) -> Option<usize> {
+    pub(crate) fn controller_index(&self, label: &str) -> Option<usize> {
         self.config.labels.iter().position(|known| known == label)
     }
 
@@ -62,7 +68,7 @@
         for (shard, newer, label) in &heartbeat.leases {
             let shard_id = *shard as usize;
             if shard_id < self.shards.len()
-                && *label != self.config.labels[self.config.me]
+                && *label != self.config.labels[self.config.own_index]
                 && let Some(mine) = self.shards[shard_id].lease.held_token()
                 && *newer > mine
             {
@@ -80,15 +86,15 @@
 
     /// Builds the heartbeat that this controller sends to all others now. The fields of the
     /// admission module are filled in last, together with the heartbeat's number.
-    pub fn heartbeat_out(&mut self, now: Millis) -> Heartbeat {
-        self.notice(now);
+    pub fn build_heartbeat(&mut self, now: Millis) -> Heartbeat {
+        self.advance_clock(now);
         let shards = self.due_capacity_reports(now);
-        let misdirected = self.misdirected.counts(now);
-        let demand = self.demand_out();
-        let short = self.teams_short_of_grants(now);
-        let has_gap = self.mirror.take_gap();
-        let new_cancellations = self.mirror.take_new_cancels();
-        let (cancelled, reach_ms) =
+        let misdirected_workers = self.misdirected.counts(now);
+        let demand = self.demand_reports();
+        let teams_short_of_grants = self.teams_short_of_grants(now);
+        let has_gap = self.mirror.take_missed_ends();
+        let new_cancellations = self.mirror.take_new_cancellations();
+        let (cancelled, cancellations_cover_ms) =
             self.cancelled
                 .list_for_heartbeat(new_cancellations, has_gap, now);
         let cut_off = self.state_contact.is_cut_off(now);
@@ -96,25 +102,27 @@
             self.cancelled.cut_off_reported(now);
         }
         let mut heartbeat = Heartbeat {
-            label: self.config.labels[self.config.me].clone(),
+            label: self.config.labels[self.config.own_index].clone(),
             cut_off,
             silent_ms: self.state_silence_ms(now),
             cancelled,
-            reach_ms,
-            complete: self.mirror.loaded && self.all_cut_off(now) && self.knows_cancellations(),
+            cancellations_cover_ms,
+            all_cancellations_known: self.mirror.loaded
+                && self.all_cut_off(now)
+                && self.knows_cancellations(),
             store_revision: self.mirror.store_revision,
             leases: self.known_leases(),
             shards,
-            short,
-            handing: self.handover_candidates(),
-            misdirected,
+            teams_short_of_grants,
+            handover_candidates: self.handover_candidates(),
+            misdirected_workers,
             number: 0,
-            heard: Vec::new(),
-            shares: Vec::new(),
-            intake_ms: self.intake.wait_ms(now) as u32,
+            last_received_numbers: Vec::new(),
+            fair_share_grants: Vec::new(),
+            longest_submission_wait_ms: self.intake.wait_ms(now) as u32,
             demand,
         };
-        self.entitlements_out(&mut heartbeat, now);
+        self.write_entitlements(&mut heartbeat, now);
         heartbeat
     }
 
@@ -133,12 +141,12 @@
         self.capacity_changed = false;
         let mut reports = Vec::new();
         for shard_id in 0..self.shards.len() {
-            if self.owned(shard_id).is_some() {
+            if self.owned_token(shard_id).is_some() {
                 reports.push(self.capacity_report(shard_id, now));
             }
         }
         for report in &reports {
-            self.leader.hear(report.clone(), now);
+            self.leader.record_capacity_report(report.clone(), now);
         }
         reports
     }
@@ -184,7 +192,7 @@
         let shards = self.shards.iter().enumerate();
         shards
             .flat_map(|(shard_id, shard)| {
-                let services = shard.handing.iter();
+                let services = shard.handover_candidates.iter();
                 services.map(move |&job| (shard_id as u32, job))
             })
             .take(MAX_HANDOVERS_LISTED)
@@ -194,7 +202,8 @@
     /// Returns whether every other controller has recently reported that it is cut off from the
     /// state service.
     pub(crate) fn all_cut_off(&self, now: Millis) -> bool {
-        self.peers.all_cut_off(self.config.relied_ms(), now)
+        self.peers
+            .all_cut_off(self.config.heartbeat_validity_ms(), now)
     }
 
     /// Returns the controllers to which the connections are due to be reestablished, because they
@@ -205,7 +214,7 @@
     pub fn peers_to_reconnect(&mut self, now: Millis) -> Vec<&str> {
         let mut unresponsive = Vec::new();
         for peer in self.peers.others() {
-            let acknowledged_at = self.named_at(peer).unwrap_or(self.started_at);
+            let acknowledged_at = self.last_acknowledged_at(peer).unwrap_or(self.started_at);
             if self.peers.reconnect_due(peer, acknowledged_at, now) {
                 unresponsive.push(self.config.labels[peer].as_str());
             }
@@ -215,7 +224,7 @@
 
     /// Records the build and the record format that another controller reports of itself.
     pub fn note_peer_build(&mut self, sender: &Sender, now: Millis) {
-        let Some(peer) = self.place_of(&sender.label) else {
+        let Some(peer) = self.controller_index(&sender.label) else {
             return;
         };
         let format = sender.format;
--- a/crates/cherryyard-core/src/leader/admission_log.rs
+++ b/crates/cherryyard-core/src/leader/admission_log.rs
@@ -4,8 +4,8 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::mirror::OpenJob;
-use cherryyard_wire::record::{ADMISSION_LOG, FORMAT, FormatRecord, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::record::{ADMISSION_LOG, FORMAT_KEY, FormatRecord, Key};
+use cherryyard_wire::state::{Change, Commit};
 use std::collections::BTreeMap;
 
 /// Least time between two attempts to compact pages.
@@ -27,7 +27,7 @@
     /// Returns whether a controller runs a build that supports a format, according to the lease on
     /// its own shard or to its recent frames.
     fn supports_format(&self, controller: usize, format: u32) -> bool {
-        if controller == self.config.me {
+        if controller == self.config.own_index {
             return self.config.format >= format;
         }
         let lease = self.mirror.shards[controller].as_ref();
@@ -40,7 +40,7 @@
     /// Returns the transaction that enables the admission log for new jobs, once every controller
     /// can read it.
     pub(crate) fn enable_admission_log(&mut self) -> Option<Commit> {
-        if self.mirror.format.by_pages || !self.all_support_format(ADMISSION_LOG) {
+        if self.mirror.format.uses_admission_log || !self.all_support_format(ADMISSION_LOG) {
             return None;
         }
         tracing::info!("enabling the admission log for new jobs");
@@ -51,7 +51,7 @@
             admission_log: true,
             dependencies: self.mirror.format.dependencies,
         };
-        commit.apply.push(Apply::set(FORMAT, &record));
+        commit.changes.push(Change::set(FORMAT_KEY, &record));
         Some(commit)
     }
 
@@ -60,19 +60,20 @@
     pub(crate) fn divide_pages(&mut self, now: Millis) -> Option<Commit> {
         let mut commit = Commit::default();
         for (page, jobs) in self.undivided_by_page() {
-            if commit.apply.len() >= self.config.txn_ops || commit.bytes() > MAX_TRANSACTION_BYTES {
+            if commit.changes.len() >= self.config.txn_ops || commit.bytes() > MAX_TRANSACTION_BYTES
+            {
                 break;
             }
             let mut divided = Vec::new();
             for job in jobs {
                 let mut open = self.mirror.open[&job].clone();
-                if self.fill_division(&mut open, now) {
+                if self.divide_job(&mut open, now) {
                     divided.push((job, open));
                 }
             }
             self.write_divided(&mut commit, page, &divided);
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Returns the undivided jobs on pages, by page.
@@ -80,8 +81,8 @@
         let mut pages: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         let last = self.mirror.admission_log.last_page();
         for &job in &self.mirror.undivided {
-            if self.mirror.in_page(job)
-                && let Some(page) = self.mirror.page_of(job)
+            if self.mirror.is_only_in_admission_log(job)
+                && let Some(page) = self.mirror.admission_page_of(job)
                 // A write to the last page would only conflict with this controller's pending
                 // transaction.
                 && !(self.intake.is_writing() && Some(page) == last)
@@ -97,7 +98,7 @@
         let (mirror, config) = (&self.mirror, &self.config);
         if divided.is_empty()
             || mirror.rewrite_page(commit, page, divided, config)
-            || !commit.apply.is_empty()
+            || !commit.changes.is_empty()
         {
             return;
         }
@@ -120,7 +121,7 @@
     /// leave budget for it.
     pub(crate) fn compact_pages(&mut self, now: Millis) -> Option<Commit> {
         let is_idle =
-            self.intake.waiting() == 0 && self.user_write_budget.left(now) >= SPARE_WRITES;
+            self.intake.waiting() == 0 && self.user_write_budget.tokens(now) >= SPARE_WRITES;
         if self.mirror.admission_log.len() <= MAX_UNCOMPACTED_PAGES
             || !is_idle
             || now - self.leader.pages_compacted_at < COMPACT_MS
@@ -129,7 +130,7 @@
         }
         self.leader.pages_compacted_at = now;
         let commit = self.mirror.compact_pages(&self.config)?;
-        self.user_write_budget.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.changes.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/assumed_capacity.rs
+++ b/crates/cherryyard-core/src/leader/assumed_capacity.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use crate::controller::Controller;
 use crate::mirror::{Mirror, OpenJob};
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::cloud::{Instance, InstanceStatus, MachineType};
 use cherryyard_wire::peer::{CapacityReport, MachineCapacity, MachinePool};
 use cherryyard_wire::record::Key;
@@ -21,14 +21,14 @@
     /// controllers are refused) from the cloud's list and the assignments. Otherwise every job
     /// would go to the leader's own shard.
     pub(crate) fn assume_capacities(&mut self, now: Millis) {
-        if now - self.leader.since() < ASSUME_AFTER_MS {
+        if now - self.leader.leading_since() < ASSUME_AFTER_MS {
             return;
         }
         for shard_id in 0..self.shards.len() {
             let token = self.mirror.revision(Key::Shard(shard_id));
             if token != 0
                 && !self.has_valid_capacity(shard_id, token, now)
-                && self.owned(shard_id).is_none()
+                && self.owned_token(shard_id).is_none()
             {
                 let report = self.assumed_report(shard_id, token);
                 self.leader.capacities.assume(shard_id, report, now);
@@ -61,9 +61,9 @@
             images: stored.record.images.iter().map(|i| i.0.clone()).collect(),
             machines: Vec::new(),
             waiting: Vec::new(),
-            wants: Vec::new(),
+            team_demand: Vec::new(),
         };
-        for (name, instance) in &self.listed {
+        for (name, instance) in &self.cloud_machines {
             if instance.status != InstanceStatus::Running
                 || self.config.shard_map.shard(&instance.zone, name) != shard_id
             {
@@ -74,14 +74,14 @@
             let Some(machine_type) = machine_type else {
                 continue;
             };
-            let (free, yielding) = free_capacity(&self.mirror, name, machine_type);
+            let (free, free_if_preempted) = free_capacity(&self.mirror, name, machine_type);
             let images = stored.held.get(name);
             let images = images.map(|images| images.iter().map(|&i| i as u16).collect());
             let pool = pool_index(&mut report.pools, instance);
             report.machines.push(MachineCapacity {
                 pool,
                 free: as_reported(&free),
-                yielding: as_reported(&yielding),
+                free_if_preempted: as_reported(&free_if_preempted),
                 images: images.unwrap_or_default(),
             });
         }
@@ -91,25 +91,31 @@
 
 /// Returns the unassigned resources of a machine, and those that would be free if arrays of
 /// ordinary rank or below were preempted.
-fn free_capacity(mirror: &Mirror, name: &str, machine_type: &MachineType) -> (Needs, Needs) {
-    let mut free = Needs {
+fn free_capacity(
+    mirror: &Mirror,
+    name: &str,
+    machine_type: &MachineType,
+) -> (Resources, Resources) {
+    let mut free = Resources {
         cores: machine_type.cores,
-        acc: machine_type.accelerators,
-        ram: machine_type.ram_gb,
+        accelerators: machine_type.accelerators,
+        ram_gb: machine_type.ram_gb,
     };
-    let mut yielding = free;
+    let mut free_if_preempted = free;
     let machine = mirror.hosts.get(name);
-    let assigned = machine.into_iter().flat_map(|host| mirror.on_host(host));
+    let assigned = machine
+        .into_iter()
+        .flat_map(|host| mirror.assignments_on(host));
     for ((job, _), _) in assigned {
-        let Some((_, needs)) = mirror.uses(job) else {
+        let Some((_, needs)) = mirror.task_resources(job) else {
             continue;
         };
-        free.take(&needs);
-        if !mirror.open.get(&job).is_some_and(OpenJob::makes_way) {
-            yielding.take(&needs);
+        free.subtract(&needs);
+        if !mirror.open.get(&job).is_some_and(OpenJob::is_preemptible) {
+            free_if_preempted.subtract(&needs);
         }
     }
-    (free, yielding)
+    (free, free_if_preempted)
 }
 
 /// Returns the index of a machine's pool in a report, to which the pool is added if it is new.
@@ -127,6 +133,10 @@
     index as u16
 }
 
-fn as_reported(needs: &Needs) -> (f32, f32, f32) {
-    (needs.cores as f32, needs.acc as f32, needs.ram as f32)
+fn as_reported(needs: &Resources) -> (f32, f32, f32) {
+    (
+        needs.cores as f32,
+        needs.accelerators as f32,
+        needs.ram_gb as f32,
+    )
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/handlers.rs
@@ -13,8 +13,8 @@
     Chunk, PhaseEvent, SubmissionRecord, SubmissionView, submission_key,
 };
 use cherryyard_wire::job::job_id;
-use cherryyard_wire::record::{End, Key, job_hash};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::record::{JobOutcome, Key, job_hash};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Number of open jobs at which creation waits for some to finish: a submission takes little
 /// memory, open jobs do not.
@@ -26,7 +26,7 @@
 
 impl Controller {
     /// Makes one step for the submissions. At most one read or transaction is pending at a time.
-    pub(crate) fn create(&mut self, now: Millis) {
+    pub(crate) fn advance_bulk_creation(&mut self, now: Millis) {
         if self.mirror.submissions.is_empty() {
             return;
         }
@@ -36,7 +36,7 @@
         }
         if !self.leader.bulk_creation.is_due(now)
             || !self.state_fresh(now)
-            || self.lag.now(now) > MAX_LAG_MS
+            || self.lag.current(now) > MAX_LAG_MS
         {
             return;
         }
@@ -50,7 +50,7 @@
         match step {
             NextStep::Cancel => self.cancel_next_jobs(submission, now),
             NextStep::Create => self.create_next_jobs(submission, now),
-            NextStep::Abandon => self.change_phase(submission, PhaseEvent::GivenUp),
+            NextStep::Abandon => self.change_phase(submission, PhaseEvent::Abandoned),
             NextStep::DeleteChunks => self.delete_chunks(submission, now),
             NextStep::DeleteRecord => self.delete_submission_record(submission, now),
         }
@@ -61,7 +61,7 @@
         self.mirror.require(&mut commit, Key::Leader);
         self.mirror
             .require(&mut commit, Key::Submission(submission));
-        let spent = commit.apply.len() as f64;
+        let spent = commit.changes.len() as f64;
         self.leader.bulk_creation.stage = Stage::Writing;
         self.leader.bulk_creation.write_budget.spend(spent);
         self.user_write_budget.spend(spent);
@@ -92,8 +92,9 @@
     /// Returns whether creation may write now, in addition to users' other writes.
     fn may_create(&mut self, now: Millis) -> bool {
         self.set_user_rate(now);
-        let has_spare = self.user_write_budget.left(now) >= self.config.user_writes_per_s.max(1.5);
-        has_spare || self.leader.bulk_creation.write_budget.left(now) >= 1.0
+        let has_spare =
+            self.user_write_budget.tokens(now) >= self.config.user_writes_per_s.max(1.5);
+        has_spare || self.leader.bulk_creation.write_budget.tokens(now) >= 1.0
     }
 
     /// Creates a submission's next jobs, or reads the chunk that describes them.
@@ -113,12 +114,12 @@
     }
 
     fn create_from_chunk(&mut self, chunk: &ChunkJobs, record: &SubmissionRecord, now: Millis) {
-        let remaining = chunk.remaining(record.next);
+        let remaining = chunk.remaining(record.created_in_chunk);
         let numbers = remaining.iter().map(|chunk_job| chunk_job.job);
         let count = jobs_within_limit(numbers, &self.mirror, &self.config);
         let records: Vec<MaybeRecord> = remaining[..count]
             .iter()
-            .map(|chunk_job| self.new_record(chunk, chunk_job, record.at, now))
+            .map(|chunk_job| self.new_record(chunk, chunk_job, record.started_at_ms, now))
             .collect();
         let commit = records_that_fit(
             chunk.submission,
@@ -151,7 +152,7 @@
             tracing::error!(job, "a submission's job cannot be created");
             return None;
         };
-        self.fill_division(&mut open, now);
+        self.divide_job(&mut open, now);
         Some((job, open.record()))
     }
 
@@ -161,17 +162,22 @@
         let open = self.mirror.open.range(record.block());
         let mut jobs: Vec<u64> = open.map(|(&job, _)| job).take(CANCEL_BATCH).collect();
         if jobs.is_empty() {
-            self.change_phase(submission, PhaseEvent::NoneOpen);
+            self.change_phase(submission, PhaseEvent::AllJobsEnded);
             return;
         }
         // Like every cancellation, this step takes precedence over writes that can wait and may
         // overdraw the budget. It consists of many writes, so the overdraft is limited.
-        if self.user_write_budget.left(now) <= -self.user_write_budget.overdraft() {
+        if self.user_write_budget.tokens(now) <= -self.user_write_budget.overdraft() {
             return;
         }
         jobs.sort_by_cached_key(|&job| (self.mirror.assigned(job) == 0, job_hash(job)));
         let count = jobs_within_limit(jobs.iter().copied(), &self.mirror, &self.config);
-        let ended = |&job: &u64| Some((job, self.mirror.open.get(&job)?.ended(End::Cancelled)));
+        let ended = |&job: &u64| {
+            Some((
+                job,
+                self.mirror.open.get(&job)?.ended(JobOutcome::Cancelled),
+            ))
+        };
         let records: Vec<MaybeRecord> = jobs[..count].iter().map(ended).collect();
         let commit = records_that_fit(
             submission,
@@ -194,7 +200,9 @@
     fn delete_submission_record(&mut self, submission: u64, now: Millis) {
         if self.may_create(now) {
             let mut commit = Commit::default();
-            commit.apply.push(Apply::delete(submission_key(submission)));
+            commit
+                .changes
+                .push(Change::delete(submission_key(submission)));
             self.send_step(submission, commit);
         }
     }
@@ -207,7 +215,7 @@
         answer: Result<Option<Chunk>, ()>,
         now: Millis,
     ) {
-        self.notice(now);
+        self.advance_clock(now);
         if !self.leader.bulk_creation.is_reading() {
             return;
         }
@@ -223,16 +231,16 @@
             (Ok(Some(_)), None) | (Err(()), _) => ChunkRead::Failed,
         };
         self.leader.bulk_creation.chunk_read(read, now);
-        self.create(now);
+        self.advance_bulk_creation(now);
     }
 
     /// Handles the outcome of a step.
     pub(crate) fn bulk_creation_committed(&mut self, outcome: Outcome, now: Millis) {
         self.leader.bulk_creation.stage = Stage::Idle;
         if matches!(outcome, Outcome::Applied(_)) {
-            self.leader.dirty = true;
+            self.leader.needs_cycle = true;
             for shard in &mut self.shards {
-                shard.dirty = true;
+                shard.needs_cycle = true;
             }
         } else {
             let retry_after = now + self.jitter(100.0, 400.0);
@@ -261,7 +269,7 @@
             queued,
             running,
             over: created.saturating_sub(queued + running),
-            chunks: record.chunks,
+            chunks: record.received_chunks,
         })
     }
 }
--- a/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
+++ b/crates/cherryyard-core/src/leader/bulk_creation/transactions.rs
@@ -4,7 +4,7 @@
 use crate::{Config, Mirror};
 use cherryyard_wire::condor::{PhaseEvent, SubmissionRecord, chunk_key, submission_key};
 use cherryyard_wire::record::{JobRecord, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 use std::collections::HashSet;
 
 /// Largest number of jobs in one step.
@@ -30,7 +30,7 @@
     let mut ops = 0;
     jobs.take(MAX_STEP_JOBS)
         .take_while(|&job| {
-            let key = mirror.home(job);
+            let key = mirror.record_key(job);
             if record_keys.insert(key) {
                 ops += if matches!(key, Key::Job(_)) {
                     1
@@ -69,8 +69,8 @@
 /// Returns the transaction that writes a submission's record.
 pub(super) fn submission_write(submission: u64, record: &SubmissionRecord) -> Commit {
     let mut commit = Commit::default();
-    let set = Apply::set(submission_key(submission), record);
-    commit.apply.push(set);
+    let set = Change::set(submission_key(submission), record);
+    commit.changes.push(set);
     commit
 }
 
@@ -81,13 +81,13 @@
     config: &Config,
 ) -> Commit {
     let max_ops = config.txn_ops.saturating_sub(1).max(1) as u32;
-    let end = record.chunks.min(record.swept + max_ops);
+    let end = record.received_chunks.min(record.deleted_chunks + max_ops);
     let mut commit = Commit::default();
-    let keys = (record.swept..end).map(|chunk| chunk_key(submission, chunk));
-    commit.apply.extend(keys.map(Apply::delete));
-    record.swept = end;
-    let set = Apply::set(submission_key(submission), &record);
-    commit.apply.push(set);
+    let keys = (record.deleted_chunks..end).map(|chunk| chunk_key(submission, chunk));
+    commit.changes.extend(keys.map(Change::delete));
+    record.deleted_chunks = end;
+    let set = Change::set(submission_key(submission), &record);
+    commit.changes.push(set);
     commit
 }
 
@@ -98,11 +98,11 @@
     created: usize,
 ) -> SubmissionRecord {
     let mut after = record.clone();
-    after.next += created as u64;
-    if after.next as usize >= chunk.jobs.len() {
+    after.created_in_chunk += created as u64;
+    if after.created_in_chunk as usize >= chunk.jobs.len() {
         after.chunk = (after.chunk.0 + 1, after.chunk.1 + chunk.jobs.len() as u64);
-        after.next = 0;
-        if after.chunk.0 >= after.of {
+        after.created_in_chunk = 0;
+        if after.chunk.0 >= after.chunk_count {
             after.phase = after.phase.after(PhaseEvent::LastCreated);
         }
     }
--- a/crates/cherryyard-core/src/leader/cycle.rs
+++ b/crates/cherryyard-core/src/leader/cycle.rs
@@ -5,7 +5,7 @@
 use crate::effects::{Effect, Outcome, Ticket};
 use crate::peers::SUCCESSION_MS;
 use cherryyard_wire::record::{self, Key, LeaseRecord};
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 
 /// Time without a heartbeat after which a leader is replaced.
 const LEADER_SILENCE_MS: f64 = 1800.0;
@@ -37,9 +37,9 @@
         }
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Leader);
-        let label = &self.config.labels[self.config.me];
-        let holder = LeaseRecord::of(label, self.process, self.config.format);
-        commit.apply.push(Apply::Set {
+        let label = &self.config.labels[self.config.own_index];
+        let holder = LeaseRecord::of(label, self.process_id, self.config.format);
+        commit.changes.push(Change::Set {
             set: record::LEADER_KEY.into(),
             value: Json::of(&holder),
             lease_id: Some(lease_id),
@@ -52,14 +52,14 @@
     /// Returns whether this controller should try to acquire the leadership.
     fn wants_leadership(&mut self, now: Millis) -> bool {
         match &self.mirror.leader_lease {
-            Some(lease) if lease.label == self.config.labels[self.config.me] => {
-                !self.leader.leadership.leads_by(lease.revision)
+            Some(lease) if lease.label == self.config.labels[self.config.own_index] => {
+                !self.leader.leadership.leads_under(lease.revision)
             }
             Some(lease) => self.should_replace_leader(&lease.label, now),
             None => {
                 let controllers = self.shards.len();
                 let first = self.mirror.store_revision as usize % controllers;
-                let rank = (self.config.me + controllers - first) % controllers;
+                let rank = (self.config.own_index + controllers - first) % controllers;
                 let leaderless_ms = self.leader.leadership.leaderless_ms(now);
                 leaderless_ms >= LEADERLESS_STEP_MS * rank as f64
             }
@@ -96,7 +96,7 @@
         let is_reachable = |index: &usize| self.peers.received_within(*index, SUCCESSION_MS, now);
         (1..controllers)
             .map(|step| (from + step) % controllers)
-            .take_while(|&index| index != self.config.me)
+            .take_while(|&index| index != self.config.own_index)
             .filter(is_reachable)
             .count()
     }
@@ -109,7 +109,7 @@
             let acquire_after = now + self.jitter(300.0, 900.0);
             self.leader.leadership.failed(acquire_after);
         }
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
     }
 
     /// Makes this controller the leader under the lease with this token. A repeated call for the
@@ -135,8 +135,8 @@
 /// Scheduling cycle of the leader.
 impl Controller {
     /// Runs one scheduling cycle of the leader.
-    pub(crate) fn plan_leader(&mut self, now: Millis) {
-        self.leader.planned_at = now;
+    pub(crate) fn run_leader_cycle(&mut self, now: Millis) {
+        self.leader.cycle_ran_at = now;
         let store_revision = self.mirror.store_revision;
         let transaction = &self.leader.cycle_transaction;
         if !self.leader.leads(&self.mirror)
@@ -145,7 +145,7 @@
         {
             return;
         }
-        self.leader.dirty = false;
+        self.leader.needs_cycle = false;
         for shard_id in 0..self.shards.len() {
             let is_current = self.current_capacity(shard_id, now).is_some();
             self.leader
@@ -179,7 +179,7 @@
     /// Handles the outcome of a cycle's transaction.
     pub(crate) fn leader_committed(&mut self, outcome: Outcome, now: Millis) {
         let sent_at = self.leader.cycle_transaction.answered();
-        self.leader.dirty = true;
+        self.leader.needs_cycle = true;
         match outcome {
             Outcome::Applied(_) | Outcome::NoLease | Outcome::Unknown => {}
             // The divisions were not applied. With their debits, the next attempt would find less
@@ -191,7 +191,7 @@
         match outcome {
             Outcome::Applied(_) => {
                 for shard in &mut self.shards {
-                    shard.dirty = true;
+                    shard.needs_cycle = true;
                 }
             }
             Outcome::Conflict(store_revision) => {
@@ -229,8 +229,8 @@
         }
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::MachineTypes);
-        let put = Apply::put(record::MACHINE_TYPES_KEY, value);
-        commit.apply.push(put);
+        let put = Change::put(record::MACHINE_TYPES_KEY, value);
+        commit.changes.push(put);
         Some(commit)
     }
 
@@ -254,7 +254,9 @@
         tracing::info!("storing operators' attributes of machines");
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Attributes);
-        commit.apply.push(Apply::put(record::ATTRIBUTES, value));
+        commit
+            .changes
+            .push(Change::put(record::ATTRIBUTES_KEY, value));
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/dependents.rs
+++ b/crates/cherryyard-core/src/leader/dependents.rs
@@ -3,8 +3,8 @@
 
 use crate::Millis;
 use crate::controller::Controller;
-use cherryyard_wire::record::{DEPENDENCIES, FORMAT, FormatRecord, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::record::{DEPENDENCIES, FORMAT_KEY, FormatRecord, Key};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Time for which every controller must have supported dependencies before the leader enables
 /// them. A controller that is being replaced by an earlier build is noticed within this time.
@@ -14,7 +14,7 @@
     /// Returns whether submissions may name jobs that they wait for, and all state from before
     /// that was enabled has been read.
     pub fn accepts_dependencies(&self) -> bool {
-        self.mirror.takes_dependencies()
+        self.mirror.are_dependencies_ready()
     }
 
     /// Returns the transaction that enables dependencies, once every controller supports them. An
@@ -38,10 +38,10 @@
         self.mirror.require(&mut commit, Key::Format);
         let record = FormatRecord {
             jobs: self.mirror.format.jobs.max(1),
-            admission_log: self.mirror.format.by_pages,
+            admission_log: self.mirror.format.uses_admission_log,
             dependencies: true,
         };
-        commit.apply.push(Apply::set(FORMAT, &record));
+        commit.changes.push(Change::set(FORMAT_KEY, &record));
         Some(commit)
     }
 
@@ -50,7 +50,7 @@
     /// controller already reports these jobs as cancelled; once its end is stored, a job is no
     /// longer open.
     pub(super) fn end_dependents(&mut self, now: Millis) -> Option<Commit> {
-        if self.user_write_budget.left(now) < 1.0 {
+        if self.user_write_budget.tokens(now) < 1.0 {
             return None;
         }
         let mut commit = Commit::default();
@@ -71,10 +71,10 @@
             }
             commit = attempt;
         }
-        if commit.apply.is_empty() {
+        if commit.changes.is_empty() {
             return None;
         }
-        self.user_write_budget.spend(commit.apply.len() as f64);
+        self.user_write_budget.spend(commit.changes.len() as f64);
         Some(commit)
     }
 }
--- a/crates/cherryyard-core/src/leader/handlers.rs
+++ b/crates/cherryyard-core/src/leader/handlers.rs
@@ -39,14 +39,20 @@
 
     /// Returns how many of the job's tasks fit on machines of other shards that hold its image,
     /// with arrays preempted if the job's rank allows that.
-    pub(crate) fn held_elsewhere(&self, shard_id: usize, open: &OpenJob, now: Millis) -> f64 {
-        self.current_capacities(now).held_elsewhere(shard_id, open)
+    pub(crate) fn fitting_elsewhere_with_image(
+        &self,
+        shard_id: usize,
+        open: &OpenJob,
+        now: Millis,
+    ) -> f64 {
+        self.current_capacities(now)
+            .fitting_elsewhere_with_image(shard_id, open)
     }
 
     /// Divides one job. Returns false if the known capacities, machines and owners give no basis
     /// for a division.
-    pub(crate) fn fill_division(&mut self, open: &mut OpenJob, now: Millis) -> bool {
-        let missing = if now - self.leader.since() < REPORTS_WAIT_MS {
+    pub(crate) fn divide_job(&mut self, open: &mut OpenJob, now: Millis) -> bool {
+        let missing = if now - self.leader.leading_since() < REPORTS_WAIT_MS {
             MissingReports::Await
         } else {
             MissingReports::EqualWeights
@@ -81,7 +87,7 @@
                 break;
             }
             let mut open = self.mirror.open[&job].clone();
-            if !self.fill_division(&mut open, now) {
+            if !self.divide_job(&mut open, now) {
                 continue;
             }
             records.push((job, open.record()));
@@ -94,13 +100,15 @@
             }
             commit = attempt;
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Returns the undivided jobs that are not on pages of the admission log, by rank and age.
     fn undivided_outside_pages(&self) -> Vec<u64> {
         let undivided = self.mirror.undivided.iter().copied();
-        let mut jobs: Vec<u64> = undivided.filter(|&job| !self.mirror.in_page(job)).collect();
+        let mut jobs: Vec<u64> = undivided
+            .filter(|&job| !self.mirror.is_only_in_admission_log(job))
+            .collect();
         jobs.sort_by_cached_key(|job| {
             let open = &self.mirror.open[job];
             (Reverse(open.rank()), open.submitted_at, *job)
@@ -130,14 +138,14 @@
     /// Returns the services that the shards of all controllers offer to other shards.
     fn hand_overs(&self) -> HashSet<HandOver> {
         let peers = self.peers.iter();
-        let peer_hand_overs = peers.flat_map(|peer| &peer.heartbeat.handing);
+        let peer_hand_overs = peers.flat_map(|peer| &peer.heartbeat.handover_candidates);
         let peer_hand_overs = peer_hand_overs.map(|&(shard_id, job)| HandOver {
             shard_id: shard_id as usize,
             job,
         });
         let shards = self.shards.iter().enumerate();
         let own_hand_overs = shards.flat_map(|(shard_id, shard)| {
-            let jobs = shard.handing.iter();
+            let jobs = shard.handover_candidates.iter();
             jobs.map(move |&job| HandOver { shard_id, job })
         });
         peer_hand_overs.chain(own_hand_overs).collect()
@@ -148,20 +156,20 @@
 impl Controller {
     /// Provisions machines ahead of need.
     pub(crate) fn scale_out(&mut self, now: Millis) {
-        if !self.leader.scale_out.is_due(now) || self.listed_at < 0.0 {
+        if !self.leader.scale_out.is_due(now) || self.cloud_machines_at < 0.0 {
             return;
         }
         let list_lag_ms = self.config.list_lag_ms;
         self.leader.scale_out.begin_check(list_lag_ms, now);
         let fleet = Fleet {
             current: self.current_capacities(now),
-            listed: &self.listed,
+            listed: &self.cloud_machines,
             scale_out: &self.leader.scale_out,
         };
         let Some(machines_to_provision) = fleet.machines_to_provision() else {
             return;
         };
-        let label = &self.config.labels[self.config.me];
+        let label = &self.config.labels[self.config.own_index];
         let token = self.mirror.revision(Key::Leader);
         let request = self
             .leader
@@ -208,7 +216,7 @@
         let machine_types = &self.mirror.catalog.machine_types;
         let ready_s = |sku: &str| ready_s(machine_types, sku);
         let times = &mut self.leader.scale_out.provisioning_times;
-        times.record_list(instances, &self.listed, ready_s);
+        times.record_list(instances, &self.cloud_machines, ready_s);
     }
 
     /// Returns the progress of a listed machine that is not up yet.
--- a/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/handlers.rs
@@ -20,7 +20,7 @@
     /// Makes one step of history compaction, if this controller leads. At most one read or
     /// transaction is pending at a time, and its share of the write budget leaves the rest to
     /// other writes.
-    pub(crate) fn pack(&mut self, now: Millis) {
+    pub(crate) fn advance_history_compaction(&mut self, now: Millis) {
         if !self.config.tuning.history {
             return;
         }
@@ -30,7 +30,7 @@
         }
         if !self.leader.history_compaction.is_ready(now)
             || !self.state_fresh(now)
-            || self.lag.now(now) > MAX_LAG_MS
+            || self.lag.current(now) > MAX_LAG_MS
         {
             return;
         }
@@ -49,7 +49,7 @@
         compaction
             .compactor
             .set_limits(self.config.page_bytes, self.config.txn_ops);
-        compaction.compactor.resume(self.mirror.packed);
+        compaction.compactor.resume(self.mirror.history_progress);
         if compaction.compactor.is_idle() {
             compaction.scanned_at = now;
             self.next_batch(now);
@@ -63,7 +63,7 @@
             tracing::info!(
                 "enabling buckets for job records, and compaction of finished jobs into the history"
             );
-            let commit = self.mirror.begin_buckets(self.config.txn_ops);
+            let commit = self.mirror.enable_buckets(self.config.txn_ops);
             self.send_other_transaction(commit);
         }
     }
@@ -71,12 +71,12 @@
     /// Begins to compact a closed generation of finished jobs, or closes the current one if that
     /// is due.
     fn next_batch(&mut self, now: Millis) {
-        let record = self.mirror.packed;
+        let record = self.mirror.history_progress;
         let compaction = &mut self.leader.history_compaction;
-        if let Some(done) = record.to_fold() {
+        if let Some(done) = record.closed_generation_to_compact() {
             // All finished jobs of a closed generation were written before the record that closed
             // it, so they are known once the state up to that record has been read.
-            let closed_at_revision = self.mirror.packed_revision;
+            let closed_at_revision = self.mirror.history_progress_revision;
             if self.mirror.store_revision >= closed_at_revision {
                 let day = ((now + self.wall_offset) / DAY_MS).max(0.0) as u32;
                 let jobs = finished_jobs_of_closed_generations(&self.mirror, &record, done, day);
@@ -121,7 +121,7 @@
     }
 
     fn send_compaction(&mut self, pending: Pending, commit: Commit) {
-        let changes = commit.apply.len();
+        let changes = commit.changes.len();
         self.leader.history_compaction.begin_write(pending, changes);
         self.effects
             .push(Effect::Commit(Ticket::HistoryCompaction, commit));
@@ -130,7 +130,7 @@
     /// Handles the answer to a read of a leaf: its last possible job number, revision and record,
     /// or none if there is no such leaf.
     pub fn leaf_read(&mut self, answer: Result<Option<(u64, u64, LeafRecord)>, ()>, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         let compaction = &mut self.leader.history_compaction;
         if compaction.pending != Pending::Compactor {
             return;
@@ -158,7 +158,7 @@
             compaction.retry_after = now + READ_RETRY_MS;
         }
         compaction.compactor.read(leaf);
-        self.pack(now);
+        self.advance_history_compaction(now);
     }
 
     /// Handles the outcome of a transaction of history compaction.
@@ -170,16 +170,16 @@
     /// Returns how many jobs are open, finished and still watched, finished with records of their
     /// own, and (approximately) in each run of the history.
     pub fn history_counts(&self) -> HistoryCounts {
-        let record = self.mirror.packed;
+        let record = self.mirror.history_progress;
         HistoryCounts {
             format: self.mirror.format.jobs.max(1),
             open: self.mirror.open.len(),
             recent: self.mirror.ended_count(),
-            to_move: self.mirror.own_ends().count(),
+            to_move: self.mirror.ended_jobs_with_own_record().count(),
             packed: record.jobs_in_runs[0] + record.jobs_in_runs[1],
             runs: record.jobs_in_runs,
             generation: record.generation(),
-            spilling: record.spilling,
+            spilling: record.merging_runs,
             buckets: self.mirror.bucket_count(),
         }
     }
--- a/crates/cherryyard-core/src/leader/history_compaction/mod.rs
+++ b/crates/cherryyard-core/src/leader/history_compaction/mod.rs
@@ -9,8 +9,8 @@
 use crate::token_bucket::TokenBucket;
 use crate::{Config, Millis, Mirror};
 use cherryyard_history::{Compactor, FinishedJob, Limits};
-use cherryyard_wire::history::PackedRecord;
-use cherryyard_wire::record::End;
+use cherryyard_wire::history::HistoryProgressRecord;
+use cherryyard_wire::record::JobOutcome;
 
 /// Time between two small batches, while finished jobs are left in records of their own, as
 /// earlier builds wrote them.
@@ -78,8 +78,8 @@
     /// Returns whether the budgets and the retry delay allow another read or transaction.
     fn may_step(&mut self, now: Millis) -> bool {
         now >= self.retry_after
-            && self.write_budget.left(now) >= 1.0
-            && self.read_budget.left(now) >= 1.0
+            && self.write_budget.tokens(now) >= 1.0
+            && self.read_budget.tokens(now) >= 1.0
     }
 
     /// Returns whether nothing is pending and another step is allowed.
@@ -116,12 +116,12 @@
     /// Returns whether the current generation of finished jobs should be closed: it contains
     /// enough jobs, or some jobs are left in records of their own and the next small batch is due.
     fn should_close_generation(&self, mirror: &Mirror, config: &Config, now: Millis) -> bool {
-        let record = mirror.packed;
+        let record = mirror.history_progress;
         let (mut uncompacted, mut any_has_own_record) = (0, false);
         for (_, ended) in mirror.ended_jobs() {
-            let has_own_record = ended.revision > record.own;
-            let is_uncompacted =
-                has_own_record || (ended.revision == 0 && ended.generation > record.gen_done);
+            let has_own_record = ended.revision > record.archived_revision;
+            let is_uncompacted = has_own_record
+                || (ended.revision == 0 && ended.generation > record.archived_generation);
             uncompacted += usize::from(is_uncompacted);
             any_has_own_record |= has_own_record;
         }
@@ -143,23 +143,23 @@
 /// Returns the finished jobs of closed generations up to `done`; `day` is the current day.
 fn finished_jobs_of_closed_generations(
     mirror: &Mirror,
-    record: &PackedRecord,
+    record: &HistoryProgressRecord,
     done: u64,
     day: u32,
 ) -> Vec<FinishedJob> {
-    let closed_at_revision = mirror.packed_revision;
+    let closed_at_revision = mirror.history_progress_revision;
     let closed = mirror.ended_jobs().filter(|(_, ended)| {
         if ended.revision != 0 {
-            ended.revision > record.own && ended.revision <= closed_at_revision
+            ended.revision > record.archived_revision && ended.revision <= closed_at_revision
         } else {
-            ended.generation > record.gen_done && ended.generation <= done
+            ended.generation > record.archived_generation && ended.generation <= done
         }
     });
     closed
         .map(|(job, ended)| FinishedJob {
             job,
             end: ended.end,
-            done: if ended.end == End::Done {
+            done: if ended.end == JobOutcome::Done {
                 ended.task_count
             } else {
                 0
--- a/crates/cherryyard-core/src/leader/leadership.rs
+++ b/crates/cherryyard-core/src/leader/leadership.rs
@@ -53,7 +53,7 @@
     token: u64,
     /// Time at which this controller learnt that the last lease was applied; before the first
     /// lease, the start of the controller.
-    since: Millis,
+    leading_since: Millis,
     acquire_after: Millis,
     /// Time since which no controller has held the lease.
     leaderless_since: Option<Millis>,
@@ -64,7 +64,7 @@
         Self {
             phase: LeadershipPhase::Follower,
             token: 0,
-            since: now,
+            leading_since: now,
             acquire_after: now,
             leaderless_since: None,
         }
@@ -72,8 +72,8 @@
 
     /// Returns the time at which this controller learnt that its last lease was applied; before its
     /// first lease, the start of the controller.
-    pub(crate) fn since(&self) -> Millis {
-        self.since
+    pub(crate) fn leading_since(&self) -> Millis {
+        self.leading_since
     }
 
     /// Returns the token of the lease under which this controller leads, as far as is known here.
@@ -85,7 +85,7 @@
     }
 
     /// Returns whether this controller leads under the lease with this token.
-    pub(crate) fn leads_by(&self, token: u64) -> bool {
+    pub(crate) fn leads_under(&self, token: u64) -> bool {
         self.phase == LeadershipPhase::Leading(token)
     }
 
@@ -131,7 +131,7 @@
         }
         self.token = token;
         self.change(LeadershipEvent::Applied(token));
-        self.since = now;
+        self.leading_since = now;
         self.acquire_after = now + REACQUIRE_DELAY_MS;
         true
     }
--- a/crates/cherryyard-core/src/leader/limits.rs
+++ b/crates/cherryyard-core/src/leader/limits.rs
@@ -3,9 +3,9 @@
 use crate::Millis;
 use crate::config::Team;
 use crate::controller::Controller;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::record::{self, Grant, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Tolerance for rounding errors in amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
@@ -27,11 +27,11 @@
     let mut total_granted = Grant::default();
     for grant in grants {
         total_granted.cores += grant.cores;
-        total_granted.acc += grant.acc;
+        total_granted.accelerators += grant.accelerators;
     }
     Grant {
         cores: finite(team.cores_max) - total_granted.cores,
-        acc: finite(team.acc_max) - total_granted.acc,
+        accelerators: finite(team.accelerators_max) - total_granted.accelerators,
     }
 }
 
@@ -39,8 +39,8 @@
 /// these `needs` to start in addition to what is `used`.
 fn allows_one_more_task(
     team: &Team,
-    used: &Needs,
-    needs: &Needs,
+    used: &Resources,
+    needs: &Resources,
     grant: &Grant,
     free: &Grant,
 ) -> bool {
@@ -48,7 +48,13 @@
         used + more <= granted + free + ROUNDING_TOLERANCE
     };
     (team.cores_max.is_infinite() || within(used.cores, needs.cores, grant.cores, free.cores))
-        && (team.acc_max.is_infinite() || within(used.acc, needs.acc, grant.acc, free.acc))
+        && (team.accelerators_max.is_infinite()
+            || within(
+                used.accelerators,
+                needs.accelerators,
+                grant.accelerators,
+                free.accelerators,
+            ))
 }
 
 impl Controller {
@@ -67,10 +73,11 @@
     fn lacks_grant(&self, index: usize, team: &Team, shard_id: usize, now: Millis) -> bool {
         let grant = self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now);
-        let wants = capacity.and_then(|capacity| capacity.report.wants.get(index));
-        wants.is_some_and(|&(_, cores, acc)| {
+        let wants = capacity.and_then(|capacity| capacity.report.team_demand.get(index));
+        wants.is_some_and(|&(_, cores, accelerators)| {
             cores > grant.cores + ROUNDING_TOLERANCE && team.cores_max.is_finite()
-                || acc > grant.acc + ROUNDING_TOLERANCE && team.acc_max.is_finite()
+                || accelerators > grant.accelerators + ROUNDING_TOLERANCE
+                    && team.accelerators_max.is_finite()
         })
     }
 
@@ -84,14 +91,14 @@
                 continue;
             }
             // The transaction requires all of the team's grants and the leader's lease.
-            if commit.when.len() + shards + 1 > self.config.max_conditions() {
+            if commit.conditions.len() + shards + 1 > self.config.max_conditions() {
                 break;
             }
             let mut changes = self.raised_grants(index, team, now);
             // Changes that do not fit into this transaction are left to a later one. If all of a
             // team's changes had to fit into one transaction, a team with a limit would get no
             // grant at all when there are more shards than changes in a transaction.
-            changes.truncate(self.config.txn_ops.saturating_sub(commit.apply.len()));
+            changes.truncate(self.config.txn_ops.saturating_sub(commit.changes.len()));
             if changes.is_empty() {
                 continue;
             }
@@ -103,10 +110,10 @@
             }
             for change in changes {
                 let key = record::grant_key(index, change.shard_id);
-                commit.apply.push(Apply::set(key, &change.grant));
+                commit.changes.push(Change::set(key, &change.grant));
             }
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Returns the grants of a team that are to be raised: at first all, by an even part of the
@@ -123,13 +130,13 @@
                 continue;
             };
             free.cores -= more.cores;
-            free.acc -= more.acc;
+            free.accelerators -= more.accelerators;
             let raised = Grant {
                 cores: grant.cores + more.cores,
-                acc: grant.acc + more.acc,
+                accelerators: grant.accelerators + more.accelerators,
             };
             if raised.cores > grant.cores + ROUNDING_TOLERANCE
-                || raised.acc > grant.acc + ROUNDING_TOLERANCE
+                || raised.accelerators > grant.accelerators + ROUNDING_TOLERANCE
             {
                 changes.push(ChangedGrant {
                     shard_id,
@@ -148,7 +155,7 @@
                 shard_id,
                 grant: Grant {
                     cores: grant.cores + finite(team.cores_max) / shards,
-                    acc: grant.acc + finite(team.acc_max) / shards,
+                    accelerators: grant.accelerators + finite(team.accelerators_max) / shards,
                 },
             })
             .collect()
@@ -167,9 +174,9 @@
     ) -> Option<Grant> {
         let grant = &self.mirror.grants[index][shard_id].0;
         let capacity = self.current_capacity(shard_id, now)?;
-        let &(_, wanted_cores, wanted_acc) = capacity.report.wants.get(index)?;
+        let &(_, wanted_cores, wanted_accelerators) = capacity.report.team_demand.get(index)?;
         if wanted_cores <= grant.cores + ROUNDING_TOLERANCE
-            && wanted_acc <= grant.acc + ROUNDING_TOLERANCE
+            && wanted_accelerators <= grant.accelerators + ROUNDING_TOLERANCE
         {
             return None;
         }
@@ -177,7 +184,9 @@
         let used = self.mirror.usage(shard_id)[index];
         allows_one_more_task(team, &used, &least, grant, free).then(|| Grant {
             cores: (wanted_cores - grant.cores).min(free.cores).max(0.0),
-            acc: (wanted_acc - grant.acc).min(free.acc).max(0.0),
+            accelerators: (wanted_accelerators - grant.accelerators)
+                .min(free.accelerators)
+                .max(0.0),
         })
     }
 }
--- a/crates/cherryyard-core/src/leader/rebalancing.rs
+++ b/crates/cherryyard-core/src/leader/rebalancing.rs
@@ -147,7 +147,8 @@
     ) -> BTreeSet<Overdue> {
         let mirror = current.mirror;
         let can_move = |&&HandOver { shard_id, job }: &&HandOver| {
-            let is_held_elsewhere = |open: &OpenJob| current.held_elsewhere(shard_id, open) >= 1.0;
+            let is_held_elsewhere =
+                |open: &OpenJob| current.fitting_elsewhere_with_image(shard_id, open) >= 1.0;
             mirror.waiting(shard_id, job).is_some()
                 && !self.handed_over.contains_key(&job)
                 && mirror.open.get(&job).is_some_and(is_held_elsewhere)
@@ -284,11 +285,11 @@
     /// Returns the job with its tasks moved.
     fn applied_to(&self, open: &OpenJob, from: usize) -> OpenJob {
         let mut moved = open.clone();
-        moved.division[from] = moved.division[from].minus(&self.tasks);
+        moved.division[from] = moved.division[from].difference(&self.tasks);
         let mut left = self.tasks.clone();
         for (shard_id, &share) in self.shares.iter().enumerate() {
             let tasks = left.first(share);
-            left = left.minus(&tasks);
+            left = left.difference(&tasks);
             moved.division[shard_id] = moved.division[shard_id].union(&tasks);
         }
         moved
--- a/crates/cherryyard-core/src/leader/state.rs
+++ b/crates/cherryyard-core/src/leader/state.rs
@@ -17,9 +17,9 @@
 pub struct Leader {
     pub(crate) leadership: Leadership,
     /// Whether something has changed since the last cycle.
-    pub(crate) dirty: bool,
+    pub(crate) needs_cycle: bool,
     /// Time of the last cycle.
-    pub(crate) planned_at: Millis,
+    pub(crate) cycle_ran_at: Millis,
     pub(crate) cycle_transaction: CycleTransaction,
     pub(crate) capacities: CapacityReports,
     pub(crate) rebalancing: Rebalancing,
@@ -38,8 +38,8 @@
     pub(crate) fn new(config: &Config, now: Millis) -> Self {
         Self {
             leadership: Leadership::new(now),
-            dirty: true,
-            planned_at: now,
+            needs_cycle: true,
+            cycle_ran_at: now,
             cycle_transaction: CycleTransaction::new(now),
             capacities: CapacityReports::new(config.shards()),
             rebalancing: Rebalancing::new(),
@@ -68,12 +68,12 @@
 
     /// Returns the time at which this controller last learnt that it had acquired the leader lease;
     /// before its first lease, the start of the controller.
-    pub(crate) fn since(&self) -> Millis {
-        self.leadership.since()
+    pub(crate) fn leading_since(&self) -> Millis {
+        self.leadership.leading_since()
     }
 
     /// Returns whether the controller with this name holds the leader lease.
-    pub(crate) fn is_label(&self, mirror: &Mirror, label: &str) -> bool {
+    pub(crate) fn is_held_by(&self, mirror: &Mirror, label: &str) -> bool {
         let lease = mirror.leader_lease.as_ref();
         lease.is_some_and(|lease| lease.label == label)
     }
@@ -85,9 +85,9 @@
     }
 
     /// Stores a shard's capacity report, unless it is malformed or from a previous owner.
-    pub(crate) fn hear(&mut self, report: CapacityReport, now: Millis) {
+    pub(crate) fn record_capacity_report(&mut self, report: CapacityReport, now: Millis) {
         if self.capacities.receive(report, now) {
-            self.dirty = true;
+            self.needs_cycle = true;
         }
     }
 
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -15,7 +15,7 @@
 use crate::peers::SUCCESSION_MS;
 use crate::shard_lease::{LeaseEvent, LeasePhase};
 use cherryyard_wire::record::{self, Key, LeaseRecord};
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 
 /// Time since its start after which a controller takes over its preferred shard from a peer.
 const MIN_UPTIME_FOR_TAKEOVER_MS: Millis = 12_000.0;
@@ -89,7 +89,7 @@
         let own_token = |holder: &Option<LeaseHolder>| {
             holder
                 .as_ref()
-                .filter(|holder| holder.process == Some(self.process))
+                .filter(|holder| holder.process == Some(self.process_id))
                 .map(|holder| holder.revision)
                 .filter(|token| self.mirror.store_revision >= *token)
         };
@@ -105,7 +105,7 @@
             }
         }
         if let Some(token) = leader_token
-            && !self.leader.leadership.leads_by(token)
+            && !self.leader.leadership.leads_under(token)
         {
             self.become_leader(token, now);
         }
@@ -122,7 +122,7 @@
             }
             Some(LeasePhase::Held(token)) => {
                 tracing::info!(shard = shard_id, token, "shard lease acquired");
-                self.shards[shard_id].dirty = true;
+                self.shards[shard_id].needs_cycle = true;
                 self.queue_all(shard_id, now);
                 self.capacity_changed = true;
                 let machines = self.machines.values_mut();
@@ -137,7 +137,7 @@
 
     /// Returns the shard's token, if this controller holds the lease and the mirror is as recent
     /// as the lease.
-    pub(crate) fn owned(&self, shard_id: usize) -> Option<u64> {
+    pub(crate) fn owned_token(&self, shard_id: usize) -> Option<u64> {
         let token = self.shards[shard_id].lease.held_token()?;
         // Before the mirror has reached the revision of the lease, it may lack the last
         // assignments of the previous owner.
@@ -167,9 +167,9 @@
     fn late_lease(&self, shard_id: usize, now: Millis) -> Option<u64> {
         let shard = &self.shards[shard_id];
         let holder = self.mirror.shards[shard_id].as_ref()?;
-        let is_late = holder.label == self.config.labels[self.config.me]
+        let is_late = holder.label == self.config.labels[self.config.own_index]
             && shard.lease.is_backing_off_untried(now)
-            && now >= shard.retry_after
+            && now >= shard.retry_at
             && !shard.lease.transaction_pending()
             && self.state_fresh(now);
         is_late.then_some(holder.revision)
@@ -194,7 +194,7 @@
             // then sees the newer lease and redirects the workers.
             StoredHolder::Peer => {
                 lease.note_owner();
-                shard_id == self.config.me
+                shard_id == self.config.own_index
                     && now - self.started_at > MIN_UPTIME_FOR_TAKEOVER_MS
                     && self.state_fresh(now)
             }
@@ -206,7 +206,7 @@
 
     fn stored_holder(&self, shard_id: usize) -> StoredHolder {
         match &self.mirror.shards[shard_id] {
-            Some(holder) if holder.label == self.config.labels[self.config.me] => {
+            Some(holder) if holder.label == self.config.labels[self.config.own_index] => {
                 StoredHolder::ThisController
             }
             Some(_) => StoredHolder::Peer,
@@ -218,13 +218,15 @@
     /// its lease: none for the preferred owner, and a longer one for each further controller in
     /// the order of succession.
     fn succession_delay(&self, shard_id: usize, now: Millis) -> Millis {
-        let me = self.config.me;
+        let me = self.config.own_index;
         if shard_id == me {
             return 0.0;
         }
         let count = self.shards.len();
         let rank = ((me + count - shard_id) % count) as f64;
-        let preferred_owner_is_alive = self.peers.has_state_within(shard_id, SUCCESSION_MS, now);
+        let preferred_owner_is_alive =
+            self.peers
+                .reaches_state_within(shard_id, SUCCESSION_MS, now);
         rank * SUCCESSION_STEP_MS
             + if preferred_owner_is_alive {
                 PREFERRED_OWNER_ALIVE_MS
@@ -236,9 +238,9 @@
     fn acquire_shard(&mut self, shard_id: usize, lease_id: u64) {
         let mut commit = Commit::default();
         self.mirror.require(&mut commit, Key::Shard(shard_id));
-        let label = &self.config.labels[self.config.me];
-        let holder = LeaseRecord::of(label, self.process, self.config.format);
-        commit.apply.push(Apply::Set {
+        let label = &self.config.labels[self.config.own_index];
+        let holder = LeaseRecord::of(label, self.process_id, self.config.format);
+        commit.changes.push(Change::Set {
             set: record::shard_key(shard_id),
             value: Json::of(&holder),
             lease_id: Some(lease_id),
@@ -312,7 +314,7 @@
     /// received its workers' heartbeats, no transaction for the shard is in flight, and the
     /// view of the state service is fresh.
     fn releasable(&self, shard_id: usize, silence_ms: Millis, now: Millis) -> Option<u64> {
-        let token = self.owned(shard_id)?;
+        let token = self.owned_token(shard_id)?;
         let shard = &self.shards[shard_id];
         let is_settled = !shard.lease.transaction_pending()
             && shard.pending.is_none()
@@ -342,8 +344,8 @@
         let mut commit = Commit::default();
         commit.require(record::shard_key(shard_id), token);
         commit
-            .apply
-            .push(Apply::delete(record::shard_key(shard_id)));
+            .changes
+            .push(Change::delete(record::shard_key(shard_id)));
         self.shards[shard_id].lease.release_sent();
         self.effects
             .push(Effect::Commit(Ticket::ReleaseShard(shard_id), commit));
@@ -360,7 +362,7 @@
         if self.shards[shard_id].lease.is_backing_off(now) {
             // The transaction released a late lease: it is sent again if the state service still
             // shows that lease after a short delay.
-            self.shards[shard_id].retry_after = now + self.jitter(200.0, 500.0);
+            self.shards[shard_id].retry_at = now + self.jitter(200.0, 500.0);
         } else if let Outcome::Applied(_) = outcome {
             self.shards[shard_id].lease.released(now);
             self.change_shard_lease(shard_id, LeaseEvent::Lost);
--- a/crates/cherryyard-core/src/mirror/admission_compaction.rs
+++ b/crates/cherryyard-core/src/mirror/admission_compaction.rs
@@ -2,10 +2,10 @@
 //! and joins pages with few remaining jobs.
 
 use super::Mirror;
-use super::admission_log::{MOST_ROWS, PageDraft};
+use super::admission_log::{MAX_JOBS_PER_PAGE, PageDraft};
 use crate::Config;
 use cherryyard_wire::record::{Key, admission_log_key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Maximum number of changes for deleting a page: the deletion, and the rewrite of the page
 /// before it.
@@ -34,31 +34,31 @@
             if existing.has_unknown_team {
                 continue;
             }
-            let capacity = config.txn_ops.saturating_sub(commit.apply.len());
+            let capacity = config.txn_ops.saturating_sub(commit.changes.len());
             if capacity < CHANGES_PER_DELETION {
                 break;
             }
             let remaining = existing
                 .jobs
                 .iter()
-                .filter(|job| self.in_page(**job))
+                .filter(|job| self.is_only_in_admission_log(**job))
                 .count();
             if page == 0 {
                 if remaining == 0 && !existing.jobs.is_empty() {
                     self.require(&mut commit, Key::AdmissionPage(0));
-                    commit.apply.push(PageDraft::new(config).apply(0));
+                    commit.changes.push(PageDraft::new(config).apply(0));
                 }
             } else if remaining == 0 {
                 // The deletion rewrites the page before it, so that page is not joined in the
                 // same transaction.
                 sparse = sparse.filter(|earlier| earlier.page + 1 != page);
                 self.delete_page(&mut commit, page, config);
-            } else if remaining <= MOST_ROWS / 4 {
+            } else if remaining <= MAX_JOBS_PER_PAGE / 4 {
                 // The jobs move to the later of the two pages: a full read in progress, which
                 // reads keys in order, then finds them on at least one of the pages.
                 match sparse.take() {
                     Some(earlier)
-                        if earlier.jobs + remaining <= MOST_ROWS / 2
+                        if earlier.jobs + remaining <= MAX_JOBS_PER_PAGE / 2
                             && capacity >= CHANGES_PER_JOIN =>
                     {
                         if self.join_pages(&mut commit, earlier.page, page, config) {
@@ -74,7 +74,7 @@
                 }
             }
         }
-        (!commit.apply.is_empty()).then_some(commit)
+        (!commit.changes.is_empty()).then_some(commit)
     }
 
     /// Adds the deletion of a page to a transaction; returns false, and adds nothing, if the page
@@ -84,7 +84,7 @@
     fn delete_page(&self, commit: &mut Commit, page: u64, config: &Config) -> bool {
         let is_changed = |page: u64| {
             let key = admission_log_key(page);
-            commit.apply.iter().any(|change| change.key() == key)
+            commit.changes.iter().any(|change| change.key() == key)
         };
         let previous = page.checked_sub(1);
         let is_known = |page: &u64| self.admission_log.get(*page).is_some();
@@ -94,10 +94,10 @@
                 return false;
             };
             self.require(commit, Key::AdmissionPage(previous));
-            commit.apply.push(draft.apply(previous));
+            commit.changes.push(draft.apply(previous));
         }
         self.require(commit, Key::AdmissionPage(page));
-        commit.apply.push(Apply::delete(admission_log_key(page)));
+        commit.changes.push(Change::delete(admission_log_key(page)));
         true
     }
 
@@ -108,7 +108,10 @@
         let (Some(moved), Some(mut draft)) = (moved, self.draft(into, config)) else {
             return false;
         };
-        let mut remaining = moved.jobs.iter().filter(|job| self.in_page(**job));
+        let mut remaining = moved
+            .jobs
+            .iter()
+            .filter(|job| self.is_only_in_admission_log(**job));
         let fits = remaining.all(|&job| {
             let open = self.open.get(&job);
             open.is_some_and(|open| draft.push(job, open))
@@ -120,7 +123,7 @@
         // never drops the moved jobs.
         let mut joined = commit.clone();
         self.require(&mut joined, Key::AdmissionPage(into));
-        joined.apply.push(draft.apply(into));
+        joined.changes.push(draft.apply(into));
         let deleted = self.delete_page(&mut joined, from, config);
         if deleted {
             *commit = joined;
--- a/crates/cherryyard-core/src/mirror/assignments.rs
+++ b/crates/cherryyard-core/src/mirror/assignments.rs
@@ -2,7 +2,7 @@
 //! be started.
 
 use super::Mirror;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use crate::pages::{Assignment, JobAssignments, Page, PageFormat};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::record::Key;
@@ -137,7 +137,9 @@
             (Some(share), None) => share.clone(),
             (Some(share), Some(job_assignments)) => {
                 let assigned: RangeSet = job_assignments.assignments.keys().copied().collect();
-                share.minus(&job_assignments.done).minus(&assigned)
+                share
+                    .difference(&job_assignments.done)
+                    .difference(&assigned)
             }
         };
         let is_waiting = !unassigned.is_empty();
@@ -191,7 +193,7 @@
 
     /// Returns the format for storing pages: packed as soon as every controller can read it.
     pub(crate) fn page_format(&self) -> PageFormat {
-        if self.takes_dependencies() {
+        if self.are_dependencies_ready() {
             PageFormat::Packed
         } else {
             PageFormat::Plain
@@ -231,7 +233,7 @@
     }
 
     /// Returns the assignments on a machine, by job and task number.
-    pub fn on_host(&self, host: u32) -> impl Iterator<Item = ((u64, u32), Assignment)> + '_ {
+    pub fn assignments_on(&self, host: u32) -> impl Iterator<Item = ((u64, u32), Assignment)> + '_ {
         let tasks = self.tasks.machine_tasks(host).into_iter().flatten();
         tasks.map(|(&task, &assignment)| (task, assignment))
     }
@@ -274,22 +276,22 @@
 
     /// Returns the resources that each team uses in `shard`. A task counts from its assignment
     /// until it is proven to be gone.
-    pub fn usage(&self, shard: usize) -> Vec<Needs> {
-        let mut used = vec![Needs::default(); self.teams.len()];
+    pub fn usage(&self, shard: usize) -> Vec<Resources> {
+        let mut used = vec![Resources::default(); self.teams.len()];
         let in_shard = (shard, 0)..=(shard, u64::MAX);
         for (&(_, job), job_assignments) in self.tasks.assignments.range(in_shard) {
             let count = job_assignments.assignments.len();
             if count == 0 {
                 continue;
             }
-            if let Some((team, needs)) = self.uses(job)
+            if let Some((team, needs)) = self.task_resources(job)
                 && let Some(used) = used.get_mut(team as usize)
             {
                 let count = count as f64;
-                used.give(&Needs {
+                used.add(&Resources {
                     cores: needs.cores * count,
-                    acc: needs.acc * count,
-                    ram: needs.ram * count,
+                    accelerators: needs.accelerators * count,
+                    ram_gb: needs.ram_gb * count,
                 });
             }
         }
--- a/crates/cherryyard-core/src/mirror/buckets.rs
+++ b/crates/cherryyard-core/src/mirror/buckets.rs
@@ -17,7 +17,7 @@
 use cherryyard_wire::record::{
     self, BUCKETS, BucketRecord, JobRecord, Key, TaskUsage, bucket_key, job_hash, job_key,
 };
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of buckets that are created when the format of buckets is introduced.
@@ -73,7 +73,7 @@
 impl Mirror {
     /// Returns the key of the record that contains a job or would contain it: its own key or that
     /// of a bucket.
-    pub(crate) fn home(&self, job: u64) -> Key {
+    pub(crate) fn record_key(&self, job: u64) -> Key {
         if self.format.jobs < BUCKETS || self.has_own_record(job) {
             return Key::Job(job);
         }
@@ -137,13 +137,13 @@
     /// since before it covered the end, so the mirror holds all dependents once it has read up to
     /// the current record.
     fn can_remove_ended(&self, job: u64) -> bool {
-        if self.store_revision < self.packed_revision || self.has_dependents(job) {
+        if self.store_revision < self.history_progress_revision || self.has_dependents(job) {
             return false;
         }
         self.ended
             .get(job)
-            .is_some_and(|ended| ended.generation <= self.packed.gen_done)
-            && !self.named_in_pages(job)
+            .is_some_and(|ended| ended.generation <= self.history_progress.archived_generation)
+            && !self.is_listed_in_pages(job)
     }
 
     /// Returns a job of a bucket as the mirror holds it, for rewriting the bucket.
@@ -154,7 +154,7 @@
         let ended = self.ended.get(job)?;
         // The demand of the job's tasks is needed only while a page lists the job.
         let demand = self.ended.demand(job);
-        let demand = demand.filter(|_| self.named_in_pages(job));
+        let demand = demand.filter(|_| self.is_listed_in_pages(job));
         Some(BucketItem::Ended {
             end: ended.end,
             task_count: ended.task_count,
@@ -171,8 +171,8 @@
         TaskUsage {
             team,
             cores: demand.needs.cores,
-            accelerators: demand.needs.acc,
-            ram_gb: demand.needs.ram,
+            accelerators: demand.needs.accelerators,
+            ram_gb: demand.needs.ram_gb,
         }
     }
 
@@ -188,7 +188,7 @@
         record: JobRecord,
         config: &Config,
     ) -> bool {
-        let added = !self.format.by_pages
+        let added = !self.format.uses_admission_log
             && self.view(job).is_none()
             && self.write_jobs(commit, vec![(job, record)], config);
         if added {
@@ -211,12 +211,12 @@
             buckets,
             has_ends,
         } = self.plan_write(records);
-        let mut puts: Vec<Apply> = Vec::new();
+        let mut puts: Vec<Change> = Vec::new();
         for (job, value) in &own_records {
             if value.text().len() > config.value_bytes {
                 return false;
             }
-            puts.push(Apply::put(job_key(*job), value.clone()));
+            puts.push(Change::put(job_key(*job), value.clone()));
         }
         let starts: Vec<u64> = buckets.keys().copied().collect();
         for (start, items) in buckets {
@@ -225,7 +225,7 @@
             };
             puts.extend(changed);
         }
-        if commit.apply.len() + puts.len() > config.txn_ops {
+        if commit.changes.len() + puts.len() > config.txn_ops {
             return false;
         }
         for (job, _) in own_records {
@@ -238,18 +238,18 @@
         }
         if has_ends {
             // No end may be added to a generation after it has been closed.
-            self.require(commit, Key::Packed);
+            self.require(commit, Key::HistoryProgress);
         }
         for start in starts {
             self.require(commit, Key::Bucket(start));
         }
-        commit.apply.extend(puts);
+        commit.changes.extend(puts);
         true
     }
 
     fn plan_write(&self, records: Vec<(u64, JobRecord)>) -> WritePlan {
         let mut plan = WritePlan::default();
-        let generation = self.packed.generation();
+        let generation = self.history_progress.generation();
         for (job, mut record) in records {
             if let JobRecord::Ended {
                 generation: stored, ..
@@ -259,7 +259,7 @@
                 *stored = generation;
                 plan.has_ends = true;
             }
-            match self.home(job) {
+            match self.record_key(job) {
                 Key::Bucket(start) => {
                     let items = plan.buckets.entry(start).or_default();
                     items.insert(job, BucketItem::of(record, generation));
@@ -278,7 +278,7 @@
         start: u64,
         mut items: BTreeMap<u64, BucketItem>,
         value_bytes: usize,
-    ) -> Option<Vec<Apply>> {
+    ) -> Option<Vec<Change>> {
         let bucket = self.buckets.get(start)?;
         for &job in &bucket.jobs {
             if !items.contains_key(&job)
@@ -294,7 +294,7 @@
             if value.text().len() > value_bytes {
                 return None;
             }
-            puts.push(Apply::put(bucket_key(start), value));
+            puts.push(Change::put(bucket_key(start), value));
         }
         Some(puts)
     }
@@ -302,22 +302,24 @@
     /// Returns the transaction that introduces the format of buckets and creates as many empty
     /// buckets as it may have changes, up to a maximum. It changes the record of the formats, which
     /// transactions that add a job under its own key require to be unchanged.
-    pub(crate) fn begin_buckets(&self, txn_ops: usize) -> Commit {
+    pub(crate) fn enable_buckets(&self, txn_ops: usize) -> Commit {
         let mut commit = Commit::default();
         self.require(&mut commit, Key::Format);
         let format = record::FormatRecord {
             jobs: BUCKETS,
-            admission_log: self.format.by_pages,
+            admission_log: self.format.uses_admission_log,
             dependencies: self.format.dependencies,
         };
-        commit.apply.push(Apply::set(record::FORMAT, &format));
+        commit
+            .changes
+            .push(Change::set(record::FORMAT_KEY, &format));
         let count = txn_ops.saturating_sub(1).clamp(1, MAX_INITIAL_BUCKETS) as u64;
         let width = (u64::MAX / count).saturating_add(1);
         for i in 0..count {
             let start = width * i;
             commit.require(bucket_key(start), 0);
             let empty = BucketRecord::default();
-            commit.apply.push(Apply::set(bucket_key(start), &empty));
+            commit.changes.push(Change::set(bucket_key(start), &empty));
         }
         commit
     }
--- a/crates/cherryyard-core/src/mirror/ended.rs
+++ b/crates/cherryyard-core/src/mirror/ended.rs
@@ -1,8 +1,8 @@
 //! Ended jobs: those that the watched records (the ones under the prefix that the mirror covers)
 //! still list, and the most recent of those that only the history lists.
 
-use crate::needs::Needs;
-use cherryyard_wire::record::End;
+use crate::needs::Resources;
+use cherryyard_wire::record::JobOutcome;
 use lru::LruCache;
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EndedJob {
     /// Outcome of the job: done or cancelled.
-    pub end: End,
+    pub end: JobOutcome,
     /// Number of the job's tasks.
     pub task_count: u32,
     /// Generation of the history that the end belongs to.
@@ -29,14 +29,14 @@
     /// Index of the team; `u32::MAX` for a team that is not in the settings.
     pub team: u32,
     /// Resources of one task.
-    pub needs: Needs,
+    pub needs: Resources,
 }
 
 /// End of a job, in the reduced form kept for jobs that only the history lists.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobEnd {
     /// Outcome of the job: done or cancelled.
-    pub end: End,
+    pub end: JobOutcome,
     /// Number of the job's tasks.
     pub task_count: u32,
 }
--- a/crates/cherryyard-core/src/mirror/open_job.rs
+++ b/crates/cherryyard-core/src/mirror/open_job.rs
@@ -3,12 +3,12 @@
 use super::Urgency;
 use crate::admission::flows::Flow;
 use crate::admit::allows_machine_type;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use crate::pools::PoolSet;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, Rank, Shape};
-use cherryyard_wire::record::{End, JobRecord, TaskUsage};
+use cherryyard_wire::record::{JobOutcome, JobRecord, TaskUsage};
 use cherryyard_wire::rules::Rules;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -86,7 +86,7 @@
     /// Returns whether the job's tasks may preempt those of another job because of their priority.
     /// For a service, the two jobs' own priorities are compared: with inherited ones, an array that
     /// inherits a service's priority from a dependent would keep services out.
-    pub fn goes_before(&self, other: &Self) -> bool {
+    pub fn may_preempt(&self, other: &Self) -> bool {
         if self.spec.shape == Shape::Service {
             return other.spec.rank < self.spec.rank;
         }
@@ -100,11 +100,11 @@
     }
 
     /// Returns the resources that one of the job's tasks takes.
-    pub fn needs(&self) -> Needs {
-        Needs {
+    pub fn needs(&self) -> Resources {
+        Resources {
             cores: self.spec.cores,
-            acc: self.spec.accelerators,
-            ram: self.spec.ram_gb,
+            accelerators: self.spec.accelerators,
+            ram_gb: self.spec.ram_gb,
         }
     }
 
@@ -126,7 +126,7 @@
 
     /// Returns whether the job's tasks may be preempted for jobs of higher priority: the job is an
     /// array with standard priority or below.
-    pub fn makes_way(&self) -> bool {
+    pub fn is_preemptible(&self) -> bool {
         self.spec.shape == Shape::Array && self.spec.rank <= Rank::Standard
     }
 
@@ -134,17 +134,17 @@
     pub fn record(&self) -> JobRecord {
         JobRecord::Open {
             spec: Box::new(self.spec.clone()),
-            at: self.submitted_at,
-            div: self.division.clone(),
+            submitted_at_ms: self.submitted_at,
+            division: self.division.clone(),
             zone: self.zone.clone(),
-            caps: self.zone_caps.clone(),
+            zone_caps: self.zone_caps.clone(),
             rules: self.rules.as_ref().map(|(rules, _)| rules.clone()),
-            after: self.dependencies.clone(),
+            dependencies: self.dependencies.clone(),
         }
     }
 
     /// Returns the record of the job's end.
-    pub fn ended(&self, end: End) -> JobRecord {
+    pub fn ended(&self, end: JobOutcome) -> JobRecord {
         JobRecord::Ended {
             end,
             task_count: self.spec.task_count,
--- a/crates/cherryyard-core/src/owner/aging.rs
+++ b/crates/cherryyard-core/src/owner/aging.rs
@@ -28,9 +28,9 @@
 
     /// Moves the oldest job of each flow that has not started, if it has waited long enough, to the
     /// front of its flow, and requeues the jobs whose place has changed.
-    pub(super) fn reserve_for_oldest(&mut self, shard_id: usize, now: Millis) {
+    pub(super) fn prioritize_oldest_jobs(&mut self, shard_id: usize, now: Millis) {
         let wall = now + self.wall_offset;
-        let min_wait_ms = self.config.tuning.admission.turn_s * 1000.0;
+        let min_wait_ms = self.config.tuning.admission.aging_s * 1000.0;
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
         // A quarantined job is passed over: it fails wherever it runs, so at the front it would
         // keep every other job from going first.
@@ -39,7 +39,7 @@
             self.has_started(job) || failures.is_some_and(|failures| failures.is_quarantined())
         };
         let changed =
-            queues.reserve_for_oldest(|at| wall - at as f64 >= min_wait_ms, is_passed_over);
+            queues.prioritize_oldest_jobs(|at| wall - at as f64 >= min_wait_ms, is_passed_over);
         self.shards[shard_id].queues = queues;
         for job in changed {
             self.requeue(shard_id, job, now);
@@ -58,8 +58,8 @@
             let (job, number) = kept.task;
             let machine = machines.get(&kept.host);
             let waiting = mirror.waiting(shard_id, job);
-            queues.turn(flow) == Some(job)
-                && machine.is_some_and(|m| m.usable(now, max_silence_ms))
+            queues.oldest_job(flow) == Some(job)
+                && machine.is_some_and(|m| m.is_usable(now, max_silence_ms))
                 && waiting.is_some_and(|waiting| waiting.contains(number))
         });
     }
@@ -94,7 +94,7 @@
             return;
         };
         let silence = self.silence_ms();
-        let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
+        let usable = |m: &&Machine| m.shard == shard_id && m.is_usable(now, silence);
         let machines = self.machines.values().filter(usable);
         if kept_machines.len() >= (machines.clone().count() / MACHINES_PER_KEPT).max(1) {
             return;
@@ -138,11 +138,11 @@
     fn free_cores_if_fits_after_arrays(&self, machine: &Machine, open: &OpenJob) -> Option<f64> {
         let mut free = self.free_on(machine, None)?;
         let free_cores = free.cores;
-        for ((job, _), _) in self.mirror.on_host(machine.host) {
+        for ((job, _), _) in self.mirror.assignments_on(machine.host) {
             if let Some(other) = self.mirror.open.get(&job)
                 && other.spec.shape == Shape::Array
             {
-                free.give(&other.needs());
+                free.add(&other.needs());
             }
         }
         open.needs().fits(&free).then_some(free_cores)
--- a/crates/cherryyard-core/src/owner/cycle/commit.rs
+++ b/crates/cherryyard-core/src/owner/cycle/commit.rs
@@ -2,8 +2,8 @@
 
 use super::Cycle;
 use crate::controller::Controller;
-use cherryyard_wire::record::{self, End, Key};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::record::{self, JobOutcome, Key};
+use cherryyard_wire::state::{Change, Commit};
 
 impl Controller {
     /// Returns the transaction of a cycle, which depends on the shard's token.
@@ -19,7 +19,7 @@
         self.require_as_placed(&mut commit, shard_id, cycle);
         let ends = cycle.ends.iter().filter_map(|&job| {
             let open = self.mirror.open.get(&job)?;
-            Some((job, open.ended(End::Done)))
+            Some((job, open.ended(JobOutcome::Done)))
         });
         // Ended records are smaller than the open records that they replace, and each was counted
         // as a change of its own, so they fit into the transaction.
@@ -38,9 +38,9 @@
             let key = record::assignments_key(shard_id, number);
             if !edited.page.jobs.is_empty() || number == 0 {
                 let stored = edited.page.stored(&self.mirror.hosts, cycle.format);
-                commit.apply.push(Apply::set(key, &stored));
+                commit.changes.push(Change::set(key, &stored));
             } else if self.mirror.tasks.pages[shard_id].contains_key(&number) {
-                commit.apply.push(Apply::delete(key));
+                commit.changes.push(Change::delete(key));
             }
         }
     }
--- a/crates/cherryyard-core/src/owner/eviction.rs
+++ b/crates/cherryyard-core/src/owner/eviction.rs
@@ -8,7 +8,7 @@
 use crate::controller::Controller;
 use crate::machine::{ImageState, Machine, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Rank;
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
     pub(super) task: Task,
     pub(super) attempt: u64,
     rank: Rank,
-    needs: Needs,
+    needs: Resources,
     flow: Flow,
 }
 
@@ -42,7 +42,7 @@
     pub(super) shard_id: usize,
     pub(super) job: u64,
     pub(super) open: &'a OpenJob,
-    pub(super) needs: Needs,
+    pub(super) needs: Resources,
     pub(super) scope: EvictionScope,
     /// Number of the job's tasks by zone.
     pub(super) zones: HashMap<String, u32>,
@@ -63,7 +63,7 @@
         let mut best: Option<Eviction> = None;
         for machine in self.controller.machines.values() {
             if machine.shard != self.shard_id
-                || !machine.usable(self.now, silence)
+                || !machine.is_usable(self.now, silence)
                 || !self.is_eligible(machine, number)
                 || earlier.iter().any(|e| e.host == machine.host)
                 || self.is_unavailable(machine)
@@ -97,7 +97,7 @@
     /// preempted on it.
     fn is_unavailable(&self, machine: &Machine) -> bool {
         let shard = &self.controller.shards[self.shard_id];
-        let mut tasks = self.controller.mirror.on_host(machine.host);
+        let mut tasks = self.controller.mirror.assignments_on(machine.host);
         shard.reserved.contains_key(&machine.host)
             || self
                 .controller
@@ -129,7 +129,7 @@
                 }
                 *left -= victim.needs.cores;
             }
-            free.give(&victim.needs);
+            free.add(&victim.needs);
             cost += VICTIM_COST - victim.attempt as f64;
             victims.push(victim);
         }
@@ -152,7 +152,7 @@
     fn possible_victims(&self, machine: &Machine, preemption: &Preemption) -> Vec<Victim> {
         let mirror = &self.controller.mirror;
         let mut victims: Vec<Victim> = mirror
-            .on_host(machine.host)
+            .assignments_on(machine.host)
             .filter_map(|(task, assignment)| {
                 let open = mirror.open.get(&task.0)?;
                 self.may_preempt(open, preemption).then(|| Victim {
@@ -171,7 +171,7 @@
     /// Returns whether this job may preempt another: the other is less important, or the other's
     /// team uses more than its guarantee while this job's team stays within its own.
     fn may_preempt(&self, other: &OpenJob, preemption: &Preemption) -> bool {
-        if self.open.goes_before(other) {
+        if self.open.may_preempt(other) {
             return true;
         }
         let (team, other_team) = (self.open.team as usize, other.team as usize);
--- a/crates/cherryyard-core/src/owner/placement.rs
+++ b/crates/cherryyard-core/src/owner/placement.rs
@@ -15,7 +15,7 @@
 use crate::effects::Effect;
 use crate::machine::{Machine, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use crate::pages::Assignment;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::job::Shape;
@@ -34,9 +34,9 @@
     pub(super) shard_id: usize,
     pub(super) now: Millis,
     /// Remaining free capacity by machine.
-    pub(super) capacities: Vec<(u32, Needs)>,
+    pub(super) capacities: Vec<(u32, Resources)>,
     /// Capacity that each team uses in the shard.
-    pub(super) used: Vec<Needs>,
+    pub(super) used: Vec<Resources>,
     pub(super) preemption: Preemption,
     unmet_needs: UnmetNeeds,
     /// Services that are held back for another shard.
@@ -57,7 +57,7 @@
 impl Placement {
     /// Returns whether a flow has an allowance to start ahead of others regardless of rank, but too
     /// little of it is left for a task. The flow then loses the rest of the allowance.
-    fn is_beyond_allowance(&mut self, flow: Flow, needs: &Needs) -> bool {
+    fn is_beyond_allowance(&mut self, flow: Flow, needs: &Resources) -> bool {
         let left = self.ahead_cores.get(&flow);
         let is_beyond = left.is_some_and(|left| *left < needs.cores);
         if is_beyond {
@@ -82,7 +82,7 @@
 
     /// Returns whether no machine has enough free capacity, and records that, so that no machine is
     /// sought for the next task of this size or larger.
-    fn fits_nowhere(&mut self, needs: &Needs) -> bool {
+    fn fits_nowhere(&mut self, needs: &Resources) -> bool {
         let fits_nowhere = !self.capacities.iter().any(|(_, free)| needs.fits(free));
         if fits_nowhere {
             self.unmet_needs.add(*needs);
@@ -98,7 +98,7 @@
     pub(super) team: u32,
     /// Team of the job, if it has a limit.
     limited_team: Option<u32>,
-    pub(super) needs: Needs,
+    pub(super) needs: Resources,
     is_service: bool,
     /// Time since which the job has waited in this shard.
     pub(super) waiting_since: Option<Millis>,
@@ -133,12 +133,12 @@
         self.drop_old_reservations(shard_id, now);
         let shard = &mut self.shards[shard_id];
         if shard.queues.is_empty() {
-            shard.handing.clear();
+            shard.handover_candidates.clear();
             return;
         }
-        shard.queues.mark_seen();
+        shard.queues.mark_inspected();
         self.requeue_late_share(shard_id, now);
-        self.reserve_for_oldest(shard_id, now);
+        self.prioritize_oldest_jobs(shard_id, now);
         // The queues are taken out so that `self` can be borrowed meanwhile, and put back at the
         // end. Nothing in between uses those of the shard.
         let mut queues = std::mem::take(&mut self.shards[shard_id].queues);
@@ -169,13 +169,13 @@
         let mut placement = self.begin_placement(shard_id, cycle, now);
         let mut service_order = queues.service_order();
         for &flow in placement.ahead_cores.keys() {
-            service_order.ahead(flow, true);
+            service_order.set_ahead(flow, true);
         }
-        while let Some((flow, place)) = service_order.step() {
+        while let Some((flow, place)) = service_order.next_job() {
             self.inspected_jobs += 1;
             // The job counts as stuck until one of its tasks is placed.
             if placement.search_budget.count_inspected(flow, place) {
-                service_order.close(flow);
+                service_order.close_flow(flow);
             }
             let Some(needs) = self.needs_of_waiting_job(shard_id, place.job) else {
                 continue;
@@ -183,8 +183,8 @@
             if placement.is_beyond_allowance(flow, &needs) {
                 // The allowance is too small for a task of this job, so the rest of the flow goes
                 // on at its regular place.
-                service_order.ahead(flow, false);
-                service_order.back(flow, place);
+                service_order.set_ahead(flow, false);
+                service_order.put_back(flow, place);
                 continue;
             }
             let Some(candidate) = self.candidate(&placement, flow, place.job, queues, cycle) else {
@@ -196,8 +196,8 @@
             match self.place_job(&mut placement, &candidate, queues, cycle, pending) {
                 NextStep::NextJob => {}
                 NextStep::RetryJob => {
-                    service_order.ahead(flow, false);
-                    service_order.back(flow, place);
+                    service_order.set_ahead(flow, false);
+                    service_order.put_back(flow, place);
                 }
                 NextStep::Stop => break,
             }
@@ -227,9 +227,14 @@
     }
 
     /// Returns the free capacity of a shard's usable machines, in the order of the machines.
-    fn free_capacities(&self, shard_id: usize, cycle: &Cycle, now: Millis) -> Vec<(u32, Needs)> {
+    fn free_capacities(
+        &self,
+        shard_id: usize,
+        cycle: &Cycle,
+        now: Millis,
+    ) -> Vec<(u32, Resources)> {
         let silence = self.silence_ms();
-        let usable = |m: &&Machine| m.shard == shard_id && m.usable(now, silence);
+        let usable = |m: &&Machine| m.shard == shard_id && m.is_usable(now, silence);
         let free = |m: &Machine| Some((m.host, self.free_on(m, Some(cycle))?));
         let usable_machines = self.machines.values().filter(usable);
         usable_machines.filter_map(free).collect()
@@ -237,13 +242,13 @@
 
     /// Returns what each team uses in a shard, without the tasks that the cycle withdraws, since
     /// their capacity counts as free under the team's limit too.
-    fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Needs> {
+    fn usage_after(&self, shard_id: usize, cycle: &Cycle) -> Vec<Resources> {
         let mut used = self.mirror.usage(shard_id);
         for task in &cycle.withdrawn {
-            if let Some((team, needs)) = self.mirror.uses(task.0)
+            if let Some((team, needs)) = self.mirror.task_resources(task.0)
                 && let Some(used) = used.get_mut(team as usize)
             {
-                used.take(&needs);
+                used.subtract(&needs);
             }
         }
         used
@@ -251,7 +256,7 @@
 
     /// Returns the capacity that a task of a job needs, or `None` if the job does not wait in the
     /// shard.
-    fn needs_of_waiting_job(&self, shard_id: usize, job: u64) -> Option<Needs> {
+    fn needs_of_waiting_job(&self, shard_id: usize, job: u64) -> Option<Resources> {
         self.mirror.waiting(shard_id, job)?;
         self.mirror.open.get(&job).map(OpenJob::needs)
     }
@@ -270,7 +275,7 @@
         let open = self.mirror.open.get(&job)?;
         let mut waiting = self.mirror.waiting(shard_id, job)?.clone();
         let failures = self.shards[shard_id].job_failures.get(&job);
-        if failures.is_some_and(|failures| failures.held_off(placement.now)) {
+        if failures.is_some_and(|failures| failures.is_on_hold(placement.now)) {
             return None;
         }
         let is_quarantined = failures.is_some_and(JobFailures::is_quarantined);
@@ -278,7 +283,7 @@
             return None;
         }
         if let Some(&last) = placement.last_tried.get(&job) {
-            waiting = waiting.minus(&RangeSet::span(0, last));
+            waiting = waiting.difference(&RangeSet::from_range(0, last));
         }
         let team = open.team;
         let is_limited = self.config.teams[team as usize].limited();
@@ -322,7 +327,7 @@
             if placement.placed >= MAX_PLACED {
                 return NextStep::Stop;
             }
-            if self.beyond_grant(shard_id, candidate.team, &placement.used, needs) {
+            if self.exceeds_grant(shard_id, candidate.team, &placement.used, needs) {
                 return NextStep::NextJob;
             }
             if placement.unmet_needs.is_unmet(needs) {
@@ -419,14 +424,14 @@
         };
         let task = (candidate.job, number);
         if !cycle.assign(&self.mirror, task, assignment, candidate.limited_team) {
-            self.shards[placement.shard_id].dirty = true;
+            self.shards[placement.shard_id].needs_cycle = true;
             return false;
         }
         if candidate.is_service {
             self.log_service_placed(candidate, host, placement.now);
         }
-        free.take(&candidate.needs);
-        placement.used[candidate.team as usize].give(&candidate.needs);
+        free.subtract(&candidate.needs);
+        placement.used[candidate.team as usize].add(&candidate.needs);
         placement.placed += 1;
         placement.search_budget.note_placed(candidate.flow);
         let started = placement.started_cores.entry(candidate.flow);
@@ -459,7 +464,7 @@
         let Some(&first) = unplaced.first() else {
             return;
         };
-        if queues.turn(candidate.flow) == Some(job) {
+        if queues.oldest_job(candidate.flow) == Some(job) {
             self.keep_machine(shard_id, candidate.flow, (job, first), zones, now);
         }
         let open = &self.mirror.open[&job];
@@ -476,17 +481,17 @@
 
     fn end_placement(&mut self, placement: Placement, queues: &mut Queues) {
         for (flow, cores) in placement.started_cores {
-            queues.started(flow, cores);
+            queues.credit_started_cores(flow, cores);
         }
         for (flow, others, last) in placement.search_budget.closed_flows() {
-            queues.inspected_at(flow, others, last);
+            queues.save_cursor(flow, others, last);
         }
         let handed_over = placement.handed_over;
         let shard = &mut self.shards[placement.shard_id];
-        if !handed_over.is_empty() && handed_over != shard.handing {
+        if !handed_over.is_empty() && handed_over != shard.handover_candidates {
             self.effects.push(Effect::Heartbeat);
-            self.leader.dirty = true;
+            self.leader.needs_cycle = true;
         }
-        shard.handing = handed_over;
+        shard.handover_candidates = handed_over;
     }
 }
--- a/crates/cherryyard-core/src/owner/planning.rs
+++ b/crates/cherryyard-core/src/owner/planning.rs
@@ -37,14 +37,14 @@
 impl Controller {
     /// Runs a scheduling cycle of a shard if one is due: collects, places and writes.
     pub(crate) fn plan_shard(&mut self, shard_id: usize, now: Millis) {
-        let Some(token) = self.owned(shard_id) else {
+        let Some(token) = self.owned_token(shard_id) else {
             return;
         };
         self.maintain_shard(shard_id, now);
         if !self.may_plan(shard_id, now) {
             return;
         }
-        self.shards[shard_id].dirty = false;
+        self.shards[shard_id].needs_cycle = false;
         self.shards[shard_id].planned_at = now;
         if !self.state_fresh(now) {
             return;
@@ -59,14 +59,14 @@
             return;
         }
         let mut commit = self.cycle_commit(shard_id, token, &cycle);
-        if commit.apply.len() < self.config.txn_ops
+        if commit.changes.len() < self.config.txn_ops
             && cycle.bytes() + self.config.page_bytes < TXN_BYTES
         {
             commit
-                .apply
+                .changes
                 .extend(self.images_record_change(shard_id, now));
         }
-        let writes = commit.apply.len();
+        let writes = commit.changes.len();
         tracing::debug!(shard = shard_id, writes, "scheduling cycle written");
         self.log_ends(&cycle, now);
         self.send_cycle(shard_id, commit, pending);
@@ -104,7 +104,7 @@
                 && now - machine.answered_at > lease
             {
                 machine.change(MachineEvent::LeaseExpired);
-                shard.touched.insert(machine.host);
+                shard.machines_to_inspect.insert(machine.host);
             }
         }
     }
@@ -114,7 +114,7 @@
         let shard = &self.shards[shard_id];
         shard.pending.is_none()
             && !shard.lease.transaction_pending()
-            && now >= shard.retry_after
+            && now >= shard.retry_at
             && self.mirror.store_revision >= shard.wait_revision
             && self.cycle_due(shard_id, now)
     }
@@ -124,7 +124,7 @@
     /// every owner would leave no writes for users and leases.
     fn cycle_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let left = shard.budget.left(now);
+        let left = shard.budget.tokens(now);
         // Without waiting tasks the completions of several tasks can share one cycle, and the
         // budget that this saves is available once tasks wait.
         let min_interval_ms = if self.mirror.tasks.waiting[shard_id].is_empty() {
@@ -137,7 +137,7 @@
         }
         // A service that no cycle has looked at yet may overdraw the budget instead of waiting for
         // it; the overdraft is made up by later cycles.
-        left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.any_unseen())
+        left >= 1.0 || (left > -shard.budget.overdraft() && shard.queues.has_uninspected_services())
     }
 
     /// Plans a cycle: collects proven ends, places tasks, and compacts pages if there is nothing
@@ -178,7 +178,7 @@
     /// interval.
     fn compaction_due(&mut self, shard_id: usize, now: Millis) -> bool {
         let shard = &mut self.shards[shard_id];
-        let is_due = shard.budget.left(now) >= MIN_COMPACTION_BUDGET
+        let is_due = shard.budget.tokens(now) >= MIN_COMPACTION_BUDGET
             && now - shard.compacted_at >= COMPACTION_INTERVAL_MS;
         if is_due {
             shard.compacted_at = now;
@@ -191,7 +191,7 @@
         if let Some(images) = self.images_record_change(shard_id, now) {
             let mut commit = Commit::default();
             commit.require(record::shard_key(shard_id), token);
-            commit.apply.push(images);
+            commit.changes.push(images);
             self.send_cycle(shard_id, commit, PendingCycle::default());
         }
     }
@@ -199,7 +199,7 @@
     /// Sends a scheduling cycle's transaction. The shard's next cycle waits for the outcome.
     fn send_cycle(&mut self, shard_id: usize, commit: Commit, pending: PendingCycle) {
         let shard = &mut self.shards[shard_id];
-        shard.budget.spend(commit.apply.len() as f64);
+        shard.budget.spend(commit.changes.len() as f64);
         shard.pending = Some(pending);
         self.effects
             .push(Effect::Commit(Ticket::OwnerCycle(shard_id), commit));
@@ -211,9 +211,9 @@
         let Some(pending) = shard.pending.take() else {
             return;
         };
-        shard.dirty = true;
+        shard.needs_cycle = true;
         if !matches!(outcome, Outcome::Applied(_)) {
-            shard.touched.extend(&pending.hosts);
+            shard.machines_to_inspect.extend(&pending.hosts);
         }
         match outcome {
             Outcome::Applied(_) => self.cycle_applied(shard_id, pending, now),
@@ -221,14 +221,14 @@
                 // A failed condition uses write budget too, so the next attempt waits for the
                 // change that made the condition fail.
                 shard.wait_revision = store_revision;
-                shard.retry_after = now + CONFLICT_RETRY_MS;
+                shard.retry_at = now + CONFLICT_RETRY_MS;
             }
-            Outcome::NoLease => shard.retry_after = now + NO_LEASE_RETRY_MS,
+            Outcome::NoLease => shard.retry_at = now + NO_LEASE_RETRY_MS,
             Outcome::Refused | Outcome::Malformed => {
-                self.shards[shard_id].retry_after = now + self.jitter(150.0, 400.0);
+                self.shards[shard_id].retry_at = now + self.jitter(150.0, 400.0);
             }
             Outcome::Unknown => {
-                self.shards[shard_id].retry_after = now + self.jitter(100.0, 300.0);
+                self.shards[shard_id].retry_at = now + self.jitter(100.0, 300.0);
             }
         }
     }
@@ -256,8 +256,8 @@
             return;
         };
         let shard_id = machine.shard;
-        self.shards[shard_id].dirty = true;
-        self.shards[shard_id].touched.insert(host);
+        self.shards[shard_id].needs_cycle = true;
+        self.shards[shard_id].machines_to_inspect.insert(host);
         if !machine.reported.is_empty() {
             self.record_image_use(host);
         }
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -148,7 +148,7 @@
             && self.assignments_are_current
             && !self.machine.is_reclaimed_soon(self.now);
         let (machine, mirror) = (self.machine, &self.controller.mirror);
-        let assigned = may_start.then(|| mirror.on_host(machine.host));
+        let assigned = may_start.then(|| mirror.assignments_on(machine.host));
         let missing = assigned.into_iter().flatten().filter(|(task, assignment)| {
             assignment.incarnation == machine.newest.0
                 && !machine.is_abandoned(assignment.incarnation, assignment.attempt)
@@ -192,7 +192,8 @@
             controller: self,
             machine,
             channel,
-            assignments_are_current: self.state_fresh(now) && self.owned(machine.shard).is_some(),
+            assignments_are_current: self.state_fresh(now)
+                && self.owned_token(machine.shard).is_some(),
             now,
         };
         for (&task, reported) in &machine.reported {
--- a/crates/cherryyard-core/src/owner/scale_in.rs
+++ b/crates/cherryyard-core/src/owner/scale_in.rs
@@ -57,16 +57,16 @@
     /// Returns the names of the listed machines to release.
     fn choose_releases(&self, now: Millis) -> Vec<String> {
         let mut usage = self.shard_usage(now);
-        let mut names: Vec<&String> = self.listed.keys().collect();
+        let mut names: Vec<&String> = self.cloud_machines.keys().collect();
         names.sort();
         let mut released = Vec::new();
         for name in names {
             if released.len() >= MAX_RELEASED {
                 break;
             }
-            let entry = &self.listed[name];
+            let entry = &self.cloud_machines[name];
             let shard_id = self.config.shard_map.shard(&entry.zone, name);
-            if self.owned(shard_id).is_none() {
+            if self.owned_token(shard_id).is_none() {
                 continue;
             }
             if let Some(reason) = self.release_reason(name, entry, &mut usage[shard_id], now) {
@@ -87,7 +87,7 @@
             }
             if let (Some(total), Some(free)) =
                 (self.total_capacity(machine), self.free_on(machine, None))
-                && machine.usable(now, self.silence_ms())
+                && machine.is_usable(now, self.silence_ms())
             {
                 shard.free_cores += free.cores;
                 shard.cores += total.cores;
@@ -130,7 +130,8 @@
             return Some(ReleaseReason::Failed);
         }
         let silence_limit = self.config.lease_ms + SILENT_AFTER_LEASE_MS;
-        if now - machine.last_heard_at > silence_limit && self.lag.punctual_for(now) > silence_limit
+        if now - machine.last_heard_at > silence_limit
+            && self.lag.time_without_lag(now) > silence_limit
         {
             return Some(ReleaseReason::Silent);
         }
@@ -161,7 +162,7 @@
         match entry.status {
             InstanceStatus::Failed => Some(ReleaseReason::Failed),
             InstanceStatus::Starting => (self.provisioning_progress(entry)
-                == ProvisioningProgress::Never)
+                == ProvisioningProgress::Failed)
                 .then_some(ReleaseReason::NeverUp),
             InstanceStatus::Running | InstanceStatus::Other => {
                 let shard_id = self.config.shard_map.shard(&entry.zone, name);
@@ -188,13 +189,13 @@
     fn is_idle(&self, machine: &Machine, now: Millis) -> bool {
         now - machine.busy_at > self.config.tuning.idle_return_s * 1000.0
             && machine.reported.is_empty()
-            && self.mirror.on_host(machine.host).next().is_none()
+            && self.mirror.assignments_on(machine.host).next().is_none()
     }
 
     /// Records that the release of a listed machine is requested. A machine that has never reported
     /// is registered, so that the answer to the request can resolve its assignments.
     fn note_listed_release(&mut self, name: &str, now: Millis) {
-        let entry = &self.listed[name];
+        let entry = &self.cloud_machines[name];
         let shard_id = self.config.shard_map.shard(&entry.zone, name);
         let host = self.mirror.hosts.intern(name);
         let machine = self
@@ -229,11 +230,15 @@
                 || now < machine.release_after
                 || now - machine.last_heard_at < self.config.lease_ms
         });
-        if is_known || self.listed.contains_key(self.mirror.hosts.name(host)) {
+        if is_known
+            || self
+                .cloud_machines
+                .contains_key(self.mirror.hosts.name(host))
+        {
             return None;
         }
         let shard_id = self.mirror.shard_of_assignment(host)?;
-        self.owned(shard_id)?;
+        self.owned_token(shard_id)?;
         // The list is delayed, so a new machine may not be listed yet.
         let owned_for = now - self.shards[shard_id].lease.token_since();
         let list_delay = 3.0 * self.config.list_lag_ms + self.config.lease_ms;
--- a/crates/cherryyard-core/src/owner/search.rs
+++ b/crates/cherryyard-core/src/owner/search.rs
@@ -1,22 +1,22 @@
 //! Failed searches of one scheduling cycle, so that equivalent searches are not repeated.
 
 use crate::admission::flows::Flow;
-use crate::admission::queue::{Place, WINDOW};
-use crate::needs::Needs;
+use crate::admission::queue::{MAX_UNPLACED_JOBS_IN_ROW, Place};
+use crate::needs::Resources;
 use std::collections::HashMap;
 
 /// Amounts for which no machine has free capacity.
 #[derive(Debug, Default)]
-pub(crate) struct UnmetNeeds(Vec<Needs>);
+pub(crate) struct UnmetNeeds(Vec<Resources>);
 
 impl UnmetNeeds {
     /// Returns whether an earlier search has shown that no machine has capacity for an amount.
-    pub(crate) fn is_unmet(&self, needs: &Needs) -> bool {
+    pub(crate) fn is_unmet(&self, needs: &Resources) -> bool {
         self.0.iter().any(|unmet| unmet.fits(needs))
     }
 
     /// Records that no machine has capacity for an amount.
-    pub(crate) fn add(&mut self, needs: Needs) {
+    pub(crate) fn add(&mut self, needs: Resources) {
         if !self.is_unmet(&needs) {
             self.0.retain(|unmet| !needs.fits(unmet));
             self.0.push(needs);
@@ -51,7 +51,7 @@
         }
         let stuck = self.stuck.entry(flow).or_default();
         *stuck += 1;
-        let close = *stuck >= WINDOW;
+        let close = *stuck >= MAX_UNPLACED_JOBS_IN_ROW;
         if close {
             let closed = ClosedFlow {
                 inspected: 0,
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::machine::{Machine, MachineState, Task};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Shape;
 
 /// Minimum number of a job's completed tasks for their run time to be used.
@@ -60,7 +60,7 @@
     /// Returns whether the shard's other machines have capacity for as many tasks of a job as there
     /// are tasks on `machine`.
     fn has_capacity_for_tasks_of(&self, machine: &Machine, open: &OpenJob, now: Millis) -> bool {
-        let tasks = self.mirror.on_host(machine.host).count() as u32;
+        let tasks = self.mirror.assignments_on(machine.host).count() as u32;
         let mut capacity = 0;
         for other in self.machines.values() {
             if other.shard == machine.shard
@@ -76,9 +76,14 @@
     }
 
     /// Returns the free capacity of a machine, or `None` if it may not run the job or is reserved.
-    fn unreserved_capacity(&self, machine: &Machine, open: &OpenJob, now: Millis) -> Option<Needs> {
+    fn unreserved_capacity(
+        &self,
+        machine: &Machine,
+        open: &OpenJob,
+        now: Millis,
+    ) -> Option<Resources> {
         let reserved = &self.shards[machine.shard].reserved;
-        if !machine.usable(now, self.silence_ms())
+        if !machine.is_usable(now, self.silence_ms())
             || !self.allowed(open, machine)
             || reserved.contains_key(&machine.host)
         {
--- a/crates/cherryyard-core/src/owner/team_limits.rs
+++ b/crates/cherryyard-core/src/owner/team_limits.rs
@@ -8,11 +8,11 @@
 use crate::controller::Controller;
 use crate::effects::{Effect, Ticket};
 use crate::mirror::OpenJob;
-use crate::needs::Needs;
+use crate::needs::Resources;
 use cherryyard_wire::job::Shape;
 use cherryyard_wire::peer::CapacityReport;
 use cherryyard_wire::record::{self, Grant};
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 
 /// Time for which a shard keeps the remainder of a grant that none of its waiting tasks fits into.
 const UNUSABLE_REMAINDER_MS: f64 = 2000.0;
@@ -39,12 +39,12 @@
             return false;
         }
         let shard_id = placement.shard_id;
-        if !self.beyond_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
+        if !self.exceeds_grant(shard_id, candidate.team, &placement.used, &candidate.needs) {
             return true;
         }
         // Otherwise smaller tasks would take each released part of the grant before it adds up to
         // enough for this job.
-        if queues.turn(candidate.flow) == Some(job)
+        if queues.oldest_job(candidate.flow) == Some(job)
             && !self.has_started(job)
             && self.fits_beside_services(shard_id, candidate)
             && self.shards[shard_id]
@@ -59,13 +59,13 @@
     /// Returns whether a task would be within its team's grant once the shard's arrays are done.
     fn fits_beside_services(&self, shard_id: usize, candidate: &Candidate) -> bool {
         let held = self.held_by_services(shard_id);
-        !self.beyond_grant(shard_id, candidate.team, &held, &candidate.needs)
+        !self.exceeds_grant(shard_id, candidate.team, &held, &candidate.needs)
     }
 
     /// Returns the capacity that each team's services use in the shard, which is not released by
     /// itself.
-    fn held_by_services(&self, shard_id: usize) -> Vec<Needs> {
-        let mut held = vec![Needs::default(); self.config.teams.len()];
+    fn held_by_services(&self, shard_id: usize) -> Vec<Resources> {
+        let mut held = vec![Resources::default(); self.config.teams.len()];
         let assigned = self
             .mirror
             .tasks
@@ -76,7 +76,7 @@
                 && open.spec.shape == Shape::Service
                 && let Some(held) = held.get_mut(open.team as usize)
             {
-                (0..job_tasks.assignments.len()).for_each(|_| held.give(&open.needs()));
+                (0..job_tasks.assignments.len()).for_each(|_| held.add(&open.needs()));
             }
         }
         held
@@ -84,31 +84,32 @@
 
     /// Returns whether one more task would exceed the team's grant in the shard, given what each
     /// team uses there now.
-    pub(crate) fn beyond_grant(
+    pub(crate) fn exceeds_grant(
         &self,
         shard_id: usize,
         team: u32,
-        used: &[Needs],
-        more: &Needs,
+        used: &[Resources],
+        more: &Resources,
     ) -> bool {
         let team = team as usize;
         let limits = &self.config.teams[team];
         let (grant, _) = &self.mirror.grants[team][shard_id];
         let used = &used[team];
         limits.cores_max.is_finite() && used.cores + more.cores > grant.cores + ROUNDING
-            || limits.acc_max.is_finite() && used.acc + more.acc > grant.acc + ROUNDING
+            || limits.accelerators_max.is_finite()
+                && used.accelerators + more.accelerators > grant.accelerators + ROUNDING
     }
 
     /// Returns the smallest amount of each resource that any of a team's waiting tasks in a shard
     /// needs.
-    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Needs> {
+    pub(crate) fn least_waiting(&self, shard_id: usize, team: usize) -> Option<Resources> {
         let waiting = self.mirror.tasks.waiting[shard_id].keys();
         let open = waiting.filter_map(|job| self.mirror.open.get(job));
         let of_team = open.filter(|open| open.team as usize == team);
-        of_team.map(OpenJob::needs).reduce(|a, b| Needs {
+        of_team.map(OpenJob::needs).reduce(|a, b| Resources {
             cores: a.cores.min(b.cores),
-            acc: a.acc.min(b.acc),
-            ram: a.ram.min(b.ram),
+            accelerators: a.accelerators.min(b.accelerators),
+            ram_gb: a.ram_gb.min(b.ram_gb),
         })
     }
 
@@ -119,12 +120,12 @@
         &mut self,
         shard_id: usize,
         team: usize,
-        used: &[Needs],
+        used: &[Resources],
         now: Millis,
     ) -> bool {
         let least = self.least_waiting(shard_id, team);
         let is_unusable =
-            least.is_some_and(|least| self.beyond_grant(shard_id, team as u32, used, &least));
+            least.is_some_and(|least| self.exceeds_grant(shard_id, team as u32, used, &least));
         let unusable_since = &mut self.shards[shard_id].unusable_remainders;
         if !is_unusable {
             unusable_since.remove(&team);
@@ -137,14 +138,14 @@
     /// grant, by the parts that these shards do not need.
     pub(crate) fn lower_grants(&mut self, short_teams: &[String], now: Millis) {
         for shard_id in 0..self.shards.len() {
-            let Some(token) = self.owned(shard_id) else {
+            let Some(token) = self.owned_token(shard_id) else {
                 continue;
             };
             if self.shards[shard_id].pending.is_some() || !self.state_fresh(now) {
                 continue;
             }
             let mut commit = self.lowered_grants(shard_id, token, short_teams, now);
-            if !commit.apply.is_empty() {
+            if !commit.changes.is_empty() {
                 // Requires that no assignment has been made since, as the leader's moves do: if the
                 // answer is lost, this transaction may be applied after later scheduling cycles,
                 // which rely on the old grant and do not change it.
@@ -172,8 +173,8 @@
         let mut commit = Commit::default();
         commit.require(record::shard_key(shard_id), token);
         for name in short_teams {
-            if commit.apply.len() >= self.config.txn_ops
-                || commit.when.len() + CONDITIONS_OF_GRANT > self.config.max_conditions()
+            if commit.changes.len() >= self.config.txn_ops
+                || commit.conditions.len() + CONDITIONS_OF_GRANT > self.config.max_conditions()
             {
                 break;
             }
@@ -185,16 +186,17 @@
             let kept = if is_unusable {
                 Grant {
                     cores: used[team].cores.min(grant.cores),
-                    acc: used[team].acc.min(grant.acc),
+                    accelerators: used[team].accelerators.min(grant.accelerators),
                 }
             } else {
                 needed_grant(&grant, &report, team)
             };
-            let is_lower = kept.cores < grant.cores - ROUNDING || kept.acc < grant.acc - ROUNDING;
+            let is_lower = kept.cores < grant.cores - ROUNDING
+                || kept.accelerators < grant.accelerators - ROUNDING;
             if revision != 0 && is_lower {
                 let key = record::grant_key(team, shard_id);
                 commit.require(key.clone(), revision);
-                commit.apply.push(Apply::set(key, &kept));
+                commit.changes.push(Change::set(key, &kept));
             }
         }
         commit
@@ -204,7 +206,10 @@
 /// Returns the part of a grant that a shard keeps: what it wants, which is never below what is
 /// assigned, and half of the rest, so that its next job need not wait for the leader.
 fn needed_grant(grant: &Grant, report: &CapacityReport, team: usize) -> Grant {
-    let (cores, acc) = report.wants.get(team).map_or((0.0, 0.0), |w| (w.1, w.2));
+    let (cores, accelerators) = report
+        .team_demand
+        .get(team)
+        .map_or((0.0, 0.0), |w| (w.1, w.2));
     let kept = |have: f64, want: f64| {
         let half_of_remainder = (have - want) / 2.0;
         if half_of_remainder < 1.0 {
@@ -215,6 +220,6 @@
     };
     Grant {
         cores: kept(grant.cores, cores),
-        acc: kept(grant.acc, acc),
+        accelerators: kept(grant.accelerators, accelerators),
     }
 }
--- a/crates/cherryyard-core/src/owner/unresponsive.rs
+++ b/crates/cherryyard-core/src/owner/unresponsive.rs
@@ -8,7 +8,7 @@
 use crate::machine::{Machine, MachineState, Task};
 use crate::reachability::Reachability;
 use cherryyard_wire::job::Shape;
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 /// Share of the time limit for stopping a cancelled job's tasks after which a silent machine that
 /// may run one is released.
@@ -69,7 +69,7 @@
         if gain < MIN_GAIN
             || !self.state_fresh(now)
             || now - self.shards[shard_id].lease.token_since() < 2.0 * limit
-            || self.lag.punctual_for(now) < limit
+            || self.lag.time_without_lag(now) < limit
         {
             return;
         }
@@ -138,7 +138,7 @@
     /// enough time.
     fn is_release_worthwhile(&self, host: u32, gain: f64) -> bool {
         let (mut services, mut others) = (0, 0);
-        for ((job, _), _) in self.mirror.on_host(host) {
+        for ((job, _), _) in self.mirror.assignments_on(host) {
             match self.mirror.open.get(&job).map(|open| open.spec.shape) {
                 Some(Shape::Service) => services += 1,
                 Some(Shape::Array) => others += 1,
@@ -157,12 +157,14 @@
     /// Returns the silence after which a machine is released because of a task of this job, or
     /// `None` if the job is not cancelled or enough time is left.
     fn silence_for_cancelled(&self, job: u64, now: Millis) -> Option<Millis> {
-        if self.mirror.end(job) != Some(End::Cancelled) || self.mirror.is_new_cancel(job) {
+        if self.mirror.end(job) != Some(JobOutcome::Cancelled)
+            || self.mirror.is_newly_cancelled(job)
+        {
             return None;
         }
         // If the time of the cancellation is no longer known here, it was long ago or is unknown to
         // all controllers.
-        let learnt_at = self.cancelled.learnt_at(job);
+        let learnt_at = self.cancelled.known_since(job);
         match learnt_at.map(|at| (now - at) / self.config.cancel_ms) {
             Some(passed) if passed <= CANCELLED_RELEASE_SHARE => None,
             Some(passed) if passed > CANCELLED_LATE_SHARE => Some(self.silence_ms()),
@@ -201,7 +203,7 @@
         }
         let mut limits = self
             .mirror
-            .on_host(host)
+            .assignments_on(host)
             .filter_map(|(task, _): (Task, _)| self.silence_for_cancelled(task.0, now));
         limits.any(|limit| silent > limit)
     }
@@ -211,7 +213,7 @@
     /// machine is gone or its release was requested recently.
     fn silent_since(&self, host: u32, shard_id: usize, now: Millis) -> Millis {
         let held_since = self.shards[shard_id].lease.held_since();
-        let punctual_since = now - self.lag.punctual_for(now);
+        let punctual_since = now - self.lag.time_without_lag(now);
         match self.machines.get(&host) {
             Some(m) if m.state == MachineState::Gone || now < m.release_after => now,
             Some(m) => m.last_heard_at.max(held_since).max(punctual_since),
@@ -230,7 +232,7 @@
         let owned_for = now - self.shards[shard_id].lease.token_since();
         if owned_for < limit
             || owned_for > limit + NEW_OWNER_RELEASE_MS
-            || self.lag.punctual_for(now) < limit
+            || self.lag.time_without_lag(now) < limit
             || !self.state_fresh(now)
         {
             return;
--- a/crates/cherryyard-core/src/peers.rs
+++ b/crates/cherryyard-core/src/peers.rs
@@ -33,7 +33,7 @@
     /// Earliest time at which the peer can have made its newest heartbeat: the time at which this
     /// controller sent the heartbeat that it acknowledges. The network may have delayed the
     /// peer's heartbeat for any time.
-    pub(crate) made_at: Millis,
+    pub(crate) earliest_created_at: Millis,
     /// Extent to which the cancellations that the peer has learnt of are known here.
     pub(crate) coverage: CancellationCoverage,
 }
@@ -46,14 +46,14 @@
 
     /// Returns whether a heartbeat of the peer arrived within the last `silence_ms`, and the newest
     /// one does not report that the peer is cut off from the state service.
-    pub(crate) fn has_state_within(&self, silence_ms: Millis, now: Millis) -> bool {
+    pub(crate) fn reaches_state_within(&self, silence_ms: Millis, now: Millis) -> bool {
         self.received_within(silence_ms, now) && !self.heartbeat.cut_off
     }
 
     /// Returns whether the peer's newest heartbeat is newer than `heartbeat`, which arrives now.
-    fn supersedes(&self, heartbeat: &Heartbeat, made_at: Millis, now: Millis) -> bool {
+    fn supersedes(&self, heartbeat: &Heartbeat, earliest_created_at: Millis, now: Millis) -> bool {
         heartbeat.number < self.heartbeat.number
-            && made_at <= self.made_at
+            && earliest_created_at <= self.earliest_created_at
             && self.received_within(DELAYED_MS, now)
     }
 }
@@ -128,9 +128,14 @@
 
     /// Returns whether a heartbeat of a peer arrived within the last `silence_ms`, and the newest
     /// one does not report that the peer is cut off from the state service.
-    pub(crate) fn has_state_within(&self, peer: usize, silence_ms: Millis, now: Millis) -> bool {
+    pub(crate) fn reaches_state_within(
+        &self,
+        peer: usize,
+        silence_ms: Millis,
+        now: Millis,
+    ) -> bool {
         self.get(peer)
-            .is_some_and(|state| state.has_state_within(silence_ms, now))
+            .is_some_and(|state| state.reaches_state_within(silence_ms, now))
     }
 
     /// Returns whether a heartbeat of any peer arrived within the last `silence_ms`.
@@ -140,10 +145,12 @@
     }
 
     /// Returns whether every other controller has reported, in a heartbeat made within the last
-    /// `relied_ms`, that it is cut off from the state service.
-    pub(crate) fn all_cut_off(&self, relied_ms: Millis, now: Millis) -> bool {
+    /// `heartbeat_validity_ms`, that it is cut off from the state service.
+    pub(crate) fn all_cut_off(&self, heartbeat_validity_ms: Millis, now: Millis) -> bool {
         self.other_states().all(|state| {
-            state.is_some_and(|peer| now - peer.made_at <= relied_ms && peer.heartbeat.cut_off)
+            state.is_some_and(|peer| {
+                now - peer.earliest_created_at <= heartbeat_validity_ms && peer.heartbeat.cut_off
+            })
         })
     }
 
@@ -151,8 +158,8 @@
     /// shard's owner and are reachable by these peers, summed over all peers.
     pub(crate) fn misdirected_workers(&self, shard_id: usize, now: Millis) -> u32 {
         self.iter()
-            .filter(|peer| peer.has_state_within(MISDIRECTED_REPORTS_MS, now))
-            .flat_map(|peer| &peer.heartbeat.misdirected)
+            .filter(|peer| peer.reaches_state_within(MISDIRECTED_REPORTS_MS, now))
+            .flat_map(|peer| &peer.heartbeat.misdirected_workers)
             .filter(|(shard, _)| *shard as usize == shard_id)
             // A worker without an owner's answer tries one controller after the other, so no
             // single peer receives the heartbeats of all of them.
@@ -166,25 +173,27 @@
         &self,
         peer: usize,
         heartbeat: &Heartbeat,
-        made_at: Millis,
+        earliest_created_at: Millis,
         now: Millis,
     ) -> bool {
         self.get(peer)
-            .is_some_and(|newest| newest.supersedes(heartbeat, made_at, now))
+            .is_some_and(|newest| newest.supersedes(heartbeat, earliest_created_at, now))
     }
 
-    /// Stores a peer's newest heartbeat, which was made at `made_at` or later.
+    /// Stores a peer's newest heartbeat, which was made at `earliest_created_at` or later.
     pub(crate) fn receive(
         &mut self,
         peer: usize,
         heartbeat: Heartbeat,
-        made_at: Millis,
+        earliest_created_at: Millis,
         coverage: CancellationCoverage,
         now: Millis,
     ) {
         let before = self.get(peer);
         self.states[peer] = Some(PeerState {
-            made_at: before.map_or(made_at, |state| state.made_at.max(made_at)),
+            earliest_created_at: before.map_or(earliest_created_at, |state| {
+                state.earliest_created_at.max(earliest_created_at)
+            }),
             heartbeat,
             last_received_at: now,
             coverage,
--- a/crates/cherryyard-core/src/users.rs
+++ b/crates/cherryyard-core/src/users.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::peers::FORWARDING_MS;
 use cherryyard_wire::job::{JobStatus, JobView};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 use cherryyard_wire::state::Commit;
 
 /// Share of its part of the budget for users' writes that a controller lends to the leader.
@@ -43,7 +43,7 @@
 impl Controller {
     /// Returns the answer to a poll of a job. A final status is returned at once, any other only if
     /// everything that was durable when the poll arrived has been read (`caught_up`).
-    pub fn answer_for(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
+    pub fn poll_answer(&self, job: u64, caught_up: bool, now: Millis) -> UserAnswer {
         let view = self.mirror.view(job);
         match view.map(|view| (view.status, view)) {
             // Other controllers may rely on the cancellation not being confirmed to any user yet.
@@ -64,7 +64,7 @@
     /// Returns the transaction that cancels a job, if the job is open in this mirror and the record
     /// can be written.
     pub fn cancellation(&self, job: u64) -> Option<Commit> {
-        let record = self.mirror.open.get(&job)?.ended(End::Cancelled);
+        let record = self.mirror.open.get(&job)?.ended(JobOutcome::Cancelled);
         let mut commit = Commit::default();
         let records = vec![(job, record)];
         let is_written = self.mirror.write_jobs(&mut commit, records, &self.config);
@@ -97,13 +97,13 @@
     fn lender_count(&self, now: Millis) -> usize {
         let has_seen_lease = self.state_contact.read_age(now) <= LEASE_SEEN_MS && self.caught_up();
         let is_predecessor_over =
-            now - self.leader.since() >= LEASE_SEEN_MS * LEASE_SEEN_DRIFT_FACTOR;
+            now - self.leader.leading_since() >= LEASE_SEEN_MS * LEASE_SEEN_DRIFT_FACTOR;
         if !has_seen_lease || !is_predecessor_over {
             return 0;
         }
         let lends = |peer: &usize| {
-            self.named_at(*peer)
-                .is_some_and(|named_at| now - named_at <= LOAN_MS)
+            self.last_acknowledged_at(*peer)
+                .is_some_and(|last_acknowledged_at| now - last_acknowledged_at <= LOAN_MS)
         };
         self.peers.others().filter(lends).count()
     }
@@ -111,7 +111,7 @@
     /// Returns whether this controller, which is not the leader, lends budget to the leader.
     fn lends_to_leader(&self, now: Millis) -> bool {
         let lease = self.mirror.leader_lease.as_ref();
-        let leader = lease.and_then(|lease| self.place_of(&lease.label));
+        let leader = lease.and_then(|lease| self.controller_index(&lease.label));
         let silence = leader.and_then(|leader| self.peers.silence(leader, now));
         silence.is_some_and(|silence| silence <= LOAN_MS * LOAN_DRIFT_FACTOR)
     }
@@ -128,7 +128,7 @@
 
     /// Spends budget for a user's write that is made even if the budget is spent.
     pub fn spend_user_write(&mut self, now: Millis) {
-        if self.user_write_budget.left(now) > -self.user_write_budget.overdraft() {
+        if self.user_write_budget.tokens(now) > -self.user_write_budget.overdraft() {
             self.user_write_budget.spend(1.0);
         }
     }
@@ -141,11 +141,12 @@
             return None;
         }
         let is_able = |peer: &usize| {
-            *peer != self.config.me && self.peers.has_state_within(*peer, FORWARDING_MS, now)
+            *peer != self.config.own_index
+                && self.peers.reaches_state_within(*peer, FORWARDING_MS, now)
         };
         let labels = &self.config.labels;
         let leader = (0..labels.len())
-            .find(|&index| self.leader.is_label(&self.mirror, &labels[index]))
+            .find(|&index| self.leader.is_held_by(&self.mirror, &labels[index]))
             .filter(is_able);
         let target = match leader {
             Some(leader) => Some(leader),
@@ -158,27 +159,31 @@
     /// Returns how much longer than usual a submission forwarded to the controller `label` may take
     /// there, in milliseconds: the wait of the oldest submission queued there, by the controller's
     /// last heartbeat.
-    pub fn intake_ms(&self, label: &str) -> u64 {
-        let peer = self.place_of(label).and_then(|index| self.peers.get(index));
-        peer.map_or(0, |peer| u64::from(peer.heartbeat.intake_ms))
+    pub fn forwarded_delay_ms(&self, label: &str) -> u64 {
+        let peer = self
+            .controller_index(label)
+            .and_then(|index| self.peers.get(index));
+        peer.map_or(0, |peer| {
+            u64::from(peer.heartbeat.longest_submission_wait_ms)
+        })
     }
 
     /// Applies to the mirror a user's transaction (a cancellation or a chunk of a submission) that
     /// was committed at `store_revision`, and runs the scheduling that follows from it.
     pub fn user_committed(&mut self, commit: &Commit, store_revision: u64, now: Millis) {
-        self.notice(now);
+        self.advance_clock(now);
         self.mirror_commit(commit, store_revision);
         self.mark_all_dirty();
-        self.run(now);
+        self.run_decisions(now);
     }
 
     /// Returns whether users' polls are refused at present, because the event loop lags.
     pub fn refuses_polls(&self, now: Millis) -> bool {
-        self.lag.now(now) > MAX_POLL_LAG_MS
+        self.lag.current(now) > MAX_POLL_LAG_MS
     }
 
     /// Returns whether submissions are refused at present, because the event loop lags.
     pub fn refuses_submissions(&self, now: Millis) -> bool {
-        self.lag.now(now) > MAX_SUBMISSION_LAG_MS
+        self.lag.current(now) > MAX_SUBMISSION_LAG_MS
     }
 }
--- a/crates/cherryyard-core/src/worker_heartbeats/queries.rs
+++ b/crates/cherryyard-core/src/worker_heartbeats/queries.rs
@@ -40,7 +40,7 @@
         answer: Option<&WorkerHeartbeat>,
         now: Millis,
     ) {
-        self.notice(now);
+        self.advance_clock(now);
         self.misdirected.record_query_result(host, answer.is_some());
         let newest_attempt = self
             .mirror
@@ -62,7 +62,7 @@
             if machine.reachability != before && is_unreachable {
                 machine.abandoned_up_to = (machine.newest.0, newest_attempt);
             }
-            self.shards[shard_id].touched.insert(host);
+            self.shards[shard_id].machines_to_inspect.insert(host);
             return;
         };
         self.capacity_changed |= !machine.reachability.is_reachable();
--- a/crates/cherryyard-core/tests/fleet_size.rs
+++ b/crates/cherryyard-core/tests/fleet_size.rs
@@ -56,18 +56,18 @@
         cut_off: false,
         silent_ms: 0,
         cancelled: Vec::new(),
-        reach_ms: 0,
-        complete: false,
+        cancellations_cover_ms: 0,
+        all_cancellations_known: false,
         store_revision: 1,
         leases: vec![(1, 1, "b".into())],
         shards: Vec::new(),
-        short: Vec::new(),
-        handing: Vec::new(),
-        misdirected: Vec::new(),
+        teams_short_of_grants: Vec::new(),
+        handover_candidates: Vec::new(),
+        misdirected_workers: Vec::new(),
         number: 1,
-        heard: Vec::new(),
-        shares: Vec::new(),
-        intake_ms: 0,
+        last_received_numbers: Vec::new(),
+        fair_share_grants: Vec::new(),
+        longest_submission_wait_ms: 0,
         demand: Vec::new(),
     }
 }
@@ -98,10 +98,10 @@
 #[test]
 fn every_machine_of_another_shard_is_counted() {
     let mut controller = controller();
-    controller.heartbeat_in(peer_heartbeat(), 100.0);
+    controller.handle_peer_heartbeat(peer_heartbeat(), 100.0);
     for machine in 0..FLEET {
         let reply = controller.handle_worker_heartbeat(&worker_heartbeat(machine), 200.0);
-        assert!(matches!(reply, Reply::Elsewhere(Some(b)) if b == "b"));
+        assert!(matches!(reply, Reply::Misdirected(Some(b)) if b == "b"));
     }
     let mut queried = 0;
     for effect in controller.effects() {
@@ -112,7 +112,7 @@
     }
     assert_eq!(queried, 16, "only a sample is queried");
     assert_eq!(
-        controller.heartbeat_out(400.0).misdirected,
+        controller.build_heartbeat(400.0).misdirected_workers,
         [(1, FLEET as u32)]
     );
 }
@@ -135,8 +135,8 @@
         // The first worker sends another heartbeat; the others are dropped 6 s after theirs.
         controller.handle_worker_heartbeat(&worker_heartbeat(0), 5000.0);
     });
-    controller.heartbeat_in(peer_heartbeat(), 6000.0);
-    controller.heartbeat_out(6500.0);
+    controller.handle_peer_heartbeat(peer_heartbeat(), 6000.0);
+    controller.build_heartbeat(6500.0);
     for machine in [0, MAX_MACHINES] {
         controller.handle_worker_heartbeat(&worker_heartbeat(machine), 6600.0);
     }
--- a/crates/cherryyard-history/src/compactor/mod.rs
+++ b/crates/cherryyard-history/src/compactor/mod.rs
@@ -7,7 +7,7 @@
 //! caller, on the leader's lease, so a delayed write, or one of a former leader, changes
 //! nothing. Every step may be repeated: adding jobs that are already stored writes nothing.
 //! A finished job is always stored in its next place before it is removed from the previous
-//! one: it is in the small run before the history's record includes it (`gen_done`), and
+//! one: it is in the small run before the history's record includes it (`archived_generation`), and
 //! only then removed from the watched records; it is in the large run before it is removed
 //! from the small one.
 
@@ -19,7 +19,7 @@
 pub use transaction::{Precondition, ReadFailed, Step, StoredLeaf, StoredLeafKey, Transaction};
 
 use crate::leaf::{FinishedJob, Leaf};
-use cherryyard_wire::history::{LAST, Level, PackedRecord, leaf_key};
+use cherryyard_wire::history::{HistoryProgressRecord, Level, MAX_JOB_NUMBER, leaf_key};
 use phase::Event;
 use split::LeafSplit;
 
@@ -51,9 +51,9 @@
     /// The compacted leaf of the small run is deleted.
     LeafRemoved,
     /// The history's record, as given, includes the archived batch.
-    Recorded(PackedRecord),
+    Recorded(HistoryProgressRecord),
     /// The history's record, as given, marks the small run as empty.
-    Emptied(PackedRecord),
+    Emptied(HistoryProgressRecord),
 }
 
 /// The pending read or transaction; there is at most one.
@@ -76,7 +76,7 @@
     phase: Phase,
     limits: Limits,
     /// The history's record as last written, plus the jobs that have been archived since.
-    record: PackedRecord,
+    record: HistoryProgressRecord,
     operation: Operation,
     /// The leaf that is being split, while the leaves before it are read.
     split: Option<LeafSplit>,
@@ -90,7 +90,7 @@
         Self {
             phase: Phase::Idle,
             limits,
-            record: PackedRecord::default(),
+            record: HistoryProgressRecord::default(),
             operation: Operation::None,
             split: None,
             day: 0,
@@ -127,10 +127,10 @@
 
     /// Resumes from the history's record, if the compactor is idle: a former leader may
     /// have stopped in the middle of a compaction.
-    pub fn resume(&mut self, record: PackedRecord) {
+    pub fn resume(&mut self, record: HistoryProgressRecord) {
         if self.is_idle() {
             self.record = record;
-            if record.spilling {
+            if record.merging_runs {
                 self.change(Event::Recorded { compact: true });
             }
         }
@@ -200,11 +200,11 @@
     }
 
     /// Returns the history's record as it is once a batch is archived.
-    fn record_of_archived(&self, batch: &Batch) -> PackedRecord {
+    fn record_of_archived(&self, batch: &Batch) -> HistoryProgressRecord {
         let mut record = self.record;
-        record.gen_done = record.gen_done.max(batch.generation);
-        record.own = record.own.max(batch.revision);
-        record.spilling = record.jobs_in_runs[0] > self.limits.small_run;
+        record.archived_generation = record.archived_generation.max(batch.generation);
+        record.archived_revision = record.archived_revision.max(batch.revision);
+        record.merging_runs = record.jobs_in_runs[0] > self.limits.small_run;
         record
     }
 
@@ -240,7 +240,7 @@
     fn prepare_emptied(&mut self) {
         let mut record = self.record;
         record.jobs_in_runs = [0, record.jobs_in_runs[0] + record.jobs_in_runs[1]];
-        record.spilling = false;
+        record.merging_runs = false;
         let transaction = Transaction::of_record(record);
         self.operation = Operation::Prepared(transaction, Completion::Emptied(record));
     }
@@ -250,7 +250,7 @@
     fn merge_into(&mut self, level: Level, jobs: &[FinishedJob], found: Option<StoredLeaf>) {
         // Jobs beyond the last leaf go into a new leaf, whose range has no upper end.
         let stored = found.unwrap_or(StoredLeaf {
-            last: LAST,
+            last: MAX_JOB_NUMBER,
             revision: 0,
             leaf: Leaf::default(),
         });
@@ -368,7 +368,7 @@
             Completion::Recorded(record) => {
                 self.record = record;
                 self.change(Event::Recorded {
-                    compact: record.spilling,
+                    compact: record.merging_runs,
                 });
             }
             Completion::Emptied(record) => {
--- a/crates/cherryyard-history/src/leaf/tests.rs
+++ b/crates/cherryyard-history/src/leaf/tests.rs
@@ -1,18 +1,26 @@
 use super::codec::RECORD_OVERHEAD_BYTES;
 use super::*;
-use cherryyard_wire::history::{LAST, LeafRecord};
-use cherryyard_wire::record::End;
+use cherryyard_wire::history::{LeafRecord, MAX_JOB_NUMBER};
+use cherryyard_wire::record::JobOutcome;
 use proptest::prelude::*;
 
 fn finished_job() -> impl Strategy<Value = FinishedJob> {
-    (0..=LAST, any::<bool>(), 0u32..100_000, 20_000u32..20_400).prop_map(
-        |(job, is_done, done, day)| FinishedJob {
+    (
+        0..=MAX_JOB_NUMBER,
+        any::<bool>(),
+        0u32..100_000,
+        20_000u32..20_400,
+    )
+        .prop_map(|(job, is_done, done, day)| FinishedJob {
             job,
-            end: if is_done { End::Done } else { End::Cancelled },
+            end: if is_done {
+                JobOutcome::Done
+            } else {
+                JobOutcome::Cancelled
+            },
             done,
             day,
-        },
-    )
+        })
 }
 
 proptest! {
@@ -64,7 +72,7 @@
 fn encoded_bytes_per_job_are_bounded() {
     let job = |i: u64, gap: u64| FinishedJob {
         job: i * gap,
-        end: End::Done,
+        end: JobOutcome::Done,
         done: 50,
         day: 20_423,
     };
--- a/crates/cherryyard-history/tests/compactor.rs
+++ b/crates/cherryyard-history/tests/compactor.rs
@@ -3,10 +3,10 @@
 
 use cherryyard_history::{
     Compactor, FinishedJob, Leaf, Level, Limits, Phase, ReadFailed, Step, StoredLeaf, Transaction,
-    leaf_key, leaf_of_key,
+    last_job_of_leaf_key, leaf_key,
 };
-use cherryyard_wire::history::{LeafRecord, PackedRecord};
-use cherryyard_wire::record::End;
+use cherryyard_wire::history::{HistoryProgressRecord, LeafRecord};
+use cherryyard_wire::record::JobOutcome;
 use std::collections::BTreeMap;
 
 /// Simulated state service: leaves and the history's record with their revisions, and the
@@ -14,7 +14,7 @@
 #[derive(Clone, Default)]
 struct Store {
     leaves: BTreeMap<String, (LeafRecord, u64)>,
-    record: (PackedRecord, u64),
+    record: (HistoryProgressRecord, u64),
     last_revision: u64,
     leader_epoch: u64,
     writes: usize,
@@ -55,7 +55,7 @@
 
     fn leaf(&self, level: Level, job: u64) -> Option<StoredLeaf> {
         let (key, (record, revision)) = self.leaves.range(leaf_key(level, job)..).next()?;
-        let last = leaf_of_key(level, key)?;
+        let last = last_job_of_leaf_key(level, key)?;
         Some(StoredLeaf {
             last,
             revision: *revision,
@@ -82,9 +82,9 @@
     let job = |i: u64| FinishedJob {
         job: (i * 48_271 + round * 69_621) % 100_003,
         end: if i.is_multiple_of(3) {
-            End::Cancelled
+            JobOutcome::Cancelled
         } else {
-            End::Done
+            JobOutcome::Done
         },
         done: i as u32,
         day: 1,
@@ -110,7 +110,7 @@
         loop {
             compactor.resume(store.record.0);
             if compactor.is_idle() {
-                if store.record.0.gen_done > round {
+                if store.record.0.archived_generation > round {
                     break;
                 }
                 compactor.begin(round + 1, 0, batch(round), 1);
@@ -159,7 +159,7 @@
         for round in 0..3u64 {
             let jobs = batch(round);
             for (i, first) in states.iter().enumerate() {
-                if first.record.0.gen_done <= round {
+                if first.record.0.archived_generation <= round {
                     continue;
                 }
                 for finished in &jobs {
@@ -176,7 +176,7 @@
             }
         }
         assert_eq!(last.record.0.jobs_in_runs, [0, 36], "{crash:?}");
-        assert!(!last.record.0.spilling);
+        assert!(!last.record.0.merging_runs);
         if let Some((transaction, leader_epoch, revision)) = not_applied {
             for state in states.iter().filter(|s| s.leader_epoch != leader_epoch) {
                 assert!(
@@ -256,7 +256,7 @@
                 id = id.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                 FinishedJob {
                     job: (id >> 5) % 1_000_000_000_000_000_000,
-                    end: End::Done,
+                    end: JobOutcome::Done,
                     done: 50,
                     day: 20_000 + round,
                 }
@@ -295,7 +295,7 @@
     };
     let old: Vec<FinishedJob> = (0..OLD_BATCHES).flat_map(batch).collect();
     let leaf = Leaf::new(old);
-    let key = leaf_key(Level::Small, cherryyard_wire::history::LAST);
+    let key = leaf_key(Level::Small, cherryyard_wire::history::MAX_JOB_NUMBER);
     store.leaves.insert(key, (leaf.to_record(), 1));
     store.last_revision = 1;
     let lower_limits = Limits {
@@ -308,7 +308,7 @@
         assert!(steps < 5000, "the batch is never archived");
         compactor.resume(store.record.0);
         if compactor.is_idle() {
-            if store.record.0.gen_done > 0 {
+            if store.record.0.archived_generation > 0 {
                 break;
             }
             compactor.begin(1, 0, batch(50), 1);
