--- a/crates/cherryyard-simulation/src/bin/history.rs
+++ b/crates/cherryyard-simulation/src/bin/history.rs
@@ -9,11 +9,11 @@
 use cherryyard_simulation::{StateStandIn, World, small_machine_type};
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::dependencies::Dependencies;
-use cherryyard_wire::history::{LAST, PackedRecord};
+use cherryyard_wire::history::{HistoryProgressRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::job::job_id;
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, JobRecord, MACHINE_TYPES_KEY, PACKED,
-    PageRecord, TaskUsage, assignments_key, bucket_key, job_hash, job_key,
+    BUCKETS, BucketRecord, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobOutcome, JobRecord,
+    MACHINE_TYPES_KEY, PageRecord, TaskUsage, assignments_key, bucket_key, job_hash, job_key,
 };
 use clap::Parser;
 use rand::rngs::StdRng;
@@ -46,7 +46,7 @@
     #[arg(long, default_value_t = 2)]
     format: u32,
     /// The ids of the ended jobs are drawn at random from this many
-    #[arg(long, default_value_t = LAST)]
+    #[arg(long, default_value_t = MAX_JOB_NUMBER)]
     ids: u64,
     /// Requests per second that the state service allows
     #[arg(long, default_value_t = 80.0)]
@@ -66,9 +66,9 @@
     FinishedJob {
         job,
         end: if job.is_multiple_of(3) {
-            End::Cancelled
+            JobOutcome::Cancelled
         } else {
-            End::Done
+            JobOutcome::Done
         },
         done: 50,
         day: 20_000,
@@ -81,7 +81,7 @@
     let mut rng = StdRng::seed_from_u64(args.jobs);
     let max_id = args.ids.max(args.jobs * 2);
     let mut ids: Vec<u64> = (0..args.jobs + args.jobs / 2)
-        .map(|_| rng.random_range(0..=max_id.min(LAST)))
+        .map(|_| rng.random_range(0..=max_id.min(MAX_JOB_NUMBER)))
         .collect();
     ids.sort_unstable();
     ids.dedup();
@@ -96,12 +96,12 @@
 fn fill_open(state: &mut StateStandIn, args: &Args) {
     let record = |id: u64| JobRecord::Open {
         spec: Box::new(World::spec(&job_id(id), "sweep", args.tasks)),
-        at: 0,
-        div: vec![RangeSet::span(0, args.tasks.max(1) - 1)],
+        submitted_at_ms: 0,
+        division: vec![RangeSet::from_range(0, args.tasks.max(1) - 1)],
         zone: None,
-        caps: Vec::new(),
+        zone_caps: Vec::new(),
         rules: None,
-        after: Dependencies::default(),
+        dependencies: Dependencies::default(),
     };
     let mut jobs: Vec<u64> = (0..args.open).collect();
     if args.format < BUCKETS {
@@ -159,7 +159,7 @@
         return;
     }
     state.seed(
-        FORMAT,
+        FORMAT_KEY,
         &FormatRecord {
             jobs: BUCKETS,
             admission_log: false,
@@ -169,13 +169,13 @@
     for i in (0..8u64).filter(|_| args.open == 0) {
         state.seed(&bucket_key(i << 61), &BucketRecord::default());
     }
-    let record = PackedRecord {
-        gen_now: 2,
-        gen_done: 1,
+    let record = HistoryProgressRecord {
+        current_generation: 2,
+        archived_generation: 1,
         jobs_in_runs: [0, ids.len() as u64],
-        ..PackedRecord::default()
+        ..HistoryProgressRecord::default()
     };
-    state.seed(PACKED, &record);
+    state.seed(HISTORY_PROGRESS_KEY, &record);
     // Leaves filled as much as merges leave them on average.
     let mut remaining = ids.chunks(350).peekable();
     while let Some(chunk) = remaining.next() {
@@ -183,9 +183,9 @@
         let leaves = Leaf::default().merged_with(&jobs, 0, 4032);
         let count = leaves.len();
         for (i, leaf) in leaves.into_iter().enumerate() {
-            let last = leaf.jobs().last().map_or(LAST, |p| p.job);
+            let last = leaf.jobs().last().map_or(MAX_JOB_NUMBER, |p| p.job);
             let is_last_leaf = remaining.peek().is_none() && i + 1 == count;
-            let last = if is_last_leaf { LAST } else { last };
+            let last = if is_last_leaf { MAX_JOB_NUMBER } else { last };
             state.seed(&leaf_key(Level::Large, last), &leaf.to_record());
         }
     }
@@ -270,7 +270,7 @@
         let id = if is_known {
             ids[rng.random_range(0..ids.len())]
         } else {
-            rng.random_range(0..LAST)
+            rng.random_range(0..MAX_JOB_NUMBER)
         };
         let sent_at = Instant::now();
         let status = client.get(&format!("/v2/runs/{}", job_id(id))).await;
--- a/crates/cherryyard-simulation/src/world/requests/admission.rs
+++ b/crates/cherryyard-simulation/src/world/requests/admission.rs
@@ -4,13 +4,13 @@
 use super::super::machines::controller_of_label;
 use super::{DependencyBarrier, Question, Request, Response, Sender, Stage};
 use cherryyard_core::Controller;
-use cherryyard_core::admission::intake::Offer;
+use cherryyard_core::admission::intake::Submission;
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::dependencies::{PastEnds, Resolution};
+use cherryyard_core::dependencies::{HistoryEnds, Resolution};
 use cherryyard_history::Leaf;
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, job_number};
-use cherryyard_wire::record::End;
+use cherryyard_wire::record::JobOutcome;
 
 /// Timeout of a controller for the response of the controller that it forwarded a submission
 /// to.
@@ -102,17 +102,17 @@
         if !self.requests.without_dependencies {
             open.dependencies = after;
         }
-        let offer = Offer {
+        let offer = Submission {
             ticket: self.submissions.next_ticket(),
             job,
             open,
-            moved: controller.mirror.packed_revision,
+            history_revision: controller.mirror.history_progress_revision,
         };
         request.stage = Stage::Offered {
             ticket: offer.ticket,
             until: now + OFFER_TIMEOUT_MS,
         };
-        controller.offer(offer, now);
+        controller.submit(offer, now);
         self.apply_effects(request.controller);
         None
     }
@@ -150,7 +150,7 @@
         request: &mut Request,
         spec: &JobSpec,
     ) -> Result<Dependencies, Option<Response>> {
-        let mut past = PastEnds::new();
+        let mut past = HistoryEnds::new();
         loop {
             let controller = self.controller(request.controller);
             let unknown = match controller.mirror.resolve_dependencies(spec, &past) {
@@ -175,7 +175,7 @@
     }
 
     /// Returns how a job ended, if it is in the history.
-    fn past_end(&self, job: u64) -> Option<End> {
+    fn past_end(&self, job: u64) -> Option<JobOutcome> {
         Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::from_record(&record).ok()?;
--- a/crates/cherryyard-simulation/src/world/requests/serve.rs
+++ b/crates/cherryyard-simulation/src/world/requests/serve.rs
@@ -3,7 +3,7 @@
 use super::super::World;
 use super::super::state_link::COMMIT_TIMEOUT_MS;
 use super::{DependencyBarrier, Question, Request, Response, Stage};
-use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_core::users::UserAnswer;
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_wire::job::{JobStatus, job_number};
@@ -147,7 +147,7 @@
     fn end_read(&mut self, request: &mut Request, sent_at: f64, read: &WatchResponse) -> bool {
         let now = self.now;
         self.controller_mut(request.controller)
-            .events(read, sent_at, now);
+            .handle_watch_response(read, sent_at, now);
         self.apply_effects(request.controller);
         request.stage = Stage::CaughtUp;
         true
@@ -182,14 +182,17 @@
         let verdict = self.submissions.verdicts.remove(&ticket);
         let response = match verdict {
             None if until > self.now => return false,
-            Some(Verdict::Taken) => Some(Response::Taken),
-            Some(Verdict::Known) => self.look_up(request, false),
-            Some(Verdict::Retry) if request.write_attempts < MAX_WRITE_ATTEMPTS => {
+            Some(SubmissionOutcome::Stored) => Some(Response::Taken),
+            Some(SubmissionOutcome::AlreadyKnown) => self.look_up(request, false),
+            Some(SubmissionOutcome::Retry) if request.write_attempts < MAX_WRITE_ATTEMPTS => {
                 self.offer_locally(request)
             }
-            None | Some(Verdict::Retry | Verdict::Busy(_) | Verdict::Failed) => {
-                Some(Response::Later)
-            }
+            None
+            | Some(
+                SubmissionOutcome::Retry
+                | SubmissionOutcome::Refused(_)
+                | SubmissionOutcome::Failed,
+            ) => Some(Response::Later),
         };
         self.answer(request, response)
     }
@@ -227,7 +230,7 @@
             return Some(Response::Later);
         }
         let needs_no_barrier = is_caught_up || self.requests.without_barrier;
-        let view = match controller.answer_for(job, needs_no_barrier, now) {
+        let view = match controller.poll_answer(job, needs_no_barrier, now) {
             UserAnswer::Barrier => {
                 self.await_barrier(request);
                 return None;
--- a/crates/cherryyard-simulation/src/world/state_link.rs
+++ b/crates/cherryyard-simulation/src/world/state_link.rs
@@ -2,7 +2,7 @@
 //! and transactions that are held back or delayed.
 
 use super::World;
-use crate::{StateStandIn, draws};
+use crate::{StateStandIn, seeded_draws};
 use cherryyard_core::{Controller, Outcome, Ticket};
 use cherryyard_wire::state::{Commit, WatchResponse};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
             compaction_commits: 0,
             creation_crash: None,
             creation_commits: 0,
-            draw: Box::new(draws(1)),
+            draw: Box::new(seeded_draws(1)),
             delayed_commits: Vec::new(),
             pending_reads: BTreeMap::new(),
             pending_outcomes: Vec::new(),
@@ -109,7 +109,7 @@
     /// Sets the seed of the draws that decide latencies and which transactions are delayed or
     /// lose their responses.
     pub fn seed(&mut self, seed: u64) {
-        self.draw = Box::new(draws(seed));
+        self.draw = Box::new(seeded_draws(seed));
     }
 
     /// Draws the latency of one request to a slow service, in milliseconds.
@@ -232,14 +232,14 @@
 /// Loads the whole state into a controller that has just started.
 pub(super) fn load(controller: &mut Controller, state: &StateStandIn, now: f64) {
     controller.mirror.begin_load();
-    controller.mirror.load_some(&state.pairs());
-    controller.loaded(state.store_revision(), now, now);
+    controller.mirror.apply_read_page(&state.pairs());
+    controller.handle_load_end(state.store_revision(), now, now);
 }
 
 /// Delivers all changes of the state to a controller at once.
 pub(super) fn catch_up(controller: &mut Controller, state: &StateStandIn, now: f64) {
     let events = state.events(controller.mirror.store_revision);
-    controller.events(&events, now, now);
+    controller.handle_watch_response(&events, now, now);
 }
 
 /// Renews a controller's state lease, or grants a new one if it has none or it has expired.
@@ -256,7 +256,7 @@
 impl World {
     /// Sets the seed of the draws that decide latencies and which transactions are delayed or
     /// lose their responses.
-    pub fn seed_late(&mut self, seed: u64) {
+    pub fn seed_state_link(&mut self, seed: u64) {
         self.state_link.seed(seed);
     }
 
@@ -282,15 +282,15 @@
             self.state_link.commit(&mut self.state, commit, now)
         };
         if matches!(ticket, Ticket::AcquireShard(_)) {
-            let keys: Vec<&str> = commit.apply.iter().map(|a| a.key()).collect();
-            self.say(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
+            let keys: Vec<&str> = commit.changes.iter().map(|a| a.key()).collect();
+            self.trace_line(format!("node-{i} claims {}: {outcome:?}", keys.join(" ")));
         }
         if self.state_link.latency_ms > 0.0 && outcome != Outcome::Refused {
             let incarnation = self.processes.incarnation(i);
             self.state_link
                 .delay_outcome(i, incarnation, ticket, commit, outcome, now);
         } else if let Some(controller) = &mut self.controllers[i] {
-            controller.committed(ticket, commit, outcome, now);
+            controller.handle_transaction_outcome(ticket, commit, outcome, now);
         }
     }
 
@@ -324,20 +324,20 @@
             if let Some(controller) =
                 self.controller_of_incarnation(due.controller, due.incarnation)
             {
-                controller.committed(due.ticket, &due.commit, due.outcome, now);
+                controller.handle_transaction_outcome(due.ticket, &due.commit, due.outcome, now);
                 self.apply_effects(due.controller);
             }
         }
         for (i, read) in self.state_link.take_due_reads(&frozen, now) {
             if let Some(controller) = &mut self.controllers[i] {
-                controller.events(&read.response, read.sent_at, now);
+                controller.handle_watch_response(&read.response, read.sent_at, now);
                 self.apply_effects(i);
             }
         }
     }
 
     /// Applies the transactions that were held back, and returns their outcomes.
-    pub fn deliver_commits(&mut self) -> Vec<Outcome> {
+    pub fn apply_held_commits(&mut self) -> Vec<Outcome> {
         std::mem::take(&mut self.state_link.held_commits)
             .iter()
             .map(|commit| self.state.commit(commit))
--- a/crates/cherryyard-simulation/src/world/submissions.rs
+++ b/crates/cherryyard-simulation/src/world/submissions.rs
@@ -4,19 +4,19 @@
 use super::cancellations::PendingCancellation;
 use super::state_link::{catch_up, load};
 use cherryyard_core::Controller;
-use cherryyard_core::admission::intake::{Offer, Verdict};
-use cherryyard_core::mirror::over;
+use cherryyard_core::admission::intake::{Submission, SubmissionOutcome};
+use cherryyard_core::mirror::ended_job_view;
 use cherryyard_history::Leaf;
 use cherryyard_wire::RangeSet;
 use cherryyard_wire::condor::{
-    Chunk, FIRST_ID, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key, submission_key,
-    submission_number,
+    Chunk, FIRST_RESERVED_JOB, IdsRecord, Phase, PhaseEvent, SubmissionRecord, chunk_key,
+    submission_key, submission_number,
 };
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobView, job_number};
-use cherryyard_wire::record::{IDS, JobRecord, job_key};
+use cherryyard_wire::record::{IDS_KEY, JobRecord, job_key};
 use cherryyard_wire::rules::Rules;
-use cherryyard_wire::state::{Apply, Commit};
+use cherryyard_wire::state::{Change, Commit};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct Submissions {
     /// Outcomes of submissions, by ticket.
-    pub verdicts: BTreeMap<u64, Verdict>,
+    pub verdicts: BTreeMap<u64, SubmissionOutcome>,
     /// Time at which each job's user was told that the job is cancelled.
     pub cancelled_at: BTreeMap<String, f64>,
     /// Percentage of the ending jobs that are cancelled at the moment of their end.
@@ -72,18 +72,18 @@
         let mut commit = Commit::default();
         let record = JobRecord::Open {
             spec: Box::new(spec.clone()),
-            at: now as u64,
-            div: Vec::new(),
+            submitted_at_ms: now as u64,
+            division: Vec::new(),
             zone: None,
-            caps: Vec::new(),
+            zone_caps: Vec::new(),
             rules: rules.clone().map(Box::new),
-            after: Dependencies::default(),
+            dependencies: Dependencies::default(),
         };
         let controller = available.and_then(|i| self.controllers[i].as_mut());
         if let Some(controller) = controller.filter(|c| c.mirror.loaded) {
             catch_up(controller, &self.state, now);
             let config = controller.config.clone();
-            let is_written = if controller.mirror.takes_pages() {
+            let is_written = if controller.mirror.is_admission_log_ready() {
                 let rules = rules.map(Box::new);
                 let open = controller.mirror.new_job(spec.clone(), rules, now as u64);
                 let jobs = open.iter().map(|open| (job, open));
@@ -96,15 +96,15 @@
             assert!(is_written, "{} cannot be written", spec.id);
         } else {
             commit.require(job_key(job), 0);
-            commit.apply.push(Apply::set(job_key(job), &record));
+            commit.changes.push(Change::set(job_key(job), &record));
         }
         let outcome = self.state.commit(&commit);
-        self.say(format!("{} submitted: {outcome:?}", spec.id));
+        self.trace_line(format!("{} submitted: {outcome:?}", spec.id));
     }
 
     /// Hands a submission to controller `i`, which may decide later, and returns the
     /// submission's ticket.
-    pub fn offer(&mut self, i: usize, spec: &JobSpec, rules: Option<Rules>) -> u64 {
+    pub fn submit_to_core(&mut self, i: usize, spec: &JobSpec, rules: Option<Rules>) -> u64 {
         self.checker.record_spec(spec);
         let now = self.now;
         let job = job_number(&spec.id).expect("a valid job id");
@@ -118,13 +118,13 @@
             }
             let rules = rules.map(Box::new);
             let created = controller.mirror.new_job(spec.clone(), rules, now as u64);
-            let offer = Offer {
+            let offer = Submission {
                 ticket,
                 job,
                 open: created.expect("a known team"),
-                moved: controller.mirror.packed_revision,
+                history_revision: controller.mirror.history_progress_revision,
             };
-            controller.offer(offer, now);
+            controller.submit(offer, now);
         }
         self.apply_effects(i);
         ticket
@@ -132,38 +132,40 @@
 
     /// Stores a submission of many jobs in these chunks, and returns its number and that of its
     /// first job. The job numbers follow those of earlier submissions.
-    pub fn queue(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
+    pub fn store_submission(&mut self, name: &str, chunks: &[Chunk]) -> (u64, u64) {
         let number = submission_number(name);
-        let ids = self.state.get(IDS).map(|(v, _)| v.read::<IdsRecord>());
-        let first = ids.map_or(FIRST_ID, |i| {
+        let ids = self.state.get(IDS_KEY).map(|(v, _)| v.read::<IdsRecord>());
+        let first = ids.map_or(FIRST_RESERVED_JOB, |i| {
             i.expect("a valid record of the next job number").next
         });
         let jobs: u64 = chunks.iter().map(Chunk::jobs).sum();
         let record = SubmissionRecord {
             name: name.into(),
             phase: Phase::Creating,
-            at: self.now as u64,
-            of: chunks.len() as u32,
-            chunks: chunks.len() as u32,
+            started_at_ms: self.now as u64,
+            chunk_count: chunks.len() as u32,
+            received_chunks: chunks.len() as u32,
             jobs,
             first,
             chunk: (0, first),
-            next: 0,
-            swept: 0,
+            created_in_chunk: 0,
+            deleted_chunks: 0,
         };
         let mut commit = Commit::default();
         for (i, chunk) in chunks.iter().enumerate() {
             chunk.check().expect("a valid chunk");
             let key = chunk_key(number, i as u32);
-            commit.apply.push(Apply::set(key, chunk));
+            commit.changes.push(Change::set(key, chunk));
         }
         let next = first + jobs;
-        commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
         commit
-            .apply
-            .push(Apply::set(submission_key(number), &record));
+            .changes
+            .push(Change::set(IDS_KEY, &IdsRecord { next }));
+        commit
+            .changes
+            .push(Change::set(submission_key(number), &record));
         let outcome = self.state.commit(&commit);
-        self.say(format!("{name} queued: {jobs} jobs, {outcome:?}"));
+        self.trace_line(format!("{name} queued: {jobs} jobs, {outcome:?}"));
         (number, first)
     }
 
@@ -181,9 +183,9 @@
         let key = submission_key(number);
         let revision = self.state.get(&key).map_or(0, |(_, revision)| revision);
         commit.require(key.clone(), revision);
-        commit.apply.push(Apply::set(key, &record));
+        commit.changes.push(Change::set(key, &record));
         let outcome = self.state.commit(&commit);
-        self.say(format!("{} removed: {outcome:?}", record.name));
+        self.trace_line(format!("{} removed: {outcome:?}", record.name));
     }
 
     /// Returns the division of an open job as recorded by the first controller that has loaded
@@ -207,7 +209,7 @@
 
     /// Returns what controller `i` would answer to a poll of a job, including jobs that are
     /// only in the history.
-    pub fn find(&mut self, i: usize, id: &str) -> Option<JobView> {
+    pub fn view_with_history(&mut self, i: usize, id: &str) -> Option<JobView> {
         if let Some(view) = self.view(i, id) {
             return Some(view);
         }
@@ -215,7 +217,7 @@
         Controller::LOOKUP_ORDER.iter().find_map(|&level| {
             let (_, _, record) = self.state.leaf(level, job)?;
             let leaf = Leaf::from_record(&record).expect("a valid leaf");
-            leaf.find(job).map(|p| over(job, p.end, p.done))
+            leaf.find(job).map(|p| ended_job_view(job, p.end, p.done))
         })
     }
 }
--- a/crates/cherryyard-simulation/tests/rules.rs
+++ b/crates/cherryyard-simulation/tests/rules.rs
@@ -15,15 +15,15 @@
 fn running_tasks_survive_an_outage_for_all() {
     let mut world = settled(Setup::default());
     world.submit(&World::spec("j-000001", "service", 3));
-    world.run_until(5.0, |world| world.running() == 3);
+    world.run_until(5.0, |world| world.running_task_count() == 3);
     world.submit(&World::spec("j-000002", "service", 1));
     world.state_link.refused.extend([0, 1, 2]);
     world.run(90.0);
-    assert_eq!(world.running(), 3, "{}", world.trace.join("\n"));
+    assert_eq!(world.running_task_count(), 3, "{}", world.trace.join("\n"));
     world.state_link.refused.clear();
     world.run(10.0);
-    assert_eq!(world.running(), 4, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 4, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against responses older than earlier ones: at another controller, at one that is cut
@@ -42,7 +42,7 @@
     world.state_link.refused.insert(1);
     let now = world.now;
     let controller = world.controllers[1].as_mut().unwrap();
-    controller.events(&old, now, now);
+    controller.handle_watch_response(&old, now, now);
     let late = WatchEvent {
         set: Some(admission_log_key(0)),
         delete: None,
@@ -55,7 +55,7 @@
             .clone(),
         revision: controller.mirror.store_revision + 5,
     };
-    controller.events(
+    controller.handle_watch_response(
         &WatchResponse {
             store_revision: controller.mirror.store_revision + 5,
             events: vec![late],
@@ -97,7 +97,7 @@
         "{}",
         world.trace.join("\n")
     );
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     insta::assert_snapshot!(world.trace.join("\n"));
 }
 
@@ -122,8 +122,8 @@
         leadership,
         "the leader changed"
     );
-    assert_eq!(world.running(), 6, "{}", world.trace.join("\n"));
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.running_task_count(), 6, "{}", world.trace.join("\n"));
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
 /// Guards against errors of a full read in chunks, between which other events are processed: keys
@@ -142,7 +142,7 @@
     let (pairs, store_revision) = (world.state.pairs(), world.state.store_revision());
     mirror.begin_load();
     for some in pairs.chunks(2) {
-        mirror.load_some(some);
+        mirror.apply_read_page(some);
         assert!(!mirror.loaded && mirror.store_revision == 0);
     }
     mirror.end_load(store_revision);
@@ -163,13 +163,13 @@
             .filter(|p| p.key != admission_log_key(0))
             .cloned()
             .collect();
-        mirror.load_some(&left);
+        mirror.apply_read_page(&left);
     }
     assert!(mirror.view(5).is_some());
     mirror.end_load(store_revision);
     assert!(mirror.view(5).is_none() && mirror.view(8).is_none());
     mirror.begin_load();
-    mirror.load_some(&pairs);
+    mirror.apply_read_page(&pairs);
     mirror.end_load(store_revision);
     mirror.begin_load();
     let old: Vec<_> = pairs
@@ -177,7 +177,7 @@
         .filter(|p| p.revision < newest)
         .cloned()
         .collect();
-    mirror.load_some(&old);
+    mirror.apply_read_page(&old);
     mirror.store_revision = newest - 1;
     mirror.end_load(newest - 1);
     assert!(mirror.view(8).is_some());
--- a/crates/cherryyard-wire/src/admission_log.rs
+++ b/crates/cherryyard-wire/src/admission_log.rs
@@ -78,7 +78,7 @@
 
 /// Fields that only few jobs have: chosen zone, caps, rules and dependencies.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Rest {
+pub struct UncommonFields {
     /// Zone chosen for all tasks of a job that must run in one zone (`JobSpec::together`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -90,7 +90,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rules: Option<Box<Rules>>,
     /// Dependencies of the job on other jobs.
-    #[serde(default, skip_serializing_if = "Dependencies::is_none")]
+    #[serde(default, skip_serializing_if = "Dependencies::never_waited")]
     pub after: Dependencies,
 }
 
@@ -122,7 +122,7 @@
     /// empty: not yet divided.
     pub division: Vec<(u32, u32, u32)>,
     /// Fields that only few jobs have; `None`: all have their defaults.
-    pub rest: Option<Box<Rest>>,
+    pub rest: Option<Box<UncommonFields>>,
 }
 
 /// Fields of an [`AdmissionRow`] in the order of the JSON array.
@@ -138,7 +138,7 @@
     f64,
     Option<f64>,
     Vec<(u32, u32, u32)>,
-    Option<Box<Rest>>,
+    Option<Box<UncommonFields>>,
 );
 
 impl From<RowFields> for AdmissionRow {
@@ -201,16 +201,23 @@
     /// Submitted job.
     pub spec: JobSpec,
     /// Time of the submission, in milliseconds since the Unix epoch.
-    pub at: u64,
+    pub submitted_at_ms: u64,
     /// Division: the task numbers of each shard, by shard; empty: not yet divided.
-    pub div: Vec<RangeSet>,
+    pub division: Vec<RangeSet>,
     /// Fields that only few jobs have.
-    pub rest: Rest,
+    pub rest: UncommonFields,
 }
 
 impl AdmissionPageRecord {
     /// Appends a job, submitted at `at` (milliseconds since the Unix epoch).
-    pub fn push(&mut self, job: u64, spec: &JobSpec, at: u64, div: &[RangeSet], rest: Rest) {
+    pub fn push(
+        &mut self,
+        job: u64,
+        spec: &JobSpec,
+        at: u64,
+        div: &[RangeSet],
+        rest: UncommonFields,
+    ) {
         let common = CommonFields::from_spec(spec);
         let existing = self.common.iter().position(|fields| *fields == common);
         let common = existing.unwrap_or_else(|| {
@@ -243,7 +250,7 @@
             expected_s: spec.expected_s,
             due_s: spec.due_s,
             division: division.collect(),
-            rest: (rest != Rest::default()).then(|| Box::new(rest)),
+            rest: (rest != UncommonFields::default()).then(|| Box::new(rest)),
         });
     }
 
@@ -273,7 +280,7 @@
         for (shard, first, last) in self.division {
             div.resize(shards, RangeSet::new());
             let set = div.get_mut(shard as usize)?;
-            *set = set.union(&RangeSet::span(first, last));
+            *set = set.union(&RangeSet::from_range(first, last));
         }
         let spec = JobSpec {
             id: job_id(self.job),
@@ -301,8 +308,8 @@
         Some(AdmittedJob {
             job: self.job,
             spec,
-            at: start.saturating_add(self.after_ms),
-            div,
+            submitted_at_ms: start.saturating_add(self.after_ms),
+            division: div,
             rest: self.rest.map(|rest| *rest).unwrap_or_default(),
         })
     }
--- a/crates/cherryyard-wire/src/admission_log/tests.rs
+++ b/crates/cherryyard-wire/src/admission_log/tests.rs
@@ -18,10 +18,10 @@
         let mut spec = spec.clone();
         spec.id = job_id(1_000_000 + n);
         let mut div = vec![RangeSet::new(); 7];
-        div[n as usize % 7] = RangeSet::span(0, 0);
-        let rest = Rest {
+        div[n as usize % 7] = RangeSet::from_range(0, 0);
+        let rest = UncommonFields {
             zone: (n == 3).then(|| "a".into()),
-            ..Rest::default()
+            ..UncommonFields::default()
         };
         // Some jobs are older than the first one, so that the page's time has to be lowered.
         let at = 1_790_000_000_000 + (n * 37 + 5) % 60;
@@ -30,8 +30,8 @@
         expected.push(AdmittedJob {
             job,
             spec,
-            at,
-            div,
+            submitted_at_ms: at,
+            division: div,
             rest,
         });
     }
--- a/crates/cherryyard-wire/src/history.rs
+++ b/crates/cherryyard-wire/src/history.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest possible job number: ids have at most 18 digits.
-pub const LAST: u64 = 999_999_999_999_999_999;
+pub const MAX_JOB_NUMBER: u64 = 999_999_999_999_999_999;
 
 /// Sorted run of leaves; the history has two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
 
 /// Returns the highest job number that the leaf with this key covers; `None` if this is not the
 /// key of a leaf of this run.
-pub fn leaf_of_key(level: Level, key: &str) -> Option<u64> {
+pub fn last_job_of_leaf_key(level: Level, key: &str) -> Option<u64> {
     let digits = key.strip_prefix(level.prefix())?;
     let is_numeric = digits.len() == 18 && digits.bytes().all(|b| b.is_ascii_digit());
     if is_numeric {
@@ -46,7 +46,7 @@
 
 /// Returns the key after which the next key is that of the leaf that covers `job`, for a range
 /// read; `None` for job 0, whose leaf is the run's first.
-pub fn since_key(level: Level, job: u64) -> Option<String> {
+pub fn key_before_leaf(level: Level, job: u64) -> Option<String> {
     Some(leaf_key(level, job.checked_sub(1)?))
 }
 
@@ -68,39 +68,41 @@
 /// generation is closed, by a record with the next one, no further end of that generation can
 /// be written, and a process that has read all changes up to that record has read all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedRecord {
+pub struct HistoryProgressRecord {
     /// Current generation, with which ends of jobs are recorded; 0 counts as 1.
-    pub gen_now: u64,
+    #[serde(rename = "gen_now")]
+    pub current_generation: u64,
     /// Last generation whose finished jobs, and those of all before it, are in the leaves; 0:
     /// none are.
-    pub gen_done: u64,
+    #[serde(rename = "gen_done")]
+    pub archived_generation: u64,
     /// State revision up to which finished jobs that have records of their own, outside of
     /// buckets, are in the leaves.
-    #[serde(default)]
-    pub own: u64,
+    #[serde(default, rename = "own")]
+    pub archived_revision: u64,
     /// Approximate number of jobs in the small and in the large run.
     #[serde(default, rename = "n")]
     pub jobs_in_runs: [u64; 2],
     /// Whether the small run is being merged into the large one.
-    #[serde(default)]
-    pub spilling: bool,
+    #[serde(default, rename = "spilling")]
+    pub merging_runs: bool,
 }
 
-impl PackedRecord {
+impl HistoryProgressRecord {
     /// Returns the current generation; the first is 1.
     pub fn generation(&self) -> u64 {
-        self.gen_now.max(1)
+        self.current_generation.max(1)
     }
 
     /// Returns the last closed generation, if its finished jobs are not in the leaves yet.
-    pub fn to_fold(&self) -> Option<u64> {
+    pub fn closed_generation_to_compact(&self) -> Option<u64> {
         let closed = self.generation() - 1;
-        (closed > self.gen_done).then_some(closed)
+        (closed > self.archived_generation).then_some(closed)
     }
 
     /// Returns whether any leaf may contain jobs.
-    pub fn any(&self) -> bool {
-        self.gen_done > 0 || self.generation() > 1
+    pub fn may_have_jobs(&self) -> bool {
+        self.archived_generation > 0 || self.generation() > 1
     }
 }
 
--- a/crates/cherryyard-wire/src/record/job.rs
+++ b/crates/cherryyard-wire/src/record/job.rs
@@ -16,7 +16,7 @@
     /// Jobs that have ended: job number, how the job ended, how many tasks it had, and the
     /// generation of the history that its end belongs to.
     #[serde(default, rename = "e", skip_serializing_if = "Vec::is_empty")]
-    pub ended: Vec<(u64, End, u32, u64)>,
+    pub ended: Vec<(u64, JobOutcome, u32, u64)>,
     /// Job number and usage per task of ended jobs of which tasks may still be on machines.
     #[serde(default, rename = "u", skip_serializing_if = "Vec::is_empty")]
     pub usage: Vec<(u64, TaskUsage)>,
@@ -29,7 +29,7 @@
     /// Record of a job that has ended.
     Ended {
         /// Way in which the job ended.
-        end: End,
+        end: JobOutcome,
         /// Number of the job's tasks.
         #[serde(rename = "n")]
         task_count: u32,
@@ -51,24 +51,29 @@
         /// Job as it was submitted.
         spec: Box<JobSpec>,
         /// Time of the submission, in milliseconds since the Unix epoch.
-        at: u64,
+        #[serde(rename = "at")]
+        submitted_at_ms: u64,
         /// Division of the job: each shard's task numbers; empty until the leader has divided
         /// the job.
-        #[serde(default)]
-        div: Vec<RangeSet>,
+        #[serde(default, rename = "div")]
+        division: Vec<RangeSet>,
         /// Zone in which all tasks run, if the user asked for a single zone.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         zone: Option<String>,
         /// Maximum number of tasks by shard and zone, if the user asked for tasks to be spread;
         /// otherwise empty.
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        caps: Vec<Vec<u32>>,
+        #[serde(default, rename = "caps", skip_serializing_if = "Vec::is_empty")]
+        zone_caps: Vec<Vec<u32>>,
         /// Placement rules beyond the fields of the submission.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         rules: Option<Box<Rules>>,
         /// Jobs that this one depends on.
-        #[serde(default, skip_serializing_if = "Dependencies::is_none")]
-        after: Dependencies,
+        #[serde(
+            default,
+            rename = "after",
+            skip_serializing_if = "Dependencies::never_waited"
+        )]
+        dependencies: Dependencies,
     },
 }
 
@@ -79,7 +84,7 @@
 /// Way in which a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum JobOutcome {
     /// All tasks were completed.
     Done,
     /// The job was cancelled, by its user or because a job that it depended on was cancelled.
--- a/crates/cherryyard-wire/tests/production.rs
+++ b/crates/cherryyard-wire/tests/production.rs
@@ -5,16 +5,16 @@
 //! same bytes as long as such a version may read them.
 
 use cherryyard_wire::RangeSet;
-use cherryyard_wire::admission_log::{AdmissionPageRecord, Rest};
+use cherryyard_wire::admission_log::{AdmissionPageRecord, UncommonFields};
 use cherryyard_wire::job::{JobSpec, job_id};
 use cherryyard_wire::page::StoredPage;
 use cherryyard_wire::peer::{
-    CapacityReport, DemandReport, FlowShare, ForwardResponse, ForwardedSubmission, Heartbeat,
-    LevelGrant, MachineCapacity, MachinePool, Message, decode, encode_legacy,
+    CapacityReport, DemandReport, FlowGrant, ForwardResponse, ForwardedSubmission, Heartbeat,
+    MachineCapacity, MachinePool, Message, ShardGrant, decode, encode_legacy,
 };
 use cherryyard_wire::record::{
-    ADMISSION_LOG, BucketRecord, End, FormatRecord, Grant, ImagesRecord, JobRecord, LeaseRecord,
-    PageRecord,
+    ADMISSION_LOG, BucketRecord, FormatRecord, Grant, ImagesRecord, JobOutcome, JobRecord,
+    LeaseRecord, PageRecord,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -69,17 +69,21 @@
 fn open_job(job: u64, at: u64, div: Vec<RangeSet>) -> JobRecord {
     JobRecord::Open {
         spec: Box::new(spec(job)),
-        at,
-        div,
+        submitted_at_ms: at,
+        division: div,
         zone: None,
-        caps: Vec::new(),
+        zone_caps: Vec::new(),
         rules: None,
-        after: Default::default(),
+        dependencies: Default::default(),
     }
 }
 
 fn division() -> Vec<RangeSet> {
-    vec![RangeSet::span(0, 3), RangeSet::new(), RangeSet::span(4, 5)]
+    vec![
+        RangeSet::from_range(0, 3),
+        RangeSet::new(),
+        RangeSet::from_range(4, 5),
+    ]
 }
 
 #[test]
@@ -89,8 +93,8 @@
         cut_off: true,
         silent_ms: 400,
         cancelled: vec![412, 398_405],
-        reach_ms: 60_000,
-        complete: true,
+        cancellations_cover_ms: 60_000,
+        all_cancellations_known: true,
         store_revision: 70_123,
         leases: vec![(0, 3, "orchard-0".into()), (2, 41, "orchard-2".into())],
         shards: vec![CapacityReport {
@@ -105,33 +109,33 @@
             machines: vec![MachineCapacity {
                 pool: 0,
                 free: (1.5, 0.0, 8.25),
-                yielding: (4.0, 0.0, 16.0),
+                free_if_preempted: (4.0, 0.0, 16.0),
                 images: vec![0],
             }],
             waiting: vec![(412, 7, 2.5)],
-            wants: vec![("member-care".into(), 12.0, 0.0)],
+            team_demand: vec![("member-care".into(), 12.0, 0.0)],
         }],
-        short: vec!["servicing".into()],
-        handing: vec![(1, 77)],
-        misdirected: vec![(0, 3)],
+        teams_short_of_grants: vec!["servicing".into()],
+        handover_candidates: vec![(1, 77)],
+        misdirected_workers: vec![(0, 3)],
         number: 9,
-        heard: vec![(0, 7), (2, 8)],
-        shares: vec![FlowShare {
+        last_received_numbers: vec![(0, 7), (2, 8)],
+        fair_share_grants: vec![FlowGrant {
             class: "ledger-extract".into(),
             team: 1,
-            floor: 12.5,
-            levels: vec![LevelGrant {
+            guarantee_cores: 12.5,
+            shard_grants: vec![ShardGrant {
                 shard: 2,
-                under: (40, 41),
-                level: 12_500,
+                lease_tokens: (40, 41),
+                amount_millicores: 12_500,
             }],
         }],
-        intake_ms: 12,
+        longest_submission_wait_ms: 12,
         demand: vec![DemandReport {
             class: "ledger-extract".into(),
             team: 1,
-            offered: 5,
-            taken: 4,
+            submitted: 5,
+            accepted: 4,
             refused: 1,
         }],
     };
@@ -157,12 +161,12 @@
     assert_json_sample("open", &open_job(412, 1_790_000_000_000, division()));
     let undivided = JobRecord::Open {
         spec: Box::new(spec(413)),
-        at: 1_790_000_000_000,
-        div: Vec::new(),
+        submitted_at_ms: 1_790_000_000_000,
+        division: Vec::new(),
         zone: Some("lahore-east".into()),
-        caps: vec![vec![1, 2]],
+        zone_caps: vec![vec![1, 2]],
         rules: None,
-        after: Default::default(),
+        dependencies: Default::default(),
     };
     assert_json_sample("undivided", &undivided);
     let usage = cherryyard_wire::record::TaskUsage {
@@ -172,7 +176,7 @@
         ram_gb: 3.2,
     };
     let ended = JobRecord::Ended {
-        end: End::Done,
+        end: JobOutcome::Done,
         task_count: 6,
         usage: usage.clone(),
         generation: 0,
@@ -181,17 +185,23 @@
     assert_json_sample("ended", &ended);
     let bucket = BucketRecord {
         open: vec![(412, open_job(412, 7, Vec::new()))],
-        ended: vec![(398_405, End::Cancelled, 6, 3)],
+        ended: vec![(398_405, JobOutcome::Cancelled, 6, 3)],
         usage: vec![(398_405, usage)],
     };
     assert_json_sample("bucket", &bucket);
     let mut page = AdmissionPageRecord::default();
-    let rest = Rest {
+    let rest = UncommonFields {
         zone: Some("lahore-east".into()),
-        ..Rest::default()
+        ..UncommonFields::default()
     };
     let at = 1_790_000_000_000;
-    page.push(412, &spec(412), at + 500, &division(), Rest::default());
+    page.push(
+        412,
+        &spec(412),
+        at + 500,
+        &division(),
+        UncommonFields::default(),
+    );
     page.push(398_405, &spec(398_405), at, &[], rest);
     assert_json_sample("arrivals", &page);
 }
@@ -212,7 +222,7 @@
     assert_json_sample("format", &format);
     let grant = Grant {
         cores: 12.5,
-        acc: 0.0,
+        accelerators: 0.0,
     };
     assert_json_sample("grant", &grant);
     let held = [("host-000231", vec![0]), ("host-000007", vec![])];
@@ -226,7 +236,7 @@
                 vec![vec![88, 1, 0, 0, 1, 3], vec![91, 2, 1, 4]],
                 [1u32, 2].into_iter().collect(),
             ),
-            (398_405, Vec::new(), RangeSet::span(0, 5)),
+            (398_405, Vec::new(), RangeSet::from_range(0, 5)),
         ],
     };
     assert_json_sample("page", &StoredPage::Plain(page));
--- a/crates/cherryyard/src/app/forwarding.rs
+++ b/crates/cherryyard/src/app/forwarding.rs
@@ -2,7 +2,7 @@
 
 use super::App;
 use cherryyard_clients::peer::OutgoingMessage;
-use cherryyard_core::admission::intake::{Offer, Verdict};
+use cherryyard_core::admission::intake::{Submission, SubmissionOutcome};
 use cherryyard_core::mirror::OpenJob;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission, Message};
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
     /// Forwarded submissions, which wait for the other controller's response.
     forwarded: PendingReplies<ForwardResponse>,
     /// Submissions offered to the core, which wait for its verdict.
-    offered: PendingReplies<Verdict>,
+    offered: PendingReplies<SubmissionOutcome>,
     next_ticket: AtomicU64,
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// Passes the core's verdict on to the submission that waits for it.
-    pub(super) fn deliver_verdict(&self, ticket: u64, verdict: Verdict) {
+    pub(super) fn deliver_verdict(&self, ticket: u64, verdict: SubmissionOutcome) {
         if let Some(reply_sender) = lock(&self.offered).remove(&ticket) {
             // Fails if the submission has timed out.
             let _ = reply_sender.send(verdict);
@@ -80,14 +80,15 @@
             let timeout = if controller.state_fresh(now) {
                 // The timeout grows with the time that submissions take at the target: while many
                 // wait there, a second write of the same submission would only add load.
-                FORWARD_TIMEOUT + Duration::from_millis(2 * controller.intake_ms(target).min(200))
+                FORWARD_TIMEOUT
+                    + Duration::from_millis(2 * controller.forwarded_delay_ms(target).min(200))
             } else {
                 FORWARD_ONLY_TIMEOUT
             };
             Some((
                 queue,
                 timeout,
-                controller.config.labels[controller.config.me].clone(),
+                controller.config.labels[controller.config.own_index].clone(),
             ))
         })?;
         let ticket = self.pending.issue_ticket();
@@ -114,21 +115,29 @@
         reply
     }
 
-    /// Offers a new job to the core, and waits for its verdict. `moved` is the revision of the
-    /// history's record as of which the job was not in the history.
-    pub async fn offer(self: &Arc<Self>, job: u64, open: OpenJob, moved: u64) -> Verdict {
+    /// Offers a new job to the core, and waits for its verdict. `history_revision` is the revision
+    /// of the history's record as of which the job was not in the history.
+    pub async fn offer(
+        self: &Arc<Self>,
+        job: u64,
+        open: OpenJob,
+        history_revision: u64,
+    ) -> SubmissionOutcome {
         let ticket = self.pending.issue_ticket();
         let (reply_sender, reply) = oneshot::channel();
         lock(&self.pending.offered).insert(ticket, reply_sender);
-        let offer = Offer {
+        let offer = Submission {
             ticket,
             job,
             open,
-            moved,
+            history_revision,
         };
-        self.with(|controller, now| controller.offer(offer, now));
+        self.with(|controller, now| controller.submit(offer, now));
         let reply = tokio::time::timeout(OFFER_TIMEOUT, reply).await;
         lock(&self.pending.offered).remove(&ticket);
-        reply.ok().and_then(Result::ok).unwrap_or(Verdict::Failed)
+        reply
+            .ok()
+            .and_then(Result::ok)
+            .unwrap_or(SubmissionOutcome::Failed)
     }
 }
--- a/crates/cherryyard/src/app/history.rs
+++ b/crates/cherryyard/src/app/history.rs
@@ -8,7 +8,7 @@
 use super::lookup_queue::LookupQueue;
 use cherryyard_core::Controller;
 use cherryyard_history::{FinishedJob, Leaf, LeafCache, Lookup};
-use cherryyard_wire::history::{LAST, Level};
+use cherryyard_wire::history::{Level, MAX_JOB_NUMBER};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -103,8 +103,8 @@
 /// small run to the large one.
 fn history_state(controller: &Controller) -> (u64, bool) {
     (
-        controller.mirror.packed_revision,
-        controller.mirror.packed.spilling,
+        controller.mirror.history_progress_revision,
+        controller.mirror.history_progress.merging_runs,
     )
 }
 
@@ -116,8 +116,9 @@
         job: u64,
         kind: LookupKind,
     ) -> Option<LookupResult> {
-        if !self.with(|controller, _| controller.mirror.packed.any()) {
-            let history_revision = self.with(|controller, _| controller.mirror.packed_revision);
+        if !self.with(|controller, _| controller.mirror.history_progress.may_have_jobs()) {
+            let history_revision =
+                self.with(|controller, _| controller.mirror.history_progress_revision);
             return Some(LookupResult {
                 finished_job: None,
                 history_revision,
@@ -194,7 +195,7 @@
                 Lookup::Absent(_)
                     if !spilling
                         && self.with(|controller, _| {
-                            controller.mirror.packed_revision == revision_at_start
+                            controller.mirror.history_progress_revision == revision_at_start
                                 && controller.mirror.store_revision >= small_read_at
                         }) =>
                 {
@@ -237,7 +238,7 @@
                 });
                 (last, leaf.ok()?)
             }
-            None => (LAST, Leaf::default()),
+            None => (MAX_JOB_NUMBER, Leaf::default()),
         };
         let finished_job = leaf.find(job).copied();
         let mut cache = lock(&self.history.cache);
--- a/crates/cherryyard/src/operator.rs
+++ b/crates/cherryyard/src/operator.rs
@@ -3,7 +3,7 @@
 use cherryyard_core::Tuning;
 use cherryyard_core::config::{Admission, ClassShare};
 use cherryyard_wire::error::AttributeError;
-use cherryyard_wire::rules::{Attributes, Group};
+use cherryyard_wire::rules::{AttributeGroup, Attributes};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -50,13 +50,13 @@
     admission: AdmissionFile,
     /// Attributes of all machines.
     #[serde(default)]
-    machines: Group,
+    machines: AttributeGroup,
     /// Attributes of machines by machine type.
     #[serde(default)]
-    machine_type: BTreeMap<String, Group>,
+    machine_type: BTreeMap<String, AttributeGroup>,
     /// Attributes of machines by zone.
     #[serde(default)]
-    zone: BTreeMap<String, Group>,
+    zone: BTreeMap<String, AttributeGroup>,
 }
 
 /// Block with the fair-share guarantees of job classes, which decide whose jobs are served when
@@ -111,8 +111,13 @@
     };
     Ok(ClassShare {
         weight: read("weight", file.weight, defaults.weight, 0.01..=100.0)?,
-        least: read("least_served", file.least_served, defaults.least, 0.0..=1.0)?,
-        share: read("share", file.share, defaults.share, 0.0..=1.0)?,
+        least_served: read(
+            "least_served",
+            file.least_served,
+            defaults.least_served,
+            0.0..=1.0,
+        )?,
+        max_share: read("share", file.share, defaults.max_share, 0.0..=1.0)?,
     })
 }
 
@@ -124,16 +129,16 @@
         least_served: file.least_served,
         share: file.share,
     };
-    admission.all = class_share("admission", &all, admission.all)?;
+    admission.default_class = class_share("admission", &all, admission.default_class)?;
     if let Some(number) = file.turn_s {
-        admission.turn_s = check_range("admission.turn_s", number, &(1.0..=3600.0))?;
+        admission.aging_s = check_range("admission.turn_s", number, &(1.0..=3600.0))?;
     }
     if let Some(number) = file.window_s {
         admission.window_s = check_range("admission.window_s", number, &(1.0..=600.0))?;
     }
     for (class, own) in file.class {
         let name = format!("admission.class.{class}");
-        let own = class_share(&name, &own, admission.all)?;
+        let own = class_share(&name, &own, admission.default_class)?;
         admission.classes.insert(class, own);
     }
     Ok(admission)
--- a/crates/cherryyard/src/routes/condor.rs
+++ b/crates/cherryyard/src/routes/condor.rs
@@ -8,13 +8,14 @@
 use cherryyard_core::{Controller, Outcome};
 use cherryyard_history::Leaf;
 use cherryyard_wire::condor::{
-    ChunkPost, END_ID, FIRST_ID, IdsRecord, MAX_JOBS, Phase, PhaseEvent, SubmissionList,
-    SubmissionRecord, Template, check_name, chunk_key, submission_key, submission_number,
+    ChunkPost, END_OF_JOB_NUMBERS, FIRST_RESERVED_JOB, IdsRecord, MAX_JOBS, Phase, PhaseEvent,
+    SubmissionList, SubmissionRecord, Template, check_name, chunk_key, submission_key,
+    submission_number,
 };
 use cherryyard_wire::parse_object;
-use cherryyard_wire::record::{IDS, Key};
+use cherryyard_wire::record::{IDS_KEY, Key};
 use cherryyard_wire::rules::Rules;
-use cherryyard_wire::state::{Apply, Commit, Json};
+use cherryyard_wire::state::{Change, Commit, Json};
 use salvo::http::StatusCode;
 use std::sync::Arc;
 
@@ -85,10 +86,10 @@
         Some(known) if known.phase != Phase::Receiving => {
             return Err(submission_response(controller, number, StatusCode::OK));
         }
-        Some(known) if known.of != post.of => {
-            return conflict(format!("of: the chunks before said {}", known.of));
+        Some(known) if known.chunk_count != post.of => {
+            return conflict(format!("of: the chunks before said {}", known.chunk_count));
         }
-        Some(known) if post.chunk < known.chunks => {
+        Some(known) if post.chunk < known.received_chunks => {
             return Err(submission_response(
                 controller,
                 number,
@@ -98,8 +99,8 @@
         Some(known) => known,
         None => new_record(controller, post, at)?,
     };
-    if post.chunk != record.chunks {
-        return conflict(format!("chunk: {} is the next one", record.chunks));
+    if post.chunk != record.received_chunks {
+        return conflict(format!("chunk: {} is the next one", record.received_chunks));
     }
     Ok(record)
 }
@@ -119,14 +120,14 @@
     Ok(SubmissionRecord {
         name: post.name.clone(),
         phase: Phase::Receiving,
-        at,
-        of: post.of,
-        chunks: 0,
+        started_at_ms: at,
+        chunk_count: post.of,
+        received_chunks: 0,
         jobs: 0,
         first: 0,
         chunk: (0, 0),
-        next: 0,
-        swept: 0,
+        created_in_chunk: 0,
+        deleted_chunks: 0,
     })
 }
 
@@ -137,18 +138,18 @@
     before: &SubmissionRecord,
     response: ApiResponse,
 ) -> ChunkAction {
-    if before.chunks == 0 {
+    if before.received_chunks == 0 {
         return ChunkAction::Respond(response);
     }
     let number = submission_number(&before.name);
     let mut dropped = before.clone();
-    dropped.phase = dropped.phase.after(PhaseEvent::GivenUp);
+    dropped.phase = dropped.phase.after(PhaseEvent::Abandoned);
     let mut commit = Commit::default();
     controller
         .mirror
         .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
-    commit.apply.push(Apply::set(key, &dropped));
+    commit.changes.push(Change::set(key, &dropped));
     ChunkAction::Drop(commit, response)
 }
 
@@ -179,7 +180,7 @@
         Ok(record) => record,
         Err(response) => return ChunkAction::Respond(response),
     };
-    match admit_chunk(controller, post, record.at) {
+    match admit_chunk(controller, post, record.started_at_ms) {
         Ok(()) => {}
         Err(Reject::NotYet(reason)) => {
             return ChunkAction::Respond(ApiResponse::retry_later(&reason.to_string()));
@@ -202,13 +203,14 @@
     controller
         .mirror
         .require(&mut commit, Key::Submission(number));
-    commit
-        .apply
-        .push(Apply::put(chunk_key(number, record.chunks), chunk));
+    commit.changes.push(Change::put(
+        chunk_key(number, record.received_chunks),
+        chunk,
+    ));
     record.jobs = jobs;
-    record.chunks += 1;
+    record.received_chunks += 1;
     let mut status = StatusCode::ACCEPTED;
-    if record.chunks == record.of {
+    if record.received_chunks == record.chunk_count {
         let Some(free_ids) = free_ids else {
             return ChunkAction::Respond(ApiResponse::retry_later(
                 "no block of ids could be found",
@@ -218,8 +220,8 @@
         status = StatusCode::CREATED;
     }
     commit
-        .apply
-        .push(Apply::set(submission_key(number), &record));
+        .changes
+        .push(Change::set(submission_key(number), &record));
     ChunkAction::Commit(commit, status)
 }
 
@@ -237,11 +239,16 @@
     record.chunk = (0, first);
     controller.mirror.require(commit, Key::Ids);
     let next = first + record.jobs;
-    commit.apply.push(Apply::set(IDS, &IdsRecord { next }));
+    commit
+        .changes
+        .push(Change::set(IDS_KEY, &IdsRecord { next }));
     if history_revision > 0 {
         // The transaction fails if the history's record has changed since: jobs with ids of this
         // block may have been added to a leaf.
-        commit.require(cherryyard_wire::record::PACKED, history_revision);
+        commit.require(
+            cherryyard_wire::record::HISTORY_PROGRESS_KEY,
+            history_revision,
+        );
     }
 }
 
@@ -250,16 +257,16 @@
 /// users could choose any id before submit files were enabled.
 async fn free_block(app: &Arc<App>, jobs: u64) -> Option<(u64, u64)> {
     let (mut first, history_revision, has_history) = app.with(|controller, _| {
-        let next = controller.mirror.ids.next.max(FIRST_ID);
+        let next = controller.mirror.ids.next.max(FIRST_RESERVED_JOB);
         (
             next,
-            controller.mirror.packed_revision,
-            controller.mirror.packed.any(),
+            controller.mirror.history_progress_revision,
+            controller.mirror.history_progress.may_have_jobs(),
         )
     });
     let mut reads = 0;
-    'block: while first + jobs < END_ID {
-        if app.with(|controller, _| controller.mirror.knows_any(first..first + jobs)) {
+    'block: while first + jobs < END_OF_JOB_NUMBERS {
+        if app.with(|controller, _| controller.mirror.has_any_job(first..first + jobs)) {
             first += jobs;
             continue;
         }
@@ -369,7 +376,7 @@
     }
     app.with(|controller, _| {
         let all = controller.mirror.submissions.iter();
-        let mut all: Vec<(u64, u64)> = all.map(|(&k, (r, _))| (r.at, k)).collect();
+        let mut all: Vec<(u64, u64)> = all.map(|(&k, (r, _))| (r.started_at_ms, k)).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         let views = all.into_iter().take(MAX_LISTED);
         let list = SubmissionList {
@@ -437,7 +444,7 @@
         .mirror
         .require(&mut commit, Key::Submission(number));
     let key = submission_key(number);
-    commit.apply.push(Apply::set(key, &record));
+    commit.changes.push(Change::set(key, &record));
     Ok(commit)
 }
 
--- a/crates/cherryyard/src/routes/jobs.rs
+++ b/crates/cherryyard/src/routes/jobs.rs
@@ -4,18 +4,18 @@
 use super::retry::{MAX_ATTEMPTS, pause_after_refusal};
 use crate::app::{App, LookupKind, wall_ms};
 use cherryyard_core::Outcome;
-use cherryyard_core::admission::intake::Verdict;
+use cherryyard_core::admission::intake::SubmissionOutcome;
 use cherryyard_core::admit::{Reject, admit};
-use cherryyard_core::dependencies::{DependencyError, PastEnds, Resolution};
-use cherryyard_core::mirror::{OpenJob, over};
+use cherryyard_core::dependencies::{DependencyError, HistoryEnds, Resolution};
+use cherryyard_core::mirror::{OpenJob, ended_job_view};
 use cherryyard_core::users::UserAnswer;
-use cherryyard_wire::condor::{FIRST_ID, is_reserved};
+use cherryyard_wire::condor::{FIRST_RESERVED_JOB, is_reserved};
 use cherryyard_wire::dependencies::Dependencies;
 use cherryyard_wire::job::{JobSpec, JobStatus, JobView, job_id, job_number};
 use cherryyard_wire::parse_object;
 use cherryyard_wire::peer::{ForwardResponse, ForwardedSubmission};
-use cherryyard_wire::record::End;
-use cherryyard_wire::rules::{Additions, Rules};
+use cherryyard_wire::record::JobOutcome;
+use cherryyard_wire::rules::{Rules, SubmissionExtensions};
 use salvo::http::StatusCode;
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
 /// such job.
 async fn lookup(app: &Arc<App>, job: u64) -> Result<Option<JobView>, ApiResponse> {
     let answer_for =
-        |caught_up| app.with(|controller, now| controller.answer_for(job, caught_up, now));
+        |caught_up| app.with(|controller, now| controller.poll_answer(job, caught_up, now));
     let answer = match answer_for(false) {
         UserAnswer::Barrier if app.wait_until_caught_up().await => answer_for(true),
         answer => answer,
@@ -57,13 +57,13 @@
     };
     let cancelled = result
         .finished_job
-        .is_some_and(|finished| finished.end == End::Cancelled);
+        .is_some_and(|finished| finished.end == JobOutcome::Cancelled);
     if cancelled && !app.with(|controller, now| controller.may_confirm_cancelled(job, now)) {
         return Err(unconfirmed_cancellation());
     }
     Ok(result
         .finished_job
-        .map(|finished| over(job, finished.end, finished.done)))
+        .map(|finished| ended_job_view(job, finished.end, finished.done)))
 }
 
 /// Returns the response for a cancelled job whose cancellation the other controllers may not have
@@ -84,7 +84,7 @@
     let spec = JobSpec::parse(body).map_err(ApiResponse::bad_request)?;
     let mut rules = None;
     if app.with(|controller, _| controller.config.tuning.condor) {
-        rules = parse_object::<Additions>(body)
+        rules = parse_object::<SubmissionExtensions>(body)
             .map_err(ApiResponse::bad_request)?
             .rules;
         rules = rules.filter(|r| !r.is_empty());
@@ -117,7 +117,7 @@
     spec: &JobSpec,
     job: u64,
 ) -> Result<Dependencies, ApiResponse> {
-    let mut past_ends = PastEnds::new();
+    let mut past_ends = HistoryEnds::new();
     let mut caught_up = false;
     loop {
         let unknown = match app
@@ -258,11 +258,14 @@
         return Attempt::Failed;
     };
     if let Some(finished) = result.finished_job {
-        let view = over(job, finished.end, finished.done);
+        let view = ended_job_view(job, finished.end, finished.done);
         return Attempt::Answered(ApiResponse::job_view(StatusCode::OK, &view));
     }
     if is_reserved(job) && app.with(|controller, _| controller.config.tuning.condor) {
-        let reason = format!("id: from {} on they are for submissions", job_id(FIRST_ID));
+        let reason = format!(
+            "id: from {} on they are for submissions",
+            job_id(FIRST_RESERVED_JOB)
+        );
         return Attempt::Answered(ApiResponse::bad_request(reason));
     }
     open.dependencies = match resolve_dependencies(app, spec_with_dependencies, job).await {
@@ -275,22 +278,22 @@
         JobStatus::Queued
     };
     match app.offer(job, open.clone(), result.history_revision).await {
-        Verdict::Taken => {
+        SubmissionOutcome::Stored => {
             let body = serde_json::json!({ "id": spec_with_dependencies.id, "status": status });
             Attempt::Answered(ApiResponse::json(StatusCode::CREATED, &body))
         }
         // Another controller may have accepted the job in the meantime.
-        Verdict::Known => match lookup(app, job).await {
+        SubmissionOutcome::AlreadyKnown => match lookup(app, job).await {
             Ok(Some(view)) => Attempt::Answered(ApiResponse::job_view(StatusCode::OK, &view)),
             Ok(None) => Attempt::Failed,
             Err(response) => Attempt::Answered(response),
         },
-        Verdict::Retry => Attempt::Retry,
-        Verdict::Busy(seconds) => {
+        SubmissionOutcome::Retry => Attempt::Retry,
+        SubmissionOutcome::Refused(seconds) => {
             let reason = "too many submissions at once";
             Attempt::Answered(ApiResponse::retry_after(reason, seconds))
         }
-        Verdict::Failed => Attempt::Failed,
+        SubmissionOutcome::Failed => Attempt::Failed,
     }
 }
 
--- a/crates/cherryyard/src/run.rs
+++ b/crates/cherryyard/src/run.rs
@@ -85,7 +85,7 @@
         reconnect: HashMap::new(),
     };
     let mut queues = Vec::new();
-    for peer in &settings.known {
+    for peer in &settings.peers {
         if let Ok(addr) = peer.endpoint.parse() {
             let (queue, messages) = mpsc::channel(PEER_QUEUE);
             let reconnect = Arc::new(Notify::new());
@@ -107,7 +107,7 @@
 /// them.
 fn intervals(settings: &Settings) -> Intervals {
     let cluster = &settings.cluster;
-    let controllers = (settings.known.len() + 1) as f64;
+    let controllers = (settings.peers.len() + 1) as f64;
     // The watch and the barriers get a third of the requests each, renewals and transactions
     // the rest.
     let read_s = (controllers * 3.0 / cluster.state.rps).clamp(0.02, 2.0);
@@ -158,7 +158,7 @@
 
 /// Runs a controller until it is killed.
 pub async fn run(settings: Settings, tuning: Tuning) -> Result<(), StartError> {
-    let (heartbeat_out, heartbeats) = watch::channel(None);
+    let (build_heartbeat, heartbeats) = watch::channel(None);
     let (peers, queues) = peer_queues(&settings);
     let sender = peers.sender.clone();
     let app = Arc::new(build_app(&settings, tuning, peers)?);
@@ -183,7 +183,7 @@
             queue.reconnect,
         ));
     }
-    tokio::spawn(app.clone().publish_heartbeats(heartbeat_out));
+    tokio::spawn(app.clone().publish_heartbeats(build_heartbeat));
     tokio::spawn(app.clone().run_clock());
     tokio::spawn(app.clone().serve_barriers());
     tokio::spawn(app.clone().measure_event_loop_lag());
--- a/crates/cherryyard/tests/history.rs
+++ b/crates/cherryyard/tests/history.rs
@@ -5,10 +5,11 @@
 use cherryyard_simulation::http::{Budgets, HttpState};
 use cherryyard_simulation::process::{self, Client, Process};
 use cherryyard_simulation::{StateStandIn, World, small_machine_type};
-use cherryyard_wire::history::{LAST, PackedRecord};
+use cherryyard_wire::history::{HistoryProgressRecord, MAX_JOB_NUMBER};
 use cherryyard_wire::job::{JobStatus, JobView, job_id};
 use cherryyard_wire::record::{
-    BUCKETS, BucketRecord, End, FORMAT, FormatRecord, MACHINE_TYPES_KEY, PACKED, bucket_key,
+    BUCKETS, BucketRecord, FORMAT_KEY, FormatRecord, HISTORY_PROGRESS_KEY, JobOutcome,
+    MACHINE_TYPES_KEY, bucket_key,
 };
 use std::path::Path;
 
@@ -18,7 +19,7 @@
     let machine_type = small_machine_type(vec!["a".into()]);
     state.seed(MACHINE_TYPES_KEY, &[machine_type]);
     state.seed(
-        FORMAT,
+        FORMAT_KEY,
         &FormatRecord {
             jobs: BUCKETS,
             admission_log: false,
@@ -26,21 +27,25 @@
         },
     );
     state.seed(&bucket_key(0), &BucketRecord::default());
-    let record = PackedRecord {
-        gen_now: 2,
-        gen_done: 1,
+    let record = HistoryProgressRecord {
+        current_generation: 2,
+        archived_generation: 1,
         jobs_in_runs: [0, 3],
-        ..PackedRecord::default()
+        ..HistoryProgressRecord::default()
     };
-    state.seed(PACKED, &record);
+    state.seed(HISTORY_PROGRESS_KEY, &record);
     let finished_job = |job| FinishedJob {
         job,
-        end: if job == 20 { End::Cancelled } else { End::Done },
+        end: if job == 20 {
+            JobOutcome::Cancelled
+        } else {
+            JobOutcome::Done
+        },
         done: 4,
         day: 1,
     };
     let leaf = Leaf::new([10, 20, 30].map(finished_job).to_vec());
-    state.seed(&leaf_key(Level::Large, LAST), &leaf.to_record());
+    state.seed(&leaf_key(Level::Large, MAX_JOB_NUMBER), &leaf.to_record());
     state
 }
 
@@ -56,7 +61,9 @@
 async fn submit(client: &Client, job: u64) -> (u16, String) {
     let spec = World::spec(&job_id(job), "sweep", 1);
     let body = serde_json::json!(spec).to_string();
-    client.insist("POST", "/v2/runs", Some(body)).await
+    client
+        .call_until_available("POST", "/v2/runs", Some(body))
+        .await
 }
 
 /// Guards against old jobs that are not found or are run again, against unknown jobs that do not
