--- a/crates/cherryyard-core/src/admission/queue.rs
+++ b/crates/cherryyard-core/src/admission/queue.rs
@@ -6,8 +6,8 @@
 //! bounded number, and of the others a few that differ from cycle to cycle, so that the cost of a
 //! scheduling cycle does not grow with the number of waiting jobs. Two rules prevent starvation:
 //! a fixed share of the cores that a flow starts is credited to its late jobs ([`late_jobs`]), and
-//! the oldest job of a flow of which no task has started yet comes first once it is old enough
-//! ([`oldest_job`]).
+//! of a flow's jobs that are not quarantined and have no started task, the oldest comes first once
+//! it is old enough ([`oldest_job`]).
 
 mod flow_queue;
 mod late_jobs;
@@ -143,15 +143,16 @@
         due
     }
 
-    /// Returns the job of a flow that comes first because it is the oldest of which no task has
-    /// started.
+    /// Returns the job of a flow that comes first because of its age, as the last call of
+    /// [`Self::prioritize_oldest_jobs`] chose it, unless it has been removed since.
     pub fn oldest_job(&self, flow: Flow) -> Option<u64> {
         self.flows.get(flow as usize)?.oldest.first()
     }
 
     /// Chooses in each flow the oldest job for which `has_begun` is false to come first, if
-    /// `is_old` holds for the time since which it has been ready to run. Returns the jobs that the
-    /// caller has to [`Self::set`] again.
+    /// `is_old` holds for the time since which it has been ready to run. `has_begun` holds for
+    /// every job that is to be passed over: those with an assigned or completed task, and
+    /// quarantined ones. Returns the jobs that the caller has to [`Self::set`] again.
     pub fn prioritize_oldest_jobs(
         &mut self,
         is_old: impl Fn(u64) -> bool,
--- a/crates/cherryyard-core/src/admission/queue/oldest_job.rs
+++ b/crates/cherryyard-core/src/admission/queue/oldest_job.rs
@@ -1,5 +1,6 @@
-//! Aging: the oldest job of a flow of which no task has started yet comes first in its flow once it
-//! is old enough, so that jobs with less work that keep arriving cannot starve it.
+//! Aging: of a flow's jobs that are not quarantined and have no started task, the oldest comes
+//! first in its flow once it is old enough, so that jobs with less work that keep arriving cannot
+//! starve it.
 
 use super::place::AgeKey;
 use std::collections::BTreeSet;
@@ -7,7 +8,7 @@
 /// Jobs of one flow by age, and the one that comes first because of its age.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OldestJob {
-    /// Waiting jobs, oldest first, without those that were found to have begun.
+    /// Waiting jobs, oldest first, without those for which `update` found `has_begun` to hold.
     jobs_by_age: BTreeSet<AgeKey>,
     /// The job that comes first.
     first: Option<u64>,
@@ -34,8 +35,9 @@
     }
 
     /// Finds the oldest job for which `has_begun` is false, if `is_old` holds for the time
-    /// since which it has been ready to run. If this changes the first job, adds the former and the
-    /// new one to `changed`.
+    /// since which it has been ready to run. `has_begun` holds for jobs with an assigned or
+    /// completed task and for quarantined jobs, which are passed over. If this changes the first
+    /// job, adds the former and the new one to `changed`.
     pub(super) fn update(
         &mut self,
         is_old: impl Fn(u64) -> bool,
--- a/crates/cherryyard-core/src/lease_acquisition.rs
+++ b/crates/cherryyard-core/src/lease_acquisition.rs
@@ -42,7 +42,7 @@
 struct WorkerCounts {
     /// Workers whose heartbeats should arrive at this controller.
     expected: u32,
-    /// Those of the expected workers whose heartbeats have stopped.
+    /// Expected workers whose heartbeats have stopped.
     silent: u32,
     /// Workers that send their heartbeats to peers and are reachable by these.
     misdirected: u32,
--- a/crates/cherryyard-core/src/owner/reconciliation.rs
+++ b/crates/cherryyard-core/src/owner/reconciliation.rs
@@ -20,9 +20,9 @@
 /// Path by which commands reach a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandChannel {
-    /// In the answer to a heartbeat.
+    /// Commands are sent in the response to a heartbeat of the machine.
     HeartbeatResponse,
-    /// In a request to the worker.
+    /// Commands are sent in a request from the owner to the worker.
     Direct,
 }
 
--- a/crates/cherryyard-core/src/owner/spot_reclaim.rs
+++ b/crates/cherryyard-core/src/owner/spot_reclaim.rs
@@ -13,7 +13,8 @@
 /// Lower bound for the expected run time, as a share of the estimate: the tasks that complete first
 /// are short, so their average may be too low.
 const MIN_SHARE_OF_ESTIMATE: f64 = 0.5;
-/// Lower bound for the remaining run time, as a share of the time that a task has run.
+/// Lower bound for the remaining run time, as a share of the time that a task has run: a task that
+/// is close to or beyond its expected run time is not assumed to complete at once.
 const MIN_SHARE_LEFT: f64 = 0.2;
 
 impl Controller {
@@ -51,7 +52,9 @@
             return false;
         }
         let ran = machine.ran_ms(task, attempt, now).unwrap_or(0.0);
-        // A task close to or beyond its expected run time may still run for a while.
+        // The expected run time is an estimate, so a task close to or beyond it may still run on.
+        // Without the lower bound, the difference would be near zero or negative, and the task
+        // would count as completing before the reclaim.
         let expected = self.expected_run_ms(machine.shard, task.0, open);
         let left = (expected - ran).max(ran * MIN_SHARE_LEFT);
         left > reclaim_at - now && self.has_capacity_for_tasks_of(machine, open, now)
--- a/crates/cherryyard-core/src/reachability.rs
+++ b/crates/cherryyard-core/src/reachability.rs
@@ -22,7 +22,8 @@
 /// State of knowledge on whether messages to a machine arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reachability {
-    /// Nothing shows the contrary; holds the number of messages in a row that were not reflected.
+    /// No evidence shows that messages to the machine fail to arrive; holds the number of the
+    /// machine's messages in a row that did not reflect what was sent to it.
     Reachable(u32),
     /// Messages were not reflected, or the machine has a new incarnation, so the machine is
     /// queried; holds the number of queries that it has not answered.
--- a/crates/cherryyard-core/src/reachability/tests.rs
+++ b/crates/cherryyard-core/src/reachability/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A machine must not be doubted after a single lost answer, must be queried after two in a row,
+/// A machine must not be suspected after a single lost answer, must be queried after two in a row,
 /// and must be reachable again as soon as it answers a query. Guards against a one-way partition
 /// that leaves heartbeats intact while commands do not arrive.
 #[test]
--- a/crates/cherryyard-simulation/src/world/requests.rs
+++ b/crates/cherryyard-simulation/src/world/requests.rs
@@ -247,7 +247,7 @@
 
 impl Requests {
     /// Sets the seed of the draws that decide delays, the order of requests, odd requests, and
-    /// which jobs are cancelled with [`Self::close_looks`].
+    /// which jobs are cancelled with [`Self::query_all_controllers`].
     pub fn seed(&mut self, seed: u64) {
         self.draw = Box::new(seeded_draws(seed));
     }
--- a/crates/cherryyard-simulation/src/world/requests/judge.rs
+++ b/crates/cherryyard-simulation/src/world/requests/judge.rs
@@ -80,8 +80,9 @@
         }
     }
 
-    /// Records the response that a user received. With [`super::Requests::close_looks`], a new
-    /// phase of the job's life causes requests to all controllers.
+    /// Records the response that a user received. With
+    /// [`super::Requests::query_all_controllers`], a new phase of the job's life causes requests to
+    /// all controllers.
     fn record_answer(&mut self, id: &str, previous: &[Answer], sequence: u64, response: &Response) {
         if response.status() == Some(JobStatus::Cancelled) {
             let cancelled_at = self.submissions.cancelled_at.entry(id.into());
